--- /dev/null
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -0,0 +1,56 @@
+//! The words of a rollout's log and of the operator's status line. `ochrewalk-report` reads logs that other versions wrote, and
+//! `docs/operators/rollout.md` names these words: they stay, whatever the code calls these things.
+
+use ochrewalk_rollout::{How, Mark, Outcome, Phase, Reason, Verdict, Word};
+
+#[test]
+fn phases_and_reasons_to_wait_have_these_words() {
+    let left_behind = Reason::LeftBehind { node: 3, why: "it \"ended\"".into() };
+    for (phase, text) in [
+        (Phase::Asking, "Asking"),
+        (Phase::Forward { stage: 0 }, "Forward { stage: 0 }"),
+        (Phase::Judged { stage: 12 }, "Judged { stage: 12 }"),
+        (Phase::Confirming, "Confirming"),
+        (Phase::Back { why: "slow \"sale\"".into() }, r#"Back { why: "slow \"sale\"" }"#),
+        (Phase::Waiting(Reason::Paused), "Waiting(Paused)"),
+        (Phase::Waiting(Reason::Unclear("few calls".into())), r#"Waiting(Unclear("few calls"))"#),
+        (Phase::Waiting(left_behind), r#"Waiting(LeftBehind { node: 3, why: "it \"ended\"" })"#),
+        (Phase::Waiting(Reason::Ill), "Waiting(Ill)"),
+        (Phase::Done, "Done"),
+        (Phase::IsBack { why: "slow".into() }, r#"IsBack { why: "slow" }"#),
+        (Phase::Replaced, "Replaced"),
+    ] {
+        assert_eq!(format!("{phase:?}"), text);
+        if let (Phase::Waiting(reason), Some(inner)) = (&phase, text.strip_prefix("Waiting(")) {
+            assert_eq!(Some(format!("{reason:?}").as_str()), inner.strip_suffix(')'));
+        }
+    }
+}
+
+#[test]
+fn ways_to_change_and_what_came_back_have_these_words() {
+    for (how, text) in [(How::OnTrial, "OnTrial"), (How::ForGood, "ForGood"), (How::Anew, "Anew")] {
+        assert_eq!(format!("{how:?}"), text);
+    }
+    for (word, text) in [
+        (Word::Ended(Outcome::Done), "Ended(Done)"),
+        (Word::Ended(Outcome::Failed("no such file".into())), r#"Ended(Failed("no such file"))"#),
+        (Word::Stale(Mark { conductor: 7, order: 2 }), "Stale(Mark { conductor: 7, order: 2 })"),
+        (Word::Nothing, "Nothing"),
+    ] {
+        assert_eq!(format!("{word:?}"), text);
+    }
+}
+
+#[test]
+fn verdicts_have_these_words() {
+    for (verdict, text) in [
+        (Verdict::Wait, "Wait"),
+        (Verdict::Ill, "Ill"),
+        (Verdict::Good, "Good"),
+        (Verdict::Harm("0.1 more of \"sale\" fail".into()), r#"Harm("0.1 more of \"sale\" fail")"#),
+        (Verdict::Ask("too few calls".into()), r#"Ask("too few calls")"#),
+    ] {
+        assert_eq!(format!("{verdict:?}"), text);
+    }
+}
