--- /dev/null
+++ b/tests/decision_trace.rs
@@ -0,0 +1,353 @@
+//! The same seeded events bring, byte for byte, the actions and the snapshots that are written down here. A change that is
+//! meant to change no decision keeps both; the digests are never taken anew to get a pass.
+
+mod helper;
+
+use helper::method;
+use ochrewalk::decide::{Decide, Kept};
+use ochrewalk::host::*;
+use prost::Message;
+use std::collections::BTreeMap;
+
+const STEPS: usize = 1_200;
+const SEEDS: u64 = 36;
+/// Of all actions of all seeds, and of a snapshot every hundred steps.
+const DIGEST: u64 = 14_539_994_788_114_879_433;
+const ACTIONS: u64 = 28_429;
+/// The seed and the step whose snapshot is the fixture.
+const FIXTURE_SEED: u64 = 7;
+const FIXTURE_STEP: usize = 900;
+const FIXTURE: &[u8] = include_bytes!("fixtures/decision-snapshot.bin");
+const SNAPSHOT_EVERY: usize = 100;
+const START_US: u64 = 1_000_000;
+const DRAIN_GRACE_US: u64 = 300_000;
+
+/// FNV-1a, 64 bits: small, and the same everywhere.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn add(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+}
+
+/// Where an RPC is, as far as the server outside can tell.
+#[derive(Clone, Copy, PartialEq)]
+enum Place {
+    Queued,
+    Running,
+    WaitsForCall,
+    Calling,
+}
+
+/// A host that digests every action with all its arguments, and follows where each RPC is.
+struct Recorder {
+    digest: Digest,
+    actions: u64,
+    rpcs: BTreeMap<String, Place>,
+    remembered: Vec<String>,
+    timers: Vec<(u64, u64)>,
+}
+
+impl Recorder {
+    fn new() -> Recorder {
+        Recorder {
+            digest: Digest::new(),
+            actions: 0,
+            rpcs: BTreeMap::new(),
+            remembered: Vec::new(),
+            timers: Vec::new(),
+        }
+    }
+
+    fn record(&mut self, action: &str) {
+        self.actions += 1;
+        self.digest.add(action.as_bytes());
+        self.digest.add(b"\n");
+    }
+}
+
+impl Host for Recorder {
+    fn run(&mut self, id: &str) {
+        self.record(&format!("run {id}"));
+        self.rpcs.insert(id.into(), Place::Running);
+    }
+    fn stop(&mut self, id: &str) {
+        self.record(&format!("stop {id}"));
+    }
+    fn push_back(&mut self, id: &str, last: bool, come_back_us: u64) {
+        self.record(&format!("reject {id} {last} {come_back_us}"));
+        self.rpcs.remove(id);
+    }
+    fn abort(&mut self, id: &str) {
+        self.record(&format!("abort {id}"));
+    }
+    fn call(&mut self, id: &str, until_us: u64) {
+        self.record(&format!("call {id} {until_us}"));
+        self.rpcs.insert(id.into(), Place::Calling);
+    }
+    fn skip_call(&mut self, id: &str) {
+        self.record(&format!("skip {id}"));
+        self.rpcs.insert(id.into(), Place::Running);
+    }
+    fn remember(&mut self, id: &str, ttl_us: u64) {
+        self.record(&format!("remember {id} {ttl_us}"));
+        self.remembered.push(id.into());
+    }
+    fn forget_key(&mut self, id: &str) {
+        self.record(&format!("forget {id}"));
+        self.remembered.retain(|remembered| remembered != id);
+    }
+    fn share_outcome(&mut self, id: &str) {
+        self.record(&format!("share {id}"));
+    }
+    fn health(&mut self, on: bool, cheap: bool) {
+        self.record(&format!("health {on} {cheap}"));
+    }
+    fn send_back(&mut self, value: f64) {
+        self.record(&format!("send back {:016x}", value.to_bits()));
+    }
+    fn close_idle(&mut self, idle_us: u64) {
+        self.record(&format!("close idle {idle_us}"));
+    }
+    fn wake(&mut self, at_us: u64, token: u64) {
+        self.record(&format!("wake {at_us} {token}"));
+        self.timers.push((at_us, token));
+    }
+}
+
+struct Deployment {
+    machine: Machine,
+    crowd: Crowd,
+    methods: Vec<Method>,
+    below: Below,
+    advice: Advice,
+    quotas: Quotas,
+}
+
+/// The deployment of a seed: together the seeds cover every setting of every kind.
+fn deployment(seed: u64) -> Deployment {
+    let stopping = [Stopping::Never, Stopping::Drop, Stopping::Pause][seed as usize % 3];
+    let shared = Below::Shared { share: 4.0, window_us: 2_000_000, linger_us: 300_000 };
+    let below = [shared, Below::Tier, shared, Below::Nothing][seed as usize % 4];
+    let calls = below != Below::Nothing;
+    let with = |effect, skip_share, criticality| Method {
+        calls,
+        criticality,
+        target_stretch: 0.5,
+        ..method(effect, skip_share)
+    };
+    let sent_back = [SentBack::Weight, SentBack::Level, SentBack::Credit, SentBack::Nothing];
+    Deployment {
+        machine: Machine {
+            cores: 1 + (seed % 4) as u32,
+            memory_kb: 300.0 + 100.0 * (seed % 5) as f64,
+            run_factor: 4.0,
+            key_kb: 0.5,
+            stopping,
+            idle_most_us: 30_000_000,
+        },
+        crowd: Crowd {
+            multiple: 5.0,
+            cold: seed.is_multiple_of(2),
+            cold_from: 0.3,
+            warm_within_us: 9_000_000,
+        },
+        methods: vec![
+            with(Effect::Idempotent, 0.0, 1.0),
+            with(Effect::Tokened, 0.0, 4.0),
+            with(Effect::NonIdempotent, 0.0, 3.0),
+            with(Effect::Idempotent, 0.5, 2.0),
+            Method { calls: false, ..with(Effect::Idempotent, 0.0, 1.0) },
+        ],
+        below,
+        advice: Advice {
+            sent_back: sent_back[(seed as usize / 3) % 4],
+            callers: 1 + (seed % 7) as u32,
+            marks_tries: !seed.is_multiple_of(3),
+            max_come_back_us: 1_000_000 * (seed % 3),
+        },
+        quotas: Quotas { by_work: seed.is_multiple_of(5), over_quota: 0.2, servers: 2 },
+    }
+}
+
+/// One server with its module, and the events that a seed draws for it.
+struct Run {
+    module: Decide<Recorder>,
+    rng: fastrand::Rng,
+    now_us: u64,
+    arrivals: u64,
+    methods: usize,
+}
+
+impl Run {
+    fn new(seed: u64) -> Run {
+        let Deployment { machine, crowd, methods, below, advice, quotas } = deployment(seed);
+        let count = methods.len();
+        let module = Decide::start(
+            Recorder::new(),
+            START_US,
+            seed,
+            machine,
+            crowd,
+            methods,
+            below,
+            advice,
+            quotas,
+            DRAIN_GRACE_US,
+        );
+        let rng = fastrand::Rng::with_seed(seed);
+        Run { module, rng, now_us: START_US, arrivals: 0, methods: count }
+    }
+
+    fn any(&mut self, place: Place) -> Option<String> {
+        let rpcs = &self.module.host().rpcs;
+        let all: Vec<String> =
+            rpcs.iter().filter(|(_, at)| **at == place).map(|(id, _)| id.clone()).collect();
+        (!all.is_empty()).then(|| all[self.rng.usize(0..all.len())].clone())
+    }
+
+    fn arrive(&mut self) {
+        self.arrivals += 1;
+        let id = format!("r{}", self.arrivals);
+        let method = self.rng.usize(0..self.methods);
+        let remembered = self.module.host().remembered.clone();
+        let may_repeat = method == 1 && !remembered.is_empty() && self.rng.u32(0..4) == 0;
+        let repeats = may_repeat.then(|| remembered[self.rng.usize(0..remembered.len())].as_str().into());
+        let tenant_id = self.rng.u32(0..6);
+        let per_second = [0.0, 2.0, 5.0, 20.0, 50.0, 5.0][tenant_id as usize];
+        let arrival = Arrival {
+            id: id.as_str().into(),
+            method,
+            kb: 1.0 + self.rng.f64() * 12.0,
+            queued_us: self.rng.u64(0..60_000),
+            left_us: self.rng.bool().then(|| self.rng.u64(50_000..6_000_000)),
+            effort_us: self.rng.bool().then(|| self.rng.u64(500..60_000)),
+            repeats,
+            further_try: self.rng.u32(0..4) == 0,
+            tenant: self.rng.bool().then_some(Tenant { id: tenant_id, per_second }),
+        };
+        self.module.host().rpcs.insert(id, Place::Queued);
+        self.module.arrived(self.now_us, arrival);
+    }
+
+    fn end_call(&mut self) {
+        let Some(id) = self.any(Place::Calling) else { return };
+        let outcome = [
+            Outcome::Ok,
+            Outcome::Ok,
+            Outcome::Ok,
+            Outcome::Ok,
+            Outcome::Error,
+            Outcome::PushedBack,
+            Outcome::TimedOut,
+            Outcome::Unreachable,
+            Outcome::Interrupted,
+            Outcome::Stopped,
+            Outcome::Moot,
+        ][self.rng.usize(0..11)];
+        let took_us = self.rng.u64(500..900_000);
+        let place = if outcome == Outcome::Ok { Place::Running } else { Place::WaitsForCall };
+        self.module.host().rpcs.insert(id.clone(), place);
+        self.module.call_ended(self.now_us, &id, outcome, took_us);
+    }
+
+    fn end_run(&mut self) {
+        let place = [Place::Running, Place::Running, Place::Running, Place::Calling][self.rng.usize(0..4)];
+        let Some(id) = self.any(place) else { return };
+        let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Stopped];
+        let outcome = outcome[self.rng.usize(0..5)];
+        self.module.host().rpcs.remove(&id);
+        self.module.run_ended(self.now_us, &id, outcome);
+    }
+
+    fn caller_goes(&mut self) {
+        let places = [Place::Queued, Place::Running, Place::WaitsForCall, Place::Calling];
+        let place = places[self.rng.usize(0..4)];
+        if let Some(id) = self.any(place) {
+            if place == Place::Queued {
+                self.module.host().rpcs.remove(&id);
+            }
+            self.module.gone(&id);
+        }
+    }
+
+    fn timer(&mut self) {
+        let gauges = Gauges {
+            busy: self.rng.bool().then(|| self.rng.f64()),
+            runnable: self.rng.bool().then(|| self.rng.f64() * 8.0),
+            connections: self.rng.bool().then(|| self.rng.f64() * 9.0),
+        };
+        let timers = &mut self.module.host().timers;
+        let token = timers.pop().map_or(3, |(_, token)| token);
+        self.module.timer(self.now_us, token, gauges);
+    }
+
+    fn step(&mut self, step: usize) {
+        // Traffic comes in bursts, so that queues fill and empty again.
+        let longest_us = if step / 150 % 2 == 0 { 4_000 } else { 40_000 };
+        self.now_us += self.rng.u64(0..longest_us);
+        match self.rng.u32(0..15) {
+            0..=4 => self.arrive(),
+            5 | 6 => {
+                if let Some(id) = self.any(Place::Running) {
+                    self.module.host().rpcs.insert(id.clone(), Place::WaitsForCall);
+                    self.module.needs_call(self.now_us, &id);
+                }
+            }
+            7..=9 => self.end_call(),
+            10 | 11 => self.end_run(),
+            12 => self.caller_goes(),
+            _ => self.timer(),
+        }
+        if step == STEPS - 200 {
+            self.module.leave(self.now_us, 3_000_000);
+        }
+        // Several events of one moment are told together at times.
+        if self.rng.u32(0..5) > 0 {
+            self.module.turn(self.now_us);
+        }
+    }
+
+    fn snapshot(&self) -> Vec<u8> {
+        self.module.keep().encode_to_vec()
+    }
+}
+
+#[test]
+fn seeded_events_bring_the_actions_and_snapshots_that_are_written_down() {
+    let (mut digest, mut actions) = (Digest::new(), 0);
+    for seed in 0..SEEDS {
+        let mut run = Run::new(seed);
+        for step in 0..STEPS {
+            run.step(step);
+            if step % SNAPSHOT_EVERY == 0 {
+                digest.add(&run.snapshot());
+            }
+        }
+        let recorder = run.module.host();
+        digest.add(&recorder.digest.0.to_be_bytes());
+        actions += recorder.actions;
+    }
+    assert_eq!((digest.0, actions), (DIGEST, ACTIONS));
+}
+
+#[test]
+fn the_snapshot_that_is_stored_is_read_and_written_back_with_the_same_bytes() {
+    let mut run = Run::new(FIXTURE_SEED);
+    for step in 0..FIXTURE_STEP {
+        run.step(step);
+    }
+    assert!(run.snapshot() == FIXTURE, "the same events bring the stored snapshot");
+    let Deployment { machine, crowd, methods, below, advice, quotas } = deployment(FIXTURE_SEED);
+    let kept = Kept::decode(FIXTURE).unwrap();
+    let resumed =
+        Decide::resume(Recorder::new(), machine, crowd, methods, below, advice, quotas, DRAIN_GRACE_US, kept);
+    assert!(resumed.unwrap().keep().encode_to_vec() == FIXTURE, "what was read is written back");
+}
