--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -279,7 +279,7 @@
         }
         let is_new = order.to == Program::New;
         let to = if is_new { "new" } else { "old" };
-        self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": format!("{:?}", order.how)}));
+        self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": order.how.to_string()}));
         let path = self.plan.file(&self.plan.nodes[node], is_new).display().to_string();
         let print = self.prints.of[node][usize::from(is_new)];
         let wanted = Wanted { is_settings: self.plan.subject == Subject::Settings, path, print };
@@ -359,7 +359,7 @@
     names.dedup();
     let zone = |name: &String| names.binary_search(&name).map_or(0, |at| at as u32);
     let zones = plan.nodes.iter().map(|node| zone(&node.zone)).collect();
-    Course::new(zones, plan.stages.clone(), plan.most_out).map_err(|wrong| format!("the plan's {wrong:?}"))
+    Course::new(zones, plan.stages.clone(), plan.most_out).map_err(|wrong| format!("the plan's {wrong}"))
 }
 
 fn conduct(
@@ -413,14 +413,14 @@
             hands.say(seen(&moment, plan, &methods(&all)));
             let verdict = judge.look(&moment);
             if !matches!(verdict, Verdict::Wait) {
-                hands.say(json!({"verdict": format!("{verdict:?}")}));
+                hands.say(json!({"verdict": verdict.to_string()}));
             }
             conductor.verdict(verdict, hands);
         }
         // A stage that has just been begun is gone on with at once.
         let now = format!("{:?} {:?}", conductor.phase(), conductor.seen());
         if now != last {
-            hands.say(json!({"phase": format!("{:?}", conductor.phase()), "nodes": sides(conductor)}));
+            hands.say(json!({"phase": conductor.phase().to_string(), "nodes": sides(conductor)}));
             (last, moved_at) = (now, Instant::now());
         }
         let stands_for = moved_at.elapsed().as_micros() as u64;
@@ -430,7 +430,7 @@
         while !conductor.is_over() {
             match heard.recv_timeout(next.saturating_duration_since(Instant::now())) {
                 Ok(Heard::Answered { node, mark, word }) => {
-                    hands.say(json!({"answer": plan.nodes[node].name, "word": format!("{word:?}")}));
+                    hands.say(json!({"answer": plan.nodes[node].name, "word": word.to_string()}));
                     if word == Word::Ended(Outcome::Done) {
                         nodes[node].changed_at = Some(Instant::now());
                     }
@@ -444,7 +444,7 @@
                     }
                     let [old, new, other] = sides(conductor);
                     let phase = conductor.phase();
-                    let _ = writeln!(stream, "{phase:?}, {old} old, {new} new, {other} unknown");
+                    let _ = writeln!(stream, "{phase}, {old} old, {new} new, {other} unknown");
                 }
                 Err(RecvTimeoutError::Timeout) => break,
                 Err(RecvTimeoutError::Disconnected) => return Err("nobody can be heard any more".into()),
@@ -457,7 +457,7 @@
             Phase::Done => return Ok(End::Done),
             Phase::IsBack { why } => return Ok(End::Back(why.clone())),
             Phase::Replaced => return Ok(End::Replaced),
-            Phase::Waiting(reason) => return Ok(End::Waiting(format!("{reason:?}"))),
+            Phase::Waiting(reason) => return Ok(End::Waiting(reason.to_string())),
             _ => {}
         }
     }
--- a/crates/ochrewalk-rollout/src/lib.rs
+++ b/crates/ochrewalk-rollout/src/lib.rs
@@ -10,6 +10,7 @@
 mod evidence;
 mod fence;
 mod judge;
+mod log_text;
 pub mod messages;
 mod trial;
 
--- a/crates/ochrewalk-rollout/tests/log_text.rs
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -20,9 +20,9 @@
         (Phase::IsBack { why: "slow".into() }, r#"IsBack { why: "slow" }"#),
         (Phase::Replaced, "Replaced"),
     ] {
-        assert_eq!(format!("{phase:?}"), text);
+        assert_eq!(phase.to_string(), text);
         if let (Phase::Waiting(reason), Some(inner)) = (&phase, text.strip_prefix("Waiting(")) {
-            assert_eq!(Some(format!("{reason:?}").as_str()), inner.strip_suffix(')'));
+            assert_eq!(Some(reason.to_string().as_str()), inner.strip_suffix(')'));
         }
     }
 }
@@ -30,7 +30,7 @@
 #[test]
 fn ways_to_change_and_what_came_back_have_these_words() {
     for (how, text) in [(How::OnTrial, "OnTrial"), (How::ForGood, "ForGood"), (How::Anew, "Anew")] {
-        assert_eq!(format!("{how:?}"), text);
+        assert_eq!(how.to_string(), text);
     }
     for (word, text) in [
         (Word::Ended(Outcome::Done), "Ended(Done)"),
@@ -38,7 +38,7 @@
         (Word::Stale(Mark { conductor: 7, order: 2 }), "Stale(Mark { conductor: 7, order: 2 })"),
         (Word::Nothing, "Nothing"),
     ] {
-        assert_eq!(format!("{word:?}"), text);
+        assert_eq!(word.to_string(), text);
     }
 }
 
@@ -51,6 +51,6 @@
         (Verdict::Harm("0.1 more of \"sale\" fail".into()), r#"Harm("0.1 more of \"sale\" fail")"#),
         (Verdict::Ask("too few calls".into()), r#"Ask("too few calls")"#),
     ] {
-        assert_eq!(format!("{verdict:?}"), text);
+        assert_eq!(verdict.to_string(), text);
     }
 }
