--- a/crates/ochrewalk-lab/src/judged.rs
+++ b/crates/ochrewalk-lab/src/judged.rs
@@ -1,7 +1,7 @@
 //! How good a judge of changes is, in virtual time: many changes of a fleet whose nodes miss by chance, some of them with
 //! harm, some under trouble that strikes all; the real judge beside plainer ways.
 
-use ochrewalk_rollout::{Counts, Judge, Measures, Moment, NodeCounts, Verdict};
+use ochrewalk_rollout::{AnalysisSettings, CallCounts, CanaryAnalysis, NodeSample, Sample, Verdict};
 use plotters::prelude::*;
 use std::path::Path;
 
@@ -54,7 +54,7 @@
     }
 
     /// The next second.
-    pub fn moment(&mut self) -> Moment {
+    pub fn moment(&mut self) -> Sample {
         self.second += 1;
         let mut nodes = Vec::new();
         for node in 0..self.nodes {
@@ -66,30 +66,30 @@
                 let share =
                     self.missed * self.differ[node] + self.trouble + if harmed { self.harm } else { 0.0 };
                 let missed = (0..calls).filter(|_| self.rng.f64() < share).count() as u32;
-                methods.push(Counts { calls, missed, failed: missed / 2 });
+                methods.push(CallCounts { calls, missed, failed: missed / 2 });
             }
-            nodes.push(NodeCounts {
+            nodes.push(NodeSample {
                 node,
                 zone: (node % 3) as u32,
                 is_changed,
                 methods,
                 memory_kb: 40_000,
-                ..NodeCounts::default()
+                ..NodeSample::default()
             });
         }
-        Moment { nodes, changed: self.changed, others: self.nodes - self.changed }
+        Sample { nodes, changed: self.changed, others: self.nodes - self.changed }
     }
 
     /// Seconds until the judge says something else than to wait, and what.
-    pub fn judged(&mut self, judge: &mut Judge, most: u32) -> (u32, Verdict) {
+    pub fn judged(&mut self, judge: &mut CanaryAnalysis, most: u32) -> (u32, Verdict) {
         for second in 1..=most {
             let moment = self.moment();
             match judge.look(&moment) {
-                Verdict::Wait | Verdict::Ill => {}
+                Verdict::Pending | Verdict::FleetUnhealthy => {}
                 said => return (second, said),
             }
         }
-        (most, Verdict::Wait)
+        (most, Verdict::Pending)
     }
 }
 
@@ -141,7 +141,7 @@
     others: [f64; 2],
 }
 
-fn add(sums: &mut [Sums], moment: &Moment) {
+fn add(sums: &mut [Sums], moment: &Sample) {
     for node in &moment.nodes {
         for (sum, counts) in sums.iter_mut().zip(&node.methods) {
             let side = if node.is_changed { &mut sum.changed } else { &mut sum.others };
@@ -164,14 +164,14 @@
 
 /// The word of a plain way on what was seen since a stage began.
 fn plain_word(way: Way, sums: &[Sums], before: &[f64], second: u32) -> Verdict {
-    let harm = |is: bool| if is { Verdict::Harm("more of it misses".into()) } else { Verdict::Wait };
+    let harm = |is: bool| if is { Verdict::Harm("more of it misses".into()) } else { Verdict::Pending };
     if way == Way::BeforeAfter {
         if second < LEAST {
-            return Verdict::Wait;
+            return Verdict::Pending;
         }
         let share = |of: &Sums| of.changed[1] / of.changed[0].max(1.0);
         let worse = sums.iter().zip(before).any(|(of, before)| share(of) > before + HARM / 2.0);
-        return if worse { harm(true) } else { Verdict::Good };
+        return if worse { harm(true) } else { Verdict::Pass };
     }
     let seen: Vec<(f64, f64)> = sums.iter().filter_map(over).collect();
     if seen.iter().any(|(over, spread)| *over > BOUND * spread && second >= 5) {
@@ -179,9 +179,9 @@
     }
     let is_clear = seen.iter().all(|(over, spread)| over + BOUND * spread < HARM);
     if second >= LEAST && is_clear || second >= MOST {
-        Verdict::Good
+        Verdict::Pass
     } else {
-        Verdict::Wait
+        Verdict::Pending
     }
 }
 
@@ -189,8 +189,10 @@
 pub fn change(way: Way, case: Case, nodes: usize, rate: f64, seed: u64) -> Ended {
     let mut world = World::new(nodes, 0, rate, seed);
     world.harm = if case == Case::Harm { HARM } else { 0.0 };
-    let mut judge =
-        Judge::new(Measures { harm: HARM, ..Measures::default() }, METHODS.map(String::from).to_vec());
+    let mut judge = CanaryAnalysis::new(
+        AnalysisSettings { harm: HARM, ..AnalysisSettings::default() },
+        METHODS.map(String::from).to_vec(),
+    );
     let mut before = vec![Sums::default(); METHODS.len()];
     for _ in 0..LEAST {
         let moment = world.moment();
@@ -214,10 +216,10 @@
             };
             match said {
                 Verdict::Harm(_) => return Ended { stopped: true, seconds: world.second - from },
-                Verdict::Good => break,
+                Verdict::Pass => break,
                 // Who is asked for lack of calls passes it, in this table.
-                Verdict::Ask(_) => break,
-                Verdict::Wait | Verdict::Ill => {}
+                Verdict::Inconclusive(_) => break,
+                Verdict::Pending | Verdict::FleetUnhealthy => {}
             }
         }
     }
--- a/crates/ochrewalk-node/src/moving/counter_report.rs
+++ b/crates/ochrewalk-node/src/moving/counter_report.rs
@@ -2,7 +2,7 @@
 //! changed, and added up over the programs that served one after another. No I/O.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
-use ochrewalk_rollout::messages::{MethodTally, Tally};
+use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use prost::Message as _;
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CounterReport {
     /// All counters.
-    All(Tally),
+    All(ServingCounters),
     /// Counters that changed since the report before. What is not of one method stands in each.
-    Changed(Tally),
+    Changed(ServingCounters),
 }
 
 impl CounterReport {
@@ -31,7 +31,7 @@
 
     /// The report of that line; none where it holds no report that can be read.
     pub fn of_line(line: &str) -> Option<CounterReport> {
-        let decoded = |text: &str| Tally::decode(&BASE64_STANDARD.decode(text).ok()?[..]).ok();
+        let decoded = |text: &str| ServingCounters::decode(&BASE64_STANDARD.decode(text).ok()?[..]).ok();
         if let Some(text) = line.strip_prefix(ALL) {
             return decoded(text).map(CounterReport::All);
         }
@@ -41,20 +41,20 @@
 
 /// Counters by the name of their method.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct MethodCounters(BTreeMap<String, MethodTally>);
+pub struct CountersByMethod(BTreeMap<String, MethodCounters>);
 
-impl MethodCounters {
-    fn replace(&mut self, methods: Vec<MethodTally>) {
+impl CountersByMethod {
+    fn replace(&mut self, methods: Vec<MethodCounters>) {
         self.0.extend(methods.into_iter().map(|method| (method.name.clone(), method)));
     }
 
     /// Adds those of another program.
-    pub fn add(&mut self, others: &MethodCounters) {
+    pub fn add(&mut self, others: &CountersByMethod) {
         for (name, other) in &others.0 {
             let own = self
                 .0
                 .entry(name.clone())
-                .or_insert_with(|| MethodTally { name: name.clone(), ..MethodTally::default() });
+                .or_insert_with(|| MethodCounters { name: name.clone(), ..MethodCounters::default() });
             own.calls += other.calls;
             own.missed += other.missed;
             own.failed += other.failed;
@@ -62,7 +62,7 @@
     }
 
     /// One entry for each method, by name.
-    pub fn into_methods(self) -> Vec<MethodTally> {
+    pub fn into_methods(self) -> Vec<MethodCounters> {
         self.0.into_values().collect()
     }
 }
@@ -71,8 +71,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportedCounters {
     /// The newest report, less its methods.
-    pub latest: Tally,
-    pub methods: MethodCounters,
+    pub latest: ServingCounters,
+    pub methods: CountersByMethod,
 }
 
 impl ReportedCounters {
@@ -80,7 +80,7 @@
     pub fn take(&mut self, report: CounterReport) {
         let mut tally = match report {
             CounterReport::All(tally) => {
-                self.methods = MethodCounters::default();
+                self.methods = CountersByMethod::default();
                 tally
             }
             CounterReport::Changed(tally) => tally,
--- a/crates/ochrewalk-node/src/moving/orders.rs
+++ b/crates/ochrewalk-node/src/moving/orders.rs
@@ -1,8 +1,10 @@
 //! A supervisor's side of a rolling change: how its node stands, and the orders that it takes.
 
-use super::counter_report::{CounterReport, MethodCounters, ReportedCounters};
-use ochrewalk_rollout::messages::{self, OrderTold, Request, Response, Said, Stands, Tally, Wanted, VERSION};
-use ochrewalk_rollout::{Admitted, Due, Fence, Mark, Outcome, Trial};
+use super::counter_report::{CounterReport, CountersByMethod, ReportedCounters};
+use ochrewalk_rollout::messages::{
+    self, CommandMessage, NodeStatus, Reply, Request, Response, ServingCounters, Target, PROTOCOL_VERSION,
+};
+use ochrewalk_rollout::{Admission, CommitConfirm, Fence, FencingToken, Outcome, RevertAction};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -65,7 +67,7 @@
     }
 
     /// Whether it runs that, whatever else it goes by.
-    fn is(&self, wanted: &Wanted) -> bool {
+    fn is(&self, wanted: &Target) -> bool {
         let settings = self.reported.as_ref().map_or(0, |(_, reported)| reported.latest.settings);
         wanted.print == if wanted.is_settings { settings } else { self.print }
     }
@@ -74,19 +76,19 @@
 /// What the supervisor remembers of changes.
 pub struct Orders {
     fence: Fence,
-    trial: Trial,
+    trial: CommitConfirm,
     /// What ran before the trial began, and its program's print.
     back_to: Option<(Image, u64)>,
     begun: Instant,
     start: u64,
     /// Counts of programs that served before the one that does.
-    before: MethodCounters,
+    before: CountersByMethod,
 }
 
 /// What is to be done with a request.
 pub enum Deed {
     /// Nothing more: this is the answer.
-    Answer(Said),
+    Answer(Reply),
     /// That takes over; the answer follows.
     Change(Image, Ordered),
 }
@@ -94,7 +96,7 @@
 /// An order that is being carried out.
 #[derive(Clone, Copy, Debug)]
 pub struct Ordered {
-    mark: Mark,
+    mark: FencingToken,
     lease_us: u64,
     pub anew: bool,
 }
@@ -103,11 +105,11 @@
     fn default() -> Orders {
         Orders {
             fence: Fence::default(),
-            trial: Trial::default(),
+            trial: CommitConfirm::default(),
             back_to: None,
             begun: Instant::now(),
             start: fastrand::u64(1..),
-            before: MethodCounters::default(),
+            before: CountersByMethod::default(),
         }
     }
 }
@@ -119,28 +121,30 @@
 
     /// One message of an owner's: what to do. While something is changing no order is begun.
     pub fn asked(&mut self, request: &Request, serving: Option<&Serving>, is_changing: bool) -> Deed {
-        if request.version != VERSION {
-            return Deed::Answer(Said::Refused(format!("messages of version {VERSION} are known here")));
+        if request.version != PROTOCOL_VERSION {
+            return Deed::Answer(Reply::Rejected(format!(
+                "messages of version {PROTOCOL_VERSION} are known here"
+            )));
         }
         self.fence.heard(request.conductor);
         self.trial.heard(self.now_us(), request.conductor, self.fence.highest().conductor);
         match (&request.order, serving) {
-            (None, Some(serving)) => Deed::Answer(Said::Stands(self.stands(serving, is_changing))),
-            (None, None) => Deed::Answer(Said::Refused("no program serves".into())),
+            (None, Some(serving)) => Deed::Answer(Reply::Status(self.stands(serving, is_changing))),
+            (None, None) => Deed::Answer(Reply::Rejected("no program serves".into())),
             (Some(order), serving) => self.order(order, serving, is_changing),
         }
     }
 
-    fn order(&mut self, order: &OrderTold, serving: Option<&Serving>, is_changing: bool) -> Deed {
+    fn order(&mut self, order: &CommandMessage, serving: Option<&Serving>, is_changing: bool) -> Deed {
         let mark = order.mark();
         if is_changing && mark > self.fence.highest() {
-            return Deed::Answer(Said::Busy("another upgrade is under way".into()));
+            return Deed::Answer(Reply::Busy("another upgrade is under way".into()));
         }
         match self.fence.admit(mark) {
-            Admitted::Stale(highest) => return Deed::Answer(Said::Stale(highest.into())),
-            Admitted::Again(outcome) => return Deed::Answer(Said::Ended(outcome.into())),
-            Admitted::UnderWay => return Deed::Answer(Said::Busy("it is being carried out".into())),
-            Admitted::Act => {}
+            Admission::Stale(highest) => return Deed::Answer(Reply::Stale(highest.into())),
+            Admission::Repeated(outcome) => return Deed::Answer(Reply::Finished(outcome.into())),
+            Admission::InProgress => return Deed::Answer(Reply::Busy("it is being carried out".into())),
+            Admission::Execute => {}
         }
         let ordered = Ordered { mark, lease_us: order.lease_ms * 1_000, anew: order.anew };
         let (Some(wanted), Some(serving)) = (&order.wanted, serving) else {
@@ -169,7 +173,7 @@
     }
 
     /// An order has come to its end: the answer to it. `before` is what ran until then, where that has changed.
-    pub fn ended(&mut self, ordered: Ordered, before: Option<(Image, u64)>, outcome: Outcome) -> Said {
+    pub fn ended(&mut self, ordered: Ordered, before: Option<(Image, u64)>, outcome: Outcome) -> Reply {
         match (&outcome, ordered.lease_us) {
             (Outcome::Done, 0) => self.is_for_good(),
             // What has run before, for good, does not come on trial by being asked for again.
@@ -180,7 +184,7 @@
             _ => {}
         }
         self.fence.ended(ordered.mark, outcome.clone());
-        Said::Ended(outcome.into())
+        Reply::Finished(outcome.into())
     }
 
     /// What runs now stays.
@@ -194,14 +198,14 @@
         let due = self.trial.due(self.now_us());
         let (image, print) = self.back_to.as_ref()?;
         match due {
-            Due::Nothing => None,
-            Due::HandBack => Some((image.clone(), false)),
+            RevertAction::None => None,
+            RevertAction::HandOver => Some((image.clone(), false)),
             // Guards the node: what is on trial still serves, and what ran before is not there any more.
-            Due::Anew if is_other(&image.program, *print).is_some() => {
+            RevertAction::Restart if is_other(&image.program, *print).is_some() => {
                 self.returned(false);
                 None
             }
-            Due::Anew => Some((image.clone(), true)),
+            RevertAction::Restart => Some((image.clone(), true)),
         }
     }
 
@@ -225,13 +229,13 @@
         }
     }
 
-    fn stands(&self, serving: &Serving, is_changing: bool) -> Stands {
+    fn stands(&self, serving: &Serving, is_changing: bool) -> NodeStatus {
         let tally = serving.reported.as_ref().map(|(_, reported)| {
             let mut methods = self.before.clone();
             methods.add(&reported.methods);
-            Tally { methods: methods.into_methods(), ..reported.latest.clone() }
+            ServingCounters { methods: methods.into_methods(), ..reported.latest.clone() }
         });
-        Stands {
+        NodeStatus {
             print: serving.print,
             path: serving.image.program.display().to_string(),
             highest: Some(self.fence.highest().into()),
@@ -252,8 +256,8 @@
     }
 }
 
-pub fn say(stream: &mut UnixStream, said: Said) {
-    let _ = stream.write_all(&messages::write(&Response { version: VERSION, said: Some(said) }));
+pub fn say(stream: &mut UnixStream, said: Reply) {
+    let _ = stream.write_all(&messages::write(&Response { version: PROTOCOL_VERSION, said: Some(said) }));
 }
 
 /// Asks a node by its control socket, from the conductor's side.
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -24,7 +24,7 @@
 use assembly::{begin, build};
 use leaving::{leave, END_MS};
 use may::sync::mpsc::channel;
-use ochrewalk_rollout::messages::Tally;
+use ochrewalk_rollout::messages::ServingCounters;
 use reload::read_again;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::net::SocketAddr;
@@ -216,7 +216,7 @@
     let names = &deployment.method_names;
     loop {
         let methods = if reads_changes { tally.changed(names, &mut reported) } else { tally.all(names) };
-        let tally = Tally { methods, ..condition(node, pulse.is_felt()) };
+        let tally = ServingCounters { methods, ..condition(node, pulse.is_felt()) };
         let report = if reads_changes { CounterReport::Changed(tally) } else { CounterReport::All(tally) };
         link.report(&report.to_line());
         std::thread::sleep(BETWEEN_TALLIES);
@@ -224,10 +224,10 @@
 }
 
 /// How this program is, without its counters.
-fn condition(node: &Node, hears: bool) -> Tally {
+fn condition(node: &Node, hears: bool) -> ServingCounters {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
-    Tally {
+    ServingCounters {
         is_healthy: hears && node.core.gate.posture().healthy == Some(true),
         memory_kb: resident * 4,
         methods: Vec::new(),
--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -4,10 +4,13 @@
 use crate::moving::orders::{ask, print_of};
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_operators::{changes, Needs, Rollout as Plan, Subject};
-use ochrewalk_rollout::messages::{self, program, OrderTold, Request, Response, Said, Stands, Wanted};
+use ochrewalk_rollout::messages::{
+    self, program, CommandMessage, NodeStatus, Reply, Request, Response, Target,
+};
 use ochrewalk_rollout::{
-    Acts, Conductor, Course, Habits, Judge, Kept, Mark, Measures, Moment, NodeCounts, Order, Outcome, Phase,
-    Program, Report, Verdict, Word,
+    AnalysisSettings, CanaryAnalysis, Command, CommandReply, ControllerActions, FencingToken, NodeReport,
+    NodeSample, Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, Sample, StagePlan, Variant,
+    Verdict,
 };
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -85,7 +88,7 @@
     }
 
     /// Which of the two a node runs, if one of them.
-    fn side(&self, node: usize, stands: &Stands) -> Option<Program> {
+    fn side(&self, node: usize, stands: &NodeStatus) -> Option<Variant> {
         let print = if self.subject == Subject::Program { stands.print } else { stands.settings() };
         let [old, new] = self.of[node];
         program(print, old, new)
@@ -116,17 +119,17 @@
 }
 
 /// How a node stands, asked by the conductor of that number; 0 for one who only looks on.
-fn stands(control: &Path, conductor: u64) -> Result<Stands, String> {
+fn stands(control: &Path, conductor: u64) -> Result<NodeStatus, String> {
     match ask(control, &Request::stands(conductor), ASKING) {
-        Ok(Response { said: Some(Said::Stands(stands)), .. }) => Ok(stands),
-        Ok(Response { said: Some(Said::Refused(why)), .. }) => Err(why),
+        Ok(Response { said: Some(Reply::Status(stands)), .. }) => Ok(stands),
+        Ok(Response { said: Some(Reply::Rejected(why)), .. }) => Err(why),
         Ok(Response { version, .. }) => Err(format!("an answer of version {version} that is not known here")),
         Err(err) => Err(err.to_string()),
     }
 }
 
 /// All nodes at once, each asked on its own.
-fn ask_all(plan: &Plan, conductor: u64) -> Vec<Result<Stands, String>> {
+fn ask_all(plan: &Plan, conductor: u64) -> Vec<Result<NodeStatus, String>> {
     std::thread::scope(|scope| {
         let asked: Vec<_> =
             plan.nodes.iter().map(|node| scope.spawn(move || stands(&node.control, conductor))).collect();
@@ -169,7 +172,7 @@
             Err(why) => format!("says nothing: {why}"),
             Ok(stands) => {
                 let side = prints.as_ref().and_then(|prints| prints.side(at, stands));
-                let word = side.map_or("another", |p| if p == Program::Old { "old" } else { "new" });
+                let word = side.map_or("another", |p| if p == Variant::Old { "old" } else { "new" });
                 let trial = if stands.on_trial { ", on trial" } else { "" };
                 format!("{word:<8} {}{trial}", if stands.is_well { "well" } else { "not well" })
             }
@@ -217,7 +220,7 @@
         Ok(Record { file: plan.record.clone(), _lock: file })
     }
 
-    fn load(&self) -> Result<Option<Kept>, String> {
+    fn load(&self) -> Result<Option<RolloutRecord>, String> {
         match std::fs::read(&self.file) {
             Ok(bytes) => messages::read_kept(&bytes).map(Some),
             Err(err) if err.kind() == std::io::ErrorKind::NotFound => Ok(None),
@@ -226,7 +229,7 @@
     }
 
     /// On disk before it comes back; a crash leaves the one before or this one, whole.
-    fn save(&self, kept: &Kept) -> Result<(), String> {
+    fn save(&self, kept: &RolloutRecord) -> Result<(), String> {
         let save = || -> std::io::Result<()> {
             let fresh = self.file.with_extension("fresh");
             let mut file = std::fs::File::create(&fresh)?;
@@ -240,7 +243,7 @@
 }
 
 enum Heard {
-    Answered { node: usize, mark: Mark, word: Word },
+    Answered { node: usize, mark: FencingToken, word: CommandReply },
     Operator { word: String, stream: UnixStream },
 }
 
@@ -265,25 +268,25 @@
     }
 }
 
-impl Acts for Hands<'_> {
-    fn keep(&mut self, kept: &Kept) {
+impl ControllerActions for Hands<'_> {
+    fn keep(&mut self, kept: &RolloutRecord) {
         if let Err(why) = self.record.save(kept) {
             self.failed = Some(why);
         }
     }
 
-    fn order(&mut self, node: usize, order: Order) {
+    fn order(&mut self, node: usize, order: Command) {
         // Nothing is done that could not be kept first.
         if self.failed.is_some() {
             return;
         }
-        let is_new = order.to == Program::New;
+        let is_new = order.to == Variant::New;
         let to = if is_new { "new" } else { "old" };
         self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": order.how.to_string()}));
         let path = self.plan.file(&self.plan.nodes[node], is_new).display().to_string();
         let print = self.prints.of[node][usize::from(is_new)];
-        let wanted = Wanted { is_settings: self.plan.subject == Subject::Settings, path, print };
-        let request = Request::order(OrderTold::new(&order, wanted, self.plan.trial_us / 1_000));
+        let wanted = Target { is_settings: self.plan.subject == Subject::Settings, path, print };
+        let request = Request::order(CommandMessage::new(&order, wanted, self.plan.trial_us / 1_000));
         let (control, tell) = (self.plan.nodes[node].control.clone(), self.tell.clone());
         std::thread::spawn(move || {
             let word = give_order(&control, &request);
@@ -297,21 +300,23 @@
 }
 
 /// Sends an order until the node says what came of it, or for as long as one may take.
-fn give_order(control: &Path, request: &Request) -> Word {
+fn give_order(control: &Path, request: &Request) -> CommandReply {
     let by = Instant::now() + ORDERED;
     loop {
         let word = match ask(control, request, ORDERED) {
-            Ok(Response { said: Some(Said::Ended(ended)), .. }) => Word::Ended(ended.into()),
-            Ok(Response { said: Some(Said::Stale(mark)), .. }) => Word::Stale(mark.into()),
-            Ok(Response { said: Some(Said::Refused(why)), .. }) => Word::Ended(Outcome::Failed(why)),
-            Ok(Response { said: Some(Said::Busy(_)), .. }) if Instant::now() < by => {
+            Ok(Response { said: Some(Reply::Finished(ended)), .. }) => CommandReply::Finished(ended.into()),
+            Ok(Response { said: Some(Reply::Stale(mark)), .. }) => CommandReply::Stale(mark.into()),
+            Ok(Response { said: Some(Reply::Rejected(why)), .. }) => {
+                CommandReply::Finished(Outcome::Failed(why))
+            }
+            Ok(Response { said: Some(Reply::Busy(_)), .. }) if Instant::now() < by => {
                 std::thread::sleep(AGAIN);
                 continue;
             }
             // It may be under way, or lost.
             _ => {
                 std::thread::sleep(AGAIN);
-                Word::Nothing
+                CommandReply::NoReply
             }
         };
         return word;
@@ -321,7 +326,7 @@
 /// A node as it was seen before.
 #[derive(Default)]
 struct Before {
-    stands: Option<Stands>,
+    stands: Option<NodeStatus>,
     restarts: u32,
     changed_at: Option<Instant>,
 }
@@ -343,9 +348,9 @@
     // Above any that an earlier one has had, whatever became of the clock; and no other's that begins now.
     let now_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
     let number = now_us.max(kept.as_ref().map_or(0, |kept| kept.conductor) + 1);
-    let habits = Habits { on_trial: plan.trial_us > 0, begins_anew: plan.begins_anew };
+    let habits = RolloutPolicy { on_trial: plan.trial_us > 0, begins_anew: plan.begins_anew };
     hands.say(json!({"begun": number}));
-    let mut conductor = Conductor::new(course, habits, kept, number);
+    let mut conductor = RolloutController::new(course, habits, kept, number);
     let end = conduct(&mut conductor, &mut hands, &heard, command);
     let _ = std::fs::remove_file(socket(plan));
     let end = end?;
@@ -353,17 +358,17 @@
     Ok(end)
 }
 
-fn course(plan: &Plan) -> Result<Course, String> {
+fn course(plan: &Plan) -> Result<StagePlan, String> {
     let mut names: Vec<&String> = plan.nodes.iter().map(|node| &node.zone).collect();
     names.sort();
     names.dedup();
     let zone = |name: &String| names.binary_search(&name).map_or(0, |at| at as u32);
     let zones = plan.nodes.iter().map(|node| zone(&node.zone)).collect();
-    Course::new(zones, plan.stages.clone(), plan.most_out).map_err(|wrong| format!("the plan's {wrong}"))
+    StagePlan::new(zones, plan.stages.clone(), plan.most_out).map_err(|wrong| format!("the plan's {wrong}"))
 }
 
 fn conduct(
-    conductor: &mut Conductor,
+    conductor: &mut RolloutController,
     hands: &mut Hands,
     heard: &Receiver<Heard>,
     command: ConductorCommand,
@@ -371,21 +376,21 @@
     let plan = hands.plan;
     let moment = Duration::from_micros(plan.moment_us);
     let moments = |us: u64| (us / plan.moment_us).max(1) as u32;
-    let measures = Measures {
+    let measures = AnalysisSettings {
         harm: plan.harm,
         least: moments(plan.least_us),
         most: moments(plan.most_us),
         silent: moments(plan.silent_us),
-        ..Measures::default()
+        ..AnalysisSettings::default()
     };
     let mut nodes: Vec<Before> = plan.nodes.iter().map(|_| Before::default()).collect();
-    let mut judge: Option<Judge> = None;
+    let mut judge: Option<CanaryAnalysis> = None;
     let (mut command, mut last, mut moved_at) = (command, String::new(), Instant::now());
     // What each node usually answers, before the first of them is changed.
     for _ in 0..if conductor.kept().changed.is_empty() { BEFORE } else { 0 } {
         let all = ask_all(plan, conductor.kept().conductor);
         let before = look(conductor, plan, &all, &mut nodes);
-        judge.get_or_insert_with(|| Judge::new(measures, methods(&all))).look(&before);
+        judge.get_or_insert_with(|| CanaryAnalysis::new(measures, methods(&all))).look(&before);
         std::thread::sleep(moment);
     }
     loop {
@@ -395,24 +400,26 @@
             let report = stands.as_ref().ok().and_then(|stands| report(node, stands, &hands.prints));
             conductor.report(node, report.as_ref(), hands);
         }
-        if command == ConductorCommand::Back && conductor.phase() != &Phase::Asking {
+        if command == ConductorCommand::Back && conductor.phase() != &Phase::Polling {
             (command, _) = (ConductorCommand::Run, conductor.back(hands));
         }
         if let Some(stage) = hands.judge.take() {
             hands.say(json!({"judged": stage}));
-            judge.iter_mut().for_each(Judge::stage);
+            judge.iter_mut().for_each(CanaryAnalysis::stage);
         }
-        if command == ConductorCommand::GoOn && matches!(conductor.phase(), Phase::Judged { .. }) {
-            (command, _) = (ConductorCommand::Run, conductor.verdict(Verdict::Good, hands));
+        if command == ConductorCommand::GoOn && matches!(conductor.phase(), Phase::Analyzing { .. }) {
+            (command, _) = (ConductorCommand::Run, conductor.verdict(Verdict::Pass, hands));
         }
-        let judge = judge.get_or_insert_with(|| Judge::new(measures, methods(&all)));
+        let judge = judge.get_or_insert_with(|| CanaryAnalysis::new(measures, methods(&all)));
         let moment = look(conductor, plan, &all, &mut nodes);
-        let is_judged =
-            matches!(conductor.phase(), Phase::Forward { .. } | Phase::Judged { .. } | Phase::Confirming);
+        let is_judged = matches!(
+            conductor.phase(),
+            Phase::Advancing { .. } | Phase::Analyzing { .. } | Phase::Confirming
+        );
         if is_judged && moment.changed > 0 {
             hands.say(seen(&moment, plan, &methods(&all)));
             let verdict = judge.look(&moment);
-            if !matches!(verdict, Verdict::Wait) {
+            if !matches!(verdict, Verdict::Pending) {
                 hands.say(json!({"verdict": verdict.to_string()}));
             }
             conductor.verdict(verdict, hands);
@@ -431,7 +438,7 @@
             match heard.recv_timeout(next.saturating_duration_since(Instant::now())) {
                 Ok(Heard::Answered { node, mark, word }) => {
                     hands.say(json!({"answer": plan.nodes[node].name, "word": word.to_string()}));
-                    if word == Word::Ended(Outcome::Done) {
+                    if word == CommandReply::Finished(Outcome::Done) {
                         nodes[node].changed_at = Some(Instant::now());
                     }
                     conductor.answered(node, mark, word, hands);
@@ -455,7 +462,7 @@
         }
         match conductor.phase() {
             Phase::Done => return Ok(End::Done),
-            Phase::IsBack { why } => return Ok(End::Back(why.clone())),
+            Phase::RolledBack { why } => return Ok(End::Back(why.clone())),
             Phase::Replaced => return Ok(End::Replaced),
             Phase::Waiting(reason) => return Ok(End::Waiting(reason.to_string())),
             _ => {}
@@ -464,13 +471,13 @@
 }
 
 /// What a node's word means to the conductor; nothing where it runs neither program of the plan.
-fn report(node: usize, stands: &Stands, prints: &Prints) -> Option<Report> {
-    let highest = stands.highest.map_or(Mark::default(), Mark::from);
+fn report(node: usize, stands: &NodeStatus, prints: &Prints) -> Option<NodeReport> {
+    let highest = stands.highest.map_or(FencingToken::default(), FencingToken::from);
     let program = prints.side(node, stands)?;
-    Some(Report { program, is_well: stands.is_well, highest })
+    Some(NodeReport { program, is_well: stands.is_well, highest })
 }
 
-fn methods(all: &[Result<Stands, String>]) -> Vec<String> {
+fn methods(all: &[Result<NodeStatus, String>]) -> Vec<String> {
     let tallies = all.iter().flatten().filter_map(|stands| stands.tally.as_ref());
     let mut names: Vec<String> =
         tallies.flat_map(|tally| tally.methods.iter().map(|method| method.name.clone())).collect();
@@ -481,7 +488,7 @@
 
 /// A moment as it is logged: by side the methods' calls, missed and failed, and the memory of the largest node; and
 /// each node's calls, if it spoke.
-fn seen(moment: &Moment, plan: &Plan, methods: &[String]) -> serde_json::Value {
+fn seen(moment: &Sample, plan: &Plan, methods: &[String]) -> serde_json::Value {
     let side = |is_changed: bool| {
         let of = || moment.nodes.iter().filter(move |node| node.is_changed == is_changed);
         let sum = |method: usize| {
@@ -503,23 +510,28 @@
 }
 
 /// Nodes that run the old, the new, and what is not known.
-fn sides(conductor: &Conductor) -> [usize; 3] {
+fn sides(conductor: &RolloutController) -> [usize; 3] {
     let count = |program| conductor.seen().iter().filter(|seen| seen.program == program).count();
-    [Some(Program::Old), Some(Program::New), None].map(count)
+    [Some(Variant::Old), Some(Variant::New), None].map(count)
 }
 
-fn by_name(tally: &messages::Tally) -> HashMap<&str, &messages::MethodTally> {
+fn by_name(tally: &messages::ServingCounters) -> HashMap<&str, &messages::MethodCounters> {
     tally.methods.iter().map(|method| (method.name.as_str(), method)).collect()
 }
 
 /// What has come since the moment before.
-fn look(conductor: &Conductor, plan: &Plan, all: &[Result<Stands, String>], nodes: &mut [Before]) -> Moment {
+fn look(
+    conductor: &RolloutController,
+    plan: &Plan,
+    all: &[Result<NodeStatus, String>],
+    nodes: &mut [Before],
+) -> Sample {
     let methods = methods(all);
     let seen = conductor.seen();
-    let is_changed = |node: usize| seen[node].program == Some(Program::New);
-    let mut moment = Moment {
+    let is_changed = |node: usize| seen[node].program == Some(Variant::New);
+    let mut moment = Sample {
         changed: (0..seen.len()).filter(|node| is_changed(*node)).count(),
-        others: (0..seen.len()).filter(|node| seen[*node].program == Some(Program::Old)).count(),
+        others: (0..seen.len()).filter(|node| seen[*node].program == Some(Variant::Old)).count(),
         nodes: Vec::new(),
     };
     let zones: Vec<&String> = plan.nodes.iter().map(|node| &node.zone).collect();
@@ -528,7 +540,7 @@
         let of = &mut nodes[node];
         if let Some(before) = &of.stands {
             of.restarts += u32::from(before.start != stands.start);
-            let tally = |stands: &Stands| stands.tally.clone().unwrap_or_default();
+            let tally = |stands: &NodeStatus| stands.tally.clone().unwrap_or_default();
             let (now, earlier) = (tally(stands), tally(before));
             let (counted_now, counted_earlier) = (by_name(&now), by_name(&earlier));
             let counts = methods.iter().map(|name| {
@@ -536,7 +548,7 @@
                 counted_now.get(name.as_str()).map(|method| method.since(earlier)).unwrap_or_default()
             });
             let cold = Duration::from_micros(plan.cold_us);
-            moment.nodes.push(NodeCounts {
+            moment.nodes.push(NodeSample {
                 node,
                 zone: zones.iter().position(|zone| *zone == zones[node]).unwrap_or(0) as u32,
                 is_changed: is_changed(node),
--- a/crates/ochrewalk-node/src/tally.rs
+++ b/crates/ochrewalk-node/src/tally.rs
@@ -5,7 +5,7 @@
 use crate::seam::Answer;
 use ochrewalk::deployment::Deployment;
 use ochrewalk::names::Names;
-use ochrewalk_rollout::messages::MethodTally;
+use ochrewalk_rollout::messages::MethodCounters;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 #[derive(Default)]
@@ -44,12 +44,12 @@
     }
 
     /// Counters of all methods.
-    pub fn all(&self, names: &Names) -> Vec<MethodTally> {
+    pub fn all(&self, names: &Names) -> Vec<MethodCounters> {
         names.iter().zip(&self.methods).map(|(name, method)| method.counted(name)).collect()
     }
 
     /// Counters of methods that had calls since the last time that `reported` came here.
-    pub fn changed(&self, names: &Names, reported: &mut ReportedCalls) -> Vec<MethodTally> {
+    pub fn changed(&self, names: &Names, reported: &mut ReportedCalls) -> Vec<MethodCounters> {
         reported.0.resize(self.methods.len(), 0);
         let mut changed = Vec::new();
         for ((name, method), reported) in names.iter().zip(&self.methods).zip(&mut reported.0) {
@@ -68,9 +68,9 @@
 pub struct ReportedCalls(Vec<u64>);
 
 impl Method {
-    fn counted(&self, name: &str) -> MethodTally {
+    fn counted(&self, name: &str) -> MethodCounters {
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        MethodTally {
+        MethodCounters {
             name: name.to_string(),
             calls: of(&self.calls),
             missed: of(&self.missed),
--- a/crates/ochrewalk-node/tests/supervisor_link.rs
+++ b/crates/ochrewalk-node/tests/supervisor_link.rs
@@ -1,9 +1,9 @@
 //! A program's stream to its supervisor: lines of several threads, questions and answers, and counters.
 
-use ochrewalk_node::moving::counter_report::{CounterReport, MethodCounters, ReportedCounters};
+use ochrewalk_node::moving::counter_report::{CounterReport, CountersByMethod, ReportedCounters};
 use ochrewalk_node::moving::supervisor_link::{Question, SupervisorLink};
 use ochrewalk_node::moving::wire::{lines, send_line};
-use ochrewalk_rollout::messages::{MethodTally, Tally};
+use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -76,12 +76,12 @@
     assert_eq!(link.ask(Question::MayPause, Duration::from_secs(3_600)), None);
 }
 
-fn counted(name: &str, calls: u64, missed: u64, failed: u64) -> MethodTally {
-    MethodTally { name: name.into(), calls, missed, failed }
+fn counted(name: &str, calls: u64, missed: u64, failed: u64) -> MethodCounters {
+    MethodCounters { name: name.into(), calls, missed, failed }
 }
 
-fn tally(memory_kb: u64, methods: Vec<MethodTally>) -> Tally {
-    Tally { is_healthy: true, memory_kb, methods, settings: 7 }
+fn tally(memory_kb: u64, methods: Vec<MethodCounters>) -> ServingCounters {
+    ServingCounters { is_healthy: true, memory_kb, methods, settings: 7 }
 }
 
 /// Reports of changes lead to the same counters as reports of all of them do, and each line is read as it was written.
@@ -116,7 +116,7 @@
         known.take(CounterReport::Changed(tally(1, methods)));
         known.methods
     };
-    let mut sum = MethodCounters::default();
+    let mut sum = CountersByMethod::default();
     sum.add(&reported(vec![counted("a", 4, 2, 1), counted("b", 1, 0, 0)]));
     sum.add(&reported(vec![counted("b", 2, 1, 0), counted("c", 1, 1, 1)]));
     let expected = vec![counted("a", 4, 2, 1), counted("b", 3, 1, 0), counted("c", 1, 1, 1)];
--- a/crates/ochrewalk-rollout/src/judge.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis.rs
@@ -2,12 +2,12 @@
 //! both sides alike is no harm; a node that says nothing is no good news; too little traffic gives no verdict; harm that
 //! comes late is found, as all changed nodes stay under judgement, from several moments on.
 
-use crate::evidence::{Evidence, Table};
+use crate::sequential_test::{ContingencyTable, SequentialTest};
 use std::collections::BTreeMap;
 
 /// What a node counted of one method in one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct CallCounts {
     pub calls: u32,
     /// Of those, without a served answer within the latency target.
     pub missed: u32,
@@ -17,13 +17,13 @@
 
 /// A node in one moment. One that says nothing has no entry.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct NodeCounts {
+pub struct NodeSample {
     pub node: usize,
     pub zone: u32,
     pub is_changed: bool,
     /// It was changed so lately that it is cold: judged apart.
     pub is_cold: bool,
-    pub methods: Vec<Counts>,
+    pub methods: Vec<CallCounts>,
     /// Starts that nobody asked for, ever.
     pub restarts: u32,
     pub memory_kb: u64,
@@ -31,15 +31,15 @@
 
 /// All nodes in one moment, and the changed and unchanged ones that should have spoken.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Moment {
-    pub nodes: Vec<NodeCounts>,
+pub struct Sample {
+    pub nodes: Vec<NodeSample>,
     pub changed: usize,
     pub others: usize,
 }
 
 /// What the judge goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Measures {
+pub struct AnalysisSettings {
     /// Harm that has to be found, as a share of a method's calls.
     pub harm: f64,
     /// The chance of a stop without harm over a whole change, and of a stage passed with that harm.
@@ -52,23 +52,23 @@
     pub silent: u32,
 }
 
-impl Default for Measures {
-    fn default() -> Measures {
-        Measures { harm: 0.05, false_stop: 0.01, miss: 0.01, least: 30, most: 900, silent: 10 }
+impl Default for AnalysisSettings {
+    fn default() -> AnalysisSettings {
+        AnalysisSettings { harm: 0.05, false_stop: 0.01, miss: 0.01, least: 30, most: 900, silent: 10 }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// Not enough is known.
-    Wait,
+    Pending,
     /// Both sides are ill: this moment tells nothing.
-    Ill,
-    Good,
+    FleetUnhealthy,
+    Pass,
     /// What is worse, in plain words.
     Harm(String),
     /// Too little came in all this time.
-    Ask(String),
+    Inconclusive(String),
 }
 
 /// To pass, so much of the harm that has to be found is ruled out: nodes differ a little for good.
@@ -89,21 +89,21 @@
 
 /// A method and what is counted of it.
 #[derive(Clone, Debug, Default)]
-struct Watched {
+struct MethodTests {
     /// By start, for the share missed and the share failed.
-    missed: Vec<Evidence>,
-    failed: Vec<Evidence>,
+    missed: Vec<SequentialTest>,
+    failed: Vec<SequentialTest>,
     uneven: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Judge {
-    measures: Measures,
+pub struct CanaryAnalysis {
+    measures: AnalysisSettings,
     methods: Vec<String>,
-    watched: Vec<Watched>,
+    watched: Vec<MethodTests>,
     /// Since the stage began: what its verdict needs.
-    stage: Vec<Evidence>,
-    cold: Vec<Evidence>,
+    stage: Vec<SequentialTest>,
+    cold: Vec<SequentialTest>,
     moments: u32,
     stage_moments: u32,
     last_spoke: BTreeMap<usize, (u32, bool)>,
@@ -133,15 +133,15 @@
 /// What was expected and answered fades so with each moment.
 const FLOW_FADES: f64 = 0.97;
 
-impl Judge {
-    pub fn new(measures: Measures, methods: Vec<String>) -> Judge {
+impl CanaryAnalysis {
+    pub fn new(measures: AnalysisSettings, methods: Vec<String>) -> CanaryAnalysis {
         let count = methods.len();
-        Judge {
+        CanaryAnalysis {
             measures,
             methods,
-            watched: vec![Watched { uneven: 1.0, ..Watched::default() }; count],
-            stage: vec![Evidence::default(); count],
-            cold: vec![Evidence::default(); count],
+            watched: vec![MethodTests { uneven: 1.0, ..MethodTests::default() }; count],
+            stage: vec![SequentialTest::default(); count],
+            cold: vec![SequentialTest::default(); count],
             moments: 0,
             stage_moments: 0,
             last_spoke: BTreeMap::new(),
@@ -155,12 +155,12 @@
 
     /// The next stage begins: what was seen before still counts against harm, not for the stage.
     pub fn stage(&mut self) {
-        self.stage.iter_mut().for_each(|evidence| *evidence = Evidence::default());
+        self.stage.iter_mut().for_each(|evidence| *evidence = SequentialTest::default());
         self.stage_moments = 0;
     }
 
     /// Looks at one more moment.
-    pub fn look(&mut self, moment: &Moment) -> Verdict {
+    pub fn look(&mut self, moment: &Sample) -> Verdict {
         self.moments += 1;
         self.stage_moments += 1;
         if let Some(why) = self
@@ -174,7 +174,7 @@
         if self.is_ill(moment) {
             // The stage goes on for as long as that lasts.
             self.stage_moments -= 1;
-            return Verdict::Ill;
+            return Verdict::FleetUnhealthy;
         }
         self.add(moment);
         if let Some(why) = self.harm() {
@@ -182,26 +182,26 @@
         }
         if moment.others == 0 {
             // All are changed: nobody is left to compare with. Silence, restarts and memory still stop it.
-            return if self.stage_moments >= self.measures.least { Verdict::Good } else { Verdict::Wait };
+            return if self.stage_moments >= self.measures.least { Verdict::Pass } else { Verdict::Pending };
         }
         if self.stage_moments < self.measures.least {
-            return Verdict::Wait;
+            return Verdict::Pending;
         }
-        let Measures { harm, miss, most, .. } = self.measures;
+        let AnalysisSettings { harm, miss, most, .. } = self.measures;
         // A method that nobody calls says nothing and is not waited for.
         let boundary = (self.methods.len() as f64 / miss).ln();
         let open =
             |at: &usize| self.stage[*at].reach() > 0.0 && self.stage[*at].against(harm * SURELY) < boundary;
         match (0..self.methods.len()).find(open) {
-            None if self.stage.iter().any(|evidence| evidence.reach() > 0.0) => Verdict::Good,
-            _ if self.stage_moments < most => Verdict::Wait,
-            Some(at) => Verdict::Ask(format!("too few calls of {} to tell", self.methods[at])),
-            None => Verdict::Ask("no calls on both sides".into()),
+            None if self.stage.iter().any(|evidence| evidence.reach() > 0.0) => Verdict::Pass,
+            _ if self.stage_moments < most => Verdict::Pending,
+            Some(at) => Verdict::Inconclusive(format!("too few calls of {} to tell", self.methods[at])),
+            None => Verdict::Inconclusive("no calls on both sides".into()),
         }
     }
 
     /// A changed node that does not speak, where others do.
-    fn silence(&mut self, moment: &Moment) -> Option<String> {
+    fn silence(&mut self, moment: &Sample) -> Option<String> {
         for node in &moment.nodes {
             self.last_spoke.insert(node.node, (self.moments, node.is_changed));
         }
@@ -219,7 +219,7 @@
     }
 
     /// Changed nodes that start anew, where the others do not as often.
-    fn restarted(&mut self, moment: &Moment) -> Option<String> {
+    fn restarted(&mut self, moment: &Sample) -> Option<String> {
         for node in &moment.nodes {
             let (was_changed, before) =
                 *self.restarts.get(&node.node).unwrap_or(&(node.is_changed, node.restarts));
@@ -234,8 +234,8 @@
     }
 
     /// A changed node that says it is well and answers hardly any calls, where it had its part of them before.
-    fn deaf(&mut self, moment: &Moment) -> Option<String> {
-        let calls = |node: &NodeCounts| node.methods.iter().map(|c| f64::from(c.calls)).sum::<f64>();
+    fn deaf(&mut self, moment: &Sample) -> Option<String> {
+        let calls = |node: &NodeSample| node.methods.iter().map(|c| f64::from(c.calls)).sum::<f64>();
         let others: Vec<f64> = moment.nodes.iter().filter(|n| !n.is_changed).map(calls).collect();
         if others.is_empty() {
             return None;
@@ -260,7 +260,7 @@
     }
 
     /// Memory of changed nodes that stays far over the others'.
-    fn heavier(&mut self, moment: &Moment) -> Option<String> {
+    fn heavier(&mut self, moment: &Sample) -> Option<String> {
         let median = |is_changed: bool| {
             let of = moment.nodes.iter().filter(|n| n.is_changed == is_changed && !n.is_cold);
             let mut all: Vec<u64> = of.map(|n| n.memory_kb).collect();
@@ -273,7 +273,7 @@
         (self.heavy >= self.measures.least).then(|| "memory of changed nodes is far over the others'".into())
     }
 
-    fn is_ill(&mut self, moment: &Moment) -> bool {
+    fn is_ill(&mut self, moment: &Sample) -> bool {
         let others = moment.nodes.iter().filter(|node| !node.is_changed).flat_map(|node| &node.methods);
         let (calls, missed) = others.fold((0.0, 0.0), |(calls, missed), counts| {
             (calls + f64::from(counts.calls), missed + f64::from(counts.missed))
@@ -290,16 +290,16 @@
         ill
     }
 
-    fn add(&mut self, moment: &Moment) {
+    fn add(&mut self, moment: &Sample) {
         if self.moments % ANEW == 1 {
             for watched in &mut self.watched {
                 for starts in [&mut watched.missed, &mut watched.failed] {
                     if starts.len() < STARTS {
-                        starts.push(Evidence::default());
+                        starts.push(SequentialTest::default());
                     } else {
                         // The first is kept: it knows the most. Of the others the oldest goes.
                         starts.remove(1);
-                        starts.push(Evidence::default());
+                        starts.push(SequentialTest::default());
                     }
                 }
             }
@@ -310,8 +310,8 @@
         for method in 0..self.methods.len() {
             let uneven = self.unevenness(moment, method);
             for zone in &zones {
-                let table = |is_cold: bool, of: fn(&Counts) -> u32| {
-                    let mut table = Table::default();
+                let table = |is_cold: bool, of: fn(&CallCounts) -> u32| {
+                    let mut table = ContingencyTable::default();
                     for node in moment.nodes.iter().filter(|node| node.zone == *zone) {
                         let Some(counts) = node.methods.get(method) else { continue };
                         let (calls, failed) = (f64::from(counts.calls), f64::from(of(counts)));
@@ -336,7 +336,7 @@
     }
 
     /// By how much the others differ among themselves beyond chance, slowly followed.
-    fn unevenness(&mut self, moment: &Moment, method: usize) -> f64 {
+    fn unevenness(&mut self, moment: &Sample, method: usize) -> f64 {
         let of = || {
             let others = moment.nodes.iter().filter(|node| !node.is_changed);
             others.filter_map(|node| node.methods.get(method)).filter(|counts| counts.calls > 0)
--- a/crates/ochrewalk-rollout/src/trial.rs
+++ b/crates/ochrewalk-rollout/src/commit_confirm.rs
@@ -4,12 +4,12 @@
 
 /// When something is to be done about a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
-    Nothing,
+pub enum RevertAction {
+    None,
     /// What ran before is to take over from what is on trial.
-    HandBack,
+    HandOver,
     /// That has failed again and again: what is on trial is ended, and what ran before is begun anew.
-    Anew,
+    Restart,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -28,28 +28,28 @@
 }
 
 /// So often it is handed back before it is begun anew, so far apart.
-const TRIES: u32 = 3;
-const APART_US: u64 = 1_000_000;
+const MAX_ATTEMPTS: u32 = 3;
+const RETRY_INTERVAL_US: u64 = 1_000_000;
 
 /// A node's trial, if it is on one. Times are monotonic: a step of the calendar neither shortens a trial nor makes it
 /// endless.
 ///
 /// ```
-/// use ochrewalk_rollout::{Due, Trial};
-/// let mut trial = Trial::default();
+/// use ochrewalk_rollout::{RevertAction, CommitConfirm};
+/// let mut trial = CommitConfirm::default();
 /// trial.began(0, 5_000_000);
 /// trial.heard(4_000_000, 7, 7);
-/// assert_eq!(trial.due(8_999_999), Due::Nothing);
-/// assert_eq!(trial.due(9_000_000), Due::HandBack);
+/// assert_eq!(trial.due(8_999_999), RevertAction::None);
+/// assert_eq!(trial.due(9_000_000), RevertAction::HandOver);
 /// trial.returned(9_100_000, true);
-/// assert!(!trial.is_on() && trial.due(99_000_000) == Due::Nothing);
+/// assert!(!trial.is_on() && trial.due(99_000_000) == RevertAction::None);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Trial {
+pub struct CommitConfirm {
     state: State,
 }
 
-impl Trial {
+impl CommitConfirm {
     /// What it runs now is on trial, for so long after each word of the conductor's.
     pub fn began(&mut self, now_us: u64, lease_us: u64) {
         self.state = State::OnTrial { lease_us, until_us: now_us + lease_us };
@@ -68,18 +68,18 @@
         }
     }
 
-    /// Time has passed: what is to be done now. What is said to be done is under way until [`Trial::returned`].
-    pub fn due(&mut self, now_us: u64) -> Due {
+    /// Time has passed: what is to be done now. What is said to be done is under way until [`CommitConfirm::returned`].
+    pub fn due(&mut self, now_us: u64) -> RevertAction {
         let tried = match self.state {
             State::OnTrial { until_us, .. } if now_us >= until_us => 0,
             State::Returning { tried, next_us: Some(next_us) } if now_us >= next_us => tried,
-            _ => return Due::Nothing,
+            _ => return RevertAction::None,
         };
         self.state = State::Returning { tried: tried + 1, next_us: None };
-        if tried < TRIES {
-            Due::HandBack
+        if tried < MAX_ATTEMPTS {
+            RevertAction::HandOver
         } else {
-            Due::Anew
+            RevertAction::Restart
         }
     }
 
@@ -88,7 +88,7 @@
         if let State::Returning { tried, .. } = self.state {
             self.state = match is_done {
                 true => State::Steady,
-                false => State::Returning { tried, next_us: Some(now_us + APART_US) },
+                false => State::Returning { tried, next_us: Some(now_us + RETRY_INTERVAL_US) },
             };
         }
     }
@@ -114,8 +114,8 @@
 
     const LEASE: u64 = 5_000_000;
 
-    fn on_trial() -> Trial {
-        let mut trial = Trial::default();
+    fn on_trial() -> CommitConfirm {
+        let mut trial = CommitConfirm::default();
         trial.began(0, LEASE);
         trial
     }
@@ -130,25 +130,31 @@
             assert_eq!(trial.next_us(), Some(until_us), "{conductor} where {highest} is known");
         }
         let mut trial = on_trial();
-        assert_eq!(trial.due(LEASE), Due::HandBack);
+        assert_eq!(trial.due(LEASE), RevertAction::HandOver);
         trial.heard(LEASE + 1, 7, 7);
         assert!(trial.is_on() && trial.next_us().is_none());
         // A process that was stopped for an hour goes back at once when it wakes.
-        assert_eq!(on_trial().due(3_600_000_000), Due::HandBack);
+        assert_eq!(on_trial().due(3_600_000_000), RevertAction::HandOver);
     }
 
     #[test]
     fn going_back_is_tried_three_times_and_then_it_is_begun_anew_until_it_comes_about() {
         let mut trial = on_trial();
         let mut now_us = LEASE;
-        for wanted in [Due::HandBack, Due::HandBack, Due::HandBack, Due::Anew, Due::Anew] {
+        for wanted in [
+            RevertAction::HandOver,
+            RevertAction::HandOver,
+            RevertAction::HandOver,
+            RevertAction::Restart,
+            RevertAction::Restart,
+        ] {
             assert_eq!(trial.due(now_us), wanted);
-            assert_eq!(trial.due(now_us + 60_000_000), Due::Nothing, "one try at a time");
+            assert_eq!(trial.due(now_us + 60_000_000), RevertAction::None, "one try at a time");
             trial.returned(now_us, false);
-            assert_eq!(trial.due(now_us), Due::Nothing, "not at once");
+            assert_eq!(trial.due(now_us), RevertAction::None, "not at once");
             now_us = trial.next_us().unwrap();
         }
-        assert_eq!(trial.due(now_us), Due::Anew);
+        assert_eq!(trial.due(now_us), RevertAction::Restart);
         trial.returned(now_us, true);
         assert!(!trial.is_on());
     }
@@ -157,7 +163,7 @@
     fn what_is_for_good_stays_and_a_late_word_of_its_return_means_nothing() {
         let mut trial = on_trial();
         trial.is_for_good();
-        assert_eq!((trial.due(u64::MAX), trial.next_us()), (Due::Nothing, None));
+        assert_eq!((trial.due(u64::MAX), trial.next_us()), (RevertAction::None, None));
         trial.returned(1, false);
         assert!(!trial.is_on());
         // On trial again while it goes back: the later order counts.
--- a/crates/ochrewalk-rollout/src/conductor.rs
+++ b/crates/ochrewalk-rollout/src/controller.rs
@@ -2,42 +2,42 @@
 //! about to do is kept first, so that it may be ended at any moment and begun anew from what was kept: it then takes a
 //! higher number than any node knows, asks all of them how they stand, and goes on from there.
 
-use crate::course::{Course, Seen};
-use crate::fence::{Mark, Outcome};
-use crate::judge::Verdict;
-use crate::Program;
+use crate::canary_analysis::Verdict;
+use crate::fence::{FencingToken, Outcome};
+use crate::stage_plan::{NodeState, StagePlan};
+use crate::Variant;
 
 /// What a node says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Report {
-    pub program: Program,
+pub struct NodeReport {
+    pub program: Variant,
     pub is_well: bool,
     /// The highest mark that it knows.
-    pub highest: Mark,
+    pub highest: FencingToken,
 }
 
 /// How a node comes to run what it is ordered to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum How {
+pub enum ChangeMethod {
     /// The one that runs hands over, and what takes over stays only as long as the node hears of its conductor.
-    OnTrial,
+    CommitConfirmed,
     /// The one that runs hands over, where it is not the one that is wanted.
-    ForGood,
+    HandOver,
     /// The one that runs leaves, or is ended where it cannot, and the other is begun anew.
-    Anew,
+    Restart,
 }
 
 /// A node is to run that program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Order {
-    pub mark: Mark,
-    pub to: Program,
-    pub how: How,
+pub struct Command {
+    pub mark: FencingToken,
+    pub to: Variant,
+    pub how: ChangeMethod,
 }
 
 /// What a plan allows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Habits {
+pub struct RolloutPolicy {
     /// Changed nodes are on trial until the whole change is done.
     pub on_trial: bool,
     /// A node that cannot hand back what it runs may be begun anew.
@@ -46,50 +46,50 @@
 
 /// What came back on an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Word {
-    Ended(Outcome),
+pub enum CommandReply {
+    Finished(Outcome),
     /// Another conductor has a higher number.
-    Stale(Mark),
+    Stale(FencingToken),
     /// Nothing, in the time given: it may have been carried out, or will be.
-    Nothing,
+    NoReply,
 }
 
 /// Why it waits for an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Reason {
+pub enum WaitReason {
     Paused,
     /// The judge cannot tell.
-    Unclear(String),
+    Inconclusive(String),
     /// A node cannot go back, or does not answer, and may run the new program.
-    LeftBehind {
+    NodeStuck {
         node: usize,
         why: String,
     },
     /// A stage cannot be reached, as too many nodes are out of service for their own reasons.
-    Ill,
+    FleetUnhealthy,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     /// All nodes are asked how they stand, and told the number.
-    Asking,
-    Forward {
+    Polling,
+    Advancing {
         stage: usize,
     },
     /// The stage is reached and under judgement.
-    Judged {
+    Analyzing {
         stage: usize,
     },
     /// All were found good: each is told that it is for good.
     Confirming,
-    Back {
+    RollingBack {
         why: String,
     },
     /// What goes on when the operator says so is in `kept`.
-    Waiting(Reason),
+    Waiting(WaitReason),
     Done,
     /// All that were changed are back.
-    IsBack {
+    RolledBack {
         why: String,
     },
     /// Another conductor has taken over.
@@ -98,7 +98,7 @@
 
 /// What has to outlive the conductor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct RolloutRecord {
     pub conductor: u64,
     /// One past the last where all were found good.
     pub stage: usize,
@@ -110,21 +110,21 @@
 }
 
 /// What the conductor does.
-pub trait Acts {
+pub trait ControllerActions {
     /// Keeps this where it outlives us, before anything else is done.
-    fn keep(&mut self, kept: &Kept);
-    fn order(&mut self, node: usize, order: Order);
+    fn keep(&mut self, kept: &RolloutRecord);
+    fn order(&mut self, node: usize, order: Command);
     /// Begins to judge a stage.
     fn judge(&mut self, stage: usize);
 }
 
 /// An order unanswered so many times leaves its node behind.
-const TRIES: u8 = 3;
+const MAX_ATTEMPTS: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    seen: Seen,
-    order: Option<Order>,
+    seen: NodeState,
+    order: Option<Command>,
     tries: u8,
     /// It has answered, or was asked in vain, since this conductor began.
     is_asked: bool,
@@ -133,21 +133,26 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Conductor {
-    course: Course,
-    habits: Habits,
-    kept: Kept,
+pub struct RolloutController {
+    course: StagePlan,
+    habits: RolloutPolicy,
+    kept: RolloutRecord,
     phase: Phase,
     nodes: Vec<Node>,
     next_order: u64,
 }
 
-impl Conductor {
+impl RolloutController {
     /// Begins, or goes on from what was kept. `number` is higher than any that this conductor's file knows.
-    pub fn new(course: Course, habits: Habits, kept: Option<Kept>, number: u64) -> Conductor {
-        let kept = Kept { conductor: number, ..kept.unwrap_or_default() };
+    pub fn new(
+        course: StagePlan,
+        habits: RolloutPolicy,
+        kept: Option<RolloutRecord>,
+        number: u64,
+    ) -> RolloutController {
+        let kept = RolloutRecord { conductor: number, ..kept.unwrap_or_default() };
         let place = |node: usize| kept.changed.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
-        let seen = |node| Seen {
+        let seen = |node| NodeState {
             program: None,
             is_well: false,
             answers: false,
@@ -157,38 +162,38 @@
         let node =
             |node| Node { seen: seen(node), order: None, tries: 0, is_asked: false, is_confirmed: false };
         let nodes = (0..course.nodes()).map(node).collect();
-        Conductor { course, habits, kept, phase: Phase::Asking, nodes, next_order: 0 }
+        RolloutController { course, habits, kept, phase: Phase::Polling, nodes, next_order: 0 }
     }
 
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    pub fn kept(&self) -> &Kept {
+    pub fn kept(&self) -> &RolloutRecord {
         &self.kept
     }
 
     pub fn is_over(&self) -> bool {
-        matches!(self.phase, Phase::Done | Phase::IsBack { .. } | Phase::Waiting(_) | Phase::Replaced)
+        matches!(self.phase, Phase::Done | Phase::RolledBack { .. } | Phase::Waiting(_) | Phase::Replaced)
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<NodeState> {
         self.nodes.iter().map(|node| node.seen).collect()
     }
 
     /// What is ordered and not answered.
-    pub fn orders(&self) -> impl Iterator<Item = (usize, Order)> + '_ {
+    pub fn orders(&self) -> impl Iterator<Item = (usize, Command)> + '_ {
         self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.order?)))
     }
 
     /// A node was asked how it stands; none where it did not answer.
-    pub fn report(&mut self, node: usize, report: Option<&Report>, acts: &mut impl Acts) {
-        if matches!(self.phase, Phase::Done | Phase::IsBack { .. } | Phase::Replaced) {
+    pub fn report(&mut self, node: usize, report: Option<&NodeReport>, acts: &mut impl ControllerActions) {
+        if matches!(self.phase, Phase::Done | Phase::RolledBack { .. } | Phase::Replaced) {
             return;
         }
         if let Some(report) = report {
             let highest = report.highest.conductor;
-            if self.phase == Phase::Asking {
+            if self.phase == Phase::Polling {
                 // Nothing has been ordered yet: a number above all others is ours to take.
                 if highest > self.kept.conductor {
                     self.kept.conductor = highest + 1;
@@ -203,18 +208,18 @@
         if let (Some(report), None) = (report, of.order) {
             of.seen.program = Some(report.program);
         }
-        if self.phase == Phase::Asking && self.nodes.iter().all(|node| node.is_asked) {
+        if self.phase == Phase::Polling && self.nodes.iter().all(|node| node.is_asked) {
             acts.keep(&self.kept);
             self.phase = match (&self.kept.back, self.kept.is_over) {
                 (None, true) => Phase::Done,
-                (Some(why), true) => Phase::IsBack { why: why.clone() },
-                (Some(why), false) => Phase::Back { why: why.clone() },
+                (Some(why), true) => Phase::RolledBack { why: why.clone() },
+                (Some(why), false) => Phase::RollingBack { why: why.clone() },
                 (None, false) => self.forward(),
             };
         }
-        if let Phase::Judged { stage } = self.phase {
+        if let Phase::Analyzing { stage } = self.phase {
             if self.course.has_shrunk(&self.seen(), stage) {
-                self.phase = Phase::Forward { stage };
+                self.phase = Phase::Advancing { stage };
             }
         }
         self.go_on(acts);
@@ -223,44 +228,51 @@
     /// Where the way forward goes on.
     fn forward(&self) -> Phase {
         match self.kept.stage {
-            stage if stage < self.course.stages() => Phase::Forward { stage },
+            stage if stage < self.course.stages() => Phase::Advancing { stage },
             _ => Phase::Confirming,
         }
     }
 
     /// What came back on an order.
-    pub fn answered(&mut self, node: usize, mark: Mark, word: Word, acts: &mut impl Acts) {
+    pub fn answered(
+        &mut self,
+        node: usize,
+        mark: FencingToken,
+        word: CommandReply,
+        acts: &mut impl ControllerActions,
+    ) {
         let of = &mut self.nodes[node];
         let Some(order) = of.order.filter(|order| order.mark == mark) else { return };
         match word {
-            Word::Stale(_) => return self.phase = Phase::Replaced,
-            Word::Nothing if of.tries + 1 < TRIES => {
+            CommandReply::Stale(_) => return self.phase = Phase::Replaced,
+            CommandReply::NoReply if of.tries + 1 < MAX_ATTEMPTS => {
                 of.tries += 1;
                 return acts.order(node, order);
             }
-            Word::Nothing => {
+            CommandReply::NoReply => {
                 // What it runs is not known: it counts as out of service until it says so.
                 (of.order, of.seen.is_ordered, of.seen.is_well, of.seen.program) = (None, false, false, None);
                 of.seen.answers = false;
                 if self.phase == Phase::Confirming {
                     let why = "it was not told that what it runs is for good".into();
-                    return self.phase = Phase::Waiting(Reason::LeftBehind { node, why });
+                    return self.phase = Phase::Waiting(WaitReason::NodeStuck { node, why });
                 }
                 return self.go_back(format!("node {node} has not answered"), acts);
             }
-            Word::Ended(Outcome::Done) => {
+            CommandReply::Finished(Outcome::Done) => {
                 (of.order, of.seen.is_ordered, of.seen.program) = (None, false, Some(order.to));
-                of.is_confirmed = order.how != How::OnTrial;
+                of.is_confirmed = order.how != ChangeMethod::CommitConfirmed;
             }
-            Word::Ended(Outcome::Failed(why)) => {
+            CommandReply::Finished(Outcome::Failed(why)) => {
                 (of.order, of.seen.is_ordered) = (None, false);
-                if order.to == Program::Old && order.how == How::ForGood && self.habits.begins_anew {
-                    return self.order(node, Program::Old, How::Anew, acts);
+                if order.to == Variant::Old && order.how == ChangeMethod::HandOver && self.habits.begins_anew
+                {
+                    return self.order(node, Variant::Old, ChangeMethod::Restart, acts);
                 }
-                if order.to == Program::Old || self.phase == Phase::Confirming {
-                    return self.phase = Phase::Waiting(Reason::LeftBehind { node, why });
+                if order.to == Variant::Old || self.phase == Phase::Confirming {
+                    return self.phase = Phase::Waiting(WaitReason::NodeStuck { node, why });
                 }
-                of.seen.program = Some(Program::Old);
+                of.seen.program = Some(Variant::Old);
                 return self.go_back(format!("node {node}: {why}"), acts);
             }
         }
@@ -268,12 +280,12 @@
     }
 
     /// The judge's word on the stage that is judged, or on all changed nodes while more are.
-    pub fn verdict(&mut self, verdict: Verdict, acts: &mut impl Acts) {
+    pub fn verdict(&mut self, verdict: Verdict, acts: &mut impl ControllerActions) {
         match (&self.phase, verdict) {
-            (Phase::Judged { .. } | Phase::Forward { .. } | Phase::Confirming, Verdict::Harm(why)) => {
+            (Phase::Analyzing { .. } | Phase::Advancing { .. } | Phase::Confirming, Verdict::Harm(why)) => {
                 self.go_back(why, acts)
             }
-            (Phase::Judged { stage }, Verdict::Good) => {
+            (Phase::Analyzing { stage }, Verdict::Pass) => {
                 self.kept.stage = stage + 1;
                 let is_last = self.kept.stage == self.course.stages();
                 // What was never on trial is for good already.
@@ -282,7 +294,9 @@
                 self.phase = if self.kept.is_over { Phase::Done } else { self.forward() };
                 self.go_on(acts);
             }
-            (Phase::Judged { .. }, Verdict::Ask(why)) => self.phase = Phase::Waiting(Reason::Unclear(why)),
+            (Phase::Analyzing { .. }, Verdict::Inconclusive(why)) => {
+                self.phase = Phase::Waiting(WaitReason::Inconclusive(why))
+            }
             _ => {}
         }
     }
@@ -291,31 +305,31 @@
     pub fn pause(&mut self) {
         let may = matches!(
             self.phase,
-            Phase::Forward { .. } | Phase::Judged { .. } | Phase::Confirming | Phase::Back { .. }
+            Phase::Advancing { .. } | Phase::Analyzing { .. } | Phase::Confirming | Phase::RollingBack { .. }
         );
         if may {
-            self.phase = Phase::Waiting(Reason::Paused);
+            self.phase = Phase::Waiting(WaitReason::Paused);
         }
     }
 
     /// The operator has it go on from where it waits; what was unclear is taken for good.
-    pub fn resume(&mut self, acts: &mut impl Acts) {
+    pub fn resume(&mut self, acts: &mut impl ControllerActions) {
         let Phase::Waiting(reason) = &self.phase else { return };
-        let passes = matches!(reason, Reason::Unclear(_));
+        let passes = matches!(reason, WaitReason::Inconclusive(_));
         self.phase = match &self.kept.back {
-            Some(why) => Phase::Back { why: why.clone() },
+            Some(why) => Phase::RollingBack { why: why.clone() },
             None => self.forward(),
         };
         if passes {
-            self.phase = Phase::Judged { stage: self.kept.stage };
-            return self.verdict(Verdict::Good, acts);
+            self.phase = Phase::Analyzing { stage: self.kept.stage };
+            return self.verdict(Verdict::Pass, acts);
         }
         self.go_on(acts);
     }
 
     /// The operator has it go back.
-    pub fn back(&mut self, acts: &mut impl Acts) {
-        if !matches!(self.phase, Phase::Asking | Phase::IsBack { .. } | Phase::Replaced) {
+    pub fn back(&mut self, acts: &mut impl ControllerActions) {
+        if !matches!(self.phase, Phase::Polling | Phase::RolledBack { .. } | Phase::Replaced) {
             self.kept.is_over = false;
             self.go_back("the operator said so".into(), acts);
         }
@@ -323,69 +337,70 @@
 
     /// The fleet has been too ill for the next step for too long.
     pub fn stuck(&mut self) {
-        if let Phase::Forward { .. } | Phase::Back { .. } | Phase::Confirming = self.phase {
+        if let Phase::Advancing { .. } | Phase::RollingBack { .. } | Phase::Confirming = self.phase {
             let may_be_new = |node: &Node| {
-                let is_old = node.seen.program == Some(Program::Old);
+                let is_old = node.seen.program == Some(Variant::Old);
                 !node.seen.is_well && (!is_old || node.seen.changed > 0 && !node.is_confirmed)
             };
             self.phase = match self.nodes.iter().position(may_be_new) {
                 Some(node) if self.kept.back.is_some() || self.phase == Phase::Confirming => {
-                    Phase::Waiting(Reason::LeftBehind { node, why: "it does not answer".into() })
+                    Phase::Waiting(WaitReason::NodeStuck { node, why: "it does not answer".into() })
                 }
-                _ => Phase::Waiting(Reason::Ill),
+                _ => Phase::Waiting(WaitReason::FleetUnhealthy),
             };
         }
     }
 
-    fn go_back(&mut self, why: String, acts: &mut impl Acts) {
+    fn go_back(&mut self, why: String, acts: &mut impl ControllerActions) {
         // The first reason is the one that counts.
         let why = self.kept.back.get_or_insert(why).clone();
         acts.keep(&self.kept);
-        self.phase = Phase::Back { why };
+        self.phase = Phase::RollingBack { why };
         self.go_on(acts);
     }
 
     /// Orders whatever may be ordered now, and sees whether the stage, or the way back, is at its end.
-    fn go_on(&mut self, acts: &mut impl Acts) {
+    fn go_on(&mut self, acts: &mut impl ControllerActions) {
         loop {
             let seen = self.seen();
-            let is_on = |seen: &Seen, program| seen.program == Some(program) && !seen.is_ordered;
-            let forward = if self.habits.on_trial { How::OnTrial } else { How::ForGood };
+            let is_on = |seen: &NodeState, program| seen.program == Some(program) && !seen.is_ordered;
+            let forward =
+                if self.habits.on_trial { ChangeMethod::CommitConfirmed } else { ChangeMethod::HandOver };
             let (next, to, how) = match &self.phase {
-                Phase::Forward { stage } if self.course.is_there(&seen, *stage) => {
+                Phase::Advancing { stage } if self.course.is_there(&seen, *stage) => {
                     let stage = *stage;
                     acts.judge(stage);
-                    return self.phase = Phase::Judged { stage };
+                    return self.phase = Phase::Analyzing { stage };
                 }
-                Phase::Forward { stage } => (self.course.next(&seen, *stage), Program::New, forward),
+                Phase::Advancing { stage } => (self.course.next(&seen, *stage), Variant::New, forward),
                 Phase::Confirming => {
-                    if self.nodes.iter().all(|node| node.is_confirmed && is_on(&node.seen, Program::New)) {
+                    if self.nodes.iter().all(|node| node.is_confirmed && is_on(&node.seen, Variant::New)) {
                         self.kept.is_over = true;
                         acts.keep(&self.kept);
                         return self.phase = Phase::Done;
                     }
                     // One that was started anew meanwhile, and runs the old program, is told again.
                     let is_told = |node: usize| {
-                        self.nodes[node].is_confirmed && seen[node].program == Some(Program::New)
+                        self.nodes[node].is_confirmed && seen[node].program == Some(Variant::New)
                     };
-                    (self.course.confirm(&seen, is_told), Program::New, How::ForGood)
+                    (self.course.confirm(&seen, is_told), Variant::New, ChangeMethod::HandOver)
                 }
-                Phase::Back { why } => {
+                Phase::RollingBack { why } => {
                     // One that was changed may be in the middle of an order of an earlier conductor's.
                     let is_known =
                         |node: &Node| node.seen.is_well || node.is_confirmed || node.seen.changed == 0;
-                    if self.nodes.iter().all(|node| is_on(&node.seen, Program::Old) && is_known(node)) {
+                    if self.nodes.iter().all(|node| is_on(&node.seen, Variant::Old) && is_known(node)) {
                         self.kept.is_over = true;
                         let why = why.clone();
                         acts.keep(&self.kept);
-                        return self.phase = Phase::IsBack { why };
+                        return self.phase = Phase::RolledBack { why };
                     }
-                    (self.course.back(&seen), Program::Old, How::ForGood)
+                    (self.course.back(&seen), Variant::Old, ChangeMethod::HandOver)
                 }
                 _ => return,
             };
             let Some(node) = next else { return };
-            if to == Program::New && !self.kept.changed.contains(&node) {
+            if to == Variant::New && !self.kept.changed.contains(&node) {
                 self.kept.changed.push(node);
                 // Before it is ordered: whoever goes on from here has to know that it may be changed.
                 acts.keep(&self.kept);
@@ -394,12 +409,12 @@
         }
     }
 
-    fn order(&mut self, node: usize, to: Program, how: How, acts: &mut impl Acts) {
+    fn order(&mut self, node: usize, to: Variant, how: ChangeMethod, acts: &mut impl ControllerActions) {
         self.next_order += 1;
-        let mark = Mark { conductor: self.kept.conductor, order: self.next_order };
+        let mark = FencingToken { conductor: self.kept.conductor, order: self.next_order };
         let place = self.kept.changed.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
         let of = &mut self.nodes[node];
-        let order = Order { mark, to, how };
+        let order = Command { mark, to, how };
         (of.order, of.tries, of.seen.is_ordered, of.seen.changed) = (Some(order), 0, true, place);
         acts.order(node, order);
     }
--- a/crates/ochrewalk-rollout/src/fence.rs
+++ b/crates/ochrewalk-rollout/src/fence.rs
@@ -4,7 +4,7 @@
 
 /// An order's place among all: the conductor's number, then the order's own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Mark {
+pub struct FencingToken {
     pub conductor: u64,
     pub order: u64,
 }
@@ -18,73 +18,73 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Admitted {
+pub enum Admission {
     /// It is to be carried out.
-    Act,
+    Execute,
     /// It is being carried out.
-    UnderWay,
+    InProgress,
     /// It came before.
-    Again(Outcome),
+    Repeated(Outcome),
     /// Another has a higher number.
-    Stale(Mark),
+    Stale(FencingToken),
 }
 
 /// What a node remembers of orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
-    highest: Mark,
+    highest: FencingToken,
     outcome: Option<Outcome>,
 }
 
 impl Fence {
     /// ```
-    /// use ochrewalk_rollout::{Admitted, Fence, Mark, Outcome};
+    /// use ochrewalk_rollout::{Admission, Fence, FencingToken, Outcome};
     /// let mut fence = Fence::default();
-    /// let mark = |conductor, order| Mark { conductor, order };
-    /// assert_eq!(fence.admit(mark(3, 1)), Admitted::Act);
-    /// assert_eq!(fence.admit(mark(3, 1)), Admitted::UnderWay);
+    /// let mark = |conductor, order| FencingToken { conductor, order };
+    /// assert_eq!(fence.admit(mark(3, 1)), Admission::Execute);
+    /// assert_eq!(fence.admit(mark(3, 1)), Admission::InProgress);
     /// fence.ended(mark(3, 1), Outcome::Done);
-    /// assert_eq!(fence.admit(mark(3, 1)), Admitted::Again(Outcome::Done));
-    /// assert_eq!(fence.admit(mark(2, 9)), Admitted::Stale(mark(3, 1)));
-    /// assert_eq!(fence.admit(mark(4, 0)), Admitted::Act);
+    /// assert_eq!(fence.admit(mark(3, 1)), Admission::Repeated(Outcome::Done));
+    /// assert_eq!(fence.admit(mark(2, 9)), Admission::Stale(mark(3, 1)));
+    /// assert_eq!(fence.admit(mark(4, 0)), Admission::Execute);
     /// ```
-    pub fn admit(&mut self, mark: Mark) -> Admitted {
+    pub fn admit(&mut self, mark: FencingToken) -> Admission {
         if mark < self.highest {
-            return Admitted::Stale(self.highest);
+            return Admission::Stale(self.highest);
         }
         if mark > self.highest {
             (self.highest, self.outcome) = (mark, None);
-            return Admitted::Act;
+            return Admission::Execute;
         }
         match &self.outcome {
-            Some(outcome) => Admitted::Again(outcome.clone()),
-            None => Admitted::UnderWay,
+            Some(outcome) => Admission::Repeated(outcome.clone()),
+            None => Admission::InProgress,
         }
     }
 
     /// A conductor has asked how the node stands: orders of earlier ones that are still on their way come too late.
     ///
     /// ```
-    /// use ochrewalk_rollout::{Admitted, Fence, Mark};
+    /// use ochrewalk_rollout::{Admission, Fence, FencingToken};
     /// let mut fence = Fence::default();
     /// fence.heard(4);
-    /// assert!(matches!(fence.admit(Mark { conductor: 3, order: 9 }), Admitted::Stale(_)));
-    /// assert_eq!(fence.admit(Mark { conductor: 4, order: 1 }), Admitted::Act);
+    /// assert!(matches!(fence.admit(FencingToken { conductor: 3, order: 9 }), Admission::Stale(_)));
+    /// assert_eq!(fence.admit(FencingToken { conductor: 4, order: 1 }), Admission::Execute);
     /// ```
     pub fn heard(&mut self, conductor: u64) {
         if conductor > self.highest.conductor {
-            (self.highest, self.outcome) = (Mark { conductor, order: 0 }, None);
+            (self.highest, self.outcome) = (FencingToken { conductor, order: 0 }, None);
         }
     }
 
     /// An order that was admitted has come to its end; late ones are passed over.
-    pub fn ended(&mut self, mark: Mark, outcome: Outcome) {
+    pub fn ended(&mut self, mark: FencingToken, outcome: Outcome) {
         if mark == self.highest {
             self.outcome = Some(outcome);
         }
     }
 
-    pub fn highest(&self) -> Mark {
+    pub fn highest(&self) -> FencingToken {
         self.highest
     }
 }
--- a/crates/ochrewalk-rollout/src/log_text.rs
+++ b/crates/ochrewalk-rollout/src/log_text.rs
@@ -1,56 +1,56 @@
 //! The texts of phases, reasons, methods, replies and verdicts in a rollout's log and in the status line for operators. Logs that
 //! other versions wrote are read by `ochrewalk-report`: these texts stay, whatever the types here are called.
 
-use crate::course::Uneven;
-use crate::{How, Outcome, Phase, Reason, Verdict, Word};
+use crate::stage_plan::StagePlanError;
+use crate::{ChangeMethod, CommandReply, Outcome, Phase, Verdict, WaitReason};
 use std::fmt::{Display, Formatter, Result};
 
 impl Display for Phase {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self {
-            Phase::Asking => f.write_str("Asking"),
-            Phase::Forward { stage } => write!(f, "Forward {{ stage: {stage} }}"),
-            Phase::Judged { stage } => write!(f, "Judged {{ stage: {stage} }}"),
+            Phase::Polling => f.write_str("Asking"),
+            Phase::Advancing { stage } => write!(f, "Forward {{ stage: {stage} }}"),
+            Phase::Analyzing { stage } => write!(f, "Judged {{ stage: {stage} }}"),
             Phase::Confirming => f.write_str("Confirming"),
-            Phase::Back { why } => write!(f, "Back {{ why: {why:?} }}"),
+            Phase::RollingBack { why } => write!(f, "Back {{ why: {why:?} }}"),
             Phase::Waiting(reason) => write!(f, "Waiting({reason})"),
             Phase::Done => f.write_str("Done"),
-            Phase::IsBack { why } => write!(f, "IsBack {{ why: {why:?} }}"),
+            Phase::RolledBack { why } => write!(f, "IsBack {{ why: {why:?} }}"),
             Phase::Replaced => f.write_str("Replaced"),
         }
     }
 }
 
-impl Display for Reason {
+impl Display for WaitReason {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self {
-            Reason::Paused => f.write_str("Paused"),
-            Reason::Unclear(why) => write!(f, "Unclear({why:?})"),
-            Reason::LeftBehind { node, why } => write!(f, "LeftBehind {{ node: {node}, why: {why:?} }}"),
-            Reason::Ill => f.write_str("Ill"),
+            WaitReason::Paused => f.write_str("Paused"),
+            WaitReason::Inconclusive(why) => write!(f, "Unclear({why:?})"),
+            WaitReason::NodeStuck { node, why } => write!(f, "LeftBehind {{ node: {node}, why: {why:?} }}"),
+            WaitReason::FleetUnhealthy => f.write_str("Ill"),
         }
     }
 }
 
-impl Display for How {
+impl Display for ChangeMethod {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         f.write_str(match self {
-            How::OnTrial => "OnTrial",
-            How::ForGood => "ForGood",
-            How::Anew => "Anew",
+            ChangeMethod::CommitConfirmed => "OnTrial",
+            ChangeMethod::HandOver => "ForGood",
+            ChangeMethod::Restart => "Anew",
         })
     }
 }
 
-impl Display for Word {
+impl Display for CommandReply {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self {
-            Word::Ended(Outcome::Done) => f.write_str("Ended(Done)"),
-            Word::Ended(Outcome::Failed(why)) => write!(f, "Ended(Failed({why:?}))"),
-            Word::Stale(mark) => {
+            CommandReply::Finished(Outcome::Done) => f.write_str("Ended(Done)"),
+            CommandReply::Finished(Outcome::Failed(why)) => write!(f, "Ended(Failed({why:?}))"),
+            CommandReply::Stale(mark) => {
                 write!(f, "Stale(Mark {{ conductor: {}, order: {} }})", mark.conductor, mark.order)
             }
-            Word::Nothing => f.write_str("Nothing"),
+            CommandReply::NoReply => f.write_str("Nothing"),
         }
     }
 }
@@ -58,21 +58,21 @@
 impl Display for Verdict {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self {
-            Verdict::Wait => f.write_str("Wait"),
-            Verdict::Ill => f.write_str("Ill"),
-            Verdict::Good => f.write_str("Good"),
+            Verdict::Pending => f.write_str("Wait"),
+            Verdict::FleetUnhealthy => f.write_str("Ill"),
+            Verdict::Pass => f.write_str("Good"),
             Verdict::Harm(why) => write!(f, "Harm({why:?})"),
-            Verdict::Ask(why) => write!(f, "Ask({why:?})"),
+            Verdict::Inconclusive(why) => write!(f, "Ask({why:?})"),
         }
     }
 }
 
-impl Display for Uneven {
+impl Display for StagePlanError {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         f.write_str(match self {
-            Uneven::NoNodes => "NoNodes",
-            Uneven::Stages => "Stages",
-            Uneven::Unavailable => "Unavailable",
+            StagePlanError::NoNodes => "NoNodes",
+            StagePlanError::Stages => "Stages",
+            StagePlanError::MaxUnavailable => "Unavailable",
         })
     }
 }
--- a/crates/ochrewalk-rollout/src/messages.rs
+++ b/crates/ochrewalk-rollout/src/messages.rs
@@ -1,15 +1,15 @@
 //! What a conductor and a node say to one another, and what a conductor keeps, in protobuf. A node answers a version that
 //! it does not know with its own, so that an older one says so rather than guess.
 
-use crate::{Counts, How, Kept, Mark, Order, Outcome, Program};
+use crate::{CallCounts, ChangeMethod, Command, FencingToken, Outcome, RolloutRecord, Variant};
 use prost::{Message as _, Oneof};
 
 /// The version spoken here. The first one knew neither trials nor settings.
-pub const VERSION: u32 = 2;
+pub const PROTOCOL_VERSION: u32 = 2;
 /// The version of what a conductor keeps.
-const KEPT_VERSION: u32 = 1;
+const RECORD_VERSION: u32 = 1;
 /// The longest message.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Request {
@@ -17,7 +17,7 @@
     pub version: u32,
     /// What is asked; none for how the node stands.
     #[prost(message, optional, tag = "2")]
-    pub order: Option<OrderTold>,
+    pub order: Option<CommandMessage>,
     /// The number of the conductor that asks, which keeps what is on trial there; 0 for one who only looks on.
     #[prost(uint64, tag = "3")]
     pub conductor: u64,
@@ -26,23 +26,23 @@
 impl Request {
     /// How does the node stand?
     pub fn stands(conductor: u64) -> Request {
-        Request { version: VERSION, order: None, conductor }
+        Request { version: PROTOCOL_VERSION, order: None, conductor }
     }
 
-    pub fn order(order: OrderTold) -> Request {
-        Request { version: VERSION, conductor: order.conductor, order: Some(order) }
+    pub fn order(order: CommandMessage) -> Request {
+        Request { version: PROTOCOL_VERSION, conductor: order.conductor, order: Some(order) }
     }
 }
 
 /// Run that.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct OrderTold {
+pub struct CommandMessage {
     #[prost(uint64, tag = "1")]
     pub conductor: u64,
     #[prost(uint64, tag = "2")]
     pub order: u64,
     #[prost(message, optional, tag = "3")]
-    pub wanted: Option<Wanted>,
+    pub wanted: Option<Target>,
     /// How long it stays after each word of the conductor's, in milliseconds; 0 for good.
     #[prost(uint64, tag = "4")]
     pub lease_ms: u64,
@@ -53,7 +53,7 @@
 
 /// A program to run with what else the node has, or an operators' file to go by with the program that runs.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Wanted {
+pub struct Target {
     #[prost(bool, tag = "1")]
     pub is_settings: bool,
     #[prost(string, tag = "2")]
@@ -67,28 +67,28 @@
 pub struct Response {
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    #[prost(oneof = "Said", tags = "2, 3, 4, 5, 6")]
-    pub said: Option<Said>,
+    #[prost(oneof = "Reply", tags = "2, 3, 4, 5, 6")]
+    pub said: Option<Reply>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Said {
+pub enum Reply {
     #[prost(message, tag = "2")]
-    Stands(Stands),
+    Status(NodeStatus),
     #[prost(message, tag = "3")]
-    Ended(Ended),
+    Finished(CommandOutcome),
     #[prost(message, tag = "4")]
-    Stale(MarkTold),
+    Stale(FencingTokenMessage),
     /// Why nothing was done with it, in plain words.
     #[prost(string, tag = "5")]
-    Refused(String),
+    Rejected(String),
     /// Something else is under way, or the order itself still is: ask again.
     #[prost(string, tag = "6")]
     Busy(String),
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct MarkTold {
+pub struct FencingTokenMessage {
     #[prost(uint64, tag = "1")]
     pub conductor: u64,
     #[prost(uint64, tag = "2")]
@@ -97,34 +97,34 @@
 
 /// What came of an order; why not, where `failed` is not empty.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ended {
+pub struct CommandOutcome {
     #[prost(string, tag = "1")]
     pub failed: String,
 }
 
 /// How a node stands.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Stands {
+pub struct NodeStatus {
     /// A print of the program that serves.
     #[prost(uint64, tag = "1")]
     pub print: u64,
     #[prost(string, tag = "2")]
     pub path: String,
     #[prost(message, optional, tag = "3")]
-    pub highest: Option<MarkTold>,
+    pub highest: Option<FencingTokenMessage>,
     #[prost(bool, tag = "4")]
     pub is_well: bool,
     /// Another with each start of the node.
     #[prost(uint64, tag = "5")]
     pub start: u64,
     #[prost(message, optional, tag = "6")]
-    pub tally: Option<Tally>,
+    pub tally: Option<ServingCounters>,
     /// What it runs goes back by itself unless it hears of its conductor.
     #[prost(bool, tag = "7")]
     pub on_trial: bool,
 }
 
-impl Stands {
+impl NodeStatus {
     /// A print of the operators' file that the program goes by; 0 where it has none, or has not said so yet.
     pub fn settings(&self) -> u64 {
         self.tally.as_ref().map_or(0, |tally| tally.settings)
@@ -133,20 +133,20 @@
 
 /// What the program that serves has counted since the node's start.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Tally {
+pub struct ServingCounters {
     #[prost(bool, tag = "1")]
     pub is_healthy: bool,
     #[prost(uint64, tag = "2")]
     pub memory_kb: u64,
     #[prost(message, repeated, tag = "3")]
-    pub methods: Vec<MethodTally>,
+    pub methods: Vec<MethodCounters>,
     /// A print of the operators' file that it goes by; 0 where it has none.
     #[prost(uint64, tag = "4")]
     pub settings: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct MethodTally {
+pub struct MethodCounters {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint64, tag = "2")]
@@ -157,14 +157,14 @@
     pub failed: u64,
 }
 
-impl MethodTally {
+impl MethodCounters {
     /// What has come since that one. Counts that went down began anew.
-    pub fn since(&self, before: Option<&MethodTally>) -> Counts {
+    pub fn since(&self, before: Option<&MethodCounters>) -> CallCounts {
         let less =
             |now: u64, before: u64| u32::try_from(now.checked_sub(before).unwrap_or(now)).unwrap_or(u32::MAX);
-        let none = MethodTally::default();
+        let none = MethodCounters::default();
         let before = before.unwrap_or(&none);
-        Counts {
+        CallCounts {
             calls: less(self.calls, before.calls),
             missed: less(self.missed, before.missed),
             failed: less(self.failed, before.failed),
@@ -172,47 +172,49 @@
     }
 }
 
-impl From<Mark> for MarkTold {
-    fn from(mark: Mark) -> MarkTold {
-        MarkTold { conductor: mark.conductor, order: mark.order }
+impl From<FencingToken> for FencingTokenMessage {
+    fn from(mark: FencingToken) -> FencingTokenMessage {
+        FencingTokenMessage { conductor: mark.conductor, order: mark.order }
     }
 }
 
-impl From<MarkTold> for Mark {
-    fn from(told: MarkTold) -> Mark {
-        Mark { conductor: told.conductor, order: told.order }
+impl From<FencingTokenMessage> for FencingToken {
+    fn from(told: FencingTokenMessage) -> FencingToken {
+        FencingToken { conductor: told.conductor, order: told.order }
     }
 }
 
-impl OrderTold {
+impl CommandMessage {
     /// `lease_ms` is how long a trial lasts after each word.
-    pub fn new(order: &Order, wanted: Wanted, lease_ms: u64) -> OrderTold {
-        OrderTold {
+    pub fn new(order: &Command, wanted: Target, lease_ms: u64) -> CommandMessage {
+        CommandMessage {
             conductor: order.mark.conductor,
             order: order.mark.order,
             wanted: Some(wanted),
-            lease_ms: if order.how == How::OnTrial { lease_ms } else { 0 },
-            anew: order.how == How::Anew,
+            lease_ms: if order.how == ChangeMethod::CommitConfirmed { lease_ms } else { 0 },
+            anew: order.how == ChangeMethod::Restart,
         }
     }
 
-    pub fn mark(&self) -> Mark {
-        Mark { conductor: self.conductor, order: self.order }
+    pub fn mark(&self) -> FencingToken {
+        FencingToken { conductor: self.conductor, order: self.order }
     }
 }
 
-impl From<Outcome> for Ended {
-    fn from(outcome: Outcome) -> Ended {
+impl From<Outcome> for CommandOutcome {
+    fn from(outcome: Outcome) -> CommandOutcome {
         match outcome {
-            Outcome::Done => Ended { failed: String::new() },
-            Outcome::Failed(why) if why.is_empty() => Ended { failed: "for no reason that it names".into() },
-            Outcome::Failed(failed) => Ended { failed },
+            Outcome::Done => CommandOutcome { failed: String::new() },
+            Outcome::Failed(why) if why.is_empty() => {
+                CommandOutcome { failed: "for no reason that it names".into() }
+            }
+            Outcome::Failed(failed) => CommandOutcome { failed },
         }
     }
 }
 
-impl From<Ended> for Outcome {
-    fn from(ended: Ended) -> Outcome {
+impl From<CommandOutcome> for Outcome {
+    fn from(ended: CommandOutcome) -> Outcome {
         if ended.failed.is_empty() {
             Outcome::Done
         } else {
@@ -223,7 +225,7 @@
 
 /// What a conductor keeps, on disk.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct KeptTold {
+pub struct RolloutRecordMessage {
     #[prost(uint32, tag = "1")]
     version: u32,
     #[prost(uint64, tag = "2")]
@@ -239,28 +241,29 @@
 }
 
 /// As it is kept.
-pub fn write_kept(kept: &Kept) -> Vec<u8> {
-    let Kept { conductor, stage, back, changed, is_over } = kept.clone();
+pub fn write_kept(kept: &RolloutRecord) -> Vec<u8> {
+    let RolloutRecord { conductor, stage, back, changed, is_over } = kept.clone();
     let changed = changed.into_iter().map(|node| node as u64).collect();
-    KeptTold { version: KEPT_VERSION, conductor, stage: stage as u64, back, changed, is_over }.encode_to_vec()
+    RolloutRecordMessage { version: RECORD_VERSION, conductor, stage: stage as u64, back, changed, is_over }
+        .encode_to_vec()
 }
 
 /// An error says what is wrong with it.
-pub fn read_kept(bytes: &[u8]) -> Result<Kept, String> {
-    let told = KeptTold::decode(bytes).map_err(|err| format!("no record of a change: {err}"))?;
-    if told.version != KEPT_VERSION {
-        return Err(format!("a record of version {}, {KEPT_VERSION} is known here", told.version));
+pub fn read_kept(bytes: &[u8]) -> Result<RolloutRecord, String> {
+    let told = RolloutRecordMessage::decode(bytes).map_err(|err| format!("no record of a change: {err}"))?;
+    if told.version != RECORD_VERSION {
+        return Err(format!("a record of version {}, {RECORD_VERSION} is known here", told.version));
     }
-    let KeptTold { conductor, stage, back, changed, is_over, .. } = told;
+    let RolloutRecordMessage { conductor, stage, back, changed, is_over, .. } = told;
     let changed = changed.into_iter().map(|node| node as usize).collect();
-    Ok(Kept { conductor, stage: stage as usize, back, changed, is_over })
+    Ok(RolloutRecord { conductor, stage: stage as usize, back, changed, is_over })
 }
 
 /// Which of the two programs a print is of, if of one of them.
-pub fn program(print: u64, old: u64, new: u64) -> Option<Program> {
+pub fn program(print: u64, old: u64, new: u64) -> Option<Variant> {
     match print {
-        _ if print == new => Some(Program::New),
-        _ if print == old => Some(Program::Old),
+        _ if print == new => Some(Variant::New),
+        _ if print == old => Some(Variant::Old),
         _ => None,
     }
 }
@@ -278,7 +281,7 @@
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > LONGEST {
+    if length > MAX_MESSAGE_BYTES {
         return Err(wrong("a message longer than any"));
     }
     let mut bytes = vec![0; length];
@@ -292,7 +295,7 @@
 
     #[test]
     fn what_is_kept_comes_back_and_a_torn_or_newer_one_is_refused() {
-        let kept = Kept {
+        let kept = RolloutRecord {
             conductor: 7,
             stage: 2,
             back: Some("slow".into()),
@@ -302,14 +305,17 @@
         let bytes = write_kept(&kept);
         assert_eq!(read_kept(&bytes), Ok(kept.clone()));
         assert!(read_kept(&bytes[..bytes.len() - 1]).is_err());
-        let newer = KeptTold { version: KEPT_VERSION + 1, ..KeptTold::decode(&bytes[..]).unwrap() };
+        let newer = RolloutRecordMessage {
+            version: RECORD_VERSION + 1,
+            ..RolloutRecordMessage::decode(&bytes[..]).unwrap()
+        };
         assert!(read_kept(&newer.encode_to_vec()).unwrap_err().contains("version 2"));
     }
 
     #[test]
     fn counts_are_what_came_since_also_where_they_began_anew() {
-        let told = |calls, missed, failed| MethodTally { name: "a".into(), calls, missed, failed };
-        let counts = |calls, missed, failed| Counts { calls, missed, failed };
+        let told = |calls, missed, failed| MethodCounters { name: "a".into(), calls, missed, failed };
+        let counts = |calls, missed, failed| CallCounts { calls, missed, failed };
         assert_eq!(told(9, 4, 2).since(Some(&told(5, 4, 1))), counts(4, 0, 1));
         assert_eq!(told(9, 4, 2).since(None), counts(9, 4, 2));
         assert_eq!(told(3, 1, 0).since(Some(&told(5, 4, 1))), counts(3, 1, 0));
@@ -317,8 +323,8 @@
 
     #[test]
     fn a_stream_gives_whole_messages_or_an_error() {
-        let wanted = Wanted { is_settings: true, path: "/a".into(), print: 7 };
-        let request = Request::order(OrderTold { wanted: Some(wanted), ..OrderTold::default() });
+        let wanted = Target { is_settings: true, path: "/a".into(), print: 7 };
+        let request = Request::order(CommandMessage { wanted: Some(wanted), ..CommandMessage::default() });
         let bytes = write(&request);
         assert_eq!(read::<Request>(&mut &bytes[..]).unwrap(), request);
         assert!(read::<Request>(&mut &bytes[..bytes.len() - 1]).is_err());
--- a/crates/ochrewalk-rollout/src/evidence.rs
+++ b/crates/ochrewalk-rollout/src/sequential_test.rs
@@ -10,7 +10,7 @@
 
 /// Calls and failures of both sides in one moment, zone and method.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Table {
+pub struct ContingencyTable {
     pub changed: f64,
     pub changed_failed: f64,
     pub others: f64,
@@ -19,7 +19,7 @@
 
 /// What has been seen from one moment on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Evidence {
+pub struct SequentialTest {
     /// Failures of changed nodes over what was to be expected.
     over: f64,
     /// The spread of that.
@@ -43,10 +43,10 @@
 /// The mixture is widest awake at about this spread: some ten failures seen.
 const AWAKE: f64 = 10.0;
 
-impl Evidence {
+impl SequentialTest {
     /// Adds a moment. `uneven` is by how much nodes differ among themselves beyond chance, 1 or more.
-    pub fn add(&mut self, table: &Table, uneven: f64) {
-        let Table { changed, changed_failed, others, others_failed } = *table;
+    pub fn add(&mut self, table: &ContingencyTable, uneven: f64) {
+        let ContingencyTable { changed, changed_failed, others, others_failed } = *table;
         let all = changed + others;
         if changed <= 0.0 || others <= 0.0 {
             return;
--- a/crates/ochrewalk-rollout/tests/judge.rs
+++ b/crates/ochrewalk-rollout/tests/canary_analysis.rs
@@ -1,10 +1,10 @@
 //! The judge by table, and by many changes in virtual time: how often it stops what does no harm, and lets harm pass.
 
 use ochrewalk_lab::judged::{changes, Case, Way, World};
-use ochrewalk_rollout::{Counts, Judge, Measures, Moment, Verdict};
+use ochrewalk_rollout::{AnalysisSettings, CallCounts, CanaryAnalysis, Sample, Verdict};
 
-fn judge() -> Judge {
-    Judge::new(Measures::default(), vec!["look".into(), "sale".into()])
+fn judge() -> CanaryAnalysis {
+    CanaryAnalysis::new(AnalysisSettings::default(), vec!["look".into(), "sale".into()])
 }
 
 #[test]
@@ -20,7 +20,7 @@
             let (took, said) = world.judged(&mut judge, 900);
             seconds.push(took);
             stopped += usize::from(matches!(said, Verdict::Harm(_)));
-            passed += usize::from(said == Verdict::Good);
+            passed += usize::from(said == Verdict::Pass);
         }
         let mut judge = self::judge();
         let mut world = World { harm: 0.05, ..World::new(60, 3, 4.0 + (seed % 20) as f64, !seed) };
@@ -54,25 +54,25 @@
     let mut judge = judge();
     let mut world = World::new(30, 6, 10.0, 1);
     for _ in 0..20 {
-        assert_eq!(judge.look(&world.moment()), Verdict::Wait);
+        assert_eq!(judge.look(&world.moment()), Verdict::Pending);
     }
     world.trouble = 0.4;
     for second in 0..100 {
-        assert_eq!(judge.look(&world.moment()), Verdict::Ill, "{second}");
+        assert_eq!(judge.look(&world.moment()), Verdict::FleetUnhealthy, "{second}");
     }
     world.trouble = 0.0;
-    assert_eq!(world.judged(&mut judge, 900).1, Verdict::Good);
+    assert_eq!(world.judged(&mut judge, 900).1, Verdict::Pass);
 }
 
 #[test]
 fn harm_that_comes_late_is_found_soon() {
     let mut judge = judge();
     let mut world = World { harm: 0.2, harm_from: 1_200, ..World::new(30, 6, 10.0, 2) };
-    let mut said = Verdict::Wait;
+    let mut said = Verdict::Pending;
     while world.second < 1_199 {
         said = judge.look(&world.moment());
         assert!(!matches!(said, Verdict::Harm(_)), "{} {said:?}", world.second);
-        if said == Verdict::Good {
+        if said == Verdict::Pass {
             judge.stage();
         }
     }
@@ -90,22 +90,22 @@
     let mut judge = judge();
     let mut world = World { rates: vec![0.5, 0.002], ..World::new(4, 1, 1.0, 3) };
     let (seconds, said) = world.judged(&mut judge, 2_000);
-    assert_eq!(seconds, Measures::default().most);
-    assert!(matches!(&said, Verdict::Ask(why) if why.contains("too few calls")), "{said:?}");
+    assert_eq!(seconds, AnalysisSettings::default().most);
+    assert!(matches!(&said, Verdict::Inconclusive(why) if why.contains("too few calls")), "{said:?}");
     // None at all on one side.
     let mut judge = self::judge();
     let mut world = World { rates: vec![0.0, 0.0], ..World::new(4, 1, 1.0, 3) };
-    assert_eq!(world.judged(&mut judge, 2_000).1, Verdict::Ask("no calls on both sides".into()));
+    assert_eq!(world.judged(&mut judge, 2_000).1, Verdict::Inconclusive("no calls on both sides".into()));
 }
 
 #[test]
 fn silence_restarts_and_memory_are_harm_where_the_others_have_none() {
-    let moments = |change: &dyn Fn(&mut Moment, u32)| {
+    let moments = |change: &dyn Fn(&mut Sample, u32)| {
         let (mut judge, mut world) = (judge(), World::new(12, 4, 10.0, 4));
         for second in 0..200 {
             let mut moment = world.moment();
             change(&mut moment, second);
-            if let said @ (Verdict::Harm(_) | Verdict::Good) = judge.look(&moment) {
+            if let said @ (Verdict::Harm(_) | Verdict::Pass) = judge.look(&moment) {
                 return format!("{said:?}");
             }
         }
@@ -124,7 +124,10 @@
     let deaf = moments(&|moment, second| {
         moment.nodes[1].is_changed = second >= 20;
         let calls = if second < 30 { 10 } else { 0 };
-        moment.nodes[1].methods.iter_mut().for_each(|counts| *counts = Counts { calls, ..Counts::default() });
+        moment.nodes[1]
+            .methods
+            .iter_mut()
+            .for_each(|counts| *counts = CallCounts { calls, ..CallCounts::default() });
     });
     assert!(deaf.contains("node 1 answers hardly any calls"), "{deaf}");
     let quiet = moments(&|moment, second| {
@@ -132,7 +135,7 @@
         moment.nodes[1]
             .methods
             .iter_mut()
-            .for_each(|counts| *counts = Counts { calls: 1, ..Counts::default() });
+            .for_each(|counts| *counts = CallCounts { calls: 1, ..CallCounts::default() });
     });
     assert!(!quiet.contains("hardly"), "{quiet}");
     // One that falls and comes back with the former program, again and again.
@@ -158,12 +161,12 @@
             node.is_cold = true;
             node.methods.iter_mut().for_each(|counts| counts.failed = 0);
         }
-        assert_eq!(judge.look(&moment), Verdict::Wait);
+        assert_eq!(judge.look(&moment), Verdict::Pending);
     }
     // Once they should be warm it is.
     assert!(matches!(world.judged(&mut judge, 60).1, Verdict::Harm(_)));
     let (mut judge, mut world) = (self::judge(), World::new(6, 6, 10.0, 6));
-    assert_eq!(world.judged(&mut judge, 60), (Measures::default().least, Verdict::Good));
+    assert_eq!(world.judged(&mut judge, 60), (AnalysisSettings::default().least, Verdict::Pass));
 }
 
 #[test]
@@ -171,7 +174,7 @@
     // All tell what they counted every second moment; those that were changed in the moments between.
     for (answers, wanted) in [(1.0, None), (0.1, Some("node 1 answers hardly any calls"))] {
         let (mut world, mut judge) = (World::new(8, 0, 10.0, 3), judge());
-        let mut said = Verdict::Wait;
+        let mut said = Verdict::Pending;
         for moment in 0..120 {
             world.changed = if moment < 8 { 0 } else { 4 };
             let mut now = world.moment();
@@ -180,8 +183,11 @@
                 let share = if node.is_changed && node.node == 1 { answers } else { 1.0 };
                 let count = |n: u32| if tells { (f64::from(n) * 2.0 * share) as u32 } else { 0 };
                 for of in &mut node.methods {
-                    *of =
-                        Counts { calls: count(of.calls), missed: count(of.missed), failed: count(of.failed) };
+                    *of = CallCounts {
+                        calls: count(of.calls),
+                        missed: count(of.missed),
+                        failed: count(of.failed),
+                    };
                 }
             }
             said = judge.look(&now);
--- a/crates/ochrewalk-rollout/tests/explore.rs
+++ b/crates/ochrewalk-rollout/tests/exploration.rs
@@ -2,8 +2,8 @@
 //! late as they like or lost, nodes that stop answering and come back.
 
 use ochrewalk_rollout::{
-    Acts, Admitted, Conductor, Course, Fence, Habits, How, Kept, Mark, Order, Outcome, Phase, Program,
-    Report, Verdict, Word,
+    Admission, ChangeMethod, Command, CommandReply, ControllerActions, Fence, FencingToken, NodeReport,
+    Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Variant, Verdict,
 };
 use stateright::{Checker, Model, Property};
 
@@ -11,12 +11,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    program: Program,
+    program: Variant,
     /// What it runs is on trial.
     on_trial: bool,
     fence: Fence,
     /// What is being carried out.
-    doing: Option<Order>,
+    doing: Option<Command>,
     is_well: bool,
 }
 
@@ -24,12 +24,12 @@
 struct World {
     nodes: Vec<Node>,
     /// By conductor; none where it is not there.
-    conductors: Vec<Option<Conductor>>,
+    conductors: Vec<Option<RolloutController>>,
     /// The file that conductors keep.
-    kept: Option<Kept>,
+    kept: Option<RolloutRecord>,
     /// Orders on their way, with who sent them.
-    orders: Vec<(usize, usize, Order)>,
-    words: Vec<(usize, usize, Mark, Word)>,
+    orders: Vec<(usize, usize, Command)>,
+    words: Vec<(usize, usize, FencingToken, CommandReply)>,
     kills: u8,
     outages: u8,
     losses: u8,
@@ -40,7 +40,7 @@
     began: u8,
     /// Two marks of different conductors were acted on out of their order.
     acted_late: bool,
-    last_acted: Vec<Mark>,
+    last_acted: Vec<FencingToken>,
     too_many: bool,
 }
 
@@ -67,15 +67,15 @@
 }
 
 struct Deeds<'a> {
-    kept: &'a mut Option<Kept>,
-    orders: Vec<(usize, Order)>,
+    kept: &'a mut Option<RolloutRecord>,
+    orders: Vec<(usize, Command)>,
 }
 
-impl Acts for Deeds<'_> {
-    fn keep(&mut self, kept: &Kept) {
+impl ControllerActions for Deeds<'_> {
+    fn keep(&mut self, kept: &RolloutRecord) {
         *self.kept = Some(kept.clone());
     }
-    fn order(&mut self, node: usize, order: Order) {
+    fn order(&mut self, node: usize, order: Command) {
         self.orders.push((node, order));
     }
     fn judge(&mut self, _stage: usize) {}
@@ -90,16 +90,16 @@
     losses: u8,
     failures: u8,
     lapses: u8,
-    habits: Habits,
+    habits: RolloutPolicy,
     no_fence: bool,
 }
 
-fn course() -> Course {
-    Course::new(vec![0, 0, 1], vec![1, NODES], 1).unwrap()
+fn course() -> StagePlan {
+    StagePlan::new(vec![0, 0, 1], vec![1, NODES], 1).unwrap()
 }
 
 impl World {
-    fn with(&mut self, at: usize, what: impl FnOnce(&mut Conductor, &mut Deeds)) {
+    fn with(&mut self, at: usize, what: impl FnOnce(&mut RolloutController, &mut Deeds)) {
         let Some(mut conductor) = self.conductors[at].take() else { return };
         let mut kept = self.kept.clone();
         let mut deeds = Deeds { kept: &mut kept, orders: Vec::new() };
@@ -118,9 +118,9 @@
         self.conductors[at] = Some(conductor);
     }
 
-    fn report(&self, node: usize) -> Option<Report> {
+    fn report(&self, node: usize) -> Option<NodeReport> {
         let of = &self.nodes[node];
-        of.is_well.then(|| Report {
+        of.is_well.then(|| NodeReport {
             program: of.program,
             is_well: of.doing.is_none(),
             highest: of.fence.highest(),
@@ -134,7 +134,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let node = Node {
-            program: Program::Old,
+            program: Variant::Old,
             on_trial: false,
             fence: Fence::default(),
             doing: None,
@@ -155,7 +155,7 @@
             stucks: 0,
             began: 0,
             acted_late: false,
-            last_acted: vec![Mark::default(); NODES],
+            last_acted: vec![FencingToken::default(); NODES],
             too_many: false,
         }]
     }
@@ -172,8 +172,10 @@
                         actions.push(Action::Killed(at));
                     }
                     match conductor.phase() {
-                        Phase::Judged { .. } => actions.extend([Action::Good(at), Action::Harm(at)]),
-                        Phase::Forward { .. } | Phase::Back { .. } if conductor.orders().next().is_none() => {
+                        Phase::Analyzing { .. } => actions.extend([Action::Good(at), Action::Harm(at)]),
+                        Phase::Advancing { .. } | Phase::RollingBack { .. }
+                            if conductor.orders().next().is_none() =>
+                        {
                             actions.push(Action::Stuck(at))
                         }
                         _ => {}
@@ -222,7 +224,7 @@
                 let kept = world.kept.as_ref().map_or(0, |kept| kept.conductor);
                 let number = kept.max(u64::from(world.began) - 1) + 1;
                 world.conductors[at] =
-                    Some(Conductor::new(course(), self.habits, world.kept.clone(), number));
+                    Some(RolloutController::new(course(), self.habits, world.kept.clone(), number));
             }
             Action::Killed(at) => {
                 world.kills += 1;
@@ -242,26 +244,27 @@
                 let (from, node, order) = world.orders.remove(at);
                 let of = &mut world.nodes[node];
                 if !of.is_well {
-                    world.words.push((from, node, order.mark, Word::Nothing));
+                    world.words.push((from, node, order.mark, CommandReply::NoReply));
                 } else {
-                    let admitted = if self.no_fence { Admitted::Act } else { of.fence.admit(order.mark) };
+                    let admitted =
+                        if self.no_fence { Admission::Execute } else { of.fence.admit(order.mark) };
                     match admitted {
-                        Admitted::Act if of.doing.is_none() => {
+                        Admission::Execute if of.doing.is_none() => {
                             world.acted_late |= order.mark < world.last_acted[node];
                             world.last_acted[node] = order.mark;
                             of.doing = Some(order);
                         }
-                        Admitted::Act => {
+                        Admission::Execute => {
                             let busy = Outcome::Failed("another order is being carried out".into());
                             of.fence.ended(order.mark, busy.clone());
-                            world.words.push((from, node, order.mark, Word::Ended(busy)));
+                            world.words.push((from, node, order.mark, CommandReply::Finished(busy)));
                         }
-                        Admitted::UnderWay => {}
-                        Admitted::Again(outcome) => {
-                            world.words.push((from, node, order.mark, Word::Ended(outcome)))
+                        Admission::InProgress => {}
+                        Admission::Repeated(outcome) => {
+                            world.words.push((from, node, order.mark, CommandReply::Finished(outcome)))
                         }
-                        Admitted::Stale(mark) => {
-                            world.words.push((from, node, order.mark, Word::Stale(mark)))
+                        Admission::Stale(mark) => {
+                            world.words.push((from, node, order.mark, CommandReply::Stale(mark)))
                         }
                     }
                 }
@@ -269,7 +272,7 @@
             Action::OrderIsLost(at) => {
                 world.losses += 1;
                 let (from, node, order) = world.orders.remove(at);
-                world.words.push((from, node, order.mark, Word::Nothing));
+                world.words.push((from, node, order.mark, CommandReply::NoReply));
             }
             Action::NodeDoes { node, well } => {
                 world.failures += u8::from(!well);
@@ -277,11 +280,11 @@
                 let outcome = if well { Outcome::Done } else { Outcome::Failed("it ended".into()) };
                 if well {
                     world.nodes[node].program = order.to;
-                    world.nodes[node].on_trial = order.how == How::OnTrial;
+                    world.nodes[node].on_trial = order.how == ChangeMethod::CommitConfirmed;
                 }
                 world.nodes[node].fence.ended(order.mark, outcome.clone());
                 for from in 0..self.conductors {
-                    world.words.push((from, node, order.mark, Word::Ended(outcome.clone())));
+                    world.words.push((from, node, order.mark, CommandReply::Finished(outcome.clone())));
                 }
             }
             Action::WordArrives(at) => {
@@ -290,7 +293,7 @@
             }
             Action::WordIsLost(at) => {
                 world.losses += 1;
-                world.words[at].3 = Word::Nothing;
+                world.words[at].3 = CommandReply::NoReply;
             }
             Action::NodeOut(node) => {
                 world.outages += 1;
@@ -299,9 +302,9 @@
             Action::NodeBack(node) => world.nodes[node].is_well = true,
             Action::Lapses(node) => {
                 world.lapses += 1;
-                (world.nodes[node].program, world.nodes[node].on_trial) = (Program::Old, false);
+                (world.nodes[node].program, world.nodes[node].on_trial) = (Variant::Old, false);
             }
-            Action::Good(at) => world.with(at, |conductor, deeds| conductor.verdict(Verdict::Good, deeds)),
+            Action::Good(at) => world.with(at, |conductor, deeds| conductor.verdict(Verdict::Pass, deeds)),
             Action::Harm(at) => {
                 world.with(at, |conductor, deeds| conductor.verdict(Verdict::Harm("worse".into()), deeds))
             }
@@ -323,10 +326,10 @@
                 w.conductors.iter().flatten().all(|conductor| {
                     let all = |program| conductor.seen().iter().all(|seen| seen.program == Some(program));
                     match conductor.phase() {
-                        Phase::IsBack { .. } => {
-                            conductor.seen().iter().all(|s| s.program != Some(Program::New))
+                        Phase::RolledBack { .. } => {
+                            conductor.seen().iter().all(|s| s.program != Some(Variant::New))
                         }
-                        Phase::Done => conductor.kept().back.is_none() || all(Program::Old),
+                        Phase::Done => conductor.kept().back.is_none() || all(Variant::Old),
                         _ => true,
                     }
                 })
@@ -338,17 +341,17 @@
                 };
                 w.conductors.len() > 1
                     || w.conductors.iter().flatten().all(|conductor| match conductor.phase() {
-                        Phase::Done => is_all(Program::New),
-                        Phase::IsBack { .. } => is_all(Program::Old),
+                        Phase::Done => is_all(Variant::New),
+                        Phase::RolledBack { .. } => is_all(Variant::Old),
                         _ => true,
                     })
             }),
             Property::sometimes("a change is done", |_, w: &World| {
-                w.nodes.iter().all(|n| n.program == Program::New)
+                w.nodes.iter().all(|n| n.program == Variant::New)
                     && w.conductors.iter().flatten().any(|c| c.phase() == &Phase::Done)
             }),
             Property::sometimes("a change goes back", |_, w: &World| {
-                w.conductors.iter().flatten().any(|c| matches!(c.phase(), Phase::IsBack { .. }))
+                w.conductors.iter().flatten().any(|c| matches!(c.phase(), Phase::RolledBack { .. }))
             }),
             Property::sometimes("one is replaced", |_, w: &World| {
                 w.conductors.iter().flatten().any(|c| c.phase() == &Phase::Replaced)
@@ -381,7 +384,7 @@
     losses: 1,
     failures: 1,
     lapses: 0,
-    habits: Habits { on_trial: false, begins_anew: true },
+    habits: RolloutPolicy { on_trial: false, begins_anew: true },
     no_fence: false,
 };
 
@@ -395,7 +398,7 @@
 
 #[test]
 fn nodes_on_trial_that_go_back_by_themselves_at_any_step_with_a_conductor_killed_and_a_word_lost() {
-    let habits = Habits { on_trial: true, begins_anew: true };
+    let habits = RolloutPolicy { on_trial: true, begins_anew: true };
     let model = Explored { outages: 0, failures: 0, lapses: 1, habits, ..ONE };
     let checker = explore(model, 26);
     holds(&checker, 48_736, &[OUT, LATE, EVERYWHERE]);
--- a/crates/ochrewalk-rollout/tests/log_text.rs
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -1,23 +1,23 @@
 //! The words of a rollout's log and of the operator's status line. `ochrewalk-report` reads logs that other versions wrote, and
 //! `docs/operators/rollout.md` names these words: they stay, whatever the code calls these things.
 
-use ochrewalk_rollout::{How, Mark, Outcome, Phase, Reason, Verdict, Word};
+use ochrewalk_rollout::{ChangeMethod, CommandReply, FencingToken, Outcome, Phase, Verdict, WaitReason};
 
 #[test]
 fn phases_and_reasons_to_wait_have_these_words() {
-    let left_behind = Reason::LeftBehind { node: 3, why: "it \"ended\"".into() };
+    let left_behind = WaitReason::NodeStuck { node: 3, why: "it \"ended\"".into() };
     for (phase, text) in [
-        (Phase::Asking, "Asking"),
-        (Phase::Forward { stage: 0 }, "Forward { stage: 0 }"),
-        (Phase::Judged { stage: 12 }, "Judged { stage: 12 }"),
+        (Phase::Polling, "Asking"),
+        (Phase::Advancing { stage: 0 }, "Forward { stage: 0 }"),
+        (Phase::Analyzing { stage: 12 }, "Judged { stage: 12 }"),
         (Phase::Confirming, "Confirming"),
-        (Phase::Back { why: "slow \"sale\"".into() }, r#"Back { why: "slow \"sale\"" }"#),
-        (Phase::Waiting(Reason::Paused), "Waiting(Paused)"),
-        (Phase::Waiting(Reason::Unclear("few calls".into())), r#"Waiting(Unclear("few calls"))"#),
+        (Phase::RollingBack { why: "slow \"sale\"".into() }, r#"Back { why: "slow \"sale\"" }"#),
+        (Phase::Waiting(WaitReason::Paused), "Waiting(Paused)"),
+        (Phase::Waiting(WaitReason::Inconclusive("few calls".into())), r#"Waiting(Unclear("few calls"))"#),
         (Phase::Waiting(left_behind), r#"Waiting(LeftBehind { node: 3, why: "it \"ended\"" })"#),
-        (Phase::Waiting(Reason::Ill), "Waiting(Ill)"),
+        (Phase::Waiting(WaitReason::FleetUnhealthy), "Waiting(Ill)"),
         (Phase::Done, "Done"),
-        (Phase::IsBack { why: "slow".into() }, r#"IsBack { why: "slow" }"#),
+        (Phase::RolledBack { why: "slow".into() }, r#"IsBack { why: "slow" }"#),
         (Phase::Replaced, "Replaced"),
     ] {
         assert_eq!(phase.to_string(), text);
@@ -29,14 +29,21 @@
 
 #[test]
 fn ways_to_change_and_what_came_back_have_these_words() {
-    for (how, text) in [(How::OnTrial, "OnTrial"), (How::ForGood, "ForGood"), (How::Anew, "Anew")] {
+    for (how, text) in [
+        (ChangeMethod::CommitConfirmed, "OnTrial"),
+        (ChangeMethod::HandOver, "ForGood"),
+        (ChangeMethod::Restart, "Anew"),
+    ] {
         assert_eq!(how.to_string(), text);
     }
     for (word, text) in [
-        (Word::Ended(Outcome::Done), "Ended(Done)"),
-        (Word::Ended(Outcome::Failed("no such file".into())), r#"Ended(Failed("no such file"))"#),
-        (Word::Stale(Mark { conductor: 7, order: 2 }), "Stale(Mark { conductor: 7, order: 2 })"),
-        (Word::Nothing, "Nothing"),
+        (CommandReply::Finished(Outcome::Done), "Ended(Done)"),
+        (CommandReply::Finished(Outcome::Failed("no such file".into())), r#"Ended(Failed("no such file"))"#),
+        (
+            CommandReply::Stale(FencingToken { conductor: 7, order: 2 }),
+            "Stale(Mark { conductor: 7, order: 2 })",
+        ),
+        (CommandReply::NoReply, "Nothing"),
     ] {
         assert_eq!(word.to_string(), text);
     }
@@ -45,11 +52,11 @@
 #[test]
 fn verdicts_have_these_words() {
     for (verdict, text) in [
-        (Verdict::Wait, "Wait"),
-        (Verdict::Ill, "Ill"),
-        (Verdict::Good, "Good"),
+        (Verdict::Pending, "Wait"),
+        (Verdict::FleetUnhealthy, "Ill"),
+        (Verdict::Pass, "Good"),
         (Verdict::Harm("0.1 more of \"sale\" fail".into()), r#"Harm("0.1 more of \"sale\" fail")"#),
-        (Verdict::Ask("too few calls".into()), r#"Ask("too few calls")"#),
+        (Verdict::Inconclusive("too few calls".into()), r#"Ask("too few calls")"#),
     ] {
         assert_eq!(verdict.to_string(), text);
     }
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -2,11 +2,12 @@
 //! version of these formats. Every later version has to read it as the content named here, and to write the same bytes.
 
 use ochrewalk_rollout::messages::{
-    read, read_kept, write, write_kept, Ended, MarkTold, MethodTally, OrderTold, Request, Response, Said,
-    Stands, Tally, Wanted, VERSION,
+    read, read_kept, write, write_kept, CommandMessage, CommandOutcome, FencingTokenMessage, MethodCounters,
+    NodeStatus, Reply, Request, Response, ServingCounters, Target, PROTOCOL_VERSION,
 };
 use ochrewalk_rollout::{
-    Acts, Conductor, Course, Habits, How, Kept, Mark, Order, Outcome, Phase, Program, Report, Verdict, Word,
+    ChangeMethod, Command, CommandReply, ControllerActions, FencingToken, NodeReport, Outcome, Phase,
+    RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Variant, Verdict,
 };
 use std::path::{Path, PathBuf};
 
@@ -20,8 +21,8 @@
 }
 
 /// Records, by the name of their fixture: one for each phase in which a record is written.
-fn records() -> Vec<(&'static str, Kept)> {
-    let kept = |stage, back: Option<&str>, changed: &[usize], is_over| Kept {
+fn records() -> Vec<(&'static str, RolloutRecord)> {
+    let kept = |stage, back: Option<&str>, changed: &[usize], is_over| RolloutRecord {
         conductor: 1_764_633_600_000_007,
         stage,
         back: back.map(String::from),
@@ -58,14 +59,14 @@
 #[derive(Default)]
 struct Persisted {
     records: Vec<Vec<u8>>,
-    orders: Vec<(usize, Order)>,
+    orders: Vec<(usize, Command)>,
 }
 
-impl Acts for Persisted {
-    fn keep(&mut self, kept: &Kept) {
+impl ControllerActions for Persisted {
+    fn keep(&mut self, kept: &RolloutRecord) {
         self.records.push(write_kept(kept));
     }
-    fn order(&mut self, node: usize, order: Order) {
+    fn order(&mut self, node: usize, order: Command) {
         self.orders.push((node, order));
     }
     fn judge(&mut self, _stage: usize) {}
@@ -73,10 +74,10 @@
 
 impl Persisted {
     /// Answers all commands that were sent, also those sent meanwhile, until none is left.
-    fn carry_out_all(&mut self, conductor: &mut Conductor) {
+    fn carry_out_all(&mut self, conductor: &mut RolloutController) {
         while !self.orders.is_empty() {
             let (node, order) = self.orders.remove(0);
-            conductor.answered(node, order.mark, Word::Ended(Outcome::Done), self);
+            conductor.answered(node, order.mark, CommandReply::Finished(Outcome::Done), self);
         }
     }
 
@@ -88,11 +89,11 @@
     }
 }
 
-fn begun(habits: Habits) -> (Conductor, Persisted) {
-    let course = Course::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap();
-    let mut conductor = Conductor::new(course, habits, None, 1_764_633_600_000_007);
+fn begun(habits: RolloutPolicy) -> (RolloutController, Persisted) {
+    let course = StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap();
+    let mut conductor = RolloutController::new(course, habits, None, 1_764_633_600_000_007);
     let mut persisted = Persisted::default();
-    let report = Report { program: Program::Old, is_well: true, highest: Mark::default() };
+    let report = NodeReport { program: Variant::Old, is_well: true, highest: FencingToken::default() };
     for node in 0..4 {
         conductor.report(node, Some(&report), &mut persisted);
     }
@@ -101,11 +102,11 @@
 
 #[test]
 fn a_rollout_to_its_end_persists_these_records_in_this_order() {
-    let (mut conductor, mut persisted) = begun(Habits { on_trial: true, begins_anew: false });
+    let (mut conductor, mut persisted) = begun(RolloutPolicy { on_trial: true, begins_anew: false });
     persisted.carry_out_all(&mut conductor);
-    conductor.verdict(Verdict::Good, &mut persisted);
+    conductor.verdict(Verdict::Pass, &mut persisted);
     persisted.carry_out_all(&mut conductor);
-    conductor.verdict(Verdict::Good, &mut persisted);
+    conductor.verdict(Verdict::Pass, &mut persisted);
     assert_eq!(conductor.phase(), &Phase::Confirming);
     persisted.carry_out_all(&mut conductor);
     assert_eq!(conductor.phase(), &Phase::Done);
@@ -130,57 +131,61 @@
         "record-forward-second-stage-one-more",
         "record-forward-second-stage-two-more",
     ];
-    let (mut conductor, mut persisted) = begun(Habits::default());
+    let (mut conductor, mut persisted) = begun(RolloutPolicy::default());
     persisted.carry_out_all(&mut conductor);
-    conductor.verdict(Verdict::Good, &mut persisted);
+    conductor.verdict(Verdict::Pass, &mut persisted);
     let mut by_operator =
         (conductor.clone(), Persisted { records: persisted.records.clone(), orders: vec![] });
     conductor.verdict(Verdict::Harm("0.120 more of sale miss the target".into()), &mut persisted);
     persisted.carry_out_all(&mut conductor);
-    assert!(matches!(conductor.phase(), Phase::IsBack { .. }));
+    assert!(matches!(conductor.phase(), Phase::RolledBack { .. }));
     persisted.assert_are(&[&to_second_stage[..], &["record-back-by-harm", "record-is-back"]].concat());
 
     by_operator.0.back(&mut by_operator.1);
     by_operator.1.assert_are(&[&to_second_stage[..], &["record-back-by-operator"]].concat());
 
-    let (mut conductor, mut persisted) = begun(Habits::default());
+    let (mut conductor, mut persisted) = begun(RolloutPolicy::default());
     let (node, order) = persisted.orders.remove(0);
-    let failed = Word::Ended(Outcome::Failed("the new program ended".into()));
+    let failed = CommandReply::Finished(Outcome::Failed("the new program ended".into()));
     conductor.answered(node, order.mark, failed, &mut persisted);
     persisted.records.truncate(3);
     persisted.assert_are(&["record-asking", "record-forward-first-stage", "record-back-by-node"]);
 }
 
-fn program() -> Wanted {
-    Wanted { is_settings: false, path: "/usr/local/bin/ochrewalk-2".into(), print: 0x0123_4567_89ab_cdef }
+fn program() -> Target {
+    Target { is_settings: false, path: "/usr/local/bin/ochrewalk-2".into(), print: 0x0123_4567_89ab_cdef }
 }
 
-fn settings() -> Wanted {
-    Wanted { is_settings: true, path: "/etc/ochrewalk/n0.conf.new".into(), print: 0x0000_0042_dead_beef }
+fn settings() -> Target {
+    Target { is_settings: true, path: "/etc/ochrewalk/n0.conf.new".into(), print: 0x0000_0042_dead_beef }
 }
 
 /// Requests, by the name of their fixture.
 fn requests() -> Vec<(&'static str, Request)> {
     let order = |to, how, wanted| {
-        let order = Order { mark: Mark { conductor: 1_764_633_600_000_007, order: 300 }, to, how };
-        Request::order(OrderTold::new(&order, wanted, 30_000))
+        let order = Command { mark: FencingToken { conductor: 1_764_633_600_000_007, order: 300 }, to, how };
+        Request::order(CommandMessage::new(&order, wanted, 30_000))
     };
     vec![
         ("request-status-of-an-onlooker", Request::stands(0)),
         ("request-status-of-a-conductor", Request::stands(1_764_633_600_000_007)),
-        ("request-program-on-trial", order(Program::New, How::OnTrial, program())),
-        ("request-program-for-good", order(Program::New, How::ForGood, program())),
-        ("request-program-anew", order(Program::Old, How::Anew, program())),
-        ("request-settings-on-trial", order(Program::New, How::OnTrial, settings())),
-        ("request-settings-for-good", order(Program::Old, How::ForGood, settings())),
-        ("request-order-that-wants-nothing", Request::order(OrderTold { order: 9, ..OrderTold::default() })),
+        ("request-program-on-trial", order(Variant::New, ChangeMethod::CommitConfirmed, program())),
+        ("request-program-for-good", order(Variant::New, ChangeMethod::HandOver, program())),
+        ("request-program-anew", order(Variant::Old, ChangeMethod::Restart, program())),
+        ("request-settings-on-trial", order(Variant::New, ChangeMethod::CommitConfirmed, settings())),
+        ("request-settings-for-good", order(Variant::Old, ChangeMethod::HandOver, settings())),
+        (
+            "request-order-that-wants-nothing",
+            Request::order(CommandMessage { order: 9, ..CommandMessage::default() }),
+        ),
         ("request-of-version-1", Request { version: 1, order: None, conductor: 0 }),
     ]
 }
 
-fn tally() -> Tally {
-    let method = |name: &str, calls, missed, failed| MethodTally { name: name.into(), calls, missed, failed };
-    Tally {
+fn tally() -> ServingCounters {
+    let method =
+        |name: &str, calls, missed, failed| MethodCounters { name: name.into(), calls, missed, failed };
+    ServingCounters {
         is_healthy: true,
         memory_kb: 40_960,
         methods: vec![method("look", 10_000_000_000, 300, 2), method("sale", 5, 0, 0)],
@@ -190,9 +195,9 @@
 
 /// Replies, by the name of their fixture.
 fn responses() -> Vec<(&'static str, Response)> {
-    let response = |said| Response { version: VERSION, said: Some(said) };
-    let highest = MarkTold { conductor: 1_764_633_600_000_007, order: 300 };
-    let full = Stands {
+    let response = |said| Response { version: PROTOCOL_VERSION, said: Some(said) };
+    let highest = FencingTokenMessage { conductor: 1_764_633_600_000_007, order: 300 };
+    let full = NodeStatus {
         print: 0x0123_4567_89ab_cdef,
         path: "/usr/local/bin/ochrewalk-2".into(),
         highest: Some(highest),
@@ -201,16 +206,19 @@
         tally: Some(tally()),
         on_trial: true,
     };
-    let bare = Stands { print: 1, path: "/a".into(), start: 2, ..Stands::default() };
+    let bare = NodeStatus { print: 1, path: "/a".into(), start: 2, ..NodeStatus::default() };
     vec![
-        ("reply-status-full", response(Said::Stands(full))),
-        ("reply-status-bare", response(Said::Stands(bare))),
-        ("reply-ended-done", response(Said::Ended(Outcome::Done.into()))),
-        ("reply-ended-failed", response(Said::Ended(Outcome::Failed("the new program ended".into()).into()))),
-        ("reply-ended-failed-unnamed", response(Said::Ended(Outcome::Failed(String::new()).into()))),
-        ("reply-stale", response(Said::Stale(highest))),
-        ("reply-refused", response(Said::Refused("no program serves".into()))),
-        ("reply-busy", response(Said::Busy("another upgrade is under way".into()))),
+        ("reply-status-full", response(Reply::Status(full))),
+        ("reply-status-bare", response(Reply::Status(bare))),
+        ("reply-ended-done", response(Reply::Finished(Outcome::Done.into()))),
+        (
+            "reply-ended-failed",
+            response(Reply::Finished(Outcome::Failed("the new program ended".into()).into())),
+        ),
+        ("reply-ended-failed-unnamed", response(Reply::Finished(Outcome::Failed(String::new()).into()))),
+        ("reply-stale", response(Reply::Stale(highest))),
+        ("reply-refused", response(Reply::Rejected("no program serves".into()))),
+        ("reply-busy", response(Reply::Busy("another upgrade is under way".into()))),
         ("reply-empty-of-version-3", Response { version: 3, said: None }),
     ]
 }
@@ -240,7 +248,7 @@
 #[test]
 fn counters_are_read_and_written_back_with_the_same_bytes() {
     assert_framed_as("counters", &tally());
-    assert_framed_as("counters-none", &Tally::default());
+    assert_framed_as("counters-none", &ServingCounters::default());
 }
 
 #[test]
@@ -248,18 +256,21 @@
     let request: Request = read(&mut &fixture("request-settings-on-trial")[..]).unwrap();
     let order = request.order.unwrap();
     assert_eq!((request.version, request.conductor), (2, 1_764_633_600_000_007));
-    assert_eq!(order.mark(), Mark { conductor: 1_764_633_600_000_007, order: 300 });
+    assert_eq!(order.mark(), FencingToken { conductor: 1_764_633_600_000_007, order: 300 });
     assert_eq!((order.lease_ms, order.anew, order.wanted), (30_000, false, Some(settings())));
     let anew: Request = read(&mut &fixture("request-program-anew")[..]).unwrap();
     let order = anew.order.unwrap();
     assert_eq!((order.lease_ms, order.anew, order.wanted), (0, true, Some(program())));
     let ended = |name: &str| match read::<Response>(&mut &fixture(name)[..]).unwrap().said {
-        Some(Said::Ended(ended)) => Outcome::from(ended),
+        Some(Reply::Finished(ended)) => Outcome::from(ended),
         other => panic!("{name}: {other:?}"),
     };
     assert_eq!(ended("reply-ended-done"), Outcome::Done);
     assert_eq!(ended("reply-ended-failed"), Outcome::Failed("the new program ended".into()));
-    assert_eq!(Ended { failed: "for no reason that it names".into() }, Outcome::Failed(String::new()).into());
+    assert_eq!(
+        CommandOutcome { failed: "for no reason that it names".into() },
+        Outcome::Failed(String::new()).into()
+    );
     assert_eq!(ended("reply-ended-failed-unnamed"), Outcome::Failed("for no reason that it names".into()));
 }
 
