--- a/crates/ochrewalk-lab/src/judged.rs
+++ b/crates/ochrewalk-lab/src/judged.rs
@@ -84,7 +84,7 @@
     pub fn judged(&mut self, judge: &mut CanaryAnalysis, most: u32) -> (u32, Verdict) {
         for second in 1..=most {
             let moment = self.moment();
-            match judge.look(&moment) {
+            match judge.add_sample(&moment) {
                 Verdict::Pending | Verdict::FleetUnhealthy => {}
                 said => return (second, said),
             }
@@ -196,14 +196,14 @@
     let mut before = vec![Sums::default(); METHODS.len()];
     for _ in 0..LEAST {
         let moment = world.moment();
-        judge.look(&moment);
+        judge.add_sample(&moment);
         add(&mut before, &moment);
     }
     let before: Vec<f64> = before.iter().map(|sums| sums.others[1] / sums.others[0].max(1.0)).collect();
     let from = world.second;
     for share in [100, 10, 2] {
         world.changed = (nodes / share).max(1);
-        judge.stage();
+        judge.begin_stage();
         let mut sums = vec![Sums::default(); METHODS.len()];
         for second in 1..=2 * MOST {
             let struck = case == Case::Trouble && (10..30).contains(&(world.second - from));
@@ -211,7 +211,7 @@
             let moment = world.moment();
             add(&mut sums, &moment);
             let said = match way {
-                Way::Sequential => judge.look(&moment),
+                Way::Sequential => judge.add_sample(&moment),
                 _ => plain_word(way, &sums, &before, second),
             };
             match said {
--- a/crates/ochrewalk-node/src/moving/orders.rs
+++ b/crates/ochrewalk-node/src/moving/orders.rs
@@ -60,16 +60,16 @@
         reported.take(report);
     }
 
-    fn is_well(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         self.reported
             .as_ref()
             .is_some_and(|(at, reported)| at.elapsed() < FRESH && reported.latest.is_healthy)
     }
 
     /// Whether it runs that, whatever else it goes by.
-    fn is(&self, wanted: &Target) -> bool {
-        let settings = self.reported.as_ref().map_or(0, |(_, reported)| reported.latest.settings);
-        wanted.print == if wanted.is_settings { settings } else { self.print }
+    fn is(&self, target: &Target) -> bool {
+        let settings = self.reported.as_ref().map_or(0, |(_, reported)| reported.latest.settings_fingerprint);
+        target.fingerprint == if target.is_settings { settings } else { self.print }
     }
 }
 
@@ -96,7 +96,7 @@
 /// An order that is being carried out.
 #[derive(Clone, Copy, Debug)]
 pub struct Ordered {
-    mark: FencingToken,
+    token: FencingToken,
     lease_us: u64,
     pub anew: bool,
 }
@@ -126,46 +126,47 @@
                 "messages of version {PROTOCOL_VERSION} are known here"
             )));
         }
-        self.fence.heard(request.conductor);
-        self.trial.heard(self.now_us(), request.conductor, self.fence.highest().conductor);
-        match (&request.order, serving) {
+        self.fence.observe_controller(request.controller);
+        self.trial.renew(self.now_us(), request.controller, self.fence.highest().controller);
+        match (&request.command, serving) {
             (None, Some(serving)) => Deed::Answer(Reply::Status(self.stands(serving, is_changing))),
             (None, None) => Deed::Answer(Reply::Rejected("no program serves".into())),
-            (Some(order), serving) => self.order(order, serving, is_changing),
+            (Some(command), serving) => self.command(command, serving, is_changing),
         }
     }
 
-    fn order(&mut self, order: &CommandMessage, serving: Option<&Serving>, is_changing: bool) -> Deed {
-        let mark = order.mark();
-        if is_changing && mark > self.fence.highest() {
+    fn command(&mut self, command: &CommandMessage, serving: Option<&Serving>, is_changing: bool) -> Deed {
+        let token = command.token();
+        if is_changing && token > self.fence.highest() {
             return Deed::Answer(Reply::Busy("another upgrade is under way".into()));
         }
-        match self.fence.admit(mark) {
+        match self.fence.admit(token) {
             Admission::Stale(highest) => return Deed::Answer(Reply::Stale(highest.into())),
             Admission::Repeated(outcome) => return Deed::Answer(Reply::Finished(outcome.into())),
             Admission::InProgress => return Deed::Answer(Reply::Busy("it is being carried out".into())),
             Admission::Execute => {}
         }
-        let ordered = Ordered { mark, lease_us: order.lease_ms * 1_000, anew: order.anew };
-        let (Some(wanted), Some(serving)) = (&order.wanted, serving) else {
+        let ordered = Ordered { token, lease_us: command.lease_ms * 1_000, anew: command.restart };
+        let (Some(target), Some(serving)) = (&command.target, serving) else {
             let why = "nothing is wanted, or no program serves";
             return Deed::Answer(self.ended(ordered, None, Outcome::Failed(why.into())));
         };
         // What runs already is there, for good or for the same trial.
-        if serving.is(wanted) {
+        if serving.is(target) {
             return Deed::Answer(self.ended(ordered, None, Outcome::Done));
         }
-        let path = PathBuf::from(&wanted.path);
-        let (image, program) = if wanted.is_settings {
+        let path = PathBuf::from(&target.path);
+        let (image, program) = if target.is_settings {
             let program = serving.image.program.clone();
             (Image { program: program.clone(), operators: Some(path.clone()) }, (program, serving.print))
         } else {
             let operators = serving.image.operators.clone();
-            (Image { program: path.clone(), operators }, (path.clone(), wanted.print))
+            (Image { program: path.clone(), operators }, (path.clone(), target.fingerprint))
         };
         // Guards against files that were replaced since the plan was made, or since the program was started.
-        let wrong =
-            [(path, wanted.print), program].into_iter().find_map(|(path, print)| is_other(&path, print));
+        let wrong = [(path, target.fingerprint), program]
+            .into_iter()
+            .find_map(|(path, print)| is_other(&path, print));
         match wrong {
             Some(why) => Deed::Answer(self.ended(ordered, None, Outcome::Failed(why))),
             None => Deed::Change(image, ordered),
@@ -177,25 +178,25 @@
         match (&outcome, ordered.lease_us) {
             (Outcome::Done, 0) => self.is_for_good(),
             // What has run before, for good, does not come on trial by being asked for again.
-            (Outcome::Done, lease_us) if before.is_some() || self.trial.is_on() => {
+            (Outcome::Done, lease_us) if before.is_some() || self.trial.is_pending() => {
                 self.back_to = self.back_to.take().or(before);
-                self.trial.began(self.now_us(), lease_us);
+                self.trial.start(self.now_us(), lease_us);
             }
             _ => {}
         }
-        self.fence.ended(ordered.mark, outcome.clone());
+        self.fence.command_finished(ordered.token, outcome.clone());
         Reply::Finished(outcome.into())
     }
 
     /// What runs now stays.
     pub fn is_for_good(&mut self) {
-        self.trial.is_for_good();
+        self.trial.confirm();
         self.back_to = None;
     }
 
     /// What a trial that is over needs now, and what is to run again.
     pub fn due(&mut self) -> Option<(Image, bool)> {
-        let due = self.trial.due(self.now_us());
+        let due = self.trial.next_action(self.now_us());
         let (image, print) = self.back_to.as_ref()?;
         match due {
             RevertAction::None => None,
@@ -211,7 +212,7 @@
 
     /// What a trial needed has come to its end.
     pub fn returned(&mut self, is_done: bool) {
-        self.trial.returned(self.now_us(), is_done);
+        self.trial.revert_finished(self.now_us(), is_done);
         if is_done {
             self.back_to = None;
         }
@@ -236,13 +237,13 @@
             ServingCounters { methods: methods.into_methods(), ..reported.latest.clone() }
         });
         NodeStatus {
-            print: serving.print,
+            fingerprint: serving.print,
             path: serving.image.program.display().to_string(),
             highest: Some(self.fence.highest().into()),
-            is_well: serving.is_well() && !is_changing,
-            start: self.start,
-            tally,
-            on_trial: self.trial.is_on(),
+            is_healthy: serving.is_healthy() && !is_changing,
+            incarnation: self.start,
+            counters: tally,
+            is_unconfirmed: self.trial.is_pending(),
         }
     }
 }
@@ -257,7 +258,8 @@
 }
 
 pub fn say(stream: &mut UnixStream, said: Reply) {
-    let _ = stream.write_all(&messages::write(&Response { version: PROTOCOL_VERSION, said: Some(said) }));
+    let _ = stream
+        .write_all(&messages::write_message(&Response { version: PROTOCOL_VERSION, reply: Some(said) }));
 }
 
 /// Asks a node by its control socket, from the conductor's side.
@@ -266,6 +268,6 @@
     stream.set_read_timeout(Some(patience))?;
     stream.set_write_timeout(Some(patience))?;
     stream.write_all(format!("{WORD}\n").as_bytes())?;
-    stream.write_all(&messages::write(request))?;
-    messages::read(&mut stream)
+    stream.write_all(&messages::write_message(request))?;
+    messages::read_message(&mut stream)
 }
--- a/crates/ochrewalk-node/src/moving/supervisor.rs
+++ b/crates/ochrewalk-node/src/moving/supervisor.rs
@@ -349,7 +349,7 @@
 
     /// Somebody conducts a change.
     fn conducted(&mut self, mut stream: UnixStream, reads: &mut impl std::io::Read) {
-        let Ok(request) = messages::read::<Request>(reads) else { return };
+        let Ok(request) = messages::read_message::<Request>(reads) else { return };
         if !self.workers.contains_key(&self.told_of) {
             self.follow();
         }
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -231,6 +231,6 @@
         is_healthy: hears && node.core.gate.posture().healthy == Some(true),
         memory_kb: resident * 4,
         methods: Vec::new(),
-        settings: node.settings.load(Ordering::Relaxed),
+        settings_fingerprint: node.settings.load(Ordering::Relaxed),
     }
 }
--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -5,7 +5,7 @@
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_operators::{changes, Needs, Rollout as Plan, Subject};
 use ochrewalk_rollout::messages::{
-    self, program, CommandMessage, NodeStatus, Reply, Request, Response, Target,
+    self, variant_of, CommandMessage, NodeStatus, Reply, Request, Response, Target,
 };
 use ochrewalk_rollout::{
     AnalysisSettings, CanaryAnalysis, Command, CommandReply, ControllerActions, FencingToken, NodeReport,
@@ -88,10 +88,11 @@
     }
 
     /// Which of the two a node runs, if one of them.
-    fn side(&self, node: usize, stands: &NodeStatus) -> Option<Variant> {
-        let print = if self.subject == Subject::Program { stands.print } else { stands.settings() };
+    fn side(&self, node: usize, status: &NodeStatus) -> Option<Variant> {
+        let print =
+            if self.subject == Subject::Program { status.fingerprint } else { status.settings_fingerprint() };
         let [old, new] = self.of[node];
-        program(print, old, new)
+        variant_of(print, old, new)
     }
 }
 
@@ -119,20 +120,23 @@
 }
 
 /// How a node stands, asked by the conductor of that number; 0 for one who only looks on.
-fn stands(control: &Path, conductor: u64) -> Result<NodeStatus, String> {
-    match ask(control, &Request::stands(conductor), ASKING) {
-        Ok(Response { said: Some(Reply::Status(stands)), .. }) => Ok(stands),
-        Ok(Response { said: Some(Reply::Rejected(why)), .. }) => Err(why),
+fn node_status(control: &Path, controller: u64) -> Result<NodeStatus, String> {
+    match ask(control, &Request::status(controller), ASKING) {
+        Ok(Response { reply: Some(Reply::Status(status)), .. }) => Ok(status),
+        Ok(Response { reply: Some(Reply::Rejected(why)), .. }) => Err(why),
         Ok(Response { version, .. }) => Err(format!("an answer of version {version} that is not known here")),
         Err(err) => Err(err.to_string()),
     }
 }
 
 /// All nodes at once, each asked on its own.
-fn ask_all(plan: &Plan, conductor: u64) -> Vec<Result<NodeStatus, String>> {
+fn ask_all(plan: &Plan, controller: u64) -> Vec<Result<NodeStatus, String>> {
     std::thread::scope(|scope| {
-        let asked: Vec<_> =
-            plan.nodes.iter().map(|node| scope.spawn(move || stands(&node.control, conductor))).collect();
+        let asked: Vec<_> = plan
+            .nodes
+            .iter()
+            .map(|node| scope.spawn(move || node_status(&node.control, controller)))
+            .collect();
         let died = |_| Err("asking has panicked".to_string());
         asked.into_iter().map(|asked| asked.join().unwrap_or_else(died)).collect()
     })
@@ -143,14 +147,14 @@
     let prints = Prints::of(plan)?;
     let mut text = differences(plan)?;
     let mut faults = Vec::new();
-    for (at, (node, stands)) in plan.nodes.iter().zip(ask_all(plan, 0)).enumerate() {
-        let wrong = match stands {
+    for (at, (node, status)) in plan.nodes.iter().zip(ask_all(plan, 0)).enumerate() {
+        let wrong = match status {
             Err(why) => Some(why),
-            Ok(stands) if prints.side(at, &stands).is_none() => Some(match plan.subject {
-                Subject::Program => format!("it runs {}, which is neither program of the plan", stands.path),
+            Ok(status) if prints.side(at, &status).is_none() => Some(match plan.subject {
+                Subject::Program => format!("it runs {}, which is neither program of the plan", status.path),
                 Subject::Settings => "it goes by neither file of the plan".into(),
             }),
-            Ok(stands) if !stands.is_well => Some("it is not well".into()),
+            Ok(status) if !status.is_healthy => Some("it is not well".into()),
             Ok(_) => None,
         };
         faults.extend(wrong.map(|why| format!("{}: {why}", node.name)));
@@ -167,14 +171,14 @@
 pub fn status(plan: &Plan) -> Result<String, String> {
     let prints = Prints::of(plan).ok();
     let mut text = tell(plan, "status").unwrap_or_else(|_| "no conductor runs\n".into());
-    for (at, (node, stands)) in plan.nodes.iter().zip(ask_all(plan, 0)).enumerate() {
-        let how = match &stands {
+    for (at, (node, status)) in plan.nodes.iter().zip(ask_all(plan, 0)).enumerate() {
+        let how = match &status {
             Err(why) => format!("says nothing: {why}"),
-            Ok(stands) => {
-                let side = prints.as_ref().and_then(|prints| prints.side(at, stands));
+            Ok(status) => {
+                let side = prints.as_ref().and_then(|prints| prints.side(at, status));
                 let word = side.map_or("another", |p| if p == Variant::Old { "old" } else { "new" });
-                let trial = if stands.on_trial { ", on trial" } else { "" };
-                format!("{word:<8} {}{trial}", if stands.is_well { "well" } else { "not well" })
+                let trial = if status.is_unconfirmed { ", on trial" } else { "" };
+                format!("{word:<8} {}{trial}", if status.is_healthy { "well" } else { "not well" })
             }
         };
         text += &format!("{:<16} {:<10} {how}\n", node.name, node.zone);
@@ -205,35 +209,35 @@
 }
 
 /// What outlives the conductor: one small file, replaced whole, and one beside it that is locked while a conductor runs.
-struct Record {
+struct RecordFile {
     file: PathBuf,
     _lock: std::fs::File,
 }
 
-impl Record {
-    fn open(plan: &Plan) -> Result<Record, String> {
+impl RecordFile {
+    fn open(plan: &Plan) -> Result<RecordFile, String> {
         let lock = beside(plan, ".lock");
         let fault = |err: std::io::Error| format!("{}: {err}", lock.display());
         let file = std::fs::File::create(&lock).map_err(fault)?;
         rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive)
             .map_err(|err| format!("{}: another conductor runs: {err}", lock.display()))?;
-        Ok(Record { file: plan.record.clone(), _lock: file })
+        Ok(RecordFile { file: plan.record.clone(), _lock: file })
     }
 
     fn load(&self) -> Result<Option<RolloutRecord>, String> {
         match std::fs::read(&self.file) {
-            Ok(bytes) => messages::read_kept(&bytes).map(Some),
+            Ok(bytes) => messages::decode_record(&bytes).map(Some),
             Err(err) if err.kind() == std::io::ErrorKind::NotFound => Ok(None),
             Err(err) => Err(format!("{}: {err}", self.file.display())),
         }
     }
 
     /// On disk before it comes back; a crash leaves the one before or this one, whole.
-    fn save(&self, kept: &RolloutRecord) -> Result<(), String> {
+    fn save(&self, record: &RolloutRecord) -> Result<(), String> {
         let save = || -> std::io::Result<()> {
             let fresh = self.file.with_extension("fresh");
             let mut file = std::fs::File::create(&fresh)?;
-            file.write_all(&messages::write_kept(kept))?;
+            file.write_all(&messages::encode_record(record))?;
             file.sync_all()?;
             std::fs::rename(&fresh, &self.file)?;
             std::fs::File::open(self.file.parent().unwrap_or(Path::new("/")))?.sync_all()
@@ -243,7 +247,7 @@
 }
 
 enum Heard {
-    Answered { node: usize, mark: FencingToken, word: CommandReply },
+    Answered { node: usize, token: FencingToken, word: CommandReply },
     Operator { word: String, stream: UnixStream },
 }
 
@@ -251,7 +255,7 @@
 struct Hands<'a> {
     plan: &'a Plan,
     prints: Prints,
-    record: &'a Record,
+    record_file: &'a RecordFile,
     tell: Sender<Heard>,
     log: std::fs::File,
     /// A stage that is to be judged from now on.
@@ -269,47 +273,47 @@
 }
 
 impl ControllerActions for Hands<'_> {
-    fn keep(&mut self, kept: &RolloutRecord) {
-        if let Err(why) = self.record.save(kept) {
+    fn persist(&mut self, record: &RolloutRecord) {
+        if let Err(why) = self.record_file.save(record) {
             self.failed = Some(why);
         }
     }
 
-    fn order(&mut self, node: usize, order: Command) {
+    fn send_command(&mut self, node: usize, command: Command) {
         // Nothing is done that could not be kept first.
         if self.failed.is_some() {
             return;
         }
-        let is_new = order.to == Variant::New;
+        let is_new = command.variant == Variant::New;
         let to = if is_new { "new" } else { "old" };
-        self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": order.how.to_string()}));
+        self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": command.method.to_string()}));
         let path = self.plan.file(&self.plan.nodes[node], is_new).display().to_string();
         let print = self.prints.of[node][usize::from(is_new)];
-        let wanted = Target { is_settings: self.plan.subject == Subject::Settings, path, print };
-        let request = Request::order(CommandMessage::new(&order, wanted, self.plan.trial_us / 1_000));
+        let target = Target { is_settings: self.plan.subject == Subject::Settings, path, fingerprint: print };
+        let request = Request::command(CommandMessage::new(&command, target, self.plan.trial_us / 1_000));
         let (control, tell) = (self.plan.nodes[node].control.clone(), self.tell.clone());
         std::thread::spawn(move || {
-            let word = give_order(&control, &request);
-            let _ = tell.send(Heard::Answered { node, mark: order.mark, word });
+            let word = send_until_answered(&control, &request);
+            let _ = tell.send(Heard::Answered { node, token: command.token, word });
         });
     }
 
-    fn judge(&mut self, stage: usize) {
+    fn begin_analysis(&mut self, stage: usize) {
         self.judge = Some(stage);
     }
 }
 
 /// Sends an order until the node says what came of it, or for as long as one may take.
-fn give_order(control: &Path, request: &Request) -> CommandReply {
+fn send_until_answered(control: &Path, request: &Request) -> CommandReply {
     let by = Instant::now() + ORDERED;
     loop {
         let word = match ask(control, request, ORDERED) {
-            Ok(Response { said: Some(Reply::Finished(ended)), .. }) => CommandReply::Finished(ended.into()),
-            Ok(Response { said: Some(Reply::Stale(mark)), .. }) => CommandReply::Stale(mark.into()),
-            Ok(Response { said: Some(Reply::Rejected(why)), .. }) => {
+            Ok(Response { reply: Some(Reply::Finished(ended)), .. }) => CommandReply::Finished(ended.into()),
+            Ok(Response { reply: Some(Reply::Stale(token)), .. }) => CommandReply::Stale(token.into()),
+            Ok(Response { reply: Some(Reply::Rejected(why)), .. }) => {
                 CommandReply::Finished(Outcome::Failed(why))
             }
-            Ok(Response { said: Some(Reply::Busy(_)), .. }) if Instant::now() < by => {
+            Ok(Response { reply: Some(Reply::Busy(_)), .. }) if Instant::now() < by => {
                 std::thread::sleep(AGAIN);
                 continue;
             }
@@ -326,7 +330,7 @@
 /// A node as it was seen before.
 #[derive(Default)]
 struct Before {
-    stands: Option<NodeStatus>,
+    status: Option<NodeStatus>,
     restarts: u32,
     changed_at: Option<Instant>,
 }
@@ -334,31 +338,31 @@
 /// Conducts the change to its end, or until it waits for the operator.
 pub fn run(plan: &Plan, command: ConductorCommand) -> Result<End, String> {
     let prints = Prints::of(plan)?;
-    let record = Record::open(plan)?;
-    let kept = record.load()?;
-    if kept.is_none() {
+    let record_file = RecordFile::open(plan)?;
+    let record = record_file.load()?;
+    if record.is_none() {
         check(plan)?;
     }
-    let course = course(plan)?;
+    let stage_plan = stage_plan(plan)?;
     let log = std::fs::OpenOptions::new().create(true).append(true).open(beside(plan, ".log"));
     let log = log.map_err(|err| format!("{}: {err}", beside(plan, ".log").display()))?;
     let (tell, heard) = channel();
     listen(&socket(plan), tell.clone())?;
-    let mut hands = Hands { plan, prints, record: &record, tell, log, judge: None, failed: None };
+    let mut hands = Hands { plan, prints, record_file: &record_file, tell, log, judge: None, failed: None };
     // Above any that an earlier one has had, whatever became of the clock; and no other's that begins now.
     let now_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-    let number = now_us.max(kept.as_ref().map_or(0, |kept| kept.conductor) + 1);
-    let habits = RolloutPolicy { on_trial: plan.trial_us > 0, begins_anew: plan.begins_anew };
+    let number = now_us.max(record.as_ref().map_or(0, |record| record.controller) + 1);
+    let policy = RolloutPolicy { commit_confirmed: plan.trial_us > 0, restart_stuck_nodes: plan.begins_anew };
     hands.say(json!({"begun": number}));
-    let mut conductor = RolloutController::new(course, habits, kept, number);
-    let end = conduct(&mut conductor, &mut hands, &heard, command);
+    let mut controller = RolloutController::new(stage_plan, policy, record, number);
+    let end = conduct(&mut controller, &mut hands, &heard, command);
     let _ = std::fs::remove_file(socket(plan));
     let end = end?;
     hands.say(json!({"end": format!("{end:?}")}));
     Ok(end)
 }
 
-fn course(plan: &Plan) -> Result<StagePlan, String> {
+fn stage_plan(plan: &Plan) -> Result<StagePlan, String> {
     let mut names: Vec<&String> = plan.nodes.iter().map(|node| &node.zone).collect();
     names.sort();
     names.dedup();
@@ -368,7 +372,7 @@
 }
 
 fn conduct(
-    conductor: &mut RolloutController,
+    controller: &mut RolloutController,
     hands: &mut Hands,
     heard: &Receiver<Heard>,
     command: ConductorCommand,
@@ -378,79 +382,79 @@
     let moments = |us: u64| (us / plan.moment_us).max(1) as u32;
     let measures = AnalysisSettings {
         harm: plan.harm,
-        least: moments(plan.least_us),
-        most: moments(plan.most_us),
-        silent: moments(plan.silent_us),
+        min_samples: moments(plan.least_us),
+        max_samples: moments(plan.most_us),
+        max_silent_samples: moments(plan.silent_us),
         ..AnalysisSettings::default()
     };
     let mut nodes: Vec<Before> = plan.nodes.iter().map(|_| Before::default()).collect();
     let mut judge: Option<CanaryAnalysis> = None;
     let (mut command, mut last, mut moved_at) = (command, String::new(), Instant::now());
     // What each node usually answers, before the first of them is changed.
-    for _ in 0..if conductor.kept().changed.is_empty() { BEFORE } else { 0 } {
-        let all = ask_all(plan, conductor.kept().conductor);
-        let before = look(conductor, plan, &all, &mut nodes);
-        judge.get_or_insert_with(|| CanaryAnalysis::new(measures, methods(&all))).look(&before);
+    for _ in 0..if controller.record().changed_nodes.is_empty() { BEFORE } else { 0 } {
+        let all = ask_all(plan, controller.record().controller);
+        let before = look(controller, plan, &all, &mut nodes);
+        judge.get_or_insert_with(|| CanaryAnalysis::new(measures, methods(&all))).add_sample(&before);
         std::thread::sleep(moment);
     }
     loop {
         let next = Instant::now() + moment;
-        let all = ask_all(plan, conductor.kept().conductor);
-        for (node, stands) in all.iter().enumerate() {
-            let report = stands.as_ref().ok().and_then(|stands| report(node, stands, &hands.prints));
-            conductor.report(node, report.as_ref(), hands);
+        let all = ask_all(plan, controller.record().controller);
+        for (node, status) in all.iter().enumerate() {
+            let report = status.as_ref().ok().and_then(|status| report(node, status, &hands.prints));
+            controller.node_reported(node, report.as_ref(), hands);
         }
-        if command == ConductorCommand::Back && conductor.phase() != &Phase::Polling {
-            (command, _) = (ConductorCommand::Run, conductor.back(hands));
+        if command == ConductorCommand::Back && controller.phase() != &Phase::Polling {
+            (command, _) = (ConductorCommand::Run, controller.roll_back(hands));
         }
         if let Some(stage) = hands.judge.take() {
             hands.say(json!({"judged": stage}));
-            judge.iter_mut().for_each(CanaryAnalysis::stage);
+            judge.iter_mut().for_each(CanaryAnalysis::begin_stage);
         }
-        if command == ConductorCommand::GoOn && matches!(conductor.phase(), Phase::Analyzing { .. }) {
-            (command, _) = (ConductorCommand::Run, conductor.verdict(Verdict::Pass, hands));
+        if command == ConductorCommand::GoOn && matches!(controller.phase(), Phase::Analyzing { .. }) {
+            (command, _) = (ConductorCommand::Run, controller.analysis_concluded(Verdict::Pass, hands));
         }
         let judge = judge.get_or_insert_with(|| CanaryAnalysis::new(measures, methods(&all)));
-        let moment = look(conductor, plan, &all, &mut nodes);
+        let moment = look(controller, plan, &all, &mut nodes);
         let is_judged = matches!(
-            conductor.phase(),
+            controller.phase(),
             Phase::Advancing { .. } | Phase::Analyzing { .. } | Phase::Confirming
         );
         if is_judged && moment.changed > 0 {
             hands.say(seen(&moment, plan, &methods(&all)));
-            let verdict = judge.look(&moment);
+            let verdict = judge.add_sample(&moment);
             if !matches!(verdict, Verdict::Pending) {
                 hands.say(json!({"verdict": verdict.to_string()}));
             }
-            conductor.verdict(verdict, hands);
+            controller.analysis_concluded(verdict, hands);
         }
         // A stage that has just been begun is gone on with at once.
-        let now = format!("{:?} {:?}", conductor.phase(), conductor.seen());
+        let now = format!("{:?} {:?}", controller.phase(), controller.node_states());
         if now != last {
-            hands.say(json!({"phase": conductor.phase().to_string(), "nodes": sides(conductor)}));
+            hands.say(json!({"phase": controller.phase().to_string(), "nodes": sides(controller)}));
             (last, moved_at) = (now, Instant::now());
         }
         let stands_for = moved_at.elapsed().as_micros() as u64;
-        if stands_for > plan.patience_us && conductor.orders().next().is_none() {
-            conductor.stuck();
+        if stands_for > plan.patience_us && controller.pending_commands().next().is_none() {
+            controller.no_progress();
         }
-        while !conductor.is_over() {
+        while !controller.has_stopped() {
             match heard.recv_timeout(next.saturating_duration_since(Instant::now())) {
-                Ok(Heard::Answered { node, mark, word }) => {
+                Ok(Heard::Answered { node, token, word }) => {
                     hands.say(json!({"answer": plan.nodes[node].name, "word": word.to_string()}));
                     if word == CommandReply::Finished(Outcome::Done) {
                         nodes[node].changed_at = Some(Instant::now());
                     }
-                    conductor.answered(node, mark, word, hands);
+                    controller.command_answered(node, token, word, hands);
                 }
                 Ok(Heard::Operator { word, mut stream }) => {
                     match word.as_str() {
-                        "pause" => conductor.pause(),
-                        "back" => conductor.back(hands),
+                        "pause" => controller.pause(),
+                        "back" => controller.roll_back(hands),
                         _ => {}
                     }
-                    let [old, new, other] = sides(conductor);
-                    let phase = conductor.phase();
+                    let [old, new, other] = sides(controller);
+                    let phase = controller.phase();
                     let _ = writeln!(stream, "{phase}, {old} old, {new} new, {other} unknown");
                 }
                 Err(RecvTimeoutError::Timeout) => break,
@@ -460,9 +464,9 @@
         if let Some(why) = hands.failed.take() {
             return Err(format!("{why}; nothing more was ordered"));
         }
-        match conductor.phase() {
+        match controller.phase() {
             Phase::Done => return Ok(End::Done),
-            Phase::RolledBack { why } => return Ok(End::Back(why.clone())),
+            Phase::RolledBack { reason } => return Ok(End::Back(reason.clone())),
             Phase::Replaced => return Ok(End::Replaced),
             Phase::Waiting(reason) => return Ok(End::Waiting(reason.to_string())),
             _ => {}
@@ -471,14 +475,14 @@
 }
 
 /// What a node's word means to the conductor; nothing where it runs neither program of the plan.
-fn report(node: usize, stands: &NodeStatus, prints: &Prints) -> Option<NodeReport> {
-    let highest = stands.highest.map_or(FencingToken::default(), FencingToken::from);
-    let program = prints.side(node, stands)?;
-    Some(NodeReport { program, is_well: stands.is_well, highest })
+fn report(node: usize, status: &NodeStatus, prints: &Prints) -> Option<NodeReport> {
+    let highest = status.highest.map_or(FencingToken::default(), FencingToken::from);
+    let variant = prints.side(node, status)?;
+    Some(NodeReport { variant, is_healthy: status.is_healthy, highest })
 }
 
 fn methods(all: &[Result<NodeStatus, String>]) -> Vec<String> {
-    let tallies = all.iter().flatten().filter_map(|stands| stands.tally.as_ref());
+    let tallies = all.iter().flatten().filter_map(|status| status.counters.as_ref());
     let mut names: Vec<String> =
         tallies.flat_map(|tally| tally.methods.iter().map(|method| method.name.clone())).collect();
     names.sort();
@@ -510,8 +514,8 @@
 }
 
 /// Nodes that run the old, the new, and what is not known.
-fn sides(conductor: &RolloutController) -> [usize; 3] {
-    let count = |program| conductor.seen().iter().filter(|seen| seen.program == program).count();
+fn sides(controller: &RolloutController) -> [usize; 3] {
+    let count = |variant| controller.node_states().iter().filter(|seen| seen.variant == variant).count();
     [Some(Variant::Old), Some(Variant::New), None].map(count)
 }
 
@@ -521,27 +525,27 @@
 
 /// What has come since the moment before.
 fn look(
-    conductor: &RolloutController,
+    controller: &RolloutController,
     plan: &Plan,
     all: &[Result<NodeStatus, String>],
     nodes: &mut [Before],
 ) -> Sample {
     let methods = methods(all);
-    let seen = conductor.seen();
-    let is_changed = |node: usize| seen[node].program == Some(Variant::New);
+    let seen = controller.node_states();
+    let is_changed = |node: usize| seen[node].variant == Some(Variant::New);
     let mut moment = Sample {
         changed: (0..seen.len()).filter(|node| is_changed(*node)).count(),
-        others: (0..seen.len()).filter(|node| seen[*node].program == Some(Variant::Old)).count(),
+        others: (0..seen.len()).filter(|node| seen[*node].variant == Some(Variant::Old)).count(),
         nodes: Vec::new(),
     };
     let zones: Vec<&String> = plan.nodes.iter().map(|node| &node.zone).collect();
-    for (node, stands) in all.iter().enumerate() {
-        let Ok(stands) = stands else { continue };
+    for (node, status) in all.iter().enumerate() {
+        let Ok(status) = status else { continue };
         let of = &mut nodes[node];
-        if let Some(before) = &of.stands {
-            of.restarts += u32::from(before.start != stands.start);
-            let tally = |stands: &NodeStatus| stands.tally.clone().unwrap_or_default();
-            let (now, earlier) = (tally(stands), tally(before));
+        if let Some(before) = &of.status {
+            of.restarts += u32::from(before.incarnation != status.incarnation);
+            let tally = |status: &NodeStatus| status.counters.clone().unwrap_or_default();
+            let (now, earlier) = (tally(status), tally(before));
             let (counted_now, counted_earlier) = (by_name(&now), by_name(&earlier));
             let counts = methods.iter().map(|name| {
                 let earlier = counted_earlier.get(name.as_str()).copied();
@@ -552,13 +556,13 @@
                 node,
                 zone: zones.iter().position(|zone| *zone == zones[node]).unwrap_or(0) as u32,
                 is_changed: is_changed(node),
-                is_cold: of.changed_at.is_some_and(|at| at.elapsed() < cold),
+                is_warming_up: of.changed_at.is_some_and(|at| at.elapsed() < cold),
                 methods: counts.collect(),
                 restarts: of.restarts,
                 memory_kb: now.memory_kb,
             });
         }
-        of.stands = Some(stands.clone());
+        of.status = Some(status.clone());
     }
     moment
 }
--- a/crates/ochrewalk-node/tests/supervisor_link.rs
+++ b/crates/ochrewalk-node/tests/supervisor_link.rs
@@ -81,7 +81,7 @@
 }
 
 fn tally(memory_kb: u64, methods: Vec<MethodCounters>) -> ServingCounters {
-    ServingCounters { is_healthy: true, memory_kb, methods, settings: 7 }
+    ServingCounters { is_healthy: true, memory_kb, methods, settings_fingerprint: 7 }
 }
 
 /// Reports of changes lead to the same counters as reports of all of them do, and each line is read as it was written.
--- a/crates/ochrewalk-rollout/src/controller.rs
+++ b/crates/ochrewalk-rollout/src/controller.rs
@@ -10,8 +10,8 @@
 /// What a node says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeReport {
-    pub program: Variant,
-    pub is_well: bool,
+    pub variant: Variant,
+    pub is_healthy: bool,
     /// The highest mark that it knows.
     pub highest: FencingToken,
 }
@@ -30,18 +30,18 @@
 /// A node is to run that program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Command {
-    pub mark: FencingToken,
-    pub to: Variant,
-    pub how: ChangeMethod,
+    pub token: FencingToken,
+    pub variant: Variant,
+    pub method: ChangeMethod,
 }
 
 /// What a plan allows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutPolicy {
     /// Changed nodes are on trial until the whole change is done.
-    pub on_trial: bool,
+    pub commit_confirmed: bool,
     /// A node that cannot hand back what it runs may be begun anew.
-    pub begins_anew: bool,
+    pub restart_stuck_nodes: bool,
 }
 
 /// What came back on an order.
@@ -63,7 +63,7 @@
     /// A node cannot go back, or does not answer, and may run the new program.
     NodeStuck {
         node: usize,
-        why: String,
+        reason: String,
     },
     /// A stage cannot be reached, as too many nodes are out of service for their own reasons.
     FleetUnhealthy,
@@ -83,14 +83,14 @@
     /// All were found good: each is told that it is for good.
     Confirming,
     RollingBack {
-        why: String,
+        reason: String,
     },
     /// What goes on when the operator says so is in `kept`.
     Waiting(WaitReason),
     Done,
     /// All that were changed are back.
     RolledBack {
-        why: String,
+        reason: String,
     },
     /// Another conductor has taken over.
     Replaced,
@@ -99,23 +99,23 @@
 /// What has to outlive the conductor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutRecord {
-    pub conductor: u64,
+    pub controller: u64,
     /// One past the last where all were found good.
     pub stage: usize,
     /// Why it goes back, if it does.
-    pub back: Option<String>,
+    pub rollback_reason: Option<String>,
     /// Nodes in the order in which they were changed, or were about to be.
-    pub changed: Vec<usize>,
-    pub is_over: bool,
+    pub changed_nodes: Vec<usize>,
+    pub is_finished: bool,
 }
 
 /// What the conductor does.
 pub trait ControllerActions {
     /// Keeps this where it outlives us, before anything else is done.
-    fn keep(&mut self, kept: &RolloutRecord);
-    fn order(&mut self, node: usize, order: Command);
+    fn persist(&mut self, record: &RolloutRecord);
+    fn send_command(&mut self, node: usize, command: Command);
     /// Begins to judge a stage.
-    fn judge(&mut self, stage: usize);
+    fn begin_analysis(&mut self, stage: usize);
 }
 
 /// An order unanswered so many times leaves its node behind.
@@ -123,179 +123,196 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    seen: NodeState,
-    order: Option<Command>,
-    tries: u8,
+    state: NodeState,
+    command: Option<Command>,
+    attempts: u8,
     /// It has answered, or was asked in vain, since this conductor began.
-    is_asked: bool,
+    is_polled: bool,
     /// It has said that what it runs is for good.
     is_confirmed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RolloutController {
-    course: StagePlan,
-    habits: RolloutPolicy,
-    kept: RolloutRecord,
+    stage_plan: StagePlan,
+    policy: RolloutPolicy,
+    record: RolloutRecord,
     phase: Phase,
     nodes: Vec<Node>,
-    next_order: u64,
+    next_command: u64,
 }
 
 impl RolloutController {
     /// Begins, or goes on from what was kept. `number` is higher than any that this conductor's file knows.
     pub fn new(
-        course: StagePlan,
-        habits: RolloutPolicy,
-        kept: Option<RolloutRecord>,
+        stage_plan: StagePlan,
+        policy: RolloutPolicy,
+        record: Option<RolloutRecord>,
         number: u64,
     ) -> RolloutController {
-        let kept = RolloutRecord { conductor: number, ..kept.unwrap_or_default() };
-        let place = |node: usize| kept.changed.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
-        let seen = |node| NodeState {
-            program: None,
-            is_well: false,
-            answers: false,
-            is_ordered: false,
-            changed: place(node),
+        let record = RolloutRecord { controller: number, ..record.unwrap_or_default() };
+        let position =
+            |node: usize| record.changed_nodes.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
+        let state = |node| NodeState {
+            variant: None,
+            is_healthy: false,
+            responds: false,
+            is_command_pending: false,
+            change_number: position(node),
         };
-        let node =
-            |node| Node { seen: seen(node), order: None, tries: 0, is_asked: false, is_confirmed: false };
-        let nodes = (0..course.nodes()).map(node).collect();
-        RolloutController { course, habits, kept, phase: Phase::Polling, nodes, next_order: 0 }
+        let node = |node| Node {
+            state: state(node),
+            command: None,
+            attempts: 0,
+            is_polled: false,
+            is_confirmed: false,
+        };
+        let nodes = (0..stage_plan.node_count()).map(node).collect();
+        RolloutController { stage_plan, policy, record, phase: Phase::Polling, nodes, next_command: 0 }
     }
 
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    pub fn kept(&self) -> &RolloutRecord {
-        &self.kept
+    pub fn record(&self) -> &RolloutRecord {
+        &self.record
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         matches!(self.phase, Phase::Done | Phase::RolledBack { .. } | Phase::Waiting(_) | Phase::Replaced)
     }
 
-    pub fn seen(&self) -> Vec<NodeState> {
-        self.nodes.iter().map(|node| node.seen).collect()
+    pub fn node_states(&self) -> Vec<NodeState> {
+        self.nodes.iter().map(|node| node.state).collect()
     }
 
     /// What is ordered and not answered.
-    pub fn orders(&self) -> impl Iterator<Item = (usize, Command)> + '_ {
-        self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.order?)))
+    pub fn pending_commands(&self) -> impl Iterator<Item = (usize, Command)> + '_ {
+        self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.command?)))
     }
 
     /// A node was asked how it stands; none where it did not answer.
-    pub fn report(&mut self, node: usize, report: Option<&NodeReport>, acts: &mut impl ControllerActions) {
+    pub fn node_reported(
+        &mut self,
+        node: usize,
+        report: Option<&NodeReport>,
+        actions: &mut impl ControllerActions,
+    ) {
         if matches!(self.phase, Phase::Done | Phase::RolledBack { .. } | Phase::Replaced) {
             return;
         }
         if let Some(report) = report {
-            let highest = report.highest.conductor;
+            let highest = report.highest.controller;
             if self.phase == Phase::Polling {
                 // Nothing has been ordered yet: a number above all others is ours to take.
-                if highest > self.kept.conductor {
-                    self.kept.conductor = highest + 1;
+                if highest > self.record.controller {
+                    self.record.controller = highest + 1;
                 }
-            } else if highest > self.kept.conductor {
+            } else if highest > self.record.controller {
                 return self.phase = Phase::Replaced;
             }
         }
         let of = &mut self.nodes[node];
-        of.is_asked = true;
-        (of.seen.answers, of.seen.is_well) = (report.is_some(), report.is_some_and(|report| report.is_well));
-        if let (Some(report), None) = (report, of.order) {
-            of.seen.program = Some(report.program);
+        of.is_polled = true;
+        (of.state.responds, of.state.is_healthy) =
+            (report.is_some(), report.is_some_and(|report| report.is_healthy));
+        if let (Some(report), None) = (report, of.command) {
+            of.state.variant = Some(report.variant);
         }
-        if self.phase == Phase::Polling && self.nodes.iter().all(|node| node.is_asked) {
-            acts.keep(&self.kept);
-            self.phase = match (&self.kept.back, self.kept.is_over) {
+        if self.phase == Phase::Polling && self.nodes.iter().all(|node| node.is_polled) {
+            actions.persist(&self.record);
+            self.phase = match (&self.record.rollback_reason, self.record.is_finished) {
                 (None, true) => Phase::Done,
-                (Some(why), true) => Phase::RolledBack { why: why.clone() },
-                (Some(why), false) => Phase::RollingBack { why: why.clone() },
-                (None, false) => self.forward(),
+                (Some(reason), true) => Phase::RolledBack { reason: reason.clone() },
+                (Some(reason), false) => Phase::RollingBack { reason: reason.clone() },
+                (None, false) => self.next_phase_forward(),
             };
         }
         if let Phase::Analyzing { stage } = self.phase {
-            if self.course.has_shrunk(&self.seen(), stage) {
+            if self.stage_plan.is_below_target(&self.node_states(), stage) {
                 self.phase = Phase::Advancing { stage };
             }
         }
-        self.go_on(acts);
+        self.advance(actions);
     }
 
     /// Where the way forward goes on.
-    fn forward(&self) -> Phase {
-        match self.kept.stage {
-            stage if stage < self.course.stages() => Phase::Advancing { stage },
+    fn next_phase_forward(&self) -> Phase {
+        match self.record.stage {
+            stage if stage < self.stage_plan.stage_count() => Phase::Advancing { stage },
             _ => Phase::Confirming,
         }
     }
 
     /// What came back on an order.
-    pub fn answered(
+    pub fn command_answered(
         &mut self,
         node: usize,
-        mark: FencingToken,
-        word: CommandReply,
-        acts: &mut impl ControllerActions,
+        token: FencingToken,
+        reply: CommandReply,
+        actions: &mut impl ControllerActions,
     ) {
         let of = &mut self.nodes[node];
-        let Some(order) = of.order.filter(|order| order.mark == mark) else { return };
-        match word {
+        let Some(command) = of.command.filter(|command| command.token == token) else { return };
+        match reply {
             CommandReply::Stale(_) => return self.phase = Phase::Replaced,
-            CommandReply::NoReply if of.tries + 1 < MAX_ATTEMPTS => {
-                of.tries += 1;
-                return acts.order(node, order);
+            CommandReply::NoReply if of.attempts + 1 < MAX_ATTEMPTS => {
+                of.attempts += 1;
+                return actions.send_command(node, command);
             }
             CommandReply::NoReply => {
                 // What it runs is not known: it counts as out of service until it says so.
-                (of.order, of.seen.is_ordered, of.seen.is_well, of.seen.program) = (None, false, false, None);
-                of.seen.answers = false;
+                (of.command, of.state.is_command_pending, of.state.is_healthy, of.state.variant) =
+                    (None, false, false, None);
+                of.state.responds = false;
                 if self.phase == Phase::Confirming {
-                    let why = "it was not told that what it runs is for good".into();
-                    return self.phase = Phase::Waiting(WaitReason::NodeStuck { node, why });
+                    let reason = "it was not told that what it runs is for good".into();
+                    return self.phase = Phase::Waiting(WaitReason::NodeStuck { node, reason });
                 }
-                return self.go_back(format!("node {node} has not answered"), acts);
+                return self.begin_rollback(format!("node {node} has not answered"), actions);
             }
             CommandReply::Finished(Outcome::Done) => {
-                (of.order, of.seen.is_ordered, of.seen.program) = (None, false, Some(order.to));
-                of.is_confirmed = order.how != ChangeMethod::CommitConfirmed;
+                (of.command, of.state.is_command_pending, of.state.variant) =
+                    (None, false, Some(command.variant));
+                of.is_confirmed = command.method != ChangeMethod::CommitConfirmed;
             }
-            CommandReply::Finished(Outcome::Failed(why)) => {
-                (of.order, of.seen.is_ordered) = (None, false);
-                if order.to == Variant::Old && order.how == ChangeMethod::HandOver && self.habits.begins_anew
+            CommandReply::Finished(Outcome::Failed(reason)) => {
+                (of.command, of.state.is_command_pending) = (None, false);
+                if command.variant == Variant::Old
+                    && command.method == ChangeMethod::HandOver
+                    && self.policy.restart_stuck_nodes
                 {
-                    return self.order(node, Variant::Old, ChangeMethod::Restart, acts);
+                    return self.command_node(node, Variant::Old, ChangeMethod::Restart, actions);
                 }
-                if order.to == Variant::Old || self.phase == Phase::Confirming {
-                    return self.phase = Phase::Waiting(WaitReason::NodeStuck { node, why });
+                if command.variant == Variant::Old || self.phase == Phase::Confirming {
+                    return self.phase = Phase::Waiting(WaitReason::NodeStuck { node, reason });
                 }
-                of.seen.program = Some(Variant::Old);
-                return self.go_back(format!("node {node}: {why}"), acts);
+                of.state.variant = Some(Variant::Old);
+                return self.begin_rollback(format!("node {node}: {reason}"), actions);
             }
         }
-        self.go_on(acts);
+        self.advance(actions);
     }
 
     /// The judge's word on the stage that is judged, or on all changed nodes while more are.
-    pub fn verdict(&mut self, verdict: Verdict, acts: &mut impl ControllerActions) {
+    pub fn analysis_concluded(&mut self, verdict: Verdict, actions: &mut impl ControllerActions) {
         match (&self.phase, verdict) {
-            (Phase::Analyzing { .. } | Phase::Advancing { .. } | Phase::Confirming, Verdict::Harm(why)) => {
-                self.go_back(why, acts)
-            }
+            (
+                Phase::Analyzing { .. } | Phase::Advancing { .. } | Phase::Confirming,
+                Verdict::Harm(reason),
+            ) => self.begin_rollback(reason, actions),
             (Phase::Analyzing { stage }, Verdict::Pass) => {
-                self.kept.stage = stage + 1;
-                let is_last = self.kept.stage == self.course.stages();
+                self.record.stage = stage + 1;
+                let is_last = self.record.stage == self.stage_plan.stage_count();
                 // What was never on trial is for good already.
-                self.kept.is_over = is_last && !self.habits.on_trial;
-                acts.keep(&self.kept);
-                self.phase = if self.kept.is_over { Phase::Done } else { self.forward() };
-                self.go_on(acts);
+                self.record.is_finished = is_last && !self.policy.commit_confirmed;
+                actions.persist(&self.record);
+                self.phase = if self.record.is_finished { Phase::Done } else { self.next_phase_forward() };
+                self.advance(actions);
             }
-            (Phase::Analyzing { .. }, Verdict::Inconclusive(why)) => {
-                self.phase = Phase::Waiting(WaitReason::Inconclusive(why))
+            (Phase::Analyzing { .. }, Verdict::Inconclusive(reason)) => {
+                self.phase = Phase::Waiting(WaitReason::Inconclusive(reason))
             }
             _ => {}
         }
@@ -313,109 +330,128 @@
     }
 
     /// The operator has it go on from where it waits; what was unclear is taken for good.
-    pub fn resume(&mut self, acts: &mut impl ControllerActions) {
+    pub fn resume(&mut self, actions: &mut impl ControllerActions) {
         let Phase::Waiting(reason) = &self.phase else { return };
         let passes = matches!(reason, WaitReason::Inconclusive(_));
-        self.phase = match &self.kept.back {
-            Some(why) => Phase::RollingBack { why: why.clone() },
-            None => self.forward(),
+        self.phase = match &self.record.rollback_reason {
+            Some(reason) => Phase::RollingBack { reason: reason.clone() },
+            None => self.next_phase_forward(),
         };
         if passes {
-            self.phase = Phase::Analyzing { stage: self.kept.stage };
-            return self.verdict(Verdict::Pass, acts);
+            self.phase = Phase::Analyzing { stage: self.record.stage };
+            return self.analysis_concluded(Verdict::Pass, actions);
         }
-        self.go_on(acts);
+        self.advance(actions);
     }
 
     /// The operator has it go back.
-    pub fn back(&mut self, acts: &mut impl ControllerActions) {
+    pub fn roll_back(&mut self, actions: &mut impl ControllerActions) {
         if !matches!(self.phase, Phase::Polling | Phase::RolledBack { .. } | Phase::Replaced) {
-            self.kept.is_over = false;
-            self.go_back("the operator said so".into(), acts);
+            self.record.is_finished = false;
+            self.begin_rollback("the operator said so".into(), actions);
         }
     }
 
     /// The fleet has been too ill for the next step for too long.
-    pub fn stuck(&mut self) {
+    pub fn no_progress(&mut self) {
         if let Phase::Advancing { .. } | Phase::RollingBack { .. } | Phase::Confirming = self.phase {
             let may_be_new = |node: &Node| {
-                let is_old = node.seen.program == Some(Variant::Old);
-                !node.seen.is_well && (!is_old || node.seen.changed > 0 && !node.is_confirmed)
+                let is_old = node.state.variant == Some(Variant::Old);
+                !node.state.is_healthy && (!is_old || node.state.change_number > 0 && !node.is_confirmed)
             };
             self.phase = match self.nodes.iter().position(may_be_new) {
-                Some(node) if self.kept.back.is_some() || self.phase == Phase::Confirming => {
-                    Phase::Waiting(WaitReason::NodeStuck { node, why: "it does not answer".into() })
+                Some(node) if self.record.rollback_reason.is_some() || self.phase == Phase::Confirming => {
+                    Phase::Waiting(WaitReason::NodeStuck { node, reason: "it does not answer".into() })
                 }
                 _ => Phase::Waiting(WaitReason::FleetUnhealthy),
             };
         }
     }
 
-    fn go_back(&mut self, why: String, acts: &mut impl ControllerActions) {
+    fn begin_rollback(&mut self, reason: String, actions: &mut impl ControllerActions) {
         // The first reason is the one that counts.
-        let why = self.kept.back.get_or_insert(why).clone();
-        acts.keep(&self.kept);
-        self.phase = Phase::RollingBack { why };
-        self.go_on(acts);
+        let reason = self.record.rollback_reason.get_or_insert(reason).clone();
+        actions.persist(&self.record);
+        self.phase = Phase::RollingBack { reason };
+        self.advance(actions);
     }
 
     /// Orders whatever may be ordered now, and sees whether the stage, or the way back, is at its end.
-    fn go_on(&mut self, acts: &mut impl ControllerActions) {
+    fn advance(&mut self, actions: &mut impl ControllerActions) {
         loop {
-            let seen = self.seen();
-            let is_on = |seen: &NodeState, program| seen.program == Some(program) && !seen.is_ordered;
-            let forward =
-                if self.habits.on_trial { ChangeMethod::CommitConfirmed } else { ChangeMethod::HandOver };
-            let (next, to, how) = match &self.phase {
-                Phase::Advancing { stage } if self.course.is_there(&seen, *stage) => {
+            let states = self.node_states();
+            let is_on =
+                |state: &NodeState, variant| state.variant == Some(variant) && !state.is_command_pending;
+            let forward = if self.policy.commit_confirmed {
+                ChangeMethod::CommitConfirmed
+            } else {
+                ChangeMethod::HandOver
+            };
+            let (next, variant, method) = match &self.phase {
+                Phase::Advancing { stage } if self.stage_plan.is_reached(&states, *stage) => {
                     let stage = *stage;
-                    acts.judge(stage);
+                    actions.begin_analysis(stage);
                     return self.phase = Phase::Analyzing { stage };
                 }
-                Phase::Advancing { stage } => (self.course.next(&seen, *stage), Variant::New, forward),
+                Phase::Advancing { stage } => {
+                    (self.stage_plan.next_to_change(&states, *stage), Variant::New, forward)
+                }
                 Phase::Confirming => {
-                    if self.nodes.iter().all(|node| node.is_confirmed && is_on(&node.seen, Variant::New)) {
-                        self.kept.is_over = true;
-                        acts.keep(&self.kept);
+                    if self.nodes.iter().all(|node| node.is_confirmed && is_on(&node.state, Variant::New)) {
+                        self.record.is_finished = true;
+                        actions.persist(&self.record);
                         return self.phase = Phase::Done;
                     }
                     // One that was started anew meanwhile, and runs the old program, is told again.
-                    let is_told = |node: usize| {
-                        self.nodes[node].is_confirmed && seen[node].program == Some(Variant::New)
+                    let is_confirmed = |node: usize| {
+                        self.nodes[node].is_confirmed && states[node].variant == Some(Variant::New)
                     };
-                    (self.course.confirm(&seen, is_told), Variant::New, ChangeMethod::HandOver)
+                    (
+                        self.stage_plan.next_to_confirm(&states, is_confirmed),
+                        Variant::New,
+                        ChangeMethod::HandOver,
+                    )
                 }
-                Phase::RollingBack { why } => {
+                Phase::RollingBack { reason } => {
                     // One that was changed may be in the middle of an order of an earlier conductor's.
-                    let is_known =
-                        |node: &Node| node.seen.is_well || node.is_confirmed || node.seen.changed == 0;
-                    if self.nodes.iter().all(|node| is_on(&node.seen, Variant::Old) && is_known(node)) {
-                        self.kept.is_over = true;
-                        let why = why.clone();
-                        acts.keep(&self.kept);
-                        return self.phase = Phase::RolledBack { why };
+                    let is_known = |node: &Node| {
+                        node.state.is_healthy || node.is_confirmed || node.state.change_number == 0
+                    };
+                    if self.nodes.iter().all(|node| is_on(&node.state, Variant::Old) && is_known(node)) {
+                        self.record.is_finished = true;
+                        let reason = reason.clone();
+                        actions.persist(&self.record);
+                        return self.phase = Phase::RolledBack { reason };
                     }
-                    (self.course.back(&seen), Variant::Old, ChangeMethod::HandOver)
+                    (self.stage_plan.next_to_revert(&states), Variant::Old, ChangeMethod::HandOver)
                 }
                 _ => return,
             };
             let Some(node) = next else { return };
-            if to == Variant::New && !self.kept.changed.contains(&node) {
-                self.kept.changed.push(node);
+            if variant == Variant::New && !self.record.changed_nodes.contains(&node) {
+                self.record.changed_nodes.push(node);
                 // Before it is ordered: whoever goes on from here has to know that it may be changed.
-                acts.keep(&self.kept);
+                actions.persist(&self.record);
             }
-            self.order(node, to, how, acts);
+            self.command_node(node, variant, method, actions);
         }
     }
 
-    fn order(&mut self, node: usize, to: Variant, how: ChangeMethod, acts: &mut impl ControllerActions) {
-        self.next_order += 1;
-        let mark = FencingToken { conductor: self.kept.conductor, order: self.next_order };
-        let place = self.kept.changed.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
+    fn command_node(
+        &mut self,
+        node: usize,
+        variant: Variant,
+        method: ChangeMethod,
+        actions: &mut impl ControllerActions,
+    ) {
+        self.next_command += 1;
+        let token = FencingToken { controller: self.record.controller, command: self.next_command };
+        let position =
+            self.record.changed_nodes.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
         let of = &mut self.nodes[node];
-        let order = Command { mark, to, how };
-        (of.order, of.tries, of.seen.is_ordered, of.seen.changed) = (Some(order), 0, true, place);
-        acts.order(node, order);
+        let command = Command { token, variant, method };
+        (of.command, of.attempts, of.state.is_command_pending, of.state.change_number) =
+            (Some(command), 0, true, position);
+        actions.send_command(node, command);
     }
 }
--- a/crates/ochrewalk-rollout/src/fence.rs
+++ b/crates/ochrewalk-rollout/src/fence.rs
@@ -5,8 +5,8 @@
 /// An order's place among all: the conductor's number, then the order's own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FencingToken {
-    pub conductor: u64,
-    pub order: u64,
+    pub controller: u64,
+    pub command: u64,
 }
 
 /// What came of an order.
@@ -40,20 +40,20 @@
     /// ```
     /// use ochrewalk_rollout::{Admission, Fence, FencingToken, Outcome};
     /// let mut fence = Fence::default();
-    /// let mark = |conductor, order| FencingToken { conductor, order };
-    /// assert_eq!(fence.admit(mark(3, 1)), Admission::Execute);
-    /// assert_eq!(fence.admit(mark(3, 1)), Admission::InProgress);
-    /// fence.ended(mark(3, 1), Outcome::Done);
-    /// assert_eq!(fence.admit(mark(3, 1)), Admission::Repeated(Outcome::Done));
-    /// assert_eq!(fence.admit(mark(2, 9)), Admission::Stale(mark(3, 1)));
-    /// assert_eq!(fence.admit(mark(4, 0)), Admission::Execute);
+    /// let token = |controller, command| FencingToken { controller, command };
+    /// assert_eq!(fence.admit(token(3, 1)), Admission::Execute);
+    /// assert_eq!(fence.admit(token(3, 1)), Admission::InProgress);
+    /// fence.command_finished(token(3, 1), Outcome::Done);
+    /// assert_eq!(fence.admit(token(3, 1)), Admission::Repeated(Outcome::Done));
+    /// assert_eq!(fence.admit(token(2, 9)), Admission::Stale(token(3, 1)));
+    /// assert_eq!(fence.admit(token(4, 0)), Admission::Execute);
     /// ```
-    pub fn admit(&mut self, mark: FencingToken) -> Admission {
-        if mark < self.highest {
+    pub fn admit(&mut self, token: FencingToken) -> Admission {
+        if token < self.highest {
             return Admission::Stale(self.highest);
         }
-        if mark > self.highest {
-            (self.highest, self.outcome) = (mark, None);
+        if token > self.highest {
+            (self.highest, self.outcome) = (token, None);
             return Admission::Execute;
         }
         match &self.outcome {
@@ -67,19 +67,19 @@
     /// ```
     /// use ochrewalk_rollout::{Admission, Fence, FencingToken};
     /// let mut fence = Fence::default();
-    /// fence.heard(4);
-    /// assert!(matches!(fence.admit(FencingToken { conductor: 3, order: 9 }), Admission::Stale(_)));
-    /// assert_eq!(fence.admit(FencingToken { conductor: 4, order: 1 }), Admission::Execute);
+    /// fence.observe_controller(4);
+    /// assert!(matches!(fence.admit(FencingToken { controller: 3, command: 9 }), Admission::Stale(_)));
+    /// assert_eq!(fence.admit(FencingToken { controller: 4, command: 1 }), Admission::Execute);
     /// ```
-    pub fn heard(&mut self, conductor: u64) {
-        if conductor > self.highest.conductor {
-            (self.highest, self.outcome) = (FencingToken { conductor, order: 0 }, None);
+    pub fn observe_controller(&mut self, controller: u64) {
+        if controller > self.highest.controller {
+            (self.highest, self.outcome) = (FencingToken { controller, command: 0 }, None);
         }
     }
 
     /// An order that was admitted has come to its end; late ones are passed over.
-    pub fn ended(&mut self, mark: FencingToken, outcome: Outcome) {
-        if mark == self.highest {
+    pub fn command_finished(&mut self, token: FencingToken, outcome: Outcome) {
+        if token == self.highest {
             self.outcome = Some(outcome);
         }
     }
--- a/crates/ochrewalk-rollout/src/log_text.rs
+++ b/crates/ochrewalk-rollout/src/log_text.rs
@@ -12,10 +12,10 @@
             Phase::Advancing { stage } => write!(f, "Forward {{ stage: {stage} }}"),
             Phase::Analyzing { stage } => write!(f, "Judged {{ stage: {stage} }}"),
             Phase::Confirming => f.write_str("Confirming"),
-            Phase::RollingBack { why } => write!(f, "Back {{ why: {why:?} }}"),
+            Phase::RollingBack { reason } => write!(f, "Back {{ why: {reason:?} }}"),
             Phase::Waiting(reason) => write!(f, "Waiting({reason})"),
             Phase::Done => f.write_str("Done"),
-            Phase::RolledBack { why } => write!(f, "IsBack {{ why: {why:?} }}"),
+            Phase::RolledBack { reason } => write!(f, "IsBack {{ why: {reason:?} }}"),
             Phase::Replaced => f.write_str("Replaced"),
         }
     }
@@ -25,8 +25,10 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self {
             WaitReason::Paused => f.write_str("Paused"),
-            WaitReason::Inconclusive(why) => write!(f, "Unclear({why:?})"),
-            WaitReason::NodeStuck { node, why } => write!(f, "LeftBehind {{ node: {node}, why: {why:?} }}"),
+            WaitReason::Inconclusive(reason) => write!(f, "Unclear({reason:?})"),
+            WaitReason::NodeStuck { node, reason } => {
+                write!(f, "LeftBehind {{ node: {node}, why: {reason:?} }}")
+            }
             WaitReason::FleetUnhealthy => f.write_str("Ill"),
         }
     }
@@ -46,9 +48,9 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         match self {
             CommandReply::Finished(Outcome::Done) => f.write_str("Ended(Done)"),
-            CommandReply::Finished(Outcome::Failed(why)) => write!(f, "Ended(Failed({why:?}))"),
-            CommandReply::Stale(mark) => {
-                write!(f, "Stale(Mark {{ conductor: {}, order: {} }})", mark.conductor, mark.order)
+            CommandReply::Finished(Outcome::Failed(reason)) => write!(f, "Ended(Failed({reason:?}))"),
+            CommandReply::Stale(token) => {
+                write!(f, "Stale(Mark {{ conductor: {}, order: {} }})", token.controller, token.command)
             }
             CommandReply::NoReply => f.write_str("Nothing"),
         }
@@ -61,8 +63,8 @@
             Verdict::Pending => f.write_str("Wait"),
             Verdict::FleetUnhealthy => f.write_str("Ill"),
             Verdict::Pass => f.write_str("Good"),
-            Verdict::Harm(why) => write!(f, "Harm({why:?})"),
-            Verdict::Inconclusive(why) => write!(f, "Ask({why:?})"),
+            Verdict::Harm(reason) => write!(f, "Harm({reason:?})"),
+            Verdict::Inconclusive(reason) => write!(f, "Ask({reason:?})"),
         }
     }
 }
--- a/crates/ochrewalk-rollout/src/messages.rs
+++ b/crates/ochrewalk-rollout/src/messages.rs
@@ -17,20 +17,20 @@
     pub version: u32,
     /// What is asked; none for how the node stands.
     #[prost(message, optional, tag = "2")]
-    pub order: Option<CommandMessage>,
+    pub command: Option<CommandMessage>,
     /// The number of the conductor that asks, which keeps what is on trial there; 0 for one who only looks on.
     #[prost(uint64, tag = "3")]
-    pub conductor: u64,
+    pub controller: u64,
 }
 
 impl Request {
     /// How does the node stand?
-    pub fn stands(conductor: u64) -> Request {
-        Request { version: PROTOCOL_VERSION, order: None, conductor }
+    pub fn status(controller: u64) -> Request {
+        Request { version: PROTOCOL_VERSION, command: None, controller }
     }
 
-    pub fn order(order: CommandMessage) -> Request {
-        Request { version: PROTOCOL_VERSION, conductor: order.conductor, order: Some(order) }
+    pub fn command(command: CommandMessage) -> Request {
+        Request { version: PROTOCOL_VERSION, controller: command.controller, command: Some(command) }
     }
 }
 
@@ -38,17 +38,17 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CommandMessage {
     #[prost(uint64, tag = "1")]
-    pub conductor: u64,
+    pub controller: u64,
     #[prost(uint64, tag = "2")]
-    pub order: u64,
+    pub command: u64,
     #[prost(message, optional, tag = "3")]
-    pub wanted: Option<Target>,
+    pub target: Option<Target>,
     /// How long it stays after each word of the conductor's, in milliseconds; 0 for good.
     #[prost(uint64, tag = "4")]
     pub lease_ms: u64,
     /// The one that runs leaves, or is ended, and this one is begun anew.
     #[prost(bool, tag = "5")]
-    pub anew: bool,
+    pub restart: bool,
 }
 
 /// A program to run with what else the node has, or an operators' file to go by with the program that runs.
@@ -60,7 +60,7 @@
     pub path: String,
     /// A print of what the file has to hold.
     #[prost(uint64, tag = "3")]
-    pub print: u64,
+    pub fingerprint: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -68,7 +68,7 @@
     #[prost(uint32, tag = "1")]
     pub version: u32,
     #[prost(oneof = "Reply", tags = "2, 3, 4, 5, 6")]
-    pub said: Option<Reply>,
+    pub reply: Option<Reply>,
 }
 
 #[derive(Clone, PartialEq, Oneof)]
@@ -90,16 +90,16 @@
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct FencingTokenMessage {
     #[prost(uint64, tag = "1")]
-    pub conductor: u64,
+    pub controller: u64,
     #[prost(uint64, tag = "2")]
-    pub order: u64,
+    pub command: u64,
 }
 
 /// What came of an order; why not, where `failed` is not empty.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CommandOutcome {
     #[prost(string, tag = "1")]
-    pub failed: String,
+    pub failure: String,
 }
 
 /// How a node stands.
@@ -107,27 +107,27 @@
 pub struct NodeStatus {
     /// A print of the program that serves.
     #[prost(uint64, tag = "1")]
-    pub print: u64,
+    pub fingerprint: u64,
     #[prost(string, tag = "2")]
     pub path: String,
     #[prost(message, optional, tag = "3")]
     pub highest: Option<FencingTokenMessage>,
     #[prost(bool, tag = "4")]
-    pub is_well: bool,
+    pub is_healthy: bool,
     /// Another with each start of the node.
     #[prost(uint64, tag = "5")]
-    pub start: u64,
+    pub incarnation: u64,
     #[prost(message, optional, tag = "6")]
-    pub tally: Option<ServingCounters>,
+    pub counters: Option<ServingCounters>,
     /// What it runs goes back by itself unless it hears of its conductor.
     #[prost(bool, tag = "7")]
-    pub on_trial: bool,
+    pub is_unconfirmed: bool,
 }
 
 impl NodeStatus {
     /// A print of the operators' file that the program goes by; 0 where it has none, or has not said so yet.
-    pub fn settings(&self) -> u64 {
-        self.tally.as_ref().map_or(0, |tally| tally.settings)
+    pub fn settings_fingerprint(&self) -> u64 {
+        self.counters.as_ref().map_or(0, |counters| counters.settings_fingerprint)
     }
 }
 
@@ -142,7 +142,7 @@
     pub methods: Vec<MethodCounters>,
     /// A print of the operators' file that it goes by; 0 where it has none.
     #[prost(uint64, tag = "4")]
-    pub settings: u64,
+    pub settings_fingerprint: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -173,52 +173,52 @@
 }
 
 impl From<FencingToken> for FencingTokenMessage {
-    fn from(mark: FencingToken) -> FencingTokenMessage {
-        FencingTokenMessage { conductor: mark.conductor, order: mark.order }
+    fn from(token: FencingToken) -> FencingTokenMessage {
+        FencingTokenMessage { controller: token.controller, command: token.command }
     }
 }
 
 impl From<FencingTokenMessage> for FencingToken {
-    fn from(told: FencingTokenMessage) -> FencingToken {
-        FencingToken { conductor: told.conductor, order: told.order }
+    fn from(message: FencingTokenMessage) -> FencingToken {
+        FencingToken { controller: message.controller, command: message.command }
     }
 }
 
 impl CommandMessage {
     /// `lease_ms` is how long a trial lasts after each word.
-    pub fn new(order: &Command, wanted: Target, lease_ms: u64) -> CommandMessage {
+    pub fn new(command: &Command, target: Target, lease_ms: u64) -> CommandMessage {
         CommandMessage {
-            conductor: order.mark.conductor,
-            order: order.mark.order,
-            wanted: Some(wanted),
-            lease_ms: if order.how == ChangeMethod::CommitConfirmed { lease_ms } else { 0 },
-            anew: order.how == ChangeMethod::Restart,
+            controller: command.token.controller,
+            command: command.token.command,
+            target: Some(target),
+            lease_ms: if command.method == ChangeMethod::CommitConfirmed { lease_ms } else { 0 },
+            restart: command.method == ChangeMethod::Restart,
         }
     }
 
-    pub fn mark(&self) -> FencingToken {
-        FencingToken { conductor: self.conductor, order: self.order }
+    pub fn token(&self) -> FencingToken {
+        FencingToken { controller: self.controller, command: self.command }
     }
 }
 
 impl From<Outcome> for CommandOutcome {
     fn from(outcome: Outcome) -> CommandOutcome {
         match outcome {
-            Outcome::Done => CommandOutcome { failed: String::new() },
+            Outcome::Done => CommandOutcome { failure: String::new() },
             Outcome::Failed(why) if why.is_empty() => {
-                CommandOutcome { failed: "for no reason that it names".into() }
+                CommandOutcome { failure: "for no reason that it names".into() }
             }
-            Outcome::Failed(failed) => CommandOutcome { failed },
+            Outcome::Failed(failure) => CommandOutcome { failure },
         }
     }
 }
 
 impl From<CommandOutcome> for Outcome {
     fn from(ended: CommandOutcome) -> Outcome {
-        if ended.failed.is_empty() {
+        if ended.failure.is_empty() {
             Outcome::Done
         } else {
-            Outcome::Failed(ended.failed)
+            Outcome::Failed(ended.failure)
         }
     }
 }
@@ -229,54 +229,62 @@
     #[prost(uint32, tag = "1")]
     version: u32,
     #[prost(uint64, tag = "2")]
-    conductor: u64,
+    controller: u64,
     #[prost(uint64, tag = "3")]
     stage: u64,
     #[prost(string, optional, tag = "4")]
-    back: Option<String>,
+    rollback_reason: Option<String>,
     #[prost(uint64, repeated, tag = "5")]
-    changed: Vec<u64>,
+    changed_nodes: Vec<u64>,
     #[prost(bool, tag = "6")]
-    is_over: bool,
+    is_finished: bool,
 }
 
 /// As it is kept.
-pub fn write_kept(kept: &RolloutRecord) -> Vec<u8> {
-    let RolloutRecord { conductor, stage, back, changed, is_over } = kept.clone();
-    let changed = changed.into_iter().map(|node| node as u64).collect();
-    RolloutRecordMessage { version: RECORD_VERSION, conductor, stage: stage as u64, back, changed, is_over }
-        .encode_to_vec()
+pub fn encode_record(record: &RolloutRecord) -> Vec<u8> {
+    let RolloutRecord { controller, stage, rollback_reason, changed_nodes, is_finished } = record.clone();
+    let changed_nodes = changed_nodes.into_iter().map(|node| node as u64).collect();
+    RolloutRecordMessage {
+        version: RECORD_VERSION,
+        controller,
+        stage: stage as u64,
+        rollback_reason,
+        changed_nodes,
+        is_finished,
+    }
+    .encode_to_vec()
 }
 
 /// An error says what is wrong with it.
-pub fn read_kept(bytes: &[u8]) -> Result<RolloutRecord, String> {
-    let told = RolloutRecordMessage::decode(bytes).map_err(|err| format!("no record of a change: {err}"))?;
-    if told.version != RECORD_VERSION {
-        return Err(format!("a record of version {}, {RECORD_VERSION} is known here", told.version));
+pub fn decode_record(bytes: &[u8]) -> Result<RolloutRecord, String> {
+    let message =
+        RolloutRecordMessage::decode(bytes).map_err(|err| format!("no record of a change: {err}"))?;
+    if message.version != RECORD_VERSION {
+        return Err(format!("a record of version {}, {RECORD_VERSION} is known here", message.version));
     }
-    let RolloutRecordMessage { conductor, stage, back, changed, is_over, .. } = told;
-    let changed = changed.into_iter().map(|node| node as usize).collect();
-    Ok(RolloutRecord { conductor, stage: stage as usize, back, changed, is_over })
+    let RolloutRecordMessage { controller, stage, rollback_reason, changed_nodes, is_finished, .. } = message;
+    let changed_nodes = changed_nodes.into_iter().map(|node| node as usize).collect();
+    Ok(RolloutRecord { controller, stage: stage as usize, rollback_reason, changed_nodes, is_finished })
 }
 
 /// Which of the two programs a print is of, if of one of them.
-pub fn program(print: u64, old: u64, new: u64) -> Option<Variant> {
-    match print {
-        _ if print == new => Some(Variant::New),
-        _ if print == old => Some(Variant::Old),
+pub fn variant_of(fingerprint: u64, old: u64, new: u64) -> Option<Variant> {
+    match fingerprint {
+        _ if fingerprint == new => Some(Variant::New),
+        _ if fingerprint == old => Some(Variant::Old),
         _ => None,
     }
 }
 
 /// A message as it goes over a stream: its length, then itself.
-pub fn write(message: &impl prost::Message) -> Vec<u8> {
+pub fn write_message(message: &impl prost::Message) -> Vec<u8> {
     let mut out = (message.encoded_len() as u32).to_be_bytes().to_vec();
     message.encode(&mut out).expect("a vector has room");
     out
 }
 
 /// A whole message from a stream.
-pub fn read<M: prost::Message + Default>(from: &mut impl std::io::Read) -> std::io::Result<M> {
+pub fn read_message<M: prost::Message + Default>(from: &mut impl std::io::Read) -> std::io::Result<M> {
     let wrong = |what: &str| std::io::Error::new(std::io::ErrorKind::InvalidData, what.to_string());
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
@@ -295,40 +303,40 @@
 
     #[test]
     fn what_is_kept_comes_back_and_a_torn_or_newer_one_is_refused() {
-        let kept = RolloutRecord {
-            conductor: 7,
+        let record = RolloutRecord {
+            controller: 7,
             stage: 2,
-            back: Some("slow".into()),
-            changed: vec![3, 0, 2],
-            is_over: false,
+            rollback_reason: Some("slow".into()),
+            changed_nodes: vec![3, 0, 2],
+            is_finished: false,
         };
-        let bytes = write_kept(&kept);
-        assert_eq!(read_kept(&bytes), Ok(kept.clone()));
-        assert!(read_kept(&bytes[..bytes.len() - 1]).is_err());
+        let bytes = encode_record(&record);
+        assert_eq!(decode_record(&bytes), Ok(record.clone()));
+        assert!(decode_record(&bytes[..bytes.len() - 1]).is_err());
         let newer = RolloutRecordMessage {
             version: RECORD_VERSION + 1,
             ..RolloutRecordMessage::decode(&bytes[..]).unwrap()
         };
-        assert!(read_kept(&newer.encode_to_vec()).unwrap_err().contains("version 2"));
+        assert!(decode_record(&newer.encode_to_vec()).unwrap_err().contains("version 2"));
     }
 
     #[test]
     fn counts_are_what_came_since_also_where_they_began_anew() {
-        let told = |calls, missed, failed| MethodCounters { name: "a".into(), calls, missed, failed };
+        let message = |calls, missed, failed| MethodCounters { name: "a".into(), calls, missed, failed };
         let counts = |calls, missed, failed| CallCounts { calls, missed, failed };
-        assert_eq!(told(9, 4, 2).since(Some(&told(5, 4, 1))), counts(4, 0, 1));
-        assert_eq!(told(9, 4, 2).since(None), counts(9, 4, 2));
-        assert_eq!(told(3, 1, 0).since(Some(&told(5, 4, 1))), counts(3, 1, 0));
+        assert_eq!(message(9, 4, 2).since(Some(&message(5, 4, 1))), counts(4, 0, 1));
+        assert_eq!(message(9, 4, 2).since(None), counts(9, 4, 2));
+        assert_eq!(message(3, 1, 0).since(Some(&message(5, 4, 1))), counts(3, 1, 0));
     }
 
     #[test]
     fn a_stream_gives_whole_messages_or_an_error() {
-        let wanted = Target { is_settings: true, path: "/a".into(), print: 7 };
-        let request = Request::order(CommandMessage { wanted: Some(wanted), ..CommandMessage::default() });
-        let bytes = write(&request);
-        assert_eq!(read::<Request>(&mut &bytes[..]).unwrap(), request);
-        assert!(read::<Request>(&mut &bytes[..bytes.len() - 1]).is_err());
-        assert!(read::<Request>(&mut &[0xff; 8][..]).is_err(), "longer than any");
-        assert!(read::<Request>(&mut &[0, 0, 0, 2, 0xff, 0xff][..]).is_err());
+        let target = Target { is_settings: true, path: "/a".into(), fingerprint: 7 };
+        let request = Request::command(CommandMessage { target: Some(target), ..CommandMessage::default() });
+        let bytes = write_message(&request);
+        assert_eq!(read_message::<Request>(&mut &bytes[..]).unwrap(), request);
+        assert!(read_message::<Request>(&mut &bytes[..bytes.len() - 1]).is_err());
+        assert!(read_message::<Request>(&mut &[0xff; 8][..]).is_err(), "longer than any");
+        assert!(read_message::<Request>(&mut &[0, 0, 0, 2, 0xff, 0xff][..]).is_err());
     }
 }
--- a/crates/ochrewalk-rollout/src/sequential_test.rs
+++ b/crates/ochrewalk-rollout/src/sequential_test.rs
@@ -21,19 +21,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SequentialTest {
     /// Failures of changed nodes over what was to be expected.
-    over: f64,
+    excess_failures: f64,
     /// The spread of that.
-    spread: f64,
+    variance: f64,
     /// By how much each point of harm would have raised it.
-    reach: f64,
+    effective_calls: f64,
 }
 
 /// The log of the mixture's ratio for a sum that is so far to the one side.
-fn beyond(sum: f64, spread: f64) -> f64 {
+fn log_mixture_ratio(sum: f64, variance: f64) -> f64 {
     if sum <= 0.0 {
         return 0.0;
     }
-    let wide = spread + AWAKE;
+    let wide = variance + AWAKE;
     let z = sum / wide.sqrt();
     // Only one side counts: twice the upper half of the mixture.
     let above = Normal::standard().cdf(z).max(0.5);
@@ -45,41 +45,41 @@
 
 impl SequentialTest {
     /// Adds a moment. `uneven` is by how much nodes differ among themselves beyond chance, 1 or more.
-    pub fn add(&mut self, table: &ContingencyTable, uneven: f64) {
+    pub fn add(&mut self, table: &ContingencyTable, overdispersion: f64) {
         let ContingencyTable { changed, changed_failed, others, others_failed } = *table;
         let all = changed + others;
         if changed <= 0.0 || others <= 0.0 {
             return;
         }
         let failed = changed_failed + others_failed;
-        self.over += changed_failed - changed * failed / all;
+        self.excess_failures += changed_failed - changed * failed / all;
         if all > 1.0 {
-            let spread = changed * others * failed * (all - failed) / (all * all * (all - 1.0));
-            self.spread += spread * uneven.max(1.0);
+            let variance = changed * others * failed * (all - failed) / (all * all * (all - 1.0));
+            self.variance += variance * overdispersion.max(1.0);
         }
-        self.reach += changed * others / all;
+        self.effective_calls += changed * others / all;
     }
 
     /// The log of how much likelier this is under harm than without: beyond ln(1/a) it comes by chance, at any time,
     /// in one case of 1/a at most.
-    pub fn of_harm(&self) -> f64 {
-        beyond(self.over, self.spread)
+    pub fn log_ratio_of_harm(&self) -> f64 {
+        log_mixture_ratio(self.excess_failures, self.variance)
     }
 
     /// The same of harm of that size, as a share of calls, being absent.
-    pub fn against(&self, harm: f64) -> f64 {
-        let expected = harm * self.reach;
+    pub fn log_ratio_against(&self, harm: f64) -> f64 {
+        let expected = harm * self.effective_calls;
         // Harmed calls would have had a spread of their own.
-        beyond(expected - self.over, self.spread + expected * (1.0 - harm))
+        log_mixture_ratio(expected - self.excess_failures, self.variance + expected * (1.0 - harm))
     }
 
     /// Calls of either side that stand against calls of the other.
-    pub fn reach(&self) -> f64 {
-        self.reach
+    pub fn effective_calls(&self) -> f64 {
+        self.effective_calls
     }
 
     /// The harm seen, as a share of calls.
-    pub fn harm(&self) -> f64 {
-        self.over / self.reach.max(1.0)
+    pub fn estimated_harm(&self) -> f64 {
+        self.excess_failures / self.effective_calls.max(1.0)
     }
 }
--- a/crates/ochrewalk-rollout/src/stage_plan.rs
+++ b/crates/ochrewalk-rollout/src/stage_plan.rs
@@ -8,15 +8,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NodeState {
     /// None where it has not said so yet.
-    pub program: Option<Variant>,
+    pub variant: Option<Variant>,
     /// It answers, and serves.
-    pub is_well: bool,
+    pub is_healthy: bool,
     /// It says how it stands.
-    pub answers: bool,
+    pub responds: bool,
     /// An order is on its way, or being carried out.
-    pub is_ordered: bool,
+    pub is_command_pending: bool,
     /// When it was changed among the others; 0 where it was not.
-    pub changed: u32,
+    pub change_number: u32,
 }
 
 /// A plan that cannot be gone through.
@@ -34,12 +34,16 @@
     zones: Vec<u32>,
     /// How many nodes are changed at the end of each stage.
     stages: Vec<usize>,
-    most_out: usize,
+    max_unavailable: usize,
 }
 
 impl StagePlan {
     /// Nodes by their zone; stages by how many nodes are changed at their end. With one node, one may be out.
-    pub fn new(zones: Vec<u32>, stages: Vec<usize>, most_out: usize) -> Result<StagePlan, StagePlanError> {
+    pub fn new(
+        zones: Vec<u32>,
+        stages: Vec<usize>,
+        max_unavailable: usize,
+    ) -> Result<StagePlan, StagePlanError> {
         if zones.is_empty() {
             return Err(StagePlanError::NoNodes);
         }
@@ -47,13 +51,13 @@
         if !rises || stages.last() != Some(&zones.len()) {
             return Err(StagePlanError::Stages);
         }
-        if most_out == 0 || most_out >= zones.len().max(2) {
+        if max_unavailable == 0 || max_unavailable >= zones.len().max(2) {
             return Err(StagePlanError::MaxUnavailable);
         }
-        Ok(StagePlan { zones, stages, most_out })
+        Ok(StagePlan { zones, stages, max_unavailable })
     }
 
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.zones.len()
     }
 
@@ -61,30 +65,32 @@
         self.zones[node]
     }
 
-    pub fn stages(&self) -> usize {
+    pub fn stage_count(&self) -> usize {
         self.stages.len()
     }
 
     /// How many nodes are changed at the end of that stage.
-    pub fn target(&self, stage: usize) -> usize {
+    pub fn target_count(&self, stage: usize) -> usize {
         self.stages[stage.min(self.stages.len() - 1)]
     }
 
     /// How many more may be taken out of service.
-    fn room(&self, seen: &[NodeState]) -> usize {
-        let out = seen.iter().filter(|node| !node.is_well || node.is_ordered).count();
-        self.most_out.saturating_sub(out)
+    fn remaining_unavailable(&self, states: &[NodeState]) -> usize {
+        let out = states.iter().filter(|node| !node.is_healthy || node.is_command_pending).count();
+        self.max_unavailable.saturating_sub(out)
     }
 
     /// The next node to change in that stage, if one may be changed now.
-    pub fn next(&self, seen: &[NodeState], stage: usize) -> Option<usize> {
+    pub fn next_to_change(&self, states: &[NodeState], stage: usize) -> Option<usize> {
         // One that is ordered counts: its answer may be lost.
-        let is_new = |node: &NodeState| node.program == Some(Variant::New) || node.is_ordered;
-        if self.room(seen) == 0 || seen.iter().filter(|node| is_new(node)).count() >= self.target(stage) {
+        let is_new = |node: &NodeState| node.variant == Some(Variant::New) || node.is_command_pending;
+        if self.remaining_unavailable(states) == 0
+            || states.iter().filter(|node| is_new(node)).count() >= self.target_count(stage)
+        {
             return None;
         }
         let mut shares: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
-        for (zone, node) in self.zones.iter().zip(seen) {
+        for (zone, node) in self.zones.iter().zip(states) {
             let share = shares.entry(*zone).or_default();
             share.0 += usize::from(is_new(node));
             share.1 += 1;
@@ -95,43 +101,53 @@
             (changed * 1_000 / all, usize::MAX - all)
         };
         let may = |node: &usize| {
-            let of = &seen[*node];
-            of.is_well && !of.is_ordered && of.program == Some(Variant::Old)
+            let of = &states[*node];
+            of.is_healthy && !of.is_command_pending && of.variant == Some(Variant::Old)
         };
-        (0..seen.len()).filter(may).min_by_key(|node| (share(*node), *node))
+        (0..states.len()).filter(may).min_by_key(|node| (share(*node), *node))
     }
 
     /// The next node to change back, if one may be now. One that answers and is not well goes first: it is out of service
     /// already, and may be so by what it runs.
-    pub fn back(&self, seen: &[NodeState]) -> Option<usize> {
-        let newest = |is_well: bool| {
+    pub fn next_to_revert(&self, states: &[NodeState]) -> Option<usize> {
+        let newest = |is_healthy: bool| {
             let may = |node: &usize| {
-                let of = &seen[*node];
-                of.answers && of.is_well == is_well && !of.is_ordered && of.program == Some(Variant::New)
+                let of = &states[*node];
+                of.responds
+                    && of.is_healthy == is_healthy
+                    && !of.is_command_pending
+                    && of.variant == Some(Variant::New)
             };
-            (0..seen.len()).filter(may).max_by_key(|node| (seen[*node].changed, *node))
+            (0..states.len()).filter(may).max_by_key(|node| (states[*node].change_number, *node))
         };
-        let ordered = seen.iter().filter(|node| node.is_ordered).count();
-        let ill = newest(false).filter(|_| ordered < self.most_out);
-        ill.or_else(|| newest(true).filter(|_| self.room(seen) > 0))
+        let ordered = states.iter().filter(|node| node.is_command_pending).count();
+        let ill = newest(false).filter(|_| ordered < self.max_unavailable);
+        ill.or_else(|| newest(true).filter(|_| self.remaining_unavailable(states) > 0))
     }
 
     /// The next node to be told that what it runs is for good, of those that were not told yet.
-    pub fn confirm(&self, seen: &[NodeState], is_told: impl Fn(usize) -> bool) -> Option<usize> {
-        let may = |node: &usize| seen[*node].is_well && !seen[*node].is_ordered && !is_told(*node);
-        (0..seen.len()).find(may).filter(|_| self.room(seen) > 0)
+    pub fn next_to_confirm(
+        &self,
+        states: &[NodeState],
+        is_confirmed: impl Fn(usize) -> bool,
+    ) -> Option<usize> {
+        let may = |node: &usize| {
+            states[*node].is_healthy && !states[*node].is_command_pending && !is_confirmed(*node)
+        };
+        (0..states.len()).find(may).filter(|_| self.remaining_unavailable(states) > 0)
     }
 
     /// Whether fewer run the new program than the stage asks for: some have gone back by themselves, or were started anew.
-    pub fn has_shrunk(&self, seen: &[NodeState], stage: usize) -> bool {
-        let is_old = |node: &&NodeState| node.program == Some(Variant::Old) && node.is_well;
-        self.zones.len() - seen.iter().filter(is_old).count() < self.target(stage)
+    pub fn is_below_target(&self, states: &[NodeState], stage: usize) -> bool {
+        let is_old = |node: &&NodeState| node.variant == Some(Variant::Old) && node.is_healthy;
+        self.zones.len() - states.iter().filter(is_old).count() < self.target_count(stage)
     }
 
     /// Whether all that the stage asks for are changed, and well.
-    pub fn is_there(&self, seen: &[NodeState], stage: usize) -> bool {
-        let there =
-            |node: &&NodeState| node.program == Some(Variant::New) && node.is_well && !node.is_ordered;
-        seen.iter().filter(there).count() >= self.target(stage)
+    pub fn is_reached(&self, states: &[NodeState], stage: usize) -> bool {
+        let there = |node: &&NodeState| {
+            node.variant == Some(Variant::New) && node.is_healthy && !node.is_command_pending
+        };
+        states.iter().filter(there).count() >= self.target_count(stage)
     }
 }
--- a/crates/ochrewalk-rollout/tests/canary_analysis.rs
+++ b/crates/ochrewalk-rollout/tests/canary_analysis.rs
@@ -3,7 +3,7 @@
 use ochrewalk_lab::judged::{changes, Case, Way, World};
 use ochrewalk_rollout::{AnalysisSettings, CallCounts, CanaryAnalysis, Sample, Verdict};
 
-fn judge() -> CanaryAnalysis {
+fn analysis() -> CanaryAnalysis {
     CanaryAnalysis::new(AnalysisSettings::default(), vec!["look".into(), "sale".into()])
 }
 
@@ -12,19 +12,19 @@
     let (mut stopped, mut passed, mut missed, mut seconds) = (0, 0, 0, Vec::new());
     for seed in 0..200 {
         // Stages of 3, 15 and 30 nodes of 60.
-        let mut judge = judge();
+        let mut analysis = analysis();
         let mut world = World::new(60, 3, 4.0 + (seed % 20) as f64, seed);
         for changed in [3, 15, 30] {
             world.changed = changed;
-            judge.stage();
-            let (took, said) = world.judged(&mut judge, 900);
+            analysis.begin_stage();
+            let (took, said) = world.judged(&mut analysis, 900);
             seconds.push(took);
             stopped += usize::from(matches!(said, Verdict::Harm(_)));
             passed += usize::from(said == Verdict::Pass);
         }
-        let mut judge = self::judge();
+        let mut analysis = self::analysis();
         let mut world = World { harm: 0.05, ..World::new(60, 3, 4.0 + (seed % 20) as f64, !seed) };
-        missed += usize::from(!matches!(world.judged(&mut judge, 900).1, Verdict::Harm(_)));
+        missed += usize::from(!matches!(world.judged(&mut analysis, 900).1, Verdict::Harm(_)));
     }
     seconds.sort_unstable();
     println!(
@@ -51,35 +51,35 @@
 
 #[test]
 fn trouble_that_strikes_all_makes_it_wait() {
-    let mut judge = judge();
+    let mut analysis = analysis();
     let mut world = World::new(30, 6, 10.0, 1);
     for _ in 0..20 {
-        assert_eq!(judge.look(&world.moment()), Verdict::Pending);
+        assert_eq!(analysis.add_sample(&world.moment()), Verdict::Pending);
     }
     world.trouble = 0.4;
     for second in 0..100 {
-        assert_eq!(judge.look(&world.moment()), Verdict::FleetUnhealthy, "{second}");
+        assert_eq!(analysis.add_sample(&world.moment()), Verdict::FleetUnhealthy, "{second}");
     }
     world.trouble = 0.0;
-    assert_eq!(world.judged(&mut judge, 900).1, Verdict::Pass);
+    assert_eq!(world.judged(&mut analysis, 900).1, Verdict::Pass);
 }
 
 #[test]
 fn harm_that_comes_late_is_found_soon() {
-    let mut judge = judge();
+    let mut analysis = analysis();
     let mut world = World { harm: 0.2, harm_from: 1_200, ..World::new(30, 6, 10.0, 2) };
     let mut said = Verdict::Pending;
     while world.second < 1_199 {
-        said = judge.look(&world.moment());
+        said = analysis.add_sample(&world.moment());
         assert!(!matches!(said, Verdict::Harm(_)), "{} {said:?}", world.second);
         if said == Verdict::Pass {
-            judge.stage();
+            analysis.begin_stage();
         }
     }
     let mut late = 0;
     while !matches!(said, Verdict::Harm(_)) {
         late += 1;
-        said = judge.look(&world.moment());
+        said = analysis.add_sample(&world.moment());
         assert!(late < 60, "found after {late} s at the earliest");
     }
     assert!(matches!(said, Verdict::Harm(why) if why.contains("sale")));
@@ -87,25 +87,25 @@
 
 #[test]
 fn too_little_traffic_gives_no_verdict_and_then_asks() {
-    let mut judge = judge();
+    let mut analysis = analysis();
     let mut world = World { rates: vec![0.5, 0.002], ..World::new(4, 1, 1.0, 3) };
-    let (seconds, said) = world.judged(&mut judge, 2_000);
-    assert_eq!(seconds, AnalysisSettings::default().most);
+    let (seconds, said) = world.judged(&mut analysis, 2_000);
+    assert_eq!(seconds, AnalysisSettings::default().max_samples);
     assert!(matches!(&said, Verdict::Inconclusive(why) if why.contains("too few calls")), "{said:?}");
     // None at all on one side.
-    let mut judge = self::judge();
+    let mut analysis = self::analysis();
     let mut world = World { rates: vec![0.0, 0.0], ..World::new(4, 1, 1.0, 3) };
-    assert_eq!(world.judged(&mut judge, 2_000).1, Verdict::Inconclusive("no calls on both sides".into()));
+    assert_eq!(world.judged(&mut analysis, 2_000).1, Verdict::Inconclusive("no calls on both sides".into()));
 }
 
 #[test]
 fn silence_restarts_and_memory_are_harm_where_the_others_have_none() {
     let moments = |change: &dyn Fn(&mut Sample, u32)| {
-        let (mut judge, mut world) = (judge(), World::new(12, 4, 10.0, 4));
+        let (mut analysis, mut world) = (analysis(), World::new(12, 4, 10.0, 4));
         for second in 0..200 {
             let mut moment = world.moment();
             change(&mut moment, second);
-            if let said @ (Verdict::Harm(_) | Verdict::Pass) = judge.look(&moment) {
+            if let said @ (Verdict::Harm(_) | Verdict::Pass) = analysis.add_sample(&moment) {
                 return format!("{said:?}");
             }
         }
@@ -153,27 +153,27 @@
 
 #[test]
 fn a_node_just_changed_is_judged_apart_and_all_changed_have_nobody_beside_them() {
-    let (mut judge, mut world) = (judge(), World { harm: 0.3, ..World::new(30, 6, 10.0, 5) });
+    let (mut analysis, mut world) = (analysis(), World { harm: 0.3, ..World::new(30, 6, 10.0, 5) });
     // Cold nodes miss more for a while; that alone is no harm.
     for _ in 0..20 {
         let mut moment = world.moment();
         for node in moment.nodes.iter_mut().filter(|node| node.is_changed) {
-            node.is_cold = true;
+            node.is_warming_up = true;
             node.methods.iter_mut().for_each(|counts| counts.failed = 0);
         }
-        assert_eq!(judge.look(&moment), Verdict::Pending);
+        assert_eq!(analysis.add_sample(&moment), Verdict::Pending);
     }
     // Once they should be warm it is.
-    assert!(matches!(world.judged(&mut judge, 60).1, Verdict::Harm(_)));
-    let (mut judge, mut world) = (self::judge(), World::new(6, 6, 10.0, 6));
-    assert_eq!(world.judged(&mut judge, 60), (AnalysisSettings::default().least, Verdict::Pass));
+    assert!(matches!(world.judged(&mut analysis, 60).1, Verdict::Harm(_)));
+    let (mut analysis, mut world) = (self::analysis(), World::new(6, 6, 10.0, 6));
+    assert_eq!(world.judged(&mut analysis, 60), (AnalysisSettings::default().min_samples, Verdict::Pass));
 }
 
 #[test]
 fn nodes_that_tell_their_counts_at_other_moments_than_the_rest_are_not_deaf() {
     // All tell what they counted every second moment; those that were changed in the moments between.
     for (answers, wanted) in [(1.0, None), (0.1, Some("node 1 answers hardly any calls"))] {
-        let (mut world, mut judge) = (World::new(8, 0, 10.0, 3), judge());
+        let (mut world, mut analysis) = (World::new(8, 0, 10.0, 3), analysis());
         let mut said = Verdict::Pending;
         for moment in 0..120 {
             world.changed = if moment < 8 { 0 } else { 4 };
@@ -190,7 +190,7 @@
                     };
                 }
             }
-            said = judge.look(&now);
+            said = analysis.add_sample(&now);
             if matches!(said, Verdict::Harm(_)) {
                 break;
             }
--- a/crates/ochrewalk-rollout/tests/controller.rs
+++ b/crates/ochrewalk-rollout/tests/controller.rs
@@ -6,65 +6,66 @@
 };
 
 #[derive(Default)]
-struct Told {
-    said: Vec<String>,
-    orders: Vec<(usize, Command)>,
-    kept: Option<RolloutRecord>,
+struct RecordedActions {
+    log: Vec<String>,
+    commands: Vec<(usize, Command)>,
+    record: Option<RolloutRecord>,
 }
 
-impl ControllerActions for Told {
-    fn keep(&mut self, kept: &RolloutRecord) {
-        self.said.push("keep".into());
-        self.kept = Some(kept.clone());
+impl ControllerActions for RecordedActions {
+    fn persist(&mut self, record: &RolloutRecord) {
+        self.log.push("keep".into());
+        self.record = Some(record.clone());
     }
-    fn order(&mut self, node: usize, order: Command) {
-        let how = match order.how {
+    fn send_command(&mut self, node: usize, command: Command) {
+        let method = match command.method {
             ChangeMethod::HandOver => "",
             ChangeMethod::CommitConfirmed => " on trial",
             ChangeMethod::Restart => " anew",
         };
-        self.said.push(format!("{node} {:?}{how}", order.to));
-        self.orders.push((node, order));
+        self.log.push(format!("{node} {:?}{method}", command.variant));
+        self.commands.push((node, command));
     }
-    fn judge(&mut self, stage: usize) {
-        self.said.push(format!("judge {stage}"));
+    fn begin_analysis(&mut self, stage: usize) {
+        self.log.push(format!("judge {stage}"));
     }
 }
 
-impl Told {
+impl RecordedActions {
     fn take(&mut self) -> String {
-        std::mem::take(&mut self.said).join(", ")
+        std::mem::take(&mut self.log).join(", ")
     }
 }
 
-fn course() -> StagePlan {
+fn stage_plan() -> StagePlan {
     StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap()
 }
 
-fn report(program: Variant, conductor: u64) -> NodeReport {
-    NodeReport { program, is_well: true, highest: FencingToken { conductor, order: 0 } }
+fn report(variant: Variant, controller: u64) -> NodeReport {
+    NodeReport { variant, is_healthy: true, highest: FencingToken { controller, command: 0 } }
 }
 
-const PLAIN: RolloutPolicy = RolloutPolicy { on_trial: false, begins_anew: false };
-const ON_TRIAL: RolloutPolicy = RolloutPolicy { on_trial: true, begins_anew: false };
+const HAND_OVER: RolloutPolicy = RolloutPolicy { commit_confirmed: false, restart_stuck_nodes: false };
+const ON_TRIAL: RolloutPolicy = RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: false };
 
 /// All nodes answer that they run the old program.
-fn begun(kept: Option<RolloutRecord>) -> (RolloutController, Told) {
-    begun_with(PLAIN, kept)
+fn begun(record: Option<RolloutRecord>) -> (RolloutController, RecordedActions) {
+    begun_with(HAND_OVER, record)
 }
 
-fn begun_with(habits: RolloutPolicy, kept: Option<RolloutRecord>) -> (RolloutController, Told) {
-    let (mut conductor, mut told) = (RolloutController::new(course(), habits, kept, 1), Told::default());
+fn begun_with(policy: RolloutPolicy, record: Option<RolloutRecord>) -> (RolloutController, RecordedActions) {
+    let (mut controller, mut actions) =
+        (RolloutController::new(stage_plan(), policy, record, 1), RecordedActions::default());
     for node in 0..4 {
-        conductor.report(node, Some(&report(Variant::Old, 0)), &mut told);
+        controller.node_reported(node, Some(&report(Variant::Old, 0)), &mut actions);
     }
-    (conductor, told)
+    (controller, actions)
 }
 
 /// The oldest order that was given is answered.
-fn answer(conductor: &mut RolloutController, told: &mut Told, word: CommandReply) {
-    let (node, order) = told.orders.remove(0);
-    conductor.answered(node, order.mark, word, told);
+fn answer(controller: &mut RolloutController, actions: &mut RecordedActions, reply: CommandReply) {
+    let (node, command) = actions.commands.remove(0);
+    controller.command_answered(node, command.token, reply, actions);
 }
 
 fn done() -> CommandReply {
@@ -73,259 +74,271 @@
 
 #[test]
 fn a_change_goes_through_its_stages_and_keeps_first_what_it_does() {
-    let (mut conductor, mut told) = begun(None);
-    assert_eq!(told.take(), "keep, keep, 0 New");
-    answer(&mut conductor, &mut told, done());
-    assert_eq!(told.take(), "judge 0");
-    conductor.verdict(Verdict::Pending, &mut told);
-    conductor.verdict(Verdict::Pass, &mut told);
-    assert_eq!(told.take(), "keep, keep, 2 New, keep, 1 New", "two at once, the other zone first");
-    answer(&mut conductor, &mut told, done());
-    answer(&mut conductor, &mut told, done());
-    assert_eq!(told.take(), "keep, 3 New");
-    answer(&mut conductor, &mut told, done());
-    assert_eq!((told.take().as_str(), conductor.phase()), ("judge 1", &Phase::Analyzing { stage: 1 }));
-    conductor.verdict(Verdict::Pass, &mut told);
-    assert_eq!((told.take().as_str(), conductor.phase()), ("keep", &Phase::Done));
+    let (mut controller, mut actions) = begun(None);
+    assert_eq!(actions.take(), "keep, keep, 0 New");
+    answer(&mut controller, &mut actions, done());
+    assert_eq!(actions.take(), "judge 0");
+    controller.analysis_concluded(Verdict::Pending, &mut actions);
+    controller.analysis_concluded(Verdict::Pass, &mut actions);
+    assert_eq!(actions.take(), "keep, keep, 2 New, keep, 1 New", "two at once, the other zone first");
+    answer(&mut controller, &mut actions, done());
+    answer(&mut controller, &mut actions, done());
+    assert_eq!(actions.take(), "keep, 3 New");
+    answer(&mut controller, &mut actions, done());
+    assert_eq!((actions.take().as_str(), controller.phase()), ("judge 1", &Phase::Analyzing { stage: 1 }));
+    controller.analysis_concluded(Verdict::Pass, &mut actions);
+    assert_eq!((actions.take().as_str(), controller.phase()), ("keep", &Phase::Done));
 }
 
 #[test]
 fn harm_takes_all_back_newest_first_also_while_more_are_changed() {
-    let (mut conductor, mut told) = begun(None);
-    answer(&mut conductor, &mut told, done());
-    conductor.verdict(Verdict::Pass, &mut told);
-    answer(&mut conductor, &mut told, done());
-    told.take();
+    let (mut controller, mut actions) = begun(None);
+    answer(&mut controller, &mut actions, done());
+    controller.analysis_concluded(Verdict::Pass, &mut actions);
+    answer(&mut controller, &mut actions, done());
+    actions.take();
     // Two are still being changed: one has to come to its end before any can go back.
-    conductor.verdict(Verdict::Harm("slow".into()), &mut told);
-    assert_eq!(told.take(), "keep");
-    answer(&mut conductor, &mut told, done());
-    assert_eq!(told.take(), "1 Old", "the newest of those that are changed");
-    while !told.orders.is_empty() {
-        answer(&mut conductor, &mut told, done());
+    controller.analysis_concluded(Verdict::Harm("slow".into()), &mut actions);
+    assert_eq!(actions.take(), "keep");
+    answer(&mut controller, &mut actions, done());
+    assert_eq!(actions.take(), "1 Old", "the newest of those that are changed");
+    while !actions.commands.is_empty() {
+        answer(&mut controller, &mut actions, done());
     }
-    assert_eq!(conductor.phase(), &Phase::RolledBack { why: "slow".into() });
-    assert!(conductor.seen().iter().all(|seen| seen.program == Some(Variant::Old)));
-    assert!(conductor.kept().is_over);
+    assert_eq!(controller.phase(), &Phase::RolledBack { reason: "slow".into() });
+    assert!(controller.node_states().iter().all(|seen| seen.variant == Some(Variant::Old)));
+    assert!(controller.record().is_finished);
 }
 
 #[test]
 fn a_program_that_does_not_start_goes_no_further() {
-    let (mut conductor, mut told) = begun(None);
+    let (mut controller, mut actions) = begun(None);
     answer(
-        &mut conductor,
-        &mut told,
+        &mut controller,
+        &mut actions,
         CommandReply::Finished(Outcome::Failed("the new program ended".into())),
     );
-    assert_eq!(conductor.phase(), &Phase::RolledBack { why: "node 0: the new program ended".into() });
+    assert_eq!(controller.phase(), &Phase::RolledBack { reason: "node 0: the new program ended".into() });
     // One that cannot go back is the operator's.
-    let (mut conductor, mut told) = begun(None);
-    answer(&mut conductor, &mut told, done());
-    conductor.verdict(Verdict::Harm("slow".into()), &mut told);
-    answer(&mut conductor, &mut told, CommandReply::Finished(Outcome::Failed("no such file".into())));
-    let left = WaitReason::NodeStuck { node: 0, why: "no such file".into() };
-    assert_eq!(conductor.phase(), &Phase::Waiting(left));
-    conductor.resume(&mut told);
-    answer(&mut conductor, &mut told, done());
-    assert_eq!(conductor.phase(), &Phase::RolledBack { why: "slow".into() });
+    let (mut controller, mut actions) = begun(None);
+    answer(&mut controller, &mut actions, done());
+    controller.analysis_concluded(Verdict::Harm("slow".into()), &mut actions);
+    answer(&mut controller, &mut actions, CommandReply::Finished(Outcome::Failed("no such file".into())));
+    let left = WaitReason::NodeStuck { node: 0, reason: "no such file".into() };
+    assert_eq!(controller.phase(), &Phase::Waiting(left));
+    controller.resume(&mut actions);
+    answer(&mut controller, &mut actions, done());
+    assert_eq!(controller.phase(), &Phase::RolledBack { reason: "slow".into() });
 }
 
 #[test]
 fn an_order_without_an_answer_is_sent_again_and_then_its_node_counts_as_out() {
-    let (mut conductor, mut told) = begun(None);
-    told.take();
-    let first = told.orders[0];
+    let (mut controller, mut actions) = begun(None);
+    actions.take();
+    let first = actions.commands[0];
     for again in 0..2 {
-        answer(&mut conductor, &mut told, CommandReply::NoReply);
-        assert_eq!(told.orders, [first], "{again}: the same, so that it acts once");
+        answer(&mut controller, &mut actions, CommandReply::NoReply);
+        assert_eq!(actions.commands, [first], "{again}: the same, so that it acts once");
     }
-    answer(&mut conductor, &mut told, CommandReply::NoReply);
-    assert_eq!(conductor.phase(), &Phase::RollingBack { why: "node 0 has not answered".into() });
+    answer(&mut controller, &mut actions, CommandReply::NoReply);
+    assert_eq!(controller.phase(), &Phase::RollingBack { reason: "node 0 has not answered".into() });
     // A late answer is nobody's; what the node says of itself counts.
-    conductor.answered(0, first.1.mark, done(), &mut told);
-    conductor.report(0, None, &mut told);
-    assert!(told.orders.is_empty());
-    conductor.stuck();
-    assert!(matches!(conductor.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
-    conductor.resume(&mut told);
-    conductor.report(0, Some(&report(Variant::New, 1)), &mut told);
-    assert_eq!(told.orders[0].1.to, Variant::Old);
-    answer(&mut conductor, &mut told, done());
-    assert!(matches!(conductor.phase(), Phase::RolledBack { .. }));
+    controller.command_answered(0, first.1.token, done(), &mut actions);
+    controller.node_reported(0, None, &mut actions);
+    assert!(actions.commands.is_empty());
+    controller.no_progress();
+    assert!(matches!(controller.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
+    controller.resume(&mut actions);
+    controller.node_reported(0, Some(&report(Variant::New, 1)), &mut actions);
+    assert_eq!(actions.commands[0].1.variant, Variant::Old);
+    answer(&mut controller, &mut actions, done());
+    assert!(matches!(controller.phase(), Phase::RolledBack { .. }));
 }
 
 #[test]
 fn of_two_conductors_the_later_one_acts() {
-    let (mut conductor, mut told) = begun(None);
-    answer(&mut conductor, &mut told, CommandReply::Stale(FencingToken { conductor: 2, order: 1 }));
-    assert_eq!(conductor.phase(), &Phase::Replaced);
-    conductor.verdict(Verdict::Pass, &mut told);
-    conductor.back(&mut told);
-    assert_eq!(conductor.phase(), &Phase::Replaced);
+    let (mut controller, mut actions) = begun(None);
+    answer(&mut controller, &mut actions, CommandReply::Stale(FencingToken { controller: 2, command: 1 }));
+    assert_eq!(controller.phase(), &Phase::Replaced);
+    controller.analysis_concluded(Verdict::Pass, &mut actions);
+    controller.roll_back(&mut actions);
+    assert_eq!(controller.phase(), &Phase::Replaced);
     // One that begins takes a number above all that nodes know.
-    let (mut later, mut told) = (RolloutController::new(course(), PLAIN, None, 1), Told::default());
+    let (mut later, mut actions) =
+        (RolloutController::new(stage_plan(), HAND_OVER, None, 1), RecordedActions::default());
     for (node, highest) in [3, 7, 2, 0].into_iter().enumerate() {
-        later.report(node, Some(&report(Variant::Old, highest)), &mut told);
+        later.node_reported(node, Some(&report(Variant::Old, highest)), &mut actions);
     }
-    assert_eq!(told.orders[0].1.mark, FencingToken { conductor: 8, order: 1 });
+    assert_eq!(actions.commands[0].1.token, FencingToken { controller: 8, command: 1 });
     // And hears of a higher one later.
-    later.report(3, Some(&report(Variant::Old, 9)), &mut told);
+    later.node_reported(3, Some(&report(Variant::Old, 9)), &mut actions);
     assert_eq!(later.phase(), &Phase::Replaced);
 }
 
 #[test]
 fn one_that_was_killed_goes_on_from_what_was_kept() {
-    let (mut conductor, mut told) = begun(None);
-    answer(&mut conductor, &mut told, done());
-    conductor.verdict(Verdict::Pass, &mut told);
-    let kept = told.kept.clone().unwrap();
-    assert_eq!((kept.stage, &kept.changed[..]), (1, &[0, 2, 1][..]));
-    let (mut next, mut told) = (RolloutController::new(course(), PLAIN, Some(kept), 2), Told::default());
+    let (mut controller, mut actions) = begun(None);
+    answer(&mut controller, &mut actions, done());
+    controller.analysis_concluded(Verdict::Pass, &mut actions);
+    let record = actions.record.clone().unwrap();
+    assert_eq!((record.stage, &record.changed_nodes[..]), (1, &[0, 2, 1][..]));
+    let (mut next, mut actions) =
+        (RolloutController::new(stage_plan(), HAND_OVER, Some(record), 2), RecordedActions::default());
     // One of the two orders was carried out.
-    for (node, program) in [Variant::New, Variant::Old, Variant::New, Variant::Old].into_iter().enumerate() {
-        next.report(node, Some(&report(program, 1)), &mut told);
+    for (node, variant) in [Variant::New, Variant::Old, Variant::New, Variant::Old].into_iter().enumerate() {
+        next.node_reported(node, Some(&report(variant, 1)), &mut actions);
     }
-    assert_eq!(told.take(), "keep, 1 New, keep, 3 New");
+    assert_eq!(actions.take(), "keep, 1 New, keep, 3 New");
     // While it goes back, too; and when it is over it is over.
-    next.verdict(Verdict::Harm("slow".into()), &mut told);
-    let kept = told.kept.clone().unwrap();
-    let (mut next, mut told) = (RolloutController::new(course(), PLAIN, Some(kept), 3), Told::default());
+    next.analysis_concluded(Verdict::Harm("slow".into()), &mut actions);
+    let record = actions.record.clone().unwrap();
+    let (mut next, mut actions) =
+        (RolloutController::new(stage_plan(), HAND_OVER, Some(record), 3), RecordedActions::default());
     for node in 0..4 {
-        next.report(node, Some(&report([Variant::Old, Variant::New][node % 2], 2)), &mut told);
+        next.node_reported(node, Some(&report([Variant::Old, Variant::New][node % 2], 2)), &mut actions);
     }
-    assert_eq!(told.take(), "keep, 3 Old, 1 Old");
-    let over = RolloutRecord { is_over: true, ..RolloutRecord::default() };
+    assert_eq!(actions.take(), "keep, 3 Old, 1 Old");
+    let over = RolloutRecord { is_finished: true, ..RolloutRecord::default() };
     assert_eq!(begun(Some(over.clone())).0.phase(), &Phase::Done);
-    let back = RolloutRecord { back: Some("slow".into()), ..over };
-    assert_eq!(begun(Some(back)).0.phase(), &Phase::RolledBack { why: "slow".into() });
+    let back = RolloutRecord { rollback_reason: Some("slow".into()), ..over };
+    assert_eq!(begun(Some(back)).0.phase(), &Phase::RolledBack { reason: "slow".into() });
 }
 
 #[test]
 fn a_fleet_that_is_ill_makes_it_wait_and_an_operator_pauses_goes_on_and_back() {
-    let (mut conductor, mut told) = (RolloutController::new(course(), PLAIN, None, 1), Told::default());
+    let (mut controller, mut actions) =
+        (RolloutController::new(stage_plan(), HAND_OVER, None, 1), RecordedActions::default());
     for node in 0..4 {
-        let well = NodeReport { is_well: node > 1, ..report(Variant::Old, 0) };
-        conductor.report(node, Some(&well), &mut told);
+        let well = NodeReport { is_healthy: node > 1, ..report(Variant::Old, 0) };
+        controller.node_reported(node, Some(&well), &mut actions);
     }
-    assert_eq!(told.take(), "keep", "two are out for reasons of their own");
-    conductor.stuck();
-    assert_eq!(conductor.phase(), &Phase::Waiting(WaitReason::FleetUnhealthy));
-    conductor.resume(&mut told);
-    conductor.report(0, Some(&report(Variant::Old, 0)), &mut told);
-    assert_eq!(told.take(), "keep, 0 New");
-    conductor.pause();
-    answer(&mut conductor, &mut told, done());
-    assert_eq!((told.take().as_str(), conductor.phase()), ("", &Phase::Waiting(WaitReason::Paused)));
-    conductor.resume(&mut told);
-    assert_eq!(told.take(), "judge 0");
-    conductor.verdict(Verdict::Inconclusive("few calls".into()), &mut told);
-    assert_eq!(conductor.phase(), &Phase::Waiting(WaitReason::Inconclusive("few calls".into())));
-    conductor.resume(&mut told);
-    assert_eq!(conductor.phase(), &Phase::Advancing { stage: 1 }, "the operator takes it for good");
-    conductor.back(&mut told);
-    assert!(matches!(conductor.phase(), Phase::RollingBack { .. }));
+    assert_eq!(actions.take(), "keep", "two are out for reasons of their own");
+    controller.no_progress();
+    assert_eq!(controller.phase(), &Phase::Waiting(WaitReason::FleetUnhealthy));
+    controller.resume(&mut actions);
+    controller.node_reported(0, Some(&report(Variant::Old, 0)), &mut actions);
+    assert_eq!(actions.take(), "keep, 0 New");
+    controller.pause();
+    answer(&mut controller, &mut actions, done());
+    assert_eq!((actions.take().as_str(), controller.phase()), ("", &Phase::Waiting(WaitReason::Paused)));
+    controller.resume(&mut actions);
+    assert_eq!(actions.take(), "judge 0");
+    controller.analysis_concluded(Verdict::Inconclusive("few calls".into()), &mut actions);
+    assert_eq!(controller.phase(), &Phase::Waiting(WaitReason::Inconclusive("few calls".into())));
+    controller.resume(&mut actions);
+    assert_eq!(controller.phase(), &Phase::Advancing { stage: 1 }, "the operator takes it for good");
+    controller.roll_back(&mut actions);
+    assert!(matches!(controller.phase(), Phase::RollingBack { .. }));
 }
 
 /// A change on trial that was found good in all its stages.
-fn good_on_trial() -> (RolloutController, Told) {
-    let (mut conductor, mut told) = begun_with(ON_TRIAL, None);
-    answer(&mut conductor, &mut told, done());
-    conductor.verdict(Verdict::Pass, &mut told);
-    while !told.orders.is_empty() {
-        answer(&mut conductor, &mut told, done());
+fn good_on_trial() -> (RolloutController, RecordedActions) {
+    let (mut controller, mut actions) = begun_with(ON_TRIAL, None);
+    answer(&mut controller, &mut actions, done());
+    controller.analysis_concluded(Verdict::Pass, &mut actions);
+    while !actions.commands.is_empty() {
+        answer(&mut controller, &mut actions, done());
     }
-    told.take();
-    conductor.verdict(Verdict::Pass, &mut told);
-    (conductor, told)
+    actions.take();
+    controller.analysis_concluded(Verdict::Pass, &mut actions);
+    (controller, actions)
 }
 
 #[test]
 fn what_is_on_trial_is_for_good_only_once_every_node_was_told() {
-    let (mut conductor, mut told) = begun_with(ON_TRIAL, None);
-    assert_eq!(told.take(), "keep, keep, 0 New on trial");
+    let (mut controller, mut actions) = begun_with(ON_TRIAL, None);
+    assert_eq!(actions.take(), "keep, keep, 0 New on trial");
     // One that goes back by itself while its stage is judged is changed again.
-    answer(&mut conductor, &mut told, done());
-    assert_eq!(told.take(), "judge 0");
-    conductor.report(0, Some(&report(Variant::Old, 1)), &mut told);
-    assert_eq!(told.take(), "0 New on trial");
-    answer(&mut conductor, &mut told, done());
-    assert_eq!(told.take(), "judge 0");
+    answer(&mut controller, &mut actions, done());
+    assert_eq!(actions.take(), "judge 0");
+    controller.node_reported(0, Some(&report(Variant::Old, 1)), &mut actions);
+    assert_eq!(actions.take(), "0 New on trial");
+    answer(&mut controller, &mut actions, done());
+    assert_eq!(actions.take(), "judge 0");
     // All are good: two at once are told, no more than may be out.
-    let (mut conductor, mut told) = good_on_trial();
-    assert_eq!((told.take().as_str(), conductor.phase()), ("keep, 0 New, 1 New", &Phase::Confirming));
-    answer(&mut conductor, &mut told, done());
+    let (mut controller, mut actions) = good_on_trial();
+    assert_eq!((actions.take().as_str(), controller.phase()), ("keep, 0 New, 1 New", &Phase::Confirming));
+    answer(&mut controller, &mut actions, done());
     // One that has gone back by itself, or was started anew since it was told, is told again.
-    conductor.report(0, Some(&report(Variant::Old, 1)), &mut told);
-    assert_eq!(told.take(), "2 New");
-    while !told.orders.is_empty() {
-        answer(&mut conductor, &mut told, done());
+    controller.node_reported(0, Some(&report(Variant::Old, 1)), &mut actions);
+    assert_eq!(actions.take(), "2 New");
+    while !actions.commands.is_empty() {
+        answer(&mut controller, &mut actions, done());
     }
-    assert_eq!((told.take().as_str(), conductor.phase()), ("0 New, 3 New, keep", &Phase::Done));
-    assert!(conductor.kept().is_over);
+    assert_eq!((actions.take().as_str(), controller.phase()), ("0 New, 3 New, keep", &Phase::Done));
+    assert!(controller.record().is_finished);
 }
 
 #[test]
 fn a_node_that_is_not_told_is_left_to_the_operator_and_the_next_conductor_goes_on_telling() {
-    let (mut conductor, mut told) = good_on_trial();
-    answer(&mut conductor, &mut told, CommandReply::Finished(Outcome::Failed("busy".into())));
-    assert_eq!(conductor.phase(), &Phase::Waiting(WaitReason::NodeStuck { node: 0, why: "busy".into() }));
-    let (mut conductor, mut told) = good_on_trial();
+    let (mut controller, mut actions) = good_on_trial();
+    answer(&mut controller, &mut actions, CommandReply::Finished(Outcome::Failed("busy".into())));
+    assert_eq!(controller.phase(), &Phase::Waiting(WaitReason::NodeStuck { node: 0, reason: "busy".into() }));
+    let (mut controller, mut actions) = good_on_trial();
     for _ in 0..3 {
         // The first of the two is asked again each time, the other one's turn comes between.
-        let (node, order) = told.orders.iter().copied().find(|(node, _)| *node == 0).unwrap();
-        told.orders.retain(|(node, _)| *node != 0);
-        conductor.answered(node, order.mark, CommandReply::NoReply, &mut told);
+        let (node, command) = actions.commands.iter().copied().find(|(node, _)| *node == 0).unwrap();
+        actions.commands.retain(|(node, _)| *node != 0);
+        controller.command_answered(node, command.token, CommandReply::NoReply, &mut actions);
     }
-    assert!(matches!(conductor.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
-    let kept = told.kept.clone().unwrap();
-    assert_eq!((kept.stage, kept.is_over, &kept.back), (2, false, &None));
-    conductor.resume(&mut told);
-    assert_eq!(conductor.phase(), &Phase::Confirming);
+    assert!(matches!(controller.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
+    let record = actions.record.clone().unwrap();
+    assert_eq!((record.stage, record.is_finished, &record.rollback_reason), (2, false, &None));
+    controller.resume(&mut actions);
+    assert_eq!(controller.phase(), &Phase::Confirming);
     // Killed there, another one neither judges nor changes anew.
-    let (mut next, mut told) = (RolloutController::new(course(), ON_TRIAL, Some(kept), 2), Told::default());
+    let (mut next, mut actions) =
+        (RolloutController::new(stage_plan(), ON_TRIAL, Some(record), 2), RecordedActions::default());
     for node in 0..4 {
-        next.report(node, Some(&report(Variant::New, 1)), &mut told);
+        next.node_reported(node, Some(&report(Variant::New, 1)), &mut actions);
     }
-    assert_eq!((told.take().as_str(), next.phase()), ("keep, 0 New, 1 New", &Phase::Confirming));
+    assert_eq!((actions.take().as_str(), next.phase()), ("keep, 0 New, 1 New", &Phase::Confirming));
     // A node that does not come back is named.
     for node in 0..4 {
-        next.report(node, None, &mut told);
+        next.node_reported(node, None, &mut actions);
     }
-    answer(&mut next, &mut told, done());
-    answer(&mut next, &mut told, done());
-    next.stuck();
+    answer(&mut next, &mut actions, done());
+    answer(&mut next, &mut actions, done());
+    next.no_progress();
     assert!(matches!(next.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
     // Late harm takes all back, those that were told as well.
-    let (mut conductor, mut told) = good_on_trial();
-    answer(&mut conductor, &mut told, done());
-    conductor.verdict(Verdict::Harm("late".into()), &mut told);
-    while !told.orders.is_empty() {
-        answer(&mut conductor, &mut told, done());
+    let (mut controller, mut actions) = good_on_trial();
+    answer(&mut controller, &mut actions, done());
+    controller.analysis_concluded(Verdict::Harm("late".into()), &mut actions);
+    while !actions.commands.is_empty() {
+        answer(&mut controller, &mut actions, done());
     }
-    assert_eq!(conductor.phase(), &Phase::RolledBack { why: "late".into() });
+    assert_eq!(controller.phase(), &Phase::RolledBack { reason: "late".into() });
 }
 
 #[test]
 fn a_node_that_cannot_hand_back_is_begun_anew_where_the_plan_allows_it_and_once_only() {
-    let (mut conductor, mut told) = begun_with(RolloutPolicy { begins_anew: true, on_trial: false }, None);
-    answer(&mut conductor, &mut told, done());
-    conductor.verdict(Verdict::Harm("deaf".into()), &mut told);
-    told.take();
+    let (mut controller, mut actions) =
+        begun_with(RolloutPolicy { restart_stuck_nodes: true, commit_confirmed: false }, None);
+    answer(&mut controller, &mut actions, done());
+    controller.analysis_concluded(Verdict::Harm("deaf".into()), &mut actions);
+    actions.take();
     answer(
-        &mut conductor,
-        &mut told,
+        &mut controller,
+        &mut actions,
         CommandReply::Finished(Outcome::Failed("it does not come to rest".into())),
     );
-    assert_eq!(told.take(), "0 Old anew");
-    let mut other = conductor.clone();
-    let marks: Vec<FencingToken> = told.orders.iter().map(|(_, order)| order.mark).collect();
-    answer(&mut conductor, &mut told, done());
-    assert_eq!(conductor.phase(), &Phase::RolledBack { why: "deaf".into() });
-    other.answered(0, marks[0], CommandReply::Finished(Outcome::Failed("no such file".into())), &mut told);
+    assert_eq!(actions.take(), "0 Old anew");
+    let mut other = controller.clone();
+    let tokens: Vec<FencingToken> = actions.commands.iter().map(|(_, command)| command.token).collect();
+    answer(&mut controller, &mut actions, done());
+    assert_eq!(controller.phase(), &Phase::RolledBack { reason: "deaf".into() });
+    other.command_answered(
+        0,
+        tokens[0],
+        CommandReply::Finished(Outcome::Failed("no such file".into())),
+        &mut actions,
+    );
     assert!(matches!(other.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
     // A new program that does not come up is no reason to end the old one.
-    let (mut conductor, mut told) = begun_with(RolloutPolicy { begins_anew: true, on_trial: false }, None);
-    told.take();
-    answer(&mut conductor, &mut told, CommandReply::Finished(Outcome::Failed("it ended".into())));
-    assert_eq!(told.take(), "keep, keep");
+    let (mut controller, mut actions) =
+        begun_with(RolloutPolicy { restart_stuck_nodes: true, commit_confirmed: false }, None);
+    actions.take();
+    answer(&mut controller, &mut actions, CommandReply::Finished(Outcome::Failed("it ended".into())));
+    assert_eq!(actions.take(), "keep, keep");
 }
--- a/crates/ochrewalk-rollout/tests/exploration.rs
+++ b/crates/ochrewalk-rollout/tests/exploration.rs
@@ -11,25 +11,25 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    program: Variant,
+    variant: Variant,
     /// What it runs is on trial.
-    on_trial: bool,
+    is_unconfirmed: bool,
     fence: Fence,
     /// What is being carried out.
-    doing: Option<Command>,
-    is_well: bool,
+    executing: Option<Command>,
+    is_healthy: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     nodes: Vec<Node>,
     /// By conductor; none where it is not there.
-    conductors: Vec<Option<RolloutController>>,
+    controllers: Vec<Option<RolloutController>>,
     /// The file that conductors keep.
-    kept: Option<RolloutRecord>,
+    record: Option<RolloutRecord>,
     /// Orders on their way, with who sent them.
-    orders: Vec<(usize, usize, Command)>,
-    words: Vec<(usize, usize, FencingToken, CommandReply)>,
+    commands: Vec<(usize, usize, Command)>,
+    replies: Vec<(usize, usize, FencingToken, CommandReply)>,
     kills: u8,
     outages: u8,
     losses: u8,
@@ -48,81 +48,81 @@
 enum Action {
     Begins(usize),
     Killed(usize),
-    Asks(usize),
-    OrderArrives(usize),
-    OrderIsLost(usize),
+    Polls(usize),
+    CommandArrives(usize),
+    CommandIsLost(usize),
     NodeDoes {
         node: usize,
         well: bool,
     },
-    WordArrives(usize),
-    WordIsLost(usize),
+    ReplyArrives(usize),
+    ReplyIsLost(usize),
     NodeOut(usize),
     NodeBack(usize),
     /// A node on trial has heard nothing for too long, and goes back.
     Lapses(usize),
-    Good(usize),
+    Pass(usize),
     Harm(usize),
-    Stuck(usize),
+    NoProgress(usize),
 }
 
-struct Deeds<'a> {
-    kept: &'a mut Option<RolloutRecord>,
-    orders: Vec<(usize, Command)>,
+struct Effects<'a> {
+    record: &'a mut Option<RolloutRecord>,
+    commands: Vec<(usize, Command)>,
 }
 
-impl ControllerActions for Deeds<'_> {
-    fn keep(&mut self, kept: &RolloutRecord) {
-        *self.kept = Some(kept.clone());
+impl ControllerActions for Effects<'_> {
+    fn persist(&mut self, record: &RolloutRecord) {
+        *self.record = Some(record.clone());
     }
-    fn order(&mut self, node: usize, order: Command) {
-        self.orders.push((node, order));
+    fn send_command(&mut self, node: usize, command: Command) {
+        self.commands.push((node, command));
     }
-    fn judge(&mut self, _stage: usize) {}
+    fn begin_analysis(&mut self, _stage: usize) {}
 }
 
 /// How much may go wrong, and which rule is broken on purpose.
 #[derive(Clone, Copy)]
 struct Explored {
-    conductors: usize,
+    controllers: usize,
     kills: u8,
     outages: u8,
     losses: u8,
     failures: u8,
     lapses: u8,
-    habits: RolloutPolicy,
+    policy: RolloutPolicy,
     no_fence: bool,
 }
 
-fn course() -> StagePlan {
+fn stage_plan() -> StagePlan {
     StagePlan::new(vec![0, 0, 1], vec![1, NODES], 1).unwrap()
 }
 
 impl World {
-    fn with(&mut self, at: usize, what: impl FnOnce(&mut RolloutController, &mut Deeds)) {
-        let Some(mut conductor) = self.conductors[at].take() else { return };
-        let mut kept = self.kept.clone();
-        let mut deeds = Deeds { kept: &mut kept, orders: Vec::new() };
-        what(&mut conductor, &mut deeds);
-        let orders = deeds.orders;
+    fn with(&mut self, at: usize, what: impl FnOnce(&mut RolloutController, &mut Effects)) {
+        let Some(mut controller) = self.controllers[at].take() else { return };
+        let mut record = self.record.clone();
+        let mut effects = Effects { record: &mut record, commands: Vec::new() };
+        what(&mut controller, &mut effects);
+        let commands = effects.commands;
         // One file: who no longer has the highest number is not let write it.
-        if conductor.kept().conductor >= self.kept.as_ref().map_or(0, |kept| kept.conductor) {
-            self.kept = kept;
+        if controller.record().controller >= self.record.as_ref().map_or(0, |record| record.controller) {
+            self.record = record;
         }
-        for (node, order) in orders {
-            self.orders.push((at, node, order));
+        for (node, command) in commands {
+            self.commands.push((at, node, command));
         }
-        self.orders.sort_by_key(|(at, node, order)| (*at, *node, order.mark));
-        let out = conductor.orders().count();
+        self.commands.sort_by_key(|(at, node, command)| (*at, *node, command.token));
+        let out = controller.pending_commands().count();
         self.too_many |= out > 1;
-        self.conductors[at] = Some(conductor);
+        self.controllers[at] = Some(controller);
     }
 
-    fn report(&self, node: usize) -> Option<NodeReport> {
+    fn node_report(&self, node: usize) -> Option<NodeReport> {
         let of = &self.nodes[node];
-        of.is_well.then(|| NodeReport {
-            program: of.program,
-            is_well: of.doing.is_none(),
+        of.is_healthy.then(|| NodeReport {
+            variant: of.variant,
+            is_healthy: of.executing.is_none(),
             highest: of.fence.highest(),
         })
     }
@@ -134,18 +134,18 @@
 
     fn init_states(&self) -> Vec<World> {
         let node = Node {
-            program: Variant::Old,
-            on_trial: false,
+            variant: Variant::Old,
+            is_unconfirmed: false,
             fence: Fence::default(),
-            doing: None,
-            is_well: true,
+            executing: None,
+            is_healthy: true,
         };
         vec![World {
             nodes: vec![node; NODES],
-            conductors: vec![None; self.conductors],
-            kept: None,
-            orders: Vec::new(),
-            words: Vec::new(),
+            controllers: vec![None; self.controllers],
+            record: None,
+            commands: Vec::new(),
+            replies: Vec::new(),
             kills: 0,
             outages: 0,
             losses: 0,
@@ -161,55 +161,55 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        for at in 0..self.conductors {
-            match &world.conductors[at] {
-                None if usize::from(world.began) < self.conductors + usize::from(self.kills) => {
+        for at in 0..self.controllers {
+            match &world.controllers[at] {
+                None if usize::from(world.began) < self.controllers + usize::from(self.kills) => {
                     actions.push(Action::Begins(at))
                 }
                 None => {}
-                Some(conductor) => {
+                Some(controller) => {
                     if world.kills < self.kills {
                         actions.push(Action::Killed(at));
                     }
-                    match conductor.phase() {
-                        Phase::Analyzing { .. } => actions.extend([Action::Good(at), Action::Harm(at)]),
+                    match controller.phase() {
+                        Phase::Analyzing { .. } => actions.extend([Action::Pass(at), Action::Harm(at)]),
                         Phase::Advancing { .. } | Phase::RollingBack { .. }
-                            if conductor.orders().next().is_none() =>
+                            if controller.pending_commands().next().is_none() =>
                         {
-                            actions.push(Action::Stuck(at))
+                            actions.push(Action::NoProgress(at))
                         }
                         _ => {}
                     }
-                    actions.push(Action::Asks(at));
+                    actions.push(Action::Polls(at));
                 }
             }
         }
-        for at in 0..world.orders.len() {
-            actions.push(Action::OrderArrives(at));
+        for at in 0..world.commands.len() {
+            actions.push(Action::CommandArrives(at));
             if world.losses < self.losses {
-                actions.push(Action::OrderIsLost(at));
+                actions.push(Action::CommandIsLost(at));
             }
         }
-        for at in 0..world.words.len() {
-            actions.push(Action::WordArrives(at));
+        for at in 0..world.replies.len() {
+            actions.push(Action::ReplyArrives(at));
             if world.losses < self.losses {
-                actions.push(Action::WordIsLost(at));
+                actions.push(Action::ReplyIsLost(at));
             }
         }
         for (node, of) in world.nodes.iter().enumerate() {
-            if of.doing.is_some() && of.is_well {
+            if of.executing.is_some() && of.is_healthy {
                 actions.push(Action::NodeDoes { node, well: true });
                 if world.failures < self.failures {
                     actions.push(Action::NodeDoes { node, well: false });
                 }
             }
-            if of.is_well && world.outages < self.outages {
+            if of.is_healthy && world.outages < self.outages {
                 actions.push(Action::NodeOut(node));
             }
-            if !of.is_well {
+            if !of.is_healthy {
                 actions.push(Action::NodeBack(node));
             }
-            if of.on_trial && of.doing.is_none() && world.lapses < self.lapses {
+            if of.is_unconfirmed && of.executing.is_none() && world.lapses < self.lapses {
                 actions.push(Action::Lapses(node));
             }
         }
@@ -221,100 +221,105 @@
             Action::Begins(at) => {
                 world.began += 1;
                 // Another's is never taken: in the program it is the moment, in microseconds.
-                let kept = world.kept.as_ref().map_or(0, |kept| kept.conductor);
-                let number = kept.max(u64::from(world.began) - 1) + 1;
-                world.conductors[at] =
-                    Some(RolloutController::new(course(), self.habits, world.kept.clone(), number));
+                let record = world.record.as_ref().map_or(0, |record| record.controller);
+                let number = record.max(u64::from(world.began) - 1) + 1;
+                world.controllers[at] =
+                    Some(RolloutController::new(stage_plan(), self.policy, world.record.clone(), number));
             }
             Action::Killed(at) => {
                 world.kills += 1;
-                world.conductors[at] = None;
+                world.controllers[at] = None;
             }
-            Action::Asks(at) => {
+            Action::Polls(at) => {
                 for node in 0..NODES {
-                    let number = world.conductors[at].as_ref().map_or(0, |c| c.kept().conductor);
-                    if world.nodes[node].is_well && !self.no_fence {
-                        world.nodes[node].fence.heard(number);
+                    let number = world.controllers[at].as_ref().map_or(0, |c| c.record().controller);
+                    if world.nodes[node].is_healthy && !self.no_fence {
+                        world.nodes[node].fence.observe_controller(number);
                     }
-                    let report = world.report(node);
-                    world.with(at, |conductor, deeds| conductor.report(node, report.as_ref(), deeds));
+                    let report = world.node_report(node);
+                    world.with(at, |controller, effects| {
+                        controller.node_reported(node, report.as_ref(), effects)
+                    });
                 }
             }
-            Action::OrderArrives(at) => {
-                let (from, node, order) = world.orders.remove(at);
+            Action::CommandArrives(at) => {
+                let (from, node, command) = world.commands.remove(at);
                 let of = &mut world.nodes[node];
-                if !of.is_well {
-                    world.words.push((from, node, order.mark, CommandReply::NoReply));
+                if !of.is_healthy {
+                    world.replies.push((from, node, command.token, CommandReply::NoReply));
                 } else {
                     let admitted =
-                        if self.no_fence { Admission::Execute } else { of.fence.admit(order.mark) };
+                        if self.no_fence { Admission::Execute } else { of.fence.admit(command.token) };
                     match admitted {
-                        Admission::Execute if of.doing.is_none() => {
-                            world.acted_late |= order.mark < world.last_acted[node];
-                            world.last_acted[node] = order.mark;
-                            of.doing = Some(order);
+                        Admission::Execute if of.executing.is_none() => {
+                            world.acted_late |= command.token < world.last_acted[node];
+                            world.last_acted[node] = command.token;
+                            of.executing = Some(command);
                         }
                         Admission::Execute => {
                             let busy = Outcome::Failed("another order is being carried out".into());
-                            of.fence.ended(order.mark, busy.clone());
-                            world.words.push((from, node, order.mark, CommandReply::Finished(busy)));
+                            of.fence.command_finished(command.token, busy.clone());
+                            world.replies.push((from, node, command.token, CommandReply::Finished(busy)));
                         }
                         Admission::InProgress => {}
                         Admission::Repeated(outcome) => {
-                            world.words.push((from, node, order.mark, CommandReply::Finished(outcome)))
+                            world.replies.push((from, node, command.token, CommandReply::Finished(outcome)))
                         }
-                        Admission::Stale(mark) => {
-                            world.words.push((from, node, order.mark, CommandReply::Stale(mark)))
+                        Admission::Stale(token) => {
+                            world.replies.push((from, node, command.token, CommandReply::Stale(token)))
                         }
                     }
                 }
             }
-            Action::OrderIsLost(at) => {
+            Action::CommandIsLost(at) => {
                 world.losses += 1;
-                let (from, node, order) = world.orders.remove(at);
-                world.words.push((from, node, order.mark, CommandReply::NoReply));
+                let (from, node, command) = world.commands.remove(at);
+                world.replies.push((from, node, command.token, CommandReply::NoReply));
             }
             Action::NodeDoes { node, well } => {
                 world.failures += u8::from(!well);
-                let order = world.nodes[node].doing.take().expect("it does something");
+                let command = world.nodes[node].executing.take().expect("it does something");
                 let outcome = if well { Outcome::Done } else { Outcome::Failed("it ended".into()) };
                 if well {
-                    world.nodes[node].program = order.to;
-                    world.nodes[node].on_trial = order.how == ChangeMethod::CommitConfirmed;
+                    world.nodes[node].variant = command.variant;
+                    world.nodes[node].is_unconfirmed = command.method == ChangeMethod::CommitConfirmed;
                 }
-                world.nodes[node].fence.ended(order.mark, outcome.clone());
-                for from in 0..self.conductors {
-                    world.words.push((from, node, order.mark, CommandReply::Finished(outcome.clone())));
+                world.nodes[node].fence.command_finished(command.token, outcome.clone());
+                for from in 0..self.controllers {
+                    world.replies.push((from, node, command.token, CommandReply::Finished(outcome.clone())));
                 }
             }
-            Action::WordArrives(at) => {
-                let (to, node, mark, word) = world.words.remove(at);
-                world.with(to, |conductor, deeds| conductor.answered(node, mark, word, deeds));
+            Action::ReplyArrives(at) => {
+                let (to, node, token, reply) = world.replies.remove(at);
+                world
+                    .with(to, |controller, effects| controller.command_answered(node, token, reply, effects));
             }
-            Action::WordIsLost(at) => {
+            Action::ReplyIsLost(at) => {
                 world.losses += 1;
-                world.words[at].3 = CommandReply::NoReply;
+                world.replies[at].3 = CommandReply::NoReply;
             }
             Action::NodeOut(node) => {
                 world.outages += 1;
-                world.nodes[node].is_well = false;
+                world.nodes[node].is_healthy = false;
             }
-            Action::NodeBack(node) => world.nodes[node].is_well = true,
+            Action::NodeBack(node) => world.nodes[node].is_healthy = true,
             Action::Lapses(node) => {
                 world.lapses += 1;
-                (world.nodes[node].program, world.nodes[node].on_trial) = (Variant::Old, false);
+                (world.nodes[node].variant, world.nodes[node].is_unconfirmed) = (Variant::Old, false);
             }
-            Action::Good(at) => world.with(at, |conductor, deeds| conductor.verdict(Verdict::Pass, deeds)),
-            Action::Harm(at) => {
-                world.with(at, |conductor, deeds| conductor.verdict(Verdict::Harm("worse".into()), deeds))
+            Action::Pass(at) => {
+                world.with(at, |controller, effects| controller.analysis_concluded(Verdict::Pass, effects))
             }
-            Action::Stuck(at) => world.with(at, |conductor, _| conductor.stuck()),
+            Action::Harm(at) => world.with(at, |controller, effects| {
+                controller.analysis_concluded(Verdict::Harm("worse".into()), effects)
+            }),
+            Action::NoProgress(at) => world.with(at, |controller, _| controller.no_progress()),
         }
-        world.words.sort_by_key(|word| (word.0, word.1, word.2));
-        world.words.dedup();
+        world.replies.sort_by_key(|reply| (reply.0, reply.1, reply.2));
+        world.replies.dedup();
         // Words for one that is not there are heard by nobody.
-        let there: Vec<bool> = world.conductors.iter().map(Option::is_some).collect();
-        world.words.retain(|(to, ..)| there[*to]);
+        let there: Vec<bool> = world.controllers.iter().map(Option::is_some).collect();
+        world.replies.retain(|(to, ..)| there[*to]);
         (world != *last).then_some(world)
     }
 
@@ -323,38 +328,41 @@
             Property::always(OUT, |_, w: &World| !w.too_many),
             Property::always(LATE, |_, w: &World| !w.acted_late),
             Property::always(SEEN, |_, w: &World| {
-                w.conductors.iter().flatten().all(|conductor| {
-                    let all = |program| conductor.seen().iter().all(|seen| seen.program == Some(program));
-                    match conductor.phase() {
+                w.controllers.iter().flatten().all(|controller| {
+                    let all =
+                        |variant| controller.node_states().iter().all(|seen| seen.variant == Some(variant));
+                    match controller.phase() {
                         Phase::RolledBack { .. } => {
-                            conductor.seen().iter().all(|s| s.program != Some(Variant::New))
+                            controller.node_states().iter().all(|s| s.variant != Some(Variant::New))
                         }
-                        Phase::Done => conductor.kept().back.is_none() || all(Variant::Old),
+                        Phase::Done => controller.record().rollback_reason.is_none() || all(Variant::Old),
                         _ => true,
                     }
                 })
             }),
             Property::always(EVERYWHERE, |_, w: &World| {
-                let is_all = |program| {
-                    let runs = |node: &Node| node.doing.map_or(node.program, |order| order.to) == program;
-                    w.nodes.iter().all(|node| runs(node) && !node.on_trial)
+                let is_all = |variant| {
+                    let runs = |node: &Node| {
+                        node.executing.map_or(node.variant, |command| command.variant) == variant
+                    };
+                    w.nodes.iter().all(|node| runs(node) && !node.is_unconfirmed)
                 };
-                w.conductors.len() > 1
-                    || w.conductors.iter().flatten().all(|conductor| match conductor.phase() {
+                w.controllers.len() > 1
+                    || w.controllers.iter().flatten().all(|controller| match controller.phase() {
                         Phase::Done => is_all(Variant::New),
                         Phase::RolledBack { .. } => is_all(Variant::Old),
                         _ => true,
                     })
             }),
             Property::sometimes("a change is done", |_, w: &World| {
-                w.nodes.iter().all(|n| n.program == Variant::New)
-                    && w.conductors.iter().flatten().any(|c| c.phase() == &Phase::Done)
+                w.nodes.iter().all(|n| n.variant == Variant::New)
+                    && w.controllers.iter().flatten().any(|c| c.phase() == &Phase::Done)
             }),
             Property::sometimes("a change goes back", |_, w: &World| {
-                w.conductors.iter().flatten().any(|c| matches!(c.phase(), Phase::RolledBack { .. }))
+                w.controllers.iter().flatten().any(|c| matches!(c.phase(), Phase::RolledBack { .. }))
             }),
             Property::sometimes("one is replaced", |_, w: &World| {
-                w.conductors.iter().flatten().any(|c| c.phase() == &Phase::Replaced)
+                w.controllers.iter().flatten().any(|c| c.phase() == &Phase::Replaced)
             }),
         ]
     }
@@ -378,13 +386,13 @@
 }
 
 const ONE: Explored = Explored {
-    conductors: 1,
+    controllers: 1,
     kills: 1,
     outages: 1,
     losses: 1,
     failures: 1,
     lapses: 0,
-    habits: RolloutPolicy { on_trial: false, begins_anew: true },
+    policy: RolloutPolicy { commit_confirmed: false, restart_stuck_nodes: true },
     no_fence: false,
 };
 
@@ -398,8 +406,8 @@
 
 #[test]
 fn nodes_on_trial_that_go_back_by_themselves_at_any_step_with_a_conductor_killed_and_a_word_lost() {
-    let habits = RolloutPolicy { on_trial: true, begins_anew: true };
-    let model = Explored { outages: 0, failures: 0, lapses: 1, habits, ..ONE };
+    let policy = RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: true };
+    let model = Explored { outages: 0, failures: 0, lapses: 1, policy, ..ONE };
     let checker = explore(model, 26);
     holds(&checker, 48_736, &[OUT, LATE, EVERYWHERE]);
     checker.assert_any_discovery("a change is done");
@@ -408,7 +416,7 @@
 
 #[test]
 fn two_conductors_at_once_with_words_as_late_as_they_like() {
-    let model = Explored { conductors: 2, kills: 0, outages: 0, losses: 0, failures: 0, ..ONE };
+    let model = Explored { controllers: 2, kills: 0, outages: 0, losses: 0, failures: 0, ..ONE };
     let checker = explore(model, 20);
     holds(&checker, 82_545, &[OUT, LATE, SEEN]);
     checker.assert_any_discovery("one is replaced");
@@ -417,7 +425,7 @@
 #[test]
 fn without_the_fence_a_late_order_acts_and_the_trace_is_short() {
     let model =
-        Explored { conductors: 2, kills: 0, outages: 0, losses: 0, failures: 0, no_fence: true, ..ONE };
+        Explored { controllers: 2, kills: 0, outages: 0, losses: 0, failures: 0, no_fence: true, ..ONE };
     let checker = explore(model, 20);
     let trace = checker.discovery(LATE).expect("it has to be found");
     assert_eq!(trace.into_actions().len(), 18, "steps of the shortest trace");
--- a/crates/ochrewalk-rollout/tests/log_text.rs
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -5,19 +5,19 @@
 
 #[test]
 fn phases_and_reasons_to_wait_have_these_words() {
-    let left_behind = WaitReason::NodeStuck { node: 3, why: "it \"ended\"".into() };
+    let left_behind = WaitReason::NodeStuck { node: 3, reason: "it \"ended\"".into() };
     for (phase, text) in [
         (Phase::Polling, "Asking"),
         (Phase::Advancing { stage: 0 }, "Forward { stage: 0 }"),
         (Phase::Analyzing { stage: 12 }, "Judged { stage: 12 }"),
         (Phase::Confirming, "Confirming"),
-        (Phase::RollingBack { why: "slow \"sale\"".into() }, r#"Back { why: "slow \"sale\"" }"#),
+        (Phase::RollingBack { reason: "slow \"sale\"".into() }, r#"Back { why: "slow \"sale\"" }"#),
         (Phase::Waiting(WaitReason::Paused), "Waiting(Paused)"),
         (Phase::Waiting(WaitReason::Inconclusive("few calls".into())), r#"Waiting(Unclear("few calls"))"#),
         (Phase::Waiting(left_behind), r#"Waiting(LeftBehind { node: 3, why: "it \"ended\"" })"#),
         (Phase::Waiting(WaitReason::FleetUnhealthy), "Waiting(Ill)"),
         (Phase::Done, "Done"),
-        (Phase::RolledBack { why: "slow".into() }, r#"IsBack { why: "slow" }"#),
+        (Phase::RolledBack { reason: "slow".into() }, r#"IsBack { why: "slow" }"#),
         (Phase::Replaced, "Replaced"),
     ] {
         assert_eq!(phase.to_string(), text);
@@ -29,23 +29,23 @@
 
 #[test]
 fn ways_to_change_and_what_came_back_have_these_words() {
-    for (how, text) in [
+    for (method, text) in [
         (ChangeMethod::CommitConfirmed, "OnTrial"),
         (ChangeMethod::HandOver, "ForGood"),
         (ChangeMethod::Restart, "Anew"),
     ] {
-        assert_eq!(how.to_string(), text);
+        assert_eq!(method.to_string(), text);
     }
-    for (word, text) in [
+    for (reply, text) in [
         (CommandReply::Finished(Outcome::Done), "Ended(Done)"),
         (CommandReply::Finished(Outcome::Failed("no such file".into())), r#"Ended(Failed("no such file"))"#),
         (
-            CommandReply::Stale(FencingToken { conductor: 7, order: 2 }),
+            CommandReply::Stale(FencingToken { controller: 7, command: 2 }),
             "Stale(Mark { conductor: 7, order: 2 })",
         ),
         (CommandReply::NoReply, "Nothing"),
     ] {
-        assert_eq!(word.to_string(), text);
+        assert_eq!(reply.to_string(), text);
     }
 }
 
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -2,8 +2,9 @@
 //! version of these formats. Every later version has to read it as the content named here, and to write the same bytes.
 
 use ochrewalk_rollout::messages::{
-    read, read_kept, write, write_kept, CommandMessage, CommandOutcome, FencingTokenMessage, MethodCounters,
-    NodeStatus, Reply, Request, Response, ServingCounters, Target, PROTOCOL_VERSION,
+    decode_record, encode_record, read_message, write_message, CommandMessage, CommandOutcome,
+    FencingTokenMessage, MethodCounters, NodeStatus, Reply, Request, Response, ServingCounters, Target,
+    PROTOCOL_VERSION,
 };
 use ochrewalk_rollout::{
     ChangeMethod, Command, CommandReply, ControllerActions, FencingToken, NodeReport, Outcome, Phase,
@@ -22,36 +23,36 @@
 
 /// Records, by the name of their fixture: one for each phase in which a record is written.
 fn records() -> Vec<(&'static str, RolloutRecord)> {
-    let kept = |stage, back: Option<&str>, changed: &[usize], is_over| RolloutRecord {
-        conductor: 1_764_633_600_000_007,
+    let record = |stage, back: Option<&str>, changed: &[usize], is_finished| RolloutRecord {
+        controller: 1_764_633_600_000_007,
         stage,
-        back: back.map(String::from),
-        changed: changed.to_vec(),
-        is_over,
+        rollback_reason: back.map(String::from),
+        changed_nodes: changed.to_vec(),
+        is_finished,
     };
     let harm = "0.120 more of sale miss the target";
     vec![
-        ("record-asking", kept(0, None, &[], false)),
-        ("record-forward-first-stage", kept(0, None, &[0], false)),
-        ("record-first-stage-good", kept(1, None, &[0], false)),
-        ("record-forward-second-stage-one-more", kept(1, None, &[0, 2], false)),
-        ("record-forward-second-stage-two-more", kept(1, None, &[0, 2, 1], false)),
-        ("record-forward-second-stage-all", kept(1, None, &[0, 2, 1, 3], false)),
-        ("record-confirming", kept(2, None, &[0, 2, 1, 3], false)),
-        ("record-done", kept(2, None, &[0, 2, 1, 3], true)),
-        ("record-back-by-harm", kept(1, Some(harm), &[0, 2, 1], false)),
-        ("record-back-by-node", kept(0, Some("node 0: the new program ended"), &[0], false)),
-        ("record-back-by-operator", kept(1, Some("the operator said so"), &[0, 2, 1], false)),
-        ("record-is-back", kept(1, Some(harm), &[0, 2, 1], true)),
+        ("record-asking", record(0, None, &[], false)),
+        ("record-forward-first-stage", record(0, None, &[0], false)),
+        ("record-first-stage-good", record(1, None, &[0], false)),
+        ("record-forward-second-stage-one-more", record(1, None, &[0, 2], false)),
+        ("record-forward-second-stage-two-more", record(1, None, &[0, 2, 1], false)),
+        ("record-forward-second-stage-all", record(1, None, &[0, 2, 1, 3], false)),
+        ("record-confirming", record(2, None, &[0, 2, 1, 3], false)),
+        ("record-done", record(2, None, &[0, 2, 1, 3], true)),
+        ("record-back-by-harm", record(1, Some(harm), &[0, 2, 1], false)),
+        ("record-back-by-node", record(0, Some("node 0: the new program ended"), &[0], false)),
+        ("record-back-by-operator", record(1, Some("the operator said so"), &[0, 2, 1], false)),
+        ("record-is-back", record(1, Some(harm), &[0, 2, 1], true)),
     ]
 }
 
 #[test]
 fn a_record_of_each_phase_is_read_and_written_back_with_the_same_bytes() {
-    for (name, kept) in records() {
+    for (name, record) in records() {
         let bytes = fixture(name);
-        assert_eq!(read_kept(&bytes), Ok(kept.clone()), "{name}");
-        assert_eq!(write_kept(&kept), bytes, "{name}");
+        assert_eq!(decode_record(&bytes), Ok(record.clone()), "{name}");
+        assert_eq!(encode_record(&record), bytes, "{name}");
     }
 }
 
@@ -59,25 +60,25 @@
 #[derive(Default)]
 struct Persisted {
     records: Vec<Vec<u8>>,
-    orders: Vec<(usize, Command)>,
+    commands: Vec<(usize, Command)>,
 }
 
 impl ControllerActions for Persisted {
-    fn keep(&mut self, kept: &RolloutRecord) {
-        self.records.push(write_kept(kept));
+    fn persist(&mut self, record: &RolloutRecord) {
+        self.records.push(encode_record(record));
     }
-    fn order(&mut self, node: usize, order: Command) {
-        self.orders.push((node, order));
+    fn send_command(&mut self, node: usize, command: Command) {
+        self.commands.push((node, command));
     }
-    fn judge(&mut self, _stage: usize) {}
+    fn begin_analysis(&mut self, _stage: usize) {}
 }
 
 impl Persisted {
     /// Answers all commands that were sent, also those sent meanwhile, until none is left.
-    fn carry_out_all(&mut self, conductor: &mut RolloutController) {
-        while !self.orders.is_empty() {
-            let (node, order) = self.orders.remove(0);
-            conductor.answered(node, order.mark, CommandReply::Finished(Outcome::Done), self);
+    fn carry_out_all(&mut self, controller: &mut RolloutController) {
+        while !self.commands.is_empty() {
+            let (node, command) = self.commands.remove(0);
+            controller.command_answered(node, command.token, CommandReply::Finished(Outcome::Done), self);
         }
     }
 
@@ -90,26 +91,27 @@
 }
 
 fn begun(habits: RolloutPolicy) -> (RolloutController, Persisted) {
-    let course = StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap();
-    let mut conductor = RolloutController::new(course, habits, None, 1_764_633_600_000_007);
+    let stage_plan = StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap();
+    let mut controller = RolloutController::new(stage_plan, habits, None, 1_764_633_600_000_007);
     let mut persisted = Persisted::default();
-    let report = NodeReport { program: Variant::Old, is_well: true, highest: FencingToken::default() };
+    let report = NodeReport { variant: Variant::Old, is_healthy: true, highest: FencingToken::default() };
     for node in 0..4 {
-        conductor.report(node, Some(&report), &mut persisted);
+        controller.node_reported(node, Some(&report), &mut persisted);
     }
-    (conductor, persisted)
+    (controller, persisted)
 }
 
 #[test]
 fn a_rollout_to_its_end_persists_these_records_in_this_order() {
-    let (mut conductor, mut persisted) = begun(RolloutPolicy { on_trial: true, begins_anew: false });
-    persisted.carry_out_all(&mut conductor);
-    conductor.verdict(Verdict::Pass, &mut persisted);
-    persisted.carry_out_all(&mut conductor);
-    conductor.verdict(Verdict::Pass, &mut persisted);
-    assert_eq!(conductor.phase(), &Phase::Confirming);
-    persisted.carry_out_all(&mut conductor);
-    assert_eq!(conductor.phase(), &Phase::Done);
+    let (mut controller, mut persisted) =
+        begun(RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: false });
+    persisted.carry_out_all(&mut controller);
+    controller.analysis_concluded(Verdict::Pass, &mut persisted);
+    persisted.carry_out_all(&mut controller);
+    controller.analysis_concluded(Verdict::Pass, &mut persisted);
+    assert_eq!(controller.phase(), &Phase::Confirming);
+    persisted.carry_out_all(&mut controller);
+    assert_eq!(controller.phase(), &Phase::Done);
     persisted.assert_are(&[
         "record-asking",
         "record-forward-first-stage",
@@ -131,82 +133,94 @@
         "record-forward-second-stage-one-more",
         "record-forward-second-stage-two-more",
     ];
-    let (mut conductor, mut persisted) = begun(RolloutPolicy::default());
-    persisted.carry_out_all(&mut conductor);
-    conductor.verdict(Verdict::Pass, &mut persisted);
+    let (mut controller, mut persisted) = begun(RolloutPolicy::default());
+    persisted.carry_out_all(&mut controller);
+    controller.analysis_concluded(Verdict::Pass, &mut persisted);
     let mut by_operator =
-        (conductor.clone(), Persisted { records: persisted.records.clone(), orders: vec![] });
-    conductor.verdict(Verdict::Harm("0.120 more of sale miss the target".into()), &mut persisted);
-    persisted.carry_out_all(&mut conductor);
-    assert!(matches!(conductor.phase(), Phase::RolledBack { .. }));
+        (controller.clone(), Persisted { records: persisted.records.clone(), commands: vec![] });
+    controller.analysis_concluded(Verdict::Harm("0.120 more of sale miss the target".into()), &mut persisted);
+    persisted.carry_out_all(&mut controller);
+    assert!(matches!(controller.phase(), Phase::RolledBack { .. }));
     persisted.assert_are(&[&to_second_stage[..], &["record-back-by-harm", "record-is-back"]].concat());
 
-    by_operator.0.back(&mut by_operator.1);
+    by_operator.0.roll_back(&mut by_operator.1);
     by_operator.1.assert_are(&[&to_second_stage[..], &["record-back-by-operator"]].concat());
 
-    let (mut conductor, mut persisted) = begun(RolloutPolicy::default());
-    let (node, order) = persisted.orders.remove(0);
+    let (mut controller, mut persisted) = begun(RolloutPolicy::default());
+    let (node, command) = persisted.commands.remove(0);
     let failed = CommandReply::Finished(Outcome::Failed("the new program ended".into()));
-    conductor.answered(node, order.mark, failed, &mut persisted);
+    controller.command_answered(node, command.token, failed, &mut persisted);
     persisted.records.truncate(3);
     persisted.assert_are(&["record-asking", "record-forward-first-stage", "record-back-by-node"]);
 }
 
 fn program() -> Target {
-    Target { is_settings: false, path: "/usr/local/bin/ochrewalk-2".into(), print: 0x0123_4567_89ab_cdef }
+    Target {
+        is_settings: false,
+        path: "/usr/local/bin/ochrewalk-2".into(),
+        fingerprint: 0x0123_4567_89ab_cdef,
+    }
 }
 
 fn settings() -> Target {
-    Target { is_settings: true, path: "/etc/ochrewalk/n0.conf.new".into(), print: 0x0000_0042_dead_beef }
+    Target {
+        is_settings: true,
+        path: "/etc/ochrewalk/n0.conf.new".into(),
+        fingerprint: 0x0000_0042_dead_beef,
+    }
 }
 
 /// Requests, by the name of their fixture.
 fn requests() -> Vec<(&'static str, Request)> {
-    let order = |to, how, wanted| {
-        let order = Command { mark: FencingToken { conductor: 1_764_633_600_000_007, order: 300 }, to, how };
-        Request::order(CommandMessage::new(&order, wanted, 30_000))
+    let command = |variant, method, target| {
+        let command = Command {
+            token: FencingToken { controller: 1_764_633_600_000_007, command: 300 },
+            variant,
+            method,
+        };
+        Request::command(CommandMessage::new(&command, target, 30_000))
     };
     vec![
-        ("request-status-of-an-onlooker", Request::stands(0)),
-        ("request-status-of-a-conductor", Request::stands(1_764_633_600_000_007)),
-        ("request-program-on-trial", order(Variant::New, ChangeMethod::CommitConfirmed, program())),
-        ("request-program-for-good", order(Variant::New, ChangeMethod::HandOver, program())),
-        ("request-program-anew", order(Variant::Old, ChangeMethod::Restart, program())),
-        ("request-settings-on-trial", order(Variant::New, ChangeMethod::CommitConfirmed, settings())),
-        ("request-settings-for-good", order(Variant::Old, ChangeMethod::HandOver, settings())),
+        ("request-status-of-an-onlooker", Request::status(0)),
+        ("request-status-of-a-conductor", Request::status(1_764_633_600_000_007)),
+        ("request-program-on-trial", command(Variant::New, ChangeMethod::CommitConfirmed, program())),
+        ("request-program-for-good", command(Variant::New, ChangeMethod::HandOver, program())),
+        ("request-program-anew", command(Variant::Old, ChangeMethod::Restart, program())),
+        ("request-settings-on-trial", command(Variant::New, ChangeMethod::CommitConfirmed, settings())),
+        ("request-settings-for-good", command(Variant::Old, ChangeMethod::HandOver, settings())),
         (
             "request-order-that-wants-nothing",
-            Request::order(CommandMessage { order: 9, ..CommandMessage::default() }),
+            Request::command(CommandMessage { command: 9, ..CommandMessage::default() }),
         ),
-        ("request-of-version-1", Request { version: 1, order: None, conductor: 0 }),
+        ("request-of-version-1", Request { version: 1, command: None, controller: 0 }),
     ]
 }
 
-fn tally() -> ServingCounters {
+fn counters() -> ServingCounters {
     let method =
         |name: &str, calls, missed, failed| MethodCounters { name: name.into(), calls, missed, failed };
     ServingCounters {
         is_healthy: true,
         memory_kb: 40_960,
         methods: vec![method("look", 10_000_000_000, 300, 2), method("sale", 5, 0, 0)],
-        settings: 0x0000_0042_dead_beef,
+        settings_fingerprint: 0x0000_0042_dead_beef,
     }
 }
 
 /// Replies, by the name of their fixture.
 fn responses() -> Vec<(&'static str, Response)> {
-    let response = |said| Response { version: PROTOCOL_VERSION, said: Some(said) };
-    let highest = FencingTokenMessage { conductor: 1_764_633_600_000_007, order: 300 };
+    let response = |reply| Response { version: PROTOCOL_VERSION, reply: Some(reply) };
+    let highest = FencingTokenMessage { controller: 1_764_633_600_000_007, command: 300 };
     let full = NodeStatus {
-        print: 0x0123_4567_89ab_cdef,
+        fingerprint: 0x0123_4567_89ab_cdef,
         path: "/usr/local/bin/ochrewalk-2".into(),
         highest: Some(highest),
-        is_well: true,
-        start: u64::MAX,
-        tally: Some(tally()),
-        on_trial: true,
+        is_healthy: true,
+        incarnation: u64::MAX,
+        counters: Some(counters()),
+        is_unconfirmed: true,
     };
-    let bare = NodeStatus { print: 1, path: "/a".into(), start: 2, ..NodeStatus::default() };
+    let bare = NodeStatus { fingerprint: 1, path: "/a".into(), incarnation: 2, ..NodeStatus::default() };
     vec![
         ("reply-status-full", response(Reply::Status(full))),
         ("reply-status-bare", response(Reply::Status(bare))),
@@ -219,7 +233,7 @@
         ("reply-stale", response(Reply::Stale(highest))),
         ("reply-refused", response(Reply::Rejected("no program serves".into()))),
         ("reply-busy", response(Reply::Busy("another upgrade is under way".into()))),
-        ("reply-empty-of-version-3", Response { version: 3, said: None }),
+        ("reply-empty-of-version-3", Response { version: 3, reply: None }),
     ]
 }
 
@@ -230,9 +244,9 @@
 {
     let bytes = fixture(name);
     let mut stream = &bytes[..];
-    assert_eq!(&read::<M>(&mut stream).unwrap(), message, "{name}");
+    assert_eq!(&read_message::<M>(&mut stream).unwrap(), message, "{name}");
     assert!(stream.is_empty(), "{name}: {} bytes are left", stream.len());
-    assert_eq!(write(message), bytes, "{name}");
+    assert_eq!(write_message(message), bytes, "{name}");
 }
 
 #[test]
@@ -247,28 +261,28 @@
 
 #[test]
 fn counters_are_read_and_written_back_with_the_same_bytes() {
-    assert_framed_as("counters", &tally());
+    assert_framed_as("counters", &counters());
     assert_framed_as("counters-none", &ServingCounters::default());
 }
 
 #[test]
 fn what_the_fields_of_a_request_and_a_reply_mean_is_what_the_bytes_said() {
-    let request: Request = read(&mut &fixture("request-settings-on-trial")[..]).unwrap();
-    let order = request.order.unwrap();
-    assert_eq!((request.version, request.conductor), (2, 1_764_633_600_000_007));
-    assert_eq!(order.mark(), FencingToken { conductor: 1_764_633_600_000_007, order: 300 });
-    assert_eq!((order.lease_ms, order.anew, order.wanted), (30_000, false, Some(settings())));
-    let anew: Request = read(&mut &fixture("request-program-anew")[..]).unwrap();
-    let order = anew.order.unwrap();
-    assert_eq!((order.lease_ms, order.anew, order.wanted), (0, true, Some(program())));
-    let ended = |name: &str| match read::<Response>(&mut &fixture(name)[..]).unwrap().said {
+    let request: Request = read_message(&mut &fixture("request-settings-on-trial")[..]).unwrap();
+    let command = request.command.unwrap();
+    assert_eq!((request.version, request.controller), (2, 1_764_633_600_000_007));
+    assert_eq!(command.token(), FencingToken { controller: 1_764_633_600_000_007, command: 300 });
+    assert_eq!((command.lease_ms, command.restart, command.target), (30_000, false, Some(settings())));
+    let restart: Request = read_message(&mut &fixture("request-program-anew")[..]).unwrap();
+    let command = restart.command.unwrap();
+    assert_eq!((command.lease_ms, command.restart, command.target), (0, true, Some(program())));
+    let ended = |name: &str| match read_message::<Response>(&mut &fixture(name)[..]).unwrap().reply {
         Some(Reply::Finished(ended)) => Outcome::from(ended),
         other => panic!("{name}: {other:?}"),
     };
     assert_eq!(ended("reply-ended-done"), Outcome::Done);
     assert_eq!(ended("reply-ended-failed"), Outcome::Failed("the new program ended".into()));
     assert_eq!(
-        CommandOutcome { failed: "for no reason that it names".into() },
+        CommandOutcome { failure: "for no reason that it names".into() },
         Outcome::Failed(String::new()).into()
     );
     assert_eq!(ended("reply-ended-failed-unnamed"), Outcome::Failed("for no reason that it names".into()));
