--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -291,7 +291,7 @@
 
     fn step(&mut self, step: usize) {
         // Traffic comes in bursts, so that queues fill and empty again.
-        let longest_us = if step / 150 % 2 == 0 { 4_000 } else { 40_000 };
+        let longest_us = if (step / 150).is_multiple_of(2) { 4_000 } else { 40_000 };
         self.now_us += self.rng.u64(0..longest_us);
         match self.rng.u32(0..15) {
             0..=4 => self.arrive(),
