--- a/crates/ochrewalk-distribution/src/subscription.rs
+++ b/crates/ochrewalk-distribution/src/subscription.rs
@@ -182,11 +182,18 @@
     /// Names are added to or removed from what is wanted. The caller sends `watch` on the stream, if there is one.
     pub fn watch(&mut self, watch: &Watch) {
         self.watches += 1;
-        self.interest.update(watch);
         for name in &watch.remove {
+            self.interest.names.remove(name);
             self.unanswered.remove(name);
         }
-        self.unanswered.extend(watch.add.iter().map(|name| (name.clone(), self.watches)));
+        for name in &watch.add {
+            // The server goes on sending changes of a name that it was asked for before. Were it unanswered again, its
+            // deletion in an update under way would not be applied, and its old value would stay in force.
+            let is_new = self.interest.names.insert(name.clone());
+            if is_new {
+                self.unanswered.insert(name.clone(), self.watches);
+            }
+        }
     }
 
     /// A part of an update came.
--- a/crates/ochrewalk-distribution/tests/watches.rs
+++ b/crates/ochrewalk-distribution/tests/watches.rs
@@ -175,3 +175,27 @@
     node.assert_equals(server.store());
     assert!(node.store.get(&name).is_some());
 }
+
+#[test]
+fn a_deletion_under_way_takes_effect_although_the_name_is_asked_for_again() {
+    let mut server = filled_publisher();
+    publish(&mut server, &[quota("b", "tenant", 1.0)]);
+    let mut node = node("one");
+    node.connect(&mut server);
+    node.catch_up(&mut server);
+    let name = quota_name("b", "tenant");
+    let add = Watch { add: vec![name.clone()], remove: Vec::new() };
+    node.watch(&mut server, &add);
+    node.catch_up(&mut server);
+    assert!(node.store.get(&name).is_some());
+    publish(&mut server, &[deletion("b", "tenant")]);
+    let part = node.next_part(&mut server, &mut 0).expect("there is an update");
+    // The update was begun before the server hears of the second watch.
+    node.watch(&mut server, &add);
+    node.receive(&mut server, part).expect("the part is right");
+    node.assert_equals(server.store());
+    assert!(node.store.get(&name).is_none());
+    // The second watch is answered as well.
+    assert_eq!(node.catch_up(&mut server)[0].absent, [name]);
+    node.assert_equals(server.store());
+}
