--- /dev/null
+++ b/crates/ochrewalk-node/tests/handover_records.rs
@@ -0,0 +1,207 @@
+//! The records that one process writes for the next, as programs of earlier versions write them: each is read from a
+//! committed file, compared field by field, and written back to the same bytes.
+
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
+use ochrewalk_node::moving::records::{
+    self, KeptAjp, KeptAjps, KeptAsks, KeptBelow, KeptCall, KeptDispatcher, KeptDispatchers, KeptExecutor,
+    KeptLink, KeptNode, KeptOpen, KeptRpc, KeptRpcs, KeptStream, KeptToken, KeptTokens, Whereabouts,
+};
+use prost::Message;
+use std::fmt::Debug;
+use std::path::Path;
+
+/// Reads a record from its file, and demands that it is written to the same bytes.
+fn record<M: Message + Default>(name: &str) -> M {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/handover").join(name);
+    let bytes = std::fs::read(&path).unwrap_or_else(|err| panic!("{}: {err}", path.display()));
+    let record = M::decode(bytes.as_slice()).unwrap();
+    assert_eq!(record.encode_to_vec(), bytes, "{name}");
+    record
+}
+
+fn assert_record<M: Message + Default + PartialEq + Debug>(name: &str, expected: &M) {
+    assert_eq!(&record::<M>(name), expected, "{name}");
+}
+
+/// A stream between any two bytes, with a value in every field.
+fn stream() -> KeptStream {
+    KeptStream {
+        input: b"half a li".to_vec(),
+        lines: vec![b"first\n".to_vec(), b"second\n".to_vec()],
+        sent: 3,
+        half_closed: true,
+        finish: 2,
+        written: vec![b"unconfirmed\n".to_vec()],
+    }
+}
+
+fn token(key: &str, state: u32) -> KeptToken {
+    KeptToken {
+        key: key.into(),
+        holder: "00000000000000a1".into(),
+        work: 0xfedc_ba98_7654_3210,
+        until_ms: 1_796_000_000_000,
+        state,
+        result: "UkVT".into(),
+        waiting: vec!["00000000000000a2".into(), "00000000000000a3".into()],
+    }
+}
+
+/// The sections and their versions are what a successor of another version refuses by.
+#[test]
+fn the_sections_are_those_of_earlier_programs() {
+    let (at_the_pause, ahead) = records::sections();
+    let named: Vec<(&str, u32)> = at_the_pause.iter().map(|s| (s.name.as_str(), s.version)).collect();
+    let expected =
+        [("node", 1), ("listeners", 1), ("rpcs", 1), ("json", 1), ("ajp", 1), ("executor", 1), ("below", 1)];
+    assert_eq!(named, expected);
+    let named: Vec<(&str, u32)> = ahead.iter().map(|s| (s.name.as_str(), s.version)).collect();
+    assert_eq!(named, [("tokens", 1)]);
+}
+
+/// The decisions inside have a snapshot test of their own; here their bytes are carried as they are.
+#[test]
+fn the_nodes_own_record_keeps_its_format() {
+    let node: KeptNode = record("node.bin");
+    assert_eq!(node.module.as_ref().unwrap().encoded_len(), 2_171);
+    let expected = KeptNode {
+        clock_base_ns: -1_234_567_890_123,
+        print_key: 0x0123_4567_89ab_cdef,
+        print_key_more: 0xfedc_ba98_7654_3210,
+        module: node.module.clone(),
+        healthy: Some(true),
+        signal: Some(0.75),
+        idle_us: 1_000_001,
+        wake_us: 2_000_002,
+        wake_token: 42,
+        tokens: vec![token("t0", 0), token("t1", 1), token("t2", 2)],
+        gone: vec!["lapsed".into()],
+    };
+    assert_eq!(node, expected);
+}
+
+#[test]
+fn idempotency_keys_that_go_ahead_keep_their_format() {
+    assert_record("tokens.bin", &KeptTokens { tokens: vec![token("a", 0), token("b", 1)] });
+}
+
+#[test]
+fn open_rpcs_of_both_protocols_keep_their_format() {
+    let call =
+        KeptCall { pos: 17, body: vec![0, 1, 2, 255], placed: true, at_us: 5_000_001, until_us: 6_000_002 };
+    let by_json = KeptRpc {
+        id: "00000000000000a1".into(),
+        method: 2,
+        kb: 20.5,
+        ts_ms: 1_796_000_000_123,
+        left_us: Some(3_999_999),
+        token: Some("t0".into()),
+        work: 0x8877_6655_4433_2211,
+        body: "QUJD".into(),
+        owed: true,
+        running: true,
+        call: Some(call),
+        asker: Some(Whereabouts { by_ajp: false, connection: 9, name: "\"a-7\"".into(), serial: 0 }),
+    };
+    let by_ajp = KeptRpc {
+        id: "00000000000000a2".into(),
+        method: 1,
+        kb: 0.5,
+        ts_ms: 1_796_000_000_456,
+        left_us: None,
+        token: None,
+        work: 0,
+        body: String::new(),
+        owed: true,
+        running: false,
+        call: None,
+        asker: Some(Whereabouts { by_ajp: true, connection: 4, name: String::new(), serial: 12 }),
+    };
+    // Its caller is gone: nothing is owed, and its run has not ended.
+    let unowed = KeptRpc { id: "00000000000000a3".into(), running: true, ..KeptRpc::default() };
+    assert_record("rpcs.bin", &KeptRpcs { rpcs: vec![by_json, by_ajp, unowed] });
+}
+
+#[test]
+fn connections_by_json_rpc_keep_their_format() {
+    let full = KeptDispatcher {
+        number: 9,
+        stream: stream(),
+        open: vec![KeptOpen { name: "\"a-7\"".into(), rpc: "00000000000000a1".into() }],
+        used_us: 7_000_007,
+        spoke: true,
+        good: true,
+        faults: 3,
+        after_faults: 31,
+        partial_us: Some(6_999_999),
+        rpcs: true,
+        end_by_us: Some(8_000_008),
+    };
+    let fresh = KeptDispatcher { number: 10, ..KeptDispatcher::default() };
+    assert_record("json.bin", &KeptDispatchers { of: vec![full, fresh], next: 11 });
+}
+
+#[test]
+fn connections_by_ajp_keep_their_format() {
+    let asks = KeptAsks {
+        health: false,
+        method: 1,
+        id: Some("00000000000000a2".into()),
+        token: Some("sale-1".into()),
+        left_us: Some(250_000),
+        kb: 20.5,
+        ts_ms: 1_796_000_000_456,
+        tenant: Some("tenant-a".into()),
+    };
+    let in_body = KeptAjp {
+        number: 4,
+        stream: stream(),
+        state: 2,
+        since_us: 7_000_001,
+        got: 2,
+        stated: Some(3),
+        flag: true,
+        spoke: true,
+        faults: 1,
+        asks: Some(asks),
+        body: b"AB".to_vec(),
+        rpc: Some("00000000000000a2".into()),
+        serial: 12,
+        used_us: 7_000_002,
+        good: true,
+    };
+    let health = KeptAsks { health: true, ts_ms: 1_796_000_000_789, ..KeptAsks::default() };
+    let asked_for_health = KeptAjp { number: 5, state: 4, asks: Some(health), ..KeptAjp::default() };
+    assert_record("ajp.bin", &KeptAjps { of: vec![in_body, asked_for_health], next: 6 });
+}
+
+#[test]
+fn the_link_to_the_executor_keeps_its_format() {
+    let linked = KeptExecutor {
+        stream: Some(stream()),
+        waiting: vec![b"{\"action\":\"KILL\"}\n".to_vec()],
+        read: 1_234,
+        welcomed: true,
+        asked: 77,
+        doubtful: vec![b"{\"action\":\"EXEC\"}\n".to_vec()],
+        doubt_until: 9_000_009,
+        paused: vec!["look".into(), "sale".into()],
+    };
+    assert_record("executor.bin", &linked);
+    // Without a link only commands that wait for one.
+    let unlinked = KeptExecutor { waiting: vec![b"{}\n".to_vec()], ..KeptExecutor::default() };
+    assert_record("executor-unlinked.bin", &unlinked);
+}
+
+#[test]
+fn calls_upstream_keep_their_format() {
+    let link = KeptLink {
+        at: "127.0.0.1:7400".into(),
+        stream: stream(),
+        calls: vec!["00000000000000a1".into()],
+        used_us: 7_000_003,
+        partial_us: Some(6_500_000),
+    };
+    assert_record("below.bin", &KeptBelow { links: vec![link], lost: vec!["00000000000000a2".into()] });
+}
--- /dev/null
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -0,0 +1,246 @@
+//! What passes between a supervisor and the programs that it starts, byte for byte: an old supervisor runs a new program,
+//! and the other way round.
+
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
+mod helper;
+
+use helper::*;
+use ochrewalk_handover::messages::{self, Count, Greet, Message, Nothing, Prepare, Refuse};
+use ochrewalk_node::moving::counter_report::CounterReport;
+use ochrewalk_node::moving::supervisor_link::{Question, SupervisorLink};
+use ochrewalk_node::moving::wire::{inherit, lines, send_line, Heard, Wire};
+use ochrewalk_rollout::messages::{MethodTally, Tally};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::os::fd::{AsFd, AsRawFd};
+use std::os::unix::net::UnixStream;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Stdio};
+use std::time::{Duration, Instant};
+
+/// Far longer than anything takes that works.
+const PATIENCE: Duration = Duration::from_secs(10);
+
+fn fixture_path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/handover").join(name)
+}
+
+fn fixture(name: &str) -> Vec<u8> {
+    std::fs::read(fixture_path(name)).unwrap_or_else(|err| panic!("{name}: {err}"))
+}
+
+fn counters() -> Tally {
+    let method = |name: &str, calls, missed, failed| MethodTally { name: name.into(), calls, missed, failed };
+    let methods = vec![method("look", 1_000, 20, 3), method("sale", 7, 0, 1)];
+    Tally { is_healthy: true, memory_kb: 81_920, methods, settings: 0x1234_5678_9abc_def0 }
+}
+
+#[test]
+fn a_program_writes_the_lines_that_earlier_supervisors_read() {
+    let (ours, mut supervisors) = UnixStream::pair().unwrap();
+    let (link, _) = SupervisorLink::new(ours, || ()).unwrap();
+    for question in [Question::MayPause, Question::MayResume, Question::MayBegin] {
+        assert_eq!(link.ask(question, Duration::ZERO), None);
+    }
+    link.report("end other");
+    link.report("told its files set\nwhat only a start can change");
+    link.report(&CounterReport::All(counters()).to_line());
+    link.report(&CounterReport::Changed(counters()).to_line());
+    let expected = fixture("program-lines.txt");
+    let mut written = vec![0; expected.len()];
+    supervisors.read_exact(&mut written).unwrap();
+    assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(&expected));
+}
+
+#[test]
+fn counter_reports_of_earlier_programs_are_read() {
+    let text = String::from_utf8(fixture("program-lines.txt")).unwrap();
+    let reports: Vec<CounterReport> = text.lines().filter_map(CounterReport::of_line).collect();
+    assert_eq!(reports, [CounterReport::All(counters()), CounterReport::Changed(counters())]);
+}
+
+#[test]
+fn a_program_reads_the_lines_that_earlier_supervisors_write() {
+    let (ours, mut supervisors) = UnixStream::pair().unwrap();
+    let (link, successors) = SupervisorLink::new(ours, || ()).unwrap();
+    supervisors.write_all(&fixture("supervisor-lines.txt")).unwrap();
+    assert_eq!(link.ask(Question::MayPause, PATIENCE), Some(true));
+    assert_eq!(link.ask(Question::MayResume, PATIENCE), Some(false));
+    // Without a descriptor beside it nobody is handed anything, and a word of a newer supervisor is passed over.
+    assert!(successors.try_recv().is_err());
+    let (gives, mut takes) = UnixStream::pair().unwrap();
+    send_line(&supervisors, "give", Some(gives.as_fd())).unwrap();
+    let mut passed = UnixStream::from(successors.recv_timeout(PATIENCE).unwrap());
+    passed.write_all(b"x").unwrap();
+    takes.read_exact(&mut [0]).unwrap();
+}
+
+#[test]
+fn a_line_is_written_with_its_descriptor_beside_its_first_byte() {
+    let (sender, receiver) = UnixStream::pair().unwrap();
+    let (passed, mut other_end) = UnixStream::pair().unwrap();
+    send_line(&sender, "give", Some(passed.as_fd())).unwrap();
+    send_line(&sender, "yes", None).unwrap();
+    drop(sender);
+    let mut heard = Vec::new();
+    lines(&receiver, |line, descriptor| heard.push((line.to_string(), descriptor)));
+    let [(give, descriptor), (yes, none)] = &mut heard[..] else { panic!("{heard:?}") };
+    assert_eq!((give.as_str(), yes.as_str(), none.is_none()), ("give", "yes", true));
+    UnixStream::from(descriptor.take().unwrap()).write_all(b"x").unwrap();
+    other_end.read_exact(&mut [0]).unwrap();
+}
+
+/// A new program finds its streams by the names in its environment, and is told that it may not begin while the one before
+/// serves.
+#[test]
+fn a_supervisor_passes_streams_by_the_names_that_earlier_programs_look_for() {
+    let (control, output) = (file("").with_extension("sock"), file(""));
+    let operators = format!("upgrade control {}\n", control.display());
+    let stand = Stand::with_all(|_| (), &operators, &[("PROBE_OUTPUT", output.to_str().unwrap())]);
+    let mut executor = stand.executor();
+    executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+    stand.caller().wait_healthy();
+    let mut stream = UnixStream::connect(&control).unwrap();
+    let probe = fixture_path("probe.sh");
+    stream.write_all(format!("upgrade {}\n", probe.display()).as_bytes()).unwrap();
+    let mut line = String::new();
+    BufReader::new(stream).read_line(&mut line).unwrap();
+    assert_eq!(line, "the new program ended\n");
+    let seen = std::fs::read_to_string(&output).unwrap();
+    assert_eq!(seen, "OCHREWALK_KEPT\nOCHREWALK_KEPT_READS_CHANGES\nOCHREWALK_TAKES\nanswer no\n");
+    std::fs::remove_file(output).unwrap();
+}
+
+/// The supervisor's end of a program's stream.
+struct SupervisorEnd {
+    stream: UnixStream,
+    input: BufReader<UnixStream>,
+}
+
+impl SupervisorEnd {
+    /// That end, and the one that a program is started with.
+    fn pair() -> (SupervisorEnd, std::os::fd::OwnedFd) {
+        let (stream, theirs) = UnixStream::pair().unwrap();
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let input = BufReader::new(stream.try_clone().unwrap());
+        (SupervisorEnd { stream, input }, inherit(theirs.as_fd()).unwrap())
+    }
+
+    fn line(&mut self) -> String {
+        let mut line = String::new();
+        self.input.read_line(&mut line).unwrap();
+        line
+    }
+
+    /// The next line that reports no counters.
+    fn line_but_counters(&mut self) -> String {
+        loop {
+            let line = self.line();
+            if !line.starts_with("tally") {
+                return line;
+            }
+        }
+    }
+}
+
+/// The next message on a stream of a hand-over.
+fn hear(wire: &mut Wire) -> Message {
+    let until = Instant::now() + PATIENCE;
+    while Instant::now() < until {
+        match wire.hear(Duration::from_millis(100)).unwrap() {
+            Heard::Message(message) => return message,
+            Heard::Nothing => {}
+            other => panic!("{other:?}"),
+        }
+    }
+    panic!("nothing came");
+}
+
+/// A program that is to succeed another one: what it greets with, before it is ended.
+fn greeting_of_a_successor(stand: &Stand) -> Greet {
+    let (_supervisor, link) = SupervisorEnd::pair();
+    let (ours, theirs) = UnixStream::pair().unwrap();
+    let theirs = inherit(theirs.as_fd()).unwrap();
+    let config = file(&stand.config().to_string());
+    let words = ["serve", "--config", config.to_str().unwrap()];
+    let mut child: Child = program(&words)
+        .args(["--operators", stand.operators.to_str().unwrap()])
+        .env("OCHREWALK_KEPT", link.as_raw_fd().to_string())
+        .env("OCHREWALK_TAKES", theirs.as_raw_fd().to_string())
+        .stdout(Stdio::null())
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
+    let Message::Greet(greet) = hear(&mut Wire::new(ours)) else { panic!("no greeting") };
+    child.kill().unwrap();
+    child.wait().unwrap();
+    std::fs::remove_file(config).unwrap();
+    greet
+}
+
+/// A program that serves hands over to a successor of any version, by the messages and lines that both sides know. Here
+/// the test is supervisor and successor, and gives up at the last moment.
+#[test]
+fn a_program_that_serves_keeps_to_the_conversation_of_earlier_programs() {
+    let (mut supervisor, link) = SupervisorEnd::pair();
+    let stand = Stand::with_all(|_| (), "", &[("OCHREWALK_KEPT", &link.as_raw_fd().to_string())]);
+    drop(link);
+    let mut executor = stand.executor();
+    executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+    stand.caller().wait_healthy();
+    std::thread::spawn(move || executor.hear_out());
+    // A supervisor that does not say that it reads changes gets all counters.
+    let report = supervisor.line();
+    assert!(report.starts_with("tally ") && CounterReport::of_line(report.trim_end()).is_some(), "{report}");
+
+    let begin = |supervisor: &SupervisorEnd, greet: Greet| {
+        let (gives, takes) = UnixStream::pair().unwrap();
+        send_line(&supervisor.stream, "give", Some(gives.as_fd())).unwrap();
+        drop(gives);
+        let mut wire = Wire::new(takes);
+        wire.send(Message::Greet(greet), &[]).unwrap();
+        let answer = hear(&mut wire);
+        (wire, answer)
+    };
+    let greet = greeting_of_a_successor(&stand);
+    assert_eq!((greet.oldest, greet.newest, greet.program.as_str()), (1, 2, "0.1.0"));
+    let (_, answer) = begin(&supervisor, Greet { digest: !greet.digest, ..greet.clone() });
+    assert_eq!(messages::write(answer), fixture("refused-files.bin"));
+    assert_eq!(supervisor.line_but_counters(), "told its files set what only a start can change\n");
+
+    let (mut wire, answer) = begin(&supervisor, greet);
+    let Message::Offer(offer) = answer else { panic!("{answer:?}") };
+    let offered: Vec<&str> = offer.sections.iter().map(|section| section.name.as_str()).collect();
+    let expected = ["node", "listeners", "rpcs", "json", "ajp", "executor", "below", "tokens"];
+    assert_eq!((offer.version, offered.as_slice()), (2, expected.as_slice()));
+    wire.send(Message::Prepare(Prepare {}), &[]).unwrap();
+    assert_eq!(hear(&mut wire), Message::Ahead(Count { parts: 0 }));
+    wire.send(Message::Ready(Nothing {}), &[]).unwrap();
+    assert_eq!(supervisor.line_but_counters(), "still?\n");
+    supervisor.stream.write_all(b"yes\n").unwrap();
+    let sections = parts_until_the_last(&mut wire);
+    assert_eq!(sections, ["node", "listeners", "rpcs", "json", "executor", "below"]);
+    wire.send(Message::Abort(Refuse { why: "a spoilt section".into() }), &[]).unwrap();
+    assert_eq!(supervisor.line_but_counters(), "on?\n");
+    supervisor.stream.write_all(b"yes\n").unwrap();
+    assert_eq!(supervisor.line_but_counters(), "told the new program refused: a spoilt section\n");
+    stand.caller().wait_healthy();
+}
+
+/// The sections of the parts that come, each with its announced descriptors; the last message counts them.
+fn parts_until_the_last(wire: &mut Wire) -> Vec<String> {
+    let mut sections = Vec::new();
+    loop {
+        match hear(wire) {
+            Message::Part(part) => {
+                assert!(wire.take(part.descriptors as usize).is_some(), "{}", part.section);
+                sections.push(part.section);
+            }
+            Message::Last(count) => {
+                assert_eq!(count.parts, sections.len() as u64);
+                return sections;
+            }
+            other => panic!("{other:?}"),
+        }
+    }
+}
