--- a/crates/ochrewalk-node/benches/standstill.rs
+++ b/crates/ochrewalk-node/benches/standstill.rs
@@ -2,8 +2,8 @@
 //! others went ahead; and the longest moment that a piece sent ahead holds everybody up.
 //! `cargo bench -p ochrewalk-node`
 
+use ochrewalk_node::handover::records::{KeptToken, KeptTokens};
 use ochrewalk_node::keys::{Keys, State};
-use ochrewalk_node::moving::records::{KeptToken, KeptTokens};
 use prost::Message;
 use std::time::Instant;
 
--- a/crates/ochrewalk-node/src/gate.rs
+++ b/crates/ochrewalk-node/src/gate.rs
@@ -4,9 +4,9 @@
 
 use crate::clock::{since_us, whole_ms, Clock};
 use crate::ending::CallEnd;
+use crate::handover::records::{KeptNode, KeptToken};
+use crate::handover::stands_still;
 use crate::keys::{Keys, Known, Lapse, Served, State};
-use crate::moving::records::{KeptNode, KeptToken};
-use crate::moving::stands_still;
 use crate::wire::notices::RunEnd;
 use may::sync::mpsc::{channel, Receiver, Sender};
 use ochrewalk::decide::Decide;
--- a/crates/ochrewalk-node/src/moving/process_guard.rs
+++ b/crates/ochrewalk-node/src/handover/process_guard.rs
@@ -38,7 +38,7 @@
     /// Who would hand over, if an attempt may begin now.
     ///
     /// ```
-    /// use ochrewalk_node::moving::process_guard::{ProcessGuard, ProcessAction};
+    /// use ochrewalk_node::handover::process_guard::{ProcessGuard, ProcessAction};
     /// let mut process_guard = ProcessGuard::default();
     /// process_guard.first(1);
     /// assert_eq!(process_guard.giver(), Some(1));
--- a/crates/ochrewalk-node/src/keys.rs
+++ b/crates/ochrewalk-node/src/keys.rs
@@ -1,6 +1,6 @@
 //! Decides what a token stands for: which RPC holds it, what became of that, and which repeats wait for it.
 
-use crate::moving::records::KeptToken;
+use crate::handover::records::KeptToken;
 use ochrewalk::host::RpcId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::ops::Bound;
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Next, Post};
-use crate::moving::records::KeptBelow;
+use crate::handover::records::KeptBelow;
 use crate::seam::Beneath;
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
--- a/crates/ochrewalk-node/src/net/ajp_front/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/handover.rs
@@ -1,7 +1,7 @@
 //! Connections as they are written down for a successor, and taken up from a predecessor.
 
 use super::{AjpFront, Caller, Carried, Connection, PendingRequest};
-use crate::moving::records::{KeptAjp, KeptAjps, KeptAsks, Whereabouts};
+use crate::handover::records::{KeptAjp, KeptAjps, KeptAsks, Whereabouts};
 use crate::net::link::{adopt, Outbox};
 use crate::seam::Asker;
 use ochrewalk::host::RpcId;
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -13,7 +13,7 @@
 use crate::configuration::state::Quotas;
 use crate::core::Core;
 use crate::ending::Ending;
-use crate::moving::records::Whereabouts;
+use crate::handover::records::Whereabouts;
 use crate::seam::{Answer, Asker};
 use inbound::{Inbound, Wanted, MOST_BODY};
 use may::net::TcpStream;
--- a/crates/ochrewalk-node/src/net/below.rs
+++ b/crates/ochrewalk-node/src/net/below.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Next, Post};
-use crate::moving::records::{KeptBelow, KeptLink};
+use crate::handover::records::{KeptBelow, KeptLink};
 use crate::seam::Beneath;
 use crate::wire::calls::{self, Word};
 use may::net::TcpStream;
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -6,7 +6,7 @@
 use crate::core::{Asked, Core};
 use crate::ending::Ending;
 use crate::gate::Posture;
-use crate::moving::records::{KeptDispatcher, KeptDispatchers, KeptOpen, Whereabouts};
+use crate::handover::records::{KeptDispatcher, KeptDispatchers, KeptOpen, Whereabouts};
 use crate::seam::{Answer, Asker};
 use crate::wire::jsonrpc::{self, Message, Which};
 use may::net::TcpStream;
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -12,7 +12,7 @@
 use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
 use crate::ending::Ending;
 use crate::gate::{Gate, Next, Post};
-use crate::moving::records::KeptExecutor;
+use crate::handover::records::KeptExecutor;
 use crate::wire::notices::{self, Notice, RunEnd};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use may::net::TcpStream;
--- a/crates/ochrewalk-node/src/net/link.rs
+++ b/crates/ochrewalk-node/src/net/link.rs
@@ -3,8 +3,8 @@
 //! first, that something can be read, that it can be written, or that a line was put into the outbox.
 
 use crate::ending::Ending;
-use crate::moving::records::KeptStream;
-use crate::moving::stands_still;
+use crate::handover::records::KeptStream;
+use crate::handover::stands_still;
 use crate::panics::contain;
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::{TcpListener, TcpStream};
--- a/crates/ochrewalk-node/src/node/files.rs
+++ b/crates/ochrewalk-node/src/node/files.rs
@@ -1,6 +1,6 @@
 //! The files that a node goes by, read and checked together.
 
-use crate::moving::orders::print_of;
+use crate::handover::orders::print_of;
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::{Below as Called, Effect};
 use ochrewalk_operators::Operators;
--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -1,7 +1,7 @@
 //! The conductor of a rolling change as a program: it asks nodes, sends orders, keeps a record and hears the operator, as
 //! `ochrewalk-rollout` decides.
 
-use crate::moving::orders::{ask, print_of};
+use crate::handover::orders::{ask, print_of};
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_operators::{changes, Needs, Rollout as Plan, Subject};
 use ochrewalk_rollout::messages::{self, program, OrderTold, Request, Response, Said, Stands, Wanted};
--- a/crates/ochrewalk-node/src/seam.rs
+++ b/crates/ochrewalk-node/src/seam.rs
@@ -2,7 +2,7 @@
 //! below. Each protocol brings its own; the life knows none of them.
 
 use crate::gate::Post;
-use crate::moving::records::{KeptBelow, Whereabouts};
+use crate::handover::records::{KeptBelow, Whereabouts};
 use ochrewalk::host::RpcId;
 use std::os::fd::RawFd;
 
--- a/crates/ochrewalk-node/tests/handover_records.rs
+++ b/crates/ochrewalk-node/tests/handover_records.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use ochrewalk_node::moving::records::{
+use ochrewalk_node::handover::records::{
     self, KeptAjp, KeptAjps, KeptAsks, KeptBelow, KeptCall, KeptDispatcher, KeptDispatchers, KeptExecutor,
     KeptLink, KeptNode, KeptOpen, KeptRpc, KeptRpcs, KeptStream, KeptToken, KeptTokens, Whereabouts,
 };
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -7,9 +7,9 @@
 
 use helper::*;
 use ochrewalk_handover::messages::{self, Count, Greet, Message, Nothing, Prepare, Refuse};
-use ochrewalk_node::moving::counter_report::CounterReport;
-use ochrewalk_node::moving::supervisor_link::{Question, SupervisorLink};
-use ochrewalk_node::moving::wire::{inherit, lines, send_line, Heard, Wire};
+use ochrewalk_node::handover::counter_report::CounterReport;
+use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
+use ochrewalk_node::handover::wire::{inherit, lines, send_line, Heard, Wire};
 use ochrewalk_rollout::messages::{MethodTally, Tally};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::fd::{AsFd, AsRawFd};
--- a/crates/ochrewalk-node/tests/supervisor_link.rs
+++ b/crates/ochrewalk-node/tests/supervisor_link.rs
@@ -1,8 +1,8 @@
 //! A program's stream to its supervisor: lines of several threads, questions and answers, and counters.
 
-use ochrewalk_node::moving::counter_report::{CounterReport, MethodCounters, ReportedCounters};
-use ochrewalk_node::moving::supervisor_link::{Question, SupervisorLink};
-use ochrewalk_node::moving::wire::{lines, send_line};
+use ochrewalk_node::handover::counter_report::{CounterReport, MethodCounters, ReportedCounters};
+use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
+use ochrewalk_node::handover::wire::{lines, send_line};
 use ochrewalk_rollout::messages::{MethodTally, Tally};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver};
