--- a/crates/ochrewalk-handover/src/messages.rs
+++ b/crates/ochrewalk-handover/src/messages.rs
@@ -1,14 +1,14 @@
 //! The messages, in protobuf. What a newer program adds to one is passed over by an older one; a section that has to
-//! be understood is named in the offer, so that a taker that does not know it refuses.
+//! be understood is named in the offer, so that a successor that does not know it refuses.
 
 use prost::{Message as _, Oneof};
 
 /// Bytes that say how long a message is.
-pub const PREFIX: usize = 4;
+pub const LENGTH_PREFIX_BYTES: usize = 4;
 /// The longest message.
-pub const LONGEST: usize = 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 /// Descriptors that go with one message: the system passes no more at once.
-pub const MOST_DESCRIPTORS: usize = 250;
+pub const MAX_DESCRIPTORS: usize = 250;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
@@ -19,34 +19,34 @@
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
 pub enum Message {
     #[prost(message, tag = "1")]
-    Greet(Greet),
+    Hello(Hello),
     #[prost(message, tag = "2")]
     Offer(Offer),
     #[prost(message, tag = "3")]
-    Refuse(Refuse),
+    Refuse(Refusal),
     #[prost(message, tag = "4")]
     Prepare(Prepare),
     #[prost(message, tag = "5")]
-    Part(Part),
+    Chunk(Chunk),
     #[prost(message, tag = "6")]
-    Ahead(Count),
+    AheadComplete(ChunkCount),
     #[prost(message, tag = "7")]
-    Ready(Nothing),
+    Ready(Empty),
     #[prost(message, tag = "8")]
-    Last(Count),
+    TransferComplete(ChunkCount),
     #[prost(message, tag = "9")]
-    Commit(Nothing),
+    Loaded(Empty),
     #[prost(message, tag = "10")]
-    Go(Nothing),
+    Release(Empty),
     #[prost(message, tag = "11")]
-    Done(Nothing),
+    Started(Empty),
     #[prost(message, tag = "12")]
-    Abort(Refuse),
+    Abort(Refusal),
 }
 
-/// The taker's first word.
+/// The successor's first word.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Greet {
+pub struct Hello {
     #[prost(uint32, tag = "1")]
     pub oldest: u32,
     #[prost(uint32, tag = "2")]
@@ -83,20 +83,20 @@
 
 /// Why it goes no further, in plain words.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Refuse {
+pub struct Refusal {
     #[prost(string, tag = "1")]
-    pub why: String,
+    pub reason: String,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Prepare {}
 
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Nothing {}
+pub struct Empty {}
 
 /// A piece of a section, and how many descriptors go with it.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Part {
+pub struct Chunk {
     #[prost(string, tag = "1")]
     pub section: String,
     #[prost(bytes = "vec", tag = "2")]
@@ -107,13 +107,13 @@
 
 /// How many parts went before: one that got lost shows.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Count {
+pub struct ChunkCount {
     #[prost(uint64, tag = "1")]
-    pub parts: u64,
+    pub chunks: u64,
 }
 
 /// A message as it goes over the stream.
-pub fn write(message: Message) -> Vec<u8> {
+pub fn encode(message: Message) -> Vec<u8> {
     let envelope = Envelope { message: Some(message) };
     let mut out = (envelope.encoded_len() as u32).to_be_bytes().to_vec();
     envelope.encode(&mut out).expect("a vector has room");
@@ -122,13 +122,15 @@
 
 /// The first whole message and how many bytes it takes. `Ok(None)` is one that a newer program has added, or one
 /// that is not whole: the second number tells them apart.
-pub fn read(input: &[u8]) -> Result<(Option<Message>, usize), &'static str> {
-    let Some(length) = input.get(..PREFIX) else { return Ok((None, 0)) };
+pub fn decode(input: &[u8]) -> Result<(Option<Message>, usize), &'static str> {
+    let Some(length) = input.get(..LENGTH_PREFIX_BYTES) else { return Ok((None, 0)) };
     let length = u32::from_be_bytes(length.try_into().expect("four bytes")) as usize;
-    if length > LONGEST {
+    if length > MAX_MESSAGE_BYTES {
         return Err("a message longer than any");
     }
-    let Some(bytes) = input.get(PREFIX..PREFIX + length) else { return Ok((None, 0)) };
+    let Some(bytes) = input.get(LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + length) else {
+        return Ok((None, 0));
+    };
     let envelope = Envelope::decode(bytes).map_err(|_| "bytes that are no message")?;
-    Ok((envelope.message, PREFIX + length))
+    Ok((envelope.message, LENGTH_PREFIX_BYTES + length))
 }
--- a/crates/ochrewalk-handover/tests/explore.rs
+++ b/crates/ochrewalk-handover/tests/explore.rs
@@ -1,29 +1,29 @@
-//! Both sides explored exhaustively: crashes, notices to leave, new files and time-outs at every step, messages as late
+//! Both sides explored exhaustively: crashes, requests to leave, new files and time-outs at every step, messages as late
 //! as they like, one attempt after another.
 
-use ochrewalk_handover::giver::{self, Giver, Holding};
-use ochrewalk_handover::messages::{Message, Part};
-use ochrewalk_handover::taker::{self, Room, Taker};
+use ochrewalk_handover::messages::{Chunk, Message};
+use ochrewalk_handover::predecessor::{self, Predecessor, StateSummary};
+use ochrewalk_handover::successor::{self, Capabilities, Successor};
 use stateright::{Checker, Model, Property};
 
 /// A process and what it has written that the other has not read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    giver: Option<Giver>,
-    taker: Option<Taker>,
-    to_taker: Vec<Message>,
-    to_giver: Vec<Message>,
+    predecessor: Option<Predecessor>,
+    successor: Option<Successor>,
+    to_successor: Vec<Message>,
+    to_predecessor: Vec<Message>,
     /// The stream's end was heard.
-    taker_heard_end: bool,
-    giver_heard_end: bool,
+    successor_heard_end: bool,
+    predecessor_heard_end: bool,
     /// Whoever started both ends one of them at the most in one attempt, and only while neither acts: each asks
     /// before it begins or goes on.
-    ended_one: bool,
-    taker_acted: bool,
+    killed_one: bool,
+    successor_acted: bool,
     from_the_dead: bool,
-    took_back: bool,
+    taken_back: bool,
     crashes: u8,
-    notices: u8,
+    leave_requests: u8,
     attempts: u8,
     /// Time-outs while nobody could act and nothing was on its way to whoever timed out.
     idle_ticks: u8,
@@ -31,72 +31,72 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    GiverReads,
-    TakerReads { loads: bool },
-    GiverHearsEnd,
-    TakerHearsEnd,
-    GiverCrashes,
-    TakerCrashes,
-    GiverTimesOut,
-    TakerTimesOut,
-    GiverInterrupted,
-    TakerToldToLeave,
+    PredecessorReads,
+    SuccessorReads { loads: bool },
+    PredecessorHearsEnd,
+    SuccessorHearsEnd,
+    PredecessorCrashes,
+    SuccessorCrashes,
+    PredecessorTimesOut,
+    SuccessorTimesOut,
+    PredecessorInterrupted,
+    SuccessorToldToLeave,
     AnotherAttempt,
 }
 
 #[derive(Default)]
-struct Deeds {
+struct RecordedActions {
     sent: Vec<Message>,
     loads: bool,
-    thawed: bool,
-    ended_peer: bool,
-    over: bool,
-    began: bool,
-    anew: bool,
+    resumed: bool,
+    killed_peer: bool,
+    exited: bool,
+    started: bool,
+    fresh: bool,
 }
 
-impl giver::Acts for Deeds {
+impl predecessor::Actions for RecordedActions {
     fn send(&mut self, message: Message) {
         self.sent.push(message);
     }
-    fn send_ahead(&mut self, now_us: u64) -> (u64, u64) {
+    fn transfer_ahead(&mut self, now_us: u64) -> (u64, u64) {
         (0, now_us)
     }
-    fn freeze(&mut self) -> u64 {
-        self.sent.push(Message::Part(Part::default()));
+    fn pause(&mut self) -> u64 {
+        self.sent.push(Message::Chunk(Chunk::default()));
         1
     }
-    fn thaw(&mut self) {
-        self.thawed = true;
+    fn resume(&mut self) {
+        self.resumed = true;
     }
-    fn end_peer(&mut self) {
-        self.ended_peer = true;
+    fn kill_peer(&mut self) {
+        self.killed_peer = true;
     }
     fn retire(&mut self) {
-        self.over = true;
+        self.exited = true;
     }
-    fn tell(&mut self, _how: &str) {}
+    fn report_outcome(&mut self, _how: &str) {}
 }
 
-impl taker::Acts for Deeds {
+impl successor::Actions for RecordedActions {
     fn send(&mut self, message: Message) {
         self.sent.push(message);
     }
-    fn keep(&mut self, _section: &str, _bytes: &[u8], _descriptors: u32) {}
+    fn store(&mut self, _section: &str, _bytes: &[u8], _descriptors: u32) {}
     fn load(&mut self) -> Result<(), String> {
         self.loads.then_some(()).ok_or_else(|| "no".into())
     }
-    fn begin(&mut self) {
-        self.began = true;
+    fn start(&mut self) {
+        self.started = true;
     }
-    fn begin_anew(&mut self) {
-        (self.began, self.anew) = (true, true);
+    fn start_fresh(&mut self) {
+        (self.started, self.fresh) = (true, true);
     }
-    fn end_peer(&mut self) {
-        self.ended_peer = true;
+    fn kill_peer(&mut self) {
+        self.killed_peer = true;
     }
-    fn end(&mut self, _why: &str) {
-        self.over = true;
+    fn exit(&mut self, _why: &str) {
+        self.exited = true;
     }
 }
 
@@ -104,125 +104,133 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Broken {
     Nothing,
-    /// The giver takes up again after a time-out, without knowing that the other has ended.
-    GiverImpatient,
-    /// The taker begins as soon as it has everything, without waiting for the word.
-    TakerImpatient,
+    /// The predecessor resumes after a time-out, without knowing that the other has ended.
+    PredecessorImpatient,
+    /// The successor begins as soon as it has everything, without waiting for the release.
+    SuccessorImpatient,
 }
 
-struct Handover {
+struct HandOver {
     broken: Broken,
     crashes: u8,
 }
 
-const GIVER: giver::Limits = giver::Limits { prepare_us: 0, freeze_us: 0, begin_us: 0 };
-const TAKER: taker::Limits = taker::Limits { answer_us: 0, frozen_us: 0 };
+const PREDECESSOR: predecessor::Limits = predecessor::Limits { prepare_us: 0, pause_us: 0, start_us: 0 };
+const SUCCESSOR: successor::Limits = successor::Limits { answer_us: 0, pause_us: 0 };
 
-fn holding() -> Holding {
-    Holding { digest: 7, sections: vec![], ahead: vec![], bytes: 0, descriptors: 0, unfit: None }
+fn summary() -> StateSummary {
+    StateSummary { digest: 7, sections: vec![], ahead: vec![], bytes: 0, descriptors: 0, shortage: None }
 }
 
 fn attempt(world: &mut World) {
-    let mut deeds = Deeds::default();
-    let room = Room { digest: 7, program: String::new(), knows: vec![], bytes: 0, descriptors: 0 };
-    world.giver = Some(Giver::new(0, GIVER, holding()));
-    world.taker = Some(Taker::start(0, TAKER, room, &mut deeds));
-    (world.to_giver, world.to_taker) = (deeds.sent, vec![]);
-    (world.taker_heard_end, world.giver_heard_end, world.ended_one) = (false, false, false);
+    let mut actions = RecordedActions::default();
+    let capabilities =
+        Capabilities { digest: 7, program: String::new(), known_sections: vec![], bytes: 0, descriptors: 0 };
+    world.predecessor = Some(Predecessor::new(0, PREDECESSOR, summary()));
+    world.successor = Some(Successor::new(0, SUCCESSOR, capabilities, &mut actions));
+    (world.to_predecessor, world.to_successor) = (actions.sent, vec![]);
+    (world.successor_heard_end, world.predecessor_heard_end, world.killed_one) = (false, false, false);
     world.attempts += 1;
 }
 
 impl World {
-    fn giver_acts(&self) -> bool {
-        self.giver.as_ref().is_some_and(Giver::may_act)
+    fn predecessor_acts(&self) -> bool {
+        self.predecessor.as_ref().is_some_and(Predecessor::may_act)
     }
 
-    fn taker_acts(&self) -> bool {
-        self.taker.as_ref().is_some_and(Taker::may_act)
+    fn successor_acts(&self) -> bool {
+        self.successor.as_ref().is_some_and(Successor::may_act)
     }
 
-    fn by_giver(&mut self, what: impl FnOnce(&mut Giver, &mut Deeds)) {
-        let mut deeds = Deeds::default();
-        let nobody_acts = !self.giver_acts() && !self.taker_acts();
-        let Some(giver) = &mut self.giver else { return };
-        let given = matches!(giver.state(), giver::State::Given { .. });
-        what(giver, &mut deeds);
-        self.to_taker.extend(deeds.sent);
-        self.took_back |= deeds.thawed && given;
-        if deeds.over {
-            self.giver = None;
+    fn act_as_predecessor(&mut self, step: impl FnOnce(&mut Predecessor, &mut RecordedActions)) {
+        let mut actions = RecordedActions::default();
+        let nobody_acts = !self.predecessor_acts() && !self.successor_acts();
+        let Some(predecessor) = &mut self.predecessor else { return };
+        let released = matches!(predecessor.state(), predecessor::State::Released { .. });
+        step(predecessor, &mut actions);
+        self.to_successor.extend(actions.sent);
+        self.taken_back |= actions.resumed && released;
+        if actions.exited {
+            self.predecessor = None;
         }
-        if deeds.ended_peer && !self.ended_one && nobody_acts {
-            (self.taker, self.ended_one) = (None, true);
+        if actions.killed_peer && !self.killed_one && nobody_acts {
+            (self.successor, self.killed_one) = (None, true);
         }
     }
 
-    fn by_taker(&mut self, loads: bool, what: impl FnOnce(&mut Taker, &mut Deeds)) {
-        let mut deeds = Deeds { loads, ..Deeds::default() };
-        let nobody_acts = !self.giver_acts() && !self.taker_acts();
-        let Some(taker) = &mut self.taker else { return };
-        what(taker, &mut deeds);
-        self.to_giver.extend(deeds.sent);
-        self.taker_acted |= deeds.began;
-        self.from_the_dead |= deeds.began && self.giver.is_none();
-        if deeds.over {
-            self.taker = None;
+    fn act_as_successor(&mut self, loads: bool, step: impl FnOnce(&mut Successor, &mut RecordedActions)) {
+        let mut actions = RecordedActions { loads, ..RecordedActions::default() };
+        let nobody_acts = !self.predecessor_acts() && !self.successor_acts();
+        let Some(successor) = &mut self.successor else { return };
+        step(successor, &mut actions);
+        self.to_predecessor.extend(actions.sent);
+        self.successor_acted |= actions.started;
+        self.from_the_dead |= actions.started && self.predecessor.is_none();
+        if actions.exited {
+            self.successor = None;
         }
-        if deeds.ended_peer && !self.ended_one && nobody_acts {
-            (self.giver, self.ended_one) = (None, true);
+        if actions.killed_peer && !self.killed_one && nobody_acts {
+            (self.predecessor, self.killed_one) = (None, true);
         }
     }
 
     /// What goes on without anybody's doing.
-    fn in_course(&self) -> Vec<Action> {
+    fn next_events(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        if let Some(giver) = &self.giver {
-            match self.to_giver.is_empty() {
-                false => actions.push(Action::GiverReads),
-                true if self.taker.is_none() && !self.giver_heard_end => actions.push(Action::GiverHearsEnd),
+        if let Some(predecessor) = &self.predecessor {
+            match self.to_predecessor.is_empty() {
+                false => actions.push(Action::PredecessorReads),
+                true if self.successor.is_none() && !self.predecessor_heard_end => {
+                    actions.push(Action::PredecessorHearsEnd)
+                }
                 true => {}
             }
             // What has come is read before time is judged.
-            let end_waits = self.taker.is_none() && self.to_giver.is_empty() && !self.giver_heard_end;
-            if giver.due_us().is_some() && !end_waits {
-                actions.push(Action::GiverTimesOut);
+            let end_waits =
+                self.successor.is_none() && self.to_predecessor.is_empty() && !self.predecessor_heard_end;
+            if predecessor.deadline_us().is_some() && !end_waits {
+                actions.push(Action::PredecessorTimesOut);
             }
         }
-        if let Some(taker) = &self.taker {
-            match self.to_taker.is_empty() {
-                false => {
-                    actions.extend([Action::TakerReads { loads: true }, Action::TakerReads { loads: false }])
+        if let Some(successor) = &self.successor {
+            match self.to_successor.is_empty() {
+                false => actions.extend([
+                    Action::SuccessorReads { loads: true },
+                    Action::SuccessorReads { loads: false },
+                ]),
+                true if self.predecessor.is_none() && !self.successor_heard_end => {
+                    actions.push(Action::SuccessorHearsEnd)
                 }
-                true if self.giver.is_none() && !self.taker_heard_end => actions.push(Action::TakerHearsEnd),
                 true => {}
             }
-            let end_waits = self.giver.is_none() && self.to_taker.is_empty() && !self.taker_heard_end;
-            if taker.due_us().is_some() && !end_waits {
-                actions.push(Action::TakerTimesOut);
+            let end_waits =
+                self.predecessor.is_none() && self.to_successor.is_empty() && !self.successor_heard_end;
+            if successor.deadline_us().is_some() && !end_waits {
+                actions.push(Action::SuccessorTimesOut);
             }
         }
         actions
     }
 }
 
-impl Model for Handover {
+impl Model for HandOver {
     type State = World;
     type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
         let mut world = World {
-            giver: None,
-            taker: None,
-            to_taker: vec![],
-            to_giver: vec![],
-            taker_heard_end: false,
-            giver_heard_end: false,
-            ended_one: false,
-            taker_acted: false,
+            predecessor: None,
+            successor: None,
+            to_successor: vec![],
+            to_predecessor: vec![],
+            successor_heard_end: false,
+            predecessor_heard_end: false,
+            killed_one: false,
+            successor_acted: false,
             from_the_dead: false,
-            took_back: false,
+            taken_back: false,
             crashes: 0,
-            notices: 0,
+            leave_requests: 0,
             attempts: 0,
             idle_ticks: 0,
         };
@@ -231,17 +239,17 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        actions.extend(world.in_course());
+        actions.extend(world.next_events());
         if world.crashes < self.crashes {
-            actions.extend(world.giver.is_some().then_some(Action::GiverCrashes));
-            actions.extend(world.taker.is_some().then_some(Action::TakerCrashes));
+            actions.extend(world.predecessor.is_some().then_some(Action::PredecessorCrashes));
+            actions.extend(world.successor.is_some().then_some(Action::SuccessorCrashes));
         }
-        if world.notices < 2 {
-            actions.extend(world.giver.is_some().then_some(Action::GiverInterrupted));
-            actions.extend(world.taker.is_some().then_some(Action::TakerToldToLeave));
+        if world.leave_requests < 2 {
+            actions.extend(world.predecessor.is_some().then_some(Action::PredecessorInterrupted));
+            actions.extend(world.successor.is_some().then_some(Action::SuccessorToldToLeave));
         }
         // One at a time: while one goes on, another is not begun.
-        let free = world.giver.as_ref().is_some_and(Giver::is_over) && world.taker.is_none();
+        let free = world.predecessor.as_ref().is_some_and(Predecessor::is_ended) && world.successor.is_none();
         if free && world.attempts < 2 {
             actions.push(Action::AnotherAttempt);
         }
@@ -249,57 +257,62 @@
 
     fn next_state(&self, world: &World, action: Action) -> Option<World> {
         let mut next = world.clone();
-        let nobody = !world.giver_acts() && !world.taker_acts();
+        let nobody = !world.predecessor_acts() && !world.successor_acts();
         match action {
-            Action::GiverReads => {
-                let message = next.to_giver.remove(0);
-                next.by_giver(|giver, deeds| giver.message(0, &message, deeds));
+            Action::PredecessorReads => {
+                let message = next.to_predecessor.remove(0);
+                next.act_as_predecessor(|predecessor, actions| predecessor.message(0, &message, actions));
             }
-            Action::TakerReads { loads } => {
-                let message = next.to_taker.remove(0);
-                next.by_taker(loads, |taker, deeds| taker.message(0, &message, deeds));
-                let has_all =
-                    next.taker.as_ref().is_some_and(|t| matches!(t.state(), taker::State::Committed { .. }));
-                if self.broken == Broken::TakerImpatient && has_all {
-                    next.by_taker(true, |taker, deeds| taker.peer_ended(deeds));
+            Action::SuccessorReads { loads } => {
+                let message = next.to_successor.remove(0);
+                next.act_as_successor(loads, |successor, actions| successor.message(0, &message, actions));
+                let has_all = next
+                    .successor
+                    .as_ref()
+                    .is_some_and(|t| matches!(t.state(), successor::State::Loaded { .. }));
+                if self.broken == Broken::SuccessorImpatient && has_all {
+                    next.act_as_successor(true, |successor, actions| successor.peer_ended(actions));
                 }
             }
-            Action::GiverHearsEnd => {
-                next.giver_heard_end = true;
-                next.by_giver(|giver, deeds| giver.peer_ended(deeds));
+            Action::PredecessorHearsEnd => {
+                next.predecessor_heard_end = true;
+                next.act_as_predecessor(|predecessor, actions| predecessor.peer_ended(actions));
             }
-            Action::TakerHearsEnd => {
-                next.taker_heard_end = true;
-                next.by_taker(true, |taker, deeds| taker.peer_ended(deeds));
+            Action::SuccessorHearsEnd => {
+                next.successor_heard_end = true;
+                next.act_as_successor(true, |successor, actions| successor.peer_ended(actions));
             }
-            Action::GiverCrashes => {
-                next.giver = None;
+            Action::PredecessorCrashes => {
+                next.predecessor = None;
                 next.crashes += 1;
             }
-            Action::TakerCrashes => {
-                next.taker = None;
+            Action::SuccessorCrashes => {
+                next.successor = None;
                 next.crashes += 1;
             }
-            Action::GiverTimesOut => {
-                let given = matches!(next.giver.as_ref()?.state(), giver::State::Given { .. });
-                if self.broken == Broken::GiverImpatient && given {
-                    next.by_giver(|giver, deeds| giver.peer_ended(deeds));
+            Action::PredecessorTimesOut => {
+                let released =
+                    matches!(next.predecessor.as_ref()?.state(), predecessor::State::Released { .. });
+                if self.broken == Broken::PredecessorImpatient && released {
+                    next.act_as_predecessor(|predecessor, actions| predecessor.peer_ended(actions));
                 } else {
-                    next.by_giver(|giver, deeds| giver.tick(0, deeds));
+                    next.act_as_predecessor(|predecessor, actions| predecessor.tick(0, actions));
                 }
-                next.idle_ticks += u8::from(nobody && world.to_giver.is_empty() && next.idle_ticks < 9);
+                next.idle_ticks += u8::from(nobody && world.to_predecessor.is_empty() && next.idle_ticks < 9);
             }
-            Action::TakerTimesOut => {
-                next.by_taker(true, |taker, deeds| taker.tick(0, deeds));
-                next.idle_ticks += u8::from(nobody && world.to_taker.is_empty() && next.idle_ticks < 9);
+            Action::SuccessorTimesOut => {
+                next.act_as_successor(true, |successor, actions| successor.tick(0, actions));
+                next.idle_ticks += u8::from(nobody && world.to_successor.is_empty() && next.idle_ticks < 9);
             }
-            Action::GiverInterrupted => {
-                next.notices += 1;
-                next.by_giver(|giver, deeds| giver.interrupt("told to leave", deeds));
+            Action::PredecessorInterrupted => {
+                next.leave_requests += 1;
+                next.act_as_predecessor(|predecessor, actions| {
+                    predecessor.interrupt("told to leave", actions)
+                });
             }
-            Action::TakerToldToLeave => {
-                next.notices += 1;
-                next.by_taker(true, |taker, deeds| taker.leave(deeds));
+            Action::SuccessorToldToLeave => {
+                next.leave_requests += 1;
+                next.act_as_successor(true, |successor, actions| successor.leave(actions));
             }
             Action::AnotherAttempt => attempt(&mut next),
         }
@@ -308,31 +321,47 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two act", |_, w: &World| !(w.giver_acts() && w.taker_acts())),
-            Property::always("what was given and begun is never taken up again", |_, w: &World| {
-                !(w.taker_acted && w.giver_acts())
+            Property::always("never two act", |_, world: &World| {
+                !(world.predecessor_acts() && world.successor_acts())
+            }),
+            Property::always("what was given and begun is never taken up again", |_, world: &World| {
+                !(world.successor_acted && world.predecessor_acts())
+            }),
+            Property::always(
+                "while one lives, somebody acts or something is on its way",
+                |_, world: &World| {
+                    let lives = world.predecessor.is_some() || world.successor.is_some();
+                    !lives
+                        || world.predecessor_acts()
+                        || world.successor_acts()
+                        || !world.next_events().is_empty()
+                },
+            ),
+            Property::always("nobody acts for three limits at the most", |_, world: &World| {
+                world.idle_ticks <= 3
+            }),
+            Property::always("without a crash one of them lives", |_, world: &World| {
+                world.crashes > 0 || world.predecessor.is_some() || world.successor.is_some()
+            }),
+            Property::sometimes("it is handed over", |_, world: &World| {
+                world.successor_acts() && world.crashes == 0
             }),
-            Property::always("while one lives, somebody acts or something is on its way", |_, w: &World| {
-                let lives = w.giver.is_some() || w.taker.is_some();
-                !lives || w.giver_acts() || w.taker_acts() || !w.in_course().is_empty()
+            Property::sometimes("the second attempt succeeds", |_, world: &World| {
+                world.successor_acts() && world.attempts == 2
             }),
-            Property::always("nobody acts for three limits at the most", |_, w: &World| w.idle_ticks <= 3),
-            Property::always("without a crash one of them lives", |_, w: &World| {
-                w.crashes > 0 || w.giver.is_some() || w.taker.is_some()
+            Property::sometimes("a dead one is succeeded", |_, world: &World| {
+                world.from_the_dead && world.crashes > 0
             }),
-            Property::sometimes("it is handed over", |_, w: &World| w.taker_acts() && w.crashes == 0),
-            Property::sometimes("the second attempt succeeds", |_, w: &World| {
-                w.taker_acts() && w.attempts == 2
+            Property::sometimes("what was given is taken back from a dead one", |_, world: &World| {
+                world.taken_back
             }),
-            Property::sometimes("a dead one is succeeded", |_, w: &World| w.from_the_dead && w.crashes > 0),
-            Property::sometimes("what was given is taken back from a dead one", |_, w: &World| w.took_back),
         ]
     }
 }
 
 #[test]
 fn no_run_of_events_brings_two_owners_or_none() {
-    let checker = Handover { broken: Broken::Nothing, crashes: 2 }.checker().spawn_bfs().join();
+    let checker = HandOver { broken: Broken::Nothing, crashes: 2 }.checker().spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
     assert_eq!(checker.unique_state_count(), 6_323, "another protocol than the one that was explored before");
@@ -341,10 +370,10 @@
 #[test]
 fn a_rule_broken_on_purpose_gives_a_short_trace() {
     for (broken, rule) in [
-        (Broken::GiverImpatient, "what was given and begun is never taken up again"),
-        (Broken::TakerImpatient, "never two act"),
+        (Broken::PredecessorImpatient, "what was given and begun is never taken up again"),
+        (Broken::SuccessorImpatient, "never two act"),
     ] {
-        let checker = Handover { broken, crashes: 0 }.checker().target_max_depth(13).spawn_bfs().join();
+        let checker = HandOver { broken, crashes: 0 }.checker().target_max_depth(13).spawn_bfs().join();
         let found = checker.discovery(rule).or_else(|| checker.discovery("never two act")).expect("a trace");
         let trace = found.into_actions();
         assert!(trace.len() <= 14, "{trace:?}");
--- a/crates/ochrewalk-handover/tests/steps.rs
+++ b/crates/ochrewalk-handover/tests/steps.rs
@@ -1,78 +1,78 @@
 //! Each step with what may go wrong in it, and the messages over any split.
 
-use ochrewalk_handover::giver::{self, Giver, Holding};
 use ochrewalk_handover::messages::{
-    self, Count, Greet, Message, Nothing, Offer, Part, Prepare, Refuse, Section,
+    self, Chunk, ChunkCount, Empty, Hello, Message, Offer, Prepare, Refusal, Section,
 };
-use ochrewalk_handover::taker::{self, Room, Taker};
+use ochrewalk_handover::predecessor::{self, Predecessor, StateSummary};
+use ochrewalk_handover::successor::{self, Capabilities, Successor};
 
 #[derive(Default)]
-struct Deeds(Vec<String>);
+struct RecordedActions(Vec<String>);
 
-impl Deeds {
+impl RecordedActions {
     fn take(&mut self) -> String {
         std::mem::take(&mut self.0).join(", ")
     }
 
     fn sent(&mut self, message: Message) {
         self.0.push(match message {
-            Message::Refuse(r) => format!("refuse: {}", r.why),
-            Message::Abort(r) => format!("abort: {}", r.why),
+            Message::Refuse(r) => format!("refuse: {}", r.reason),
+            Message::Abort(r) => format!("abort: {}", r.reason),
             Message::Offer(o) => format!("offer {}", o.version),
             other => format!("{other:?}").split(['(', ' ']).next().unwrap().to_lowercase(),
         });
     }
 }
 
-impl giver::Acts for Deeds {
+impl predecessor::Actions for RecordedActions {
     fn send(&mut self, message: Message) {
         self.sent(message);
     }
-    fn send_ahead(&mut self, now_us: u64) -> (u64, u64) {
+    fn transfer_ahead(&mut self, now_us: u64) -> (u64, u64) {
         (0, now_us)
     }
-    fn freeze(&mut self) -> u64 {
-        self.0.push("frozen".into());
+    fn pause(&mut self) -> u64 {
+        self.0.push("paused".into());
         0
     }
-    fn thaw(&mut self) {
-        self.0.push("thawed".into());
+    fn resume(&mut self) {
+        self.0.push("resumed".into());
     }
-    fn end_peer(&mut self) {
-        self.0.push("end peer".into());
+    fn kill_peer(&mut self) {
+        self.0.push("kill peer".into());
     }
     fn retire(&mut self) {
         self.0.push("retired".into());
     }
-    fn tell(&mut self, how: &str) {
-        self.0.push(format!("told: {how}"));
+    fn report_outcome(&mut self, how: &str) {
+        self.0.push(format!("outcome: {how}"));
     }
 }
 
-impl taker::Acts for Deeds {
+impl successor::Actions for RecordedActions {
     fn send(&mut self, message: Message) {
         self.sent(message);
     }
-    fn keep(&mut self, section: &str, bytes: &[u8], descriptors: u32) {
-        self.0.push(format!("keep {section} {} {descriptors}", bytes.len()));
+    fn store(&mut self, section: &str, bytes: &[u8], descriptors: u32) {
+        self.0.push(format!("store {section} {} {descriptors}", bytes.len()));
     }
     fn load(&mut self) -> Result<(), String> {
-        if self.0.iter().any(|d| d.starts_with("keep spoilt")) {
+        if self.0.iter().any(|d| d.starts_with("store spoilt")) {
             return Err("a spoilt section".into());
         }
         Ok(())
     }
-    fn begin(&mut self) {
-        self.0.push("begun".into());
+    fn start(&mut self) {
+        self.0.push("serving".into());
     }
-    fn begin_anew(&mut self) {
-        self.0.push("begun anew".into());
+    fn start_fresh(&mut self) {
+        self.0.push("serving fresh".into());
     }
-    fn end_peer(&mut self) {
-        self.0.push("end peer".into());
+    fn kill_peer(&mut self) {
+        self.0.push("kill peer".into());
     }
-    fn end(&mut self, why: &str) {
-        self.0.push(format!("ended: {why}"));
+    fn exit(&mut self, why: &str) {
+        self.0.push(format!("exit: {why}"));
     }
 }
 
@@ -80,110 +80,114 @@
     Section { name: name.into(), version }
 }
 
-fn giver(unfit: Option<&str>) -> Giver {
-    let limits = giver::Limits { prepare_us: 100, freeze_us: 10, begin_us: 10 };
-    let holding = Holding {
+fn predecessor(shortage: Option<&str>) -> Predecessor {
+    let limits = predecessor::Limits { prepare_us: 100, pause_us: 10, start_us: 10 };
+    let summary = StateSummary {
         digest: 7,
         sections: vec![section("rpcs", 1)],
         ahead: vec![section("tokens", 1)],
         bytes: 50,
         descriptors: 5,
-        unfit: unfit.map(String::from),
+        shortage: shortage.map(String::from),
     };
-    Giver::new(0, limits, holding)
+    Predecessor::new(0, limits, summary)
 }
 
-fn greet(oldest: u32, newest: u32, digest: u64) -> Message {
-    Message::Greet(Greet { oldest, newest, program: "1".into(), digest })
+fn hello(oldest: u32, newest: u32, digest: u64) -> Message {
+    Message::Hello(Hello { oldest, newest, program: "1".into(), digest })
 }
 
-const READY: Message = Message::Ready(Nothing {});
-const COMMIT: Message = Message::Commit(Nothing {});
-const GO: Message = Message::Go(Nothing {});
-const DONE: Message = Message::Done(Nothing {});
+const READY: Message = Message::Ready(Empty {});
+const LOADED: Message = Message::Loaded(Empty {});
+const RELEASE: Message = Message::Release(Empty {});
+const STARTED: Message = Message::Started(Empty {});
 const PREPARE: Message = Message::Prepare(Prepare {});
 
 #[test]
-fn the_giver_goes_step_by_step_and_goes_on_whatever_fails() {
+fn the_predecessor_goes_step_by_step_and_goes_on_whatever_fails() {
     let steps = [
-        (greet(1, 9, 7), "offer 2"),
-        (PREPARE, "ahead"),
-        (READY, "frozen, last"),
-        (COMMIT, "go"),
-        (DONE, "told: handed over, retired"),
+        (hello(1, 9, 7), "offer 2"),
+        (PREPARE, "aheadcomplete"),
+        (READY, "paused, transfercomplete"),
+        (LOADED, "release"),
+        (STARTED, "outcome: handed over, retired"),
     ];
-    for upto in 0..=steps.len() {
-        let begun = || {
-            let (mut giver, mut deeds) = (giver(None), Deeds::default());
-            for (message, wanted) in &steps[..upto] {
-                giver.message(5, message, &mut deeds);
-                assert_eq!(deeds.take(), *wanted);
+    for steps_done in 0..=steps.len() {
+        let after_steps = || {
+            let (mut predecessor, mut actions) = (predecessor(None), RecordedActions::default());
+            for (message, wanted) in &steps[..steps_done] {
+                predecessor.message(5, message, &mut actions);
+                assert_eq!(actions.take(), *wanted);
             }
-            (giver, deeds)
+            (predecessor, actions)
         };
-        assert_eq!(begun().0.may_act(), upto < 3, "{upto}");
-        let thaws = if upto == 3 { "thawed, " } else { "" };
+        assert_eq!(after_steps().0.may_act(), steps_done < 3, "{steps_done}");
+        let resumes = if steps_done == 3 { "resumed, " } else { "" };
         // The other ends.
-        let (mut giver, mut deeds) = begun();
-        giver.peer_ended(&mut deeds);
-        let wanted = match upto {
-            0..=3 => format!("{thaws}told: the new program ended"),
-            4 => "thawed, told: the new program ended before it began".into(),
+        let (mut predecessor, mut actions) = after_steps();
+        predecessor.peer_ended(&mut actions);
+        let wanted = match steps_done {
+            0..=3 => format!("{resumes}outcome: the new program ended"),
+            4 => "resumed, outcome: the new program ended before it began".into(),
             _ => String::new(),
         };
-        assert_eq!(deeds.take(), wanted, "{upto}");
-        assert_eq!(giver.may_act(), upto < 5);
+        assert_eq!(actions.take(), wanted, "{steps_done}");
+        assert_eq!(predecessor.may_act(), steps_done < 5);
         // It takes too long.
-        let (mut giver, mut deeds) = begun();
-        let due = giver.due_us();
-        assert_eq!(due.is_none(), upto == 5);
+        let (mut predecessor, mut actions) = after_steps();
+        let due = predecessor.deadline_us();
+        assert_eq!(due.is_none(), steps_done == 5);
         if let Some(due) = due {
-            giver.tick(due - 1, &mut deeds);
-            assert_eq!(deeds.take(), "");
-            giver.tick(due, &mut deeds);
+            predecessor.tick(due - 1, &mut actions);
+            assert_eq!(actions.take(), "");
+            predecessor.tick(due, &mut actions);
             let why = "the new program took too long";
-            let wanted = match upto {
-                4 => "end peer".into(),
-                _ => format!("abort: {why}, {thaws}told: {why}"),
+            let wanted = match steps_done {
+                4 => "kill peer".into(),
+                _ => format!("abort: {why}, {resumes}outcome: {why}"),
             };
-            assert_eq!(deeds.take(), wanted, "{upto}");
+            assert_eq!(actions.take(), wanted, "{steps_done}");
         }
         // It is interrupted, or hears what has no place here; after `Go` neither counts.
-        let (mut giver, mut deeds) = begun();
-        giver.interrupt("told to leave", &mut deeds);
-        let wanted = if upto < 4 {
-            format!("abort: told to leave, {thaws}told: told to leave")
+        let (mut predecessor, mut actions) = after_steps();
+        predecessor.interrupt("told to leave", &mut actions);
+        let wanted = if steps_done < 4 {
+            format!("abort: told to leave, {resumes}outcome: told to leave")
         } else {
             String::new()
         };
-        assert_eq!(deeds.take(), wanted, "{upto}");
-        let (mut giver, mut deeds) = begun();
-        giver.message(6, &GO, &mut deeds);
+        assert_eq!(actions.take(), wanted, "{steps_done}");
+        let (mut predecessor, mut actions) = after_steps();
+        predecessor.message(6, &RELEASE, &mut actions);
         let why = "a message out of turn";
-        let wanted = if upto < 4 { format!("abort: {why}, {thaws}told: {why}") } else { String::new() };
-        assert_eq!(deeds.take(), wanted, "{upto}");
-        let (mut giver, mut deeds) = begun();
-        giver.message(6, &Message::Abort(Refuse { why: "x".into() }), &mut deeds);
         let wanted =
-            if upto < 4 { format!("{thaws}told: the new program refused: x") } else { String::new() };
-        assert_eq!(deeds.take(), wanted, "{upto}");
-        assert_eq!(giver.is_over(), upto < 4);
+            if steps_done < 4 { format!("abort: {why}, {resumes}outcome: {why}") } else { String::new() };
+        assert_eq!(actions.take(), wanted, "{steps_done}");
+        let (mut predecessor, mut actions) = after_steps();
+        predecessor.message(6, &Message::Abort(Refusal { reason: "x".into() }), &mut actions);
+        let wanted = if steps_done < 4 {
+            format!("{resumes}outcome: the new program refused: x")
+        } else {
+            String::new()
+        };
+        assert_eq!(actions.take(), wanted, "{steps_done}");
+        assert_eq!(predecessor.is_ended(), steps_done < 4);
     }
 }
 
 #[test]
-fn what_goes_ahead_is_offered_to_takers_that_know_how_and_to_no_others() {
+fn what_goes_ahead_is_offered_to_successors_that_know_how_and_to_no_others() {
     for (newest, sections) in [(1, 1), (2, 2)] {
-        let (mut giver, mut told) = (giver(None), Offers::default());
-        giver.message(0, &greet(1, newest, 7), &mut told);
-        giver.message(1, &PREPARE, &mut told);
-        assert_eq!((told.sections, told.ahead), (sections, newest == 2));
-        // The taker has its time once all is sent, and no longer.
+        let (mut predecessor, mut actions) = (predecessor(None), Offers::default());
+        predecessor.message(0, &hello(1, newest, 7), &mut actions);
+        predecessor.message(1, &PREPARE, &mut actions);
+        assert_eq!((actions.sections, actions.ahead), (sections, newest == 2));
+        // The successor has its time once all is sent, and no longer.
         let sent_us = if newest == 2 { 1_001 } else { 1 };
-        giver.tick(sent_us + 99, &mut told);
-        assert!(!giver.is_over());
-        giver.tick(sent_us + 100, &mut told);
-        assert!(giver.is_over());
+        predecessor.tick(sent_us + 99, &mut actions);
+        assert!(!predecessor.is_ended());
+        predecessor.tick(sent_us + 100, &mut actions);
+        assert!(predecessor.is_ended());
     }
 }
 
@@ -194,46 +198,47 @@
     ahead: bool,
 }
 
-impl giver::Acts for Offers {
+impl predecessor::Actions for Offers {
     fn send(&mut self, message: Message) {
         if let Message::Offer(offer) = message {
             self.sections = offer.sections.len();
         }
     }
     /// Sending takes ten times as long as any other step may.
-    fn send_ahead(&mut self, now_us: u64) -> (u64, u64) {
+    fn transfer_ahead(&mut self, now_us: u64) -> (u64, u64) {
         self.ahead = true;
         (0, now_us + 1_000)
     }
-    fn freeze(&mut self) -> u64 {
+    fn pause(&mut self) -> u64 {
         0
     }
-    fn thaw(&mut self) {}
-    fn end_peer(&mut self) {}
+    fn resume(&mut self) {}
+    fn kill_peer(&mut self) {}
     fn retire(&mut self) {}
-    fn tell(&mut self, _how: &str) {}
+    fn report_outcome(&mut self, _how: &str) {}
 }
 
 #[test]
 fn what_cannot_be_taken_is_refused_before_anything_stops() {
-    for (message, unfit, why) in [
-        (greet(3, 4, 7), None, "it speaks versions 3 to 4, this program 1 to 2"),
-        (greet(0, 0, 7), None, "it speaks versions 0 to 0, this program 1 to 2"),
-        (greet(1, 1, 8), None, "its files set what only a start can change"),
-        (greet(1, 1, 7), Some("70 MB in use, 96 allowed"), "70 MB in use, 96 allowed"),
+    for (message, shortage, why) in [
+        (hello(3, 4, 7), None, "it speaks versions 3 to 4, this program 1 to 2"),
+        (hello(0, 0, 7), None, "it speaks versions 0 to 0, this program 1 to 2"),
+        (hello(1, 1, 8), None, "its files set what only a start can change"),
+        (hello(1, 1, 7), Some("70 MB in use, 96 allowed"), "70 MB in use, 96 allowed"),
     ] {
-        let (mut giver, mut deeds) = (giver(unfit), Deeds::default());
-        giver.message(0, &message, &mut deeds);
-        assert_eq!(deeds.take(), format!("refuse: {why}, told: {why}"));
-        assert!(giver.may_act() && giver.is_over());
+        let (mut predecessor, mut actions) = (predecessor(shortage), RecordedActions::default());
+        predecessor.message(0, &message, &mut actions);
+        assert_eq!(actions.take(), format!("refuse: {why}, outcome: {why}"));
+        assert!(predecessor.may_act() && predecessor.is_ended());
     }
 }
 
-fn taker(deeds: &mut Deeds) -> Taker {
-    let limits = taker::Limits { answer_us: 100, frozen_us: 10 };
+fn successor(actions: &mut RecordedActions) -> Successor {
+    let limits = successor::Limits { answer_us: 100, pause_us: 10 };
     let knows = vec![section("rpcs", 2), section("tokens", 1)];
-    let room = Room { digest: 7, program: "2".into(), knows, bytes: 100, descriptors: 10 };
-    Taker::start(0, limits, room, deeds)
+    let capabilities =
+        Capabilities { digest: 7, program: "2".into(), known_sections: knows, bytes: 100, descriptors: 10 };
+    Successor::new(0, limits, capabilities, actions)
 }
 
 fn offer(sections: Vec<Section>, bytes: u64, descriptors: u32) -> Message {
@@ -241,57 +246,69 @@
 }
 
 fn part(section: &str) -> Message {
-    Message::Part(Part { section: section.into(), bytes: vec![1, 2], descriptors: 1 })
+    Message::Chunk(Chunk { section: section.into(), bytes: vec![1, 2], descriptors: 1 })
 }
 
 #[test]
-fn the_taker_begins_only_at_the_word_or_when_the_other_is_dead() {
+fn the_successor_begins_only_at_the_word_or_when_the_other_is_dead() {
     let steps = [
         (offer(vec![section("rpcs", 1)], 50, 5), "prepare"),
-        (part("tokens"), "keep tokens 2 1"),
-        (Message::Ahead(Count { parts: 1 }), "ready"),
-        (part("rpcs"), "keep rpcs 2 1"),
-        (Message::Last(Count { parts: 1 }), "commit"),
-        (GO, "done, begun"),
+        (part("tokens"), "store tokens 2 1"),
+        (Message::AheadComplete(ChunkCount { chunks: 1 }), "ready"),
+        (part("rpcs"), "store rpcs 2 1"),
+        (Message::TransferComplete(ChunkCount { chunks: 1 }), "loaded"),
+        (RELEASE, "started, serving"),
     ];
-    for upto in 0..=steps.len() {
-        let begun = || {
-            let mut deeds = Deeds::default();
-            let mut taker = taker(&mut deeds);
-            assert_eq!(deeds.take(), "greet");
-            for (message, wanted) in &steps[..upto] {
-                taker.message(5, message, &mut deeds);
-                assert_eq!(deeds.take(), *wanted);
+    for steps_done in 0..=steps.len() {
+        let after_steps = || {
+            let mut actions = RecordedActions::default();
+            let mut successor = successor(&mut actions);
+            assert_eq!(actions.take(), "hello");
+            for (message, wanted) in &steps[..steps_done] {
+                successor.message(5, message, &mut actions);
+                assert_eq!(actions.take(), *wanted);
             }
-            (taker, deeds)
+            (successor, actions)
         };
-        assert_eq!(begun().0.may_act(), upto == 6, "{upto}");
-        let (mut taker, mut deeds) = begun();
-        taker.peer_ended(&mut deeds);
+        assert_eq!(after_steps().0.may_act(), steps_done == 6, "{steps_done}");
+        let (mut successor, mut actions) = after_steps();
+        successor.peer_ended(&mut actions);
         assert_eq!(
-            deeds.take(),
-            ["begun anew", "begun anew", "begun anew", "begun anew", "begun anew", "done, begun", ""][upto]
+            actions.take(),
+            [
+                "serving fresh",
+                "serving fresh",
+                "serving fresh",
+                "serving fresh",
+                "serving fresh",
+                "started, serving",
+                ""
+            ][steps_done]
         );
-        assert!(taker.may_act());
-        let (mut taker, mut deeds) = begun();
-        if let Some(due) = taker.due_us() {
-            taker.tick(due - 1, &mut deeds);
-            taker.tick(due, &mut deeds);
+        assert!(successor.may_act());
+        let (mut successor, mut actions) = after_steps();
+        if let Some(due) = successor.deadline_us() {
+            successor.tick(due - 1, &mut actions);
+            successor.tick(due, &mut actions);
             let why = "the running program took too long";
-            let wanted = if upto == 5 { "end peer".into() } else { format!("abort: {why}, ended: {why}") };
-            assert_eq!(deeds.take(), wanted, "{upto}");
+            let wanted =
+                if steps_done == 5 { "kill peer".into() } else { format!("abort: {why}, exit: {why}") };
+            assert_eq!(actions.take(), wanted, "{steps_done}");
         }
-        let (mut taker, mut deeds) = begun();
-        taker.leave(&mut deeds);
-        assert_eq!(deeds.take(), if upto < 5 { "abort: told to leave, ended: told to leave" } else { "" });
-        let (mut taker, mut deeds) = begun();
-        taker.message(6, &Message::Abort(Refuse { why: "x".into() }), &mut deeds);
-        assert_eq!(deeds.take(), if upto < 6 { "ended: x" } else { "" });
+        let (mut successor, mut actions) = after_steps();
+        successor.leave(&mut actions);
+        assert_eq!(
+            actions.take(),
+            if steps_done < 5 { "abort: told to leave, exit: told to leave" } else { "" }
+        );
+        let (mut successor, mut actions) = after_steps();
+        successor.message(6, &Message::Abort(Refusal { reason: "x".into() }), &mut actions);
+        assert_eq!(actions.take(), if steps_done < 6 { "exit: x" } else { "" });
     }
 }
 
 #[test]
-fn the_taker_refuses_what_it_does_not_know_or_has_no_room_for() {
+fn the_successor_refuses_what_it_does_not_know_or_has_no_room_for() {
     for (message, why) in [
         (offer(vec![section("rpcs", 3)], 1, 1), "it does not know rpcs of version 3"),
         (offer(vec![section("pools", 1)], 1, 1), "it does not know pools of version 1"),
@@ -299,38 +316,38 @@
         (offer(vec![], 1, 11), "11 descriptors, room for 10"),
         (READY, "a message out of turn"),
     ] {
-        let mut deeds = Deeds::default();
-        let mut taker = taker(&mut deeds);
-        deeds.take();
-        taker.message(0, &message, &mut deeds);
-        assert_eq!(deeds.take(), format!("abort: {why}, ended: {why}"));
+        let mut actions = RecordedActions::default();
+        let mut successor = successor(&mut actions);
+        actions.take();
+        successor.message(0, &message, &mut actions);
+        assert_eq!(actions.take(), format!("abort: {why}, exit: {why}"));
     }
     // A part that got lost, and one that cannot be put together.
-    for (section, parts, why) in [("rpcs", 2, "a message out of turn"), ("spoilt", 1, "a spoilt section")] {
-        let mut deeds = Deeds::default();
-        let mut taker = taker(&mut deeds);
-        for message in [offer(vec![], 1, 1), Message::Ahead(Count { parts: 0 })] {
-            taker.message(0, &message, &mut deeds);
+    for (section, chunks, why) in [("rpcs", 2, "a message out of turn"), ("spoilt", 1, "a spoilt section")] {
+        let mut actions = RecordedActions::default();
+        let mut successor = successor(&mut actions);
+        for message in [offer(vec![], 1, 1), Message::AheadComplete(ChunkCount { chunks: 0 })] {
+            successor.message(0, &message, &mut actions);
         }
-        deeds.take();
-        taker.message(0, &part(section), &mut deeds);
-        taker.message(0, &Message::Last(Count { parts }), &mut deeds);
-        assert!(deeds.take().ends_with(&format!("abort: {why}, ended: {why}")));
+        actions.take();
+        successor.message(0, &part(section), &mut actions);
+        successor.message(0, &Message::TransferComplete(ChunkCount { chunks }), &mut actions);
+        assert!(actions.take().ends_with(&format!("abort: {why}, exit: {why}")));
     }
 }
 
 #[test]
 fn messages_are_read_back_over_any_split_and_new_ones_are_passed_over() {
-    for message in [greet(1, 2, 3), offer(vec![section("a", 1)], 1, 2), part("x"), PREPARE, GO] {
-        let bytes = messages::write(message.clone());
+    for message in [hello(1, 2, 3), offer(vec![section("a", 1)], 1, 2), part("x"), PREPARE, RELEASE] {
+        let bytes = messages::encode(message.clone());
         for cut in 0..bytes.len() {
-            assert_eq!(messages::read(&bytes[..cut]), Ok((None, 0)));
+            assert_eq!(messages::decode(&bytes[..cut]), Ok((None, 0)));
         }
-        assert_eq!(messages::read(&bytes), Ok((Some(message), bytes.len())));
+        assert_eq!(messages::decode(&bytes), Ok((Some(message), bytes.len())));
     }
     // Field 99, a message of a newer program: read, and passed over.
     let newer = [0, 0, 0, 4, 0x9a, 0x06, 0x01, 0x00];
-    assert_eq!(messages::read(&newer), Ok((None, 8)));
-    assert!(messages::read(&[0x7f, 0, 0, 0]).is_err());
-    assert!(messages::read(&[0, 0, 0, 1, 0xff]).is_err());
+    assert_eq!(messages::decode(&newer), Ok((None, 8)));
+    assert!(messages::decode(&[0x7f, 0, 0, 0]).is_err());
+    assert!(messages::decode(&[0, 0, 0, 1, 0xff]).is_err());
 }
--- a/crates/ochrewalk-handover/tests/wire_format.rs
+++ b/crates/ochrewalk-handover/tests/wire_format.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_handover::messages::{
-    self, Count, Greet, Message, Nothing, Offer, Part, Prepare, Refuse, Section,
+    self, Chunk, ChunkCount, Empty, Hello, Message, Offer, Prepare, Refusal, Section,
 };
 use std::path::Path;
 
@@ -16,14 +16,14 @@
 /// Reads the one message of a file, and demands that it is written to the same bytes.
 fn assert_wire_format(name: &str, expected: Message) {
     let bytes = fixture(name);
-    assert_eq!(messages::read(&bytes).unwrap(), (Some(expected.clone()), bytes.len()), "{name}");
-    assert_eq!(messages::write(expected), bytes, "{name}");
+    assert_eq!(messages::decode(&bytes).unwrap(), (Some(expected.clone()), bytes.len()), "{name}");
+    assert_eq!(messages::encode(expected), bytes, "{name}");
 }
 
 #[test]
 fn the_opening_messages_keep_their_wire_format() {
-    let greet = Greet { oldest: 1, newest: 2, program: "0.1.0".into(), digest: 0x0123_4567_89ab_cdef };
-    assert_wire_format("greet.bin", Message::Greet(greet));
+    let hello = Hello { oldest: 1, newest: 2, program: "0.1.0".into(), digest: 0x0123_4567_89ab_cdef };
+    assert_wire_format("greet.bin", Message::Hello(hello));
     let section = |name: &str, version| Section { name: name.into(), version };
     let sections = vec![section("node", 1), section("rpcs", 3), section("tokens", 2)];
     let offer = Offer { version: 2, sections, bytes: 73_400_320, descriptors: 612 };
@@ -33,31 +33,34 @@
 
 #[test]
 fn the_messages_that_carry_state_keep_their_wire_format() {
-    let part = Part { section: "json".into(), bytes: vec![0, 1, 2, 0xfe, 0xff], descriptors: 250 };
-    assert_wire_format("part.bin", Message::Part(part));
-    assert_wire_format("ahead.bin", Message::Ahead(Count { parts: 1_000 }));
-    assert_wire_format("last.bin", Message::Last(Count { parts: 7 }));
+    let part = Chunk { section: "json".into(), bytes: vec![0, 1, 2, 0xfe, 0xff], descriptors: 250 };
+    assert_wire_format("part.bin", Message::Chunk(part));
+    assert_wire_format("ahead.bin", Message::AheadComplete(ChunkCount { chunks: 1_000 }));
+    assert_wire_format("last.bin", Message::TransferComplete(ChunkCount { chunks: 7 }));
 }
 
 #[test]
 fn the_messages_that_pass_ownership_keep_their_wire_format() {
-    assert_wire_format("ready.bin", Message::Ready(Nothing {}));
-    assert_wire_format("commit.bin", Message::Commit(Nothing {}));
-    assert_wire_format("go.bin", Message::Go(Nothing {}));
-    assert_wire_format("done.bin", Message::Done(Nothing {}));
+    assert_wire_format("ready.bin", Message::Ready(Empty {}));
+    assert_wire_format("commit.bin", Message::Loaded(Empty {}));
+    assert_wire_format("go.bin", Message::Release(Empty {}));
+    assert_wire_format("done.bin", Message::Started(Empty {}));
 }
 
 #[test]
 fn the_messages_that_end_an_attempt_keep_their_wire_format() {
-    let refuse = Refuse { why: "its files set what only a start can change".into() };
+    let refuse = Refusal { reason: "its files set what only a start can change".into() };
     assert_wire_format("refuse.bin", Message::Refuse(refuse));
-    let abort = Refuse { why: "101 bytes of state, room for 100".into() };
+    let abort = Refusal { reason: "101 bytes of state, room for 100".into() };
     assert_wire_format("abort.bin", Message::Abort(abort));
 }
 
 /// The limits that both programs have to agree on.
 #[test]
 fn the_limits_of_a_message_are_those_of_earlier_programs() {
-    assert_eq!((messages::PREFIX, messages::LONGEST, messages::MOST_DESCRIPTORS), (4, 1_048_576, 250));
-    assert_eq!((ochrewalk_handover::OLDEST, ochrewalk_handover::NEWEST), (1, 2));
+    assert_eq!(
+        (messages::LENGTH_PREFIX_BYTES, messages::MAX_MESSAGE_BYTES, messages::MAX_DESCRIPTORS),
+        (4, 1_048_576, 250)
+    );
+    assert_eq!((ochrewalk_handover::OLDEST_VERSION, ochrewalk_handover::NEWEST_VERSION), (1, 2));
 }
--- a/crates/ochrewalk-node/src/handover/give.rs
+++ b/crates/ochrewalk-node/src/handover/give.rs
@@ -5,8 +5,8 @@
 use super::supervisor_link::{Question, SupervisorLink};
 use super::wire::{Heard, Wire};
 use crate::node::Node;
-use ochrewalk_handover::giver::{Acts, Giver, Holding, Limits};
-use ochrewalk_handover::messages::{Message, Part, MOST_DESCRIPTORS};
+use ochrewalk_handover::messages::{Chunk, Message, MAX_DESCRIPTORS};
+use ochrewalk_handover::predecessor::{Actions, Limits, Predecessor, StateSummary};
 use prost::Message as _;
 use std::os::fd::{BorrowedFd, RawFd};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-const LIMITS: Limits = Limits { prepare_us: 5_000_000, freeze_us: 2_000_000, begin_us: 1_000_000 };
+const LIMITS: Limits = Limits { prepare_us: 5_000_000, pause_us: 2_000_000, start_us: 1_000_000 };
 /// Tokens that go ahead in one piece: some 200 KB of them, and a fraction of a millisecond in which nothing else is told.
 const TOKENS: usize = 1_000;
 /// How often signals are looked at beside messages.
@@ -71,39 +71,39 @@
     let interrupts = handing.begin();
     let clock = node.core.clock;
     let limits = LIMITS.for_reading(node.reading_us.load(Ordering::Relaxed));
-    let mut giver = Giver::new(clock.now_us(), limits, holding(node));
+    let mut predecessor = Predecessor::new(clock.now_us(), limits, holding(node));
     let mut side = Side { node, handing, link, wire, ahead: false, failed: None };
-    while !giver.is_over() {
+    while !predecessor.is_ended() {
         if let Ok(why) = interrupts.try_recv() {
-            giver.interrupt(&why, &mut side);
+            predecessor.interrupt(&why, &mut side);
         }
         match side.wire.hear(LOOK) {
-            Ok(Heard::Message(message)) => giver.message(clock.now_us(), &message, &mut side),
-            Ok(Heard::Ended) => giver.peer_ended(&mut side),
-            Ok(Heard::Unknown | Heard::Nothing) => giver.tick(clock.now_us(), &mut side),
+            Ok(Heard::Message(message)) => predecessor.message(clock.now_us(), &message, &mut side),
+            Ok(Heard::Ended) => predecessor.peer_ended(&mut side),
+            Ok(Heard::Unknown | Heard::Nothing) => predecessor.tick(clock.now_us(), &mut side),
             Err(err) => {
-                giver.interrupt(&format!("its words cannot be read: {err}"), &mut side);
+                predecessor.interrupt(&format!("its words cannot be read: {err}"), &mut side);
                 // Given away already: only its end counts now.
                 side.link.report("end other");
                 std::thread::sleep(LOOK);
-                giver.tick(clock.now_us(), &mut side);
+                predecessor.tick(clock.now_us(), &mut side);
             }
         }
         if let Some(why) = side.failed.take() {
-            giver.interrupt(&why, &mut side);
+            predecessor.interrupt(&why, &mut side);
         }
     }
     handing.end();
 }
 
 /// What there is, and whether two of us fit the limits.
-fn holding(node: &Node) -> Holding {
+fn holding(node: &Node) -> StateSummary {
     let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |all| all.count());
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) * 4_096;
     let (memory, most) = (node.memory_bytes as u64, node.descriptors);
     let mb = |bytes: u64| bytes / 1024 / 1024;
-    let unfit = if 2 * resident > memory {
+    let shortage = if 2 * resident > memory {
         Some(format!("{} MB in use, twice that is more than the {} MB allowed", mb(resident), mb(memory)))
     } else if 2 * descriptors > most {
         Some(format!("{descriptors} descriptors in use, twice that is more than the {most} allowed"))
@@ -111,7 +111,7 @@
         None
     };
     let (digest, (sections, ahead)) = (node.digest, records::sections());
-    Holding { digest, sections, ahead, bytes: resident, descriptors: descriptors as u32, unfit }
+    StateSummary { digest, sections, ahead, bytes: resident, descriptors: descriptors as u32, shortage }
 }
 
 type Written = Result<Vec<Section>, &'static str>;
@@ -161,14 +161,14 @@
     failed: Option<String>,
 }
 
-impl Acts for Side<'_> {
+impl Actions for Side<'_> {
     fn send(&mut self, message: Message) {
         // Where it cannot be written the other has ended, which is heard next.
         let _ = self.wire.send(message, &[]);
     }
 
     /// Tokens stay as they are for most of their time. All else changes with every RPC.
-    fn send_ahead(&mut self, _now_us: u64) -> (u64, u64) {
+    fn transfer_ahead(&mut self, _now_us: u64) -> (u64, u64) {
         let gate = &self.node.core.gate;
         let (mut parts, mut after) = (0, None);
         self.ahead = true;
@@ -176,8 +176,8 @@
         while !self.handing.is_wanted_back.load(Ordering::Relaxed) {
             let Some((tokens, last)) = gate.keep_ahead(after.as_ref(), TOKENS) else { break };
             let bytes = KeptTokens { tokens }.encode_to_vec();
-            let part = Part { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
-            if self.wire.send(Message::Part(part), &[]).is_err() {
+            let part = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
+            if self.wire.send(Message::Chunk(part), &[]).is_err() {
                 break;
             }
             (parts, after) = (parts + 1, Some(last));
@@ -185,8 +185,8 @@
         (parts, self.node.core.clock.now_us())
     }
 
-    fn freeze(&mut self) -> u64 {
-        let patience = Duration::from_micros(LIMITS.freeze_us);
+    fn pause(&mut self) -> u64 {
+        let patience = Duration::from_micros(LIMITS.pause_us);
         if self.link.ask(Question::MayPause, patience) != Some(true) {
             self.failed = Some("the supervisor does not allow the pause".into());
             return 0;
@@ -216,14 +216,14 @@
             let (mut bytes, mut descriptors) = (bytes.as_slice(), descriptors.as_slice());
             loop {
                 let (now, later) = bytes.split_at(bytes.len().min(PART));
-                let (beside, others) = descriptors.split_at(descriptors.len().min(MOST_DESCRIPTORS));
+                let (beside, others) = descriptors.split_at(descriptors.len().min(MAX_DESCRIPTORS));
                 // SAFETY: this process stands still, so that none of its streams is closed before this is over.
                 let borrowed: Vec<BorrowedFd> =
                     beside.iter().map(|fd| unsafe { BorrowedFd::borrow_raw(*fd) }).collect();
                 let count = beside.len() as u32;
-                let part = Part { section: section.into(), bytes: now.to_vec(), descriptors: count };
+                let part = Chunk { section: section.into(), bytes: now.to_vec(), descriptors: count };
                 // Where it cannot be written the other has ended, which is heard next.
-                if self.wire.send(Message::Part(part), &borrowed).is_err() {
+                if self.wire.send(Message::Chunk(part), &borrowed).is_err() {
                     return parts;
                 }
                 parts += 1;
@@ -236,7 +236,7 @@
         parts
     }
 
-    fn thaw(&mut self) {
+    fn resume(&mut self) {
         if self.link.ask(Question::MayResume, RESUME) != Some(true) {
             tracing::error!(part = "upgrade", "another acts in this node's place; this process ends");
             crate::logger::flush();
@@ -245,7 +245,7 @@
         go_on(self.node);
     }
 
-    fn end_peer(&mut self) {
+    fn kill_peer(&mut self) {
         self.link.report("end other");
     }
 
@@ -255,7 +255,7 @@
         std::process::exit(0);
     }
 
-    fn tell(&mut self, how: &str) {
+    fn report_outcome(&mut self, how: &str) {
         tracing::warn!(part = "upgrade", "{how}");
         self.node.core.gate.end_ahead();
         self.link.report(&format!("told {how}"));
--- a/crates/ochrewalk-node/src/handover/take.rs
+++ b/crates/ochrewalk-node/src/handover/take.rs
@@ -8,14 +8,14 @@
 use super::wire::{Heard, Wire};
 use crate::clock::Clock;
 use crate::keys::Keys;
-use ochrewalk_handover::messages::{Message, Refuse};
-use ochrewalk_handover::taker::{Acts, Limits, Room, State, Taker};
+use ochrewalk_handover::messages::{Message, Refusal};
+use ochrewalk_handover::successor::{Actions, Capabilities, Limits, State, Successor};
 use prost::Message as _;
 use std::collections::HashMap;
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-const LIMITS: Limits = Limits { answer_us: 5_000_000, frozen_us: 3_000_000 };
+const LIMITS: Limits = Limits { answer_us: 5_000_000, pause_us: 3_000_000 };
 const BEGIN_TRIES: u32 = 100;
 /// How long the supervisor may take to say whether this program may begin.
 const BEGIN: Duration = Duration::from_secs(60);
@@ -46,7 +46,7 @@
 
 /// Says that nothing is to be taken over, as the files cannot be used.
 pub fn refuse(wire: &Wire, why: &str) {
-    let _ = wire.send(Message::Refuse(Refuse { why: why.replace('\n', "; ") }), &[]);
+    let _ = wire.send(Message::Refuse(Refusal { reason: why.replace('\n', "; ") }), &[]);
 }
 
 /// Takes over, by `build` from what was taken. An error says why not; the program before goes on then.
@@ -61,9 +61,9 @@
     fails("start");
     let clock = Clock::start();
     let program = env!("CARGO_PKG_VERSION").to_string();
-    let (mut knows, ahead) = records::sections();
-    knows.extend(ahead);
-    let room = Room { digest, program, knows, bytes, descriptors };
+    let (mut known_sections, ahead) = records::sections();
+    known_sections.extend(ahead);
+    let capabilities = Capabilities { digest, program, known_sections, bytes, descriptors };
     let mut side = Side {
         wire,
         link,
@@ -75,7 +75,7 @@
         begin: None,
         end: None,
     };
-    let mut taker = Taker::start(clock.now_us(), LIMITS, room, &mut side);
+    let mut successor = Successor::new(clock.now_us(), LIMITS, capabilities, &mut side);
     fails("greet");
     loop {
         if let Some(why) = side.end.take() {
@@ -86,20 +86,20 @@
             return Ok(begin);
         }
         if interrupted() {
-            taker.leave(&mut side);
+            successor.leave(&mut side);
         }
         match side.wire.hear(LOOK) {
             Ok(Heard::Message(message)) => {
-                let before = taker.state();
-                taker.message(clock.now_us(), &message, &mut side);
-                match (before, taker.state()) {
-                    (State::Prepared { .. }, State::Ready { .. }) => fails("ready"),
-                    (State::Ready { .. }, State::Committed { .. }) => fails("commit"),
+                let before = successor.state();
+                successor.message(clock.now_us(), &message, &mut side);
+                match (before, successor.state()) {
+                    (State::Receiving { .. }, State::Ready { .. }) => fails("ready"),
+                    (State::Ready { .. }, State::Loaded { .. }) => fails("commit"),
                     _ => {}
                 }
             }
-            Ok(Heard::Ended) => taker.peer_ended(&mut side),
-            Ok(Heard::Unknown | Heard::Nothing) => taker.tick(clock.now_us(), &mut side),
+            Ok(Heard::Ended) => successor.peer_ended(&mut side),
+            Ok(Heard::Unknown | Heard::Nothing) => successor.tick(clock.now_us(), &mut side),
             Err(err) => return Err(format!("what is passed on cannot be read: {err}")),
         }
     }
@@ -168,12 +168,12 @@
     }
 }
 
-impl<P, B: FnMut(Taken) -> Result<P, String>> Acts for Side<'_, P, B> {
+impl<P, B: FnMut(Taken) -> Result<P, String>> Actions for Side<'_, P, B> {
     fn send(&mut self, message: Message) {
         let _ = self.wire.send(message, &[]);
     }
 
-    fn keep(&mut self, section: &str, bytes: &[u8], descriptors: u32) {
+    fn store(&mut self, section: &str, bytes: &[u8], descriptors: u32) {
         let came = self.wire.take(descriptors as usize);
         self.short |= came.is_none();
         if section == records::AHEAD.0 {
@@ -194,19 +194,19 @@
         Ok(())
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         self.begins(true);
     }
 
-    fn begin_anew(&mut self) {
+    fn start_fresh(&mut self) {
         self.begins(false);
     }
 
-    fn end_peer(&mut self) {
+    fn kill_peer(&mut self) {
         self.link.report("end other");
     }
 
-    fn end(&mut self, why: &str) {
+    fn exit(&mut self, why: &str) {
         self.end = Some(why.to_string());
     }
 }
--- a/crates/ochrewalk-node/src/handover/wire.rs
+++ b/crates/ochrewalk-node/src/handover/wire.rs
@@ -1,7 +1,7 @@
 //! The Unix streams that a hand-over goes over: messages with descriptors beside them, blocking, each step with its
 //! limit of time. Used by threads, never by coroutines.
 
-use ochrewalk_handover::messages::{self, Message, MOST_DESCRIPTORS};
+use ochrewalk_handover::messages::{self, Message, MAX_DESCRIPTORS};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
@@ -15,7 +15,7 @@
 
 const CHUNK: usize = 64 * 1024;
 /// Room for the descriptors of one message.
-const ROOM: usize = rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS));
+const ROOM: usize = rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS));
 
 pub struct Wire {
     stream: UnixStream,
@@ -45,14 +45,14 @@
 
     /// Writes a message, with descriptors beside its first byte.
     pub fn send(&self, message: Message, descriptors: &[BorrowedFd]) -> std::io::Result<()> {
-        send(&self.stream, &messages::write(message), descriptors)
+        send(&self.stream, &messages::encode(message), descriptors)
     }
 
     /// The next message, within that time.
     pub fn hear(&mut self, within: Duration) -> std::io::Result<Heard> {
         self.stream.set_read_timeout(Some(within.max(Duration::from_millis(1))))?;
         loop {
-            match messages::read(&self.input).map_err(|why| Error::new(ErrorKind::InvalidData, why))? {
+            match messages::decode(&self.input).map_err(|why| Error::new(ErrorKind::InvalidData, why))? {
                 (Some(message), taken) => {
                     self.input.drain(..taken);
                     return Ok(Heard::Message(message));
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -6,7 +6,7 @@
 mod helper;
 
 use helper::*;
-use ochrewalk_handover::messages::{self, Count, Greet, Message, Nothing, Prepare, Refuse};
+use ochrewalk_handover::messages::{self, ChunkCount, Empty, Hello, Message, Prepare, Refusal};
 use ochrewalk_node::handover::counter_report::CounterReport;
 use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
 use ochrewalk_node::handover::wire::{inherit, lines, send_line, Heard, Wire};
@@ -157,7 +157,7 @@
 }
 
 /// A program that is to succeed another one: what it greets with, before it is ended.
-fn greeting_of_a_successor(stand: &Stand) -> Greet {
+fn greeting_of_a_successor(stand: &Stand) -> Hello {
     let (_supervisor, link) = SupervisorEnd::pair();
     let (ours, theirs) = UnixStream::pair().unwrap();
     let theirs = inherit(theirs.as_fd()).unwrap();
@@ -171,11 +171,11 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let Message::Greet(greet) = hear(&mut Wire::new(ours)) else { panic!("no greeting") };
+    let Message::Hello(hello) = hear(&mut Wire::new(ours)) else { panic!("no greeting") };
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(config).unwrap();
-    greet
+    hello
 }
 
 /// A program that serves hands over to a successor of any version, by the messages and lines that both sides know. Here
@@ -193,34 +193,34 @@
     let report = supervisor.line();
     assert!(report.starts_with("tally ") && CounterReport::of_line(report.trim_end()).is_some(), "{report}");
 
-    let begin = |supervisor: &SupervisorEnd, greet: Greet| {
+    let begin = |supervisor: &SupervisorEnd, hello: Hello| {
         let (gives, takes) = UnixStream::pair().unwrap();
         send_line(&supervisor.stream, "give", Some(gives.as_fd())).unwrap();
         drop(gives);
         let mut wire = Wire::new(takes);
-        wire.send(Message::Greet(greet), &[]).unwrap();
+        wire.send(Message::Hello(hello), &[]).unwrap();
         let answer = hear(&mut wire);
         (wire, answer)
     };
-    let greet = greeting_of_a_successor(&stand);
-    assert_eq!((greet.oldest, greet.newest, greet.program.as_str()), (1, 2, "0.1.0"));
-    let (_, answer) = begin(&supervisor, Greet { digest: !greet.digest, ..greet.clone() });
-    assert_eq!(messages::write(answer), fixture("refused-files.bin"));
+    let hello = greeting_of_a_successor(&stand);
+    assert_eq!((hello.oldest, hello.newest, hello.program.as_str()), (1, 2, "0.1.0"));
+    let (_, answer) = begin(&supervisor, Hello { digest: !hello.digest, ..hello.clone() });
+    assert_eq!(messages::encode(answer), fixture("refused-files.bin"));
     assert_eq!(supervisor.line_but_counters(), "told its files set what only a start can change\n");
 
-    let (mut wire, answer) = begin(&supervisor, greet);
+    let (mut wire, answer) = begin(&supervisor, hello);
     let Message::Offer(offer) = answer else { panic!("{answer:?}") };
     let offered: Vec<&str> = offer.sections.iter().map(|section| section.name.as_str()).collect();
     let expected = ["node", "listeners", "rpcs", "json", "ajp", "executor", "below", "tokens"];
     assert_eq!((offer.version, offered.as_slice()), (2, expected.as_slice()));
     wire.send(Message::Prepare(Prepare {}), &[]).unwrap();
-    assert_eq!(hear(&mut wire), Message::Ahead(Count { parts: 0 }));
-    wire.send(Message::Ready(Nothing {}), &[]).unwrap();
+    assert_eq!(hear(&mut wire), Message::AheadComplete(ChunkCount { chunks: 0 }));
+    wire.send(Message::Ready(Empty {}), &[]).unwrap();
     assert_eq!(supervisor.line_but_counters(), "still?\n");
     supervisor.stream.write_all(b"yes\n").unwrap();
     let sections = parts_until_the_last(&mut wire);
     assert_eq!(sections, ["node", "listeners", "rpcs", "json", "executor", "below"]);
-    wire.send(Message::Abort(Refuse { why: "a spoilt section".into() }), &[]).unwrap();
+    wire.send(Message::Abort(Refusal { reason: "a spoilt section".into() }), &[]).unwrap();
     assert_eq!(supervisor.line_but_counters(), "on?\n");
     supervisor.stream.write_all(b"yes\n").unwrap();
     assert_eq!(supervisor.line_but_counters(), "told the new program refused: a spoilt section\n");
@@ -232,12 +232,12 @@
     let mut sections = Vec::new();
     loop {
         match hear(wire) {
-            Message::Part(part) => {
+            Message::Chunk(part) => {
                 assert!(wire.take(part.descriptors as usize).is_some(), "{}", part.section);
                 sections.push(part.section);
             }
-            Message::Last(count) => {
-                assert_eq!(count.parts, sections.len() as u64);
+            Message::TransferComplete(count) => {
+                assert_eq!(count.chunks, sections.len() as u64);
                 return sections;
             }
             other => panic!("{other:?}"),
