--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -1,13 +1,13 @@
 //! How this process hands all that it holds to its successor, and takes it from the one before: what is written down
 //! (`records`), the standstill, the Unix socket that descriptors go over (`wire`), the two sides (`give`, `take`) and
-//! the supervisor that starts both and says who may act; `orders` is its part in a rolling change. A program speaks to its supervisor
+//! the supervisor that starts both and says who may act; `rollout_agent` is its part in a rollout. A program speaks to its supervisor
 //! by `supervisor_link`; `counter_report` is what it reports there.
 
 pub mod counter_report;
 pub mod give;
-pub mod orders;
 pub mod process_guard;
 pub mod records;
+pub mod rollout_agent;
 pub mod supervisor;
 pub mod supervisor_link;
 pub mod take;
--- a/crates/ochrewalk-node/src/handover/supervisor.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor.rs
@@ -3,8 +3,8 @@
 //! act. It serves nothing itself, so that little can go wrong with it.
 
 use super::counter_report::CounterReport;
-use super::orders::{self, Deed, Image, Ordered, Orders, Serving};
 use super::process_guard::{ProcessAction, ProcessGuard};
+use super::rollout_agent::{self, AcceptedCommand, AgentAction, ChildSpec, RolloutAgent, ServingChild};
 use super::supervisor_link::{LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
 use super::wire::{inherit, lines, send_line};
 use ochrewalk_control_plane::control::is_owner;
@@ -39,21 +39,21 @@
 struct Worker {
     pid: u32,
     line: UnixStream,
-    serving: Serving,
+    serving: ServingChild,
 }
 
 /// Who waits to hear of an attempt, and in which words.
 enum Asker {
     Plain(UnixStream),
-    Conductor(UnixStream, Ordered),
+    Conductor(UnixStream, AcceptedCommand),
     /// A trial that is over.
     Trial,
 }
 
 /// What is begun once the program that serves has ended, as it cannot hand over.
 struct Anew {
-    image: Image,
-    before: (Image, u64),
+    image: ChildSpec,
+    before: (ChildSpec, u64),
     asker: Asker,
 }
 
@@ -65,7 +65,7 @@
     asker: Option<Asker>,
     /// Who hears of one that failed once that program has ended.
     untold: Vec<(u64, Asker, String)>,
-    orders: Orders,
+    rollout_agent: RolloutAgent,
     anew: Option<Anew>,
     /// How long a program that is told to leave may take.
     leaving: Duration,
@@ -97,7 +97,7 @@
         process_guard: ProcessGuard::default(),
         asker: None,
         untold: Vec::new(),
-        orders: Orders::default(),
+        rollout_agent: RolloutAgent::default(),
         anew: None,
         leaving,
         told_of: 0,
@@ -105,12 +105,12 @@
         to_self,
     };
     let own = std::env::current_exe().map_err(|err| err.to_string())?;
-    let image = Image { program: own.clone(), operators: None };
+    let image = ChildSpec { program: own.clone(), operators: None };
     let first = supervisor.start(&image, None).map_err(|err| format!("{}: {err}", own.display()))?;
     supervisor.process_guard.first(first);
     supervisor.told_of = first;
     while !supervisor.workers.is_empty() {
-        let event = match supervisor.orders.next() {
+        let event = match supervisor.rollout_agent.time_to_next_action() {
             Some(within) => events.recv_timeout(within),
             None => events.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
@@ -145,7 +145,7 @@
 }
 
 impl Supervisor {
-    fn start(&mut self, image: &Image, takes: Option<&UnixStream>) -> std::io::Result<u64> {
+    fn start(&mut self, image: &ChildSpec, takes: Option<&UnixStream>) -> std::io::Result<u64> {
         let (ours, theirs) = UnixStream::pair()?;
         let theirs = inherit(theirs.as_fd())?;
         let takes = takes.map(|stream| inherit(stream.as_fd())).transpose()?;
@@ -163,7 +163,7 @@
         let child = command.spawn()?;
         self.next += 1;
         let number = self.next;
-        let serving = Serving::of(image.clone(), child.id());
+        let serving = ServingChild::of(image.clone(), child.id());
         self.workers.insert(number, Worker { pid: child.id(), line: ours.try_clone()?, serving });
         let on_said = self.to_self.clone();
         let said = std::thread::spawn(move || {
@@ -252,32 +252,35 @@
     }
 
     /// Tells whoever asked what came of it. `before` is what ran until then.
-    fn tell(&mut self, asker: Asker, before: Option<(Image, u64)>, how: Result<&str, String>) {
+    fn tell(&mut self, asker: Asker, before: Option<(ChildSpec, u64)>, how: Result<&str, String>) {
         match (asker, how) {
             (Asker::Plain(mut stream), Ok(how)) => {
                 // Who asks for a program by hand wants it for good.
-                self.orders.is_for_good();
+                self.rollout_agent.confirm();
                 let _ = writeln!(stream, "{how}");
             }
             (Asker::Plain(mut stream), Err(why)) => drop(writeln!(stream, "{why}")),
-            (Asker::Conductor(mut stream, ordered), how) => {
+            (Asker::Conductor(mut stream, accepted), how) => {
                 let outcome = how.map_or_else(Outcome::Failed, |_| Outcome::Done);
-                orders::say(&mut stream, self.orders.ended(ordered, before, outcome));
+                rollout_agent::send_reply(
+                    &mut stream,
+                    self.rollout_agent.command_finished(accepted, before, outcome),
+                );
             }
-            (Asker::Trial, how) => self.orders.returned(how.is_ok()),
+            (Asker::Trial, how) => self.rollout_agent.revert_finished(how.is_ok()),
         }
     }
 
     /// A trial may be over.
     fn look_at_trial(&mut self) {
-        let Some((image, anew)) = self.orders.due() else { return };
+        let Some((image, anew)) = self.rollout_agent.due_revert() else { return };
         let begun = match self.process_guard.giver().filter(|_| self.anew.is_none()) {
             Some(from) if anew => self.begin_anew(from, image, Asker::Trial),
             Some(from) => self.begin(from, &image, Asker::Trial),
             None => Err(std::io::ErrorKind::ResourceBusy.into()),
         };
         if begun.is_err() {
-            self.orders.returned(false);
+            self.rollout_agent.revert_finished(false);
         }
     }
 
@@ -287,7 +290,7 @@
             return;
         };
         if let Some(before) = self.workers.get(&self.told_of) {
-            self.orders.followed(&before.serving);
+            self.rollout_agent.child_replaced(&before.serving);
         }
         self.told_of = acting;
     }
@@ -328,7 +331,7 @@
             let _ = writeln!(stream, "refused: nothing was asked for");
             return;
         }
-        if line.trim_end() == orders::WORD {
+        if line.trim_end() == rollout_agent::REQUEST_LINE {
             return self.conducted(stream, &mut reads);
         }
         let Some(program) = line.strip_prefix("upgrade ").map(str::trim_end) else {
@@ -339,8 +342,8 @@
             let _ = writeln!(stream, "refused: another upgrade is under way");
             return;
         };
-        let operators = self.workers.get(&from).and_then(|worker| worker.serving.image.operators.clone());
-        let image = Image { program: program.into(), operators };
+        let operators = self.workers.get(&from).and_then(|worker| worker.serving.spec.operators.clone());
+        let image = ChildSpec { program: program.into(), operators };
         let asker = stream.try_clone().map(Asker::Plain);
         if let Err(why) = asker.and_then(|asker| self.begin(from, &image, asker)) {
             let _ = writeln!(stream, "refused: {program}: {why}");
@@ -355,25 +358,28 @@
         }
         let serving = self.workers.get(&self.told_of).map(|worker| &worker.serving);
         let from = self.process_guard.giver().filter(|_| self.anew.is_none());
-        match self.orders.asked(&request, serving, from.is_none()) {
-            Deed::Answer(said) => orders::say(&mut stream, said),
-            Deed::Change(image, ordered) => {
+        match self.rollout_agent.handle_request(&request, serving, from.is_none()) {
+            AgentAction::Reply(said) => rollout_agent::send_reply(&mut stream, said),
+            AgentAction::ReplaceChild(image, accepted) => {
                 let begun = match (from, stream.try_clone()) {
-                    (Some(from), Ok(asker)) if ordered.anew => {
-                        self.begin_anew(from, image.clone(), Asker::Conductor(asker, ordered))
+                    (Some(from), Ok(asker)) if accepted.restart => {
+                        self.begin_anew(from, image.clone(), Asker::Conductor(asker, accepted))
                     }
-                    (Some(from), Ok(asker)) => self.begin(from, &image, Asker::Conductor(asker, ordered)),
+                    (Some(from), Ok(asker)) => self.begin(from, &image, Asker::Conductor(asker, accepted)),
                     _ => Err(std::io::ErrorKind::ResourceBusy.into()),
                 };
                 if let Err(why) = begun {
                     let why = format!("{}: {why}", image.program.display());
-                    orders::say(&mut stream, self.orders.ended(ordered, None, Outcome::Failed(why)));
+                    rollout_agent::send_reply(
+                        &mut stream,
+                        self.rollout_agent.command_finished(accepted, None, Outcome::Failed(why)),
+                    );
                 }
             }
         }
     }
 
-    fn begin(&mut self, from: u64, image: &Image, asker: Asker) -> std::io::Result<()> {
+    fn begin(&mut self, from: u64, image: &ChildSpec, asker: Asker) -> std::io::Result<()> {
         let (gives, takes) = UnixStream::pair()?;
         let to = self.start(image, Some(&takes))?;
         // Only the two of them hold an end from here on: so the end of either is heard by the other.
@@ -385,7 +391,7 @@
     }
 
     /// The program that serves leaves, as after any notice to; the next one begins once it has ended.
-    fn begin_anew(&mut self, from: u64, image: Image, asker: Asker) -> std::io::Result<()> {
+    fn begin_anew(&mut self, from: u64, image: ChildSpec, asker: Asker) -> std::io::Result<()> {
         let running = self.workers.get(&from).ok_or(std::io::ErrorKind::NotFound)?;
         send_signal(running.pid, SIGTERM);
         self.anew = Some(Anew { image, before: running.known(), asker });
@@ -414,8 +420,8 @@
 
 impl Worker {
     /// What it runs, and the print of its program.
-    fn known(&self) -> (Image, u64) {
-        (self.serving.image.clone(), self.serving.print)
+    fn known(&self) -> (ChildSpec, u64) {
+        (self.serving.spec.clone(), self.serving.fingerprint)
     }
 }
 
--- a/crates/ochrewalk-node/src/node/files.rs
+++ b/crates/ochrewalk-node/src/node/files.rs
@@ -1,6 +1,6 @@
 //! The files that a node goes by, read and checked together.
 
-use crate::handover::orders::print_of;
+use crate::handover::rollout_agent::fingerprint_of_file;
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::{Below as Called, Effect};
 use ochrewalk_operators::Operators;
@@ -38,7 +38,7 @@
     /// The operators' own as it stands there, and its print.
     pub(super) fn operators_text(&self) -> (String, u64) {
         let text = self.operators.as_ref().and_then(|file| std::fs::read_to_string(file).ok());
-        let print = self.operators.as_ref().and_then(|file| print_of(file).ok());
+        let print = self.operators.as_ref().and_then(|file| fingerprint_of_file(file).ok());
         (text.unwrap_or_default(), print.unwrap_or(0))
     }
 }
--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -1,7 +1,7 @@
 //! The conductor of a rolling change as a program: it asks nodes, sends orders, keeps a record and hears the operator, as
 //! `ochrewalk-rollout` decides.
 
-use crate::handover::orders::{ask, print_of};
+use crate::handover::rollout_agent::{fingerprint_of_file, send_request};
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_operators::{changes, Needs, Rollout as Plan, Subject};
 use ochrewalk_rollout::messages::{
@@ -70,7 +70,8 @@
             match known.get(&path) {
                 Some(print) => Ok(*print),
                 None => {
-                    let print = print_of(&path).map_err(|err| format!("{}: {err}", path.display()))?;
+                    let print =
+                        fingerprint_of_file(&path).map_err(|err| format!("{}: {err}", path.display()))?;
                     known.insert(path, print);
                     Ok(print)
                 }
@@ -121,7 +122,7 @@
 
 /// How a node stands, asked by the conductor of that number; 0 for one who only looks on.
 fn node_status(control: &Path, controller: u64) -> Result<NodeStatus, String> {
-    match ask(control, &Request::status(controller), ASKING) {
+    match send_request(control, &Request::status(controller), ASKING) {
         Ok(Response { reply: Some(Reply::Status(status)), .. }) => Ok(status),
         Ok(Response { reply: Some(Reply::Rejected(why)), .. }) => Err(why),
         Ok(Response { version, .. }) => Err(format!("an answer of version {version} that is not known here")),
@@ -307,7 +308,7 @@
 fn send_until_answered(control: &Path, request: &Request) -> CommandReply {
     let by = Instant::now() + ORDERED;
     loop {
-        let word = match ask(control, request, ORDERED) {
+        let word = match send_request(control, request, ORDERED) {
             Ok(Response { reply: Some(Reply::Finished(ended)), .. }) => CommandReply::Finished(ended.into()),
             Ok(Response { reply: Some(Reply::Stale(token)), .. }) => CommandReply::Stale(token.into()),
             Ok(Response { reply: Some(Reply::Rejected(why)), .. }) => {
