--- a/crates/ochrewalk-node/benches/configuration.rs
+++ b/crates/ochrewalk-node/benches/configuration.rs
@@ -5,7 +5,7 @@
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_node::configuration::state::{FileConfiguration, NodeConfiguration};
-use ochrewalk_operators::resources::read_changes;
+use ochrewalk_operators::resources::{read_changes, RouteTarget};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -30,7 +30,7 @@
 fn main() {
     println!("routes tenants snapshot_ms update_p50_us update_max_us swap_p99_us swap_max_us");
     for (routes, tenants) in [(100, 100), (1_000, 1_000), (10_000, 16_384), (49_000, 16_384)] {
-        let methods = [("look".to_string(), (0, true))].into();
+        let methods = [("look".to_string(), RouteTarget { position: 0, is_idempotent: true })].into();
         let file = FileConfiguration { has_front: true, ..FileConfiguration::default() };
         let mut node = NodeConfiguration::new(methods, file, 0);
         let mut text = String::new();
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config.rs
@@ -209,7 +209,7 @@
 fn changes_of(file: &Path) -> Result<Vec<Resource>, ConfigCommandError> {
     let fault = |source| ConfigCommandError::File { path: file.into(), source };
     let text = std::fs::read_to_string(file).map_err(fault)?;
-    let faults = |faults: Vec<ochrewalk_operators::Fault>| {
+    let faults = |faults: Vec<ochrewalk_operators::Diagnostic>| {
         ConfigCommandError::Faults(faults.iter().map(|fault| fault.to_string()).collect())
     };
     read_changes(&text, &file.display().to_string()).map_err(faults)
--- a/crates/ochrewalk-node/src/configuration/from_files.rs
+++ b/crates/ochrewalk-node/src/configuration/from_files.rs
@@ -6,37 +6,41 @@
 use crate::net::ajp_front::{AjpFront, Open};
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::Effect;
-use ochrewalk_operators::Operators;
+use ochrewalk_operators::resources::RouteTarget;
+use ochrewalk_operators::OperatorConfig;
 use std::sync::{Arc, Mutex};
 
 /// What of the operators' file distributed configuration comes on top of.
-pub(crate) fn file_configuration(operators: Operators) -> FileConfiguration {
-    let has_front = operators.ajp.is_some();
+pub(crate) fn file_configuration(operators: OperatorConfig) -> FileConfiguration {
+    let has_front = operators.ajp_listener.is_some();
     let (allowed_peers, rules) =
-        operators.ajp.map(|front| (front.allowed_peers, front.rules)).unwrap_or_default();
-    let zone = operators.below.as_ref().and_then(|below| below.here.clone());
-    let endpoints = operators.below.map(|below| below.places);
+        operators.ajp_listener.map(|front| (front.allowed_peers, front.rules)).unwrap_or_default();
+    let zone = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.zone.clone());
+    let endpoints = operators.ajp_upstream.map(|upstream| upstream.endpoints);
     FileConfiguration { allowed_peers, rules, endpoints, zone, has_front }
 }
 
 /// The agent of the control plane, where the operators' file names one.
 pub(crate) fn prepare_configuration(
     placement: &Placement,
-    operators: &Operators,
+    operators: &OperatorConfig,
     ajp: Option<Arc<AjpFront>>,
     by_ajp: Option<AjpBelow>,
 ) -> Result<Option<PreparedAgent>, String> {
-    let Some(config) = &operators.config else { return Ok(None) };
+    let Some(config) = &operators.config_agent else { return Ok(None) };
     let deployment = &placement.deployment;
     let effects = deployment.methods.iter().map(|method| method.effect == Effect::Idempotent);
     let names = deployment.method_names.iter().map(|name| name.to_string());
-    let methods = names.zip(effects.enumerate()).collect();
+    let targets =
+        effects.enumerate().map(|(position, is_idempotent)| RouteTarget { position, is_idempotent });
+    let methods = names.zip(targets).collect();
     let state = NodeConfiguration::new(
         methods,
         file_configuration(operators.clone()),
         deployment.tenants.len() as u32,
     );
-    let in_force_endpoints = Mutex::new(operators.below.as_ref().map(|below| below.places.clone()));
+    let in_force_endpoints =
+        Mutex::new(operators.ajp_upstream.as_ref().map(|upstream| upstream.endpoints.clone()));
     let front = ajp.clone();
     let retired: Mutex<Vec<Arc<Open>>> = Mutex::default();
     let take_over = move |in_force: InForce| {
--- a/crates/ochrewalk-node/src/configuration/state.rs
+++ b/crates/ochrewalk-node/src/configuration/state.rs
@@ -10,9 +10,9 @@
 use ochrewalk_ingress::routes::Routes;
 use ochrewalk_operators::resources::quota_name;
 use ochrewalk_operators::resources::{
-    check, check_route_at, describe, endpoint_address, MethodTable, ResourceFault, LIMIT_USUAL_MEMORY,
+    check, check_route_target, describe, endpoint_address, InvalidResource, RouteTarget, LIMIT_USUAL_MEMORY,
 };
-use ochrewalk_operators::PlaceBelow;
+use ochrewalk_operators::UpstreamEndpoint;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     pub allowed_peers: AllowedPeers,
     pub rules: Rules,
     /// Where calls go by AJP; none where they do not go by AJP.
-    pub endpoints: Option<Vec<PlaceBelow>>,
+    pub endpoints: Option<Vec<UpstreamEndpoint>>,
     /// The zone of this node.
     pub zone: Option<String>,
     /// There is a front whose routes can change.
@@ -58,14 +58,14 @@
     pub allowed_peers: AllowedPeers,
     pub rules: Rules,
     pub quotas: Arc<Quotas>,
-    pub endpoints: Option<Vec<PlaceBelow>>,
+    pub endpoints: Option<Vec<UpstreamEndpoint>>,
 }
 
 /// Why an update is not taken: the last good state stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateFault {
     #[error(transparent)]
-    Resource(#[from] ResourceFault),
+    Resource(#[from] InvalidResource),
     #[error("{route}: {why}")]
     RouteConflict { route: String, why: String },
     #[error("{0}: this node has no front that is routed")]
@@ -79,7 +79,7 @@
 }
 
 /// The node's methods by name: their positions, and whether each may happen twice.
-pub type Methods = HashMap<String, (usize, bool)>;
+pub type Methods = HashMap<String, RouteTarget>;
 
 /// The configuration of a node: its files, what was distributed to it, and what both come to.
 #[derive(Debug)]
@@ -239,13 +239,8 @@
 
     fn add_route(&self, routes: &mut Routes, resource: &Resource) -> Result<(), UpdateFault> {
         let Some(Value::Route(route)) = &resource.value else { return Ok(()) };
-        let methods: MethodTable = self
-            .methods
-            .get_key_value(&route.method)
-            .map(|(name, at)| (name.as_str(), *at))
-            .into_iter()
-            .collect();
-        let method = check_route_at(&resource.name, route, &methods)?;
+        let target = self.methods.get(&route.method).copied();
+        let method = check_route_target(&resource.name, route, target)?;
         let added = routes.add(&route.http_method, &route.path, method);
         added.map_err(|why| UpdateFault::RouteConflict { route: describe(&resource.name), why })
     }
@@ -285,20 +280,20 @@
         limits.filter_map(of).min_by(f64::total_cmp)
     }
 
-    fn endpoints(&self) -> Option<Vec<PlaceBelow>> {
+    fn endpoints(&self) -> Option<Vec<UpstreamEndpoint>> {
         let mut endpoints = self.file.endpoints.clone()?;
         for resource in self.distributed.of_kind(ResourceKind::Endpoint) {
-            let (Some(Value::Endpoint(endpoint)), Some(at)) =
+            let (Some(Value::Endpoint(endpoint)), Some(address)) =
                 (&resource.value, endpoint_address(&resource.name))
             else {
                 continue;
             };
-            let is_near = self.file.zone.as_ref().is_none_or(|zone| *zone == endpoint.zone);
-            let place = PlaceBelow { at, weight: endpoint.weight, is_near };
+            let is_in_local_zone = self.file.zone.as_ref().is_none_or(|zone| *zone == endpoint.zone);
+            let endpoint = UpstreamEndpoint { address, weight: endpoint.weight, is_in_local_zone };
             // A distributed endpoint says the newer of what a file says, too.
-            match endpoints.iter_mut().find(|known| known.at == at) {
-                Some(known) => *known = place,
-                None => endpoints.push(place),
+            match endpoints.iter_mut().find(|known| known.address == address) {
+                Some(known) => *known = endpoint,
+                None => endpoints.push(endpoint),
             }
         }
         Some(endpoints)
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -165,9 +165,10 @@
                 let (name, listen) = (&placement.name, placement.listen);
                 println!("{}: good: node {name} would listen on {listen}", files.node.display());
                 if let Some(file) = &files.operators {
-                    let front =
-                        operators.ajp.map_or("no AJP in front".into(), |f| format!("AJP on {}", f.listen));
-                    let places = operators.below.map_or(0, |below| below.places.len());
+                    let front = operators
+                        .ajp_listener
+                        .map_or("no AJP in front".into(), |f| format!("AJP on {}", f.listen));
+                    let places = operators.ajp_upstream.map_or(0, |upstream| upstream.endpoints.len());
                     println!("{}: good: {front}, {places} places below by AJP", file.display());
                     if let Some(before) = &against {
                         print!("{}", differences(before, file)?);
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -12,7 +12,7 @@
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
 use ochrewalk_ingress::judge::Headers;
-use ochrewalk_operators::{AjpBelow as Told, PlaceBelow};
+use ochrewalk_operators::{AjpUpstream, UpstreamEndpoint};
 use ochrewalk_places::{CallId, Ended, LinkId, Places, Said, Settled, Wire};
 use ochrewalk_spread::{Cause, Listed};
 use siphasher::sip::SipHasher13;
@@ -35,7 +35,7 @@
 
 struct Inner {
     clock: Clock,
-    told: Told,
+    settings: AjpUpstream,
     headers: Headers,
     state: Mutex<State>,
     /// Connections that have ended and whose peers have not seen that yet.
@@ -89,13 +89,13 @@
 }
 
 impl AjpBelow {
-    pub fn new(told: Told, clock: Clock, seed: u64) -> AjpBelow {
+    pub fn new(settings: AjpUpstream, clock: Clock, seed: u64) -> AjpBelow {
         let bounds = ochrewalk_places::Bounds {
-            most_links: told.connections,
-            trust_us: told.trust_us,
-            keep_us: told.keep_us,
+            most_links: settings.max_connections,
+            trust_us: settings.ping_after_idle_us,
+            keep_us: settings.max_idle_us,
         };
-        let mut places = Places::new(bounds, told.spread, told.repeats, seed);
+        let mut places = Places::new(bounds, settings.balancing, settings.retry_budget, seed);
         AjpBelow(Arc::new_cyclic(|inner| {
             let mut hands = Hands {
                 inner: inner.clone(),
@@ -108,10 +108,10 @@
                 why: None,
                 now_us: clock.now_us(),
             };
-            list(&mut places, &mut hands, &told.places);
+            list(&mut places, &mut hands, &settings.endpoints);
             Inner {
                 clock,
-                told,
+                settings,
                 headers: Headers::default(),
                 state: Mutex::new(State { places, hands, held: None }),
                 ending: AtomicUsize::new(0),
@@ -120,8 +120,8 @@
     }
 
     /// The operators' file names other places: calls to those that it names no more end where they are.
-    pub fn relist(&self, told: &[PlaceBelow]) {
-        self.0.with(|places, hands| list(places, hands, told));
+    pub fn relist(&self, endpoints: &[UpstreamEndpoint]) {
+        self.0.with(|places, hands| list(places, hands, endpoints));
     }
 
     /// Looks after time, for ever.
@@ -198,16 +198,19 @@
     print.finish()
 }
 
-fn list(places: &mut Places, hands: &mut Hands, told: &[PlaceBelow]) {
-    let listed =
-        |place: &PlaceBelow| Listed { key: key(&place.at), weight: place.weight, is_near: place.is_near };
-    let listed: Vec<Listed> = told.iter().map(listed).collect();
+fn list(places: &mut Places, hands: &mut Hands, endpoints: &[UpstreamEndpoint]) {
+    let listed = |endpoint: &UpstreamEndpoint| Listed {
+        key: key(&endpoint.address),
+        weight: endpoint.weight,
+        is_near: endpoint.is_in_local_zone,
+    };
+    let listed: Vec<Listed> = endpoints.iter().map(listed).collect();
     let slots = places.list(hands.now_us, &listed, hands);
-    for (slot, place) in slots.into_iter().zip(told) {
+    for (slot, endpoint) in slots.into_iter().zip(endpoints) {
         if hands.places.len() <= slot {
-            hands.places.resize(slot + 1, place.at);
+            hands.places.resize(slot + 1, endpoint.address);
         }
-        hands.places[slot] = place.at;
+        hands.places[slot] = endpoint.address;
     }
 }
 
@@ -292,7 +295,7 @@
 
     /// Carries one connection from its making to its end.
     fn keep(&self, link: LinkId, at: SocketAddr, outbox: &Outbox) {
-        let ending = match connect(&at, Duration::from_micros(self.told.connect_us)) {
+        let ending = match connect(&at, Duration::from_micros(self.settings.connect_timeout_us)) {
             Ok(stream) => {
                 let now_us = self.clock.now_us();
                 self.with(|places, hands| {
@@ -306,14 +309,14 @@
                     &stream,
                     outbox,
                     None,
-                    self.told.packet,
+                    self.settings.max_packet_bytes,
                     &mut Replies { inner: self, outbox, link },
                 );
                 self.end(link, &ending);
                 self.ending.fetch_add(1, Ordering::Relaxed);
                 let crowded = || {
                     self.lock().hands.links.len() + self.ending.load(Ordering::Relaxed)
-                        > self.told.connections
+                        > self.settings.max_connections
                 };
                 let_go(&stream, &ending, crowded);
                 self.ending.fetch_sub(1, Ordering::Relaxed);
@@ -349,8 +352,11 @@
     }
 
     fn life(&self, now_us: u64) -> Life {
-        let bounds =
-            Bounds { pong_us: self.told.pong_us, reply_us: self.told.reply_us, most_reply: MOST_REPLY };
+        let bounds = Bounds {
+            pong_us: self.settings.ping_timeout_us,
+            reply_us: self.settings.reply_timeout_us,
+            most_reply: MOST_REPLY,
+        };
         Life::new(now_us, bounds, super::ajp_front::NEVER_RAN)
     }
 
@@ -361,28 +367,28 @@
         let mut headers: Vec<(&[u8], &[u8])> = vec![
             (b"content-type", b"application/octet-stream"),
             (b"content-length", length.as_bytes()),
-            (b"host", self.told.server_name.as_bytes()),
+            (b"host", self.settings.server_name.as_bytes()),
         ];
         headers.push((self.headers.id.as_bytes(), call.id.as_bytes()));
         headers.push((self.headers.left.as_bytes(), left.as_bytes()));
-        let secret = self.told.secret.as_ref().map(|secret| Attribute::Text(Which::Secret, secret));
+        let secret = self.settings.secret.as_ref().map(|secret| Attribute::Text(Which::Secret, secret));
         let request = Request {
             method: b"POST",
             protocol: b"HTTP/1.1",
-            uri: self.told.uri.as_bytes(),
+            uri: self.settings.uri.as_bytes(),
             remote_addr: Some(b"127.0.0.1"),
             remote_host: None,
-            server_name: Some(self.told.server_name.as_bytes()),
+            server_name: Some(self.settings.server_name.as_bytes()),
             server_port: 80,
             ssl: false,
             headers,
             attributes: secret.into_iter().collect(),
         };
         let mut out = Vec::with_capacity(256 + call.body.len());
-        request.write(&mut out, self.told.packet).ok()?;
-        let first = call.body.len().min(request::longest_piece(self.told.packet));
+        request.write(&mut out, self.settings.max_packet_bytes).ok()?;
+        let first = call.body.len().min(request::longest_piece(self.settings.max_packet_bytes));
         if first > 0 {
-            request::write_piece(&mut out, self.told.packet, &call.body[..first]).ok()?;
+            request::write_piece(&mut out, self.settings.max_packet_bytes, &call.body[..first]).ok()?;
         }
         Some((out, first))
     }
@@ -434,7 +440,7 @@
         let call = of.call.and_then(|call| self.calls.get(&call));
         let mut out = Vec::new();
         if wanted.ping {
-            request::write_plain(&mut out, &Message::CPing, inner.told.packet).expect("fits");
+            request::write_plain(&mut out, &Message::CPing, inner.settings.max_packet_bytes).expect("fits");
         }
         if let (true, Some(call)) = (wanted.call, call) {
             match inner.packets(call, self.now_us) {
@@ -447,10 +453,10 @@
             }
         }
         if let (Some(most), Some(call)) = (wanted.piece, call) {
-            let most = usize::from(most).min(request::longest_piece(inner.told.packet));
+            let most = usize::from(most).min(request::longest_piece(inner.settings.max_packet_bytes));
             let piece = &call.body[of.sent..(of.sent + most).min(call.body.len())];
             of.sent += piece.len();
-            request::write_piece(&mut out, inner.told.packet, piece).expect("fits");
+            request::write_piece(&mut out, inner.settings.max_packet_bytes, piece).expect("fits");
         }
         if !out.is_empty() {
             of.outbox.push(out);
@@ -549,7 +555,7 @@
 
 impl Reader for Replies<'_> {
     fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
-        match reply::read(input, self.inner.told.packet) {
+        match reply::read(input, self.inner.settings.max_packet_bytes) {
             Ok(Some((message, taken))) => {
                 self.life(|life, now_us, wanted| life.message(now_us, &message, wanted))?;
                 Ok(taken)
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -24,7 +24,7 @@
 use may::sync::mpsc::{channel, Sender};
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::{Effect, RpcId, Stopping};
-use ochrewalk_operators::Operators;
+use ochrewalk_operators::OperatorConfig;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::os::fd::{FromRawFd, IntoRawFd, OwnedFd};
@@ -80,7 +80,7 @@
 /// Puts every part together, from what another process held where there is something.
 pub(super) fn build(
     placement: &Placement,
-    operators: Operators,
+    operators: OperatorConfig,
     digest: u64,
     mut taken: Option<Taken>,
 ) -> Result<Built, String> {
@@ -92,7 +92,8 @@
         None => listen(at),
     };
     let json_listener = listener(placement.listen)?;
-    let ajp_listener = operators.ajp.as_ref().map(|front| listener(front.listen)).transpose()?;
+    let ajp_listener =
+        operators.ajp_listener.as_ref().map(|settings| listener(settings.listen)).transpose()?;
     let clock = taken.as_ref().map_or_else(Clock::start, |taken| Clock::resume(taken.node.clock_base_ns));
     let bytes = placement.memory_mb as usize * 1024 * 1024;
     let deployment = placement.deployment.clone();
@@ -126,7 +127,10 @@
             (gate, stirred, Vec::new())
         }
     };
-    let most_links = operators.below.as_ref().map_or(placement.descriptors / OF_BELOW, |b| b.connections);
+    let most_links = operators
+        .ajp_upstream
+        .as_ref()
+        .map_or(placement.descriptors / OF_BELOW, |upstream| upstream.max_connections);
     let runs = incoming.iter().zip(&rpcs).zip(&tickets).filter(|((_, rpc), _)| rpc.running);
     let again = |rpc: &Incoming| deployment.methods[rpc.method].effect == Effect::Idempotent;
     let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.post())).collect();
@@ -137,8 +141,9 @@
         }
         None => (Executor::new(placement.executor, pauses), None),
     };
-    let status = operators.below.as_ref().and_then(|below| below.status.clone());
-    let by_ajp = operators.below.clone().map(|told| AjpBelow::new(told, clock, placement.seed));
+    let status = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.status_socket.clone());
+    let by_ajp =
+        operators.ajp_upstream.clone().map(|settings| AjpBelow::new(settings, clock, placement.seed));
     let store = placement.below.filter(|_| by_ajp.is_none()).map(|at| Below::new(at, clock, most_links));
     let below: Option<Arc<dyn Beneath>> = match (&by_ajp, &store) {
         (Some(by_ajp), _) => Some(Arc::new(by_ajp.clone())),
@@ -148,17 +153,19 @@
     let core = Arc::new(Core::new(clock, gate, deployment, executor, below, bytes, print_key));
     // Each front has descriptors of its own, so that neither can take the other's: its connections, a few that
     // are ending, its listener.
-    let of_ajp = operators.ajp.as_ref().map_or(0, |front| front.connections + AJP_DESCRIPTORS);
+    let of_ajp =
+        operators.ajp_listener.as_ref().map_or(0, |listener| listener.max_connections + AJP_DESCRIPTORS);
     let most = placement.descriptors.saturating_sub(OWN_DESCRIPTORS + most_links + of_ajp);
     if most < LEAST_DISPATCHERS {
         return Err(format!("{most} descriptors are left for dispatchers, {LEAST_DISPATCHERS} are needed"));
     }
     let dispatchers = Arc::new(Dispatchers::new(core.clone(), most));
     let directory = Mutex::new(placement.directory);
-    let ajp = operators.ajp.clone().map(|front| {
-        let open = Open { allowed_peers: front.allowed_peers, rules: front.rules, quotas: Arc::default() };
-        let most = front.connections;
-        AjpFront::new(core.clone(), open, front.packet, most, front.idle_us, placement.seed)
+    let ajp = operators.ajp_listener.clone().map(|settings| {
+        let open =
+            Open { allowed_peers: settings.allowed_peers, rules: settings.rules, quotas: Arc::default() };
+        let (packet, idle_us) = (settings.max_packet_bytes, settings.idle_timeout_us);
+        AjpFront::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
     });
     let agent = prepare_configuration(placement, &operators, ajp.clone(), by_ajp.clone())?;
     let configuration = agent.as_ref().map(|agent| agent.handle.clone());
--- a/crates/ochrewalk-node/src/node/files.rs
+++ b/crates/ochrewalk-node/src/node/files.rs
@@ -3,7 +3,7 @@
 use crate::moving::orders::print_of;
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::{Below as Called, Effect};
-use ochrewalk_operators::Operators;
+use ochrewalk_operators::{MethodContext, NodeContext, OperatorConfig};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 use std::io::{self, Write};
@@ -18,20 +18,20 @@
 
 impl Files {
     /// Reads and checks both. A message has a line for each fault.
-    pub fn read(&self) -> Result<(Placement, Operators), String> {
+    pub fn read(&self) -> Result<(Placement, OperatorConfig), String> {
         let placement = Placement::read_file(&self.node)?;
         let operators = self.operators.as_deref().map(|file| read_operators(file, &placement)).transpose()?;
         Ok((placement, operators.unwrap_or_default()))
     }
 
     /// A digest of what cannot change while a node runs: of two programs that have the same one may follow the other.
-    pub(super) fn digest(&self, operators: &Operators) -> Result<u64, String> {
+    pub(super) fn digest(&self, operators: &OperatorConfig) -> Result<u64, String> {
         let mut print = SipHasher13::new();
         let text = std::fs::read(&self.node).map_err(|err| format!("{}: {err}", self.node.display()))?;
         Placement::write_lasting(&text, &mut HashWriter(&mut print))?;
         // Programs that hashed it as one string ended it so: they have the same digest.
         print.write_u8(0xff);
-        operators.lasting().hash(&mut print);
+        operators.restart_only_settings().hash(&mut print);
         Ok(print.finish())
     }
 
@@ -57,16 +57,23 @@
     }
 }
 
-pub(super) fn read_operators(file: &Path, placement: &Placement) -> Result<Operators, String> {
+pub(super) fn read_operators(file: &Path, placement: &Placement) -> Result<OperatorConfig, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|err| format!("{name}: {err}"))?;
     let deployment = &placement.deployment;
-    let effects = deployment.methods.iter().map(|m| m.effect == Effect::Idempotent);
-    let methods: Vec<_> = deployment.method_names.iter().map(String::from).zip(effects).collect();
-    let calls = deployment.below != Called::Nothing;
-    let node = ochrewalk_operators::Node { methods: &methods, descriptors: placement.descriptors, calls };
-    let mut operators = ochrewalk_operators::read(&text, &name, &node)
-        .map_err(|faults| faults.iter().map(|f| f.to_string()).collect::<Vec<_>>().join("\n"))?;
+    let methods: Vec<MethodContext> = deployment
+        .method_names
+        .iter()
+        .zip(deployment.methods.iter())
+        .map(|(name, method)| MethodContext {
+            name: name.to_string(),
+            is_idempotent: method.effect == Effect::Idempotent,
+        })
+        .collect();
+    let has_upstream = deployment.below != Called::Nothing;
+    let node = NodeContext { methods: &methods, descriptors: placement.descriptors, has_upstream };
+    let mut operators = ochrewalk_operators::parse(&text, &name, &node)
+        .map_err(|found| found.iter().map(|d| d.to_string()).collect::<Vec<_>>().join("\n"))?;
     let secret = |at: &Path| {
         let text =
             std::fs::read_to_string(at).map_err(|err| format!("{name}: secret {}: {err}", at.display()))?;
@@ -76,14 +83,14 @@
         }
         Ok(secret)
     };
-    if let Some(front) = &mut operators.ajp {
-        if let Some(at) = &front.secret_file {
-            front.rules.secret = Some(secret(at)?);
+    if let Some(listener) = &mut operators.ajp_listener {
+        if let Some(at) = &listener.secret_file {
+            listener.rules.secret = Some(secret(at)?);
         }
     }
-    if let Some(below) = &mut operators.below {
-        if let Some(at) = &below.secret_file {
-            below.secret = Some(secret(at)?);
+    if let Some(upstream) = &mut operators.ajp_upstream {
+        if let Some(at) = &upstream.secret_file {
+            upstream.secret = Some(secret(at)?);
         }
     }
     Ok(operators)
--- a/crates/ochrewalk-node/src/node/reload.rs
+++ b/crates/ochrewalk-node/src/node/reload.rs
@@ -5,7 +5,7 @@
 use crate::net::ajp_front::Open;
 use may::sync::mpsc::Sender;
 use ochrewalk::deployment::Placement;
-use ochrewalk_operators::{changes, Needs, Operators};
+use ochrewalk_operators::{changes, ChangeClass, OperatorConfig};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Instant;
@@ -40,8 +40,10 @@
         tracing::warn!("SIGHUP: {key} has changed; it takes effect with the next start only");
     }
     // What is in force stays the measure until all of the newer file is.
-    let waiting: Vec<_> =
-        changes(operators_text, &text).into_iter().filter(|change| change.needs != Needs::Reload).collect();
+    let waiting: Vec<_> = changes(operators_text, &text)
+        .into_iter()
+        .filter(|change| change.class != ChangeClass::Reload)
+        .collect();
     for change in &waiting {
         tracing::warn!("SIGHUP: {change}: not in force yet");
     }
@@ -67,11 +69,11 @@
     true
 }
 
-fn take_over_file(node: &Node, operators: Operators) {
-    if let (Some(front), Some(newer)) = (&node.ajp, operators.ajp) {
+fn take_over_file(node: &Node, operators: OperatorConfig) {
+    if let (Some(front), Some(newer)) = (&node.ajp, operators.ajp_listener) {
         front.change(Open { allowed_peers: newer.allowed_peers, rules: newer.rules, quotas: Arc::default() });
     }
-    if let (Some(by_ajp), Some(newer)) = (&node.by_ajp, &operators.below) {
-        by_ajp.relist(&newer.places);
+    if let (Some(by_ajp), Some(newer)) = (&node.by_ajp, &operators.ajp_upstream) {
+        by_ajp.relist(&newer.endpoints);
     }
 }
--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -3,7 +3,7 @@
 
 use crate::moving::orders::{ask, print_of};
 use ochrewalk_control_plane::control::is_owner;
-use ochrewalk_operators::{changes, Needs, Rollout as Plan, Subject};
+use ochrewalk_operators::{changes, ChangeClass, RolloutPlan as Plan, Subject, Version};
 use ochrewalk_rollout::messages::{self, program, OrderTold, Request, Response, Said, Stands, Wanted};
 use ochrewalk_rollout::{
     Acts, Conductor, Course, Habits, Judge, Kept, Mark, Measures, Moment, NodeCounts, Order, Outcome, Phase,
@@ -48,7 +48,7 @@
 pub fn read(file: &Path) -> Result<Plan, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|err| format!("{name}: {err}"))?;
-    Plan::read(&text, &name)
+    Plan::parse(&text, &name)
         .map_err(|faults| faults.iter().map(|f| f.to_string()).collect::<Vec<_>>().join("\n"))
 }
 
@@ -75,7 +75,7 @@
         };
         let mut of = Vec::new();
         for node in &plan.nodes {
-            let [old, new] = [print(plan.file(node, false))?, print(plan.file(node, true))?];
+            let [old, new] = [print(plan.file(node, Version::Old))?, print(plan.file(node, Version::New))?];
             if old == new {
                 return Err(format!("both files of the plan hold the same for {}", node.name));
             }
@@ -99,12 +99,12 @@
     }
     let (mut may, mut never) = (BTreeSet::new(), BTreeSet::new());
     for node in &plan.nodes {
-        let read = |is_new: bool| {
-            let path = plan.file(node, is_new);
+        let read = |version: Version| {
+            let path = plan.file(node, version);
             std::fs::read_to_string(&path).map_err(|err| format!("{}: {err}", path.display()))
         };
-        for change in changes(&read(false)?, &read(true)?) {
-            let of = if change.needs == Needs::Start { &mut never } else { &mut may };
+        for change in changes(&read(Version::Old)?, &read(Version::New)?) {
+            let of = if change.class == ChangeClass::Restart { &mut never } else { &mut may };
             of.insert(format!("{change}\n"));
         }
     }
@@ -280,10 +280,11 @@
         let is_new = order.to == Program::New;
         let to = if is_new { "new" } else { "old" };
         self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": format!("{:?}", order.how)}));
-        let path = self.plan.file(&self.plan.nodes[node], is_new).display().to_string();
+        let version = if is_new { Version::New } else { Version::Old };
+        let path = self.plan.file(&self.plan.nodes[node], version).display().to_string();
         let print = self.prints.of[node][usize::from(is_new)];
         let wanted = Wanted { is_settings: self.plan.subject == Subject::Settings, path, print };
-        let request = Request::order(OrderTold::new(&order, wanted, self.plan.trial_us / 1_000));
+        let request = Request::order(OrderTold::new(&order, wanted, self.plan.confirm_timeout_us / 1_000));
         let (control, tell) = (self.plan.nodes[node].control.clone(), self.tell.clone());
         std::thread::spawn(move || {
             let word = give_order(&control, &request);
@@ -343,7 +344,7 @@
     // Above any that an earlier one has had, whatever became of the clock; and no other's that begins now.
     let now_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
     let number = now_us.max(kept.as_ref().map_or(0, |kept| kept.conductor) + 1);
-    let habits = Habits { on_trial: plan.trial_us > 0, begins_anew: plan.begins_anew };
+    let habits = Habits { on_trial: plan.confirm_timeout_us > 0, begins_anew: plan.restarts_stuck_nodes };
     hands.say(json!({"begun": number}));
     let mut conductor = Conductor::new(course, habits, kept, number);
     let end = conduct(&mut conductor, &mut hands, &heard, command);
@@ -359,7 +360,8 @@
     names.dedup();
     let zone = |name: &String| names.binary_search(&name).map_or(0, |at| at as u32);
     let zones = plan.nodes.iter().map(|node| zone(&node.zone)).collect();
-    Course::new(zones, plan.stages.clone(), plan.most_out).map_err(|wrong| format!("the plan's {wrong:?}"))
+    Course::new(zones, plan.stages.clone(), plan.max_unavailable)
+        .map_err(|wrong| format!("the plan's {wrong:?}"))
 }
 
 fn conduct(
@@ -369,13 +371,13 @@
     command: ConductorCommand,
 ) -> Result<End, String> {
     let plan = hands.plan;
-    let moment = Duration::from_micros(plan.moment_us);
-    let moments = |us: u64| (us / plan.moment_us).max(1) as u32;
+    let moment = Duration::from_micros(plan.sample_interval_us);
+    let moments = |us: u64| (us / plan.sample_interval_us).max(1) as u32;
     let measures = Measures {
         harm: plan.harm,
-        least: moments(plan.least_us),
-        most: moments(plan.most_us),
-        silent: moments(plan.silent_us),
+        least: moments(plan.min_stage_us),
+        most: moments(plan.max_stage_us),
+        silent: moments(plan.max_silence_us),
         ..Measures::default()
     };
     let mut nodes: Vec<Before> = plan.nodes.iter().map(|_| Before::default()).collect();
@@ -424,7 +426,7 @@
             (last, moved_at) = (now, Instant::now());
         }
         let stands_for = moved_at.elapsed().as_micros() as u64;
-        if stands_for > plan.patience_us && conductor.orders().next().is_none() {
+        if stands_for > plan.recovery_timeout_us && conductor.orders().next().is_none() {
             conductor.stuck();
         }
         while !conductor.is_over() {
@@ -535,7 +537,7 @@
                 let earlier = counted_earlier.get(name.as_str()).copied();
                 counted_now.get(name.as_str()).map(|method| method.since(earlier)).unwrap_or_default()
             });
-            let cold = Duration::from_micros(plan.cold_us);
+            let cold = Duration::from_micros(plan.warm_up_us);
             moment.nodes.push(NodeCounts {
                 node,
                 zone: zones.iter().position(|zone| *zone == zones[node]).unwrap_or(0) as u32,
--- a/crates/ochrewalk-node/tests/configuration_state.rs
+++ b/crates/ochrewalk-node/tests/configuration_state.rs
@@ -5,12 +5,16 @@
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
 use ochrewalk_node::configuration::state::{FileConfiguration, InForce, NodeConfiguration, UpdateFault};
-use ochrewalk_operators::resources::{quota_name, read_changes};
-use ochrewalk_operators::PlaceBelow;
+use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
+use ochrewalk_operators::UpstreamEndpoint;
 use std::sync::Arc;
 
 const FIRST_TENANT: u32 = 100;
 
+fn target(position: usize, is_idempotent: bool) -> RouteTarget {
+    RouteTarget { position, is_idempotent }
+}
+
 fn file(routes: &[(&str, &str, usize)]) -> FileConfiguration {
     let mut table = Routes::default();
     routes.iter().for_each(|(http, path, method)| table.add(http, path, *method).unwrap());
@@ -24,7 +28,7 @@
 }
 
 fn node() -> NodeConfiguration {
-    let methods = [("look".to_string(), (0, true)), ("sale".to_string(), (1, false))].into();
+    let methods = [("look".to_string(), target(0, true)), ("sale".to_string(), target(1, false))].into();
     NodeConfiguration::new(methods, file(&[("GET", "/file", 0)]), FIRST_TENANT)
 }
 
@@ -98,7 +102,7 @@
 
 #[test]
 fn resources_that_this_node_has_no_use_for_are_refused_with_the_reason() {
-    let methods = || [("look".to_string(), (0, true))].into();
+    let methods = || [("look".to_string(), target(0, true))].into();
     let bare = FileConfiguration::default();
     let mut node = NodeConfiguration::new(methods(), bare, 0);
     let fault = node.apply(&snapshot(1, "route shop GET /a look")).unwrap_err();
@@ -144,7 +148,7 @@
 fn endpoints_and_limits_come_on_top_of_the_file() {
     let mut node = node();
     let at = |text: &str| text.parse::<std::net::SocketAddr>().unwrap();
-    let of_file = PlaceBelow { at: at("10.0.0.1:80"), weight: 1.0, is_near: true };
+    let of_file = UpstreamEndpoint { address: at("10.0.0.1:80"), weight: 1.0, is_in_local_zone: true };
     let (_, faults) = node.replace_file(FileConfiguration {
         endpoints: Some(vec![of_file]),
         rules: Rules { usual_kb: Some(9.0), ..Rules::default() },
@@ -155,8 +159,8 @@
                    limit shop usual-memory-kb 20\nlimit till usual-memory-kb 12";
     let in_force = node.apply(&snapshot(1, changes)).unwrap();
     let wanted = [
-        PlaceBelow { at: at("10.0.0.1:80"), weight: 3.0, is_near: false },
-        PlaceBelow { at: at("10.0.0.2:80"), weight: 1.0, is_near: true },
+        UpstreamEndpoint { address: at("10.0.0.1:80"), weight: 3.0, is_in_local_zone: false },
+        UpstreamEndpoint { address: at("10.0.0.2:80"), weight: 1.0, is_in_local_zone: true },
     ];
     assert_eq!(in_force.endpoints.as_deref(), Some(&wanted[..]));
     assert_eq!(in_force.rules.usual_kb, Some(12.0));
--- /dev/null
+++ b/crates/ochrewalk-operators/src/parser/ajp_upstream.rs
@@ -0,0 +1,256 @@
+//! `below`: upstream calls by AJP: the endpoints, the connections to them, and how calls are balanced.
+
+use super::hosts::Hosts;
+use super::FirstLines;
+use crate::diagnostic::{line_error, FileError, LineError};
+use crate::directive::{self, Section};
+use crate::settings::{AjpUpstream, UpstreamEndpoint};
+use crate::values::{packet_bytes, share, socket_path, time_us, uri_path, weight, whole_number};
+use ochrewalk_spread::{Kind, Reach, KINDS};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// So many endpoints at least does a numbered node call: losing half of them leaves some, and each is heard of every few
+/// seconds at a call or two a second.
+const DEFAULT_SUBSET_SIZE: usize = 5;
+/// Connections get one in so many of the node's descriptors at most.
+const MAX_DESCRIPTOR_PART: usize = 4;
+
+const MILLISECOND_US: u64 = 1_000;
+const SECOND_US: u64 = 1_000_000;
+const HOUR_US: u64 = 3_600 * SECOND_US;
+
+/// What a directive said of one endpoint.
+struct AtLine<T> {
+    line: usize,
+    value: T,
+}
+
+/// The position of this node among all nodes that call the same endpoints.
+#[derive(Clone, Copy)]
+struct NodeNumber {
+    number: usize,
+    count: usize,
+}
+
+pub(super) struct AjpUpstreamParser {
+    upstream: AjpUpstream,
+    max_connections: usize,
+    weights: BTreeMap<SocketAddr, AtLine<f64>>,
+    zones: BTreeMap<SocketAddr, AtLine<String>>,
+    local_zone: Option<String>,
+    subset_size: Option<usize>,
+    node_number: Option<NodeNumber>,
+}
+
+impl AjpUpstreamParser {
+    pub fn new(descriptors: usize) -> AjpUpstreamParser {
+        AjpUpstreamParser {
+            upstream: AjpUpstream::with_defaults(descriptors),
+            max_connections: descriptors / MAX_DESCRIPTOR_PART,
+            weights: BTreeMap::new(),
+            zones: BTreeMap::new(),
+            local_zone: None,
+            subset_size: None,
+            node_number: None,
+        }
+    }
+
+    /// `below NAME ARGUMENTS`.
+    pub fn directive(
+        &mut self,
+        line: usize,
+        name: &str,
+        arguments: &[String],
+        hosts: &Hosts,
+    ) -> Result<(), LineError> {
+        match name {
+            "ajp" | "weight" | "zone" => self.endpoint_directive(line, name, arguments, hosts),
+            "here" | "reach" | "number" => self.subset_directive(name, arguments),
+            "leave-out" | "pause" | "repeats" | "way" | "warm" | "status" => {
+                self.balancing_directive(name, arguments)
+            }
+            _ => self.connection_directive(name, &arguments[0]),
+        }
+    }
+
+    fn endpoint_directive(
+        &mut self,
+        line: usize,
+        name: &str,
+        arguments: &[String],
+        hosts: &Hosts,
+    ) -> Result<(), LineError> {
+        let word = &arguments[0];
+        match name {
+            "ajp" => {
+                let address = hosts.socket_address(word)?;
+                if self.has_endpoint(address) {
+                    return line_error(format!("{address} stands here already"), "name each place once");
+                }
+                let endpoint = UpstreamEndpoint { address, weight: 1.0, is_in_local_zone: true };
+                self.upstream.endpoints.push(endpoint);
+            }
+            "weight" => {
+                let value = weight(&arguments[1])?;
+                let address = hosts.socket_address(word)?;
+                let before = self.weights.insert(address, AtLine { line, value });
+                check_first(address, "weight", before.as_ref())?;
+            }
+            _ => {
+                let address = hosts.socket_address(word)?;
+                let before = self.zones.insert(address, AtLine { line, value: arguments[1].clone() });
+                check_first(address, "zone", before.as_ref())?;
+            }
+        }
+        Ok(())
+    }
+
+    fn subset_directive(&mut self, name: &str, arguments: &[String]) -> Result<(), LineError> {
+        let word = &arguments[0];
+        match name {
+            "here" => self.local_zone = Some(word.clone()),
+            "reach" => self.subset_size = Some(whole_number(word, 2, 10_000)?),
+            _ => {
+                let count = whole_number(&arguments[1], 1, 1_000_000)?;
+                let number = whole_number(word, 0, count - 1)?;
+                self.node_number = Some(NodeNumber { number, count });
+            }
+        }
+        Ok(())
+    }
+
+    fn balancing_directive(&mut self, name: &str, arguments: &[String]) -> Result<(), LineError> {
+        let word = &arguments[0];
+        let balancing = &mut self.upstream.balancing;
+        let ejection = &mut balancing.leaving;
+        match name {
+            "leave-out" => ejection.after = whole_number(word, 1, 1_000)? as u32,
+            "pause" => {
+                ejection.first_us = time_us(word, MILLISECOND_US, 60 * SECOND_US)?;
+                ejection.most_us = time_us(&arguments[1], MILLISECOND_US, HOUR_US)?;
+                if ejection.most_us < ejection.first_us {
+                    return line_error(
+                        "the longest pause is shorter than the first",
+                        "write the shorter one first",
+                    );
+                }
+            }
+            "warm" => ejection.warm_us = time_us(word, 0, 600 * SECOND_US)?,
+            "way" => balancing.kind = balancing_policy(word)?,
+            "repeats" => self.upstream.retry_budget = share(word)?,
+            _ => self.upstream.status_socket = Some(socket_path(word)?),
+        }
+        Ok(())
+    }
+
+    fn connection_directive(&mut self, name: &str, word: &str) -> Result<(), LineError> {
+        let upstream = &mut self.upstream;
+        match name {
+            "name" => upstream.server_name = word.into(),
+            "uri" => upstream.uri = uri_path(word)?,
+            "secret" => upstream.secret = Some(word.into()),
+            "secret-file" => upstream.secret_file = Some(PathBuf::from(word)),
+            "packet" => upstream.max_packet_bytes = packet_bytes(word)?,
+            "connections" => upstream.max_connections = whole_number(word, 1, self.max_connections)?,
+            "connect" => upstream.connect_timeout_us = time_us(word, MILLISECOND_US, 10 * SECOND_US)?,
+            "pong" => upstream.ping_timeout_us = time_us(word, MILLISECOND_US, 10 * SECOND_US)?,
+            "reply" => upstream.reply_timeout_us = time_us(word, MILLISECOND_US, 60 * SECOND_US)?,
+            "trust" => upstream.ping_after_idle_us = time_us(word, 0, 60 * SECOND_US)?,
+            "keep" => upstream.max_idle_us = time_us(word, MILLISECOND_US, HOUR_US)?,
+            _ => return Err(directive::unknown(Section::Below.name(), name)),
+        }
+        Ok(())
+    }
+
+    fn has_endpoint(&self, address: SocketAddr) -> bool {
+        self.upstream.endpoints.iter().any(|endpoint| endpoint.address == address)
+    }
+
+    /// Checks these directives together, and against the node's file.
+    pub fn check(&self, lines: &FirstLines, has_upstream: bool) -> Result<(), FileError> {
+        lines.check_one_secret(Section::Below)?;
+        if let (Some(line), true) = (lines.of_section(Section::Below), self.upstream.endpoints.is_empty()) {
+            let suggestion = "add a line such as: below ajp ledger.example.org:8009";
+            return Err(FileError::new(line, "no place below is named", suggestion));
+        }
+        if let (Some(line), false) = (lines.of("below ajp"), has_upstream) {
+            let suggestion = "set \"below\" there or remove this line";
+            return Err(FileError::new(line, "the node's file says that nothing is called", suggestion));
+        }
+        Ok(())
+    }
+
+    /// The settings, if an endpoint is named, with weights, zones and subset brought to the endpoints.
+    pub fn finish(mut self) -> Result<Option<AjpUpstream>, FileError> {
+        self.check_endpoints_named()?;
+        self.check_local_zone()?;
+        for endpoint in &mut self.upstream.endpoints {
+            let zone = self.zones.get(&endpoint.address).map(|zone| &zone.value);
+            endpoint.weight = self.weights.get(&endpoint.address).map_or(1.0, |weight| weight.value);
+            // An endpoint without a zone counts as near: nothing says that it is far.
+            endpoint.is_in_local_zone = match (&self.local_zone, zone) {
+                (Some(local), Some(zone)) => local == zone,
+                _ => true,
+            };
+        }
+        self.upstream.balancing.reach = self.subset();
+        self.upstream.zone = self.local_zone;
+        Ok((!self.upstream.endpoints.is_empty()).then_some(self.upstream))
+    }
+
+    /// Weights and zones are of endpoints that the file names.
+    fn check_endpoints_named(&self) -> Result<(), FileError> {
+        let weights = self.weights.iter().map(|(address, weight)| (address, weight.line));
+        let zones = self.zones.iter().map(|(address, zone)| (address, zone.line));
+        match weights.chain(zones).find(|(address, _)| !self.has_endpoint(**address)) {
+            None => Ok(()),
+            Some((address, line)) => Err(FileError::new(
+                line,
+                format!("no place below is at {address}"),
+                format!("add a line: below ajp {address}"),
+            )),
+        }
+    }
+
+    /// Zones of endpoints say something only beside the zone of this node.
+    fn check_local_zone(&self) -> Result<(), FileError> {
+        let first_zone = self.zones.values().map(|zone| zone.line).min();
+        match (&self.local_zone, first_zone) {
+            (None, Some(line)) => Err(FileError::new(
+                line,
+                "zones are named, but not this node's",
+                "add a line: below here ZONE",
+            )),
+            _ => Ok(()),
+        }
+    }
+
+    /// Which of the endpoints this node calls.
+    fn subset(&self) -> Reach {
+        match (self.node_number, self.subset_size) {
+            (Some(NodeNumber { number, count }), size) => {
+                Reach::Arc { places: size.unwrap_or(DEFAULT_SUBSET_SIZE), number, of: count }
+            }
+            (None, Some(places)) => Reach::Drawn { places },
+            (None, None) => Reach::All,
+        }
+    }
+}
+
+fn check_first<T>(address: SocketAddr, what: &str, before: Option<&AtLine<T>>) -> Result<(), LineError> {
+    match before {
+        None => Ok(()),
+        Some(AtLine { line, .. }) => {
+            line_error(format!("{address} has a {what} on line {line}"), "keep one of the two")
+        }
+    }
+}
+
+fn balancing_policy(word: &str) -> Result<Kind, LineError> {
+    Kind::named(word).ok_or_else(|| {
+        let known: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
+        LineError::new(format!("{word} is no way"), format!("write one of {}", known.join(", ")))
+    })
+}
--- a/crates/ochrewalk-operators/tests/operators.rs
+++ b/crates/ochrewalk-operators/tests/operator_config.rs
@@ -1,23 +1,23 @@
-//! The operators' file: what a whole one sets, and one clear message for each fault.
+//! The operators' file: what a complete one sets, and one message with a suggestion for each fault.
 
 use ochrewalk_ingress::judge::{Asks, Headers};
 use ochrewalk_ingress::routes::Found;
-use ochrewalk_operators::{read, Node, Operators, PlaceBelow};
+use ochrewalk_operators::{parse, MethodContext, NodeContext, OperatorConfig, UpstreamEndpoint};
 use ochrewalk_spread::{Kind, Leaving, Reach};
 
-fn methods() -> Vec<(String, bool)> {
+fn methods() -> Vec<MethodContext> {
     [("part-lookup", true), ("batch-upload", true), ("order-record", false)]
-        .map(|(n, a)| (n.to_string(), a))
+        .map(|(name, is_idempotent)| MethodContext { name: name.to_string(), is_idempotent })
         .to_vec()
 }
 
-fn get(text: &str) -> Result<Operators, Vec<String>> {
-    let node = Node { methods: &methods(), descriptors: 512, calls: true };
-    read(text, "my.conf", &node).map_err(|faults| faults.iter().map(|f| f.to_string()).collect())
+fn get(text: &str) -> Result<OperatorConfig, Vec<String>> {
+    let node = NodeContext { methods: &methods(), descriptors: 512, has_upstream: true };
+    parse(text, "my.conf", &node).map_err(|found| found.iter().map(|d| d.to_string()).collect())
 }
 
-const WHOLE: &str = r#"
-# A whole file.
+const COMPLETE: &str = r#"
+# A complete file.
 host ledger.example.org 127.0.0.21     # stands for a look-up
 ajp listen ledger.example.org:8009
 ajp allow 127.0.0.0/8
@@ -59,56 +59,75 @@
 "#;
 
 #[test]
-fn a_whole_file_sets_what_it_says() {
-    let Operators { ajp, below, upgrade_control, config } = get(WHOLE).unwrap();
-    assert_eq!(config, None);
+fn a_complete_file_sets_what_it_names() {
+    let OperatorConfig { ajp_listener, ajp_upstream, upgrade_control, config_agent } = get(COMPLETE).unwrap();
+    assert_eq!(config_agent, None);
     assert_eq!(upgrade_control, Some("/run/ochrewalk/control".into()));
-    let (front, below) = (ajp.unwrap(), below.unwrap());
-    assert_eq!(front.listen, "127.0.0.21:8009".parse().unwrap());
-    let may = |text: &str| front.allowed_peers.may_connect(text.parse().unwrap());
+    let (listener, upstream) = (ajp_listener.unwrap(), ajp_upstream.unwrap());
+    assert_eq!(listener.listen, "127.0.0.21:8009".parse().unwrap());
+    let may = |text: &str| listener.allowed_peers.may_connect(text.parse().unwrap());
     assert_eq!([may("127.0.0.1"), may("127.9.0.1"), may("10.0.0.1")], [true, false, false]);
-    assert_eq!((front.packet, front.connections, front.idle_us), (16_384, 64, 30_000_000));
-    let rules = front.rules;
+    assert_eq!(
+        (listener.max_packet_bytes, listener.max_connections, listener.idle_timeout_us),
+        (16_384, 64, 30_000_000)
+    );
+    let rules = listener.rules;
     assert_eq!(
         (rules.secret, rules.usual_kb, rules.health),
         (Some(b"two words".to_vec()), Some(20.5), Some("/health".into()))
     );
     assert_eq!(rules.headers, Headers { token: "x-sale".into(), ..Headers::default() });
     assert_eq!(rules.routes.find(b"POST", b"/sale"), Ok(Found::Method(2)));
-    let place = |at: &str, weight, is_near| PlaceBelow { at: at.parse().unwrap(), weight, is_near };
-    assert_eq!(below.places, [place("127.0.0.21:8010", 1.0, true), place("127.0.0.22:8010", 2.5, false)]);
-    assert_eq!((below.spread.kind, below.status), (Kind::TwoChoices, Some("/run/ochrewalk/status".into())));
-    assert_eq!(below.spread.reach, Reach::Arc { places: 12, number: 7, of: 200 });
-    assert_eq!((below.server_name.as_str(), below.uri.as_str()), ("ledger.example.org", "/ledger"));
-    assert_eq!((below.packet, below.connections, below.secret), (65_536, 40, Some(b"peach".to_vec())));
-    assert_eq!([below.connect_us, below.pong_us, below.reply_us], [300_000, 100_000, 1_500_000]);
-    assert_eq!([below.trust_us, below.keep_us], [20_000, 5_000_000]);
+    let endpoint = |address: &str, weight, is_in_local_zone| UpstreamEndpoint {
+        address: address.parse().unwrap(),
+        weight,
+        is_in_local_zone,
+    };
+    assert_eq!(
+        upstream.endpoints,
+        [endpoint("127.0.0.21:8010", 1.0, true), endpoint("127.0.0.22:8010", 2.5, false)]
+    );
+    assert_eq!(
+        (upstream.balancing.kind, upstream.status_socket),
+        (Kind::TwoChoices, Some("/run/ochrewalk/status".into()))
+    );
+    assert_eq!(upstream.balancing.reach, Reach::Arc { places: 12, number: 7, of: 200 });
+    assert_eq!((upstream.server_name.as_str(), upstream.uri.as_str()), ("ledger.example.org", "/ledger"));
+    assert_eq!(
+        (upstream.max_packet_bytes, upstream.max_connections, upstream.secret),
+        (65_536, 40, Some(b"peach".to_vec()))
+    );
+    assert_eq!(
+        [upstream.connect_timeout_us, upstream.ping_timeout_us, upstream.reply_timeout_us],
+        [300_000, 100_000, 1_500_000]
+    );
+    assert_eq!([upstream.ping_after_idle_us, upstream.max_idle_us], [20_000, 5_000_000]);
     assert_eq!(
-        (below.spread.leaving, below.repeats),
+        (upstream.balancing.leaving, upstream.retry_budget),
         (Leaving { after: 5, first_us: 100_000, most_us: 60_000_000, warm_us: 7_000_000 }, 0.25)
     );
 }
 
 #[test]
-fn without_a_line_nothing_is_on_and_little_is_enough() {
+fn an_empty_file_switches_nothing_on_and_few_lines_are_enough() {
     let nothing = get("# nothing\n\n   \n").unwrap();
-    assert!(nothing.ajp.is_none() && nothing.below.is_none());
+    assert!(nothing.ajp_listener.is_none() && nothing.ajp_upstream.is_none());
     for (more, reach) in [("", Reach::All), ("below reach 9", Reach::Drawn { places: 9 })] {
-        let below = get(&format!("below ajp 1.1.1.1:80\n{more}")).unwrap().below.unwrap();
-        assert_eq!((below.spread.reach, below.spread.kind), (reach, Kind::Rounds));
+        let upstream = get(&format!("below ajp 1.1.1.1:80\n{more}")).unwrap().ajp_upstream.unwrap();
+        assert_eq!((upstream.balancing.reach, upstream.balancing.kind), (reach, Kind::Rounds));
     }
     let little = get("ajp route POST /a order-record\najp allow ::1\najp listen [::1]:8009").unwrap();
-    let front = little.ajp.unwrap();
-    assert!(little.below.is_none() && front.allowed_peers.may_connect("::1".parse().unwrap()));
+    let listener = little.ajp_listener.unwrap();
+    assert!(little.ajp_upstream.is_none() && listener.allowed_peers.may_connect("::1".parse().unwrap()));
     let request = ochrewalk_ajp::request::Request { method: b"POST", uri: b"/a", ..Default::default() };
-    assert!(front.rules.judge(&request).is_err(), "no memory stated and none usual");
-    let mut rules = front.rules;
+    assert!(listener.rules.judge(&request).is_err(), "no memory stated and none usual");
+    let mut rules = listener.rules;
     rules.usual_kb = Some(1.0);
     assert!(matches!(rules.judge(&request), Ok((Asks::Method(_), _))));
 }
 
 #[test]
-fn each_fault_has_one_clear_message() {
+fn each_fault_is_one_message_with_a_suggestion() {
     let front = "ajp listen 127.0.0.1:8009\najp allow 127.0.0.0/8\najp route POST /a order-record\n";
     for (text, said) in [
         ("apj listen 127.0.0.1:8009", "1: apj is no directive; did you mean ajp?"),
@@ -178,7 +197,7 @@
         all.iter().map(|f| f[..10].to_string()).collect::<Vec<_>>(),
         ["my.conf:1:", "my.conf:2:", "my.conf:3:"]
     );
-    let node = Node { methods: &methods(), descriptors: 512, calls: false };
-    let faults = read("below ajp 1.1.1.1:80", "my.conf", &node).unwrap_err();
-    assert!(faults[0].to_string().contains("nothing is called"), "{}", faults[0]);
+    let node = NodeContext { methods: &methods(), descriptors: 512, has_upstream: false };
+    let diagnostics = parse("below ajp 1.1.1.1:80", "my.conf", &node).unwrap_err();
+    assert!(diagnostics[0].to_string().contains("nothing is called"), "{}", diagnostics[0]);
 }
--- a/crates/ochrewalk-operators/tests/resources.rs
+++ b/crates/ochrewalk-operators/tests/resources.rs
@@ -2,9 +2,9 @@
 
 use ochrewalk_distribution::messages::{Limit, Quota, Resource, Route, Value};
 use ochrewalk_operators::resources::{
-    check, check_route_at, describe, limit_name, quota_name, read_changes, route_name, MethodTable,
+    check, check_route_target, describe, limit_name, quota_name, read_changes, route_name, RouteTarget,
 };
-use ochrewalk_operators::{read, Node};
+use ochrewalk_operators::{parse, MethodContext, NodeContext};
 
 #[test]
 fn each_kind_of_change_is_read() {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn resources_of_another_shape_than_their_name_are_refused() {
+fn resources_of_another_shape_than_their_name_are_rejected() {
     let route = Route { http_method: "GET".into(), path: "/a".into(), method: "look".into() };
     let of = |name, value| Resource { name, revision: 0, value: Some(value) };
     assert!(check(&of(route_name("shop", "GET", "/a"), Value::Route(route.clone()))).is_ok());
@@ -75,7 +75,11 @@
 
 #[test]
 fn a_node_takes_a_route_only_to_its_own_methods_and_never_a_repeat_to_an_effect() {
-    let methods: MethodTable = [("look", (0, true)), ("sell", (1, false))].into();
+    let target = |method: &str| match method {
+        "look" => Some(RouteTarget { position: 0, is_idempotent: true }),
+        "sell" => Some(RouteTarget { position: 1, is_idempotent: false }),
+        _ => None,
+    };
     for (http, method, wanted) in [
         ("GET", "look", Ok(0)),
         ("POST", "sell", Ok(1)),
@@ -88,15 +92,16 @@
         ),
     ] {
         let route = Route { http_method: http.into(), path: "/a".into(), method: method.into() };
-        let checked = check_route_at(&route_name("shop", http, "/a"), &route, &methods);
+        let checked = check_route_target(&route_name("shop", http, "/a"), &route, target(method));
         assert_eq!(checked.map_err(|fault| fault.to_string()), wanted.map_err(String::from), "{http} {method}");
     }
 }
 
 #[test]
 fn the_control_plane_needs_two_relays_and_a_region() {
-    let node = Node { methods: &[("look".into(), true)], descriptors: 512, calls: false };
-    let said = |text: &str| read(text, "my.conf", &node).map(|_| ()).unwrap_err()[0].to_string();
+    let methods = [MethodContext { name: "look".into(), is_idempotent: true }];
+    let node = NodeContext { methods: &methods, descriptors: 512, has_upstream: false };
+    let said = |text: &str| parse(text, "my.conf", &node).map(|_| ()).unwrap_err()[0].to_string();
     assert_eq!(
         said("config relay 127.0.0.1:7000\nconfig region east"),
         "my.conf:1: one relay that fails would leave the node without any; name two relays or more: \
@@ -112,8 +117,8 @@
         "{relays}config region east\nconfig scope shop\nconfig snapshot /var/lib/node\nconfig budget 13k\n\
          config tenants 10\n"
     );
-    let config = read(&all, "my.conf", &node).unwrap().config.unwrap();
+    let config = parse(&all, "my.conf", &node).unwrap().config_agent.unwrap();
     assert_eq!((config.relays.len(), config.bytes_per_second, config.max_tenants), (2, 13 * 1024, 10));
     assert_eq!((config.region.as_str(), config.scopes.as_slice()), ("east", ["shop".to_string()].as_slice()));
-    assert!(read("", "my.conf", &node).unwrap().config.is_none());
+    assert!(parse("", "my.conf", &node).unwrap().config_agent.is_none());
 }
--- a/crates/ochrewalk-operators/tests/plan.rs
+++ b/crates/ochrewalk-operators/tests/rollout_plan.rs
@@ -1,24 +1,24 @@
-//! The plan of a rolling change: what a whole one sets, and one clear message for each fault.
+//! The plan of a rollout: what a complete one sets, and one message for each fault.
 
-use ochrewalk_operators::Rollout;
+use ochrewalk_operators::RolloutPlan;
 
-const WHOLE: &str = "old /a\nnew /b\nrecord /c\nnode n0 /run/0 east\nnode n1 /run/1 west\nnode n2 /run/2 east\nnode n3 /run/3 west\n";
+const COMPLETE: &str = "old /a\nnew /b\nrecord /c\nnode n0 /run/0 east\nnode n1 /run/1 west\nnode n2 /run/2 east\nnode n3 /run/3 west\n";
 
-fn get(more: &str) -> Result<Rollout, String> {
-    let said = |faults: Vec<ochrewalk_operators::Fault>| faults[0].to_string();
-    Rollout::read(&format!("{WHOLE}{more}"), "p").map_err(said)
+fn get(more: &str) -> Result<RolloutPlan, String> {
+    let first = |diagnostics: Vec<ochrewalk_operators::Diagnostic>| diagnostics[0].to_string();
+    RolloutPlan::parse(&format!("{COMPLETE}{more}"), "p").map_err(first)
 }
 
 #[test]
-fn a_whole_plan_sets_what_it_says() {
+fn a_complete_plan_sets_what_it_names() {
     let plan = get("stage 1\nstage 50%\nmost-out 2\nleast 2s\nmost 1m\nharm 0.1\n").unwrap();
-    assert_eq!((plan.stages, plan.most_out, plan.nodes.len()), (vec![1, 2, 4], 2, 4));
-    assert_eq!((plan.least_us, plan.most_us, plan.harm), (2_000_000, 60_000_000, 0.1));
+    assert_eq!((plan.stages, plan.max_unavailable, plan.nodes.len()), (vec![1, 2, 4], 2, 4));
+    assert_eq!((plan.min_stage_us, plan.max_stage_us, plan.harm), (2_000_000, 60_000_000, 0.1));
     assert_eq!(get("stage 1%\nstage 2%\nstage 100%\n").unwrap().stages, [1, 4], "one node is one stage");
 }
 
 #[test]
-fn each_fault_has_one_clear_message() {
+fn each_fault_is_one_message_with_its_line() {
     for (more, said) in [
         ("stag 1", "p:8: stag is no directive of a plan"),
         ("stage 0", "p:8: 0 is no stage"),
@@ -34,7 +34,7 @@
     ] {
         assert!(get(more).unwrap_err().starts_with(said), "{more}: {:?}", get(more));
     }
-    assert!(Rollout::read("old /a\nnew /b\n", "p").unwrap_err()[0]
+    assert!(RolloutPlan::parse("old /a\nnew /b\n", "p").unwrap_err()[0]
         .to_string()
         .contains("no record is named"));
 }
