--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -3,7 +3,7 @@
 
 use crate::handover::rollout_agent::{fingerprint_of_file, send_request};
 use ochrewalk_control_plane::control::is_owner;
-use ochrewalk_operators::{changes, Needs, Rollout as Plan, Subject};
+use ochrewalk_operators::{changes, ChangeClass, RolloutPlan as Plan, Subject, Version};
 use ochrewalk_rollout::messages::{
     self, variant_of, CommandMessage, NodeStatus, Reply, Request, Response, Target,
 };
@@ -51,7 +51,7 @@
 pub fn read(file: &Path) -> Result<Plan, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|err| format!("{name}: {err}"))?;
-    Plan::read(&text, &name)
+    Plan::parse(&text, &name)
         .map_err(|faults| faults.iter().map(|f| f.to_string()).collect::<Vec<_>>().join("\n"))
 }
 
@@ -79,7 +79,7 @@
         };
         let mut of = Vec::new();
         for node in &plan.nodes {
-            let [old, new] = [print(plan.file(node, false))?, print(plan.file(node, true))?];
+            let [old, new] = [print(plan.file(node, Version::Old))?, print(plan.file(node, Version::New))?];
             if old == new {
                 return Err(format!("both files of the plan hold the same for {}", node.name));
             }
@@ -104,12 +104,12 @@
     }
     let (mut may, mut never) = (BTreeSet::new(), BTreeSet::new());
     for node in &plan.nodes {
-        let read = |is_new: bool| {
-            let path = plan.file(node, is_new);
+        let read = |version: Version| {
+            let path = plan.file(node, version);
             std::fs::read_to_string(&path).map_err(|err| format!("{}: {err}", path.display()))
         };
-        for change in changes(&read(false)?, &read(true)?) {
-            let of = if change.needs == Needs::Start { &mut never } else { &mut may };
+        for change in changes(&read(Version::Old)?, &read(Version::New)?) {
+            let of = if change.class == ChangeClass::Restart { &mut never } else { &mut may };
             of.insert(format!("{change}\n"));
         }
     }
@@ -288,10 +288,12 @@
         let is_new = command.variant == Variant::New;
         let to = if is_new { "new" } else { "old" };
         self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": command.method.to_string()}));
-        let path = self.plan.file(&self.plan.nodes[node], is_new).display().to_string();
+        let version = if is_new { Version::New } else { Version::Old };
+        let path = self.plan.file(&self.plan.nodes[node], version).display().to_string();
         let print = self.prints.of[node][usize::from(is_new)];
         let target = Target { is_settings: self.plan.subject == Subject::Settings, path, fingerprint: print };
-        let request = Request::command(CommandMessage::new(&command, target, self.plan.trial_us / 1_000));
+        let request =
+            Request::command(CommandMessage::new(&command, target, self.plan.confirm_timeout_us / 1_000));
         let (control, tell) = (self.plan.nodes[node].control.clone(), self.tell.clone());
         std::thread::spawn(move || {
             let word = send_until_answered(&control, &request);
@@ -353,7 +355,10 @@
     // Above any that an earlier one has had, whatever became of the clock; and no other's that begins now.
     let now_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
     let number = now_us.max(record.as_ref().map_or(0, |record| record.controller) + 1);
-    let policy = RolloutPolicy { commit_confirmed: plan.trial_us > 0, restart_stuck_nodes: plan.begins_anew };
+    let policy = RolloutPolicy {
+        commit_confirmed: plan.confirm_timeout_us > 0,
+        restart_stuck_nodes: plan.restarts_stuck_nodes,
+    };
     hands.say(json!({"begun": number}));
     let mut controller = RolloutController::new(stage_plan, policy, record, number);
     let end = conduct(&mut controller, &mut hands, &heard, command);
@@ -369,7 +374,8 @@
     names.dedup();
     let zone = |name: &String| names.binary_search(&name).map_or(0, |at| at as u32);
     let zones = plan.nodes.iter().map(|node| zone(&node.zone)).collect();
-    StagePlan::new(zones, plan.stages.clone(), plan.most_out).map_err(|wrong| format!("the plan's {wrong}"))
+    StagePlan::new(zones, plan.stages.clone(), plan.max_unavailable)
+        .map_err(|wrong| format!("the plan's {wrong}"))
 }
 
 fn conduct(
@@ -379,13 +385,13 @@
     command: ConductorCommand,
 ) -> Result<End, String> {
     let plan = hands.plan;
-    let moment = Duration::from_micros(plan.moment_us);
-    let moments = |us: u64| (us / plan.moment_us).max(1) as u32;
+    let moment = Duration::from_micros(plan.sample_interval_us);
+    let moments = |us: u64| (us / plan.sample_interval_us).max(1) as u32;
     let measures = AnalysisSettings {
         harm: plan.harm,
-        min_samples: moments(plan.least_us),
-        max_samples: moments(plan.most_us),
-        max_silent_samples: moments(plan.silent_us),
+        min_samples: moments(plan.min_stage_us),
+        max_samples: moments(plan.max_stage_us),
+        max_silent_samples: moments(plan.max_silence_us),
         ..AnalysisSettings::default()
     };
     let mut nodes: Vec<Before> = plan.nodes.iter().map(|_| Before::default()).collect();
@@ -436,7 +442,7 @@
             (last, moved_at) = (now, Instant::now());
         }
         let stands_for = moved_at.elapsed().as_micros() as u64;
-        if stands_for > plan.patience_us && controller.pending_commands().next().is_none() {
+        if stands_for > plan.recovery_timeout_us && controller.pending_commands().next().is_none() {
             controller.no_progress();
         }
         while !controller.has_stopped() {
@@ -552,7 +558,7 @@
                 let earlier = counted_earlier.get(name.as_str()).copied();
                 counted_now.get(name.as_str()).map(|method| method.since(earlier)).unwrap_or_default()
             });
-            let cold = Duration::from_micros(plan.cold_us);
+            let cold = Duration::from_micros(plan.warm_up_us);
             moment.nodes.push(NodeSample {
                 node,
                 zone: zones.iter().position(|zone| *zone == zones[node]).unwrap_or(0) as u32,
