--- a/crates/ochrewalk-node/src/handover/rollout_agent.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_agent.rs
@@ -126,7 +126,7 @@
         serving: Option<&ServingChild>,
         is_busy: bool,
     ) -> AgentAction {
-        if request.version != PROTOCOL_VERSION {
+        if request.protocol_version != PROTOCOL_VERSION {
             return AgentAction::Reply(Reply::Rejected(format!(
                 "messages of version {PROTOCOL_VERSION} are known here"
             )));
@@ -279,8 +279,10 @@
 }
 
 pub fn send_reply(stream: &mut UnixStream, reply: Reply) {
-    let _ = stream
-        .write_all(&messages::write_message(&Response { version: PROTOCOL_VERSION, reply: Some(reply) }));
+    let _ = stream.write_all(&messages::write_message(&Response {
+        protocol_version: PROTOCOL_VERSION,
+        reply: Some(reply),
+    }));
 }
 
 /// Asks a node by its control socket, from the conductor's side.
--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -3,14 +3,14 @@
 
 use crate::handover::rollout_agent::{fingerprint_of_file, send_request};
 use ochrewalk_control_plane::control::is_owner;
-use ochrewalk_operators::{changes, ChangeClass, RolloutPlan as Plan, Subject, Version};
+use ochrewalk_operators::{changes, ChangeClass, RolloutPlan as Plan, Subject, Version as PlanVersion};
 use ochrewalk_rollout::messages::{
-    self, variant_of, CommandMessage, NodeStatus, Reply, Request, Response, Target,
+    self, version_of, CommandMessage, NodeStatus, Reply, Request, Response, Target,
 };
 use ochrewalk_rollout::{
     AnalysisSettings, CanaryAnalysis, Command, CommandReply, ControllerActions, FencingToken, NodeReport,
-    NodeSample, Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, Sample, StagePlan, Variant,
-    Verdict,
+    NodeSample, Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, Sample, StagePlan, Verdict,
+    Version,
 };
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -79,7 +79,8 @@
         };
         let mut of = Vec::new();
         for node in &plan.nodes {
-            let [old, new] = [print(plan.file(node, Version::Old))?, print(plan.file(node, Version::New))?];
+            let [old, new] =
+                [print(plan.file(node, PlanVersion::Old))?, print(plan.file(node, PlanVersion::New))?];
             if old == new {
                 return Err(format!("both files of the plan hold the same for {}", node.name));
             }
@@ -89,11 +90,11 @@
     }
 
     /// Which of the two a node runs, if one of them.
-    fn side(&self, node: usize, status: &NodeStatus) -> Option<Variant> {
+    fn side(&self, node: usize, status: &NodeStatus) -> Option<Version> {
         let print =
             if self.subject == Subject::Program { status.fingerprint } else { status.settings_fingerprint() };
         let [old, new] = self.of[node];
-        variant_of(print, old, new)
+        version_of(print, old, new)
     }
 }
 
@@ -104,11 +105,11 @@
     }
     let (mut may, mut never) = (BTreeSet::new(), BTreeSet::new());
     for node in &plan.nodes {
-        let read = |version: Version| {
+        let read = |version: PlanVersion| {
             let path = plan.file(node, version);
             std::fs::read_to_string(&path).map_err(|err| format!("{}: {err}", path.display()))
         };
-        for change in changes(&read(Version::Old)?, &read(Version::New)?) {
+        for change in changes(&read(PlanVersion::Old)?, &read(PlanVersion::New)?) {
             let of = if change.class == ChangeClass::Restart { &mut never } else { &mut may };
             of.insert(format!("{change}\n"));
         }
@@ -125,7 +126,9 @@
     match send_request(control, &Request::status(controller), ASKING) {
         Ok(Response { reply: Some(Reply::Status(status)), .. }) => Ok(status),
         Ok(Response { reply: Some(Reply::Rejected(why)), .. }) => Err(why),
-        Ok(Response { version, .. }) => Err(format!("an answer of version {version} that is not known here")),
+        Ok(Response { protocol_version: version, .. }) => {
+            Err(format!("an answer of version {version} that is not known here"))
+        }
         Err(err) => Err(err.to_string()),
     }
 }
@@ -177,7 +180,7 @@
             Err(why) => format!("says nothing: {why}"),
             Ok(status) => {
                 let side = prints.as_ref().and_then(|prints| prints.side(at, status));
-                let word = side.map_or("another", |p| if p == Variant::Old { "old" } else { "new" });
+                let word = side.map_or("another", |p| if p == Version::Old { "old" } else { "new" });
                 let trial = if status.is_unconfirmed { ", on trial" } else { "" };
                 format!("{word:<8} {}{trial}", if status.is_healthy { "well" } else { "not well" })
             }
@@ -285,10 +288,10 @@
         if self.failed.is_some() {
             return;
         }
-        let is_new = command.variant == Variant::New;
+        let is_new = command.version == Version::New;
         let to = if is_new { "new" } else { "old" };
         self.say(json!({"order": self.plan.nodes[node].name, "to": to, "how": command.method.to_string()}));
-        let version = if is_new { Version::New } else { Version::Old };
+        let version = if is_new { PlanVersion::New } else { PlanVersion::Old };
         let path = self.plan.file(&self.plan.nodes[node], version).display().to_string();
         let print = self.prints.of[node][usize::from(is_new)];
         let target = Target { is_settings: self.plan.subject == Subject::Settings, path, fingerprint: print };
@@ -484,8 +487,8 @@
 /// What a node's word means to the conductor; nothing where it runs neither program of the plan.
 fn report(node: usize, status: &NodeStatus, prints: &Prints) -> Option<NodeReport> {
     let highest = status.highest.map_or(FencingToken::default(), FencingToken::from);
-    let variant = prints.side(node, status)?;
-    Some(NodeReport { variant, is_healthy: status.is_healthy, highest })
+    let version = prints.side(node, status)?;
+    Some(NodeReport { version, is_healthy: status.is_healthy, highest })
 }
 
 fn methods(all: &[Result<NodeStatus, String>]) -> Vec<String> {
@@ -522,8 +525,8 @@
 
 /// Nodes that run the old, the new, and what is not known.
 fn sides(controller: &RolloutController) -> [usize; 3] {
-    let count = |variant| controller.node_states().iter().filter(|seen| seen.variant == variant).count();
-    [Some(Variant::Old), Some(Variant::New), None].map(count)
+    let count = |version| controller.node_states().iter().filter(|seen| seen.version == version).count();
+    [Some(Version::Old), Some(Version::New), None].map(count)
 }
 
 fn by_name(tally: &messages::ServingCounters) -> HashMap<&str, &messages::MethodCounters> {
@@ -539,10 +542,10 @@
 ) -> Sample {
     let methods = methods(all);
     let seen = controller.node_states();
-    let is_changed = |node: usize| seen[node].variant == Some(Variant::New);
+    let is_changed = |node: usize| seen[node].version == Some(Version::New);
     let mut moment = Sample {
         changed: (0..seen.len()).filter(|node| is_changed(*node)).count(),
-        others: (0..seen.len()).filter(|node| seen[*node].variant == Some(Variant::Old)).count(),
+        others: (0..seen.len()).filter(|node| seen[*node].version == Some(Version::Old)).count(),
         nodes: Vec::new(),
     };
     let zones: Vec<&String> = plan.nodes.iter().map(|node| &node.zone).collect();
--- a/crates/ochrewalk-rollout/src/controller.rs
+++ b/crates/ochrewalk-rollout/src/controller.rs
@@ -5,12 +5,12 @@
 use crate::canary_analysis::Verdict;
 use crate::fence::{FencingToken, Outcome};
 use crate::stage_plan::{NodeState, StagePlan};
-use crate::Variant;
+use crate::Version;
 
 /// What a node says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeReport {
-    pub variant: Variant,
+    pub version: Version,
     pub is_healthy: bool,
     /// The highest mark that it knows.
     pub highest: FencingToken,
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Command {
     pub token: FencingToken,
-    pub variant: Variant,
+    pub version: Version,
     pub method: ChangeMethod,
 }
 
@@ -154,7 +154,7 @@
         let position =
             |node: usize| record.changed_nodes.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
         let state = |node| NodeState {
-            variant: None,
+            version: None,
             is_healthy: false,
             responds: false,
             is_command_pending: false,
@@ -218,7 +218,7 @@
         (of.state.responds, of.state.is_healthy) =
             (report.is_some(), report.is_some_and(|report| report.is_healthy));
         if let (Some(report), None) = (report, of.command) {
-            of.state.variant = Some(report.variant);
+            of.state.version = Some(report.version);
         }
         if self.phase == Phase::Polling && self.nodes.iter().all(|node| node.is_polled) {
             actions.persist(&self.record);
@@ -263,7 +263,7 @@
             }
             CommandReply::NoReply => {
                 // What it runs is not known: it counts as out of service until it says so.
-                (of.command, of.state.is_command_pending, of.state.is_healthy, of.state.variant) =
+                (of.command, of.state.is_command_pending, of.state.is_healthy, of.state.version) =
                     (None, false, false, None);
                 of.state.responds = false;
                 if self.phase == Phase::Confirming {
@@ -273,22 +273,22 @@
                 return self.begin_rollback(format!("node {node} has not answered"), actions);
             }
             CommandReply::Finished(Outcome::Done) => {
-                (of.command, of.state.is_command_pending, of.state.variant) =
-                    (None, false, Some(command.variant));
+                (of.command, of.state.is_command_pending, of.state.version) =
+                    (None, false, Some(command.version));
                 of.is_confirmed = command.method != ChangeMethod::CommitConfirmed;
             }
             CommandReply::Finished(Outcome::Failed(reason)) => {
                 (of.command, of.state.is_command_pending) = (None, false);
-                if command.variant == Variant::Old
+                if command.version == Version::Old
                     && command.method == ChangeMethod::HandOver
                     && self.policy.restart_stuck_nodes
                 {
-                    return self.command_node(node, Variant::Old, ChangeMethod::Restart, actions);
+                    return self.command_node(node, Version::Old, ChangeMethod::Restart, actions);
                 }
-                if command.variant == Variant::Old || self.phase == Phase::Confirming {
+                if command.version == Version::Old || self.phase == Phase::Confirming {
                     return self.phase = Phase::Waiting(WaitReason::NodeStuck { node, reason });
                 }
-                of.state.variant = Some(Variant::Old);
+                of.state.version = Some(Version::Old);
                 return self.begin_rollback(format!("node {node}: {reason}"), actions);
             }
         }
@@ -356,7 +356,7 @@
     pub fn no_progress(&mut self) {
         if let Phase::Advancing { .. } | Phase::RollingBack { .. } | Phase::Confirming = self.phase {
             let may_be_new = |node: &Node| {
-                let is_old = node.state.variant == Some(Variant::Old);
+                let is_old = node.state.version == Some(Version::Old);
                 !node.state.is_healthy && (!is_old || node.state.change_number > 0 && !node.is_confirmed)
             };
             self.phase = match self.nodes.iter().position(may_be_new) {
@@ -381,34 +381,34 @@
         loop {
             let states = self.node_states();
             let is_on =
-                |state: &NodeState, variant| state.variant == Some(variant) && !state.is_command_pending;
+                |state: &NodeState, version| state.version == Some(version) && !state.is_command_pending;
             let forward = if self.policy.commit_confirmed {
                 ChangeMethod::CommitConfirmed
             } else {
                 ChangeMethod::HandOver
             };
-            let (next, variant, method) = match &self.phase {
+            let (next, version, method) = match &self.phase {
                 Phase::Advancing { stage } if self.stage_plan.is_reached(&states, *stage) => {
                     let stage = *stage;
                     actions.begin_analysis(stage);
                     return self.phase = Phase::Analyzing { stage };
                 }
                 Phase::Advancing { stage } => {
-                    (self.stage_plan.next_to_change(&states, *stage), Variant::New, forward)
+                    (self.stage_plan.next_to_change(&states, *stage), Version::New, forward)
                 }
                 Phase::Confirming => {
-                    if self.nodes.iter().all(|node| node.is_confirmed && is_on(&node.state, Variant::New)) {
+                    if self.nodes.iter().all(|node| node.is_confirmed && is_on(&node.state, Version::New)) {
                         self.record.is_finished = true;
                         actions.persist(&self.record);
                         return self.phase = Phase::Done;
                     }
                     // One that was started anew meanwhile, and runs the old program, is told again.
                     let is_confirmed = |node: usize| {
-                        self.nodes[node].is_confirmed && states[node].variant == Some(Variant::New)
+                        self.nodes[node].is_confirmed && states[node].version == Some(Version::New)
                     };
                     (
                         self.stage_plan.next_to_confirm(&states, is_confirmed),
-                        Variant::New,
+                        Version::New,
                         ChangeMethod::HandOver,
                     )
                 }
@@ -417,30 +417,30 @@
                     let is_known = |node: &Node| {
                         node.state.is_healthy || node.is_confirmed || node.state.change_number == 0
                     };
-                    if self.nodes.iter().all(|node| is_on(&node.state, Variant::Old) && is_known(node)) {
+                    if self.nodes.iter().all(|node| is_on(&node.state, Version::Old) && is_known(node)) {
                         self.record.is_finished = true;
                         let reason = reason.clone();
                         actions.persist(&self.record);
                         return self.phase = Phase::RolledBack { reason };
                     }
-                    (self.stage_plan.next_to_revert(&states), Variant::Old, ChangeMethod::HandOver)
+                    (self.stage_plan.next_to_revert(&states), Version::Old, ChangeMethod::HandOver)
                 }
                 _ => return,
             };
             let Some(node) = next else { return };
-            if variant == Variant::New && !self.record.changed_nodes.contains(&node) {
+            if version == Version::New && !self.record.changed_nodes.contains(&node) {
                 self.record.changed_nodes.push(node);
                 // Before it is ordered: whoever goes on from here has to know that it may be changed.
                 actions.persist(&self.record);
             }
-            self.command_node(node, variant, method, actions);
+            self.command_node(node, version, method, actions);
         }
     }
 
     fn command_node(
         &mut self,
         node: usize,
-        variant: Variant,
+        version: Version,
         method: ChangeMethod,
         actions: &mut impl ControllerActions,
     ) {
@@ -449,7 +449,7 @@
         let position =
             self.record.changed_nodes.iter().position(|n| *n == node).map_or(0, |at| at as u32 + 1);
         let of = &mut self.nodes[node];
-        let command = Command { token, variant, method };
+        let command = Command { token, version, method };
         (of.command, of.attempts, of.state.is_command_pending, of.state.change_number) =
             (Some(command), 0, true, position);
         actions.send_command(node, command);
--- a/crates/ochrewalk-rollout/src/lib.rs
+++ b/crates/ochrewalk-rollout/src/lib.rs
@@ -26,7 +26,7 @@
 
 /// Which of the two a node runs: of two programs, or of two files of settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Variant {
+pub enum Version {
     Old,
     New,
 }
--- a/crates/ochrewalk-rollout/src/messages.rs
+++ b/crates/ochrewalk-rollout/src/messages.rs
@@ -1,7 +1,7 @@
 //! What a conductor and a node say to one another, and what a conductor keeps, in protobuf. A node answers a version that
 //! it does not know with its own, so that an older one says so rather than guess.
 
-use crate::{CallCounts, ChangeMethod, Command, FencingToken, Outcome, RolloutRecord, Variant};
+use crate::{CallCounts, ChangeMethod, Command, FencingToken, Outcome, RolloutRecord, Version};
 use prost::{Message as _, Oneof};
 
 /// The version spoken here. The first one knew neither trials nor settings.
@@ -14,7 +14,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Request {
     #[prost(uint32, tag = "1")]
-    pub version: u32,
+    pub protocol_version: u32,
     /// What is asked; none for how the node stands.
     #[prost(message, optional, tag = "2")]
     pub command: Option<CommandMessage>,
@@ -26,11 +26,11 @@
 impl Request {
     /// How does the node stand?
     pub fn status(controller: u64) -> Request {
-        Request { version: PROTOCOL_VERSION, command: None, controller }
+        Request { protocol_version: PROTOCOL_VERSION, command: None, controller }
     }
 
     pub fn command(command: CommandMessage) -> Request {
-        Request { version: PROTOCOL_VERSION, controller: command.controller, command: Some(command) }
+        Request { protocol_version: PROTOCOL_VERSION, controller: command.controller, command: Some(command) }
     }
 }
 
@@ -66,7 +66,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Response {
     #[prost(uint32, tag = "1")]
-    pub version: u32,
+    pub protocol_version: u32,
     #[prost(oneof = "Reply", tags = "2, 3, 4, 5, 6")]
     pub reply: Option<Reply>,
 }
@@ -227,7 +227,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RolloutRecordMessage {
     #[prost(uint32, tag = "1")]
-    version: u32,
+    format_version: u32,
     #[prost(uint64, tag = "2")]
     controller: u64,
     #[prost(uint64, tag = "3")]
@@ -245,7 +245,7 @@
     let RolloutRecord { controller, stage, rollback_reason, changed_nodes, is_finished } = record.clone();
     let changed_nodes = changed_nodes.into_iter().map(|node| node as u64).collect();
     RolloutRecordMessage {
-        version: RECORD_VERSION,
+        format_version: RECORD_VERSION,
         controller,
         stage: stage as u64,
         rollback_reason,
@@ -259,8 +259,11 @@
 pub fn decode_record(bytes: &[u8]) -> Result<RolloutRecord, String> {
     let message =
         RolloutRecordMessage::decode(bytes).map_err(|err| format!("no record of a change: {err}"))?;
-    if message.version != RECORD_VERSION {
-        return Err(format!("a record of version {}, {RECORD_VERSION} is known here", message.version));
+    if message.format_version != RECORD_VERSION {
+        return Err(format!(
+            "a record of version {}, {RECORD_VERSION} is known here",
+            message.format_version
+        ));
     }
     let RolloutRecordMessage { controller, stage, rollback_reason, changed_nodes, is_finished, .. } = message;
     let changed_nodes = changed_nodes.into_iter().map(|node| node as usize).collect();
@@ -268,10 +271,10 @@
 }
 
 /// Which of the two programs a print is of, if of one of them.
-pub fn variant_of(fingerprint: u64, old: u64, new: u64) -> Option<Variant> {
+pub fn version_of(fingerprint: u64, old: u64, new: u64) -> Option<Version> {
     match fingerprint {
-        _ if fingerprint == new => Some(Variant::New),
-        _ if fingerprint == old => Some(Variant::Old),
+        _ if fingerprint == new => Some(Version::New),
+        _ if fingerprint == old => Some(Version::Old),
         _ => None,
     }
 }
@@ -314,7 +317,7 @@
         assert_eq!(decode_record(&bytes), Ok(record.clone()));
         assert!(decode_record(&bytes[..bytes.len() - 1]).is_err());
         let newer = RolloutRecordMessage {
-            version: RECORD_VERSION + 1,
+            format_version: RECORD_VERSION + 1,
             ..RolloutRecordMessage::decode(&bytes[..]).unwrap()
         };
         assert!(decode_record(&newer.encode_to_vec()).unwrap_err().contains("version 2"));
--- a/crates/ochrewalk-rollout/src/stage_plan.rs
+++ b/crates/ochrewalk-rollout/src/stage_plan.rs
@@ -1,14 +1,14 @@
 //! Decides which node is changed next: up to the stage's number, spread over zones, never more out of service at once than
 //! the plan allows, whoever is out for reasons of its own included; and back newest first, under the same bound.
 
-use crate::Variant;
+use crate::Version;
 use std::collections::BTreeMap;
 
 /// What the conductor knows of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NodeState {
     /// None where it has not said so yet.
-    pub variant: Option<Variant>,
+    pub version: Option<Version>,
     /// It answers, and serves.
     pub is_healthy: bool,
     /// It says how it stands.
@@ -83,7 +83,7 @@
     /// The next node to change in that stage, if one may be changed now.
     pub fn next_to_change(&self, states: &[NodeState], stage: usize) -> Option<usize> {
         // One that is ordered counts: its answer may be lost.
-        let is_new = |node: &NodeState| node.variant == Some(Variant::New) || node.is_command_pending;
+        let is_new = |node: &NodeState| node.version == Some(Version::New) || node.is_command_pending;
         if self.remaining_unavailable(states) == 0
             || states.iter().filter(|node| is_new(node)).count() >= self.target_count(stage)
         {
@@ -102,7 +102,7 @@
         };
         let may = |node: &usize| {
             let of = &states[*node];
-            of.is_healthy && !of.is_command_pending && of.variant == Some(Variant::Old)
+            of.is_healthy && !of.is_command_pending && of.version == Some(Version::Old)
         };
         (0..states.len()).filter(may).min_by_key(|node| (share(*node), *node))
     }
@@ -116,7 +116,7 @@
                 of.responds
                     && of.is_healthy == is_healthy
                     && !of.is_command_pending
-                    && of.variant == Some(Variant::New)
+                    && of.version == Some(Version::New)
             };
             (0..states.len()).filter(may).max_by_key(|node| (states[*node].change_number, *node))
         };
@@ -139,14 +139,14 @@
 
     /// Whether fewer run the new program than the stage asks for: some have gone back by themselves, or were started anew.
     pub fn is_below_target(&self, states: &[NodeState], stage: usize) -> bool {
-        let is_old = |node: &&NodeState| node.variant == Some(Variant::Old) && node.is_healthy;
+        let is_old = |node: &&NodeState| node.version == Some(Version::Old) && node.is_healthy;
         self.zones.len() - states.iter().filter(is_old).count() < self.target_count(stage)
     }
 
     /// Whether all that the stage asks for are changed, and well.
     pub fn is_reached(&self, states: &[NodeState], stage: usize) -> bool {
         let there = |node: &&NodeState| {
-            node.variant == Some(Variant::New) && node.is_healthy && !node.is_command_pending
+            node.version == Some(Version::New) && node.is_healthy && !node.is_command_pending
         };
         states.iter().filter(there).count() >= self.target_count(stage)
     }
--- a/crates/ochrewalk-rollout/tests/controller.rs
+++ b/crates/ochrewalk-rollout/tests/controller.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_rollout::{
     ChangeMethod, Command, CommandReply, ControllerActions, FencingToken, NodeReport, Outcome, Phase,
-    RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Variant, Verdict, WaitReason,
+    RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version, WaitReason,
 };
 
 #[derive(Default)]
@@ -23,7 +23,7 @@
             ChangeMethod::CommitConfirmed => " on trial",
             ChangeMethod::Restart => " anew",
         };
-        self.log.push(format!("{node} {:?}{method}", command.variant));
+        self.log.push(format!("{node} {:?}{method}", command.version));
         self.commands.push((node, command));
     }
     fn begin_analysis(&mut self, stage: usize) {
@@ -41,8 +41,8 @@
     StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap()
 }
 
-fn report(variant: Variant, controller: u64) -> NodeReport {
-    NodeReport { variant, is_healthy: true, highest: FencingToken { controller, command: 0 } }
+fn report(version: Version, controller: u64) -> NodeReport {
+    NodeReport { version, is_healthy: true, highest: FencingToken { controller, command: 0 } }
 }
 
 const HAND_OVER: RolloutPolicy = RolloutPolicy { commit_confirmed: false, restart_stuck_nodes: false };
@@ -57,7 +57,7 @@
     let (mut controller, mut actions) =
         (RolloutController::new(stage_plan(), policy, record, 1), RecordedActions::default());
     for node in 0..4 {
-        controller.node_reported(node, Some(&report(Variant::Old, 0)), &mut actions);
+        controller.node_reported(node, Some(&report(Version::Old, 0)), &mut actions);
     }
     (controller, actions)
 }
@@ -106,7 +106,7 @@
         answer(&mut controller, &mut actions, done());
     }
     assert_eq!(controller.phase(), &Phase::RolledBack { reason: "slow".into() });
-    assert!(controller.node_states().iter().all(|seen| seen.variant == Some(Variant::Old)));
+    assert!(controller.node_states().iter().all(|seen| seen.version == Some(Version::Old)));
     assert!(controller.record().is_finished);
 }
 
@@ -149,8 +149,8 @@
     controller.no_progress();
     assert!(matches!(controller.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
     controller.resume(&mut actions);
-    controller.node_reported(0, Some(&report(Variant::New, 1)), &mut actions);
-    assert_eq!(actions.commands[0].1.variant, Variant::Old);
+    controller.node_reported(0, Some(&report(Version::New, 1)), &mut actions);
+    assert_eq!(actions.commands[0].1.version, Version::Old);
     answer(&mut controller, &mut actions, done());
     assert!(matches!(controller.phase(), Phase::RolledBack { .. }));
 }
@@ -167,11 +167,11 @@
     let (mut later, mut actions) =
         (RolloutController::new(stage_plan(), HAND_OVER, None, 1), RecordedActions::default());
     for (node, highest) in [3, 7, 2, 0].into_iter().enumerate() {
-        later.node_reported(node, Some(&report(Variant::Old, highest)), &mut actions);
+        later.node_reported(node, Some(&report(Version::Old, highest)), &mut actions);
     }
     assert_eq!(actions.commands[0].1.token, FencingToken { controller: 8, command: 1 });
     // And hears of a higher one later.
-    later.node_reported(3, Some(&report(Variant::Old, 9)), &mut actions);
+    later.node_reported(3, Some(&report(Version::Old, 9)), &mut actions);
     assert_eq!(later.phase(), &Phase::Replaced);
 }
 
@@ -185,8 +185,8 @@
     let (mut next, mut actions) =
         (RolloutController::new(stage_plan(), HAND_OVER, Some(record), 2), RecordedActions::default());
     // One of the two orders was carried out.
-    for (node, variant) in [Variant::New, Variant::Old, Variant::New, Variant::Old].into_iter().enumerate() {
-        next.node_reported(node, Some(&report(variant, 1)), &mut actions);
+    for (node, version) in [Version::New, Version::Old, Version::New, Version::Old].into_iter().enumerate() {
+        next.node_reported(node, Some(&report(version, 1)), &mut actions);
     }
     assert_eq!(actions.take(), "keep, 1 New, keep, 3 New");
     // While it goes back, too; and when it is over it is over.
@@ -195,7 +195,7 @@
     let (mut next, mut actions) =
         (RolloutController::new(stage_plan(), HAND_OVER, Some(record), 3), RecordedActions::default());
     for node in 0..4 {
-        next.node_reported(node, Some(&report([Variant::Old, Variant::New][node % 2], 2)), &mut actions);
+        next.node_reported(node, Some(&report([Version::Old, Version::New][node % 2], 2)), &mut actions);
     }
     assert_eq!(actions.take(), "keep, 3 Old, 1 Old");
     let over = RolloutRecord { is_finished: true, ..RolloutRecord::default() };
@@ -209,14 +209,14 @@
     let (mut controller, mut actions) =
         (RolloutController::new(stage_plan(), HAND_OVER, None, 1), RecordedActions::default());
     for node in 0..4 {
-        let well = NodeReport { is_healthy: node > 1, ..report(Variant::Old, 0) };
+        let well = NodeReport { is_healthy: node > 1, ..report(Version::Old, 0) };
         controller.node_reported(node, Some(&well), &mut actions);
     }
     assert_eq!(actions.take(), "keep", "two are out for reasons of their own");
     controller.no_progress();
     assert_eq!(controller.phase(), &Phase::Waiting(WaitReason::FleetUnhealthy));
     controller.resume(&mut actions);
-    controller.node_reported(0, Some(&report(Variant::Old, 0)), &mut actions);
+    controller.node_reported(0, Some(&report(Version::Old, 0)), &mut actions);
     assert_eq!(actions.take(), "keep, 0 New");
     controller.pause();
     answer(&mut controller, &mut actions, done());
@@ -251,7 +251,7 @@
     // One that goes back by itself while its stage is judged is changed again.
     answer(&mut controller, &mut actions, done());
     assert_eq!(actions.take(), "judge 0");
-    controller.node_reported(0, Some(&report(Variant::Old, 1)), &mut actions);
+    controller.node_reported(0, Some(&report(Version::Old, 1)), &mut actions);
     assert_eq!(actions.take(), "0 New on trial");
     answer(&mut controller, &mut actions, done());
     assert_eq!(actions.take(), "judge 0");
@@ -260,7 +260,7 @@
     assert_eq!((actions.take().as_str(), controller.phase()), ("keep, 0 New, 1 New", &Phase::Confirming));
     answer(&mut controller, &mut actions, done());
     // One that has gone back by itself, or was started anew since it was told, is told again.
-    controller.node_reported(0, Some(&report(Variant::Old, 1)), &mut actions);
+    controller.node_reported(0, Some(&report(Version::Old, 1)), &mut actions);
     assert_eq!(actions.take(), "2 New");
     while !actions.commands.is_empty() {
         answer(&mut controller, &mut actions, done());
@@ -290,7 +290,7 @@
     let (mut next, mut actions) =
         (RolloutController::new(stage_plan(), ON_TRIAL, Some(record), 2), RecordedActions::default());
     for node in 0..4 {
-        next.node_reported(node, Some(&report(Variant::New, 1)), &mut actions);
+        next.node_reported(node, Some(&report(Version::New, 1)), &mut actions);
     }
     assert_eq!((actions.take().as_str(), next.phase()), ("keep, 0 New, 1 New", &Phase::Confirming));
     // A node that does not come back is named.
--- a/crates/ochrewalk-rollout/tests/exploration.rs
+++ b/crates/ochrewalk-rollout/tests/exploration.rs
@@ -3,7 +3,7 @@
 
 use ochrewalk_rollout::{
     Admission, ChangeMethod, Command, CommandReply, ControllerActions, Fence, FencingToken, NodeReport,
-    Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Variant, Verdict,
+    Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version,
 };
 use stateright::{Checker, Model, Property};
 
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    variant: Variant,
+    version: Version,
     /// What it runs is on trial.
     is_unconfirmed: bool,
     fence: Fence,
@@ -121,7 +121,7 @@
     fn node_report(&self, node: usize) -> Option<NodeReport> {
         let of = &self.nodes[node];
         of.is_healthy.then(|| NodeReport {
-            variant: of.variant,
+            version: of.version,
             is_healthy: of.executing.is_none(),
             highest: of.fence.highest(),
         })
@@ -134,7 +134,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let node = Node {
-            variant: Variant::Old,
+            version: Version::Old,
             is_unconfirmed: false,
             fence: Fence::default(),
             executing: None,
@@ -281,7 +281,7 @@
                 let command = world.nodes[node].executing.take().expect("it does something");
                 let outcome = if well { Outcome::Done } else { Outcome::Failed("it ended".into()) };
                 if well {
-                    world.nodes[node].variant = command.variant;
+                    world.nodes[node].version = command.version;
                     world.nodes[node].is_unconfirmed = command.method == ChangeMethod::CommitConfirmed;
                 }
                 world.nodes[node].fence.command_finished(command.token, outcome.clone());
@@ -305,7 +305,7 @@
             Action::NodeBack(node) => world.nodes[node].is_healthy = true,
             Action::Lapses(node) => {
                 world.lapses += 1;
-                (world.nodes[node].variant, world.nodes[node].is_unconfirmed) = (Variant::Old, false);
+                (world.nodes[node].version, world.nodes[node].is_unconfirmed) = (Version::Old, false);
             }
             Action::Pass(at) => {
                 world.with(at, |controller, effects| controller.analysis_concluded(Verdict::Pass, effects))
@@ -330,32 +330,32 @@
             Property::always(SEEN, |_, w: &World| {
                 w.controllers.iter().flatten().all(|controller| {
                     let all =
-                        |variant| controller.node_states().iter().all(|seen| seen.variant == Some(variant));
+                        |version| controller.node_states().iter().all(|seen| seen.version == Some(version));
                     match controller.phase() {
                         Phase::RolledBack { .. } => {
-                            controller.node_states().iter().all(|s| s.variant != Some(Variant::New))
+                            controller.node_states().iter().all(|s| s.version != Some(Version::New))
                         }
-                        Phase::Done => controller.record().rollback_reason.is_none() || all(Variant::Old),
+                        Phase::Done => controller.record().rollback_reason.is_none() || all(Version::Old),
                         _ => true,
                     }
                 })
             }),
             Property::always(EVERYWHERE, |_, w: &World| {
-                let is_all = |variant| {
+                let is_all = |version| {
                     let runs = |node: &Node| {
-                        node.executing.map_or(node.variant, |command| command.variant) == variant
+                        node.executing.map_or(node.version, |command| command.version) == version
                     };
                     w.nodes.iter().all(|node| runs(node) && !node.is_unconfirmed)
                 };
                 w.controllers.len() > 1
                     || w.controllers.iter().flatten().all(|controller| match controller.phase() {
-                        Phase::Done => is_all(Variant::New),
-                        Phase::RolledBack { .. } => is_all(Variant::Old),
+                        Phase::Done => is_all(Version::New),
+                        Phase::RolledBack { .. } => is_all(Version::Old),
                         _ => true,
                     })
             }),
             Property::sometimes("a change is done", |_, w: &World| {
-                w.nodes.iter().all(|n| n.variant == Variant::New)
+                w.nodes.iter().all(|n| n.version == Version::New)
                     && w.controllers.iter().flatten().any(|c| c.phase() == &Phase::Done)
             }),
             Property::sometimes("a change goes back", |_, w: &World| {
--- a/crates/ochrewalk-rollout/tests/stage_plan.rs
+++ b/crates/ochrewalk-rollout/tests/stage_plan.rs
@@ -1,11 +1,11 @@
 //! Which node is changed next: by table, and in any state of a fleet.
 
-use ochrewalk_rollout::{NodeState, StagePlan, StagePlanError, Variant};
+use ochrewalk_rollout::{NodeState, StagePlan, StagePlanError, Version};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const OLD: NodeState = NodeState {
-    variant: Some(Variant::Old),
+    version: Some(Version::Old),
     is_healthy: true,
     responds: true,
     is_command_pending: false,
@@ -13,7 +13,7 @@
 };
 
 fn new(change_number: u32) -> NodeState {
-    NodeState { variant: Some(Variant::New), change_number, ..OLD }
+    NodeState { version: Some(Version::New), change_number, ..OLD }
 }
 
 fn stage_plan(zones: &[u32], stages: &[usize], max_unavailable: usize) -> StagePlan {
@@ -67,7 +67,7 @@
     let stage_plan = stage_plan(&[0; 4], &[2, 4], 2);
     let ill = NodeState { is_healthy: false, ..OLD };
     let ordered = NodeState { is_command_pending: true, ..OLD };
-    let unknown = NodeState { variant: None, ..OLD };
+    let unknown = NodeState { version: None, ..OLD };
     for (seen, next) in [
         ([OLD, OLD, OLD, OLD], Some(0)),
         ([ill, OLD, OLD, OLD], Some(1)),
@@ -97,8 +97,8 @@
 
 fn seen() -> impl Strategy<Value = NodeState> {
     (0u8..3, 0u8..3, any::<bool>(), 0u32..9).prop_map(
-        |(variant, health, is_command_pending, change_number)| NodeState {
-            variant: [None, Some(Variant::Old), Some(Variant::New)][variant as usize],
+        |(version, health, is_command_pending, change_number)| NodeState {
+            version: [None, Some(Version::Old), Some(Version::New)][version as usize],
             is_healthy: health == 2,
             responds: health > 0,
             is_command_pending,
@@ -123,14 +123,14 @@
         let max_unavailable = max_unavailable.min(count - 1);
         let stage_plan = stage_plan(&zones, &[1, count], max_unavailable);
         let out = seen.iter().filter(|s| !s.is_healthy || s.is_command_pending).count();
-        let new = seen.iter().filter(|s| s.variant == Some(Variant::New) || s.is_command_pending).count();
-        for (next, from) in [(stage_plan.next_to_change(&seen, stage), Variant::Old), (stage_plan.next_to_revert(&seen), Variant::New)] {
+        let new = seen.iter().filter(|s| s.version == Some(Version::New) || s.is_command_pending).count();
+        for (next, from) in [(stage_plan.next_to_change(&seen, stage), Version::Old), (stage_plan.next_to_revert(&seen), Version::New)] {
             if let Some(node) = next {
                 // Who is out already is taken out by nobody.
-                prop_assert!(out < max_unavailable || from == Variant::New && !seen[node].is_healthy);
+                prop_assert!(out < max_unavailable || from == Version::New && !seen[node].is_healthy);
                 prop_assert!(seen[node].responds && !seen[node].is_command_pending);
                 prop_assert!(seen.iter().filter(|s| s.is_command_pending).count() < max_unavailable);
-                prop_assert_eq!(seen[node].variant, Some(from));
+                prop_assert_eq!(seen[node].version, Some(from));
             }
         }
         if stage_plan.next_to_change(&seen, stage).is_some() {
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -8,7 +8,7 @@
 };
 use ochrewalk_rollout::{
     ChangeMethod, Command, CommandReply, ControllerActions, FencingToken, NodeReport, Outcome, Phase,
-    RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Variant, Verdict,
+    RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version,
 };
 use std::path::{Path, PathBuf};
 
@@ -94,7 +94,7 @@
     let stage_plan = StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap();
     let mut controller = RolloutController::new(stage_plan, habits, None, 1_764_633_600_000_007);
     let mut persisted = Persisted::default();
-    let report = NodeReport { variant: Variant::Old, is_healthy: true, highest: FencingToken::default() };
+    let report = NodeReport { version: Version::Old, is_healthy: true, highest: FencingToken::default() };
     for node in 0..4 {
         controller.node_reported(node, Some(&report), &mut persisted);
     }
@@ -172,10 +172,10 @@
 
 /// Requests, by the name of their fixture.
 fn requests() -> Vec<(&'static str, Request)> {
-    let command = |variant, method, target| {
+    let command = |version, method, target| {
         let command = Command {
             token: FencingToken { controller: 1_764_633_600_000_007, command: 300 },
-            variant,
+            version,
             method,
         };
         Request::command(CommandMessage::new(&command, target, 30_000))
@@ -183,16 +183,16 @@
     vec![
         ("request-status-of-an-onlooker", Request::status(0)),
         ("request-status-of-a-conductor", Request::status(1_764_633_600_000_007)),
-        ("request-program-on-trial", command(Variant::New, ChangeMethod::CommitConfirmed, program())),
-        ("request-program-for-good", command(Variant::New, ChangeMethod::HandOver, program())),
-        ("request-program-anew", command(Variant::Old, ChangeMethod::Restart, program())),
-        ("request-settings-on-trial", command(Variant::New, ChangeMethod::CommitConfirmed, settings())),
-        ("request-settings-for-good", command(Variant::Old, ChangeMethod::HandOver, settings())),
+        ("request-program-on-trial", command(Version::New, ChangeMethod::CommitConfirmed, program())),
+        ("request-program-for-good", command(Version::New, ChangeMethod::HandOver, program())),
+        ("request-program-anew", command(Version::Old, ChangeMethod::Restart, program())),
+        ("request-settings-on-trial", command(Version::New, ChangeMethod::CommitConfirmed, settings())),
+        ("request-settings-for-good", command(Version::Old, ChangeMethod::HandOver, settings())),
         (
             "request-order-that-wants-nothing",
             Request::command(CommandMessage { command: 9, ..CommandMessage::default() }),
         ),
-        ("request-of-version-1", Request { version: 1, command: None, controller: 0 }),
+        ("request-of-version-1", Request { protocol_version: 1, command: None, controller: 0 }),
     ]
 }
 
@@ -209,7 +209,7 @@
 
 /// Replies, by the name of their fixture.
 fn responses() -> Vec<(&'static str, Response)> {
-    let response = |reply| Response { version: PROTOCOL_VERSION, reply: Some(reply) };
+    let response = |reply| Response { protocol_version: PROTOCOL_VERSION, reply: Some(reply) };
     let highest = FencingTokenMessage { controller: 1_764_633_600_000_007, command: 300 };
     let full = NodeStatus {
         fingerprint: 0x0123_4567_89ab_cdef,
@@ -233,7 +233,7 @@
         ("reply-stale", response(Reply::Stale(highest))),
         ("reply-refused", response(Reply::Rejected("no program serves".into()))),
         ("reply-busy", response(Reply::Busy("another upgrade is under way".into()))),
-        ("reply-empty-of-version-3", Response { version: 3, reply: None }),
+        ("reply-empty-of-version-3", Response { protocol_version: 3, reply: None }),
     ]
 }
 
@@ -269,7 +269,7 @@
 fn what_the_fields_of_a_request_and_a_reply_mean_is_what_the_bytes_said() {
     let request: Request = read_message(&mut &fixture("request-settings-on-trial")[..]).unwrap();
     let command = request.command.unwrap();
-    assert_eq!((request.version, request.controller), (2, 1_764_633_600_000_007));
+    assert_eq!((request.protocol_version, request.controller), (2, 1_764_633_600_000_007));
     assert_eq!(command.token(), FencingToken { controller: 1_764_633_600_000_007, command: 300 });
     assert_eq!((command.lease_ms, command.restart, command.target), (30_000, false, Some(settings())));
     let restart: Request = read_message(&mut &fixture("request-program-anew")[..]).unwrap();
