--- a/crates/ochrewalk-node/src/handover/rollout_agent.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_agent.rs
@@ -52,6 +52,11 @@
         ServingChild { spec, fingerprint, reported: None }
     }
 
+    /// What it runs, and the fingerprint of its program.
+    pub fn identity(&self) -> ChildIdentity {
+        ChildIdentity { spec: self.spec.clone(), fingerprint: self.fingerprint }
+    }
+
     /// Takes what the program reports.
     pub fn take(&mut self, report: CounterReport) {
         let (at, reported) =
@@ -73,12 +78,26 @@
     }
 }
 
+/// What a child runs, and the fingerprint of its program.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChildIdentity {
+    pub spec: ChildSpec,
+    pub fingerprint: u64,
+}
+
+/// What has to run again, as a change was not confirmed in time, and how it comes to run.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum DueRevert {
+    HandOver(ChildSpec),
+    Restart(ChildSpec),
+}
+
 /// What the supervisor remembers of changes.
 pub struct RolloutAgent {
     fence: Fence,
     commit_confirm: CommitConfirm,
     /// What ran before the trial began, and its program's print.
-    revert_to: Option<(ChildSpec, u64)>,
+    revert_to: Option<ChildIdentity>,
     started_at: Instant,
     incarnation: u64,
     /// Counts of programs that served before the one that does.
@@ -193,7 +212,7 @@
     pub fn command_finished(
         &mut self,
         accepted: AcceptedCommand,
-        previous: Option<(ChildSpec, u64)>,
+        previous: Option<ChildIdentity>,
         outcome: Outcome,
     ) -> Reply {
         match (&outcome, accepted.lease_us) {
@@ -216,27 +235,30 @@
     }
 
     /// What a trial that is over needs now, and what is to run again.
-    pub fn due_revert(&mut self) -> Option<(ChildSpec, bool)> {
-        let due = self.commit_confirm.next_action(self.now_us());
-        let (spec, fingerprint) = self.revert_to.as_ref()?;
-        match due {
+    pub fn due_revert(&mut self) -> Option<DueRevert> {
+        let action = self.commit_confirm.next_action(self.now_us());
+        let ChildIdentity { spec, fingerprint } = self.revert_to.as_ref()?;
+        match action {
             RevertAction::None => None,
-            RevertAction::HandOver => Some((spec.clone(), false)),
+            RevertAction::HandOver => Some(DueRevert::HandOver(spec.clone())),
             // Guards the node: what is on trial still serves, and what ran before is not there any more.
             RevertAction::Restart if content_mismatch(&spec.program, *fingerprint).is_some() => {
-                self.revert_finished(false);
+                self.revert_failed();
                 None
             }
-            RevertAction::Restart => Some((spec.clone(), true)),
+            RevertAction::Restart => Some(DueRevert::Restart(spec.clone())),
         }
     }
 
-    /// What a trial needed has come to its end.
-    pub fn revert_finished(&mut self, is_done: bool) {
-        self.commit_confirm.revert_finished(self.now_us(), is_done);
-        if is_done {
-            self.revert_to = None;
-        }
+    /// What was due is done: the node runs again what it ran before the change.
+    pub fn revert_succeeded(&mut self) {
+        self.commit_confirm.revert_succeeded();
+        self.revert_to = None;
+    }
+
+    /// What was due failed, or could not be begun.
+    pub fn revert_failed(&mut self) {
+        self.commit_confirm.revert_failed(self.now_us());
     }
 
     /// For how long nothing is due.
--- a/crates/ochrewalk-node/src/handover/supervisor.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor.rs
@@ -4,7 +4,9 @@
 
 use super::counter_report::CounterReport;
 use super::process_guard::{ProcessAction, ProcessGuard};
-use super::rollout_agent::{self, AcceptedCommand, AgentAction, ChildSpec, RolloutAgent, ServingChild};
+use super::rollout_agent::{
+    self, AcceptedCommand, AgentAction, ChildIdentity, ChildSpec, DueRevert, RolloutAgent, ServingChild,
+};
 use super::supervisor_link::{LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
 use super::wire::{inherit, lines, send_line};
 use ochrewalk_control_plane::control::is_owner;
@@ -53,7 +55,7 @@
 /// What is begun once the program that serves has ended, as it cannot hand over.
 struct Anew {
     image: ChildSpec,
-    before: (ChildSpec, u64),
+    before: ChildIdentity,
     asker: Asker,
 }
 
@@ -252,7 +254,7 @@
     }
 
     /// Tells whoever asked what came of it. `before` is what ran until then.
-    fn tell(&mut self, asker: Asker, before: Option<(ChildSpec, u64)>, how: Result<&str, String>) {
+    fn tell(&mut self, asker: Asker, before: Option<ChildIdentity>, how: Result<&str, String>) {
         match (asker, how) {
             (Asker::Plain(mut stream), Ok(how)) => {
                 // Who asks for a program by hand wants it for good.
@@ -267,20 +269,22 @@
                     self.rollout_agent.command_finished(accepted, before, outcome),
                 );
             }
-            (Asker::Trial, how) => self.rollout_agent.revert_finished(how.is_ok()),
+            (Asker::Trial, Ok(_)) => self.rollout_agent.revert_succeeded(),
+            (Asker::Trial, Err(_)) => self.rollout_agent.revert_failed(),
         }
     }
 
     /// A trial may be over.
     fn look_at_trial(&mut self) {
-        let Some((image, anew)) = self.rollout_agent.due_revert() else { return };
-        let begun = match self.process_guard.giver().filter(|_| self.anew.is_none()) {
-            Some(from) if anew => self.begin_anew(from, image, Asker::Trial),
-            Some(from) => self.begin(from, &image, Asker::Trial),
-            None => Err(std::io::ErrorKind::ResourceBusy.into()),
+        let Some(revert) = self.rollout_agent.due_revert() else { return };
+        let from = self.process_guard.giver().filter(|_| self.anew.is_none());
+        let begun = match (from, revert) {
+            (Some(from), DueRevert::Restart(spec)) => self.begin_anew(from, spec, Asker::Trial),
+            (Some(from), DueRevert::HandOver(spec)) => self.begin(from, &spec, Asker::Trial),
+            (None, _) => Err(std::io::ErrorKind::ResourceBusy.into()),
         };
         if begun.is_err() {
-            self.rollout_agent.revert_finished(false);
+            self.rollout_agent.revert_failed();
         }
     }
 
@@ -420,8 +424,8 @@
 
 impl Worker {
     /// What it runs, and the print of its program.
-    fn known(&self) -> (ChildSpec, u64) {
-        (self.serving.spec.clone(), self.serving.fingerprint)
+    fn known(&self) -> ChildIdentity {
+        self.serving.identity()
     }
 }
 
--- a/crates/ochrewalk-rollout/src/commit_confirm.rs
+++ b/crates/ochrewalk-rollout/src/commit_confirm.rs
@@ -41,7 +41,7 @@
 /// change.renew(4_000_000, 7, 7);
 /// assert_eq!(change.next_action(8_999_999), RevertAction::None);
 /// assert_eq!(change.next_action(9_000_000), RevertAction::HandOver);
-/// change.revert_finished(9_100_000, true);
+/// change.revert_succeeded();
 /// assert!(!change.is_pending() && change.next_action(99_000_000) == RevertAction::None);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Time has passed: what is to be done now. What is said to be done is under way until [`CommitConfirm::revert_finished`].
+    /// Time has passed: what is to be done now. What is said to be done is under way until [`CommitConfirm::revert_succeeded`]
+    /// or [`CommitConfirm::revert_failed`].
     pub fn next_action(&mut self, now_us: u64) -> RevertAction {
         let attempts = match self.state {
             State::Unconfirmed { deadline_us, .. } if now_us >= deadline_us => 0,
@@ -84,13 +85,17 @@
         }
     }
 
-    /// What was to be done has come to its end, or could not be begun.
-    pub fn revert_finished(&mut self, now_us: u64, is_done: bool) {
+    /// The action that was due is done: the node runs again what it ran before.
+    pub fn revert_succeeded(&mut self) {
+        if let State::Reverting { .. } = self.state {
+            self.state = State::Confirmed;
+        }
+    }
+
+    /// The action that was due failed, or could not be begun.
+    pub fn revert_failed(&mut self, now_us: u64) {
         if let State::Reverting { attempts, .. } = self.state {
-            self.state = match is_done {
-                true => State::Confirmed,
-                false => State::Reverting { attempts, next_us: Some(now_us + RETRY_INTERVAL_US) },
-            };
+            self.state = State::Reverting { attempts, next_us: Some(now_us + RETRY_INTERVAL_US) };
         }
     }
 
@@ -151,12 +156,12 @@
         ] {
             assert_eq!(change.next_action(now_us), wanted);
             assert_eq!(change.next_action(now_us + 60_000_000), RevertAction::None, "one try at a time");
-            change.revert_finished(now_us, false);
+            change.revert_failed(now_us);
             assert_eq!(change.next_action(now_us), RevertAction::None, "not at once");
             now_us = change.next_us().unwrap();
         }
         assert_eq!(change.next_action(now_us), RevertAction::Restart);
-        change.revert_finished(now_us, true);
+        change.revert_succeeded();
         assert!(!change.is_pending());
     }
 
@@ -165,13 +170,13 @@
         let mut change = unconfirmed();
         change.confirm();
         assert_eq!((change.next_action(u64::MAX), change.next_us()), (RevertAction::None, None));
-        change.revert_finished(1, false);
+        change.revert_failed(1);
         assert!(!change.is_pending());
         // On trial again while it goes back: the later order counts.
         let mut change = unconfirmed();
         change.next_action(LEASE);
         change.start(LEASE + 1, LEASE);
-        change.revert_finished(LEASE + 2, true);
+        change.revert_succeeded();
         assert_eq!(change.next_us(), Some(2 * LEASE + 1));
     }
 }
