--- a/crates/ochrewalk-rollout/tests/canary_analysis.rs
+++ b/crates/ochrewalk-rollout/tests/canary_analysis.rs
@@ -201,3 +201,41 @@
         }
     }
 }
+
+/// What a rollout with this harm and trouble comes to: after how many samples, and with which verdict, stage by stage.
+fn conclusions(seed: u64, harm: f64, trouble: f64) -> Vec<(u32, String)> {
+    let mut analysis = analysis();
+    let mut world = World { harm, ..World::new(24, 2, 2.0 + (seed % 7) as f64, seed) };
+    let mut conclusions = Vec::new();
+    for changed in [2, 8, 24] {
+        world.changed = changed;
+        analysis.begin_stage();
+        world.trouble = trouble;
+        for _ in 0..5 {
+            analysis.add_sample(&world.moment());
+        }
+        world.trouble = 0.0;
+        let (samples, verdict) = world.judged(&mut analysis, 900);
+        conclusions.push((samples, verdict.to_string()));
+        if matches!(verdict, Verdict::Harm(_)) {
+            break;
+        }
+    }
+    conclusions
+}
+
+#[test]
+fn seeded_rollouts_come_to_exactly_these_conclusions() {
+    let harm = |share: &str| format!("Harm(\"{share} more of sale miss the target\")");
+    let pass = || "Good".to_string();
+    for (seed, harmed, trouble, expected) in [
+        (1, 0.0, 0.0, vec![(696, pass()), (158, pass()), (25, pass())]),
+        (2, 0.0, 0.3, vec![(326, pass()), (149, pass()), (25, pass())]),
+        (3, 0.04, 0.0, vec![(503, harm("0.032"))]),
+        (4, 0.1, 0.3, vec![(37, harm("0.177"))]),
+        (5, 0.3, 0.0, vec![(8, harm("0.332"))]),
+        (6, 0.0, 0.1, vec![(192, pass()), (63, pass()), (25, pass())]),
+    ] {
+        assert_eq!(conclusions(seed, harmed, trouble), expected, "seed {seed}");
+    }
+}
