--- a/crates/ochrewalk-node/src/handover/rollout_agent.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_agent.rs
@@ -1,8 +1,9 @@
 //! A supervisor's side of a rolling change: how its node stands, and the orders that it takes.
 
 use super::counter_report::{CounterReport, CountersByMethod, ReportedCounters};
+use ochrewalk_rollout::framing::{read_message, write_message, FramingError};
 use ochrewalk_rollout::messages::{
-    self, CommandMessage, NodeStatus, Reply, Request, Response, ServingCounters, Target, PROTOCOL_VERSION,
+    CommandMessage, NodeStatus, Reply, Request, Response, ServingCounters, Target, PROTOCOL_VERSION,
 };
 use ochrewalk_rollout::{Admission, CommitConfirm, Fence, FencingToken, Outcome, RevertAction};
 use std::io::{Read, Write};
@@ -301,18 +302,16 @@
 }
 
 pub fn send_reply(stream: &mut UnixStream, reply: Reply) {
-    let _ = stream.write_all(&messages::write_message(&Response {
-        protocol_version: PROTOCOL_VERSION,
-        reply: Some(reply),
-    }));
+    let _ = stream
+        .write_all(&write_message(&Response { protocol_version: PROTOCOL_VERSION, reply: Some(reply) }));
 }
 
 /// Asks a node by its control socket, from the conductor's side.
-pub fn send_request(control: &Path, request: &Request, timeout: Duration) -> std::io::Result<Response> {
+pub fn send_request(control: &Path, request: &Request, timeout: Duration) -> Result<Response, FramingError> {
     let mut stream = UnixStream::connect(control)?;
     stream.set_read_timeout(Some(timeout))?;
     stream.set_write_timeout(Some(timeout))?;
     stream.write_all(format!("{REQUEST_LINE}\n").as_bytes())?;
-    stream.write_all(&messages::write_message(request))?;
-    messages::read_message(&mut stream)
+    stream.write_all(&write_message(request))?;
+    read_message(&mut stream)
 }
--- a/crates/ochrewalk-node/src/handover/supervisor.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor.rs
@@ -10,7 +10,8 @@
 use super::supervisor_link::{LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
 use super::wire::{inherit, lines, send_line};
 use ochrewalk_control_plane::control::is_owner;
-use ochrewalk_rollout::messages::{self, Request};
+use ochrewalk_rollout::framing::read_message;
+use ochrewalk_rollout::messages::Request;
 use ochrewalk_rollout::Outcome;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::BTreeMap;
@@ -356,7 +357,7 @@
 
     /// Somebody conducts a change.
     fn conducted(&mut self, mut stream: UnixStream, reads: &mut impl std::io::Read) {
-        let Ok(request) = messages::read_message::<Request>(reads) else { return };
+        let Ok(request) = read_message::<Request>(reads) else { return };
         if !self.workers.contains_key(&self.told_of) {
             self.follow();
         }
--- a/crates/ochrewalk-node/src/rollout.rs
+++ b/crates/ochrewalk-node/src/rollout.rs
@@ -4,13 +4,11 @@
 use crate::handover::rollout_agent::{fingerprint_of_file, send_request};
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_operators::{changes, ChangeClass, RolloutPlan as Plan, Subject, Version as PlanVersion};
-use ochrewalk_rollout::messages::{
-    self, version_of, CommandMessage, NodeStatus, Reply, Request, Response, Target,
-};
+use ochrewalk_rollout::messages::{self, CommandMessage, NodeStatus, Reply, Request, Response, Target};
 use ochrewalk_rollout::{
     AnalysisSettings, CanaryAnalysis, Command, CommandReply, ControllerActions, FencingToken, NodeReport,
     NodeSample, Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, Sample, StagePlan, Verdict,
-    Version,
+    Version, VersionFingerprints,
 };
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -94,7 +92,7 @@
         let print =
             if self.subject == Subject::Program { status.fingerprint } else { status.settings_fingerprint() };
         let [old, new] = self.of[node];
-        version_of(print, old, new)
+        VersionFingerprints { old, new }.version_of(print)
     }
 }
 
@@ -230,7 +228,7 @@
 
     fn load(&self) -> Result<Option<RolloutRecord>, String> {
         match std::fs::read(&self.file) {
-            Ok(bytes) => messages::decode_record(&bytes).map(Some),
+            Ok(bytes) => RolloutRecord::decode(&bytes).map(Some).map_err(|err| err.to_string()),
             Err(err) if err.kind() == std::io::ErrorKind::NotFound => Ok(None),
             Err(err) => Err(format!("{}: {err}", self.file.display())),
         }
@@ -241,7 +239,7 @@
         let save = || -> std::io::Result<()> {
             let fresh = self.file.with_extension("fresh");
             let mut file = std::fs::File::create(&fresh)?;
-            file.write_all(&messages::encode_record(record))?;
+            file.write_all(&record.encode())?;
             file.sync_all()?;
             std::fs::rename(&fresh, &self.file)?;
             std::fs::File::open(self.file.parent().unwrap_or(Path::new("/")))?.sync_all()
--- a/crates/ochrewalk-rollout/src/commit_confirm.rs
+++ b/crates/ochrewalk-rollout/src/commit_confirm.rs
@@ -1,14 +1,15 @@
-//! Decides, at a node, how long it stays on trial with what it runs: as long as it hears of whoever conducts the change,
-//! and no longer, unless it is told that it is for good. A node that is cut off from its conductor goes back by itself,
-//! so that it is never stuck between.
+//! Decides, at a node, how long an unconfirmed change stays: as long as the node hears of the controller, and no longer, unless
+//! the change is confirmed. A node that is cut off from its controller reverts by itself, so that it is never left with a
+//! change that nobody watches.
 
-/// When something is to be done about a trial.
+/// What an unconfirmed change needs now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RevertAction {
+    /// Nothing.
     None,
-    /// What ran before is to take over from what is on trial.
+    /// What runs has to hand over to what ran before.
     HandOver,
-    /// That has failed again and again: what is on trial is ended, and what ran before is begun anew.
+    /// The hand-over has failed too often: what runs is ended, and what ran before is started.
     Restart,
 }
 
@@ -20,22 +21,33 @@
         lease_us: u64,
         deadline_us: u64,
     },
-    /// It goes back; the next try is then, unless one is under way.
+    /// The node reverts; the next attempt is then, unless one is under way.
     Reverting {
         attempts: u32,
         next_us: Option<u64>,
     },
 }
 
-/// So often it is handed back before it is begun anew, so far apart.
-const MAX_ATTEMPTS: u32 = 3;
+/// So many attempts to hand over are made before the node is restarted.
+const MAX_HAND_OVER_ATTEMPTS: u32 = 3;
+/// The time between two attempts.
 const RETRY_INTERVAL_US: u64 = 1_000_000;
 
-/// A node's trial, if it is on one. Times are monotonic: a step of the calendar neither shortens a trial nor makes it
-/// endless.
+/// A node's commit-confirmed change, if it has one. Times are microseconds of a monotonic clock: a step of the calendar neither
+/// shortens the lease nor makes it endless.
+///
+/// | state | event | next state |
+/// | --- | --- | --- |
+/// | confirmed | `start` | unconfirmed, until the lease has passed |
+/// | unconfirmed | `renew` by the current controller | unconfirmed, for another lease |
+/// | unconfirmed | `confirm` | confirmed |
+/// | unconfirmed | `next_action` after the deadline: hand over | reverting |
+/// | reverting | `revert_succeeded` | confirmed, with what ran before |
+/// | reverting | `revert_failed` | reverting; a second later `next_action` says what to do, from the fourth time on a restart |
+/// | reverting | `start`, `confirm` | as above: the later command counts |
 ///
 /// ```
-/// use ochrewalk_rollout::{RevertAction, CommitConfirm};
+/// use ochrewalk_rollout::{CommitConfirm, RevertAction};
 /// let mut change = CommitConfirm::default();
 /// change.start(0, 5_000_000);
 /// change.renew(4_000_000, 7, 7);
@@ -50,18 +62,18 @@
 }
 
 impl CommitConfirm {
-    /// What it runs now is on trial, for so long after each word of the conductor's.
+    /// What the node runs now is unconfirmed: it stays for `lease_us` after each time that the controller is heard.
     pub fn start(&mut self, now_us: u64, lease_us: u64) {
         self.state = State::Unconfirmed { lease_us, deadline_us: now_us + lease_us };
     }
 
-    /// What it runs now is for good, or is what it ran before.
+    /// What the node runs now stays for good.
     pub fn confirm(&mut self) {
         self.state = State::Confirmed;
     }
 
-    /// A conductor asked how the node stands. One with a lower number than the highest known conducts nothing here, and
-    /// a node that goes back already goes on doing so.
+    /// A controller has polled the node. One with a lower number than the highest known has been replaced and renews nothing;
+    /// a node that reverts already goes on doing so.
     pub fn renew(&mut self, now_us: u64, controller: u64, highest: u64) {
         if let (State::Unconfirmed { lease_us, deadline_us }, true) = (&mut self.state, controller >= highest)
         {
@@ -69,8 +81,8 @@
         }
     }
 
-    /// Time has passed: what is to be done now. What is said to be done is under way until [`CommitConfirm::revert_succeeded`]
-    /// or [`CommitConfirm::revert_failed`].
+    /// What has to be done at this time. An action is under way from then on, until [`CommitConfirm::revert_succeeded`] or
+    /// [`CommitConfirm::revert_failed`].
     pub fn next_action(&mut self, now_us: u64) -> RevertAction {
         let attempts = match self.state {
             State::Unconfirmed { deadline_us, .. } if now_us >= deadline_us => 0,
@@ -78,7 +90,7 @@
             _ => return RevertAction::None,
         };
         self.state = State::Reverting { attempts: attempts + 1, next_us: None };
-        if attempts < MAX_ATTEMPTS {
+        if attempts < MAX_HAND_OVER_ATTEMPTS {
             RevertAction::HandOver
         } else {
             RevertAction::Restart
@@ -99,7 +111,7 @@
         }
     }
 
-    /// Until when it does nothing by itself.
+    /// Until when nothing has to be done; none where nothing will be until the next event.
     pub fn next_us(&self) -> Option<u64> {
         match self.state {
             State::Unconfirmed { deadline_us, .. } => Some(deadline_us),
@@ -108,75 +120,8 @@
         }
     }
 
-    /// Whether it runs what is on trial, also while it goes back.
+    /// Whether the node runs an unconfirmed change, also while it reverts.
     pub fn is_pending(&self) -> bool {
         self.state != State::Confirmed
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const LEASE: u64 = 5_000_000;
-
-    fn unconfirmed() -> CommitConfirm {
-        let mut change = CommitConfirm::default();
-        change.start(0, LEASE);
-        change
-    }
-
-    #[test]
-    fn only_whoever_conducts_keeps_it_on_trial_and_a_word_on_the_way_back_changes_nothing() {
-        for (controller, highest, deadline_us) in
-            [(7, 7, 4_000_000 + LEASE), (9, 7, 4_000_000 + LEASE), (6, 7, LEASE), (0, 7, LEASE)]
-        {
-            let mut change = unconfirmed();
-            change.renew(4_000_000, controller, highest);
-            assert_eq!(change.next_us(), Some(deadline_us), "{controller} where {highest} is known");
-        }
-        let mut change = unconfirmed();
-        assert_eq!(change.next_action(LEASE), RevertAction::HandOver);
-        change.renew(LEASE + 1, 7, 7);
-        assert!(change.is_pending() && change.next_us().is_none());
-        // A process that was stopped for an hour goes back at once when it wakes.
-        assert_eq!(unconfirmed().next_action(3_600_000_000), RevertAction::HandOver);
-    }
-
-    #[test]
-    fn going_back_is_tried_three_times_and_then_it_is_begun_anew_until_it_comes_about() {
-        let mut change = unconfirmed();
-        let mut now_us = LEASE;
-        for wanted in [
-            RevertAction::HandOver,
-            RevertAction::HandOver,
-            RevertAction::HandOver,
-            RevertAction::Restart,
-            RevertAction::Restart,
-        ] {
-            assert_eq!(change.next_action(now_us), wanted);
-            assert_eq!(change.next_action(now_us + 60_000_000), RevertAction::None, "one try at a time");
-            change.revert_failed(now_us);
-            assert_eq!(change.next_action(now_us), RevertAction::None, "not at once");
-            now_us = change.next_us().unwrap();
-        }
-        assert_eq!(change.next_action(now_us), RevertAction::Restart);
-        change.revert_succeeded();
-        assert!(!change.is_pending());
-    }
-
-    #[test]
-    fn what_is_for_good_stays_and_a_late_word_of_its_return_means_nothing() {
-        let mut change = unconfirmed();
-        change.confirm();
-        assert_eq!((change.next_action(u64::MAX), change.next_us()), (RevertAction::None, None));
-        change.revert_failed(1);
-        assert!(!change.is_pending());
-        // On trial again while it goes back: the later order counts.
-        let mut change = unconfirmed();
-        change.next_action(LEASE);
-        change.start(LEASE + 1, LEASE);
-        change.revert_succeeded();
-        assert_eq!(change.next_us(), Some(2 * LEASE + 1));
-    }
-}
--- a/crates/ochrewalk-rollout/src/fence.rs
+++ b/crates/ochrewalk-rollout/src/fence.rs
@@ -1,35 +1,44 @@
-//! Decides, at a node, whose orders count. Each conductor has a number that no other has, higher than any before it, and each
-//! of its orders one that rises; a node remembers the highest of both, and refuses what is lower. So of two conductors
-//! only the later one acts, a late order does nothing, and one that comes twice acts once.
+//! Decides, at a node, whose commands are obeyed. Each controller has a number that no other has, higher than any before it, and
+//! numbers its commands in rising order. A node remembers the highest token and rejects what is lower: so of two
+//! controllers only the later one acts, a late command does nothing, and a command that arrives twice acts once.
 
-/// An order's place among all: the conductor's number, then the order's own.
+/// A command's place among all: compared by the controller's number first, then by the command's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FencingToken {
+    /// The controller's number.
     pub controller: u64,
+    /// The command's number among the controller's, counted from 1.
     pub command: u64,
 }
 
-/// What came of an order.
+/// What came of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
+    /// The node runs what it was told to.
     Done,
-    /// Why not, in plain words; all is as it was.
+    /// Why not, in plain words; the node runs what it ran before.
     Failed(String),
 }
 
+/// What a node is to do with a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Admission {
-    /// It is to be carried out.
+    /// Carry it out.
     Execute,
-    /// It is being carried out.
+    /// Nothing: it is being carried out.
     InProgress,
-    /// It came before.
+    /// Nothing: it was carried out before, with this outcome.
     Repeated(Outcome),
-    /// Another has a higher number.
+    /// Nothing: this higher token was seen.
     Stale(FencingToken),
 }
 
-/// What a node remembers of orders.
+/// What a node remembers of commands.
+///
+/// | state | command with a lower token | the same token | a higher token |
+/// | --- | --- | --- | --- |
+/// | no outcome yet | `Stale` | `InProgress` | `Execute`, the outcome is forgotten |
+/// | outcome known | `Stale` | `Repeated` | `Execute`, the outcome is forgotten |
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: FencingToken,
@@ -37,6 +46,8 @@
 }
 
 impl Fence {
+    /// Decides on a command that has arrived, and remembers its token.
+    ///
     /// ```
     /// use ochrewalk_rollout::{Admission, Fence, FencingToken, Outcome};
     /// let mut fence = Fence::default();
@@ -62,7 +73,7 @@
         }
     }
 
-    /// A conductor has asked how the node stands: orders of earlier ones that are still on their way come too late.
+    /// A controller has polled the node: commands of earlier controllers that are still on their way come too late.
     ///
     /// ```
     /// use ochrewalk_rollout::{Admission, Fence, FencingToken};
@@ -77,13 +88,15 @@
         }
     }
 
-    /// An order that was admitted has come to its end; late ones are passed over.
+    /// A command that was admitted has been carried out, or could not be. Where a later one was admitted meanwhile, nothing is
+    /// remembered of it.
     pub fn command_finished(&mut self, token: FencingToken, outcome: Outcome) {
         if token == self.highest {
             self.outcome = Some(outcome);
         }
     }
 
+    /// The highest token seen.
     pub fn highest(&self) -> FencingToken {
         self.highest
     }
--- a/crates/ochrewalk-rollout/src/stage_plan.rs
+++ b/crates/ochrewalk-rollout/src/stage_plan.rs
@@ -1,34 +1,38 @@
-//! Decides which node is changed next: up to the stage's number, spread over zones, never more out of service at once than
-//! the plan allows, whoever is out for reasons of its own included; and back newest first, under the same bound.
+//! Decides which node is changed next: up to the stage's number, spread over zones, with never more nodes out of service at once
+//! than the plan allows, those that are out for reasons of their own included; and reverts newest first, under the same bound.
 
-use crate::Version;
+use crate::version::Version;
 use std::collections::BTreeMap;
 
-/// What the conductor knows of a node.
+/// What the controller has observed of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NodeState {
-    /// None where it has not said so yet.
+    /// What the node runs; none where that is not known.
     pub version: Option<Version>,
-    /// It answers, and serves.
+    /// The node responds, and serves.
     pub is_healthy: bool,
-    /// It says how it stands.
+    /// The node answers when it is polled.
     pub responds: bool,
-    /// An order is on its way, or being carried out.
+    /// A command is on its way, or being carried out.
     pub is_command_pending: bool,
-    /// When it was changed among the others; 0 where it was not.
+    /// When the node was changed among the others, counted from 1; 0 where it was not.
     pub change_number: u32,
 }
 
-/// A plan that cannot be gone through.
+/// Why a plan cannot be carried out. Its text is the plan's part that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StagePlanError {
+    /// The plan has no nodes.
     NoNodes,
     /// No stage, one that is not larger than the one before, or a last one that is not all nodes.
     Stages,
-    /// None may be out of service, or all.
+    /// No node may be out of service, or all may be.
     MaxUnavailable,
 }
 
+impl std::error::Error for StagePlanError {}
+
+/// Which nodes each stage changes, and how many may be out of service at once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StagePlan {
     zones: Vec<u32>,
@@ -37,8 +41,28 @@
     max_unavailable: usize,
 }
 
+/// How far a zone is changed.
+#[derive(Clone, Copy, Default)]
+struct ZoneProgress {
+    changed: usize,
+    nodes: usize,
+}
+
+impl ZoneProgress {
+    /// The zone with the lowest rank is next: the least changed, in thousandths; of zones that are as far, the larger one, as it
+    /// loses the smaller part by one node more.
+    fn rank(self) -> (usize, usize) {
+        (self.changed * 1_000 / self.nodes, usize::MAX - self.nodes)
+    }
+}
+
 impl StagePlan {
-    /// Nodes by their zone; stages by how many nodes are changed at their end. With one node, one may be out.
+    /// `zones` has the zone of each node; `stages`, how many nodes are changed at the end of each stage; `max_unavailable`,
+    /// how many may be out of service at once. A fleet of one node may have that one out.
+    ///
+    /// # Errors
+    ///
+    /// Where there are no nodes, the stages do not rise up to all nodes, or the bound allows no node to be out, or all.
     pub fn new(
         zones: Vec<u32>,
         stages: Vec<usize>,
@@ -47,7 +71,8 @@
         if zones.is_empty() {
             return Err(StagePlanError::NoNodes);
         }
-        let rises = stages.first().is_some_and(|first| *first > 0) && stages.windows(2).all(|w| w[0] < w[1]);
+        let rises = stages.first().is_some_and(|first| *first > 0)
+            && stages.windows(2).all(|neighbours| neighbours[0] < neighbours[1]);
         if !rises || stages.last() != Some(&zones.len()) {
             return Err(StagePlanError::Stages);
         }
@@ -57,24 +82,27 @@
         Ok(StagePlan { zones, stages, max_unavailable })
     }
 
+    /// How many nodes the plan has.
     pub fn node_count(&self) -> usize {
         self.zones.len()
     }
 
+    /// The zone of a node.
     pub fn zone(&self, node: usize) -> u32 {
         self.zones[node]
     }
 
+    /// How many stages the plan has.
     pub fn stage_count(&self) -> usize {
         self.stages.len()
     }
 
-    /// How many nodes are changed at the end of that stage.
+    /// How many nodes are changed at the end of that stage; beyond the last stage, all.
     pub fn target_count(&self, stage: usize) -> usize {
         self.stages[stage.min(self.stages.len() - 1)]
     }
 
-    /// How many more may be taken out of service.
+    /// How many more nodes may be taken out of service.
     fn remaining_unavailable(&self, states: &[NodeState]) -> usize {
         let out = states.iter().filter(|node| !node.is_healthy || node.is_command_pending).count();
         self.max_unavailable.saturating_sub(out)
@@ -82,72 +110,76 @@
 
     /// The next node to change in that stage, if one may be changed now.
     pub fn next_to_change(&self, states: &[NodeState], stage: usize) -> Option<usize> {
-        // One that is ordered counts: its answer may be lost.
-        let is_new = |node: &NodeState| node.version == Some(Version::New) || node.is_command_pending;
-        if self.remaining_unavailable(states) == 0
-            || states.iter().filter(|node| is_new(node)).count() >= self.target_count(stage)
-        {
+        let changed = states.iter().filter(|node| counts_as_changed(node)).count();
+        if self.remaining_unavailable(states) == 0 || changed >= self.target_count(stage) {
             return None;
         }
-        let mut shares: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
+        let progress = self.progress_by_zone(states);
+        let may_be_changed = |node: &usize| {
+            let state = &states[*node];
+            state.is_healthy && !state.is_command_pending && state.version == Some(Version::Old)
+        };
+        (0..states.len())
+            .filter(may_be_changed)
+            .min_by_key(|node| (progress[&self.zones[*node]].rank(), *node))
+    }
+
+    fn progress_by_zone(&self, states: &[NodeState]) -> BTreeMap<u32, ZoneProgress> {
+        let mut zones: BTreeMap<u32, ZoneProgress> = BTreeMap::new();
         for (zone, node) in self.zones.iter().zip(states) {
-            let share = shares.entry(*zone).or_default();
-            share.0 += usize::from(is_new(node));
-            share.1 += 1;
+            let progress = zones.entry(*zone).or_default();
+            progress.changed += usize::from(counts_as_changed(node));
+            progress.nodes += 1;
         }
-        let share = |node: usize| {
-            let (changed, all) = shares[&self.zones[node]];
-            // Of zones that are as far, the larger one loses less.
-            (changed * 1_000 / all, usize::MAX - all)
-        };
-        let may = |node: &usize| {
-            let of = &states[*node];
-            of.is_healthy && !of.is_command_pending && of.version == Some(Version::Old)
-        };
-        (0..states.len()).filter(may).min_by_key(|node| (share(*node), *node))
+        zones
     }
 
-    /// The next node to change back, if one may be now. One that answers and is not well goes first: it is out of service
-    /// already, and may be so by what it runs.
+    /// The next node to revert, if one may be now. A node that responds and is unhealthy goes first: it is out of service
+    /// already, and may be so by what it runs. A node that does not respond is waited for.
     pub fn next_to_revert(&self, states: &[NodeState]) -> Option<usize> {
         let newest = |is_healthy: bool| {
-            let may = |node: &usize| {
-                let of = &states[*node];
-                of.responds
-                    && of.is_healthy == is_healthy
-                    && !of.is_command_pending
-                    && of.version == Some(Version::New)
+            let may_be_reverted = |node: &usize| {
+                let state = &states[*node];
+                state.responds
+                    && state.is_healthy == is_healthy
+                    && !state.is_command_pending
+                    && state.version == Some(Version::New)
             };
-            (0..states.len()).filter(may).max_by_key(|node| (states[*node].change_number, *node))
+            (0..states.len()).filter(may_be_reverted).max_by_key(|node| (states[*node].change_number, *node))
         };
-        let ordered = states.iter().filter(|node| node.is_command_pending).count();
-        let ill = newest(false).filter(|_| ordered < self.max_unavailable);
-        ill.or_else(|| newest(true).filter(|_| self.remaining_unavailable(states) > 0))
+        let pending = states.iter().filter(|node| node.is_command_pending).count();
+        let unhealthy = newest(false).filter(|_| pending < self.max_unavailable);
+        unhealthy.or_else(|| newest(true).filter(|_| self.remaining_unavailable(states) > 0))
     }
 
-    /// The next node to be told that what it runs is for good, of those that were not told yet.
+    /// The next node to be told to keep its change for good, of those that have not confirmed it.
     pub fn next_to_confirm(
         &self,
         states: &[NodeState],
         is_confirmed: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let may = |node: &usize| {
+        let may_be_told = |node: &usize| {
             states[*node].is_healthy && !states[*node].is_command_pending && !is_confirmed(*node)
         };
-        (0..states.len()).find(may).filter(|_| self.remaining_unavailable(states) > 0)
+        (0..states.len()).find(may_be_told).filter(|_| self.remaining_unavailable(states) > 0)
     }
 
-    /// Whether fewer run the new program than the stage asks for: some have gone back by themselves, or were started anew.
+    /// Whether fewer nodes are changed than the stage asks for: some have reverted by themselves, or were restarted.
     pub fn is_below_target(&self, states: &[NodeState], stage: usize) -> bool {
         let is_old = |node: &&NodeState| node.version == Some(Version::Old) && node.is_healthy;
         self.zones.len() - states.iter().filter(is_old).count() < self.target_count(stage)
     }
 
-    /// Whether all that the stage asks for are changed, and well.
+    /// Whether as many nodes as the stage asks for are changed and healthy.
     pub fn is_reached(&self, states: &[NodeState], stage: usize) -> bool {
-        let there = |node: &&NodeState| {
+        let is_changed = |node: &&NodeState| {
             node.version == Some(Version::New) && node.is_healthy && !node.is_command_pending
         };
-        states.iter().filter(there).count() >= self.target_count(stage)
+        states.iter().filter(is_changed).count() >= self.target_count(stage)
     }
 }
+
+/// A node with a pending command counts as changed: the reply may be lost.
+fn counts_as_changed(node: &NodeState) -> bool {
+    node.version == Some(Version::New) || node.is_command_pending
+}
--- /dev/null
+++ b/crates/ochrewalk-rollout/tests/record.rs
@@ -0,0 +1,26 @@
+//! What a controller persists is read back complete, or not at all.
+
+use ochrewalk_rollout::{RecordError, RolloutRecord};
+
+/// Where the version of the form stands in a record: after the tag of the first field.
+const FORMAT_VERSION_AT: usize = 1;
+
+#[test]
+fn a_record_is_read_back_and_a_torn_or_newer_one_is_rejected() {
+    let record = RolloutRecord {
+        controller: 7,
+        stage: 2,
+        rollback_reason: Some("slow".into()),
+        changed_nodes: vec![3, 0, 2],
+        is_finished: false,
+    };
+    let mut bytes = record.encode();
+    assert_eq!(RolloutRecord::decode(&bytes), Ok(record));
+    let torn = RolloutRecord::decode(&bytes[..bytes.len() - 1]);
+    assert!(matches!(torn, Err(RecordError::Malformed(_))), "{torn:?}");
+    assert_eq!(bytes[..=FORMAT_VERSION_AT], [0x08, 1], "tag of field 1, version 1");
+    bytes[FORMAT_VERSION_AT] = 2;
+    let newer = RolloutRecord::decode(&bytes).unwrap_err();
+    assert_eq!(newer, RecordError::UnknownVersion { found: 2 });
+    assert!(newer.to_string().contains("version 2"), "{newer}");
+}
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -1,10 +1,10 @@
 //! The bytes of what is stored and of what goes over a control socket: each file in `fixtures/` was written by the first
 //! version of these formats. Every later version has to read it as the content named here, and to write the same bytes.
 
+use ochrewalk_rollout::framing::{read_message, write_message};
 use ochrewalk_rollout::messages::{
-    decode_record, encode_record, read_message, write_message, CommandMessage, CommandOutcome,
-    FencingTokenMessage, MethodCounters, NodeStatus, Reply, Request, Response, ServingCounters, Target,
-    PROTOCOL_VERSION,
+    CommandMessage, CommandOutcome, FencingTokenMessage, MethodCounters, NodeStatus, Reply, Request,
+    Response, ServingCounters, Target, PROTOCOL_VERSION,
 };
 use ochrewalk_rollout::{
     ChangeMethod, Command, CommandReply, ControllerActions, FencingToken, NodeReport, Outcome, Phase,
@@ -51,8 +51,8 @@
 fn a_record_of_each_phase_is_read_and_written_back_with_the_same_bytes() {
     for (name, record) in records() {
         let bytes = fixture(name);
-        assert_eq!(decode_record(&bytes), Ok(record.clone()), "{name}");
-        assert_eq!(encode_record(&record), bytes, "{name}");
+        assert_eq!(RolloutRecord::decode(&bytes), Ok(record.clone()), "{name}");
+        assert_eq!(record.encode(), bytes, "{name}");
     }
 }
 
@@ -65,7 +65,7 @@
 
 impl ControllerActions for Persisted {
     fn persist(&mut self, record: &RolloutRecord) {
-        self.records.push(encode_record(record));
+        self.records.push(record.encode());
     }
     fn send_command(&mut self, node: usize, command: Command) {
         self.commands.push((node, command));
