--- a/crates/ochrewalk-rollout/tests/exploration.rs
+++ b/crates/ochrewalk-rollout/tests/exploration.rs
@@ -1,5 +1,6 @@
-//! A conductor, a later one and three nodes, explored exhaustively: conductors killed and begun anew, orders and answers as
-//! late as they like or lost, nodes that stop answering and come back.
+//! A controller, a later one and three nodes, explored exhaustively: controllers killed and restarted, commands and replies late
+//! without bound or lost, nodes that stop answering and come back.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::{
     Admission, ChangeMethod, Command, CommandReply, ControllerActions, Fence, FencingToken, NodeReport,
@@ -12,10 +13,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     version: Version,
-    /// What it runs is on trial.
+    /// What it runs reverts by itself unless it is confirmed.
     is_unconfirmed: bool,
     fence: Fence,
-    /// What is being carried out.
+    /// The command that is being carried out.
     executing: Option<Command>,
     is_healthy: bool,
 }
@@ -23,25 +24,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     nodes: Vec<Node>,
-    /// By conductor; none where it is not there.
+    /// By controller; none where it does not run.
     controllers: Vec<Option<RolloutController>>,
-    /// The file that conductors keep.
+    /// The file that controllers persist.
     record: Option<RolloutRecord>,
-    /// Orders on their way, with who sent them.
+    /// Commands on their way, with the controller that sent them and their node.
     commands: Vec<(usize, usize, Command)>,
     replies: Vec<(usize, usize, FencingToken, CommandReply)>,
     kills: u8,
     outages: u8,
     losses: u8,
     failures: u8,
-    lapses: u8,
+    expirations: u8,
     harms: u8,
     stucks: u8,
     began: u8,
-    /// Two marks of different conductors were acted on out of their order.
+    /// Two tokens of different controllers were acted on out of their order.
     acted_late: bool,
     last_acted: Vec<FencingToken>,
-    too_many: bool,
+    too_many_out: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -51,16 +52,16 @@
     Polls(usize),
     CommandArrives(usize),
     CommandIsLost(usize),
-    NodeDoes {
+    CommandEnds {
         node: usize,
-        well: bool,
+        succeeds: bool,
     },
     ReplyArrives(usize),
     ReplyIsLost(usize),
     NodeOut(usize),
     NodeBack(usize),
-    /// A node on trial has heard nothing for too long, and goes back.
-    Lapses(usize),
+    /// A node with an unconfirmed change has not heard of its controller for too long, and reverts.
+    LeaseExpires(usize),
     Pass(usize),
     Harm(usize),
     NoProgress(usize),
@@ -81,7 +82,7 @@
     fn begin_analysis(&mut self, _stage: usize) {}
 }
 
-/// How much may go wrong, and which rule is broken on purpose.
+/// How much may go wrong, and whether the fence is left out on purpose.
 #[derive(Clone, Copy)]
 struct Explored {
     controllers: usize,
@@ -89,7 +90,7 @@
     outages: u8,
     losses: u8,
     failures: u8,
-    lapses: u8,
+    expirations: u8,
     policy: RolloutPolicy,
     no_fence: bool,
 }
@@ -105,7 +106,7 @@
         let mut effects = Effects { record: &mut record, commands: Vec::new() };
         what(&mut controller, &mut effects);
         let commands = effects.commands;
-        // One file: who no longer has the highest number is not let write it.
+        // One file: a controller that no longer has the highest number may not write it.
         if controller.record().controller >= self.record.as_ref().map_or(0, |record| record.controller) {
             self.record = record;
         }
@@ -114,10 +115,31 @@
         }
         self.commands.sort_by_key(|(at, node, command)| (*at, *node, command.token));
         let out = controller.pending_commands().count();
-        self.too_many |= out > 1;
+        self.too_many_out |= out > 1;
         self.controllers[at] = Some(controller);
     }
 
+    fn controller_begins(&mut self, at: usize, policy: RolloutPolicy) {
+        self.began += 1;
+        // No number is ever taken twice: in the program it is the time, in microseconds.
+        let persisted = self.record.as_ref().map_or(0, |record| record.controller);
+        let number = persisted.max(u64::from(self.began) - 1) + 1;
+        self.controllers[at] =
+            Some(RolloutController::new(stage_plan(), policy, self.record.clone(), number));
+    }
+
+    fn conclude(&mut self, at: usize, verdict: Verdict) {
+        self.with(at, |controller, effects| controller.analysis_concluded(verdict, effects));
+    }
+
+    /// A reply to a controller that does not run is heard by nobody.
+    fn drop_replies_to_nobody(&mut self) {
+        self.replies.sort_by_key(|reply| (reply.0, reply.1, reply.2));
+        self.replies.dedup();
+        let runs: Vec<bool> = self.controllers.iter().map(Option::is_some).collect();
+        self.replies.retain(|(to, ..)| runs[*to]);
+    }
+
     fn node_report(&self, node: usize) -> Option<NodeReport> {
         let of = &self.nodes[node];
         of.is_healthy.then(|| NodeReport {
@@ -128,6 +150,59 @@
     }
 }
 
+impl Explored {
+    fn poll(&self, world: &mut World, at: usize, node: usize) {
+        let number = world.controllers[at].as_ref().map_or(0, |controller| controller.record().controller);
+        if world.nodes[node].is_healthy && !self.no_fence {
+            world.nodes[node].fence.observe_controller(number);
+        }
+        let report = world.node_report(node);
+        world.with(at, |controller, effects| controller.node_reported(node, report.as_ref(), effects));
+    }
+
+    fn command_arrives(&self, world: &mut World, at: usize) {
+        let (from, node, command) = world.commands.remove(at);
+        let token = command.token;
+        let state = &mut world.nodes[node];
+        if !state.is_healthy {
+            return world.replies.push((from, node, token, CommandReply::NoReply));
+        }
+        let admission = if self.no_fence { Admission::Execute } else { state.fence.admit(token) };
+        let reply = match admission {
+            Admission::Execute if state.executing.is_none() => {
+                world.acted_late |= token < world.last_acted[node];
+                world.last_acted[node] = token;
+                state.executing = Some(command);
+                return;
+            }
+            Admission::Execute => {
+                let busy = Outcome::Failed("another command is being carried out".into());
+                state.fence.command_finished(token, busy.clone());
+                CommandReply::Finished(busy)
+            }
+            Admission::InProgress => return,
+            Admission::Repeated(outcome) => CommandReply::Finished(outcome),
+            Admission::Stale(highest) => CommandReply::Stale(highest),
+        };
+        world.replies.push((from, node, token, reply));
+    }
+
+    fn command_ends(&self, world: &mut World, node: usize, succeeds: bool) {
+        world.failures += u8::from(!succeeds);
+        let state = &mut world.nodes[node];
+        let command = state.executing.take().expect("only a command that is carried out ends");
+        let outcome = if succeeds { Outcome::Done } else { Outcome::Failed("it ended".into()) };
+        if succeeds {
+            state.version = command.version;
+            state.is_unconfirmed = command.method == ChangeMethod::CommitConfirmed;
+        }
+        state.fence.command_finished(command.token, outcome.clone());
+        for from in 0..self.controllers {
+            world.replies.push((from, node, command.token, CommandReply::Finished(outcome.clone())));
+        }
+    }
+}
+
 impl Model for Explored {
     type State = World;
     type Action = Action;
@@ -150,13 +225,13 @@
             outages: 0,
             losses: 0,
             failures: 0,
-            lapses: 0,
+            expirations: 0,
             harms: 0,
             stucks: 0,
             began: 0,
             acted_late: false,
             last_acted: vec![FencingToken::default(); NODES],
-            too_many: false,
+            too_many_out: false,
         }]
     }
 
@@ -198,9 +273,9 @@
         }
         for (node, of) in world.nodes.iter().enumerate() {
             if of.executing.is_some() && of.is_healthy {
-                actions.push(Action::NodeDoes { node, well: true });
+                actions.push(Action::CommandEnds { node, succeeds: true });
                 if world.failures < self.failures {
-                    actions.push(Action::NodeDoes { node, well: false });
+                    actions.push(Action::CommandEnds { node, succeeds: false });
                 }
             }
             if of.is_healthy && world.outages < self.outages {
@@ -209,8 +284,8 @@
             if !of.is_healthy {
                 actions.push(Action::NodeBack(node));
             }
-            if of.is_unconfirmed && of.executing.is_none() && world.lapses < self.lapses {
-                actions.push(Action::Lapses(node));
+            if of.is_unconfirmed && of.executing.is_none() && world.expirations < self.expirations {
+                actions.push(Action::LeaseExpires(node));
             }
         }
     }
@@ -218,77 +293,19 @@
     fn next_state(&self, last: &World, action: Action) -> Option<World> {
         let mut world = last.clone();
         match action {
-            Action::Begins(at) => {
-                world.began += 1;
-                // Another's is never taken: in the program it is the moment, in microseconds.
-                let record = world.record.as_ref().map_or(0, |record| record.controller);
-                let number = record.max(u64::from(world.began) - 1) + 1;
-                world.controllers[at] =
-                    Some(RolloutController::new(stage_plan(), self.policy, world.record.clone(), number));
-            }
+            Action::Begins(at) => world.controller_begins(at, self.policy),
             Action::Killed(at) => {
                 world.kills += 1;
                 world.controllers[at] = None;
             }
-            Action::Polls(at) => {
-                for node in 0..NODES {
-                    let number = world.controllers[at].as_ref().map_or(0, |c| c.record().controller);
-                    if world.nodes[node].is_healthy && !self.no_fence {
-                        world.nodes[node].fence.observe_controller(number);
-                    }
-                    let report = world.node_report(node);
-                    world.with(at, |controller, effects| {
-                        controller.node_reported(node, report.as_ref(), effects)
-                    });
-                }
-            }
-            Action::CommandArrives(at) => {
-                let (from, node, command) = world.commands.remove(at);
-                let of = &mut world.nodes[node];
-                if !of.is_healthy {
-                    world.replies.push((from, node, command.token, CommandReply::NoReply));
-                } else {
-                    let admitted =
-                        if self.no_fence { Admission::Execute } else { of.fence.admit(command.token) };
-                    match admitted {
-                        Admission::Execute if of.executing.is_none() => {
-                            world.acted_late |= command.token < world.last_acted[node];
-                            world.last_acted[node] = command.token;
-                            of.executing = Some(command);
-                        }
-                        Admission::Execute => {
-                            let busy = Outcome::Failed("another order is being carried out".into());
-                            of.fence.command_finished(command.token, busy.clone());
-                            world.replies.push((from, node, command.token, CommandReply::Finished(busy)));
-                        }
-                        Admission::InProgress => {}
-                        Admission::Repeated(outcome) => {
-                            world.replies.push((from, node, command.token, CommandReply::Finished(outcome)))
-                        }
-                        Admission::Stale(token) => {
-                            world.replies.push((from, node, command.token, CommandReply::Stale(token)))
-                        }
-                    }
-                }
-            }
+            Action::Polls(at) => (0..NODES).for_each(|node| self.poll(&mut world, at, node)),
+            Action::CommandArrives(at) => self.command_arrives(&mut world, at),
             Action::CommandIsLost(at) => {
                 world.losses += 1;
                 let (from, node, command) = world.commands.remove(at);
                 world.replies.push((from, node, command.token, CommandReply::NoReply));
             }
-            Action::NodeDoes { node, well } => {
-                world.failures += u8::from(!well);
-                let command = world.nodes[node].executing.take().expect("it does something");
-                let outcome = if well { Outcome::Done } else { Outcome::Failed("it ended".into()) };
-                if well {
-                    world.nodes[node].version = command.version;
-                    world.nodes[node].is_unconfirmed = command.method == ChangeMethod::CommitConfirmed;
-                }
-                world.nodes[node].fence.command_finished(command.token, outcome.clone());
-                for from in 0..self.controllers {
-                    world.replies.push((from, node, command.token, CommandReply::Finished(outcome.clone())));
-                }
-            }
+            Action::CommandEnds { node, succeeds } => self.command_ends(&mut world, node, succeeds),
             Action::ReplyArrives(at) => {
                 let (to, node, token, reply) = world.replies.remove(at);
                 world
@@ -303,31 +320,23 @@
                 world.nodes[node].is_healthy = false;
             }
             Action::NodeBack(node) => world.nodes[node].is_healthy = true,
-            Action::Lapses(node) => {
-                world.lapses += 1;
+            Action::LeaseExpires(node) => {
+                world.expirations += 1;
                 (world.nodes[node].version, world.nodes[node].is_unconfirmed) = (Version::Old, false);
             }
-            Action::Pass(at) => {
-                world.with(at, |controller, effects| controller.analysis_concluded(Verdict::Pass, effects))
-            }
-            Action::Harm(at) => world.with(at, |controller, effects| {
-                controller.analysis_concluded(Verdict::Harm("worse".into()), effects)
-            }),
+            Action::Pass(at) => world.conclude(at, Verdict::Pass),
+            Action::Harm(at) => world.conclude(at, Verdict::Harm("worse".into())),
             Action::NoProgress(at) => world.with(at, |controller, _| controller.no_progress()),
         }
-        world.replies.sort_by_key(|reply| (reply.0, reply.1, reply.2));
-        world.replies.dedup();
-        // Words for one that is not there are heard by nobody.
-        let there: Vec<bool> = world.controllers.iter().map(Option::is_some).collect();
-        world.replies.retain(|(to, ..)| there[*to]);
+        world.drop_replies_to_nobody();
         (world != *last).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(OUT, |_, w: &World| !w.too_many),
+            Property::always(UNAVAILABLE, |_, w: &World| !w.too_many_out),
             Property::always(LATE, |_, w: &World| !w.acted_late),
-            Property::always(SEEN, |_, w: &World| {
+            Property::always(KNOWN, |_, w: &World| {
                 w.controllers.iter().flatten().all(|controller| {
                     let all =
                         |version| controller.node_states().iter().all(|seen| seen.version == Some(version));
@@ -354,14 +363,14 @@
                         _ => true,
                     })
             }),
-            Property::sometimes("a change is done", |_, w: &World| {
+            Property::sometimes("a rollout is done", |_, w: &World| {
                 w.nodes.iter().all(|n| n.version == Version::New)
                     && w.controllers.iter().flatten().any(|c| c.phase() == &Phase::Done)
             }),
-            Property::sometimes("a change goes back", |_, w: &World| {
+            Property::sometimes("a rollout is rolled back", |_, w: &World| {
                 w.controllers.iter().flatten().any(|c| matches!(c.phase(), Phase::RolledBack { .. }))
             }),
-            Property::sometimes("one is replaced", |_, w: &World| {
+            Property::sometimes("a controller is replaced", |_, w: &World| {
                 w.controllers.iter().flatten().any(|c| c.phase() == &Phase::Replaced)
             }),
         ]
@@ -375,12 +384,12 @@
 }
 
 /// What holds in every state, by the names of the properties.
-const OUT: &str = "no more out of service by one conductor than the plan allows";
-const LATE: &str = "no order acts after a later one";
-const SEEN: &str = "done is all changed, back is none changed";
-const EVERYWHERE: &str = "what is done or back is so at every node, and on trial nowhere";
+const UNAVAILABLE: &str = "no more out of service by one controller than the plan allows";
+const LATE: &str = "no command acts after a later one";
+const KNOWN: &str = "done is all changed, rolled back is none changed";
+const EVERYWHERE: &str = "done or rolled back is so at every node, and unconfirmed nowhere";
 
-fn holds(checker: &impl Checker<Explored>, states: usize, names: &[&'static str]) {
+fn assert_always(checker: &impl Checker<Explored>, states: usize, names: &[&'static str]) {
     assert_eq!(checker.unique_state_count(), states, "distinct states");
     names.iter().for_each(|name| checker.assert_no_discovery(name));
 }
@@ -391,43 +400,43 @@
     outages: 1,
     losses: 1,
     failures: 1,
-    lapses: 0,
+    expirations: 0,
     policy: RolloutPolicy { commit_confirmed: false, restart_stuck_nodes: true },
     no_fence: false,
 };
 
 #[test]
-fn one_conductor_killed_at_any_step_with_a_word_lost_a_node_out_and_a_change_that_fails() {
+fn one_controller_killed_at_any_step_with_a_reply_lost_a_node_out_and_a_change_that_fails() {
     let checker = explore(ONE, 22);
-    holds(&checker, 101_924, &[OUT, LATE, SEEN, EVERYWHERE]);
-    checker.assert_any_discovery("a change is done");
-    checker.assert_any_discovery("a change goes back");
+    assert_always(&checker, 101_924, &[UNAVAILABLE, LATE, KNOWN, EVERYWHERE]);
+    checker.assert_any_discovery("a rollout is done");
+    checker.assert_any_discovery("a rollout is rolled back");
 }
 
 #[test]
-fn nodes_on_trial_that_go_back_by_themselves_at_any_step_with_a_conductor_killed_and_a_word_lost() {
+fn unconfirmed_nodes_that_revert_by_themselves_at_any_step_with_a_controller_killed_and_a_reply_lost() {
     let policy = RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: true };
-    let model = Explored { outages: 0, failures: 0, lapses: 1, policy, ..ONE };
+    let model = Explored { outages: 0, failures: 0, expirations: 1, policy, ..ONE };
     let checker = explore(model, 26);
-    holds(&checker, 48_736, &[OUT, LATE, EVERYWHERE]);
-    checker.assert_any_discovery("a change is done");
-    checker.assert_any_discovery("a change goes back");
+    assert_always(&checker, 48_736, &[UNAVAILABLE, LATE, EVERYWHERE]);
+    checker.assert_any_discovery("a rollout is done");
+    checker.assert_any_discovery("a rollout is rolled back");
 }
 
 #[test]
-fn two_conductors_at_once_with_words_as_late_as_they_like() {
+fn two_controllers_at_once_with_replies_late_without_bound() {
     let model = Explored { controllers: 2, kills: 0, outages: 0, losses: 0, failures: 0, ..ONE };
     let checker = explore(model, 20);
-    holds(&checker, 82_545, &[OUT, LATE, SEEN]);
-    checker.assert_any_discovery("one is replaced");
+    assert_always(&checker, 82_545, &[UNAVAILABLE, LATE, KNOWN]);
+    checker.assert_any_discovery("a controller is replaced");
 }
 
 #[test]
-fn without_the_fence_a_late_order_acts_and_the_trace_is_short() {
+fn without_the_fence_a_late_command_acts_and_the_trace_is_short() {
     let model =
         Explored { controllers: 2, kills: 0, outages: 0, losses: 0, failures: 0, no_fence: true, ..ONE };
     let checker = explore(model, 20);
-    let trace = checker.discovery(LATE).expect("it has to be found");
+    let trace = checker.discovery(LATE).expect("a late command acts within the depth");
     assert_eq!(trace.into_actions().len(), 18, "steps of the shortest trace");
     assert_eq!(checker.unique_state_count(), 337_615, "distinct states");
 }
--- a/crates/ochrewalk-rollout/tests/log_text.rs
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -4,7 +4,7 @@
 use ochrewalk_rollout::{ChangeMethod, CommandReply, FencingToken, Outcome, Phase, Verdict, WaitReason};
 
 #[test]
-fn phases_and_reasons_to_wait_have_these_words() {
+fn phases_and_reasons_to_wait_have_these_texts() {
     let left_behind = WaitReason::NodeStuck { node: 3, reason: "it \"ended\"".into() };
     for (phase, text) in [
         (Phase::Polling, "Asking"),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn ways_to_change_and_what_came_back_have_these_words() {
+fn change_methods_and_replies_have_these_texts() {
     for (method, text) in [
         (ChangeMethod::CommitConfirmed, "OnTrial"),
         (ChangeMethod::HandOver, "ForGood"),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn verdicts_have_these_words() {
+fn verdicts_have_these_texts() {
     for (verdict, text) in [
         (Verdict::Pending, "Wait"),
         (Verdict::FleetUnhealthy, "Ill"),
--- a/crates/ochrewalk-rollout/tests/stage_plan.rs
+++ b/crates/ochrewalk-rollout/tests/stage_plan.rs
@@ -1,4 +1,5 @@
 //! Which node is changed next: by table, and in any state of a fleet.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::{NodeState, StagePlan, StagePlanError, Version};
 use proptest::prelude::*;
@@ -21,8 +22,8 @@
 }
 
 #[test]
-fn a_plan_that_cannot_be_gone_through_is_refused() {
-    for (zones, stages, max_unavailable, wrong) in [
+fn a_plan_that_cannot_be_carried_out_is_rejected() {
+    for (zones, stages, max_unavailable, error) in [
         (vec![], vec![1], 1, StagePlanError::NoNodes),
         (vec![0; 4], vec![], 1, StagePlanError::Stages),
         (vec![0; 4], vec![0, 4], 1, StagePlanError::Stages),
@@ -33,69 +34,69 @@
         (vec![0; 4], vec![1, 4], 4, StagePlanError::MaxUnavailable),
         (vec![0; 2], vec![2], 2, StagePlanError::MaxUnavailable),
     ] {
-        assert_eq!(StagePlan::new(zones, stages, max_unavailable), Err(wrong));
+        assert_eq!(StagePlan::new(zones, stages, max_unavailable), Err(error));
     }
     assert!(StagePlan::new(vec![0], vec![1], 1).is_ok(), "a fleet of one");
     assert!(StagePlan::new(vec![0, 0], vec![1, 2], 1).is_ok(), "of two");
 }
 
 #[test]
-fn nodes_are_spread_over_zones_and_go_back_newest_first() {
+fn nodes_are_spread_over_zones_and_reverted_newest_first() {
     let stage_plan = stage_plan(&[0, 0, 0, 1, 1, 2], &[1, 3, 6], 2);
-    let mut seen = vec![OLD; 6];
+    let mut states = vec![OLD; 6];
     let mut order = Vec::new();
     for stage in 0..3 {
-        while let Some(node) = stage_plan.next_to_change(&seen, stage) {
+        while let Some(node) = stage_plan.next_to_change(&states, stage) {
             order.push(node);
-            seen[node] = new(order.len() as u32);
+            states[node] = new(order.len() as u32);
         }
-        assert!(stage_plan.is_reached(&seen, stage));
+        assert!(stage_plan.is_reached(&states, stage));
         assert_eq!(order.len(), stage_plan.target_count(stage));
     }
     assert_eq!(order[..3], [0, 3, 5], "one of each zone first, the largest zone before the others");
-    let mut back = Vec::new();
-    while let Some(node) = stage_plan.next_to_revert(&seen) {
-        back.push(node);
-        seen[node] = OLD;
+    let mut reverted = Vec::new();
+    while let Some(node) = stage_plan.next_to_revert(&states) {
+        reverted.push(node);
+        states[node] = OLD;
     }
     order.reverse();
-    assert_eq!(back, order);
+    assert_eq!(reverted, order);
 }
 
 #[test]
-fn whoever_is_out_for_reasons_of_its_own_counts() {
+fn nodes_that_are_out_for_reasons_of_their_own_count() {
     let stage_plan = stage_plan(&[0; 4], &[2, 4], 2);
-    let ill = NodeState { is_healthy: false, ..OLD };
-    let ordered = NodeState { is_command_pending: true, ..OLD };
+    let unhealthy_old = NodeState { is_healthy: false, ..OLD };
+    let pending = NodeState { is_command_pending: true, ..OLD };
     let unknown = NodeState { version: None, ..OLD };
-    for (seen, next) in [
+    for (states, next) in [
         ([OLD, OLD, OLD, OLD], Some(0)),
-        ([ill, OLD, OLD, OLD], Some(1)),
-        ([ill, ill, OLD, OLD], None),
-        ([ordered, OLD, OLD, OLD], Some(1)),
-        ([ordered, ordered, OLD, OLD], None),
-        ([ordered, new(1), OLD, OLD], None),
+        ([unhealthy_old, OLD, OLD, OLD], Some(1)),
+        ([unhealthy_old, unhealthy_old, OLD, OLD], None),
+        ([pending, OLD, OLD, OLD], Some(1)),
+        ([pending, pending, OLD, OLD], None),
+        ([pending, new(1), OLD, OLD], None),
         ([new(1), new(2), OLD, OLD], None),
         ([unknown, unknown, unknown, OLD], Some(3)),
         ([unknown; 4], None),
     ] {
-        assert_eq!(stage_plan.next_to_change(&seen, 0), next, "{seen:?}");
+        assert_eq!(stage_plan.next_to_change(&states, 0), next, "{states:?}");
     }
-    // On the way back one that answers and is not well goes first, as it is out already; a silent one is waited for.
+    // Of nodes to revert, one that responds and is unhealthy goes first, as it is out already; a silent one is waited for.
     let silent = |changed| NodeState { is_healthy: false, responds: false, ..new(changed) };
-    let ailing = |changed| NodeState { is_healthy: false, ..new(changed) };
-    for (seen, next) in [
-        ([new(1), silent(2), ordered, OLD], None),
+    let unhealthy = |changed| NodeState { is_healthy: false, ..new(changed) };
+    for (states, next) in [
+        ([new(1), silent(2), pending, OLD], None),
         ([new(1), silent(2), OLD, OLD], Some(0)),
-        ([ailing(1), new(2), OLD, OLD], Some(0)),
-        ([ailing(1), ailing(2), ailing(3), new(4)], Some(2)),
-        ([ailing(1), ordered, ordered, OLD], None),
+        ([unhealthy(1), new(2), OLD, OLD], Some(0)),
+        ([unhealthy(1), unhealthy(2), unhealthy(3), new(4)], Some(2)),
+        ([unhealthy(1), pending, pending, OLD], None),
     ] {
-        assert_eq!(stage_plan.next_to_revert(&seen), next, "{seen:?}");
+        assert_eq!(stage_plan.next_to_revert(&states), next, "{states:?}");
     }
 }
 
-fn seen() -> impl Strategy<Value = NodeState> {
+fn any_state() -> impl Strategy<Value = NodeState> {
     (0u8..3, 0u8..3, any::<bool>(), 0u32..9).prop_map(
         |(version, health, is_command_pending, change_number)| NodeState {
             version: [None, Some(Version::Old), Some(Version::New)][version as usize],
@@ -114,26 +115,26 @@
 
     #[test]
     fn no_step_takes_more_out_than_the_plan_allows(
-        seen in prop::collection::vec((seen(), 0u32..3), 2..12),
+        states in prop::collection::vec((any_state(), 0u32..3), 2..12),
         max_unavailable in 1usize..4,
         stage in 0usize..2,
     ) {
-        let (seen, zones): (Vec<NodeState>, Vec<u32>) = seen.into_iter().unzip();
-        let count = seen.len();
+        let (states, zones): (Vec<NodeState>, Vec<u32>) = states.into_iter().unzip();
+        let count = states.len();
         let max_unavailable = max_unavailable.min(count - 1);
         let stage_plan = stage_plan(&zones, &[1, count], max_unavailable);
-        let out = seen.iter().filter(|s| !s.is_healthy || s.is_command_pending).count();
-        let new = seen.iter().filter(|s| s.version == Some(Version::New) || s.is_command_pending).count();
-        for (next, from) in [(stage_plan.next_to_change(&seen, stage), Version::Old), (stage_plan.next_to_revert(&seen), Version::New)] {
+        let out = states.iter().filter(|s| !s.is_healthy || s.is_command_pending).count();
+        let new = states.iter().filter(|s| s.version == Some(Version::New) || s.is_command_pending).count();
+        for (next, from) in [(stage_plan.next_to_change(&states, stage), Version::Old), (stage_plan.next_to_revert(&states), Version::New)] {
             if let Some(node) = next {
-                // Who is out already is taken out by nobody.
-                prop_assert!(out < max_unavailable || from == Version::New && !seen[node].is_healthy);
-                prop_assert!(seen[node].responds && !seen[node].is_command_pending);
-                prop_assert!(seen.iter().filter(|s| s.is_command_pending).count() < max_unavailable);
-                prop_assert_eq!(seen[node].version, Some(from));
+                // A node that is out already is not taken out by the step.
+                prop_assert!(out < max_unavailable || from == Version::New && !states[node].is_healthy);
+                prop_assert!(states[node].responds && !states[node].is_command_pending);
+                prop_assert!(states.iter().filter(|s| s.is_command_pending).count() < max_unavailable);
+                prop_assert_eq!(states[node].version, Some(from));
             }
         }
-        if stage_plan.next_to_change(&seen, stage).is_some() {
+        if stage_plan.next_to_change(&states, stage).is_some() {
             prop_assert!(new < stage_plan.target_count(stage));
         }
     }
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -1,5 +1,6 @@
 //! The bytes of what is stored and of what goes over a control socket: each file in `fixtures/` was written by the first
 //! version of these formats. Every later version has to read it as the content named here, and to write the same bytes.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::framing::{read_message, write_message};
 use ochrewalk_rollout::messages::{
@@ -32,18 +33,18 @@
     };
     let harm = "0.120 more of sale miss the target";
     vec![
-        ("record-asking", record(0, None, &[], false)),
-        ("record-forward-first-stage", record(0, None, &[0], false)),
-        ("record-first-stage-good", record(1, None, &[0], false)),
-        ("record-forward-second-stage-one-more", record(1, None, &[0, 2], false)),
-        ("record-forward-second-stage-two-more", record(1, None, &[0, 2, 1], false)),
-        ("record-forward-second-stage-all", record(1, None, &[0, 2, 1, 3], false)),
+        ("record-polling", record(0, None, &[], false)),
+        ("record-advancing-first-stage", record(0, None, &[0], false)),
+        ("record-first-stage-passed", record(1, None, &[0], false)),
+        ("record-advancing-second-stage-one-more", record(1, None, &[0, 2], false)),
+        ("record-advancing-second-stage-two-more", record(1, None, &[0, 2, 1], false)),
+        ("record-advancing-second-stage-all", record(1, None, &[0, 2, 1, 3], false)),
         ("record-confirming", record(2, None, &[0, 2, 1, 3], false)),
         ("record-done", record(2, None, &[0, 2, 1, 3], true)),
-        ("record-back-by-harm", record(1, Some(harm), &[0, 2, 1], false)),
-        ("record-back-by-node", record(0, Some("node 0: the new program ended"), &[0], false)),
-        ("record-back-by-operator", record(1, Some("the operator said so"), &[0, 2, 1], false)),
-        ("record-is-back", record(1, Some(harm), &[0, 2, 1], true)),
+        ("record-rolling-back-by-harm", record(1, Some(harm), &[0, 2, 1], false)),
+        ("record-rolling-back-by-node", record(0, Some("node 0: the new program ended"), &[0], false)),
+        ("record-rolling-back-by-operator", record(1, Some("the operator said so"), &[0, 2, 1], false)),
+        ("record-rolled-back", record(1, Some(harm), &[0, 2, 1], true)),
     ]
 }
 
@@ -113,25 +114,25 @@
     persisted.carry_out_all(&mut controller);
     assert_eq!(controller.phase(), &Phase::Done);
     persisted.assert_are(&[
-        "record-asking",
-        "record-forward-first-stage",
-        "record-first-stage-good",
-        "record-forward-second-stage-one-more",
-        "record-forward-second-stage-two-more",
-        "record-forward-second-stage-all",
+        "record-polling",
+        "record-advancing-first-stage",
+        "record-first-stage-passed",
+        "record-advancing-second-stage-one-more",
+        "record-advancing-second-stage-two-more",
+        "record-advancing-second-stage-all",
         "record-confirming",
         "record-done",
     ]);
 }
 
 #[test]
-fn a_rollout_that_goes_back_persists_these_records_in_this_order() {
+fn a_rollout_that_is_rolled_back_persists_these_records_in_this_order() {
     let to_second_stage = [
-        "record-asking",
-        "record-forward-first-stage",
-        "record-first-stage-good",
-        "record-forward-second-stage-one-more",
-        "record-forward-second-stage-two-more",
+        "record-polling",
+        "record-advancing-first-stage",
+        "record-first-stage-passed",
+        "record-advancing-second-stage-one-more",
+        "record-advancing-second-stage-two-more",
     ];
     let (mut controller, mut persisted) = begun(RolloutPolicy::default());
     persisted.carry_out_all(&mut controller);
@@ -141,17 +142,18 @@
     controller.analysis_concluded(Verdict::Harm("0.120 more of sale miss the target".into()), &mut persisted);
     persisted.carry_out_all(&mut controller);
     assert!(matches!(controller.phase(), Phase::RolledBack { .. }));
-    persisted.assert_are(&[&to_second_stage[..], &["record-back-by-harm", "record-is-back"]].concat());
+    persisted
+        .assert_are(&[&to_second_stage[..], &["record-rolling-back-by-harm", "record-rolled-back"]].concat());
 
     by_operator.0.roll_back(&mut by_operator.1);
-    by_operator.1.assert_are(&[&to_second_stage[..], &["record-back-by-operator"]].concat());
+    by_operator.1.assert_are(&[&to_second_stage[..], &["record-rolling-back-by-operator"]].concat());
 
     let (mut controller, mut persisted) = begun(RolloutPolicy::default());
     let (node, command) = persisted.commands.remove(0);
     let failed = CommandReply::Finished(Outcome::Failed("the new program ended".into()));
     controller.command_answered(node, command.token, failed, &mut persisted);
     persisted.records.truncate(3);
-    persisted.assert_are(&["record-asking", "record-forward-first-stage", "record-back-by-node"]);
+    persisted.assert_are(&["record-polling", "record-advancing-first-stage", "record-rolling-back-by-node"]);
 }
 
 fn program() -> Target {
@@ -182,14 +184,17 @@
     };
     vec![
         ("request-status-of-an-onlooker", Request::status(0)),
-        ("request-status-of-a-conductor", Request::status(1_764_633_600_000_007)),
-        ("request-program-on-trial", command(Version::New, ChangeMethod::CommitConfirmed, program())),
-        ("request-program-for-good", command(Version::New, ChangeMethod::HandOver, program())),
-        ("request-program-anew", command(Version::Old, ChangeMethod::Restart, program())),
-        ("request-settings-on-trial", command(Version::New, ChangeMethod::CommitConfirmed, settings())),
-        ("request-settings-for-good", command(Version::Old, ChangeMethod::HandOver, settings())),
+        ("request-status-of-a-controller", Request::status(1_764_633_600_000_007)),
+        ("request-program-commit-confirmed", command(Version::New, ChangeMethod::CommitConfirmed, program())),
+        ("request-program-hand-over", command(Version::New, ChangeMethod::HandOver, program())),
+        ("request-program-restart", command(Version::Old, ChangeMethod::Restart, program())),
         (
-            "request-order-that-wants-nothing",
+            "request-settings-commit-confirmed",
+            command(Version::New, ChangeMethod::CommitConfirmed, settings()),
+        ),
+        ("request-settings-hand-over", command(Version::Old, ChangeMethod::HandOver, settings())),
+        (
+            "request-command-without-target",
             Request::command(CommandMessage { command: 9, ..CommandMessage::default() }),
         ),
         ("request-of-version-1", Request { protocol_version: 1, command: None, controller: 0 }),
@@ -224,14 +229,14 @@
     vec![
         ("reply-status-full", response(Reply::Status(full))),
         ("reply-status-bare", response(Reply::Status(bare))),
-        ("reply-ended-done", response(Reply::Finished(Outcome::Done.into()))),
+        ("reply-finished-done", response(Reply::Finished(Outcome::Done.into()))),
         (
-            "reply-ended-failed",
+            "reply-finished-failed",
             response(Reply::Finished(Outcome::Failed("the new program ended".into()).into())),
         ),
-        ("reply-ended-failed-unnamed", response(Reply::Finished(Outcome::Failed(String::new()).into()))),
+        ("reply-finished-failed-unnamed", response(Reply::Finished(Outcome::Failed(String::new()).into()))),
         ("reply-stale", response(Reply::Stale(highest))),
-        ("reply-refused", response(Reply::Rejected("no program serves".into()))),
+        ("reply-rejected", response(Reply::Rejected("no program serves".into()))),
         ("reply-busy", response(Reply::Busy("another upgrade is under way".into()))),
         ("reply-empty-of-version-3", Response { protocol_version: 3, reply: None }),
     ]
@@ -267,25 +272,25 @@
 
 #[test]
 fn what_the_fields_of_a_request_and_a_reply_mean_is_what_the_bytes_said() {
-    let request: Request = read_message(&mut &fixture("request-settings-on-trial")[..]).unwrap();
+    let request: Request = read_message(&mut &fixture("request-settings-commit-confirmed")[..]).unwrap();
     let command = request.command.unwrap();
     assert_eq!((request.protocol_version, request.controller), (2, 1_764_633_600_000_007));
     assert_eq!(command.token(), FencingToken { controller: 1_764_633_600_000_007, command: 300 });
     assert_eq!((command.lease_ms, command.restart, command.target), (30_000, false, Some(settings())));
-    let restart: Request = read_message(&mut &fixture("request-program-anew")[..]).unwrap();
+    let restart: Request = read_message(&mut &fixture("request-program-restart")[..]).unwrap();
     let command = restart.command.unwrap();
     assert_eq!((command.lease_ms, command.restart, command.target), (0, true, Some(program())));
     let ended = |name: &str| match read_message::<Response>(&mut &fixture(name)[..]).unwrap().reply {
         Some(Reply::Finished(ended)) => Outcome::from(ended),
         other => panic!("{name}: {other:?}"),
     };
-    assert_eq!(ended("reply-ended-done"), Outcome::Done);
-    assert_eq!(ended("reply-ended-failed"), Outcome::Failed("the new program ended".into()));
+    assert_eq!(ended("reply-finished-done"), Outcome::Done);
+    assert_eq!(ended("reply-finished-failed"), Outcome::Failed("the new program ended".into()));
     assert_eq!(
         CommandOutcome { failure: "for no reason that it names".into() },
         Outcome::Failed(String::new()).into()
     );
-    assert_eq!(ended("reply-ended-failed-unnamed"), Outcome::Failed("for no reason that it names".into()));
+    assert_eq!(ended("reply-finished-failed-unnamed"), Outcome::Failed("for no reason that it names".into()));
 }
 
 #[test]
