--- /dev/null
+++ b/crates/ochrewalk-control-plane/tests/common/mod.rs
@@ -0,0 +1,63 @@
+//! A publisher that runs in a thread of the test.
+#![allow(dead_code)]
+
+use ochrewalk_control_plane::control::ask;
+use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
+use ochrewalk_distribution::messages::{Body, Publish, Status, StatusRequest};
+use ochrewalk_operators::resources::read_changes;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+/// Far longer than anything takes that works.
+pub const PATIENCE: Duration = Duration::from_secs(20);
+
+pub struct Running {
+    pub address: SocketAddr,
+    pub control: PathBuf,
+    stop: Arc<AtomicBool>,
+    waker: Arc<mio::Waker>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl Running {
+    pub fn start(folder: &Path) -> Running {
+        let control = folder.join("control");
+        let settings = PublisherSettings {
+            listen: "127.0.0.1:0".parse().unwrap(),
+            control: control.clone(),
+            log: folder.join("log"),
+            takes_over: false,
+            max_connections: 64,
+        };
+        let mut publisher = Publisher::open(&settings).unwrap();
+        let (address, waker) = (publisher.address().unwrap(), publisher.waker());
+        let stop = Arc::new(AtomicBool::new(false));
+        let told = stop.clone();
+        let thread = std::thread::spawn(move || publisher.run(&told).unwrap());
+        Running { address, control, stop, waker, thread: Some(thread) }
+    }
+
+    pub fn publish(&self, changes: &str) -> Body {
+        let changes = read_changes(changes, "changes").unwrap();
+        ask(&self.control, Body::Publish(Publish { changes, expected: None })).unwrap()
+    }
+
+    pub fn status(&self) -> Status {
+        match ask(&self.control, Body::StatusRequest(StatusRequest {})).unwrap() {
+            Body::Status(status) => status,
+            other => panic!("{other:?}"),
+        }
+    }
+}
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+        let _ = self.waker.wake();
+        let _ = self.thread.take().unwrap().join();
+    }
+}
--- a/crates/ochrewalk-control-plane/tests/frames.rs
+++ b/crates/ochrewalk-control-plane/tests/frames.rs
@@ -58,3 +58,22 @@
     decoder.push(&bytes);
     assert_eq!(decode_all(&mut decoder), Ok(vec![heartbeat(7)]));
 }
+
+/// The frames that the distribution's own tests record, one of each message.
+#[test]
+fn each_recorded_frame_is_decoded_and_encoded_again_byte_for_byte() {
+    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../ochrewalk-distribution/tests/fixtures/messages");
+    let mut frames = 0;
+    for file in std::fs::read_dir(folder).unwrap() {
+        let path = file.unwrap().path();
+        let recorded = std::fs::read(&path).unwrap();
+        let mut decoder = FrameDecoder::new(1024);
+        decoder.push(&recorded);
+        let bodies = decode_all(&mut decoder).unwrap();
+        let mut encoded = Vec::new();
+        bodies.iter().cloned().for_each(|body| encode(body, &mut encoded));
+        assert_eq!((bodies.len(), encoded), (1, recorded), "{}", path.display());
+        frames += 1;
+    }
+    assert_eq!(frames, 15);
+}
--- a/crates/ochrewalk-control-plane/tests/publisher.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher.rs
@@ -1,63 +1,25 @@
 //! A publisher on real sockets, against subscribers that do what they should not.
 
+mod common;
+
+use common::{Running, PATIENCE};
 use ochrewalk_control_plane::control::ask;
 use ochrewalk_control_plane::frame::{encode, FrameDecoder};
-use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
 use ochrewalk_distribution::messages::{
-    Body, Position, Publish, Report, Resource, Status, StatusRequest, Subscribe, PROTOCOL_VERSION,
+    Body, Position, Publish, Report, Resource, Subscribe, PROTOCOL_VERSION,
 };
 use ochrewalk_operators::resources::read_changes;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
-use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
-use std::thread::JoinHandle;
-use std::time::Duration;
-
-/// Far longer than anything takes that works.
-const PATIENCE: Duration = Duration::from_secs(20);
+use std::net::TcpStream;
 
-struct Running {
-    address: SocketAddr,
-    control: PathBuf,
-    stop: Arc<AtomicBool>,
-    waker: Arc<mio::Waker>,
-    thread: Option<JoinHandle<()>>,
+struct Subscriber {
+    stream: TcpStream,
+    decoder: FrameDecoder,
 }
 
-impl Running {
-    fn start(folder: &Path) -> Running {
-        let control = folder.join("control");
-        let settings = PublisherSettings {
-            listen: "127.0.0.1:0".parse().unwrap(),
-            control: control.clone(),
-            log: folder.join("log"),
-            takes_over: false,
-            max_connections: 64,
-        };
-        let mut publisher = Publisher::open(&settings).unwrap();
-        let (address, waker) = (publisher.address().unwrap(), publisher.waker());
-        let stop = Arc::new(AtomicBool::new(false));
-        let told = stop.clone();
-        let thread = std::thread::spawn(move || publisher.run(&told).unwrap());
-        Running { address, control, stop, waker, thread: Some(thread) }
-    }
-
-    fn publish(&self, changes: &str) -> Body {
-        let changes = read_changes(changes, "changes").unwrap();
-        ask(&self.control, Body::Publish(Publish { changes, expected: None })).unwrap()
-    }
-
-    fn status(&self) -> Status {
-        match ask(&self.control, Body::StatusRequest(StatusRequest {})).unwrap() {
-            Body::Status(status) => status,
-            other => panic!("{other:?}"),
-        }
-    }
-
-    fn subscriber(&self, highest_epoch: u64) -> Subscriber {
-        let stream = TcpStream::connect(self.address).unwrap();
+impl Subscriber {
+    fn subscribe(publisher: &Running, highest_epoch: u64) -> Subscriber {
+        let stream = TcpStream::connect(publisher.address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let mut subscriber = Subscriber { stream, decoder: FrameDecoder::new(1 << 20) };
         subscriber.say(Body::Subscribe(Subscribe {
@@ -70,22 +32,6 @@
         }));
         subscriber
     }
-}
-
-impl Drop for Running {
-    fn drop(&mut self) {
-        self.stop.store(true, Ordering::Relaxed);
-        let _ = self.waker.wake();
-        let _ = self.thread.take().unwrap().join();
-    }
-}
-
-struct Subscriber {
-    stream: TcpStream,
-    decoder: FrameDecoder,
-}
-
-impl Subscriber {
     fn say(&mut self, body: Body) {
         let mut bytes = Vec::new();
         encode(body, &mut bytes);
@@ -138,7 +84,7 @@
     let folder = tempfile::tempdir().unwrap();
     let publisher = Running::start(folder.path());
     assert!(matches!(publisher.publish("quota acme 1"), Body::Published(_)));
-    let mut relay = publisher.subscriber(2);
+    let mut relay = Subscriber::subscribe(&publisher, 2);
     assert!(is_fenced(&relay.hear().unwrap()));
     assert_eq!(relay.hear(), None);
     assert!(is_fenced(&publisher.publish("quota acme 2")));
@@ -160,11 +106,11 @@
     let _ = noisy.read_to_end(&mut rest);
     assert_eq!(rest, []);
     // Operators' requests are not taken from the network.
-    let mut stranger = publisher.subscriber(0);
+    let mut stranger = Subscriber::subscribe(&publisher, 0);
     stranger.say(Body::Publish(Publish::default()));
     while stranger.hear().is_some() {}
-    let never_reads = publisher.subscriber(0);
-    let mut follower = publisher.subscriber(0);
+    let never_reads = Subscriber::subscribe(&publisher, 0);
+    let mut follower = Subscriber::subscribe(&publisher, 0);
     let mut revision = 0;
     for round in 0..60 {
         let quotas: String = (0..500).map(|tenant| format!("quota tenant-{tenant} {round}\n")).collect();
