--- a/crates/ochrewalk-control-plane/src/agent.rs
+++ b/crates/ochrewalk-control-plane/src/agent.rs
@@ -136,7 +136,7 @@
 
     /// A single name is needed. Gives the names that are no longer held for it.
     pub fn want(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
-        let Some(watch) = self.demand.want(name, now_us) else { return Vec::new() };
+        let Some(watch) = self.demand.request(name, now_us) else { return Vec::new() };
         self.subscription.watch(&watch);
         let removed = watch.remove.clone();
         if let Link::Subscribed { connection } = &mut self.link {
@@ -193,7 +193,7 @@
     }
 
     fn silent_at_us(&self, now_us: u64) -> u64 {
-        self.subscription.last_heard_us().unwrap_or(now_us) + SILENCE_US
+        self.subscription.last_message_us().unwrap_or(now_us) + SILENCE_US
     }
 
     fn connect(&mut self, registry: &Registry, now_us: u64) {
@@ -254,7 +254,7 @@
         now_us: u64,
         sink: &mut impl ConfigurationSink,
     ) -> Result<(), ConnectionError> {
-        self.subscription.heard(now_us);
+        self.subscription.message_received(now_us);
         match body {
             Body::Update(update) => {
                 self.is_served();
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -6,7 +6,7 @@
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
 use ochrewalk_distribution::messages::{Body, Heartbeat, Refused, RegionStatus, RetryLater};
-use ochrewalk_distribution::{Admission, Next, Server, SubscriberId};
+use ochrewalk_distribution::{Admission, NextUpdate, Server, SubscriberId};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -232,15 +232,15 @@
         while peer.connection.has_room() {
             peer.since_us = now_us;
             match self.server.next(id, now_us) {
-                Next::Send(update) => {
+                NextUpdate::Send(update) => {
                     peer.connection.send(Body::Update(update))?;
                     peer.last_sent_us = now_us;
                 }
-                Next::Wait { until_us } => {
+                NextUpdate::Wait { until_us } => {
                     peer.due_us = until_us.max(now_us + 1);
                     break;
                 }
-                Next::Idle => break,
+                NextUpdate::Idle => break,
             }
         }
         let beats_at_us = peer.last_sent_us + HEARTBEAT_US;
@@ -264,7 +264,7 @@
     fn close(&mut self, token: Token, registry: &Registry, why: &ConnectionError) {
         let Some(peer) = self.peers.remove(&token) else { return };
         if let Role::Subscriber(id) = peer.role {
-            self.server.closed(id);
+            self.server.unsubscribe(id);
         }
         if let Some(relay) = &peer.relay {
             self.regions.remove(relay);
--- a/crates/ochrewalk-control-plane/tests/stored_formats.rs
+++ b/crates/ochrewalk-control-plane/tests/stored_formats.rs
@@ -75,7 +75,7 @@
     history.publish(&[deleted_quota("beta"), limit(), quota("gamma", 4.0)]);
     history.begin_epoch();
     history.publish(&[quota("alpha", 5.0), endpoint(), deleted_quota("gamma")]);
-    history.store.heard_epoch(3);
+    history.store.observe_epoch(3);
     let position = history.store.position();
     history.append(Batch { position, resources: Vec::new(), previous: Vec::new() });
     history
--- a/crates/ochrewalk-distribution/src/admission.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -74,7 +74,7 @@
     pub(crate) fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), u64> {
         self.waiting.retain(|_, waiting| waiting.returns_at_us.saturating_add(WAITING_GRACE_US) > now_us);
         let node_hash = stable_hash(node);
-        if self.is_small(bytes) || self.has_room_for(bytes) {
+        if self.is_small(bytes) || self.has_capacity_for(bytes) {
             self.waiting.remove(&node_hash);
             return Ok(());
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn has_room_for(&self, bytes: u64) -> bool {
+    fn has_capacity_for(&self, bytes: u64) -> bool {
         let backlog_ms = self.duration_ms(self.backlog_bytes().saturating_add(bytes));
         self.admitted.is_empty()
             || (self.admitted.len() < self.limits.max_at_once && backlog_ms <= self.limits.max_backlog_ms)
--- a/crates/ochrewalk-distribution/src/demand.rs
+++ b/crates/ochrewalk-distribution/src/demand.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DemandState {
     /// It was asked for, and no answer has been applied: the caller's default holds.
-    Asked,
+    Requested,
     /// There is a value, which the store has.
     Present,
     /// There is nothing of this name: the default holds.
@@ -60,21 +60,21 @@
 
     /// `name` is used. If it was not watched before, the watch returned is to be sent, and what it removes is to be
     /// forgotten by the store.
-    pub fn want(&mut self, name: &ResourceName, now_us: u64) -> Option<Watch> {
+    pub fn request(&mut self, name: &ResourceName, now_us: u64) -> Option<Watch> {
         if let Some(entry) = self.entries.get_mut(name) {
             let last_us = std::mem::replace(&mut entry.used_us, now_us);
             self.move_in_order(name, last_us, now_us);
             return None;
         }
-        let remove = self.make_room();
-        self.add(name, DemandState::Asked, now_us);
+        let remove = self.evict_least_recently_used();
+        self.add(name, DemandState::Requested, now_us);
         Some(Watch { add: vec![name.clone()], remove })
     }
 
     /// `name` is watched since before a restart, and its answer is part of the saved state.
     pub fn restore(&mut self, name: &ResourceName, is_present: bool, now_us: u64) {
-        let has_room = self.entries.len() < self.limit;
-        if has_room && !self.entries.contains_key(name) {
+        let has_capacity = self.entries.len() < self.limit;
+        if has_capacity && !self.entries.contains_key(name) {
             let state = if is_present { DemandState::Present } else { DemandState::Absent };
             self.add(name, state, now_us);
         }
@@ -93,7 +93,7 @@
         self.by_use.insert((now_us, name.clone()));
     }
 
-    fn make_room(&mut self) -> Vec<ResourceName> {
+    fn evict_least_recently_used(&mut self) -> Vec<ResourceName> {
         let mut removed = Vec::new();
         while self.entries.len() >= self.limit {
             let Some((_, name)) = self.by_use.pop_first() else { break };
--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use ochrewalk_distribution::messages::{Quota, Resource, ResourceKind, ResourceName, Value};
 //! use ochrewalk_distribution::{
-//!     Admission, Interest, Next, Received, Server, ServerLimits, Store, StoreLimits, Subscription,
+//!     Admission, Interest, NextUpdate, Received, Server, ServerLimits, Store, StoreLimits, Subscription,
 //!     SubscriptionLimits,
 //! };
 //!
@@ -25,17 +25,17 @@
 //! let Admission::Accepted(id) = server.subscribe(0, subscription.subscribe_message()) else { panic!() };
 //!
 //! // It is sent an update, applies it and reports.
-//! let Next::Send(update) = server.next(id, 0) else { panic!() };
+//! let NextUpdate::Send(update) = server.next(id, 0) else { panic!() };
 //! let Received::Complete(update) = subscription.received(update)? else { panic!() };
 //! state.apply(&update)?;
 //! server.report(id, subscription.applied(update.position));
 //! assert_eq!(state.position(), batch.position);
 //! assert!(state.get(&name).is_some());
-//! assert_eq!(server.next(id, 0), Next::Idle);
+//! assert_eq!(server.next(id, 0), NextUpdate::Idle);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod admission;
+mod catch_up;
 mod demand;
 mod epochs;
 mod interest;
@@ -50,15 +50,15 @@
 mod update_builder;
 mod validation;
 
-pub use admission::CatchUpLimits;
+pub use catch_up::CatchUpLimits;
 pub use demand::{DemandSet, DemandState};
 pub use epochs::EpochStart;
 pub use interest::Interest;
 pub use relay_choice::{Choice, NoRelays, RelayChoice, RelayChoiceLimits};
 pub use rollback::{rollback_changes, RollbackError};
-pub use server::{Admission, Next, RefusedSubscriber, Server, ServerLimits, SubscriberId};
+pub use server::{Admission, NextUpdate, Server, ServerLimits, SubscribeError, SubscriberId};
 pub use status::merge;
-pub use store::{ApplyError, Batch, ChangeOrder, Start, Store, StoreLimits};
+pub use store::{ApplyError, Batch, ChangeOrder, Store, StoreLimits, UpdateKind};
 pub use subscription::{CompleteUpdate, Received, Subscription, SubscriptionLimits, UpdateError};
 pub use validation::{
     ChangeProblem, PublishError, RefusalReason, MAX_BATCH_CHANGES, MAX_NAME_BYTES, MAX_PATH_BYTES,
--- a/crates/ochrewalk-distribution/src/relay_choice.rs
+++ b/crates/ochrewalk-distribution/src/relay_choice.rs
@@ -13,8 +13,8 @@
     /// The time to the second attempt after a failure. It doubles with each further failure.
     pub min_backoff_us: u64,
     pub max_backoff_us: u64,
-    /// How long the first choice must have been well before a node goes back to it.
-    pub well_us: u64,
+    /// How long the first choice must have been healthy before a node goes back to it.
+    pub min_healthy_us: u64,
     /// The most time that a node waits further, so that not all go back at once.
     pub return_jitter_us: u64,
 }
@@ -24,7 +24,7 @@
         Self {
             min_backoff_us: 250_000,
             max_backoff_us: 30_000_000,
-            well_us: 60_000_000,
+            min_healthy_us: 60_000_000,
             return_jitter_us: 60_000_000,
         }
     }
@@ -60,7 +60,7 @@
     /// The relay connected to, or attempted last.
     current: usize,
     random_state: u64,
-    /// When the node may go back to its first choice; none while that is not well.
+    /// When the node may go back to its first choice; none while that is not healthy.
     return_at_us: Option<u64>,
 }
 
@@ -148,7 +148,7 @@
         let longest_us = self.limits.min_backoff_us.saturating_mul(1 << doublings);
         let longest_us = longest_us.min(self.limits.max_backoff_us);
         let half_us = longest_us / 2;
-        half_us + self.random_below(longest_us - half_us + 1)
+        half_us + self.random_less_than(longest_us - half_us + 1)
     }
 
     /// The first choice, where the node is connected to another one and the first may be probed: by a connection that is
@@ -160,20 +160,20 @@
     }
 
     /// The first choice was probed. The next probe is due after the longest backoff, or at once when the node may return.
-    pub fn probed(&mut self, is_well: bool, now_us: u64) {
-        if !is_well {
+    pub fn probed(&mut self, is_healthy: bool, now_us: u64) {
+        if !is_healthy {
             return self.fail(0, now_us);
         }
         self.relays[0].failures = 0;
         self.relays[0].not_before_us = now_us.saturating_add(self.limits.max_backoff_us);
         if self.return_at_us.is_none() {
-            let jitter_us = self.random_below(self.limits.return_jitter_us.saturating_add(1));
-            let wait_us = self.limits.well_us.saturating_add(jitter_us);
+            let jitter_us = self.random_less_than(self.limits.return_jitter_us.saturating_add(1));
+            let wait_us = self.limits.min_healthy_us.saturating_add(jitter_us);
             self.return_at_us = Some(now_us.saturating_add(wait_us));
         }
     }
 
-    /// Whether the node, connected to another relay, is to go back to its first choice now: it was well at all probes for
+    /// Whether the node, connected to another relay, is to go back to its first choice now: it was healthy at all probes for
     /// a while. The node connects to the first before it leaves the other.
     pub fn should_return(&self, now_us: u64) -> bool {
         self.current != 0 && self.return_at_us.is_some_and(|return_at_us| return_at_us <= now_us)
@@ -186,7 +186,7 @@
     }
 
     /// A number below `bound`, or 0 where that is 0 (SplitMix64).
-    fn random_below(&mut self, bound: u64) -> u64 {
+    fn random_less_than(&mut self, bound: u64) -> u64 {
         self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/ochrewalk-distribution/src/server.rs
+++ b/crates/ochrewalk-distribution/src/server.rs
@@ -5,14 +5,14 @@
 
 use prost::Message;
 
-use crate::admission::{CatchUp, CatchUpLimits};
+use crate::catch_up::{CatchUp, CatchUpLimits};
 use crate::interest::Interest;
 use crate::messages::{
     Position, RegionStatus, Report, ResourceName, Subscribe, Update, Watch, PROTOCOL_VERSION,
 };
 use crate::pacing::Pacer;
 use crate::status::{count_positions, Rejections};
-use crate::store::{Start, Store};
+use crate::store::{Store, UpdateKind};
 use crate::update_builder::{Built, UpdateProgress};
 use crate::validation::{name_problems, MAX_NAME_BYTES};
 
@@ -59,13 +59,13 @@
         after_ms: u64,
     },
     Refused {
-        reason: RefusedSubscriber,
+        reason: SubscribeError,
     },
 }
 
 /// Why a subscriber is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RefusedSubscriber {
+pub enum SubscribeError {
     #[error("the subscriber needs version {version} of the messages, and this is {PROTOCOL_VERSION}")]
     UnknownVersion { version: u32 },
     #[error("epoch {heard} was heard of, and this server has epoch {own}")]
@@ -78,7 +78,7 @@
 
 /// What is to be done for a subscriber now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum NextUpdate {
     /// Send this, and ask again once the connection has room.
     Send(Update),
     /// Ask again at this time.
@@ -204,24 +204,24 @@
         self.store.position().epoch == 0
     }
 
-    fn refusal(&mut self, message: &Subscribe) -> Option<RefusedSubscriber> {
+    fn refusal(&mut self, message: &Subscribe) -> Option<SubscribeError> {
         let count = message.scopes.len() + message.names.len();
         let limit = self.limits.max_interest;
         if message.version > PROTOCOL_VERSION {
-            return Some(RefusedSubscriber::UnknownVersion { version: message.version });
+            return Some(SubscribeError::UnknownVersion { version: message.version });
         }
         if count > limit {
-            return Some(RefusedSubscriber::TooManyNames { count, limit });
+            return Some(SubscribeError::TooManyNames { count, limit });
         }
         if !are_valid(&message.names) || message.scopes.iter().any(|scope| scope.len() > MAX_NAME_BYTES) {
-            return Some(RefusedSubscriber::InvalidName);
+            return Some(SubscribeError::InvalidName);
         }
         let own = self.store.position().epoch;
         let heard = message.applied.map_or(0, |position| position.epoch).max(message.highest_epoch);
         // A relay without state has no epoch of its own yet, and cannot be behind.
         if heard > own && !self.is_without_state() {
-            self.store.heard_epoch(heard);
-            return Some(RefusedSubscriber::OlderEpoch { own, heard });
+            self.store.observe_epoch(heard);
+            return Some(SubscribeError::OlderEpoch { own, heard });
         }
         None
     }
@@ -232,7 +232,7 @@
         if applied.is_some_and(|applied| applied > self.store.position()) {
             return 0;
         }
-        let Start::Differences { after } = self.store.differences_from(applied) else { return snapshot };
+        let UpdateKind::Differences { after } = self.store.differences_from(applied) else { return snapshot };
         let changes = self.store.changes_after(after, None).take(MAX_ESTIMATED_CHANGES + 1);
         let (mut visited, mut bytes) = (0, 0);
         for resource in changes {
@@ -249,16 +249,16 @@
 
     /// A subscriber wants further single names, or no longer wants some. The next update answers those added. An error
     /// means that nothing was taken over, and that the connection is to be ended.
-    pub fn watch(&mut self, id: SubscriberId, watch: &Watch) -> Result<(), RefusedSubscriber> {
+    pub fn watch(&mut self, id: SubscriberId, watch: &Watch) -> Result<(), SubscribeError> {
         let limit = self.limits.max_interest;
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return Ok(()) };
         let interest = &subscriber.interest;
         let count = interest.names.len() + interest.scopes.len() + watch.add.len();
         if count.saturating_sub(watch.remove.len()) > limit {
-            return Err(RefusedSubscriber::TooManyNames { count, limit });
+            return Err(SubscribeError::TooManyNames { count, limit });
         }
         if !are_valid(&watch.add) {
-            return Err(RefusedSubscriber::InvalidName);
+            return Err(SubscribeError::InvalidName);
         }
         subscriber.interest.update(watch);
         for name in &watch.remove {
@@ -286,25 +286,25 @@
     }
 
     /// The connection of a subscriber has ended.
-    pub fn closed(&mut self, id: SubscriberId) {
+    pub fn unsubscribe(&mut self, id: SubscriberId) {
         self.subscribers.remove(&id);
         self.catch_up.end(id.0);
     }
 
     /// What is to be done for a subscriber whose connection has room. No part is built before.
-    pub fn next(&mut self, id: SubscriberId, now_us: u64) -> Next {
+    pub fn next(&mut self, id: SubscriberId, now_us: u64) -> NextUpdate {
         self.begin_update(id);
-        let Some(subscriber) = self.subscribers.get_mut(&id) else { return Next::Idle };
-        let Activity::Receiving(progress) = &mut subscriber.activity else { return Next::Idle };
+        let Some(subscriber) = self.subscribers.get_mut(&id) else { return NextUpdate::Idle };
+        let Activity::Receiving(progress) = &mut subscriber.activity else { return NextUpdate::Idle };
         let mut free_at_us = subscriber.pacer.free_at_us();
         if self.catch_up.is_admitted(id.0) {
             free_at_us = free_at_us.max(self.catch_up.free_at_us());
         }
         if free_at_us > now_us && progress.rounds() <= MAX_PACED_ROUNDS {
-            return Next::Wait { until_us: free_at_us };
+            return NextUpdate::Wait { until_us: free_at_us };
         }
         let built = progress.next_part(&self.store, &subscriber.interest, self.limits.chunk_bytes);
-        let Built::Part(update) = built else { return Next::Wait { until_us: now_us } };
+        let Built::Part(update) = built else { return NextUpdate::Wait { until_us: now_us } };
         let bytes = update.encoded_len();
         subscriber.pacer.charge(bytes, now_us);
         self.catch_up.charge(id.0, bytes, now_us);
@@ -312,7 +312,7 @@
             subscriber.finish_receiving(update.position);
             self.catch_up.end(id.0);
         }
-        Next::Send(update)
+        NextUpdate::Send(update)
     }
 
     /// Begins an update if the subscriber lacks anything, or begins anew if one under way cannot be completed.
--- a/crates/ochrewalk-distribution/src/status.rs
+++ b/crates/ochrewalk-distribution/src/status.rs
@@ -79,9 +79,9 @@
 fn merge_rejections(relays: &[RegionStatus], limit: usize) -> Vec<Rejection> {
     let mut latest: BTreeMap<&str, &Rejection> = BTreeMap::new();
     for rejection in relays.iter().flat_map(|status| &status.rejections) {
-        let held = latest.entry(&rejection.node).or_insert(rejection);
-        if held.position < rejection.position {
-            *held = rejection;
+        let known = latest.entry(&rejection.node).or_insert(rejection);
+        if known.position < rejection.position {
+            *known = rejection;
         }
     }
     let mut rejections: Vec<Rejection> = latest.into_values().cloned().collect();
--- a/crates/ochrewalk-distribution/src/store.rs
+++ b/crates/ochrewalk-distribution/src/store.rs
@@ -41,7 +41,7 @@
 
 /// What a subscriber has to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum UpdateKind {
     /// What was changed after this revision.
     Differences { after: u64 },
     /// All that it wants.
@@ -137,7 +137,7 @@
     }
 }
 
-/// The newest value of each name. A resource is held once, shared by all indexes and by updates under way.
+/// The newest value of each name. A resource is in memory once, shared by all indexes and by updates under way.
 #[derive(Clone, Debug)]
 pub struct Store {
     limits: StoreLimits,
@@ -197,7 +197,7 @@
 
     /// The newest change of `name`, which may be its deletion.
     pub fn newest(&self, name: &ResourceName) -> Option<&Arc<Resource>> {
-        self.names.get(name).map(|held| &held.0)
+        self.names.get(name).map(|entry| &entry.0)
     }
 
     /// How many resources there are, without deleted ones.
@@ -217,21 +217,21 @@
 
     /// All resources in the order of their names, without deleted ones.
     pub fn iter(&self) -> impl Iterator<Item = &Resource> {
-        self.names.iter().map(|held| held.0.as_ref()).filter(|resource| resource.value.is_some())
+        self.names.iter().map(|entry| entry.0.as_ref()).filter(|resource| resource.value.is_some())
     }
 
     /// The resources of a kind, without deleted ones.
     pub fn of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
         // Names are in the order of their kinds first.
         let first = ResourceName { kind: kind as i32, scope: String::new(), name: String::new() };
-        let of_kind = move |held: &&ByName| held.0.name.kind == kind as i32;
-        let held = self.names.range::<ResourceName, _>(first..).take_while(of_kind);
-        held.map(|held| held.0.as_ref()).filter(|resource| resource.value.is_some())
+        let of_kind = move |entry: &&ByName| entry.0.name.kind == kind as i32;
+        let entries = self.names.range::<ResourceName, _>(first..).take_while(of_kind);
+        entries.map(|entry| entry.0.as_ref()).filter(|resource| resource.value.is_some())
     }
 
     /// The newest changes of names from `from` on, in the order of names, deletions included.
     pub(crate) fn names_from(&self, from: Bound<&ResourceName>) -> impl Iterator<Item = &Arc<Resource>> {
-        self.names.range::<ResourceName, _>((from, Bound::Unbounded)).map(|held| &held.0)
+        self.names.range::<ResourceName, _>((from, Bound::Unbounded)).map(|entry| &entry.0)
     }
 
     /// The changes after `revision`, or after `name` within it, in the order of revisions.
@@ -244,7 +244,7 @@
             Some(name) => Bound::Excluded(ByRevision::probe(revision, name.clone())),
             None => Bound::Included(ByRevision::probe(revision.saturating_add(1), ResourceName::default())),
         };
-        self.changes.range((from, Bound::Unbounded)).map(|held| &held.0)
+        self.changes.range((from, Bound::Unbounded)).map(|entry| &entry.0)
     }
 
     /// The encoded size of all that `interest` matches, deletions included.
@@ -278,7 +278,7 @@
         }
         let position = Position { epoch: self.epochs.current(), revision: self.revision + 1 };
         let previous =
-            changes.iter().map(|change| self.get(&change.name).and_then(|held| held.value.clone()));
+            changes.iter().map(|change| self.get(&change.name).and_then(|entry| entry.value.clone()));
         let previous = previous.collect();
         let at_revision = |change: &Resource| Resource { revision: position.revision, ..change.clone() };
         Ok(Batch { position, resources: changes.iter().map(at_revision).collect(), previous })
@@ -335,10 +335,10 @@
     }
 
     fn check_changes(&self, changes: &[Resource], reasons: &mut Vec<RefusalReason>) {
-        let mut seen = BTreeSet::new();
+        let mut names = BTreeSet::new();
         for (index, change) in changes.iter().enumerate() {
             let mut problems = change_problems(change);
-            if !seen.insert(&change.name) {
+            if !names.insert(&change.name) {
                 problems.push(ChangeProblem::DuplicateName);
             }
             if change.value.is_none() && self.get(&change.name).is_none() {
@@ -374,7 +374,7 @@
         }
         if begins_epoch {
             self.epochs.begin(batch.position.epoch, self.revision);
-            self.heard_epoch(batch.position.epoch);
+            self.observe_epoch(batch.position.epoch);
         }
         self.apply_batch(batch);
         Ok(())
@@ -390,7 +390,7 @@
     }
 
     /// There is a publisher of `epoch`. If that is above this store's, [`publish`](Self::publish) refuses from now on.
-    pub fn heard_epoch(&mut self, epoch: u64) {
+    pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
@@ -407,7 +407,7 @@
             // Where exactly the epoch began is not known here. From the position before it is safe.
             self.epochs.begin(update.position.epoch, applied.revision);
         }
-        self.heard_epoch(update.position.epoch);
+        self.observe_epoch(update.position.epoch);
         self.revision = update.position.revision;
         for name in &update.absent {
             self.forget(name);
@@ -428,14 +428,14 @@
 
     /// Drops `name` without a trace, as it is no longer watched and its value would go stale.
     pub fn forget(&mut self, name: &ResourceName) {
-        if let Some(held) = self.names.take(name) {
-            self.unlink(&held.0);
+        if let Some(entry) = self.names.take(name) {
+            self.unlink(&entry.0);
         }
     }
 
     fn insert(&mut self, resource: Arc<Resource>) {
-        if let Some(held) = self.names.replace(ByName(Arc::clone(&resource))) {
-            self.unlink(&held.0);
+        if let Some(entry) = self.names.replace(ByName(Arc::clone(&resource))) {
+            self.unlink(&entry.0);
         }
         let bytes = resource.encoded_len() as u64;
         self.total_bytes += bytes;
@@ -476,16 +476,16 @@
 
     /// What a subscriber that has applied `applied` is to be sent. Differences are told only from positions on this
     /// store's line that are neither before its horizon nor after its own revision.
-    pub fn differences_from(&self, applied: Option<Position>) -> Start {
+    pub fn differences_from(&self, applied: Option<Position>) -> UpdateKind {
         match applied {
             Some(position)
                 if self.epochs.contains(position)
                     && position.revision >= self.horizon
                     && position.revision <= self.revision =>
             {
-                Start::Differences { after: position.revision }
+                UpdateKind::Differences { after: position.revision }
             }
-            _ => Start::Snapshot,
+            _ => UpdateKind::Snapshot,
         }
     }
 }
--- a/crates/ochrewalk-distribution/src/subscription.rs
+++ b/crates/ochrewalk-distribution/src/subscription.rs
@@ -106,7 +106,7 @@
     partial: Option<PartialUpdate>,
     /// How many watches the update answers that was completed last.
     answered_watches: Option<u64>,
-    last_heard_us: Option<u64>,
+    last_message_us: Option<u64>,
 }
 
 impl Subscription {
@@ -130,7 +130,7 @@
             limits,
             partial: None,
             answered_watches: None,
-            last_heard_us: None,
+            last_message_us: None,
         }
     }
 
@@ -150,20 +150,21 @@
     }
 
     /// A publisher of `epoch` was heard of elsewhere. Updates of older epochs are refused from now on.
-    pub fn heard_epoch(&mut self, epoch: u64) {
+    pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
     /// The first message of a stream. [`unanswered_watch`](Self::unanswered_watch) is to follow it on the same stream.
     pub fn subscribe_message(&self) -> Subscribe {
-        let is_held = |name: &&ResourceName| self.applied.is_none() || !self.unanswered.contains_key(*name);
+        let is_answered =
+            |name: &&ResourceName| self.applied.is_none() || !self.unanswered.contains_key(*name);
         Subscribe {
             version: PROTOCOL_VERSION,
             node: self.node.clone(),
             region: self.region.clone(),
             applied: self.applied,
             scopes: self.interest.scopes.iter().cloned().collect(),
-            names: self.interest.names.iter().filter(is_held).cloned().collect(),
+            names: self.interest.names.iter().filter(is_answered).cloned().collect(),
             everything: self.interest.everything,
             bytes_per_second: self.limits.bytes_per_second,
             highest_epoch: self.highest_epoch,
@@ -243,7 +244,7 @@
             self.partial = Some(partial);
             return Ok(Received::More);
         }
-        check_whole(&partial, update.checksum)?;
+        check_complete(&partial, update.checksum)?;
         Ok(Received::Complete(self.complete(partial, update.horizon, update.watches)))
     }
 
@@ -265,8 +266,8 @@
 
     fn complete(&mut self, mut partial: PartialUpdate, horizon: u64, watches: u64) -> CompleteUpdate {
         self.answered_watches = Some(watches);
-        partial.resources.retain(|resource| self.is_kept(&resource.name, watches));
-        partial.absent.retain(|name| self.is_kept(name, watches));
+        partial.resources.retain(|resource| self.is_to_be_applied(&resource.name, watches));
+        partial.absent.retain(|name| self.is_to_be_applied(name, watches));
         CompleteUpdate {
             position: partial.position,
             is_snapshot: partial.is_snapshot,
@@ -278,7 +279,7 @@
 
     /// Whether what an update that answers `watches` watches tells of `name` is to be applied. A name that was removed
     /// meanwhile would go stale; so would one that was added again, until the server has taken that over.
-    fn is_kept(&self, name: &ResourceName, watches: u64) -> bool {
+    fn is_to_be_applied(&self, name: &ResourceName, watches: u64) -> bool {
         let is_of_scope = self.interest.everything || self.interest.scopes.contains(&name.scope);
         let is_answered = self.unanswered.get(name).is_none_or(|watch| *watch <= watches);
         is_of_scope || (self.interest.names.contains(name) && is_answered)
@@ -288,7 +289,7 @@
     /// update before it.
     pub fn applied(&mut self, position: Position) -> Report {
         self.applied = Some(position);
-        self.heard_epoch(position.epoch);
+        self.observe_epoch(position.epoch);
         if let Some(answered) = self.answered_watches.take() {
             self.unanswered.retain(|_, watch| *watch > answered);
         }
@@ -303,18 +304,18 @@
     }
 
     /// Any message came from the server.
-    pub fn heard(&mut self, now_us: u64) {
-        self.last_heard_us = Some(now_us);
+    pub fn message_received(&mut self, now_us: u64) {
+        self.last_message_us = Some(now_us);
     }
 
     /// When the last message came from the server.
-    pub fn last_heard_us(&self) -> Option<u64> {
-        self.last_heard_us
+    pub fn last_message_us(&self) -> Option<u64> {
+        self.last_message_us
     }
 
     /// How long ago the last message came; none if there was none.
     pub fn age_ms(&self, now_us: u64) -> Option<u64> {
-        let age_us = now_us.saturating_sub(self.last_heard_us?);
+        let age_us = now_us.saturating_sub(self.last_message_us?);
         Some(age_us / MICROSECONDS_PER_MILLISECOND)
     }
 
@@ -325,7 +326,7 @@
     }
 }
 
-fn check_whole(partial: &PartialUpdate, expected: u32) -> Result<(), UpdateError> {
+fn check_complete(partial: &PartialUpdate, expected: u32) -> Result<(), UpdateError> {
     if partial.checksum != expected {
         return Err(UpdateError::WrongChecksum { expected, actual: partial.checksum });
     }
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -9,7 +9,7 @@
 
 use crate::interest::Interest;
 use crate::messages::{Position, Resource, ResourceKind, ResourceName, Update};
-use crate::store::{Start, Store};
+use crate::store::{Store, UpdateKind};
 use crate::subscription::extend_checksum;
 
 /// Bytes of a part apart from its resources and names.
@@ -74,10 +74,10 @@
         let target = store.position();
         let start = store.differences_from(applied);
         let (cursor, base) = match start {
-            Start::Differences { after } => (after, applied),
-            Start::Snapshot => (target.revision, None),
+            UpdateKind::Differences { after } => (after, applied),
+            UpdateKind::Snapshot => (target.revision, None),
         };
-        let is_snapshot = start == Start::Snapshot;
+        let is_snapshot = start == UpdateKind::Snapshot;
         if is_snapshot {
             asked.extend(interest.names.iter().cloned());
         }
@@ -115,7 +115,7 @@
         let is_within_revision = matches!(self.stage, Stage::Changes { after: Some(_) });
         let revision = self.cursor - u64::from(is_within_revision);
         let reached = Position { epoch: self.target.epoch, revision };
-        store.position() >= self.target && store.differences_from(Some(reached)) != Start::Snapshot
+        store.position() >= self.target && store.differences_from(Some(reached)) != UpdateKind::Snapshot
     }
 
     /// Builds the next part, of at most `chunk_bytes` unless a single resource takes more.
@@ -192,13 +192,13 @@
     fn fill_answers(&mut self, store: &Store, from: Option<ResourceName>, part: &mut PartBuilder) -> bool {
         let start = from.as_ref().map_or(Bound::Unbounded, Bound::Included);
         for name in self.answers.range::<ResourceName, _>((start, Bound::Unbounded)) {
-            let has_room = match store.newest(name) {
+            let fits = match store.newest(name) {
                 // It comes with the changes.
                 Some(resource) if resource.revision > self.cursor => true,
                 Some(resource) if resource.value.is_some() => part.add_resource(resource),
                 _ => part.add_absent(name),
             };
-            if !has_room {
+            if !fits {
                 self.stage = Stage::Answers { from: Some(name.clone()) };
                 return false;
             }
@@ -221,10 +221,10 @@
             let is_in_range =
                 |name: &ResourceName| scope.is_none_or(|scope| name.kind() == kind && name.scope == scope);
             for resource in store.names_from(start).take_while(|resource| is_in_range(&resource.name)) {
-                let is_wanted = resource.revision <= self.cursor
+                let is_included = resource.revision <= self.cursor
                     && (resource.value.is_some() || interest.everything)
                     && !self.answers.contains(&resource.name);
-                if !part.visit() || (is_wanted && !part.add_resource(resource)) {
+                if !part.visit() || (is_included && !part.add_resource(resource)) {
                     self.stage = Stage::Names { range, after: last.or(after.as_ref()).cloned() };
                     return false;
                 }
@@ -248,8 +248,8 @@
             if resource.revision > self.target.revision {
                 break;
             }
-            let is_wanted = interest.matches(&resource.name);
-            if !part.visit() || (is_wanted && !part.add_resource(resource)) {
+            let is_included = interest.matches(&resource.name);
+            if !part.visit() || (is_included && !part.add_resource(resource)) {
                 self.stage = Stage::Changes { after: last.cloned() };
                 return false;
             }
@@ -300,27 +300,27 @@
     }
 
     fn add_resource(&mut self, resource: &Resource) -> bool {
-        let has_room = self.take(field_len(resource.encoded_len()));
-        if has_room {
+        let fits = self.take(field_len(resource.encoded_len()));
+        if fits {
             self.resources.push(resource.clone());
         }
-        has_room
+        fits
     }
 
     fn add_absent(&mut self, name: &ResourceName) -> bool {
-        let has_room = self.take(field_len(name.encoded_len()));
-        if has_room {
+        let fits = self.take(field_len(name.encoded_len()));
+        if fits {
             self.absent.push(name.clone());
         }
-        has_room
+        fits
     }
 
     /// Takes room of `bytes` if there is so much. There always is for the first, so that each part holds something.
     fn take(&mut self, bytes: usize) -> bool {
-        let has_room = bytes <= self.bytes_left || self.is_empty();
-        if has_room {
+        let fits = bytes <= self.bytes_left || self.is_empty();
+        if fits {
             self.bytes_left = self.bytes_left.saturating_sub(bytes);
         }
-        has_room
+        fits
     }
 }
--- a/crates/ochrewalk-distribution/tests/admission.rs
+++ b/crates/ochrewalk-distribution/tests/admission.rs
@@ -7,7 +7,7 @@
 use common::*;
 use ochrewalk_distribution::messages::{Resource, Subscribe};
 use ochrewalk_distribution::{
-    Admission, CatchUpLimits, Interest, Next, Received, Server, ServerLimits, Store, StoreLimits,
+    Admission, CatchUpLimits, Interest, NextUpdate, Received, Server, ServerLimits, Store, StoreLimits,
     SubscriberId,
 };
 use prost::Message;
@@ -131,7 +131,7 @@
     let everything = Node::new("everything", Interest::everything()).subscription.subscribe_message();
     let Admission::Accepted(id) = relay.subscribe(0, everything.clone()) else { panic!() };
     retry_after_ms(relay.subscribe(0, Subscribe { node: "second".into(), ..everything.clone() }));
-    relay.closed(id);
+    relay.unsubscribe(id);
     assert!(matches!(relay.subscribe(0, everything), Admission::Accepted(_)));
 }
 
@@ -160,9 +160,9 @@
             return 0;
         };
         match relay.next(id, now_us) {
-            Next::Wait { until_us } => self.at_us = until_us,
-            Next::Idle => self.served_at_us = Some(now_us),
-            Next::Send(part) => {
+            NextUpdate::Wait { until_us } => self.at_us = until_us,
+            NextUpdate::Idle => self.served_at_us = Some(now_us),
+            NextUpdate::Send(part) => {
                 let bytes = part.encoded_len();
                 if let Received::Complete(update) = self.node.subscription.received(part).unwrap() {
                     self.node.apply(relay, &update);
--- a/crates/ochrewalk-distribution/tests/common/mod.rs
+++ b/crates/ochrewalk-distribution/tests/common/mod.rs
@@ -7,7 +7,7 @@
     Endpoint, Limit, Position, Quota, Resource, ResourceKind, ResourceName, Route, Update, Value, Watch,
 };
 use ochrewalk_distribution::{
-    Admission, CatchUpLimits, CompleteUpdate, Interest, Next, Received, Server, ServerLimits, Store,
+    Admission, CatchUpLimits, CompleteUpdate, Interest, NextUpdate, Received, Server, ServerLimits, Store,
     StoreLimits, SubscriberId, Subscription, SubscriptionLimits, UpdateError,
 };
 
@@ -115,7 +115,7 @@
 
     pub fn disconnect(&mut self, server: &mut Server) {
         if let Some(id) = self.id.take() {
-            server.closed(id);
+            server.unsubscribe(id);
         }
         self.subscription.reset();
     }
@@ -135,9 +135,9 @@
         let id = self.id.expect("the node is connected");
         loop {
             match server.next(id, *now_us) {
-                Next::Send(update) => return Some(update),
-                Next::Wait { until_us } => *now_us = (*now_us).max(until_us),
-                Next::Idle => return None,
+                NextUpdate::Send(update) => return Some(update),
+                NextUpdate::Wait { until_us } => *now_us = (*now_us).max(until_us),
+                NextUpdate::Idle => return None,
             }
         }
     }
--- a/crates/ochrewalk-distribution/tests/demand.rs
+++ b/crates/ochrewalk-distribution/tests/demand.rs
@@ -15,11 +15,11 @@
 fn a_name_is_asked_for_once_and_the_least_recently_used_goes_first() {
     let mut demand = DemandSet::new(2);
     let added = |number| Some(Watch { add: vec![name(number)], remove: Vec::new() });
-    assert_eq!(demand.want(&name(1), 1), added(1));
-    assert_eq!(demand.want(&name(2), 2), added(2));
-    assert_eq!(demand.want(&name(1), 3), None);
+    assert_eq!(demand.request(&name(1), 1), added(1));
+    assert_eq!(demand.request(&name(2), 2), added(2));
+    assert_eq!(demand.request(&name(1), 3), None);
     let watch = Watch { add: vec![name(3)], remove: vec![name(2)] };
-    assert_eq!(demand.want(&name(3), 4), Some(watch));
+    assert_eq!(demand.request(&name(3), 4), Some(watch));
     assert_eq!(demand.names().collect::<Vec<_>>(), [&name(1), &name(3)]);
     assert_eq!(demand.state(&name(2)), None);
 }
@@ -27,8 +27,8 @@
 #[test]
 fn a_name_is_known_as_absent_until_it_is_made() {
     let mut demand = DemandSet::new(2);
-    demand.want(&name(1), 1);
-    assert_eq!(demand.state(&name(1)), Some(DemandState::Asked));
+    demand.request(&name(1), 1);
+    assert_eq!(demand.state(&name(1)), Some(DemandState::Requested));
     let mut update = CompleteUpdate {
         position: position(1, 1),
         is_snapshot: false,
@@ -38,7 +38,7 @@
     };
     demand.applied(&update);
     assert_eq!(demand.state(&name(1)), Some(DemandState::Absent));
-    assert_eq!((demand.state(&name(2)), demand.want(&name(1), 2)), (None, None));
+    assert_eq!((demand.state(&name(2)), demand.request(&name(1), 2)), (None, None));
     update.absent.clear();
     update.resources = vec![quota("a", "tenant-001", 1.0).into()];
     demand.applied(&update);
@@ -57,7 +57,7 @@
     assert_eq!(demand.len(), 2);
     assert_eq!(demand.state(&name(1)), Some(DemandState::Present));
     assert_eq!(demand.state(&name(2)), Some(DemandState::Absent));
-    assert_eq!(demand.want(&name(1), 1), None);
+    assert_eq!(demand.request(&name(1), 1), None);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let mut demand = DemandSet::new(20);
     for step in 0..200 {
         let wanted = name(step * step % 450);
-        if let Some(watch) = demand.want(&wanted, step as u64) {
+        if let Some(watch) = demand.request(&wanted, step as u64) {
             node.watch(&mut server, &watch);
         }
         if step % 9 == 0 {
@@ -96,7 +96,7 @@
         let mut last_used: Vec<ResourceName> = Vec::new();
         for (step, number) in uses.into_iter().enumerate() {
             let name = name(number);
-            if let Some(watch) = demand.want(&name, step as u64) {
+            if let Some(watch) = demand.request(&name, step as u64) {
                 watched.retain(|name| !watch.remove.contains(name));
                 watched.extend(watch.add);
             }
--- a/crates/ochrewalk-distribution/tests/explore/world.rs
+++ b/crates/ochrewalk-distribution/tests/explore/world.rs
@@ -6,7 +6,7 @@
 
 use ochrewalk_distribution::messages::{Position, Resource, Update};
 use ochrewalk_distribution::{
-    Admission, CatchUpLimits, CompleteUpdate, Interest, Next, Received, Server, ServerLimits, Store,
+    Admission, CatchUpLimits, CompleteUpdate, Interest, NextUpdate, Received, Server, ServerLimits, Store,
     StoreLimits, SubscriberId, Subscription, SubscriptionLimits,
 };
 
@@ -187,7 +187,7 @@
 
     pub fn disconnect(&mut self, index: usize) {
         if let Some((server, id)) = self.followers[index].link.take() {
-            self.server(server).closed(id);
+            self.server(server).unsubscribe(id);
         }
         self.followers[index].subscription.reset();
     }
@@ -207,7 +207,7 @@
 
     pub fn send(&mut self, index: usize) -> bool {
         let Some((server, id)) = self.followers[index].link else { return false };
-        let Next::Send(part) = self.server(server).next(id, 0) else { return false };
+        let NextUpdate::Send(part) = self.server(server).next(id, 0) else { return false };
         self.flying.push((index, part));
         true
     }
--- a/crates/ochrewalk-distribution/tests/memory.rs
+++ b/crates/ochrewalk-distribution/tests/memory.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use ochrewalk_distribution::messages::{Resource, ResourceKind, ResourceName, Route, Value};
-use ochrewalk_distribution::{CompleteUpdate, Interest, Next, Store, StoreLimits};
+use ochrewalk_distribution::{CompleteUpdate, Interest, NextUpdate, Store, StoreLimits};
 
 thread_local! {
     /// Bytes held by this thread, so that tests at the same time do not count each other's.
@@ -53,7 +53,7 @@
     }
     // Half of them have stopped in the middle of an update.
     for node in &nodes[..SUBSCRIBERS / 2] {
-        assert!(matches!(server.next(node.id.unwrap(), 0), Next::Send(_)));
+        assert!(matches!(server.next(node.id.unwrap(), 0), NextUpdate::Send(_)));
     }
     let mut round = |first: usize| {
         for n in first..first + 1_000 {
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -8,7 +8,7 @@
 use common::*;
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName, Value, Watch};
 use ochrewalk_distribution::{
-    Admission, CatchUpLimits, Interest, Next, Received, Server, ServerLimits, Store, StoreLimits,
+    Admission, CatchUpLimits, Interest, NextUpdate, Received, Server, ServerLimits, Store, StoreLimits,
 };
 use proptest::prelude::*;
 
@@ -120,7 +120,7 @@
         let Some(id) = self.upstream.id else {
             return matches!(self.upstream.try_connect(&mut self.publisher, 0), Admission::Accepted(_));
         };
-        let Next::Send(part) = self.publisher.next(id, 0) else { return false };
+        let NextUpdate::Send(part) = self.publisher.next(id, 0) else { return false };
         if let Received::Complete(update) = self.upstream.subscription.received(part).unwrap() {
             self.relay.store_mut().apply(&update).unwrap();
             self.upstream.apply(&mut self.publisher, &update);
@@ -162,9 +162,9 @@
         let node = &mut member.node;
         let Some(id) = node.id else { return false };
         let part = match server.next(id, 0) {
-            Next::Send(part) => part,
-            Next::Wait { .. } => return true,
-            Next::Idle => return false,
+            NextUpdate::Send(part) => part,
+            NextUpdate::Wait { .. } => return true,
+            NextUpdate::Idle => return false,
         };
         let Received::Complete(update) = node.subscription.received(part).unwrap() else { return true };
         if rejects {
--- a/crates/ochrewalk-distribution/tests/relay_choice.rs
+++ b/crates/ochrewalk-distribution/tests/relay_choice.rs
@@ -8,7 +8,7 @@
 const LIMITS: RelayChoiceLimits = RelayChoiceLimits {
     min_backoff_us: 100,
     max_backoff_us: 10_000,
-    well_us: 50_000,
+    min_healthy_us: 50_000,
     return_jitter_us: 20_000,
 };
 
--- a/crates/ochrewalk-distribution/tests/store.rs
+++ b/crates/ochrewalk-distribution/tests/store.rs
@@ -5,8 +5,8 @@
 use common::*;
 use ochrewalk_distribution::messages::{Resource, ResourceKind, ResourceName, Route, Value};
 use ochrewalk_distribution::{
-    rollback_changes, ApplyError, Batch, ChangeProblem, CompleteUpdate, RefusalReason, RollbackError, Start,
-    Store, StoreLimits, MAX_BATCH_CHANGES, MAX_NAME_BYTES, MAX_PATH_BYTES,
+    rollback_changes, ApplyError, Batch, ChangeProblem, CompleteUpdate, RefusalReason, RollbackError, Store,
+    StoreLimits, UpdateKind, MAX_BATCH_CHANGES, MAX_NAME_BYTES, MAX_PATH_BYTES,
 };
 use proptest::prelude::*;
 
@@ -144,7 +144,7 @@
 #[test]
 fn every_reason_is_told() {
     let mut store = store();
-    store.heard_epoch(3);
+    store.observe_epoch(3);
     let changes = [quota("a", "", -1.0), deletion("a", "one")];
     let error = store.publish(&changes, Some(position(1, 7))).unwrap_err();
     let invalid = |index, problem| RefusalReason::InvalidChange { index, problem };
@@ -184,7 +184,7 @@
 #[test]
 fn a_publisher_that_heard_of_a_higher_epoch_accepts_nothing_until_it_takes_over_again() {
     let mut store = store();
-    store.heard_epoch(4);
+    store.observe_epoch(4);
     assert!(store.is_fenced());
     let reasons = refused(&mut store, &[quota("a", "one", 1.0)]);
     assert_eq!(reasons, [RefusalReason::Fenced { own: 1, heard: 4 }]);
@@ -202,8 +202,8 @@
         store.publish(&[deletion("a", &format!("tenant-{n}"))], None).unwrap();
     }
     assert_eq!((store.tombstone_count(), store.horizon()), (2, 3));
-    assert_eq!(store.differences_from(Some(position(1, 2))), Start::Snapshot);
-    assert_eq!(store.differences_from(Some(position(1, 3))), Start::Differences { after: 3 });
+    assert_eq!(store.differences_from(Some(position(1, 2))), UpdateKind::Snapshot);
+    assert_eq!(store.differences_from(Some(position(1, 3))), UpdateKind::Differences { after: 3 });
 }
 
 #[test]
@@ -217,19 +217,19 @@
     store.publish(&[quota("a", "tenant-1", 2.0)], None).unwrap();
     store.new_epoch();
     let cases = [
-        (None, Start::Snapshot),
+        (None, UpdateKind::Snapshot),
         // Before the deletion that was forgotten.
-        (Some(position(1, 5)), Start::Snapshot),
-        (Some(position(1, 6)), Start::Differences { after: 6 }),
+        (Some(position(1, 5)), UpdateKind::Snapshot),
+        (Some(position(1, 6)), UpdateKind::Differences { after: 6 }),
         // Epoch 2 began after revision 6, so this is on a fork.
-        (Some(position(1, 7)), Start::Snapshot),
-        (Some(position(2, 7)), Start::Differences { after: 7 }),
-        (Some(position(2, 8)), Start::Snapshot),
-        (Some(position(3, 7)), Start::Differences { after: 7 }),
+        (Some(position(1, 7)), UpdateKind::Snapshot),
+        (Some(position(2, 7)), UpdateKind::Differences { after: 7 }),
+        (Some(position(2, 8)), UpdateKind::Snapshot),
+        (Some(position(3, 7)), UpdateKind::Differences { after: 7 }),
         // These never were.
-        (Some(position(3, 8)), Start::Snapshot),
-        (Some(position(4, 7)), Start::Snapshot),
-        (Some(position(0, 0)), Start::Snapshot),
+        (Some(position(3, 8)), UpdateKind::Snapshot),
+        (Some(position(4, 7)), UpdateKind::Snapshot),
+        (Some(position(0, 0)), UpdateKind::Snapshot),
     ];
     for (applied, start) in cases {
         assert_eq!(store.differences_from(applied), start, "{applied:?}");
@@ -279,10 +279,10 @@
     let mut store = Store::new(0, StoreLimits::default());
     store.apply(&update((1, 5), true, Vec::new())).unwrap();
     store.apply(&update((2, 9), false, Vec::new())).unwrap();
-    assert_eq!(store.differences_from(Some(position(1, 5))), Start::Differences { after: 5 });
+    assert_eq!(store.differences_from(Some(position(1, 5))), UpdateKind::Differences { after: 5 });
     // The epoch began somewhere between 5 and 9.
-    assert_eq!(store.differences_from(Some(position(1, 6))), Start::Snapshot);
-    assert_eq!(store.differences_from(Some(position(2, 8))), Start::Differences { after: 8 });
+    assert_eq!(store.differences_from(Some(position(1, 6))), UpdateKind::Snapshot);
+    assert_eq!(store.differences_from(Some(position(2, 8))), UpdateKind::Differences { after: 8 });
 }
 
 #[test]
--- a/crates/ochrewalk-distribution/tests/updates.rs
+++ b/crates/ochrewalk-distribution/tests/updates.rs
@@ -5,7 +5,7 @@
 use common::*;
 use ochrewalk_distribution::messages::{Resource, Update};
 use ochrewalk_distribution::{
-    Admission, Interest, Received, RefusedSubscriber, Server, Store, StoreLimits, Subscription,
+    Admission, Interest, Received, Server, Store, StoreLimits, SubscribeError, Subscription,
     SubscriptionLimits, UpdateError,
 };
 use prost::Message;
@@ -139,7 +139,7 @@
     let mut node = node("one");
     node.connect(&mut server);
     node.catch_up(&mut server);
-    node.subscription.heard_epoch(2);
+    node.subscription.observe_epoch(2);
     publish(&mut server, &[quota("a", "tenant-000", 2.0)]);
     let part = node.next_part(&mut server, &mut 0).unwrap();
     let error = node.receive(&mut server, part).unwrap_err();
@@ -147,7 +147,7 @@
     assert_eq!(node.store.position(), position(1, 1));
     // Nor does it take the node on again, and it learns that it is behind.
     node.disconnect(&mut server);
-    let reason = RefusedSubscriber::OlderEpoch { own: 1, heard: 2 };
+    let reason = SubscribeError::OlderEpoch { own: 1, heard: 2 };
     assert_eq!(node.try_connect(&mut server, 0), Admission::Refused { reason });
     assert!(server.store().is_fenced());
 }
@@ -303,7 +303,7 @@
     }
     // One that knows of the new epoch fences the old publisher.
     moved.disconnect(&mut new);
-    let reason = RefusedSubscriber::OlderEpoch { own: 1, heard: 2 };
+    let reason = SubscribeError::OlderEpoch { own: 1, heard: 2 };
     assert_eq!(moved.try_connect(&mut old, 0), Admission::Refused { reason });
     assert!(old.store_mut().publish(&[quota("a", "tenant-001", 5.0)], None).is_err());
     // The old publisher begins anew as a subscriber of the new one.
@@ -321,10 +321,10 @@
 fn the_age_of_what_was_heard_last_is_told() {
     let mut node = node("one");
     assert_eq!(node.subscription.age_ms(5), None);
-    node.subscription.heard(2 * SECOND_US);
+    node.subscription.message_received(2 * SECOND_US);
     assert_eq!(node.subscription.age_ms(5 * SECOND_US), Some(3_000));
     assert_eq!(node.subscription.age_ms(0), Some(0));
-    assert_eq!(node.subscription.last_heard_us(), Some(2 * SECOND_US));
+    assert_eq!(node.subscription.last_message_us(), Some(2 * SECOND_US));
 }
 
 #[test]
--- a/crates/ochrewalk-distribution/tests/watches.rs
+++ b/crates/ochrewalk-distribution/tests/watches.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use ochrewalk_distribution::messages::{ResourceKind, ResourceName, Subscribe, Watch, PROTOCOL_VERSION};
-use ochrewalk_distribution::{Admission, Interest, Next, RefusedSubscriber};
+use ochrewalk_distribution::{Admission, Interest, NextUpdate, SubscribeError};
 
 fn node(name: &str) -> Node {
     Node::new(name, Interest::scopes(["a"]))
@@ -21,7 +21,7 @@
     let report = node.subscription.rejected(update.position, "it does not fit");
     let id = node.id.unwrap();
     server.report(id, report);
-    assert_eq!(server.next(id, 0), Next::Idle);
+    assert_eq!(server.next(id, 0), NextUpdate::Idle);
     let status = server.status();
     assert_eq!((status.in_force[0].position, status.rejections.len()), (position(1, 1), 1));
     publish(&mut server, &[quota("a", "tenant-001", 2.0)]);
@@ -39,7 +39,7 @@
     node.connect(&mut server);
     let update = node.next_update(&mut server);
     publish(&mut server, &[quota("a", "tenant-000", 2.0)]);
-    assert_eq!(server.next(node.id.unwrap(), 0), Next::Idle);
+    assert_eq!(server.next(node.id.unwrap(), 0), NextUpdate::Idle);
     node.apply(&mut server, &update);
     assert_eq!(node.catch_up(&mut server).len(), 1);
     node.assert_equals(server.store());
@@ -127,14 +127,14 @@
     let version = PROTOCOL_VERSION + 1;
     let names = |count: usize| (0..count).map(|n| quota_name("a", &n.to_string())).collect::<Vec<_>>();
     let cases = [
-        (Subscribe { version, ..message.clone() }, RefusedSubscriber::UnknownVersion { version }),
+        (Subscribe { version, ..message.clone() }, SubscribeError::UnknownVersion { version }),
         (
             Subscribe { names: names(limit), ..message.clone() },
-            RefusedSubscriber::TooManyNames { count: limit + 1, limit },
+            SubscribeError::TooManyNames { count: limit + 1, limit },
         ),
         (
             Subscribe { names: vec![ResourceName::new(ResourceKind::Quota, "a", "")], ..message },
-            RefusedSubscriber::InvalidName,
+            SubscribeError::InvalidName,
         ),
     ];
     for (message, reason) in cases {
--- a/crates/ochrewalk-lab/src/scale/hollow.rs
+++ b/crates/ochrewalk-lab/src/scale/hollow.rs
@@ -144,7 +144,7 @@
 
     /// Its scopes and all tenants that it asked for are there, or known to be absent.
     fn is_complete(&self) -> bool {
-        let is_answered = |name| !matches!(self.agent.name_state(name), None | Some(DemandState::Asked));
+        let is_answered = |name| !matches!(self.agent.name_state(name), None | Some(DemandState::Requested));
         self.agent.position().is_some() && self.wanted.iter().all(is_answered)
     }
 
