--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -41,6 +41,7 @@
 mod interest;
 pub mod messages;
 mod pacing;
+mod part_builder;
 mod relay_choice;
 mod rollback;
 mod server;
--- a/crates/ochrewalk-distribution/src/server.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -1,6 +1,8 @@
 //! Decides what a publisher or relay sends to each of its subscribers, and when. Nothing is queued for a subscriber: what
 //! it lacks is told by a cursor into the store, and built when its connection has room.
 
+mod subscriber;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use prost::Message;
@@ -15,6 +17,7 @@
 use crate::store::{Store, UpdateKind};
 use crate::update_builder::{Built, UpdateProgress};
 use crate::validation::{name_problems, MAX_NAME_BYTES};
+use subscriber::{Activity, Subscriber};
 
 /// Rounds of an update after which it is no longer spread over time, so that it ends under ever so many changes.
 const MAX_PACED_ROUNDS: u32 = 4;
@@ -87,33 +90,6 @@
     Idle,
 }
 
-/// What a subscriber is doing.
-#[derive(Clone, Debug)]
-enum Activity {
-    /// It has what it was sent.
-    Ready,
-    Receiving(UpdateProgress),
-    /// It was sent a whole update and has not reported on it.
-    Applying {
-        position: Position,
-        answers: BTreeSet<ResourceName>,
-    },
-}
-
-#[derive(Clone, Debug)]
-struct Subscriber {
-    node: String,
-    interest: Interest,
-    pacer: Pacer,
-    applied: Option<Position>,
-    rejected: Option<Position>,
-    /// Watched names that the next update is to answer.
-    asked: BTreeSet<ResourceName>,
-    /// How many watches were taken over.
-    watches: u64,
-    activity: Activity,
-}
-
 /// A publisher's or relay's side of all its streams of updates.
 #[derive(Clone, Debug)]
 pub struct Server {
@@ -354,45 +330,3 @@
 fn are_valid(names: &[ResourceName]) -> bool {
     names.iter().all(|name| name_problems(name).is_empty())
 }
-
-impl Subscriber {
-    fn lacks_something(&self, store: &Store) -> bool {
-        let head = store.position();
-        let is_rejected = self.rejected.is_some_and(|rejected| head <= rejected);
-        // A relay may be behind what the subscriber has from another one, or have no state yet.
-        let is_behind = head.epoch == 0 || self.applied.is_some_and(|applied| applied > head);
-        let is_current = self.applied == Some(head) && self.asked.is_empty();
-        !is_rejected && !is_behind && !is_current
-    }
-
-    fn finish_receiving(&mut self, position: Position) {
-        let answers = match &mut self.activity {
-            Activity::Receiving(progress) => progress.take_answers(),
-            _ => BTreeSet::new(),
-        };
-        self.activity = Activity::Applying { position, answers };
-    }
-
-    /// Whether the update that was sent is the one in force now.
-    fn finish_applying(&mut self, in_force: Position) -> bool {
-        let is_awaited =
-            matches!(&self.activity, Activity::Applying { position, .. } if *position == in_force);
-        if is_awaited {
-            self.applied = Some(in_force);
-            self.rejected = None;
-            self.activity = Activity::Ready;
-        }
-        is_awaited
-    }
-
-    /// The subscriber keeps what is `in_force`. It is sent nothing until there is something later than `position`.
-    fn reject(&mut self, position: Position, in_force: Option<Position>) {
-        self.applied = in_force;
-        self.rejected = self.rejected.max(Some(position));
-        match std::mem::replace(&mut self.activity, Activity::Ready) {
-            Activity::Ready => {}
-            Activity::Receiving(mut progress) => self.asked.extend(progress.take_answers()),
-            Activity::Applying { answers, .. } => self.asked.extend(answers),
-        }
-    }
-}
--- /dev/null
+++ b/crates/ochrewalk-distribution/src/store/batch.rs
@@ -0,0 +1,33 @@
+//! Batches of changes as a durable log records them, and the order that they come in.
+
+use crate::epochs::EpochStart;
+use crate::messages::{Position, Resource, Value};
+
+/// What a durable log records: changes made together at one revision, and what they replaced.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Batch {
+    pub position: Position,
+    pub resources: Vec<Resource>,
+    /// The value that each of `resources` had before, in the same order; none where there was no such resource.
+    pub previous: Vec<Option<Value>>,
+}
+
+/// The order of all changes, without the changes themselves.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ChangeOrder {
+    pub revision: u64,
+    /// Each epoch and the revision that its own changes follow, oldest first.
+    pub epochs: Vec<EpochStart>,
+    /// The oldest revision from which differences are complete.
+    pub horizon: u64,
+    pub highest_epoch: u64,
+}
+
+/// Why an update or a recorded batch wasn't applied. The store is as it was.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ApplyError {
+    #[error("the update leads to {update:?}, older than {applied:?}")]
+    OlderPosition { applied: Position, update: Position },
+    #[error("the batch of {batch:?} does not follow {applied:?}")]
+    OutOfOrder { applied: Position, batch: Position },
+}
--- a/crates/ochrewalk-distribution/src/store.rs
+++ b/crates/ochrewalk-distribution/src/store/mod.rs
@@ -1,22 +1,23 @@
 //! Decides what the state is: the newest value of each name, in which order names were changed, and from which positions
 //! differences can be told. Publishers, relays and nodes use the same store.
 
-use std::borrow::Borrow;
-use std::cmp::Ordering;
-use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
+mod batch;
+mod index;
+
+use std::collections::BTreeSet;
 use std::ops::Bound;
 use std::sync::Arc;
 
-use prost::Message;
-
-use crate::epochs::{EpochHistory, EpochStart};
+use crate::epochs::EpochHistory;
 use crate::interest::Interest;
-use crate::messages::{Position, Resource, ResourceKind, ResourceName, Value};
+use crate::messages::{Position, Resource, ResourceKind, ResourceName};
 use crate::subscription::CompleteUpdate;
 use crate::validation::{change_problems, ChangeProblem, PublishError, RefusalReason};
 use crate::validation::{MAX_BATCH_CHANGES, MAX_REASONS};
 
+pub use batch::{ApplyError, Batch, ChangeOrder};
+use index::ResourceIndex;
+
 /// Bounds of a [`Store`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoreLimits {
@@ -30,15 +31,6 @@
     }
 }
 
-/// What a durable log records: changes made together at one revision, and what they replaced.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Batch {
-    pub position: Position,
-    pub resources: Vec<Resource>,
-    /// The value that each of `resources` had before, in the same order; none where there was no such resource.
-    pub previous: Vec<Option<Value>>,
-}
-
 /// What a subscriber has to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
@@ -48,96 +40,7 @@
     Snapshot,
 }
 
-/// The order of all changes, without the changes themselves.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ChangeOrder {
-    pub revision: u64,
-    /// Each epoch and the revision that its own changes follow, oldest first.
-    pub epochs: Vec<EpochStart>,
-    /// The oldest revision from which differences are complete.
-    pub horizon: u64,
-    pub highest_epoch: u64,
-}
-
-/// Why an update or a recorded batch wasn't applied. The store is as it was.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ApplyError {
-    #[error("the update leads to {update:?}, older than {applied:?}")]
-    OlderPosition { applied: Position, update: Position },
-    #[error("the batch of {batch:?} does not follow {applied:?}")]
-    OutOfOrder { applied: Position, batch: Position },
-}
-
-/// A resource in the order of names.
-#[derive(Clone, Debug)]
-struct ByName(Arc<Resource>);
-
-impl Borrow<ResourceName> for ByName {
-    fn borrow(&self) -> &ResourceName {
-        &self.0.name
-    }
-}
-
-impl PartialEq for ByName {
-    fn eq(&self, other: &Self) -> bool {
-        self.0.name == other.0.name
-    }
-}
-
-impl Eq for ByName {}
-
-impl PartialOrd for ByName {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for ByName {
-    fn cmp(&self, other: &Self) -> Ordering {
-        self.0.name.cmp(&other.0.name)
-    }
-}
-
-/// A resource in the order of revisions, and of names within a revision.
-#[derive(Clone)]
-struct ByRevision(Arc<Resource>);
-
-/// Shows the key alone, as the resource is shown in the order of names.
-impl fmt::Debug for ByRevision {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}:{}", self.0.revision, self.0.name.name)
-    }
-}
-
-impl ByRevision {
-    /// What compares as a resource of `name` at `revision` would.
-    fn probe(revision: u64, name: ResourceName) -> Self {
-        Self(Arc::new(Resource { name, revision, value: None }))
-    }
-}
-
-impl PartialEq for ByRevision {
-    fn eq(&self, other: &Self) -> bool {
-        self.cmp(other) == Ordering::Equal
-    }
-}
-
-impl Eq for ByRevision {}
-
-impl PartialOrd for ByRevision {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for ByRevision {
-    fn cmp(&self, other: &Self) -> Ordering {
-        let by_revision = self.0.revision.cmp(&other.0.revision);
-        by_revision.then_with(|| self.0.name.cmp(&other.0.name))
-    }
-}
-
-/// The newest value of each name. A resource is in memory once, shared by all indexes and by updates under way.
+/// The newest value of each name, and the positions from which differences are complete.
 #[derive(Clone, Debug)]
 pub struct Store {
     limits: StoreLimits,
@@ -146,11 +49,7 @@
     revision: u64,
     /// Differences are complete from this revision on; deletions before it may be forgotten.
     horizon: u64,
-    names: BTreeSet<ByName>,
-    changes: BTreeSet<ByRevision>,
-    tombstones: BTreeSet<ByRevision>,
-    scope_bytes: BTreeMap<String, u64>,
-    total_bytes: u64,
+    index: ResourceIndex,
 }
 
 impl Store {
@@ -162,11 +61,7 @@
             highest_epoch: epoch,
             revision: 0,
             horizon: 0,
-            names: BTreeSet::new(),
-            changes: BTreeSet::new(),
-            tombstones: BTreeSet::new(),
-            scope_bytes: BTreeMap::new(),
-            total_bytes: 0,
+            index: ResourceIndex::default(),
         }
     }
 
@@ -197,12 +92,12 @@
 
     /// The newest change of `name`, which may be its deletion.
     pub fn newest(&self, name: &ResourceName) -> Option<&Arc<Resource>> {
-        self.names.get(name).map(|entry| &entry.0)
+        self.index.newest(name)
     }
 
     /// How many resources there are, without deleted ones.
     pub fn len(&self) -> usize {
-        self.names.len() - self.tombstones.len()
+        self.index.len() - self.index.tombstone_count()
     }
 
     /// Whether there are no resources.
@@ -212,26 +107,22 @@
 
     /// How many deleted names are remembered.
     pub fn tombstone_count(&self) -> usize {
-        self.tombstones.len()
+        self.index.tombstone_count()
     }
 
     /// All resources in the order of their names, without deleted ones.
     pub fn iter(&self) -> impl Iterator<Item = &Resource> {
-        self.names.iter().map(|entry| entry.0.as_ref()).filter(|resource| resource.value.is_some())
+        self.index.iter()
     }
 
     /// The resources of a kind, without deleted ones.
     pub fn of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
-        // Names are in the order of their kinds first.
-        let first = ResourceName { kind: kind as i32, scope: String::new(), name: String::new() };
-        let of_kind = move |entry: &&ByName| entry.0.name.kind == kind as i32;
-        let entries = self.names.range::<ResourceName, _>(first..).take_while(of_kind);
-        entries.map(|entry| entry.0.as_ref()).filter(|resource| resource.value.is_some())
+        self.index.of_kind(kind)
     }
 
     /// The newest changes of names from `from` on, in the order of names, deletions included.
     pub(crate) fn names_from(&self, from: Bound<&ResourceName>) -> impl Iterator<Item = &Arc<Resource>> {
-        self.names.range::<ResourceName, _>((from, Bound::Unbounded)).map(|entry| &entry.0)
+        self.index.names_from(from)
     }
 
     /// The changes after `revision`, or after `name` within it, in the order of revisions.
@@ -240,21 +131,12 @@
         revision: u64,
         name: Option<&ResourceName>,
     ) -> impl Iterator<Item = &Arc<Resource>> {
-        let from = match name {
-            Some(name) => Bound::Excluded(ByRevision::probe(revision, name.clone())),
-            None => Bound::Included(ByRevision::probe(revision.saturating_add(1), ResourceName::default())),
-        };
-        self.changes.range((from, Bound::Unbounded)).map(|entry| &entry.0)
+        self.index.changes_after(revision, name)
     }
 
     /// The encoded size of all that `interest` matches, deletions included.
     pub(crate) fn snapshot_bytes(&self, interest: &Interest) -> u64 {
-        if interest.everything {
-            return self.total_bytes;
-        }
-        let of_scopes = interest.scopes.iter().filter_map(|scope| self.scope_bytes.get(scope)).sum::<u64>();
-        let names = interest.names.iter().filter_map(|name| self.newest(name));
-        of_scopes + names.map(|resource| resource.encoded_len() as u64).sum::<u64>()
+        self.index.snapshot_bytes(interest)
     }
 
     /// Applies `changes` together at a new revision, or refuses them all. `expected` is the position that the caller
@@ -309,7 +191,7 @@
         store.horizon = order.horizon;
         store.highest_epoch = order.highest_epoch.max(store.epochs.current());
         for resource in resources {
-            store.insert(Arc::new(resource));
+            store.index.insert(Arc::new(resource));
         }
         store.forget_tombstones();
         store
@@ -356,7 +238,7 @@
     fn apply_batch(&mut self, batch: &Batch) {
         self.revision = batch.position.revision;
         for resource in &batch.resources {
-            self.insert(Arc::new(resource.clone()));
+            self.index.insert(Arc::new(resource.clone()));
         }
         self.forget_tombstones();
     }
@@ -413,7 +295,7 @@
             self.forget(name);
         }
         for resource in &update.resources {
-            self.insert(Arc::clone(resource));
+            self.index.insert(Arc::clone(resource));
         }
         self.forget_tombstones();
         Ok(())
@@ -428,49 +310,14 @@
 
     /// Drops `name` without a trace, as it is no longer watched and its value would go stale.
     pub fn forget(&mut self, name: &ResourceName) {
-        if let Some(entry) = self.names.take(name) {
-            self.unlink(&entry.0);
-        }
-    }
-
-    fn insert(&mut self, resource: Arc<Resource>) {
-        if let Some(entry) = self.names.replace(ByName(Arc::clone(&resource))) {
-            self.unlink(&entry.0);
-        }
-        let bytes = resource.encoded_len() as u64;
-        self.total_bytes += bytes;
-        match self.scope_bytes.get_mut(&resource.name.scope) {
-            Some(sum) => *sum += bytes,
-            None => drop(self.scope_bytes.insert(resource.name.scope.clone(), bytes)),
-        }
-        if resource.value.is_none() {
-            self.tombstones.insert(ByRevision(Arc::clone(&resource)));
-        }
-        self.changes.insert(ByRevision(resource));
-    }
-
-    /// Takes a resource that is no longer in `names` out of the other indexes.
-    fn unlink(&mut self, resource: &Arc<Resource>) {
-        let key = ByRevision(Arc::clone(resource));
-        self.changes.remove(&key);
-        if resource.value.is_none() {
-            self.tombstones.remove(&key);
-        }
-        let bytes = resource.encoded_len() as u64;
-        self.total_bytes -= bytes;
-        if let Some(sum) = self.scope_bytes.get_mut(&resource.name.scope) {
-            *sum -= bytes;
-            if *sum == 0 {
-                self.scope_bytes.remove(&resource.name.scope);
-            }
-        }
+        self.index.remove(name);
     }
 
     fn forget_tombstones(&mut self) {
-        while self.tombstones.len() > self.limits.tombstones {
-            let Some(oldest) = self.tombstones.first().cloned() else { return };
-            self.horizon = self.horizon.max(oldest.0.revision);
-            self.forget(&oldest.0.name);
+        while self.index.tombstone_count() > self.limits.tombstones {
+            let Some(oldest) = self.index.oldest_tombstone() else { return };
+            self.horizon = self.horizon.max(oldest.revision);
+            self.forget(&oldest.name);
         }
     }
 
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -4,18 +4,12 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-use prost::encoding::encoded_len_varint;
-use prost::Message;
-
 use crate::interest::Interest;
-use crate::messages::{Position, Resource, ResourceKind, ResourceName, Update};
+use crate::messages::{Position, ResourceKind, ResourceName, Update};
+use crate::part_builder::PartBuilder;
 use crate::store::{Store, UpdateKind};
 use crate::subscription::extend_checksum;
 
-/// Bytes of a part apart from its resources and names.
-const PART_OVERHEAD_BYTES: usize = 128;
-/// The most resources looked at for one part, so that one call doesn't hold others up.
-const MAX_VISITED: usize = 20_000;
 /// Kinds in the order in which the store holds them.
 const KINDS: [ResourceKind; 4] =
     [ResourceKind::Route, ResourceKind::Quota, ResourceKind::Endpoint, ResourceKind::Limit];
@@ -268,59 +262,3 @@
     let of_kind = |kind| interest.scopes.iter().map(move |scope| (kind, Some(scope.as_str())));
     KINDS.into_iter().flat_map(of_kind).collect()
 }
-
-/// The encoded size of a message as a field of another one.
-fn field_len(message_len: usize) -> usize {
-    1 + encoded_len_varint(message_len as u64) + message_len
-}
-
-/// Gathers resources and names up to a size.
-struct PartBuilder {
-    resources: Vec<Resource>,
-    absent: Vec<ResourceName>,
-    bytes_left: usize,
-    visits_left: usize,
-}
-
-impl PartBuilder {
-    fn new(chunk_bytes: usize) -> Self {
-        let bytes_left = chunk_bytes.saturating_sub(PART_OVERHEAD_BYTES);
-        Self { resources: Vec::new(), absent: Vec::new(), bytes_left, visits_left: MAX_VISITED }
-    }
-
-    fn is_empty(&self) -> bool {
-        self.resources.is_empty() && self.absent.is_empty()
-    }
-
-    /// Whether a further resource may be looked at.
-    fn visit(&mut self) -> bool {
-        let may_visit = self.visits_left > 0;
-        self.visits_left = self.visits_left.saturating_sub(1);
-        may_visit
-    }
-
-    fn add_resource(&mut self, resource: &Resource) -> bool {
-        let fits = self.take(field_len(resource.encoded_len()));
-        if fits {
-            self.resources.push(resource.clone());
-        }
-        fits
-    }
-
-    fn add_absent(&mut self, name: &ResourceName) -> bool {
-        let fits = self.take(field_len(name.encoded_len()));
-        if fits {
-            self.absent.push(name.clone());
-        }
-        fits
-    }
-
-    /// Takes room of `bytes` if there is so much. There always is for the first, so that each part holds something.
-    fn take(&mut self, bytes: usize) -> bool {
-        let fits = bytes <= self.bytes_left || self.is_empty();
-        if fits {
-            self.bytes_left = self.bytes_left.saturating_sub(bytes);
-        }
-        fits
-    }
-}
--- a/crates/ochrewalk-distribution/src/validation.rs
+++ b/crates/ochrewalk-distribution/src/validation.rs
@@ -134,34 +134,3 @@
         problems.push(ChangeProblem::InvalidNumber { field });
     }
 }
-
-impl Value {
-    /// The kind of name that this value belongs to.
-    pub fn kind(&self) -> ResourceKind {
-        match self {
-            Value::Route(_) => ResourceKind::Route,
-            Value::Quota(_) => ResourceKind::Quota,
-            Value::Endpoint(_) => ResourceKind::Endpoint,
-            Value::Limit(_) => ResourceKind::Limit,
-        }
-    }
-}
-
-impl ResourceName {
-    /// The name of a resource of `kind` in `scope`.
-    pub fn new(kind: ResourceKind, scope: impl Into<String>, name: impl Into<String>) -> Self {
-        Self { kind: kind as i32, scope: scope.into(), name: name.into() }
-    }
-}
-
-impl Resource {
-    /// A change that sets `value`. The store gives it its revision.
-    pub fn set(name: ResourceName, value: Value) -> Self {
-        Self { name, revision: 0, value: Some(value) }
-    }
-
-    /// A change that deletes `name`. The store gives it its revision.
-    pub fn delete(name: ResourceName) -> Self {
-        Self { name, revision: 0, value: None }
-    }
-}
