--- a/crates/ochrewalk-control-plane/src/agent.rs
+++ b/crates/ochrewalk-control-plane/src/agent.rs
@@ -6,7 +6,7 @@
 use mio::{Registry, Token};
 use ochrewalk_distribution::messages::{Body, Position, RegionStatus, ResourceName};
 use ochrewalk_distribution::{
-    Choice, CompleteUpdate, DemandSet, DemandState, Interest, NoRelays, Received, RelayChoice,
+    Choice, CompleteUpdate, DemandSet, DemandState, Interest, NoRelays, ProbeResult, Received, RelayChoice,
     RelayChoiceLimits, Subscription, SubscriptionLimits,
 };
 use std::collections::HashMap;
@@ -129,9 +129,14 @@
         }
     }
 
-    /// A single name that was kept from before; it counts as held.
-    pub fn restore_name(&mut self, name: &ResourceName, is_present: bool, now_us: u64) {
-        self.demand.restore(name, is_present, now_us);
+    /// A single name whose value is part of the state that was persisted.
+    pub fn restore_present(&mut self, name: &ResourceName, now_us: u64) {
+        self.demand.restore_present(name, now_us);
+    }
+
+    /// A single name of which there was nothing in the state that was persisted.
+    pub fn restore_absent(&mut self, name: &ResourceName, now_us: u64) {
+        self.demand.restore_absent(name, now_us);
     }
 
     /// A single name is needed. Gives the names that are no longer held for it.
@@ -324,14 +329,15 @@
     fn probe(&mut self, registry: &Registry, now_us: u64) {
         if let Some((mut connection, until_us)) = self.probe.take() {
             // A connection that stands takes what is written; one that is refused says so when it is read.
-            let is_well = matches!(connection.receive(|_| ()), Ok(false)) && connection.is_established();
-            let is_over = is_well || now_us >= until_us;
+            let is_healthy = matches!(connection.receive(|_| ()), Ok(false)) && connection.is_established();
+            let is_over = is_healthy || now_us >= until_us;
             if !is_over && !connection.is_broken() {
                 self.probe = Some((connection, until_us));
                 return;
             }
             connection.deregister(registry);
-            self.choice.probed(is_well, now_us);
+            let result = if is_healthy { ProbeResult::Healthy } else { ProbeResult::Unhealthy };
+            self.choice.probed(result, now_us);
         }
         if !self.is_connected() {
             return;
@@ -345,7 +351,7 @@
             let address = self.addresses[first];
             match Connection::connect(address, self.probe_token, registry, MAX_SUBSCRIBER_FRAME) {
                 Ok(connection) => self.probe = Some((connection, now_us + CONNECT_US)),
-                Err(_) => self.choice.probed(false, now_us),
+                Err(_) => self.choice.probed(ProbeResult::Unhealthy, now_us),
             }
         }
     }
--- a/crates/ochrewalk-distribution/src/catch_up.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -7,6 +7,7 @@
 use siphasher::sip::SipHasher13;
 
 use crate::pacing::Pacer;
+use crate::server::SubscriberId;
 
 const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
 /// The shortest time until a subscriber comes back.
@@ -43,6 +44,24 @@
     }
 }
 
+/// When a subscriber that is not admitted is to come back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct RetryAfter {
+    pub(crate) milliseconds: u64,
+}
+
+/// A hash of a node's name that is the same in every program.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct NodeHash(u64);
+
+impl NodeHash {
+    fn of(node: &str) -> Self {
+        let mut hasher = SipHasher13::new();
+        hasher.write(node.as_bytes());
+        Self(hasher.finish())
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Waiting {
     bytes: u64,
@@ -54,10 +73,9 @@
 pub(crate) struct CatchUp {
     limits: CatchUpLimits,
     pacer: Pacer,
-    /// Bytes still to be sent, by number of the subscriber.
-    admitted: BTreeMap<u64, u64>,
-    /// By hash of the node's name.
-    waiting: BTreeMap<u64, Waiting>,
+    /// Bytes still to be sent to each.
+    admitted: BTreeMap<SubscriberId, u64>,
+    waiting: BTreeMap<NodeHash, Waiting>,
 }
 
 impl CatchUp {
@@ -70,27 +88,27 @@
         bytes <= self.limits.small_update_bytes
     }
 
-    /// Whether `bytes` may be fetched now by `node`; if not, after how many milliseconds it is to come back.
-    pub(crate) fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), u64> {
+    /// Admits `node`, which has `bytes` to fetch, or tells when it is to come back.
+    pub(crate) fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), RetryAfter> {
         self.waiting.retain(|_, waiting| waiting.returns_at_us.saturating_add(WAITING_GRACE_US) > now_us);
-        let node_hash = stable_hash(node);
+        let node_hash = NodeHash::of(node);
         if self.is_small(bytes) || self.has_capacity_for(bytes) {
             self.waiting.remove(&node_hash);
             return Ok(());
         }
         let after_ms = self.retry_after_ms(node_hash, bytes);
         self.remember(node_hash, bytes, after_ms, now_us);
-        Err(after_ms)
+        Err(RetryAfter { milliseconds: after_ms })
     }
 
-    /// After how many milliseconds `node` is to come back, where nobody is admitted.
-    pub(crate) fn defer(&mut self, node: &str, now_us: u64) -> u64 {
-        let after_ms = self.retry_after_ms(stable_hash(node), u64::MAX);
-        self.remember(stable_hash(node), 0, after_ms, now_us);
-        after_ms
+    /// When `node` is to come back, where nobody is admitted.
+    pub(crate) fn defer(&mut self, node: &str, now_us: u64) -> RetryAfter {
+        let after_ms = self.retry_after_ms(NodeHash::of(node), u64::MAX);
+        self.remember(NodeHash::of(node), 0, after_ms, now_us);
+        RetryAfter { milliseconds: after_ms }
     }
 
-    fn remember(&mut self, node_hash: u64, bytes: u64, after_ms: u64, now_us: u64) {
+    fn remember(&mut self, node_hash: NodeHash, bytes: u64, after_ms: u64, now_us: u64) {
         if self.waiting.len() < self.limits.max_waiting || self.waiting.contains_key(&node_hash) {
             let returns_at_us = now_us.saturating_add(after_ms * MICROSECONDS_PER_MILLISECOND);
             self.waiting.insert(node_hash, Waiting { bytes, returns_at_us });
@@ -113,22 +131,23 @@
 
     /// The time that those admitted and those waiting with no more to fetch take, and up to a quarter more by the node's
     /// hash so that equal ones do not come back at once.
-    fn retry_after_ms(&self, node_hash: u64, bytes: u64) -> u64 {
-        let goes_first = |(hash, waiting): &(&u64, &Waiting)| **hash != node_hash && waiting.bytes <= bytes;
+    fn retry_after_ms(&self, node_hash: NodeHash, bytes: u64) -> u64 {
+        let goes_first =
+            |(hash, waiting): &(&NodeHash, &Waiting)| **hash != node_hash && waiting.bytes <= bytes;
         let before = self.waiting.iter().filter(goes_first).map(|(_, waiting)| waiting.bytes);
         let before = before.fold(self.backlog_bytes(), u64::saturating_add);
         let wait_ms = self.duration_ms(before).clamp(MIN_RETRY_MS, MAX_RETRY_MS);
-        wait_ms + node_hash % (wait_ms / 4)
+        wait_ms + node_hash.0 % (wait_ms / 4)
     }
 
-    /// The subscriber of `number` has `bytes` to fetch.
-    pub(crate) fn begin(&mut self, number: u64, bytes: u64) {
-        self.admitted.insert(number, bytes);
+    /// `subscriber` has `bytes` to fetch.
+    pub(crate) fn begin(&mut self, subscriber: SubscriberId, bytes: u64) {
+        self.admitted.insert(subscriber, bytes);
     }
 
-    /// Whether the subscriber of `number` is being caught up.
-    pub(crate) fn is_admitted(&self, number: u64) -> bool {
-        self.admitted.contains_key(&number)
+    /// Whether `subscriber` is being caught up.
+    pub(crate) fn is_admitted(&self, subscriber: SubscriberId) -> bool {
+        self.admitted.contains_key(&subscriber)
     }
 
     /// From when on a further part may be sent to any of those being caught up.
@@ -136,23 +155,16 @@
         self.pacer.free_at_us()
     }
 
-    /// A part of `bytes` is sent to the subscriber of `number`.
-    pub(crate) fn charge(&mut self, number: u64, bytes: usize, now_us: u64) {
-        if let Some(left) = self.admitted.get_mut(&number) {
+    /// A part of `bytes` is sent to `subscriber`.
+    pub(crate) fn charge(&mut self, subscriber: SubscriberId, bytes: usize, now_us: u64) {
+        if let Some(left) = self.admitted.get_mut(&subscriber) {
             *left = left.saturating_sub(bytes as u64);
             self.pacer.charge(bytes, now_us);
         }
     }
 
-    /// The subscriber of `number` is caught up, or gone.
-    pub(crate) fn end(&mut self, number: u64) {
-        self.admitted.remove(&number);
+    /// `subscriber` is caught up, or gone.
+    pub(crate) fn end(&mut self, subscriber: SubscriberId) {
+        self.admitted.remove(&subscriber);
     }
 }
-
-/// A hash of `text` that is the same in every program.
-pub(crate) fn stable_hash(text: &str) -> u64 {
-    let mut hasher = SipHasher13::new();
-    hasher.write(text.as_bytes());
-    hasher.finish()
-}
--- a/crates/ochrewalk-distribution/src/demand.rs
+++ b/crates/ochrewalk-distribution/src/demand.rs
@@ -71,11 +71,19 @@
         Some(Watch { add: vec![name.clone()], remove })
     }
 
-    /// `name` is watched since before a restart, and its answer is part of the saved state.
-    pub fn restore(&mut self, name: &ResourceName, is_present: bool, now_us: u64) {
+    /// `name` is watched since before a restart, and its value is part of the saved state. Ignored once the set is full.
+    pub fn restore_present(&mut self, name: &ResourceName, now_us: u64) {
+        self.restore(name, DemandState::Present, now_us);
+    }
+
+    /// `name` is watched since before a restart, and there was nothing of it. Ignored once the set is full.
+    pub fn restore_absent(&mut self, name: &ResourceName, now_us: u64) {
+        self.restore(name, DemandState::Absent, now_us);
+    }
+
+    fn restore(&mut self, name: &ResourceName, state: DemandState, now_us: u64) {
         let has_capacity = self.entries.len() < self.limit;
         if has_capacity && !self.entries.contains_key(name) {
-            let state = if is_present { DemandState::Present } else { DemandState::Absent };
             self.add(name, state, now_us);
         }
     }
--- a/crates/ochrewalk-distribution/src/interest.rs
+++ b/crates/ochrewalk-distribution/src/interest.rs
@@ -26,15 +26,6 @@
         Self { scopes: scopes.into_iter().map(Into::into).collect(), ..Self::default() }
     }
 
-    /// What `message` asks for.
-    pub fn of(message: &Subscribe) -> Self {
-        Self {
-            everything: message.everything,
-            scopes: message.scopes.iter().cloned().collect(),
-            names: message.names.iter().cloned().collect(),
-        }
-    }
-
     /// Whether the subscriber wants the resource of `name`.
     pub fn matches(&self, name: &ResourceName) -> bool {
         self.everything || self.scopes.contains(&name.scope) || self.names.contains(name)
@@ -48,3 +39,13 @@
         self.names.extend(watch.add.iter().cloned());
     }
 }
+
+impl From<&Subscribe> for Interest {
+    fn from(message: &Subscribe) -> Self {
+        Self {
+            everything: message.everything,
+            scopes: message.scopes.iter().cloned().collect(),
+            names: message.names.iter().cloned().collect(),
+        }
+    }
+}
--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -55,7 +55,7 @@
 pub use demand::{DemandSet, DemandState};
 pub use epochs::EpochStart;
 pub use interest::Interest;
-pub use relay_choice::{Choice, NoRelays, RelayChoice, RelayChoiceLimits};
+pub use relay_choice::{Choice, NoRelays, ProbeResult, RelayChoice, RelayChoiceLimits};
 pub use rollback::{rollback_changes, RollbackError};
 pub use server::{Admission, NextUpdate, Server, ServerLimits, SubscribeError, SubscriberId};
 pub use status::merge;
--- a/crates/ochrewalk-distribution/src/relay_choice.rs
+++ b/crates/ochrewalk-distribution/src/relay_choice.rs
@@ -37,6 +37,15 @@
     Wait { until_us: u64 },
 }
 
+/// What a probe of the first choice found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProbeResult {
+    /// It accepted a connection.
+    Healthy,
+    /// It refused the connection, or did not accept it in time.
+    Unhealthy,
+}
+
 /// No relay is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a node needs at least one relay")]
@@ -160,8 +169,8 @@
     }
 
     /// The first choice was probed. The next probe is due after the longest backoff, or at once when the node may return.
-    pub fn probed(&mut self, is_healthy: bool, now_us: u64) {
-        if !is_healthy {
+    pub fn probed(&mut self, result: ProbeResult, now_us: u64) {
+        if result == ProbeResult::Unhealthy {
             return self.fail(0, now_us);
         }
         self.relays[0].failures = 0;
--- a/crates/ochrewalk-distribution/src/server/mod.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -7,7 +7,7 @@
 
 use prost::Message;
 
-use crate::catch_up::{CatchUp, CatchUpLimits};
+use crate::catch_up::{CatchUp, CatchUpLimits, RetryAfter};
 use crate::interest::Interest;
 use crate::messages::{
     Position, RegionStatus, Report, ResourceName, Subscribe, Update, Watch, PROTOCOL_VERSION,
@@ -143,15 +143,15 @@
         if let Some(reason) = self.refusal(&message) {
             return Admission::Refused { reason };
         }
-        let interest = Interest::of(&message);
+        let interest = Interest::from(&message);
         let bytes = self.bytes_lacking(&interest, message.applied);
-        if let Err(after_ms) = self.admit(&message.node, bytes, now_us) {
-            return Admission::RetryLater { after_ms };
+        if let Err(retry) = self.admit(&message.node, bytes, now_us) {
+            return Admission::RetryLater { after_ms: retry.milliseconds };
         }
         self.last_id += 1;
         let id = SubscriberId(self.last_id);
         if !self.catch_up.is_small(bytes) {
-            self.catch_up.begin(id.0, bytes);
+            self.catch_up.begin(id, bytes);
         }
         let subscriber = Subscriber {
             node: message.node,
@@ -168,12 +168,12 @@
     }
 
     /// A store without anything has nothing to admit by: its subscribers come back once it has.
-    fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), u64> {
+    fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), RetryAfter> {
         let is_full = self.subscribers.len() >= self.limits.max_subscribers;
-        match is_full || self.is_without_state() {
-            true => Err(self.catch_up.defer(node, now_us)),
-            false => self.catch_up.admit(node, bytes, now_us),
+        if is_full || self.is_without_state() {
+            return Err(self.catch_up.defer(node, now_us));
         }
+        self.catch_up.admit(node, bytes, now_us)
     }
 
     fn is_without_state(&self) -> bool {
@@ -258,13 +258,13 @@
         subscriber.reject(rejection.position, in_force);
         rejection.node.clone_from(&subscriber.node);
         self.rejections.add(rejection);
-        self.catch_up.end(id.0);
+        self.catch_up.end(id);
     }
 
     /// The connection of a subscriber has ended.
     pub fn unsubscribe(&mut self, id: SubscriberId) {
         self.subscribers.remove(&id);
-        self.catch_up.end(id.0);
+        self.catch_up.end(id);
     }
 
     /// What is to be done for a subscriber whose connection has room. No part is built before.
@@ -273,7 +273,7 @@
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return NextUpdate::Idle };
         let Activity::Receiving(progress) = &mut subscriber.activity else { return NextUpdate::Idle };
         let mut free_at_us = subscriber.pacer.free_at_us();
-        if self.catch_up.is_admitted(id.0) {
+        if self.catch_up.is_admitted(id) {
             free_at_us = free_at_us.max(self.catch_up.free_at_us());
         }
         if free_at_us > now_us && progress.rounds() <= MAX_PACED_ROUNDS {
@@ -283,10 +283,10 @@
         let Built::Part(update) = built else { return NextUpdate::Wait { until_us: now_us } };
         let bytes = update.encoded_len();
         subscriber.pacer.charge(bytes, now_us);
-        self.catch_up.charge(id.0, bytes, now_us);
+        self.catch_up.charge(id, bytes, now_us);
         if update.is_last {
             subscriber.finish_receiving(update.position);
-            self.catch_up.end(id.0);
+            self.catch_up.end(id);
         }
         NextUpdate::Send(update)
     }
@@ -309,7 +309,7 @@
         };
         let bytes = self.store.snapshot_bytes(&subscriber.interest);
         if progress.is_snapshot() && !self.catch_up.is_small(bytes) {
-            self.catch_up.begin(id.0, bytes);
+            self.catch_up.begin(id, bytes);
         }
         subscriber.activity = Activity::Receiving(progress);
     }
--- a/crates/ochrewalk-distribution/tests/demand.rs
+++ b/crates/ochrewalk-distribution/tests/demand.rs
@@ -51,9 +51,9 @@
 #[test]
 fn names_restored_are_not_asked_for_again() {
     let mut demand = DemandSet::new(2);
-    for (number, is_present) in [(1, true), (2, false), (3, true)] {
-        demand.restore(&name(number), is_present, 0);
-    }
+    demand.restore_present(&name(1), 0);
+    demand.restore_absent(&name(2), 0);
+    demand.restore_present(&name(3), 0);
     assert_eq!(demand.len(), 2);
     assert_eq!(demand.state(&name(1)), Some(DemandState::Present));
     assert_eq!(demand.state(&name(2)), Some(DemandState::Absent));
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -182,7 +182,7 @@
     /// What a node has in force is the publisher's state of its position, of all that it wants and has been answered.
     fn assert_whole(&self, node: usize) {
         let node = &self.members[node].node;
-        let held = Interest::of(&node.subscription.subscribe_message());
+        let held = Interest::from(&node.subscription.subscribe_message());
         let mut expected = self.history[&node.store.position()].clone();
         expected.retain(|name, _| held.matches(name));
         assert_eq!(values(&node.store, &Interest::everything()), expected);
--- a/crates/ochrewalk-distribution/tests/relay_choice.rs
+++ b/crates/ochrewalk-distribution/tests/relay_choice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ochrewalk_distribution::{Choice, NoRelays, RelayChoice, RelayChoiceLimits};
+use ochrewalk_distribution::{Choice, NoRelays, ProbeResult, RelayChoice, RelayChoiceLimits};
 use proptest::prelude::*;
 
 const LIMITS: RelayChoiceLimits = RelayChoiceLimits {
@@ -119,10 +119,11 @@
 }
 
 /// Probes the first relay whenever it is due, and gives the time at which the node goes back to it.
-fn return_time_us(choice: &mut RelayChoice, is_well: impl Fn(u64) -> bool) -> u64 {
+fn return_time_us(choice: &mut RelayChoice, is_healthy: impl Fn(u64) -> bool) -> u64 {
     for now_us in (0..1_000_000).step_by(50) {
         if choice.probe_due(now_us).is_some() {
-            choice.probed(is_well(now_us), now_us);
+            let result = if is_healthy(now_us) { ProbeResult::Healthy } else { ProbeResult::Unhealthy };
+            choice.probed(result, now_us);
         }
         if choice.should_return(now_us) {
             choice.returned();
@@ -163,7 +164,7 @@
     ) {
         let mut choice = RelayChoice::new("node", relays(count), LIMITS, seed).unwrap();
         let mut now_us = 0;
-        for (is_well, later_us) in events {
+        for (is_healthy, later_us) in events {
             now_us += later_us;
             if let Choice::Wait { until_us } = choice.next(now_us) {
                 prop_assert!(until_us > now_us && until_us <= now_us + LIMITS.max_backoff_us);
@@ -171,7 +172,7 @@
             }
             let connects = matches!(choice.next(now_us), Choice::Connect { .. });
             prop_assert!(connects);
-            if is_well {
+            if is_healthy {
                 choice.connected();
             }
             choice.failed(now_us);
--- a/crates/ochrewalk-node/src/configuration/agent.rs
+++ b/crates/ochrewalk-node/src/configuration/agent.rs
@@ -163,7 +163,13 @@
         seed,
     };
     let mut agent = Agent::new(settings, position, AGENT).map_err(|why| why.to_string())?;
-    held.iter().for_each(|(name, is_present)| agent.restore_name(name, *is_present, clock.now_us()));
+    for (name, is_present) in &held {
+        if *is_present {
+            agent.restore_present(name, clock.now_us());
+        } else {
+            agent.restore_absent(name, clock.now_us());
+        }
+    }
     let poll = Poll::new().map_err(|why| format!("config: {why}"))?;
     let waker = Waker::new(poll.registry(), WAKER).map_err(|why| format!("config: {why}"))?;
     let (sender, wanted) = sync_channel(MAX_WANTED);
