--- a/crates/ochrewalk-distribution/src/catch_up.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -1,5 +1,5 @@
-//! Decides which subscribers are caught up now, and when others come back. Those with the least to fetch go first, and the
-//! bytes a second that catching up takes are bounded.
+//! Decides which subscribers are sent what they lack now, and when others are to retry. Those that lack the least go first,
+//! and the bytes a second that catching up takes are bounded.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -10,11 +10,11 @@
 use crate::server::SubscriberId;
 
 const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
-/// The shortest time until a subscriber comes back.
+/// The shortest time until a subscriber retries.
 const MIN_RETRY_MS: u64 = 500;
-/// The longest time until a subscriber comes back.
+/// The longest time until a subscriber retries.
 const MAX_RETRY_MS: u64 = 120_000;
-/// How long a place in the order is kept for one that does not come back when it should.
+/// How long a subscriber that does not retry when it should is still remembered as waiting.
 const WAITING_GRACE_US: u64 = 10_000_000;
 
 /// Bounds on catching up.
@@ -22,13 +22,13 @@
 pub struct CatchUpLimits {
     /// Bytes a second of all catching up together; 0 for no bound.
     pub bytes_per_second: u64,
-    /// Updates up to this size are not counted as catching up, and always get in.
+    /// Updates up to this size, in bytes, are not counted as catching up, and always admitted.
     pub small_update_bytes: u64,
     /// The most subscribers caught up at once.
     pub max_at_once: usize,
     /// The time that catching up all those admitted takes at most, if there is more than one, in milliseconds.
     pub max_backlog_ms: u64,
-    /// The most subscribers told to come back that are remembered.
+    /// The most subscribers remembered of those that were told to retry.
     pub max_waiting: usize,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// When a subscriber that is not admitted is to come back.
+/// When a subscriber that is not admitted is to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RetryAfter {
     pub(crate) milliseconds: u64,
@@ -88,7 +88,7 @@
         bytes <= self.limits.small_update_bytes
     }
 
-    /// Admits `node`, which has `bytes` to fetch, or tells when it is to come back.
+    /// Admits `node`, which has `bytes` to fetch, or says when it is to retry.
     pub(crate) fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), RetryAfter> {
         self.waiting.retain(|_, waiting| waiting.returns_at_us.saturating_add(WAITING_GRACE_US) > now_us);
         let node_hash = NodeHash::of(node);
@@ -101,7 +101,7 @@
         Err(RetryAfter { milliseconds: after_ms })
     }
 
-    /// When `node` is to come back, where nobody is admitted.
+    /// When `node` is to retry, where no subscriber is admitted.
     pub(crate) fn defer(&mut self, node: &str, now_us: u64) -> RetryAfter {
         let after_ms = self.retry_after_ms(NodeHash::of(node), u64::MAX);
         self.remember(NodeHash::of(node), 0, after_ms, now_us);
@@ -130,7 +130,7 @@
     }
 
     /// The time that those admitted and those waiting with no more to fetch take, and up to a quarter more by the node's
-    /// hash so that equal ones do not come back at once.
+    /// hash so that equal ones do not retry at once.
     fn retry_after_ms(&self, node_hash: NodeHash, bytes: u64) -> u64 {
         let goes_first =
             |(hash, waiting): &(&NodeHash, &Waiting)| **hash != node_hash && waiting.bytes <= bytes;
--- a/crates/ochrewalk-distribution/src/demand.rs
+++ b/crates/ochrewalk-distribution/src/demand.rs
@@ -1,4 +1,4 @@
-//! Decides which single names a node watches: those that it used, the least recently used going first once there are too
+//! Decides which single names a node watches: those that it used, the least recently used being evicted once there are too
 //! many.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 /// What is known of a name that was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DemandState {
-    /// It was asked for, and no answer has been applied: the caller's default holds.
+    /// It was requested, and no answer has been applied: the caller's default holds.
     Requested,
     /// There is a value, which the store has.
     Present,
@@ -33,7 +33,7 @@
 }
 
 impl DemandSet {
-    /// An empty set that holds up to `limit` names, and at least one.
+    /// An empty set of up to `limit` names, and at least one.
     pub fn new(limit: usize) -> Self {
         Self { limit: limit.max(1), entries: BTreeMap::new(), by_use: BTreeSet::new() }
     }
@@ -58,8 +58,8 @@
         self.entries.get(name).map(|entry| entry.state)
     }
 
-    /// `name` is used. If it was not watched before, the watch returned is to be sent, and what it removes is to be
-    /// forgotten by the store.
+    /// `name` is used. If it was not watched before, send the watch that is returned, and have the store forget the names
+    /// that it removes.
     pub fn request(&mut self, name: &ResourceName, now_us: u64) -> Option<Watch> {
         if let Some(entry) = self.entries.get_mut(name) {
             let last_us = std::mem::replace(&mut entry.used_us, now_us);
--- a/crates/ochrewalk-distribution/src/epochs.rs
+++ b/crates/ochrewalk-distribution/src/epochs.rs
@@ -1,4 +1,4 @@
-//! Decides which positions lie on the line of changes that a store holds, by where each epoch of it began.
+//! Decides which positions belong to the history of a store, by where each of its epochs began.
 
 use crate::messages::Position;
 
@@ -8,12 +8,13 @@
 /// Where an epoch began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EpochStart {
+    /// The number of the epoch.
     pub epoch: u64,
     /// The last revision before the epoch.
     pub after_revision: u64,
 }
 
-/// The epochs of one line of changes, oldest first. It is never empty.
+/// The epochs of one history of changes, oldest first. It is never empty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct EpochHistory {
     starts: Vec<EpochStart>,
@@ -42,8 +43,7 @@
         self.starts.push(EpochStart { epoch, after_revision });
     }
 
-    /// Whether changes were made on top of `position` on this line: its epoch is known, and no later epoch had begun
-    /// before its revision.
+    /// Whether `position` is part of this history: its epoch is known, and no later epoch had begun before its revision.
     pub(crate) fn contains(&self, position: Position) -> bool {
         let Some(index) = self.starts.iter().position(|start| start.epoch == position.epoch) else {
             return false;
--- a/crates/ochrewalk-distribution/src/interest.rs
+++ b/crates/ochrewalk-distribution/src/interest.rs
@@ -31,7 +31,7 @@
         self.everything || self.scopes.contains(&name.scope) || self.names.contains(name)
     }
 
-    /// Takes over the names that `watch` adds and removes.
+    /// Removes and adds the names of `watch`.
     pub fn update(&mut self, watch: &Watch) {
         for name in &watch.remove {
             self.names.remove(name);
--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -1,8 +1,53 @@
-//! Decides how versioned configuration reaches the nodes of a fleet: what a publisher accepts, what each subscriber is
-//! sent next, what a subscriber applies, and which relay it asks. Nothing here does I/O or reads a clock: times come in as
-//! whole microseconds of a monotonic clock, and messages go in and out as values of [`messages`].
+//! Distribution of versioned configuration to the nodes of a fleet, as state machines without I/O: what a publisher accepts,
+//! what each subscriber is sent next, what a subscriber applies, and which relay it connects to.
 //!
-//! A publisher and each relay have a [`Server`] with a [`Store`]; a relay and each node have a [`Subscription`].
+//! A publisher and each relay have a [`Server`] with a [`Store`]; a relay and each node have a [`Subscription`], a store of
+//! their own, and a [`RelayChoice`] among the servers that they may follow.
+//!
+//! # Guarantees
+//!
+//! * What a subscriber has in force is the publisher's state at one position, of all that it wants and was answered: an
+//!   update is applied complete or not at all.
+//! * A subscriber never goes back to an older position, and never follows a publisher of an older epoch than it has observed.
+//! * All subscribers that stay connected end up at the position of the newest publisher.
+//! * The memory for a subscriber that does not read is bounded, whatever is published meanwhile.
+//!
+//! # States
+//!
+//! A subscriber, as its [`Server`] sees it:
+//!
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | connecting | [`Server::subscribe`] accepts it | ready |
+//! | connecting | too many are caught up, or the relay has no state yet | told to retry later |
+//! | connecting | it needs a later version, wants too much, or has observed a later epoch | refused |
+//! | ready | the store is ahead of it, or it asked for names | receiving an update |
+//! | receiving | a part was sent, and another one is due | receiving |
+//! | receiving | the store can no longer complete the update | receiving a snapshot in place of it |
+//! | receiving | the last part was sent | applying |
+//! | applying | it reports the position as applied | ready |
+//! | applying | it reports the update as rejected | ready, but sent nothing until there is a later position |
+//! | any | [`Server::unsubscribe`] | gone |
+//!
+//! An update, as the [`Subscription`] sees it:
+//!
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | none | a first part that fits the position in force | partial |
+//! | partial | the next part, which is not the last one | partial |
+//! | partial | the first part of a snapshot | partial, of that snapshot |
+//! | partial | the last part, with the right checksum | complete; the caller applies or rejects it |
+//! | any | any other part ([`UpdateError`]), or the stream ends | none |
+//!
+//! # What is left to the caller
+//!
+//! Nothing here does I/O or reads a clock. The caller carries values of [`messages`] over connections, in order and without
+//! loss while a connection lasts; passes times as whole microseconds of a monotonic clock; writes a [`Batch`] to durable
+//! storage before [`Store::replay`]; makes the batch of [`Store::new_epoch`] durable before it serves; and closes a connection
+//! after an error. It has to call [`Server::next`] for each subscriber whenever the store has changed, the subscriber has sent
+//! something, or the time of [`NextUpdate::Wait`] has come.
+//!
+//! # Example
 //!
 //! ```
 //! use ochrewalk_distribution::messages::{Quota, Resource, ResourceKind, ResourceName, Value};
@@ -35,6 +80,8 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+#![warn(missing_docs)]
+
 mod catch_up;
 mod demand;
 mod epochs;
--- a/crates/ochrewalk-distribution/src/messages/stream.rs
+++ b/crates/ochrewalk-distribution/src/messages/stream.rs
@@ -7,10 +7,13 @@
 /// The first message of a subscriber.
 #[derive(Clone, PartialEq, Message)]
 pub struct Subscribe {
+    /// The version of the messages that it needs; see [`PROTOCOL_VERSION`](super::PROTOCOL_VERSION).
     #[prost(uint32, tag = "1")]
     pub version: u32,
+    /// Its name, unique in the fleet.
     #[prost(string, tag = "2")]
     pub node: String,
+    /// The region that it runs in.
     #[prost(string, tag = "3")]
     pub region: String,
     /// What it has applied last; absent where it has nothing.
@@ -25,10 +28,10 @@
     /// It wants all resources of all scopes, as relays do.
     #[prost(bool, tag = "7")]
     pub everything: bool,
-    /// The bytes a second that it may be sent; 0 for no bound.
+    /// The rate at which it may be sent updates, in bytes a second; 0 for no bound.
     #[prost(uint64, tag = "8")]
     pub bytes_per_second: u64,
-    /// The highest epoch that it has heard of: a publisher of a lower one is fenced off.
+    /// The highest epoch that it has observed: a publisher of a lower one is fenced.
     #[prost(uint64, tag = "9")]
     pub highest_epoch: u64,
 }
@@ -36,13 +39,15 @@
 /// A subscriber wants further single resources, or no longer wants some.
 #[derive(Clone, PartialEq, Message)]
 pub struct Watch {
+    /// Names that the next update is to answer, and whose changes are sent from then on.
     #[prost(message, repeated, tag = "1")]
     pub add: Vec<ResourceName>,
+    /// Names whose changes are no longer sent. A name in both lists is removed first.
     #[prost(message, repeated, tag = "2")]
     pub remove: Vec<ResourceName>,
 }
 
-/// What became of an update at a subscriber.
+/// A subscriber reports the outcome of an update.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
     /// What is in force there.
@@ -56,15 +61,18 @@
 /// A subscriber keeps its last good state, because an update is wrong for it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Rejection {
+    /// The position of the update that was rejected.
     #[prost(message, required, tag = "1")]
     pub position: Position,
+    /// The subscriber's name.
     #[prost(string, tag = "2")]
     pub node: String,
+    /// Why, for people.
     #[prost(string, tag = "3")]
     pub reason: String,
 }
 
-/// A part of what a subscriber lacks. It applies all parts together once it has the last one.
+/// A part of what a subscriber lacks. The subscriber applies all parts together once it has the last one.
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
     /// The position that all parts lead to; parts of one update may name ever later ones, and the last one's counts.
@@ -73,11 +81,13 @@
     /// Set on the first part of a snapshot: what the subscriber has is to be replaced, not added to.
     #[prost(bool, tag = "2")]
     pub is_snapshot: bool,
+    /// Changed resources; those without a value are deleted.
     #[prost(message, repeated, tag = "3")]
     pub resources: Vec<Resource>,
     /// Names asked for of which there is nothing: their default holds.
     #[prost(message, repeated, tag = "4")]
     pub absent: Vec<ResourceName>,
+    /// Set on the last part.
     #[prost(bool, tag = "5")]
     pub is_last: bool,
     /// The number of this part in its update, from 0 on.
@@ -100,20 +110,21 @@
     pub watches: u64,
 }
 
-/// What a server of updates says while it has nothing to send, so that silence means a broken path.
+/// Sent by a server that has no update to send, so that silence means a broken path.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Heartbeat {
     /// The latest position that it knows of.
     #[prost(message, required, tag = "1")]
     pub position: Position,
-    /// How long ago it heard from its own source, in milliseconds: what it has may be so old.
+    /// The time since its own source last sent anything, in milliseconds: its state may be that old.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
 }
 
-/// Too many come at once: this one comes back after a while.
+/// Too many subscribers connect at once: this one is to connect again later.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct RetryLater {
+    /// The time after which it may connect again, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub after_ms: u64,
 }
@@ -121,19 +132,24 @@
 /// How many subscribers of a region have which position in force.
 #[derive(Clone, PartialEq, Message)]
 pub struct PositionCount {
+    /// The position in force; the default one for those that have none.
     #[prost(message, required, tag = "1")]
     pub position: Position,
+    /// How many subscribers have it in force.
     #[prost(uint64, tag = "2")]
     pub nodes: u64,
 }
 
-/// What a relay tells its publisher of those that it serves.
+/// A relay reports on its subscribers to its publisher.
 #[derive(Clone, PartialEq, Message)]
 pub struct RegionStatus {
+    /// The relay's name; several, parted by commas, where statuses were merged.
     #[prost(string, tag = "1")]
     pub relay: String,
+    /// The region that the relay serves.
     #[prost(string, tag = "2")]
     pub region: String,
+    /// How many subscribers have which position in force, oldest first.
     #[prost(message, repeated, tag = "3")]
     pub in_force: Vec<PositionCount>,
     /// The latest rejection of each node, a bounded number of them.
--- a/crates/ochrewalk-distribution/src/pacing.rs
+++ b/crates/ochrewalk-distribution/src/pacing.rs
@@ -1,9 +1,9 @@
-//! Decides when the next bytes may be sent so that a rate is kept.
+//! Decides when the next bytes may be sent under a rate limit.
 
 const MICROSECONDS_PER_SECOND: u128 = 1_000_000;
 
-/// Spaces messages out in time: each may go once those before it are paid for. In any span of time no more is sent than
-/// the rate allows, and one message.
+/// Spaces messages out in time: each may be sent once the time that those before it take at the rate has passed. In any
+/// span of time no more is sent than the rate allows, plus one message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Pacer {
     /// 0 for no bound.
--- a/crates/ochrewalk-distribution/src/relay_choice.rs
+++ b/crates/ochrewalk-distribution/src/relay_choice.rs
@@ -1,5 +1,5 @@
-//! Decides which of its relays a node connects to, and when: each node has its own stable order of relays, so that nodes
-//! are spread evenly and come back to the same relay.
+//! Decides which of its relays a node connects to, and when. Each node has its own stable order of relays (rendezvous
+//! hashing), so that relays have about as many nodes each, and a node returns to the same one.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
@@ -12,10 +12,11 @@
 pub struct RelayChoiceLimits {
     /// The time to the second attempt after a failure. It doubles with each further failure.
     pub min_backoff_us: u64,
+    /// The longest time between two attempts.
     pub max_backoff_us: u64,
-    /// How long the first choice must have been healthy before a node goes back to it.
+    /// How long the first choice must have been healthy before a node returns to it.
     pub min_healthy_us: u64,
-    /// The most time that a node waits further, so that not all go back at once.
+    /// The bound of a random time that a node waits in addition, so that not all return at once.
     pub return_jitter_us: u64,
 }
 
@@ -33,8 +34,16 @@
 /// Where to connect to, or when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice<'a> {
-    Connect { relay: &'a str },
-    Wait { until_us: u64 },
+    /// Connect now.
+    Connect {
+        /// The name of the relay.
+        relay: &'a str,
+    },
+    /// No relay may be attempted before a later time.
+    Wait {
+        /// That time, in microseconds.
+        until_us: u64,
+    },
 }
 
 /// What a probe of the first choice found.
@@ -69,12 +78,16 @@
     /// The relay connected to, or attempted last.
     current: usize,
     random_state: u64,
-    /// When the node may go back to its first choice; none while that is not healthy.
+    /// When the node may return to its first choice; none while that is not healthy.
     return_at_us: Option<u64>,
 }
 
 impl RelayChoice {
-    /// The choice of `node` among `relays`. Random times are drawn from `seed`.
+    /// The choice of `node` among `relays`. Random times come from a generator that begins with `seed`.
+    ///
+    /// # Errors
+    ///
+    /// Where `relays` is empty.
     pub fn new(
         node: &str,
         relays: impl IntoIterator<Item = String>,
@@ -135,7 +148,7 @@
         self.fail(self.current, now_us);
     }
 
-    /// The current relay told the node to come back later. It is not attempted before.
+    /// The current relay asked the node to connect again after `after_us`. It is not attempted before.
     pub fn retry_later(&mut self, now_us: u64, after_us: u64) {
         let relay = &mut self.relays[self.current];
         relay.not_before_us = now_us.saturating_add(after_us);
@@ -161,7 +174,7 @@
     }
 
     /// The first choice, where the node is connected to another one and the first may be probed: by a connection that is
-    /// closed again, whose result is told to [`probed`](Self::probed).
+    /// closed again. Report its result by [`probed`](Self::probed).
     pub fn probe_due(&self, now_us: u64) -> Option<&str> {
         let first = &self.relays[0];
         let is_due = self.current != 0 && first.not_before_us <= now_us;
@@ -182,13 +195,13 @@
         }
     }
 
-    /// Whether the node, connected to another relay, is to go back to its first choice now: it was healthy at all probes for
-    /// a while. The node connects to the first before it leaves the other.
+    /// Whether the node, connected to another relay, is to return to its first choice now: it was healthy at all probes for
+    /// long enough.
     pub fn should_return(&self, now_us: u64) -> bool {
         self.current != 0 && self.return_at_us.is_some_and(|return_at_us| return_at_us <= now_us)
     }
 
-    /// The node has gone back to its first choice.
+    /// The node has returned to its first choice.
     pub fn returned(&mut self) {
         self.current = 0;
         self.connected();
--- a/crates/ochrewalk-distribution/src/rollback.rs
+++ b/crates/ochrewalk-distribution/src/rollback.rs
@@ -8,23 +8,43 @@
 /// Why a rollback isn't possible.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RollbackError {
+    /// The position is that of the last batch, or later.
     #[error("no batch is later than {to:?}")]
-    NothingToUndo { to: Position },
+    NothingToUndo {
+        /// The position asked for.
+        to: Position,
+    },
+    /// Batches that would have to be undone are no longer recorded.
     #[error("the history does not reach back to {to:?}: its first batch after that has revision {first}")]
-    HistoryTooShort { to: Position, first: u64 },
+    HistoryTooShort {
+        /// The position asked for.
+        to: Position,
+        /// The revision of the first batch after it that is recorded.
+        first: u64,
+    },
+    /// Another publisher made that revision.
     #[error("{to:?} is not on the line of this history, where that revision is of epoch {epoch}")]
-    UnknownPosition { to: Position, epoch: u64 },
+    UnknownPosition {
+        /// The position asked for.
+        to: Position,
+        /// The epoch of that revision in this history.
+        epoch: u64,
+    },
 }
 
 struct Undone<'a> {
-    /// What the first undone batch found.
+    /// The value before the first undone batch.
     before: &'a Option<Value>,
-    /// What the last undone batch left.
+    /// The value after the last undone batch.
     now: &'a Option<Value>,
 }
 
-/// The changes that undo all batches of `history` (oldest first) after `to`: a name deleted since comes back, one made
+/// The changes that undo all batches of `history` (oldest first) after `to`: a name deleted since is set again, one made
 /// since is deleted, and names that are as they were are left out.
+///
+/// # Errors
+///
+/// Where there is nothing to undo, or `history` does not contain all batches after `to`.
 pub fn rollback_changes(history: &[Batch], to: Position) -> Result<Vec<Resource>, RollbackError> {
     let undone = batches_after(history, to)?;
     let mut names: BTreeMap<&ResourceName, Undone> = BTreeMap::new();
--- a/crates/ochrewalk-distribution/src/server/mod.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! Decides what a publisher or relay sends to each of its subscribers, and when. Nothing is queued for a subscriber: what
-//! it lacks is told by a cursor into the store, and built when its connection has room.
+//! Decides what a publisher or relay sends to each of its subscribers, and when. Nothing is queued for a subscriber: a
+//! cursor into the store says what it lacks, and the next part is built when its connection can take it.
 
 mod subscriber;
 
@@ -29,11 +29,13 @@
 pub struct ServerLimits {
     /// The largest part of an update in encoded bytes, unless a single resource takes more.
     pub chunk_bytes: usize,
+    /// The most subscribers at a time; further ones are told to retry later.
     pub max_subscribers: usize,
     /// The most scopes and single names of one subscriber together.
     pub max_interest: usize,
     /// The most rejections that a status lists.
     pub max_rejections: usize,
+    /// Bounds on sending subscribers what they lack after they connected.
     pub catch_up: CatchUpLimits,
 }
 
@@ -53,15 +55,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SubscriberId(u64);
 
-/// What becomes of a subscriber that comes.
+/// The decision on a subscriber that connects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
+    /// It is served from now on.
     Accepted(SubscriberId),
-    /// Too many come at once.
+    /// Too many subscribers connect at once.
     RetryLater {
+        /// The time after which it may connect again, in milliseconds.
         after_ms: u64,
     },
+    /// It cannot be served, now or later.
     Refused {
+        /// Why.
         reason: SubscribeError,
     },
 }
@@ -69,24 +75,44 @@
 /// Why a subscriber is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubscribeError {
+    /// The subscriber needs a later version of the messages.
     #[error("the subscriber needs version {version} of the messages, and this is {PROTOCOL_VERSION}")]
-    UnknownVersion { version: u32 },
+    UnknownVersion {
+        /// The version that it needs.
+        version: u32,
+    },
+    /// The subscriber has observed a later publisher than the one that this server follows.
     #[error("epoch {heard} was heard of, and this server has epoch {own}")]
-    OlderEpoch { own: u64, heard: u64 },
+    OlderEpoch {
+        /// This server's epoch.
+        own: u64,
+        /// The epoch that the subscriber has observed.
+        heard: u64,
+    },
+    /// The subscriber wants more than one subscriber may.
     #[error("{count} scopes and names are wanted, more than {limit}")]
-    TooManyNames { count: usize, limit: usize },
+    TooManyNames {
+        /// How many scopes and names it wants.
+        count: usize,
+        /// The bound.
+        limit: usize,
+    },
+    /// A name or scope is empty, too long or of an unknown kind.
     #[error("a name is not valid")]
     InvalidName,
 }
 
-/// What is to be done for a subscriber now.
+/// What the caller has to do for a subscriber now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextUpdate {
-    /// Send this, and ask again once the connection has room.
+    /// Send this part, and call again once the connection has written it.
     Send(Update),
-    /// Ask again at this time.
-    Wait { until_us: u64 },
-    /// Nothing until the store changes or the subscriber sends something.
+    /// Call again at a later time.
+    Wait {
+        /// That time, in microseconds.
+        until_us: u64,
+    },
+    /// Call again when the store has changed or the subscriber has sent something.
     Idle,
 }
 
@@ -104,7 +130,7 @@
 }
 
 impl Server {
-    /// A server of what is in `store`. `name` and `region` are told in its status.
+    /// A server of what is in `store`. `name` and `region` are part of its status.
     pub fn new(
         name: impl Into<String>,
         region: impl Into<String>,
@@ -128,7 +154,7 @@
         &self.store
     }
 
-    /// What is served, to be changed. Subscribers are to be asked for by [`next`](Self::next) after that.
+    /// What is served, to be changed. Call [`next`](Self::next) for each subscriber after a change.
     pub fn store_mut(&mut self) -> &mut Store {
         &mut self.store
     }
@@ -138,7 +164,7 @@
         self.subscribers.keys().copied()
     }
 
-    /// A subscriber has come.
+    /// A subscriber connects. Nothing of it is remembered unless it is accepted, but for when it may retry.
     pub fn subscribe(&mut self, now_us: u64, message: Subscribe) -> Admission {
         if let Some(reason) = self.refusal(&message) {
             return Admission::Refused { reason };
@@ -167,7 +193,7 @@
         Admission::Accepted(id)
     }
 
-    /// A store without anything has nothing to admit by: its subscribers come back once it has.
+    /// A relay without state cannot know what a subscriber lacks: subscribers retry until it has state.
     fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), RetryAfter> {
         let is_full = self.subscribers.len() >= self.limits.max_subscribers;
         if is_full || self.is_without_state() {
@@ -223,8 +249,12 @@
         bytes
     }
 
-    /// A subscriber wants further single names, or no longer wants some. The next update answers those added. An error
-    /// means that nothing was taken over, and that the connection is to be ended.
+    /// A subscriber wants further single names, or no longer wants some. The next update answers those added.
+    ///
+    /// # Errors
+    ///
+    /// Where a name is not valid, or the subscriber would want too many. Nothing is changed then, and the caller is to close
+    /// the connection.
     pub fn watch(&mut self, id: SubscriberId, watch: &Watch) -> Result<(), SubscribeError> {
         let limit = self.limits.max_interest;
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return Ok(()) };
@@ -245,7 +275,7 @@
         Ok(())
     }
 
-    /// A subscriber tells what became of an update.
+    /// A subscriber reports the outcome of an update. The next one is sent only after that.
     pub fn report(&mut self, id: SubscriberId, report: Report) {
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return };
         let in_force = Some(report.applied).filter(|position| position.epoch != 0);
@@ -267,7 +297,8 @@
         self.catch_up.end(id);
     }
 
-    /// What is to be done for a subscriber whose connection has room. No part is built before.
+    /// What to do for a subscriber whose connection has written all that it was given. A part is built only here, so that
+    /// a subscriber that does not read costs the memory of one part.
     pub fn next(&mut self, id: SubscriberId, now_us: u64) -> NextUpdate {
         self.begin_update(id);
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return NextUpdate::Idle };
--- a/crates/ochrewalk-distribution/src/status.rs
+++ b/crates/ochrewalk-distribution/src/status.rs
@@ -1,10 +1,10 @@
-//! Decides how the states of many subscribers are summed up for operators.
+//! Sums up the states of many subscribers for operators.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::messages::{Position, PositionCount, RegionStatus, Rejection};
 
-/// The longest reason of a rejection that is kept, in bytes.
+/// The longest reason of a rejection that is remembered, in bytes.
 const MAX_REASON_BYTES: usize = 512;
 
 /// The latest rejection of each node, a bounded number of them, oldest first.
@@ -59,10 +59,10 @@
     for status in statuses {
         regions.entry(status.region.clone()).or_default().push(status);
     }
-    regions.into_iter().map(|(region, relays)| merge_region(region, relays, max_rejections)).collect()
+    regions.into_iter().map(|(region, relays)| merge_region(region, &relays, max_rejections)).collect()
 }
 
-fn merge_region(region: String, relays: Vec<RegionStatus>, max_rejections: usize) -> RegionStatus {
+fn merge_region(region: String, relays: &[RegionStatus], max_rejections: usize) -> RegionStatus {
     let mut names: Vec<&str> = relays.iter().map(|status| status.relay.as_str()).collect();
     names.sort_unstable();
     names.dedup();
@@ -71,7 +71,7 @@
         relay: names.join(", "),
         region,
         in_force: count_positions(counts.map(|count| (count.position, count.nodes))),
-        rejections: merge_rejections(&relays, max_rejections),
+        rejections: merge_rejections(relays, max_rejections),
         position: relays.iter().map(|status| status.position).min().unwrap_or_default(),
     }
 }
--- a/crates/ochrewalk-distribution/src/store/mod.rs
+++ b/crates/ochrewalk-distribution/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! Decides what the state is: the newest value of each name, in which order names were changed, and from which positions
-//! differences can be told. Publishers, relays and nodes use the same store.
+//! The state: the newest change of each name, the order of all changes, and the positions from which differences are
+//! complete. Publishers, relays and nodes use the same store.
 
 mod batch;
 mod index;
@@ -21,7 +21,7 @@
 /// Bounds of a [`Store`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoreLimits {
-    /// The most deleted names remembered. Subscribers that were away for longer are sent a snapshot.
+    /// The most tombstones. A subscriber that lacks a deletion which is no longer remembered is sent a snapshot.
     pub tombstones: usize,
 }
 
@@ -34,9 +34,12 @@
 /// What a subscriber has to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// What was changed after this revision.
-    Differences { after: u64 },
-    /// All that it wants.
+    /// The newest changes that it wants after a revision.
+    Differences {
+        /// That revision.
+        after: u64,
+    },
+    /// All resources that it wants.
     Snapshot,
 }
 
@@ -53,7 +56,7 @@
 }
 
 impl Store {
-    /// An empty store. A relay or node that has heard of nothing yet begins at epoch 0, a publisher at 1 or above.
+    /// An empty store. A relay or node without state begins at epoch 0, a publisher at 1 or above.
     pub fn new(epoch: u64, limits: StoreLimits) -> Self {
         Self {
             limits,
@@ -70,7 +73,7 @@
         Position { epoch: self.epochs.current(), revision: self.revision }
     }
 
-    /// The highest epoch heard of, here or elsewhere.
+    /// The highest epoch observed: its own, or that of a peer.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
@@ -139,8 +142,11 @@
         self.index.snapshot_bytes(interest)
     }
 
-    /// Applies `changes` together at a new revision, or refuses them all. `expected` is the position that the caller
-    /// took the state to be at.
+    /// Applies `changes` together at a new revision. `expected` is the position that the caller took the state to be at.
+    ///
+    /// # Errors
+    ///
+    /// With all reasons for which the batch is refused; nothing of it is applied then.
     pub fn publish(
         &mut self,
         changes: &[Resource],
@@ -151,8 +157,12 @@
         Ok(batch)
     }
 
-    /// The batch that `changes` would be, or why they are refused. The state stays as it is until the batch is handed to
-    /// [`replay`](Self::replay), once it is durable.
+    /// The batch that `changes` would be. The state stays as it is until the batch is passed to [`replay`](Self::replay), once
+    /// it is durable.
+    ///
+    /// # Errors
+    ///
+    /// With all reasons for which the batch is refused.
     pub fn prepare(&self, changes: &[Resource], expected: Option<Position>) -> Result<Batch, PublishError> {
         let reasons = self.refusal_reasons(changes, expected);
         if !reasons.is_empty() {
@@ -166,7 +176,7 @@
         Ok(Batch { position, resources: changes.iter().map(at_revision).collect(), previous })
     }
 
-    /// The order of changes as a whole, to be kept beside the resources.
+    /// The order of all changes, to be persisted together with the resources.
     pub fn order(&self) -> ChangeOrder {
         ChangeOrder {
             revision: self.revision,
@@ -176,8 +186,8 @@
         }
     }
 
-    /// The state that was kept: the newest change of each name, deletions included, and their order. Deletions beyond the
-    /// bound are forgotten again.
+    /// The state that was persisted: the newest change of each name, deletions included, and their order. Deletions beyond
+    /// the bound are forgotten.
     pub fn restore(
         order: &ChangeOrder,
         resources: impl IntoIterator<Item = Resource>,
@@ -243,7 +253,11 @@
         self.forget_tombstones();
     }
 
-    /// Applies a recorded batch at restart. Batches must come in their order.
+    /// Applies a recorded batch.
+    ///
+    /// # Errors
+    ///
+    /// Where it is not the next batch after the position of the store.
     pub fn replay(&mut self, batch: &Batch) -> Result<(), ApplyError> {
         let applied = self.position();
         let begins_epoch = batch.position.epoch > applied.epoch;
@@ -262,8 +276,8 @@
         Ok(())
     }
 
-    /// This publisher takes over: an epoch above all heard of begins. The batch returned has no changes; it is to be
-    /// recorded before anything is published, so that the epoch is not used again after a restart.
+    /// This publisher takes over: an epoch above all observed ones begins. The batch returned has no changes; record it
+    /// before anything is published, so that the epoch is not used again after a restart.
     pub fn new_epoch(&mut self) -> Batch {
         let epoch = self.highest_epoch.saturating_add(1);
         self.epochs.begin(epoch, self.revision);
@@ -271,13 +285,18 @@
         Batch { position: self.position(), resources: Vec::new(), previous: Vec::new() }
     }
 
-    /// There is a publisher of `epoch`. If that is above this store's, [`publish`](Self::publish) refuses from now on.
+    /// There is a publisher of `epoch`. If that is above this store's, [`publish`](Self::publish) refuses all changes from
+    /// now on.
     pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
-    /// Applies a complete update, all of it or nothing. It never leads to an older position. Names in `absent` are
-    /// dropped before `resources` are added, and a snapshot replaces everything.
+    /// Applies a complete update, all of it or nothing. Names in `absent` are removed before `resources` are added, and a
+    /// snapshot replaces everything.
+    ///
+    /// # Errors
+    ///
+    /// Where the update would lead to an older position.
     pub fn apply(&mut self, update: &CompleteUpdate) -> Result<(), ApplyError> {
         let applied = self.position();
         if update.position < applied {
@@ -308,7 +327,7 @@
         self.horizon = update.horizon;
     }
 
-    /// Drops `name` without a trace, as it is no longer watched and its value would go stale.
+    /// Removes `name` without a tombstone, as it is no longer watched and its value would go stale.
     pub fn forget(&mut self, name: &ResourceName) {
         self.index.remove(name);
     }
@@ -321,8 +340,8 @@
         }
     }
 
-    /// What a subscriber that has applied `applied` is to be sent. Differences are told only from positions on this
-    /// store's line that are neither before its horizon nor after its own revision.
+    /// What a subscriber that has applied `applied` is to be sent. Differences are complete only from positions in this
+    /// store's own history that are neither before its horizon nor after its revision.
     pub fn differences_from(&self, applied: Option<Position>) -> UpdateKind {
         match applied {
             Some(position)
--- a/crates/ochrewalk-distribution/src/subscription.rs
+++ b/crates/ochrewalk-distribution/src/subscription.rs
@@ -1,4 +1,4 @@
-//! Decides what a subscriber applies: parts of an update are gathered and checked, and are applied only together.
+//! Decides what a subscriber applies: the parts of an update are collected and checked, and applied only together.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,6 +31,7 @@
 /// An update with all its parts, in order and with the right checksum.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompleteUpdate {
+    /// The position that it leads to.
     pub position: Position,
     /// What the subscriber has is to be replaced, not added to.
     pub is_snapshot: bool,
@@ -42,33 +43,73 @@
     pub horizon: u64,
 }
 
-/// What a part of an update led to.
+/// The result of receiving a part of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Received {
-    /// Further parts are to come.
+    /// Further parts are due.
     More,
-    /// The update is whole. Once it is in force or was found wrong, call [`Subscription::applied`] or
-    /// [`Subscription::rejected`].
+    /// All parts have come and fit together. Once the update is in force or was rejected, call [`Subscription::applied`]
+    /// or [`Subscription::rejected`].
     Complete(CompleteUpdate),
 }
 
-/// Why a part of an update was not taken. What is applied stays as it was, and the connection is to be ended.
+/// Why a part of an update was not accepted. What is in force stays as it was, and the caller is to close the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
+    /// A part is missing, or came twice.
     #[error("part {part} came where part {expected} was due")]
-    WrongPart { expected: u32, part: u32 },
+    WrongPart {
+        /// The number of the part that was due.
+        expected: u32,
+        /// The number of the part that came.
+        part: u32,
+    },
+    /// The server follows a publisher that was replaced.
     #[error("the update has epoch {update}, and epoch {highest} was heard of")]
-    OlderEpoch { highest: u64, update: u64 },
+    OlderEpoch {
+        /// The highest epoch observed.
+        highest: u64,
+        /// The update's epoch.
+        update: u64,
+    },
+    /// The update would lead back.
     #[error("the update leads to {update:?}, older than {newer:?}")]
-    OlderPosition { newer: Position, update: Position },
+    OlderPosition {
+        /// The position in force, or of the part before.
+        newer: Position,
+        /// The part's position.
+        update: Position,
+    },
+    /// The differences are from another position than the one in force.
     #[error("the differences are from {base:?}, and {applied:?} is applied")]
-    WrongBase { applied: Option<Position>, base: Option<Position> },
+    WrongBase {
+        /// The position in force.
+        applied: Option<Position>,
+        /// The position that they are differences from.
+        base: Option<Position>,
+    },
+    /// The update is above its bound.
     #[error("the update is larger than {limit} bytes")]
-    TooLarge { limit: usize },
+    TooLarge {
+        /// The bound, in encoded bytes of all parts.
+        limit: usize,
+    },
+    /// The resources are not those that were sent.
     #[error("the checksum is {actual:#010x}, and the sender's {expected:#010x}")]
-    WrongChecksum { expected: u32, actual: u32 },
+    WrongChecksum {
+        /// The sender's CRC-32.
+        expected: u32,
+        /// The CRC-32 of the resources that came.
+        actual: u32,
+    },
+    /// A resource is newer than the update that it came in.
     #[error("a resource has revision {revision}, after the update's {position:?}")]
-    RevisionAfterPosition { position: Position, revision: u64 },
+    RevisionAfterPosition {
+        /// The update's position.
+        position: Position,
+        /// The resource's revision.
+        revision: u64,
+    },
 }
 
 /// Parts of an update whose last part has not come.
@@ -110,8 +151,8 @@
 }
 
 impl Subscription {
-    /// A subscription of `node`. `saved` is the position of the state that it kept, if it kept one; the single names of
-    /// `interest` are part of that state.
+    /// A subscription of `node`. `saved` is the position of its persisted state, if it has one; the single names of `interest`
+    /// are part of that state.
     pub fn new(
         node: impl Into<String>,
         region: impl Into<String>,
@@ -144,12 +185,12 @@
         self.applied
     }
 
-    /// The highest epoch heard of.
+    /// The highest epoch observed.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
 
-    /// A publisher of `epoch` was heard of elsewhere. Updates of older epochs are refused from now on.
+    /// There is a publisher of `epoch`. Updates of older epochs are refused from now on.
     pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
@@ -197,11 +238,15 @@
         }
     }
 
-    /// A part of an update came.
+    /// A part of an update was received.
+    ///
+    /// # Errors
+    ///
+    /// Where the part cannot belong to a complete and newer update; what was received of the update is dropped.
     pub fn received(&mut self, update: Update) -> Result<Received, UpdateError> {
         let partial = self.partial.take();
         let partial = match partial {
-            // A server that can no longer complete what it began starts anew with a snapshot.
+            // A server that can no longer complete its update begins a snapshot in place of it.
             Some(_) if update.part == 0 && update.is_snapshot => self.first_part(&update)?,
             Some(partial) => partial,
             None => self.first_part(&update)?,
@@ -277,16 +322,15 @@
         }
     }
 
-    /// Whether what an update that answers `watches` watches tells of `name` is to be applied. A name that was removed
-    /// meanwhile would go stale; so would one that was added again, until the server has taken that over.
+    /// Whether to apply what an update that answers the first `watches` watches contains of `name`. A name that was removed
+    /// meanwhile would go stale; so would one that was removed and added again, until the server has processed that.
     fn is_to_be_applied(&self, name: &ResourceName, watches: u64) -> bool {
         let is_of_scope = self.interest.everything || self.interest.scopes.contains(&name.scope);
         let is_answered = self.unanswered.get(name).is_none_or(|watch| *watch <= watches);
         is_of_scope || (self.interest.names.contains(name) && is_answered)
     }
 
-    /// The complete update of `position` is in force. The report is to be sent to the server, which sends no further
-    /// update before it.
+    /// The complete update of `position` is in force. Send the report to the server, which sends no further update before.
     pub fn applied(&mut self, position: Position) -> Report {
         self.applied = Some(position);
         self.observe_epoch(position.epoch);
@@ -296,30 +340,31 @@
         Report { applied: position, rejected: None }
     }
 
-    /// The complete update of `position` is wrong for this subscriber, which keeps what it has.
+    /// The complete update of `position` cannot be applied by this subscriber: the earlier one stays in force. Send the
+    /// report to the server, which sends nothing more until there is a later position.
     pub fn rejected(&mut self, position: Position, reason: impl Into<String>) -> Report {
         self.answered_watches = None;
         let rejection = Rejection { position, node: self.node.clone(), reason: reason.into() };
         Report { applied: self.applied.unwrap_or_default(), rejected: Some(rejection) }
     }
 
-    /// Any message came from the server.
+    /// Any message was received from the server.
     pub fn message_received(&mut self, now_us: u64) {
         self.last_message_us = Some(now_us);
     }
 
-    /// When the last message came from the server.
+    /// When the last message was received from the server, in microseconds.
     pub fn last_message_us(&self) -> Option<u64> {
         self.last_message_us
     }
 
-    /// How long ago the last message came; none if there was none.
+    /// The time since the last message was received, in milliseconds; none if there was none.
     pub fn age_ms(&self, now_us: u64) -> Option<u64> {
         let age_us = now_us.saturating_sub(self.last_message_us?);
         Some(age_us / MICROSECONDS_PER_MILLISECOND)
     }
 
-    /// The stream ended: a half-received update is dropped.
+    /// The stream ended: an incomplete update is dropped.
     pub fn reset(&mut self) {
         self.partial = None;
         self.answered_watches = None;
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -1,5 +1,5 @@
-//! Decides what the next part of an update holds. An update under way is a cursor into the store, so that the memory held
-//! for it doesn't grow with what is changed or with what is to be sent.
+//! Builds the next part of an update. An update under way is a cursor into the store, so that its memory does not grow with
+//! what is changed or with what is to be sent.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -10,15 +10,15 @@
 use crate::store::{Store, UpdateKind};
 use crate::subscription::extend_checksum;
 
-/// Kinds in the order in which the store holds them.
+/// Kinds in the order of the store.
 const KINDS: [ResourceKind; 4] =
     [ResourceKind::Route, ResourceKind::Quota, ResourceKind::Endpoint, ResourceKind::Limit];
 
-/// What the builder found to send.
+/// The result of building a part.
 #[derive(Debug)]
 pub(crate) enum Built {
     Part(Update),
-    /// Nothing yet, as many resources were passed over that the subscriber doesn't want. Ask again at once.
+    /// Nothing yet, as many resources were visited that the subscriber does not want. Call again at once.
     Unfinished,
 }
 
@@ -152,9 +152,9 @@
     fn fill(&mut self, store: &Store, interest: &Interest, part: &mut PartBuilder) -> bool {
         loop {
             let is_stage_done = match self.stage.clone() {
-                Stage::Answers { from } => self.fill_answers(store, from, part),
+                Stage::Answers { from } => self.fill_answers(store, from.as_ref(), part),
                 Stage::Names { range, after } => self.fill_names(store, interest, range, after, part),
-                Stage::Changes { after } => self.fill_changes(store, interest, after, part),
+                Stage::Changes { after } => self.fill_changes(store, interest, after.as_ref(), part),
             };
             if !is_stage_done {
                 return false;
@@ -183,8 +183,8 @@
         false
     }
 
-    fn fill_answers(&mut self, store: &Store, from: Option<ResourceName>, part: &mut PartBuilder) -> bool {
-        let start = from.as_ref().map_or(Bound::Unbounded, Bound::Included);
+    fn fill_answers(&mut self, store: &Store, from: Option<&ResourceName>, part: &mut PartBuilder) -> bool {
+        let start = from.map_or(Bound::Unbounded, Bound::Included);
         for name in self.answers.range::<ResourceName, _>((start, Bound::Unbounded)) {
             let fits = match store.newest(name) {
                 // It comes with the changes.
@@ -233,12 +233,12 @@
         &mut self,
         store: &Store,
         interest: &Interest,
-        after: Option<ResourceName>,
+        after: Option<&ResourceName>,
         part: &mut PartBuilder,
     ) -> bool {
         let from = self.cursor;
-        let mut last: Option<&ResourceName> = after.as_ref();
-        for resource in store.changes_after(from, after.as_ref()) {
+        let mut last = after;
+        for resource in store.changes_after(from, after) {
             if resource.revision > self.target.revision {
                 break;
             }
--- a/crates/ochrewalk-distribution/src/validation.rs
+++ b/crates/ochrewalk-distribution/src/validation.rs
@@ -12,7 +12,7 @@
 /// The most reasons that a refusal lists.
 pub const MAX_REASONS: usize = 100;
 
-/// A batch was refused whole. Nothing of it was applied.
+/// A batch was refused. Nothing of it was applied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("batch refused: {}", list(reasons))]
 pub struct PublishError {
@@ -30,35 +30,90 @@
 /// One reason for which a batch is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RefusalReason {
+    /// There is nothing to change.
     #[error("the batch is empty")]
     EmptyBatch,
+    /// The batch is above its bound.
     #[error("the batch has {changes} changes, more than {MAX_BATCH_CHANGES}")]
-    TooManyChanges { changes: usize },
+    TooManyChanges {
+        /// How many changes it has.
+        changes: usize,
+    },
+    /// Another publisher has taken over.
     #[error("a publisher of epoch {heard} has taken over from this one of epoch {own}")]
-    Fenced { own: u64, heard: u64 },
+    Fenced {
+        /// This publisher's epoch.
+        own: u64,
+        /// The highest epoch observed.
+        heard: u64,
+    },
+    /// The state has changed since the operator looked at it.
     #[error("the state is at {actual:?}, not at the expected {expected:?}")]
-    UnexpectedPosition { expected: Position, actual: Position },
+    UnexpectedPosition {
+        /// The position that the operator expects.
+        expected: Position,
+        /// The position of the state.
+        actual: Position,
+    },
+    /// A change is not valid by itself, or does not fit the state.
     #[error("change {index}: {problem}")]
-    InvalidChange { index: usize, problem: ChangeProblem },
+    InvalidChange {
+        /// The index of the change in the batch.
+        index: usize,
+        /// What is wrong with it.
+        problem: ChangeProblem,
+    },
 }
 
 /// What is wrong with one change of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeProblem {
+    /// The name is of a kind that this version does not know.
     #[error("the kind {kind} is unknown")]
-    UnknownKind { kind: i32 },
+    UnknownKind {
+        /// Its number.
+        kind: i32,
+    },
+    /// A text that is needed is missing.
     #[error("{field} is empty")]
-    EmptyText { field: &'static str },
+    EmptyText {
+        /// Which text.
+        field: &'static str,
+    },
+    /// A text is above its bound.
     #[error("{field} has {bytes} bytes, more than {limit}")]
-    TextTooLong { field: &'static str, bytes: usize, limit: usize },
+    TextTooLong {
+        /// Which text.
+        field: &'static str,
+        /// Its length.
+        bytes: usize,
+        /// The bound, in bytes.
+        limit: usize,
+    },
+    /// A text has characters that cannot be shown.
     #[error("{field} has control characters")]
-    ControlCharacters { field: &'static str },
+    ControlCharacters {
+        /// Which text.
+        field: &'static str,
+    },
+    /// The value does not belong to a name of this kind.
     #[error("the value is a {value:?}, but the name is of a {name:?}")]
-    WrongKindOfValue { name: ResourceKind, value: ResourceKind },
+    WrongKindOfValue {
+        /// The kind of the name.
+        name: ResourceKind,
+        /// The kind of the value.
+        value: ResourceKind,
+    },
+    /// A number is negative, infinite or not a number.
     #[error("{field} is not a finite number of zero or more")]
-    InvalidNumber { field: &'static str },
+    InvalidNumber {
+        /// Which number.
+        field: &'static str,
+    },
+    /// Two changes of a batch have the same name.
     #[error("the same name is in the batch twice")]
     DuplicateName,
+    /// There is nothing of this name to delete.
     #[error("there is no such resource to delete")]
     DeletesMissing,
 }
--- a/crates/ochrewalk-distribution/tests/admission.rs
+++ b/crates/ochrewalk-distribution/tests/admission.rs
@@ -1,4 +1,5 @@
 //! Which subscribers are caught up first, at which rate, and when others come back; all in virtual time.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
--- a/crates/ochrewalk-distribution/tests/common/mod.rs
+++ b/crates/ochrewalk-distribution/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! What tests of the distribution share: names and changes, and a node that is served by a server in virtual time.
 #![allow(dead_code)]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
 
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -1,5 +1,6 @@
 //! Random histories of a publisher, a relay and nodes. Whatever a node has in force is exactly the publisher's state at that
 //! position, and in the end all are equal.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
--- a/crates/ochrewalk-distribution/tests/relay_choice.rs
+++ b/crates/ochrewalk-distribution/tests/relay_choice.rs
@@ -1,4 +1,5 @@
 //! Which relay a node connects to, and when.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
 
--- a/crates/ochrewalk-distribution/tests/store.rs
+++ b/crates/ochrewalk-distribution/tests/store.rs
@@ -1,4 +1,5 @@
 //! What a store accepts, remembers and forgets.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
