--- a/crates/ochrewalk-distribution/src/catch_up.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -6,10 +6,9 @@
 
 use siphasher::sip::SipHasher13;
 
-use crate::pacing::Pacer;
+use crate::pacing::{Pacer, MICROSECONDS_PER_MILLISECOND};
 use crate::server::SubscriberId;
 
-const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
 /// The shortest time until a subscriber retries.
 const MIN_RETRY_MS: u64 = 500;
 /// The longest time until a subscriber retries.
@@ -28,7 +27,7 @@
     pub max_at_once: usize,
     /// The time that catching up all those admitted takes at most, if there is more than one, in milliseconds.
     pub max_backlog_ms: u64,
-    /// The most subscribers remembered of those that were told to retry.
+    /// The most subscribers remembered of those that are to retry.
     pub max_waiting: usize,
 }
 
--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -19,7 +19,7 @@
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | connecting | [`Server::subscribe`] accepts it | ready |
-//! | connecting | too many are caught up, or the relay has no state yet | told to retry later |
+//! | connecting | too many are caught up, or the relay has no state yet | rejected, to retry later |
 //! | connecting | it needs a later version, wants too much, or has observed a later epoch | refused |
 //! | ready | the store is ahead of it, or it asked for names | receiving an update |
 //! | receiving | a part was sent, and another one is due | receiving |
--- a/crates/ochrewalk-distribution/src/pacing.rs
+++ b/crates/ochrewalk-distribution/src/pacing.rs
@@ -1,5 +1,6 @@
 //! Decides when the next bytes may be sent under a rate limit.
 
+pub(crate) const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
 const MICROSECONDS_PER_SECOND: u128 = 1_000_000;
 
 /// Spaces messages out in time: each may be sent once the time that those before it take at the rate has passed. In any
--- a/crates/ochrewalk-distribution/src/rollback.rs
+++ b/crates/ochrewalk-distribution/src/rollback.rs
@@ -62,9 +62,9 @@
 
 fn batches_after(history: &[Batch], to: Position) -> Result<Vec<&Batch>, RollbackError> {
     let with_changes = history.iter().filter(|batch| !batch.resources.is_empty());
-    let (kept, undone): (Vec<&Batch>, Vec<&Batch>) =
+    let (remaining, undone): (Vec<&Batch>, Vec<&Batch>) =
         with_changes.partition(|batch| batch.position.revision <= to.revision);
-    if let Some(last) = kept.last().filter(|last| last.position.revision == to.revision) {
+    if let Some(last) = remaining.last().filter(|last| last.position.revision == to.revision) {
         // A later epoch may have begun at the same revision, an earlier one cannot have.
         if last.position.epoch > to.epoch {
             return Err(RollbackError::UnknownPosition { to, epoch: last.position.epoch });
--- a/crates/ochrewalk-distribution/src/server/mod.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -29,7 +29,7 @@
 pub struct ServerLimits {
     /// The largest part of an update in encoded bytes, unless a single resource takes more.
     pub chunk_bytes: usize,
-    /// The most subscribers at a time; further ones are told to retry later.
+    /// The most subscribers at a time; further ones are to retry later.
     pub max_subscribers: usize,
     /// The most scopes and single names of one subscriber together.
     pub max_interest: usize,
@@ -82,12 +82,12 @@
         version: u32,
     },
     /// The subscriber has observed a later publisher than the one that this server follows.
-    #[error("epoch {heard} was heard of, and this server has epoch {own}")]
+    #[error("epoch {observed} was heard of, and this server has epoch {own}")]
     OlderEpoch {
         /// This server's epoch.
         own: u64,
         /// The epoch that the subscriber has observed.
-        heard: u64,
+        observed: u64,
     },
     /// The subscriber wants more than one subscriber may.
     #[error("{count} scopes and names are wanted, more than {limit}")]
@@ -219,11 +219,11 @@
             return Some(SubscribeError::InvalidName);
         }
         let own = self.store.position().epoch;
-        let heard = message.applied.map_or(0, |position| position.epoch).max(message.highest_epoch);
+        let observed = message.applied.map_or(0, |position| position.epoch).max(message.highest_epoch);
         // A relay without state has no epoch of its own yet, and cannot be behind.
-        if heard > own && !self.is_without_state() {
-            self.store.observe_epoch(heard);
-            return Some(SubscribeError::OlderEpoch { own, heard });
+        if observed > own && !self.is_without_state() {
+            self.store.observe_epoch(observed);
+            return Some(SubscribeError::OlderEpoch { own, observed });
         }
         None
     }
--- a/crates/ochrewalk-distribution/src/server/subscriber.rs
+++ b/crates/ochrewalk-distribution/src/server/subscriber.rs
@@ -14,7 +14,7 @@
     /// It has what it was sent.
     Ready,
     Receiving(UpdateProgress),
-    /// It was sent a whole update and has not reported on it.
+    /// It was sent a complete update and has not reported on it.
     Applying {
         position: Position,
         answers: BTreeSet<ResourceName>,
--- a/crates/ochrewalk-distribution/src/store/mod.rs
+++ b/crates/ochrewalk-distribution/src/store/mod.rs
@@ -211,7 +211,7 @@
         let mut reasons = Vec::new();
         let actual = self.position();
         if self.is_fenced() {
-            reasons.push(RefusalReason::Fenced { own: actual.epoch, heard: self.highest_epoch });
+            reasons.push(RefusalReason::Fenced { own: actual.epoch, observed: self.highest_epoch });
         }
         if let Some(expected) = expected.filter(|expected| *expected != actual) {
             reasons.push(RefusalReason::UnexpectedPosition { expected, actual });
--- a/crates/ochrewalk-distribution/src/subscription.rs
+++ b/crates/ochrewalk-distribution/src/subscription.rs
@@ -10,8 +10,7 @@
 use crate::messages::{
     Position, Rejection, Report, Resource, ResourceName, Subscribe, Update, Watch, PROTOCOL_VERSION,
 };
-
-const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
+use crate::pacing::MICROSECONDS_PER_MILLISECOND;
 
 /// Bounds of a [`Subscription`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -22,7 +22,7 @@
     Unfinished,
 }
 
-/// Where an update stands.
+/// How far an update has got.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     /// Watched names are answered, from this one on.
@@ -37,7 +37,7 @@
 ///
 /// Changes are walked in rounds: each goes to the head that the store had when the round began. A resource that is
 /// changed meanwhile moves behind the target and comes, at its newest revision, in the next round. The update ends when a
-/// round ends at the head, and so holds whole batches only. A round has only what was changed during the one before, so
+/// round ends at the head, and so contains complete batches only. A round has only what was changed during the one before, so
 /// rounds end as soon as less is changed than can be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct UpdateProgress {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Adds what fits, and tells whether the update is complete with it.
+    /// Adds what fits. Returns whether the update is complete with it.
     fn fill(&mut self, store: &Store, interest: &Interest, part: &mut PartBuilder) -> bool {
         loop {
             let is_stage_done = match self.stage.clone() {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Goes on after a stage is done, and tells whether that was the last.
+    /// Goes on after a stage is done. Returns whether that was the last.
     fn next_stage(&mut self, store: &Store) -> bool {
         match self.stage {
             Stage::Answers { .. } if self.is_snapshot => self.stage = Stage::Names { range: 0, after: None },
--- a/crates/ochrewalk-distribution/src/validation.rs
+++ b/crates/ochrewalk-distribution/src/validation.rs
@@ -40,12 +40,12 @@
         changes: usize,
     },
     /// Another publisher has taken over.
-    #[error("a publisher of epoch {heard} has taken over from this one of epoch {own}")]
+    #[error("a publisher of epoch {observed} has taken over from this one of epoch {own}")]
     Fenced {
         /// This publisher's epoch.
         own: u64,
         /// The highest epoch observed.
-        heard: u64,
+        observed: u64,
     },
     /// The state has changed since the operator looked at it.
     #[error("the state is at {actual:?}, not at the expected {expected:?}")]
--- a/crates/ochrewalk-distribution/tests/store.rs
+++ b/crates/ochrewalk-distribution/tests/store.rs
@@ -150,7 +150,7 @@
     let error = store.publish(&changes, Some(position(1, 7))).unwrap_err();
     let invalid = |index, problem| RefusalReason::InvalidChange { index, problem };
     let reasons = [
-        RefusalReason::Fenced { own: 1, heard: 3 },
+        RefusalReason::Fenced { own: 1, observed: 3 },
         RefusalReason::UnexpectedPosition { expected: position(1, 7), actual: position(1, 0) },
         invalid(0, ChangeProblem::EmptyText { field: "name" }),
         invalid(0, ChangeProblem::InvalidNumber { field: "quota" }),
@@ -188,7 +188,7 @@
     store.observe_epoch(4);
     assert!(store.is_fenced());
     let reasons = refused(&mut store, &[quota("a", "one", 1.0)]);
-    assert_eq!(reasons, [RefusalReason::Fenced { own: 1, heard: 4 }]);
+    assert_eq!(reasons, [RefusalReason::Fenced { own: 1, observed: 4 }]);
     assert_eq!(store.new_epoch().position, position(5, 0));
     let batch = store.publish(&[quota("a", "one", 1.0)], None).unwrap();
     assert_eq!(batch.position, position(5, 1));
--- a/crates/ochrewalk-distribution/tests/updates.rs
+++ b/crates/ochrewalk-distribution/tests/updates.rs
@@ -147,7 +147,7 @@
     assert_eq!(node.store.position(), position(1, 1));
     // Nor does it take the node on again, and it learns that it is behind.
     node.disconnect(&mut server);
-    let reason = SubscribeError::OlderEpoch { own: 1, heard: 2 };
+    let reason = SubscribeError::OlderEpoch { own: 1, observed: 2 };
     assert_eq!(node.try_connect(&mut server, 0), Admission::Refused { reason });
     assert!(server.store().is_fenced());
 }
@@ -303,7 +303,7 @@
     }
     // One that knows of the new epoch fences the old publisher.
     moved.disconnect(&mut new);
-    let reason = SubscribeError::OlderEpoch { own: 1, heard: 2 };
+    let reason = SubscribeError::OlderEpoch { own: 1, observed: 2 };
     assert_eq!(moved.try_connect(&mut old, 0), Admission::Refused { reason });
     assert!(old.store_mut().publish(&[quota("a", "tenant-001", 5.0)], None).is_err());
     // The old publisher begins anew as a subscriber of the new one.
