--- a/crates/ochrewalk-control-plane/src/agent.rs
+++ b/crates/ochrewalk-control-plane/src/agent.rs
@@ -140,7 +140,7 @@
     }
 
     /// A single name is needed. Gives the names that are no longer held for it.
-    pub fn want(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
+    pub fn request_name(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
         let Some(watch) = self.demand.request(name, now_us) else { return Vec::new() };
         self.subscription.watch(&watch);
         let removed = watch.remove.clone();
@@ -159,7 +159,7 @@
     /// Sends what a relay tells of its region. It is sent again after a new connection by whoever calls this.
     pub fn send_status(&mut self, status: RegionStatus) {
         if let Link::Subscribed { connection } = &mut self.link {
-            if connection.has_room() {
+            if connection.is_flushed() {
                 let _ = connection.send(Body::RegionStatus(status));
             }
         }
@@ -262,7 +262,7 @@
         self.subscription.message_received(now_us);
         match body {
             Body::Update(update) => {
-                self.is_served();
+                self.enter_subscribed();
                 let received = self.subscription.received(update);
                 match received.map_err(|why| ConnectionError::Protocol(why.to_string()))? {
                     Received::More => Ok(()),
@@ -270,20 +270,20 @@
                 }
             }
             Body::Heartbeat(heartbeat) => {
-                self.is_served();
+                self.enter_subscribed();
                 self.source_age_ms = heartbeat.age_ms;
                 Ok(())
             }
             Body::RetryLater(later) => {
                 self.choice.retry_later(now_us, later.after_ms.saturating_mul(1_000));
-                Err(ConnectionError::ComeBack)
+                Err(ConnectionError::RetryLater)
             }
             Body::Refused(refused) => Err(ConnectionError::Refused(refused.reasons.join("; "))),
             _ => Err(ConnectionError::Protocol("a message that relays do not send".into())),
         }
     }
 
-    fn is_served(&mut self) {
+    fn enter_subscribed(&mut self) {
         let link = std::mem::replace(&mut self.link, Link::Waiting { until_us: 0 });
         self.link = match link {
             Link::Connecting { connection, .. } => {
@@ -319,7 +319,7 @@
 
     fn disconnect(&mut self, registry: &Registry, now_us: u64, why: &ConnectionError) {
         self.close_link(registry, now_us);
-        if !matches!(why, ConnectionError::ComeBack) {
+        if !matches!(why, ConnectionError::RetryLater) {
             tracing::info!(part = "config", "relay {}: {why}", self.choice.current());
             self.choice.failed(now_us);
         }
--- a/crates/ochrewalk-control-plane/src/connection.rs
+++ b/crates/ochrewalk-control-plane/src/connection.rs
@@ -22,7 +22,7 @@
     #[error("it sends what it should not: {0}")]
     Protocol(String),
     #[error("it asks to come back later")]
-    ComeBack,
+    RetryLater,
     #[error("it refuses: {0}")]
     Refused(String),
     #[error(transparent)]
@@ -76,7 +76,7 @@
     }
 
     /// Nothing waits to be written, so that the next message may be made.
-    pub fn has_room(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.outbound.is_empty()
     }
 
@@ -95,7 +95,7 @@
                     self.written += count;
                     self.bytes_out += count as u64;
                 }
-                Err(err) if is_for_later(&err) => return Ok(()),
+                Err(err) if is_retryable(&err) => return Ok(()),
                 Err(err) if err.kind() == io::ErrorKind::Interrupted => {}
                 Err(err) => return Err(err.into()),
             }
@@ -111,7 +111,7 @@
         let count = match self.stream.read(&mut chunk) {
             Ok(0) => return Err(ConnectionError::Closed),
             Ok(count) => count,
-            Err(err) if is_for_later(&err) => return Ok(false),
+            Err(err) if is_retryable(&err) => return Ok(false),
             Err(err) if err.kind() == io::ErrorKind::Interrupted => return Ok(true),
             Err(err) => return Err(err.into()),
         };
@@ -144,6 +144,6 @@
     }
 }
 
-fn is_for_later(err: &io::Error) -> bool {
+fn is_retryable(err: &io::Error) -> bool {
     matches!(err.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected)
 }
--- a/crates/ochrewalk-control-plane/src/control.rs
+++ b/crates/ochrewalk-control-plane/src/control.rs
@@ -14,19 +14,19 @@
 use std::time::Duration;
 
 /// Guards against one who asks and neither writes nor reads.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 /// Requests under way at a time: each has a thread while it lasts.
 const MAX_REQUESTS: usize = 16;
 const READ_CHUNK: usize = 64 * 1024;
 
-/// What an operator asked, and where the answer goes.
+/// What an operator asked, and where the reply goes.
 #[derive(Debug)]
 pub struct Request {
     pub body: Body,
-    pub answer: Sender<Body>,
+    pub reply: Sender<Body>,
 }
 
-/// Why a request got no answer.
+/// Why a request got no reply.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     #[error("{path}: {source}")]
@@ -62,34 +62,34 @@
 /// A socket for this user alone, in the place of one that may still be there: of a program that was killed or has handed
 /// over.
 pub fn bind(path: &Path) -> io::Result<UnixListener> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    let beside = PathBuf::from(beside);
-    let _ = std::fs::remove_file(&beside);
-    let listener = UnixListener::bind(&beside)?;
-    std::fs::set_permissions(&beside, std::fs::Permissions::from_mode(0o600))?;
-    std::fs::rename(&beside, path)?;
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".new");
+    let temporary = PathBuf::from(temporary);
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600))?;
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
 
 fn serve(mut stream: UnixStream, requests: &Sender<Request>, waker: &Waker) -> io::Result<()> {
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
-    let answer = if is_owner(&stream) {
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.set_write_timeout(Some(TIMEOUT))?;
+    let reply = if is_owner(&stream) {
         let Some(body) = read_message(&mut stream)? else { return Ok(()) };
-        let (answer, answered) = channel();
-        let unheard = io::Error::from(io::ErrorKind::BrokenPipe);
-        requests.send(Request { body, answer }).map_err(|_| unheard)?;
+        let (reply, reply_receiver) = channel();
+        let not_running = io::Error::from(io::ErrorKind::BrokenPipe);
+        requests.send(Request { body, reply }).map_err(|_| not_running)?;
         waker.wake()?;
-        match answered.recv_timeout(PATIENCE) {
-            Ok(answer) => answer,
+        match reply_receiver.recv_timeout(TIMEOUT) {
+            Ok(reply) => reply,
             Err(_) => Body::Refused(Refused { reasons: vec!["no answer in time".into()] }),
         }
     } else {
         Body::Refused(Refused { reasons: vec!["another user".into()] })
     };
     let mut out = Vec::new();
-    frame::encode(answer, &mut out);
+    frame::encode(reply, &mut out);
     stream.write_all(&out)
 }
 
@@ -116,11 +116,11 @@
 }
 
 /// Asks the publisher at `path`, as an operator.
-pub fn ask(path: &Path, body: Body) -> Result<Body, ControlError> {
+pub fn send_request(path: &Path, body: Body) -> Result<Body, ControlError> {
     let fault = |source| ControlError::Io { path: path.into(), source };
     let mut stream = UnixStream::connect(path).map_err(fault)?;
-    stream.set_read_timeout(Some(2 * PATIENCE)).map_err(fault)?;
-    stream.set_write_timeout(Some(PATIENCE)).map_err(fault)?;
+    stream.set_read_timeout(Some(2 * TIMEOUT)).map_err(fault)?;
+    stream.set_write_timeout(Some(TIMEOUT)).map_err(fault)?;
     let mut out = Vec::new();
     frame::encode(body, &mut out);
     stream.write_all(&out).map_err(fault)?;
--- a/crates/ochrewalk-control-plane/src/frame.rs
+++ b/crates/ochrewalk-control-plane/src/frame.rs
@@ -14,8 +14,8 @@
 /// Why a stream cannot be read on.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    #[error("a message of {length} bytes, {most} at most are taken")]
-    TooLong { length: u64, most: usize },
+    #[error("a message of {length} bytes, {limit} at most are taken")]
+    TooLong { length: u64, limit: usize },
     #[error("a message that cannot be decoded")]
     Malformed,
 }
@@ -33,13 +33,13 @@
     buffer: Vec<u8>,
     /// Bytes of `buffer` that were decoded already.
     consumed: usize,
-    most: usize,
+    limit: usize,
 }
 
 impl FrameDecoder {
     /// Takes messages of at most `most` bytes.
-    pub fn new(most: usize) -> FrameDecoder {
-        FrameDecoder { buffer: Vec::new(), consumed: 0, most }
+    pub fn new(limit: usize) -> FrameDecoder {
+        FrameDecoder { buffer: Vec::new(), consumed: 0, limit }
     }
 
     /// Bytes that came.
@@ -51,7 +51,7 @@
     /// is passed over.
     pub fn next_message(&mut self) -> Result<Option<Body>, FrameError> {
         loop {
-            let Some((start, end)) = self.whole_frame()? else {
+            let Some((start, end)) = self.next_frame()? else {
                 self.compact();
                 return Ok(None);
             };
@@ -65,7 +65,7 @@
     }
 
     /// Where the next frame's message begins and ends in the buffer, once all of it is there.
-    fn whole_frame(&self) -> Result<Option<(usize, usize)>, FrameError> {
+    fn next_frame(&self) -> Result<Option<(usize, usize)>, FrameError> {
         let rest = &self.buffer[self.consumed..];
         let has_length = rest.iter().take(MAX_VARINT_BYTES).any(|byte| byte & 0x80 == 0);
         if !has_length {
@@ -73,8 +73,8 @@
         }
         let mut after_length = rest;
         let length = decode_varint(&mut after_length).map_err(|_| FrameError::Malformed)?;
-        if length > self.most as u64 {
-            return Err(FrameError::TooLong { length, most: self.most });
+        if length > self.limit as u64 {
+            return Err(FrameError::TooLong { length, limit: self.limit });
         }
         let start = self.buffer.len() - after_length.len();
         let end = start + length as usize;
--- a/crates/ochrewalk-control-plane/src/publisher.rs
+++ b/crates/ochrewalk-control-plane/src/publisher.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{unix_ms, Clock};
 use crate::control::{self, Request};
-use crate::log::{LogError, PublisherLog};
+use crate::publisher_log::{LogError, PublisherLog};
 use crate::subscriber_server::SubscriberServer;
 use mio::{Events, Poll, Token, Waker};
 use ochrewalk_distribution::messages::{
@@ -63,7 +63,7 @@
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error("{}", .0.join("; "))]
-    Unsound(Vec<String>),
+    Invalid(Vec<String>),
     #[error(transparent)]
     Publish(#[from] PublishError),
     #[error(transparent)]
@@ -77,7 +77,7 @@
 impl RequestError {
     fn reasons(&self) -> Vec<String> {
         match self {
-            RequestError::Unsound(reasons) => reasons.clone(),
+            RequestError::Invalid(reasons) => reasons.clone(),
             RequestError::Publish(refused) => refused.reasons.iter().map(|why| why.to_string()).collect(),
             other => vec![other.to_string()],
         }
@@ -93,7 +93,7 @@
     waker: Arc<Waker>,
     clock: Clock,
     /// The highest epoch that the log knows of.
-    kept_epoch: u64,
+    logged_epoch: u64,
 }
 
 impl Publisher {
@@ -101,15 +101,20 @@
     pub fn open(settings: &PublisherSettings) -> Result<Publisher, PublisherError> {
         let log_fault = |source| PublisherError::Log { path: settings.log.clone(), source };
         let (mut log, recovered) = PublisherLog::open(&settings.log).map_err(log_fault)?;
-        let kept = recovered.resources.len();
+        let names = recovered.resources.len();
         let mut store = recovered_store(recovered, &mut log).map_err(log_fault)?;
         // An empty log begins the first epoch; a publisher that takes over begins the next one.
         if store.position().epoch == 0 || settings.takes_over {
             let begun = store.new_epoch();
             log.append(&begun, &store.order(), unix_ms()).map_err(log_fault)?;
         }
-        let (position, kept_epoch) = (store.position(), store.highest_epoch());
-        tracing::info!(part = "config", "{kept} names kept, at {}.{}", position.epoch, position.revision);
+        let (position, logged_epoch) = (store.position(), store.highest_epoch());
+        tracing::info!(
+            part = "config",
+            "{names} names restored, at {}.{}",
+            position.epoch,
+            position.revision
+        );
         let poll = Poll::new()?;
         let catch_up =
             CatchUpLimits { bytes_per_second: CATCH_UP_BYTES_PER_SECOND, ..CatchUpLimits::default() };
@@ -123,7 +128,7 @@
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
         let control_fault = |source| PublisherError::Control { path: settings.control.clone(), source };
         let requests = control::listen(&settings.control, waker.clone()).map_err(control_fault)?;
-        Ok(Publisher { poll, subscribers, log, requests, waker, clock: Clock::start(), kept_epoch })
+        Ok(Publisher { poll, subscribers, log, requests, waker, clock: Clock::start(), logged_epoch })
     }
 
     /// Where relays connect to.
@@ -151,38 +156,42 @@
             for event in &events {
                 self.subscribers.on_event(event.token(), self.poll.registry(), now_us);
             }
-            self.keep_fence();
+            self.persist_fence();
             while let Ok(request) = self.requests.try_recv() {
-                let answer = self.answer(request.body);
-                let _ = request.answer.send(answer);
+                let reply = self.reply_to(request.body);
+                let _ = request.reply.send(reply);
             }
         }
         Ok(())
     }
 
-    /// A later epoch that was heard of is kept, so that a publisher that was fenced off stays so after a restart.
-    fn keep_fence(&mut self) {
+    /// A later epoch that was observed is persisted, so that a publisher that was fenced stays so after a restart.
+    fn persist_fence(&mut self) {
         let store = self.subscribers.server.store();
-        if store.highest_epoch() == self.kept_epoch {
+        if store.highest_epoch() == self.logged_epoch {
             return;
         }
-        self.kept_epoch = store.highest_epoch();
-        tracing::warn!(part = "config", "fenced off: another publisher has begun epoch {}", self.kept_epoch);
+        self.logged_epoch = store.highest_epoch();
+        tracing::warn!(
+            part = "config",
+            "fenced off: another publisher has begun epoch {}",
+            self.logged_epoch
+        );
         let nothing = Batch { position: store.position(), resources: Vec::new(), previous: Vec::new() };
         if let Err(why) = self.log.append(&nothing, &store.order(), unix_ms()) {
             tracing::error!(part = "config", "the log: {why}");
         }
     }
 
-    fn answer(&mut self, body: Body) -> Body {
-        let answered = match body {
+    fn reply_to(&mut self, body: Body) -> Body {
+        let reply = match body {
             Body::Publish(publish) => self.publish(&publish).map(published),
             Body::Rollback(rollback) => self.roll_back(&rollback).map(published),
             Body::StatusRequest(_) => Ok(Body::Status(self.status())),
             Body::Fetch(fetch) => Ok(Body::Fetched(self.fetch(&fetch))),
             _ => Err(RequestError::Unknown),
         };
-        answered.unwrap_or_else(|why| {
+        reply.unwrap_or_else(|why| {
             let reasons: Vec<String> = why.reasons().into_iter().take(MAX_REASONS).collect();
             tracing::warn!(part = "config", "refused: {}", reasons.join("; "));
             Body::Refused(Refused { reasons })
@@ -190,14 +199,14 @@
     }
 
     fn publish(&mut self, publish: &Publish) -> Result<Position, RequestError> {
-        let unsound: Vec<String> = publish
+        let invalid: Vec<String> = publish
             .changes
             .iter()
             .filter_map(|change| check(change).err())
             .map(|why| why.to_string())
             .collect();
-        if !unsound.is_empty() {
-            return Err(RequestError::Unsound(unsound));
+        if !invalid.is_empty() {
+            return Err(RequestError::Invalid(invalid));
         }
         self.accept(&publish.changes, publish.expected)
     }
@@ -215,13 +224,13 @@
         let order =
             ochrewalk_distribution::ChangeOrder { revision: batch.position.revision, ..store.order() };
         self.log.append(&batch, &order, unix_ms())?;
-        self.take_over(&batch);
+        self.serve(&batch);
         let Position { epoch, revision } = batch.position;
         tracing::info!(part = "config", "accepted {} changes as {epoch}.{revision}", changes.len());
         Ok(batch.position)
     }
 
-    fn take_over(&mut self, batch: &Batch) {
+    fn serve(&mut self, batch: &Batch) {
         let replayed = self.subscribers.server.store_mut().replay(batch);
         // It was prepared from this very state.
         debug_assert!(replayed.is_ok());
@@ -248,7 +257,10 @@
 }
 
 /// The state as it was kept. Deletions that it no longer remembers are taken out of the log, too.
-fn recovered_store(recovered: crate::log::Recovered, log: &mut PublisherLog) -> Result<Store, LogError> {
+fn recovered_store(
+    recovered: crate::publisher_log::Recovered,
+    log: &mut PublisherLog,
+) -> Result<Store, LogError> {
     let deleted: Vec<_> = recovered
         .resources
         .iter()
--- a/crates/ochrewalk-control-plane/src/relay.rs
+++ b/crates/ochrewalk-control-plane/src/relay.rs
@@ -53,7 +53,7 @@
     subscribers: SubscriberServer,
     upstream: Agent,
     clock: Clock,
-    told_us: u64,
+    last_status_us: u64,
 }
 
 /// Takes what comes from the publisher into what is served.
@@ -93,7 +93,7 @@
             seed: settings.seed,
         };
         let upstream = Agent::new(agent, None, UPSTREAM).map_err(|_| RelayError::NoPublisher)?;
-        Ok(Relay { poll, subscribers, upstream, clock: Clock::start(), told_us: 0 })
+        Ok(Relay { poll, subscribers, upstream, clock: Clock::start(), last_status_us: 0 })
     }
 
     /// Where nodes connect to.
@@ -127,8 +127,8 @@
         let upstream_due_us = self.upstream.drive(registry, now_us, &mut downstream);
         let age_ms = self.upstream.age_ms(now_us).unwrap_or(0);
         let subscribers_due_us = self.subscribers.drive(registry, now_us, age_ms);
-        if now_us >= self.told_us + STATUS_INTERVAL_US {
-            self.told_us = now_us;
+        if now_us >= self.last_status_us + STATUS_INTERVAL_US {
+            self.last_status_us = now_us;
             self.upstream.send_status(self.subscribers.server.status());
         }
         upstream_due_us.min(subscribers_due_us)
--- a/crates/ochrewalk-control-plane/src/state_file.rs
+++ b/crates/ochrewalk-control-plane/src/state_file.rs
@@ -1,7 +1,7 @@
-//! What a node has in force, kept in a file for its next start: a snapshot, then each update since, every one with its
+//! What a node has in force, persisted in a file for its next start: a snapshot, then each update since, every one with its
 //! length and checksum. A record that is torn or damaged ends what is read: the updates before it are an older state, from
 //! which differences lead on; nothing after it is believed. Where updates have outgrown the snapshot the file is written
-//! anew beside itself and renamed.
+//! anew under a temporary name and renamed.
 
 use crate::records::StoredUpdate;
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
@@ -25,14 +25,14 @@
     #[error("{path}: {source}")]
     Io { path: PathBuf, source: io::Error },
     #[error("{0}: no state of this version")]
-    OtherForm(PathBuf),
+    UnknownFormat(PathBuf),
     #[error("{path}: the state of node {node}")]
     OtherNode { path: PathBuf, node: String },
 }
 
 /// One step of what was in force.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeptStep {
+pub enum PersistedStep {
     Update(CompleteUpdate),
     /// These names were no longer held from then on.
     Forgotten(Vec<ResourceName>),
@@ -40,9 +40,9 @@
 
 /// What a file held.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct KeptState {
+pub struct PersistedState {
     /// In their order, the first update a snapshot.
-    pub steps: Vec<KeptStep>,
+    pub steps: Vec<PersistedStep>,
     /// When the last one was written, by Unix time.
     pub unix_ms: u64,
     /// Bytes at the end that are no whole record.
@@ -61,13 +61,13 @@
 
 impl StateFile {
     /// Reads what stands at `path`. Nothing is written before the first update.
-    pub fn open(path: &Path, node: &str) -> Result<(StateFile, KeptState), StateFileError> {
-        let kept = match std::fs::read(path) {
+    pub fn open(path: &Path, node: &str) -> Result<(StateFile, PersistedState), StateFileError> {
+        let state = match std::fs::read(path) {
             Ok(bytes) => read(path, node, &bytes)?,
-            Err(err) if err.kind() == io::ErrorKind::NotFound => KeptState::default(),
+            Err(err) if err.kind() == io::ErrorKind::NotFound => PersistedState::default(),
             Err(source) => return Err(StateFileError::Io { path: path.into(), source }),
         };
-        Ok((StateFile::new(path, node), kept))
+        Ok((StateFile::new(path, node), state))
     }
 
     /// A file whose old content, if any, is replaced with the first snapshot.
@@ -77,7 +77,7 @@
     }
 
     /// Whether the next thing to be written is a snapshot: none was yet, or updates have outgrown it.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.file.is_none() || self.appended_bytes > self.snapshot_bytes.max(MIN_REWRITE_BYTES)
     }
 
@@ -99,14 +99,14 @@
             unix_ms,
             forgotten: Vec::new(),
         };
-        let mut beside = self.path.as_os_str().to_owned();
-        beside.push(".new");
-        let beside = PathBuf::from(beside);
-        let mut file = File::create(&beside)?;
+        let mut temporary = self.path.as_os_str().to_owned();
+        temporary.push(".new");
+        let temporary = PathBuf::from(temporary);
+        let mut file = File::create(&temporary)?;
         file.write_all(MAGIC)?;
         self.snapshot_bytes = write_record(&mut file, &stored)?;
         file.sync_data()?;
-        std::fs::rename(&beside, &self.path)?;
+        std::fs::rename(&temporary, &self.path)?;
         self.file = Some(file);
         self.appended_bytes = 0;
         Ok(())
@@ -166,28 +166,28 @@
     Ok(record.len() as u64)
 }
 
-fn read(path: &Path, node: &str, bytes: &[u8]) -> Result<KeptState, StateFileError> {
+fn read(path: &Path, node: &str, bytes: &[u8]) -> Result<PersistedState, StateFileError> {
     let Some(mut rest) = bytes.strip_prefix(MAGIC) else {
-        return Err(StateFileError::OtherForm(path.into()));
+        return Err(StateFileError::UnknownFormat(path.into()));
     };
-    let mut kept = KeptState::default();
+    let mut state = PersistedState::default();
     while let Some((stored, after)) = next_record(rest) {
         if stored.node != node {
             return Err(StateFileError::OtherNode { path: path.into(), node: stored.node });
         }
-        kept.unix_ms = stored.unix_ms;
-        kept.steps.push(step(stored));
+        state.unix_ms = stored.unix_ms;
+        state.steps.push(step(stored));
         rest = after;
     }
-    kept.damaged_bytes = rest.len() as u64;
-    Ok(kept)
+    state.damaged_bytes = rest.len() as u64;
+    Ok(state)
 }
 
-fn step(stored: StoredUpdate) -> KeptStep {
+fn step(stored: StoredUpdate) -> PersistedStep {
     if !stored.forgotten.is_empty() {
-        return KeptStep::Forgotten(stored.forgotten);
+        return PersistedStep::Forgotten(stored.forgotten);
     }
-    KeptStep::Update(CompleteUpdate {
+    PersistedStep::Update(CompleteUpdate {
         position: stored.position,
         is_snapshot: stored.is_snapshot,
         resources: stored.resources.into_iter().map(Arc::new).collect(),
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -18,9 +18,9 @@
 /// A subscriber that hears nothing else hears a heartbeat so often.
 pub const HEARTBEAT_US: u64 = 500_000;
 /// How long a connection may stay without a first message, or without taking what is written.
-const PATIENCE_US: u64 = 5_000_000;
+const PEER_TIMEOUT_US: u64 = 5_000_000;
 /// How long one that was told to come back is read on, so that closing resets nothing that it was told.
-const LINGER_US: u64 = 1_000_000;
+const CLOSE_DELAY_US: u64 = 1_000_000;
 /// Reads of one connection before others get their turn.
 const READS_AT_ONCE: usize = 8;
 
@@ -31,7 +31,7 @@
     Unknown,
     Subscriber(SubscriberId),
     /// It was turned away; what it still sends is thrown away.
-    Leaving,
+    Closing,
 }
 
 #[derive(Debug)]
@@ -142,7 +142,7 @@
             let Ok(connection) = Connection::register(stream, token, registry, MAX_SUBSCRIBER_FRAME) else {
                 continue;
             };
-            let due_us = now_us + PATIENCE_US;
+            let due_us = now_us + PEER_TIMEOUT_US;
             let (role, relay) = (Role::Unknown, None);
             let peer = Peer { connection, role, since_us: now_us, last_sent_us: now_us, due_us, relay };
             self.peers.insert(token, peer);
@@ -176,12 +176,12 @@
     fn message(&mut self, token: Token, body: Body, now_us: u64) -> Result<(), ConnectionError> {
         let Some(peer) = self.peers.get_mut(&token) else { return Ok(()) };
         match (peer.role, body) {
-            (Role::Leaving, _) => Ok(()),
+            (Role::Closing, _) => Ok(()),
             (Role::Unknown, Body::Subscribe(message)) => {
                 if message.everything {
                     peer.relay = Some(message.node.clone());
                 }
-                let told = match self.server.subscribe(now_us, message) {
+                let reply = match self.server.subscribe(now_us, message) {
                     Admission::Accepted(id) => {
                         peer.role = Role::Subscriber(id);
                         return Ok(());
@@ -191,8 +191,8 @@
                         Body::Refused(Refused { reasons: vec![reason.to_string()] })
                     }
                 };
-                (peer.role, peer.since_us) = (Role::Leaving, now_us);
-                peer.connection.send(told)?;
+                (peer.role, peer.since_us) = (Role::Closing, now_us);
+                peer.connection.send(reply)?;
                 peer.connection.shut_write();
                 Ok(())
             }
@@ -217,19 +217,21 @@
         peer.connection.flush()?;
         let id = match peer.role {
             Role::Subscriber(id) => id,
-            Role::Leaving if now_us >= peer.since_us + LINGER_US => return Err(ConnectionError::Closed),
-            Role::Leaving => {
-                peer.due_us = peer.since_us + LINGER_US;
+            Role::Closing if now_us >= peer.since_us + CLOSE_DELAY_US => return Err(ConnectionError::Closed),
+            Role::Closing => {
+                peer.due_us = peer.since_us + CLOSE_DELAY_US;
                 return Ok(());
             }
-            Role::Unknown if now_us >= peer.since_us + PATIENCE_US => return Err(ConnectionError::Silent),
+            Role::Unknown if now_us >= peer.since_us + PEER_TIMEOUT_US => {
+                return Err(ConnectionError::Silent)
+            }
             Role::Unknown => {
-                peer.due_us = peer.since_us + PATIENCE_US;
+                peer.due_us = peer.since_us + PEER_TIMEOUT_US;
                 return Ok(());
             }
         };
         peer.due_us = u64::MAX;
-        while peer.connection.has_room() {
+        while peer.connection.is_flushed() {
             peer.since_us = now_us;
             match self.server.next(id, now_us) {
                 NextUpdate::Send(update) => {
@@ -243,21 +245,21 @@
                 NextUpdate::Idle => break,
             }
         }
-        let beats_at_us = peer.last_sent_us + HEARTBEAT_US;
-        if peer.connection.has_room() && now_us >= beats_at_us {
+        let heartbeat_at_us = peer.last_sent_us + HEARTBEAT_US;
+        if peer.connection.is_flushed() && now_us >= heartbeat_at_us {
             let position = self.server.store().position();
             peer.connection.send(Body::Heartbeat(Heartbeat { position, age_ms: source_age_ms }))?;
             peer.last_sent_us = now_us;
         }
-        if !peer.connection.has_room() && now_us >= peer.since_us + PATIENCE_US {
+        if !peer.connection.is_flushed() && now_us >= peer.since_us + PEER_TIMEOUT_US {
             return Err(ConnectionError::NotReading);
         }
-        let looked_at_us = if peer.connection.has_room() {
+        let check_at_us = if peer.connection.is_flushed() {
             peer.last_sent_us + HEARTBEAT_US
         } else {
-            peer.since_us + PATIENCE_US
+            peer.since_us + PEER_TIMEOUT_US
         };
-        peer.due_us = peer.due_us.min(looked_at_us.max(now_us + 1));
+        peer.due_us = peer.due_us.min(check_at_us.max(now_us + 1));
         Ok(())
     }
 
--- a/crates/ochrewalk-control-plane/tests/common/mod.rs
+++ b/crates/ochrewalk-control-plane/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A publisher that runs in a thread of the test.
 #![allow(dead_code)]
 
-use ochrewalk_control_plane::control::ask;
+use ochrewalk_control_plane::control::send_request;
 use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
 use ochrewalk_distribution::messages::{Body, Publish, Status, StatusRequest};
 use ochrewalk_operators::resources::read_changes;
@@ -43,11 +43,11 @@
 
     pub fn publish(&self, changes: &str) -> Body {
         let changes = read_changes(changes, "changes").unwrap();
-        ask(&self.control, Body::Publish(Publish { changes, expected: None })).unwrap()
+        send_request(&self.control, Body::Publish(Publish { changes, expected: None })).unwrap()
     }
 
     pub fn status(&self) -> Status {
-        match ask(&self.control, Body::StatusRequest(StatusRequest {})).unwrap() {
+        match send_request(&self.control, Body::StatusRequest(StatusRequest {})).unwrap() {
             Body::Status(status) => status,
             other => panic!("{other:?}"),
         }
--- a/crates/ochrewalk-control-plane/tests/frames.rs
+++ b/crates/ochrewalk-control-plane/tests/frames.rs
@@ -36,7 +36,7 @@
 #[test]
 fn what_cannot_be_a_message_is_refused_before_it_is_held() {
     let cases: [(&[u8], FrameError); 3] = [
-        (&[0x80, 0x80, 0x04], FrameError::TooLong { length: 65_536, most: 64 }),
+        (&[0x80, 0x80, 0x04], FrameError::TooLong { length: 65_536, limit: 64 }),
         (&[0xff; 10], FrameError::Malformed),
         // A field that runs over the message's end.
         (&[0x02, 0x0a, 0x05], FrameError::Malformed),
--- a/crates/ochrewalk-control-plane/tests/log.rs
+++ b/crates/ochrewalk-control-plane/tests/log.rs
@@ -1,6 +1,6 @@
 //! The publisher's log on a storage that fails: what was acknowledged is there again, whenever it was killed.
 
-use ochrewalk_control_plane::log::{LogError, PublisherLog, Recovered};
+use ochrewalk_control_plane::publisher_log::{LogError, PublisherLog, Recovered};
 use ochrewalk_distribution::messages::{Quota, Resource, Value};
 use ochrewalk_distribution::{rollback_changes, Store, StoreLimits};
 use ochrewalk_operators::resources::quota_name;
--- a/crates/ochrewalk-control-plane/tests/publisher.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Running, PATIENCE};
-use ochrewalk_control_plane::control::ask;
+use ochrewalk_control_plane::control::send_request;
 use ochrewalk_control_plane::frame::{encode, FrameDecoder};
 use ochrewalk_distribution::messages::{
     Body, Position, Publish, Report, Resource, Subscribe, PROTOCOL_VERSION,
@@ -131,7 +131,8 @@
     let mut changes = read_changes("quota good 1\nquota bad 1\nroute shop GET /a look", "changes").unwrap();
     changes[1].value = None;
     changes[2].name.name = "GET /b".into();
-    let answer = ask(&publisher.control, Body::Publish(Publish { changes, expected: None })).unwrap();
+    let answer =
+        send_request(&publisher.control, Body::Publish(Publish { changes, expected: None })).unwrap();
     let Body::Refused(refused) = answer else { panic!("{answer:?}") };
     assert_eq!(refused.reasons.len(), 1, "{refused:?}");
     assert!(refused.reasons[0].contains("route shop GET /b"), "{refused:?}");
--- a/crates/ochrewalk-control-plane/tests/state_file.rs
+++ b/crates/ochrewalk-control-plane/tests/state_file.rs
@@ -1,6 +1,6 @@
 //! What a node keeps for its next start, and what damage to it leads to.
 
-use ochrewalk_control_plane::state_file::{KeptStep, StateFile, StateFileError};
+use ochrewalk_control_plane::state_file::{PersistedStep, StateFile, StateFileError};
 use ochrewalk_distribution::messages::{Position, Quota, Resource, Value};
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_operators::resources::quota_name;
@@ -24,14 +24,14 @@
     }
 }
 
-fn written(path: &std::path::Path) -> Vec<KeptStep> {
+fn written(path: &std::path::Path) -> Vec<PersistedStep> {
     let mut file = StateFile::new(path, "node-1");
-    assert!(file.wants_snapshot());
+    assert!(file.needs_snapshot());
     file.write_snapshot(at(3), [quota("a", 1), quota("b", 3)].iter(), vec![quota_name("c")], 10).unwrap();
     file.append(&update(4), 11).unwrap();
     file.append_forgotten(at(4), vec![quota_name("a")], 12).unwrap();
     file.append(&update(5), 13).unwrap();
-    assert!(!file.wants_snapshot());
+    assert!(!file.needs_snapshot());
     let snapshot = CompleteUpdate {
         position: at(3),
         is_snapshot: true,
@@ -40,10 +40,10 @@
         horizon: 0,
     };
     vec![
-        KeptStep::Update(snapshot),
-        KeptStep::Update(update(4)),
-        KeptStep::Forgotten(vec![quota_name("a")]),
-        KeptStep::Update(update(5)),
+        PersistedStep::Update(snapshot),
+        PersistedStep::Update(update(4)),
+        PersistedStep::Forgotten(vec![quota_name("a")]),
+        PersistedStep::Update(update(5)),
     ]
 }
 
@@ -79,13 +79,13 @@
     }
 }
 
-fn check_prefix(path: &std::path::Path, steps: &[KeptStep], what: &str) -> usize {
+fn check_prefix(path: &std::path::Path, steps: &[PersistedStep], what: &str) -> usize {
     match StateFile::open(path, "node-1") {
         Ok((_, kept)) => {
             assert_eq!(kept.steps, steps[..kept.steps.len()], "{what}");
             kept.steps.len()
         }
-        Err(StateFileError::OtherForm(_)) => 0,
+        Err(StateFileError::UnknownFormat(_)) => 0,
         Err(other) => panic!("{what}: {other}"),
     }
 }
@@ -97,13 +97,13 @@
     let mut file = StateFile::new(&path, "node-1");
     file.write_snapshot(at(0), [].iter(), Vec::new(), 0).unwrap();
     let mut appended = 0;
-    while !file.wants_snapshot() {
+    while !file.needs_snapshot() {
         appended += 1;
         file.append(&update(appended), 0).unwrap();
         assert!(appended < 10_000, "it grows without a bound");
     }
     let before = std::fs::metadata(&path).unwrap().len();
     file.write_snapshot(at(appended), [quota("a", 1)].iter(), Vec::new(), 0).unwrap();
-    assert!(!file.wants_snapshot());
+    assert!(!file.needs_snapshot());
     assert!(std::fs::metadata(&path).unwrap().len() < before / 100);
 }
--- a/crates/ochrewalk-control-plane/tests/stored_formats.rs
+++ b/crates/ochrewalk-control-plane/tests/stored_formats.rs
@@ -1,8 +1,8 @@
 //! What stands on disk: a publisher's log and a node's state file that were recorded once are read, and written again as
 //! the same records.
 
-use ochrewalk_control_plane::log::PublisherLog;
-use ochrewalk_control_plane::state_file::{KeptStep, StateFile};
+use ochrewalk_control_plane::publisher_log::PublisherLog;
+use ochrewalk_control_plane::state_file::{PersistedStep, StateFile};
 use ochrewalk_distribution::messages::{
     Endpoint, Limit, Position, Quota, Resource, ResourceKind, ResourceName, Route, Value,
 };
@@ -161,14 +161,14 @@
 }
 
 /// A snapshot, an update with a deletion, names that are no longer watched, and an update that is torn in the file.
-fn steps() -> [KeptStep; 4] {
+fn steps() -> [PersistedStep; 4] {
     let snapshot = vec![at(1, quota("alpha", 1.0)), at(2, route()), at(3, endpoint())];
     let changes = vec![at(4, deleted_quota("alpha")), at(5, limit())];
     [
-        KeptStep::Update(update(3, snapshot, vec![quota("nobody", 0.0).name])),
-        KeptStep::Update(update(5, changes, vec![quota("beta", 0.0).name])),
-        KeptStep::Forgotten(vec![quota("beta", 0.0).name, quota("nobody", 0.0).name]),
-        KeptStep::Update(update(6, vec![at(6, quota("gamma", 7.0))], Vec::new())),
+        PersistedStep::Update(update(3, snapshot, vec![quota("nobody", 0.0).name])),
+        PersistedStep::Update(update(5, changes, vec![quota("beta", 0.0).name])),
+        PersistedStep::Forgotten(vec![quota("beta", 0.0).name, quota("nobody", 0.0).name]),
+        PersistedStep::Update(update(6, vec![at(6, quota("gamma", 7.0))], Vec::new())),
     ]
 }
 
@@ -176,12 +176,12 @@
     let mut file = StateFile::new(path, "node-1");
     for (step, unix_ms) in steps().into_iter().zip(1_700_000_000_000..) {
         match step {
-            KeptStep::Update(update) if update.is_snapshot => {
+            PersistedStep::Update(update) if update.is_snapshot => {
                 let resources = update.resources.iter().map(Arc::as_ref);
                 file.write_snapshot(update.position, resources, update.absent.clone(), unix_ms).unwrap();
             }
-            KeptStep::Update(update) => file.append(&update, unix_ms).unwrap(),
-            KeptStep::Forgotten(names) => {
+            PersistedStep::Update(update) => file.append(&update, unix_ms).unwrap(),
+            PersistedStep::Forgotten(names) => {
                 file.append_forgotten(Position { epoch: 2, revision: 5 }, names, unix_ms).unwrap();
             }
         }
--- a/crates/ochrewalk-lab/src/scale/hollow.rs
+++ b/crates/ochrewalk-lab/src/scale/hollow.rs
@@ -6,7 +6,7 @@
 use super::{monotonic_us, ScaleError};
 use mio::{Events, Poll, Token, Waker};
 use ochrewalk_control_plane::agent::{Agent, AgentSettings, ConfigurationSink};
-use ochrewalk_control_plane::control::ask;
+use ochrewalk_control_plane::control::send_request;
 use ochrewalk_distribution::messages::{Body, Fetch, Position, Resource, ResourceName, Value};
 use ochrewalk_distribution::{
     CompleteUpdate, DemandState, Interest, RelayChoiceLimits, Store, StoreLimits, SubscriptionLimits,
@@ -118,7 +118,7 @@
         let wanted: Vec<_> =
             shape.tenants_of(number).into_iter().map(|tenant| shape.tenant(tenant)).collect();
         let now_us = monotonic_us();
-        wanted.iter().for_each(|name| drop(agent.want(name, now_us)));
+        wanted.iter().for_each(|name| drop(agent.request_name(name, now_us)));
         let store = Store::new(0, StoreLimits { tombstones: 0 });
         let state = HollowState { store, steps: Vec::new(), measures: false, went_back: 0 };
         Ok(HollowNode {
@@ -163,7 +163,7 @@
         let scopes = shape.scopes_of(self.number);
         let routes = scopes.iter().flat_map(|scope| shape.routes_of(*scope));
         let names = routes.chain(self.wanted.iter().cloned()).collect();
-        let Body::Fetched(fetched) = ask(control, Body::Fetch(Fetch { names }))? else {
+        let Body::Fetched(fetched) = send_request(control, Body::Fetch(Fetch { names }))? else {
             return Err(ScaleError::OtherAnswer);
         };
         let published: BTreeMap<_, _> = fetched.resources.iter().map(|it| (&it.name, &it.value)).collect();
--- a/crates/ochrewalk-lab/src/scale/processes.rs
+++ b/crates/ochrewalk-lab/src/scale/processes.rs
@@ -3,7 +3,7 @@
 use super::hollow::Command as HollowCommand;
 use super::options::{region_name, FleetShape, HollowOptions, ScaleOptions};
 use super::ScaleError;
-use ochrewalk_control_plane::control::ask;
+use ochrewalk_control_plane::control::send_request;
 use ochrewalk_distribution::messages::{Body, Position, Publish, Resource, Status, StatusRequest};
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use serde::Deserialize;
@@ -144,7 +144,7 @@
 
     /// Publishes changes as one batch and gives its position.
     pub fn publish(&self, changes: Vec<Resource>) -> Result<Position, ScaleError> {
-        match ask(&self.control(), Body::Publish(Publish { changes, expected: None }))? {
+        match send_request(&self.control(), Body::Publish(Publish { changes, expected: None }))? {
             Body::Published(published) => Ok(published.position),
             Body::Refused(refused) => Err(ScaleError::Refused(refused.reasons.join("; "))),
             _ => Err(ScaleError::OtherAnswer),
@@ -153,7 +153,7 @@
 
     /// The fleet as the publisher knows it.
     pub fn status(&self) -> Result<Status, ScaleError> {
-        match ask(&self.control(), Body::StatusRequest(StatusRequest {}))? {
+        match send_request(&self.control(), Body::StatusRequest(StatusRequest {}))? {
             Body::Status(status) => Ok(status),
             _ => Err(ScaleError::OtherAnswer),
         }
--- a/crates/ochrewalk-lab/src/slopes/control_plane.rs
+++ b/crates/ochrewalk-lab/src/slopes/control_plane.rs
@@ -8,7 +8,7 @@
 use super::{Context, Series, SlopeError};
 use crate::ajp::{Call, Peer};
 use crate::node;
-use ochrewalk_control_plane::control::ask;
+use ochrewalk_control_plane::control::send_request;
 use ochrewalk_distribution::messages::{Body, Publish, Quota, Resource, Route, Status, StatusRequest, Value};
 use ochrewalk_distribution::MAX_BATCH_CHANGES;
 use ochrewalk_operators::resources::{quota_name, route_name};
@@ -71,7 +71,7 @@
         let mut revision = 0;
         for batch in changes.chunks(MAX_BATCH_CHANGES) {
             let publish = Publish { changes: batch.to_vec(), expected: None };
-            match ask(&self.control, Body::Publish(publish))? {
+            match send_request(&self.control, Body::Publish(publish))? {
                 Body::Published(published) => revision = published.position.revision,
                 Body::Refused(refused) => return Err(SlopeError::Refused(refused.reasons.join(", "))),
                 _ => return Err(SlopeError::Lab("the publisher answered what was not asked".into())),
@@ -96,7 +96,7 @@
 }
 
 fn status(control: &Path) -> Result<Status, SlopeError> {
-    match ask(control, Body::StatusRequest(StatusRequest {}))? {
+    match send_request(control, Body::StatusRequest(StatusRequest {}))? {
         Body::Status(status) => Ok(status),
         _ => Err(SlopeError::Lab("the publisher answered what was not asked".into())),
     }
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config.rs
@@ -3,7 +3,7 @@
 //! would weigh on every node.
 
 use clap::{Args, Parser, Subcommand};
-use ochrewalk_control_plane::control::{ask, ControlError};
+use ochrewalk_control_plane::control::{send_request, ControlError};
 use ochrewalk_control_plane::publisher::{Publisher, PublisherError, PublisherSettings};
 use ochrewalk_control_plane::relay::{Relay, RelayError, RelaySettings};
 use ochrewalk_distribution::messages::{
@@ -216,7 +216,7 @@
 }
 
 fn request(control: &Path, body: Body) -> Result<Body, ConfigCommandError> {
-    match ask(control, body)? {
+    match send_request(control, body)? {
         Body::Refused(refused) => Err(ConfigCommandError::Refused(refused.reasons)),
         answer => Ok(answer),
     }
--- a/crates/ochrewalk-node/src/configuration/agent.rs
+++ b/crates/ochrewalk-node/src/configuration/agent.rs
@@ -5,7 +5,7 @@
 use mio::{Events, Poll, Token, Waker};
 use ochrewalk_control_plane::agent::{Agent, AgentSettings, ConfigurationSink};
 use ochrewalk_control_plane::clock::{unix_ms, Clock};
-use ochrewalk_control_plane::state_file::{KeptState, KeptStep, StateFile};
+use ochrewalk_control_plane::state_file::{PersistedState, PersistedStep, StateFile};
 use ochrewalk_distribution::messages::{Position, ResourceKind, ResourceName};
 use ochrewalk_distribution::{CompleteUpdate, Interest, RelayChoiceLimits, SubscriptionLimits};
 use ochrewalk_operators::resources::quota_name;
@@ -114,7 +114,7 @@
 }
 
 fn keep(file: &mut StateFile, state: &NodeConfiguration, update: &CompleteUpdate) -> io::Result<()> {
-    if !file.wants_snapshot() {
+    if !file.needs_snapshot() {
         return file.append(update, unix_ms());
     }
     file.write_snapshot(state.position(), state.resources(), state.absent_quotas(), unix_ms())
@@ -136,7 +136,7 @@
             Ok(opened) => opened,
             Err(why) => {
                 tracing::error!(part = "config", "{why}; beginning without it");
-                (StateFile::new(path, node), KeptState::default())
+                (StateFile::new(path, node), PersistedState::default())
             }
         };
         restore(&mut state, kept);
@@ -184,7 +184,7 @@
 }
 
 /// Brings what was kept into force, as far as it still fits the node's files.
-fn restore(state: &mut NodeConfiguration, kept: KeptState) {
+fn restore(state: &mut NodeConfiguration, kept: PersistedState) {
     if kept.damaged_bytes > 0 {
         let bytes = kept.damaged_bytes;
         tracing::warn!(
@@ -194,8 +194,8 @@
     }
     for step in kept.steps {
         let restored = match step {
-            KeptStep::Update(update) => state.apply(&update).map(|_| ()),
-            KeptStep::Forgotten(names) => {
+            PersistedStep::Update(update) => state.apply(&update).map(|_| ()),
+            PersistedStep::Forgotten(names) => {
                 let tenants = names.iter().filter(|name| name.kind() == ResourceKind::Quota);
                 state.forget_quotas(tenants.map(|name| name.name.as_str()));
                 Ok(())
@@ -247,7 +247,7 @@
     fn fetch_wanted(&mut self, now_us: u64) {
         let mut removed: Vec<ResourceName> = Vec::new();
         while let Ok(tenant) = self.wanted.try_recv() {
-            removed.extend(self.agent.want(&quota_name(&tenant), now_us));
+            removed.extend(self.agent.request_name(&quota_name(&tenant), now_us));
         }
         if removed.is_empty() {
             return;
