--- a/crates/ochrewalk-handover/src/predecessor.rs
+++ b/crates/ochrewalk-handover/src/predecessor.rs
@@ -1,26 +1,46 @@
-//! Decides, on the side of the node that serves, how far a hand-over goes: whether it is taken up, when the node stands
-//! still, when it lets go, and when it takes up again what it had given.
+//! The side that serves: whether it makes an offer, when it pauses, when it releases its state, and when it resumes.
+//!
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | `AwaitingHello` | `Hello` that fits | `Offered` |
+//! | `Offered` | `Prepare`; it transfers ahead | `Preparing` |
+//! | `Preparing` | `Ready`; it pauses and transfers the rest | `Paused` |
+//! | `Paused` | `Loaded`; it sends `Release` | `Released` |
+//! | `Released` | `Started` | `Retired` |
+//! | `Released` | the successor has ended; it resumes | `Ended` |
+//! | `Released` | the deadline passes; it has the successor killed | `Released` |
+//! | any before `Released` | a refusal, an unexpected message, an interruption, the successor's end, the deadline | `Ended` |
 
 use crate::messages::{ChunkCount, Empty, Hello, Message, Offer, Refusal, Section};
 use crate::{FIRST_VERSION_WITH_AHEAD, NEWEST_VERSION, OLDEST_VERSION};
+use thiserror::Error;
 
-/// What is asked of the node that serves.
+/// What a [`Predecessor`] has its process do.
 pub trait Actions {
+    /// Sends a message. One that cannot be written is ignored: the stream's end is reported as an event of its own.
     fn send(&mut self, message: Message);
-    /// Sends what seldom changes, in chunks, and says how many, and what time it is then; the node serves on, however
-    /// long it takes.
-    fn transfer_ahead(&mut self, now_us: u64) -> (u64, u64);
-    /// Stands still, sends all the rest in chunks, and says how many. From here on nothing is read, started, answered
-    /// or called.
-    fn pause(&mut self) -> u64;
-    /// Goes on as if nothing had been tried.
+    /// Sends the sections that seldom change, in chunks. The process serves meanwhile, however long it takes.
+    fn transfer_ahead(&mut self, now_us: u64) -> TransferredAhead;
+    /// Pauses and sends all other sections in chunks; gives their number. From here on nothing is read, started,
+    /// answered or called.
+    fn pause_and_transfer(&mut self) -> u64;
+    /// Goes on as if no hand-over had been tried.
     fn resume(&mut self);
-    /// Has the other process ended, so that its end can be heard.
+    /// Has the successor's process killed, so that its end is reported.
     fn kill_peer(&mut self);
-    /// All is the other's: this process ends.
+    /// Ends this process: all of its state is the successor's.
     fn retire(&mut self);
-    /// How the attempt ended, for whoever asked for it and the log.
-    fn report_outcome(&mut self, how: &str);
+    /// Reports how the attempt ended to whoever asked for it.
+    fn report_outcome(&mut self, outcome: Result<(), &AttemptError>);
+}
+
+/// What was sent before the pause.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TransferredAhead {
+    /// How many chunks were sent.
+    pub chunks: u64,
+    /// The time at which the last one was sent, in microseconds.
+    pub finished_us: u64,
 }
 
 /// How long each step may take, in microseconds.
@@ -28,17 +48,17 @@
 pub struct Limits {
     /// From the successor's start to its `Ready`.
     pub prepare_us: u64,
-    /// From the standstill to `Commit`: this long nobody is answered.
+    /// From the pause to `Loaded`: this long nobody is answered.
     pub pause_us: u64,
-    /// From `Go` to `Done`.
+    /// From `Release` to `Started`.
     pub start_us: u64,
 }
 
-/// A successor may take so many times as long to read its files as this program took: it has them read beside a program that
-/// serves, and on a machine that may be busier than at this one's start.
+/// A successor may take this many times as long to read its files as this program took: it reads them beside a program
+/// that serves, on a machine that may be busier than at this program's start.
 const READING_FACTOR: u64 = 8;
-/// However long the files took: whoever asked for the upgrade waits for twice that.
-const LONGEST_PREPARE_US: u64 = 30_000_000;
+/// The most that reading files may prolong the preparation: whoever asked for the upgrade waits for twice that.
+const MAX_READING_US: u64 = 30_000_000;
 
 impl Limits {
     /// The same with time for a successor to read files that took this program `reading_us`.
@@ -51,200 +71,284 @@
     /// assert_eq!(limits.for_reading(60_000_000), Limits { prepare_us: 30_000_000, ..limits });
     /// ```
     pub fn for_reading(self, reading_us: u64) -> Limits {
-        let reading_us = reading_us.saturating_mul(READING_FACTOR).min(LONGEST_PREPARE_US);
+        let reading_us = reading_us.saturating_mul(READING_FACTOR).min(MAX_READING_US);
         Limits { prepare_us: self.prepare_us.max(reading_us), ..self }
     }
 }
 
+/// How far an attempt has come on this side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// The stream is up; the successor has not spoken yet.
-    AwaitingHello {
-        deadline_us: u64,
-    },
-    Offered {
-        deadline_us: u64,
-    },
-    /// What seldom changes is on its way.
-    Preparing {
-        deadline_us: u64,
-    },
-    /// Standing still.
-    Paused {
-        deadline_us: u64,
-    },
-    /// `Go` is out: only the stream's end can bring it back.
-    Released {
-        deadline_us: u64,
-    },
-    /// The successor has begun, or this attempt is over and the node goes on.
+    /// The stream is up; the successor has sent nothing yet.
+    AwaitingHello,
+    /// The offer is out.
+    Offered,
+    /// The sections that seldom change are out.
+    Preparing,
+    /// Nothing is read, started, answered or called; the rest of the state is out.
+    Paused,
+    /// `Release` is out: this side acts again only if the successor's process has ended.
+    Released,
+    /// The successor serves.
     Retired,
+    /// The attempt came to nothing, and this process goes on.
     Ended,
 }
 
-/// What the node has to hand over, as far as the offer needs it.
+/// What the offer says of the state, and what it is checked against.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StateSummary {
+    /// The digest that the successor's settings have to have.
     pub digest: u64,
+    /// The sections that are sent in the pause.
     pub sections: Vec<Section>,
-    /// Those that go ahead, to successors that know how to.
+    /// The sections that are sent before the pause, to successors that know how to receive them.
     pub ahead: Vec<Section>,
+    /// Resident memory of this process, in bytes.
     pub bytes: u64,
+    /// Open descriptors of this process.
     pub descriptors: u32,
-    /// Why it cannot be taken now, with the figures.
-    pub shortage: Option<String>,
+    /// What there is too little of for two processes at once, if anything.
+    pub shortage: Option<Shortage>,
+}
+
+/// A resource of which two processes would need more than is allowed.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash)]
+pub enum Shortage {
+    /// Memory, in MiB.
+    #[error("{in_use_mb} MB in use, twice that is more than the {allowed_mb} MB allowed")]
+    Memory {
+        /// Resident memory of this process.
+        in_use_mb: u64,
+        /// What the deployment allows.
+        allowed_mb: u64,
+    },
+    /// Descriptors.
+    #[error("{in_use} descriptors in use, twice that is more than the {allowed} allowed")]
+    Descriptors {
+        /// Open descriptors of this process.
+        in_use: usize,
+        /// What the deployment allows.
+        allowed: usize,
+    },
+}
+
+/// Why this side makes no offer.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum RefuseError {
+    /// No version of the protocol is known to both sides.
+    #[error("it speaks versions {oldest} to {newest}, this program {OLDEST_VERSION} to {NEWEST_VERSION}")]
+    NoCommonVersion {
+        /// The oldest version that the successor speaks.
+        oldest: u32,
+        /// The newest version that the successor speaks.
+        newest: u32,
+    },
+    /// The digests of the two sides differ.
+    #[error("its files set what only a start can change")]
+    SettingsDiffer,
+    /// Two processes do not fit the limits.
+    #[error(transparent)]
+    Shortage(#[from] Shortage),
+}
+
+/// Why an attempt came to nothing. The text goes to the successor, the log and whoever asked for the upgrade.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum AttemptError {
+    /// This side made no offer.
+    #[error(transparent)]
+    Refused(#[from] RefuseError),
+    /// The successor sent a refusal.
+    #[error("the new program refused: {reason}")]
+    RefusedBySuccessor {
+        /// The successor's reason.
+        reason: String,
+    },
+    /// A message came that has no place in this state.
+    #[error("a message out of turn")]
+    UnexpectedMessage,
+    /// The successor's process ended before this side had released its state.
+    #[error("the new program ended")]
+    SuccessorEnded,
+    /// The successor's process ended after the release and before it had started.
+    #[error("the new program ended before it began")]
+    SuccessorEndedBeforeStart,
+    /// A deadline passed before the release.
+    #[error("the new program took too long")]
+    TimedOut,
+    /// [`Predecessor::interrupt`] was called.
+    #[error("{reason}")]
+    Interrupted {
+        /// The caller's reason.
+        reason: String,
+    },
 }
 
+/// One attempt to hand over, on the side of the process that serves.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     state: State,
+    deadline_us: Option<u64>,
     limits: Limits,
     summary: StateSummary,
-    /// The successor knows what goes ahead.
+    /// Whether the successor can receive sections before the pause.
     transfers_ahead: bool,
 }
 
 impl Predecessor {
-    /// A successor was started.
+    /// An attempt whose successor was started at `now_us`.
     pub fn new(now_us: u64, limits: Limits, summary: StateSummary) -> Predecessor {
-        let state = State::AwaitingHello { deadline_us: now_us + limits.prepare_us };
-        Predecessor { state, limits, summary, transfers_ahead: false }
+        Predecessor {
+            state: State::AwaitingHello,
+            deadline_us: Some(now_us + limits.prepare_us),
+            limits,
+            summary,
+            transfers_ahead: false,
+        }
     }
 
+    /// How far the attempt has come.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether the node may read, start, answer and call.
+    /// Whether this process may read, start, answer and call.
     pub fn may_act(&self) -> bool {
-        !matches!(self.state, State::Paused { .. } | State::Released { .. } | State::Retired)
+        !matches!(self.state, State::Paused | State::Released | State::Retired)
     }
 
-    /// Whether another attempt may begin.
+    /// Whether the attempt came to nothing, so that another one may begin.
     pub fn is_ended(&self) -> bool {
         self.state == State::Ended
     }
 
+    /// The time in microseconds by which something has to come; none once the attempt has ended.
+    pub fn deadline_us(&self) -> Option<u64> {
+        self.deadline_us
+    }
+
+    /// A message has come from the successor.
     pub fn message(&mut self, now_us: u64, message: &Message, actions: &mut impl Actions) {
         match (self.state, message) {
             (State::Ended | State::Retired, _) => {}
-            (State::AwaitingHello { deadline_us }, Message::Hello(hello)) => match self.check(hello) {
-                Err(why) => {
-                    actions.send(Message::Refuse(Refusal { reason: why.clone() }));
-                    self.end(&why, actions);
-                }
-                Ok(version) => {
-                    let StateSummary { mut sections, ahead, bytes, descriptors, .. } = self.summary.clone();
-                    self.transfers_ahead = version >= FIRST_VERSION_WITH_AHEAD && !ahead.is_empty();
-                    sections.extend(ahead.into_iter().filter(|_| self.transfers_ahead));
-                    actions.send(Message::Offer(Offer { version, sections, bytes, descriptors }));
-                    self.state = State::Offered { deadline_us };
-                }
-            },
-            (State::Offered { deadline_us }, Message::Prepare(_)) => {
-                let (chunks, now_us) =
-                    if self.transfers_ahead { actions.transfer_ahead(now_us) } else { (0, now_us) };
-                // What is still on its way there is read before the answer: the successor has its time from here on.
-                self.state =
-                    State::Preparing { deadline_us: deadline_us.max(now_us + self.limits.prepare_us) };
-                actions.send(Message::AheadComplete(ChunkCount { chunks }));
-            }
-            (State::Preparing { .. }, Message::Ready(_)) => {
-                self.state = State::Paused { deadline_us: now_us + self.limits.pause_us };
-                let chunks = actions.pause();
+            (State::AwaitingHello, Message::Hello(hello)) => self.hello(hello, actions),
+            (State::Offered, Message::Prepare(_)) => self.prepare(now_us, actions),
+            (State::Preparing, Message::Ready(_)) => {
+                self.enter(State::Paused, now_us + self.limits.pause_us);
+                let chunks = actions.pause_and_transfer();
                 actions.send(Message::TransferComplete(ChunkCount { chunks }));
             }
-            (State::Paused { .. }, Message::Loaded(_)) => {
-                // From here on this side never acts again unless the other is known to have ended.
-                self.state = State::Released { deadline_us: now_us + self.limits.start_us };
+            (State::Paused, Message::Loaded(_)) => {
+                // From here on this side acts only once the successor is known to have ended.
+                self.enter(State::Released, now_us + self.limits.start_us);
                 actions.send(Message::Release(Empty {}));
             }
-            (State::Released { .. }, Message::Started(_)) => {
-                self.state = State::Retired;
-                actions.report_outcome("handed over");
+            (State::Released, Message::Started(_)) => {
+                (self.state, self.deadline_us) = (State::Retired, None);
+                actions.report_outcome(Ok(()));
                 actions.retire();
             }
-            // After `Go` the other side may not change its mind; only its end counts.
-            (State::Released { .. }, _) => {}
-            (_, Message::Refuse(refuse) | Message::Abort(refuse)) => {
-                let why = format!("the new program refused: {}", refuse.reason);
-                self.end(&why, actions);
+            // After the release the successor may not change its mind; only its end counts.
+            (State::Released, _) => {}
+            (_, Message::Refuse(refusal) | Message::Abort(refusal)) => {
+                let reason = refusal.reason.clone();
+                self.end(&AttemptError::RefusedBySuccessor { reason }, actions);
             }
-            (_, _) => self.abort("a message out of turn", actions),
+            (_, _) => self.abort(&AttemptError::UnexpectedMessage, actions),
         }
     }
 
-    /// The stream has ended, which only the other process's end brings about.
+    /// The stream has ended, and with it the successor's process.
     pub fn peer_ended(&mut self, actions: &mut impl Actions) {
         match self.state {
             State::Ended | State::Retired => {}
-            // It ended before its first act: nothing was done with what it had been given.
-            State::Released { .. } => self.end("the new program ended before it began", actions),
-            _ => self.end("the new program ended", actions),
+            // It had not started: nothing was done with the state that it had.
+            State::Released => self.end(&AttemptError::SuccessorEndedBeforeStart, actions),
+            _ => self.end(&AttemptError::SuccessorEnded, actions),
         }
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now_us: u64, actions: &mut impl Actions) {
-        if self.deadline_us().is_none_or(|deadline_us| now_us < deadline_us) {
+        if self.deadline_us.is_none_or(|deadline_us| now_us < deadline_us) {
             return;
         }
-        match self.state {
-            State::Released { .. } => {
-                // It may hold all that was given and wake at any moment: it has to be gone first.
-                actions.kill_peer();
-                self.state = State::Released { deadline_us: now_us + self.limits.start_us };
-            }
-            _ => self.abort("the new program took too long", actions),
+        if self.state == State::Released {
+            // The successor may have all of the state and wake at any moment: its process has to end first.
+            actions.kill_peer();
+            self.deadline_us = Some(now_us + self.limits.start_us);
+        } else {
+            self.abort(&AttemptError::TimedOut, actions);
         }
     }
 
-    /// Until when something has to come.
-    pub fn deadline_us(&self) -> Option<u64> {
-        match self.state {
-            State::AwaitingHello { deadline_us }
-            | State::Offered { deadline_us }
-            | State::Preparing { deadline_us }
-            | State::Paused { deadline_us }
-            | State::Released { deadline_us } => Some(deadline_us),
-            State::Retired | State::Ended => None,
+    /// The attempt is to end, as this process is to drain, or what was offered is out of date. Ignored from the release
+    /// on.
+    pub fn interrupt(&mut self, reason: &str, actions: &mut impl Actions) {
+        if !matches!(self.state, State::Released | State::Retired | State::Ended) {
+            self.abort(&AttemptError::Interrupted { reason: reason.into() }, actions);
         }
     }
 
-    /// This node is to leave, or its files were read again: what was offered is not so any more.
-    pub fn interrupt(&mut self, why: &str, actions: &mut impl Actions) {
-        if !matches!(self.state, State::Released { .. } | State::Retired | State::Ended) {
-            self.abort(why, actions);
+    fn hello(&mut self, hello: &Hello, actions: &mut impl Actions) {
+        let version = match self.check(hello) {
+            Ok(version) => version,
+            Err(refused) => {
+                actions.send(Message::Refuse(Refusal { reason: refused.to_string() }));
+                return self.end(&refused.into(), actions);
+            }
+        };
+        let StateSummary { mut sections, ahead, bytes, descriptors, .. } = self.summary.clone();
+        self.transfers_ahead = version >= FIRST_VERSION_WITH_AHEAD && !ahead.is_empty();
+        if self.transfers_ahead {
+            sections.extend(ahead);
         }
+        actions.send(Message::Offer(Offer { version, sections, bytes, descriptors }));
+        self.state = State::Offered;
     }
 
-    fn check(&self, hello: &Hello) -> Result<u32, String> {
-        if hello.newest < OLDEST_VERSION || hello.oldest > NEWEST_VERSION {
-            let (oldest, newest) = (hello.oldest, hello.newest);
-            return Err(format!(
-                "it speaks versions {oldest} to {newest}, this program {OLDEST_VERSION} to {NEWEST_VERSION}"
-            ));
+    fn prepare(&mut self, now_us: u64, actions: &mut impl Actions) {
+        let TransferredAhead { chunks, finished_us } = if self.transfers_ahead {
+            actions.transfer_ahead(now_us)
+        } else {
+            TransferredAhead { chunks: 0, finished_us: now_us }
+        };
+        // The successor reads what is still on its way before it answers: its time counts from here.
+        let deadline_us = finished_us + self.limits.prepare_us;
+        self.enter(State::Preparing, deadline_us.max(self.deadline_us.unwrap_or(0)));
+        actions.send(Message::AheadComplete(ChunkCount { chunks }));
+    }
+
+    /// The version of the protocol to go on with.
+    fn check(&self, hello: &Hello) -> Result<u32, RefuseError> {
+        let Hello { oldest, newest, digest, .. } = *hello;
+        if newest < OLDEST_VERSION || oldest > NEWEST_VERSION {
+            return Err(RefuseError::NoCommonVersion { oldest, newest });
         }
-        if hello.digest != self.summary.digest {
-            return Err("its files set what only a start can change".into());
+        if digest != self.summary.digest {
+            return Err(RefuseError::SettingsDiffer);
         }
-        match &self.summary.shortage {
-            Some(why) => Err(why.clone()),
-            None => Ok(hello.newest.min(NEWEST_VERSION)),
+        match self.summary.shortage {
+            Some(shortage) => Err(shortage.into()),
+            None => Ok(newest.min(NEWEST_VERSION)),
         }
     }
 
-    fn abort(&mut self, why: &str, actions: &mut impl Actions) {
-        actions.send(Message::Abort(Refusal { reason: why.into() }));
-        self.end(why, actions);
+    fn enter(&mut self, state: State, deadline_us: u64) {
+        (self.state, self.deadline_us) = (state, Some(deadline_us));
+    }
+
+    fn abort(&mut self, error: &AttemptError, actions: &mut impl Actions) {
+        actions.send(Message::Abort(Refusal { reason: error.to_string() }));
+        self.end(error, actions);
     }
 
-    fn end(&mut self, why: &str, actions: &mut impl Actions) {
-        let paused = !self.may_act();
-        self.state = State::Ended;
-        if paused {
+    fn end(&mut self, error: &AttemptError, actions: &mut impl Actions) {
+        let was_paused = !self.may_act();
+        (self.state, self.deadline_us) = (State::Ended, None);
+        if was_paused {
             actions.resume();
         }
-        actions.report_outcome(why);
+        actions.report_outcome(Err(error));
     }
 }
--- a/crates/ochrewalk-handover/tests/explore.rs
+++ b/crates/ochrewalk-handover/tests/explore.rs
@@ -2,12 +2,16 @@
 //! as they like, one attempt after another.
 
 use ochrewalk_handover::messages::{Chunk, Message};
-use ochrewalk_handover::predecessor::{self, Predecessor, StateSummary};
-use ochrewalk_handover::successor::{self, Capabilities, Successor};
+use ochrewalk_handover::predecessor::{self, AttemptError, Predecessor, StateSummary, TransferredAhead};
+use ochrewalk_handover::successor::{self, Capabilities, Successor, SuccessorError};
 use stateright::{Checker, Model, Property};
 
 /// A process and what it has written that the other has not read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "each says whether one event has happened; they are independent"
+)]
 struct World {
     predecessor: Option<Predecessor>,
     successor: Option<Successor>,
@@ -45,6 +49,10 @@
 }
 
 #[derive(Default)]
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "each says whether one action was taken; they are independent"
+)]
 struct RecordedActions {
     sent: Vec<Message>,
     loads: bool,
@@ -59,10 +67,10 @@
     fn send(&mut self, message: Message) {
         self.sent.push(message);
     }
-    fn transfer_ahead(&mut self, now_us: u64) -> (u64, u64) {
-        (0, now_us)
+    fn transfer_ahead(&mut self, now_us: u64) -> TransferredAhead {
+        TransferredAhead { chunks: 0, finished_us: now_us }
     }
-    fn pause(&mut self) -> u64 {
+    fn pause_and_transfer(&mut self) -> u64 {
         self.sent.push(Message::Chunk(Chunk::default()));
         1
     }
@@ -75,16 +83,18 @@
     fn retire(&mut self) {
         self.exited = true;
     }
-    fn report_outcome(&mut self, _how: &str) {}
+    fn report_outcome(&mut self, _outcome: Result<(), &AttemptError>) {}
 }
 
 impl successor::Actions for RecordedActions {
+    type LoadError = std::io::Error;
+
     fn send(&mut self, message: Message) {
         self.sent.push(message);
     }
     fn store(&mut self, _section: &str, _bytes: &[u8], _descriptors: u32) {}
-    fn load(&mut self) -> Result<(), String> {
-        self.loads.then_some(()).ok_or_else(|| "no".into())
+    fn load(&mut self) -> Result<(), std::io::Error> {
+        self.loads.then_some(()).ok_or_else(|| std::io::Error::other("no"))
     }
     fn start(&mut self) {
         self.started = true;
@@ -95,7 +105,7 @@
     fn kill_peer(&mut self) {
         self.killed_peer = true;
     }
-    fn exit(&mut self, _why: &str) {
+    fn exit(&mut self, _error: &SuccessorError) {
         self.exited = true;
     }
 }
@@ -146,7 +156,7 @@
         let mut actions = RecordedActions::default();
         let nobody_acts = !self.predecessor_acts() && !self.successor_acts();
         let Some(predecessor) = &mut self.predecessor else { return };
-        let released = matches!(predecessor.state(), predecessor::State::Released { .. });
+        let released = predecessor.state() == predecessor::State::Released;
         step(predecessor, &mut actions);
         self.to_successor.extend(actions.sent);
         self.taken_back |= actions.resumed && released;
@@ -266,10 +276,8 @@
             Action::SuccessorReads { loads } => {
                 let message = next.to_successor.remove(0);
                 next.act_as_successor(loads, |successor, actions| successor.message(0, &message, actions));
-                let has_all = next
-                    .successor
-                    .as_ref()
-                    .is_some_and(|t| matches!(t.state(), successor::State::Loaded { .. }));
+                let state = next.successor.as_ref().map(Successor::state);
+                let has_all = state == Some(successor::State::Loaded);
                 if self.broken == Broken::SuccessorImpatient && has_all {
                     next.act_as_successor(true, |successor, actions| successor.peer_ended(actions));
                 }
@@ -291,8 +299,7 @@
                 next.crashes += 1;
             }
             Action::PredecessorTimesOut => {
-                let released =
-                    matches!(next.predecessor.as_ref()?.state(), predecessor::State::Released { .. });
+                let released = next.predecessor.as_ref()?.state() == predecessor::State::Released;
                 if self.broken == Broken::PredecessorImpatient && released {
                     next.act_as_predecessor(|predecessor, actions| predecessor.peer_ended(actions));
                 } else {
@@ -312,7 +319,7 @@
             }
             Action::SuccessorToldToLeave => {
                 next.leave_requests += 1;
-                next.act_as_successor(true, |successor, actions| successor.leave(actions));
+                next.act_as_successor(true, |successor, actions| successor.drain(actions));
             }
             Action::AnotherAttempt => attempt(&mut next),
         }
--- a/crates/ochrewalk-handover/tests/steps.rs
+++ b/crates/ochrewalk-handover/tests/steps.rs
@@ -1,10 +1,14 @@
-//! Each step with what may go wrong in it, and the messages over any split.
+//! Each step of both sides with what may go wrong in it.
+
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_handover::messages::{
-    self, Chunk, ChunkCount, Empty, Hello, Message, Offer, Prepare, Refusal, Section,
+    Chunk, ChunkCount, Empty, Hello, Message, Offer, Prepare, Refusal, Section,
+};
+use ochrewalk_handover::predecessor::{
+    self, AttemptError, Predecessor, Shortage, StateSummary, TransferredAhead,
 };
-use ochrewalk_handover::predecessor::{self, Predecessor, StateSummary};
-use ochrewalk_handover::successor::{self, Capabilities, Successor};
+use ochrewalk_handover::successor::{self, Capabilities, Successor, SuccessorError};
 
 #[derive(Default)]
 struct RecordedActions(Vec<String>);
@@ -28,10 +32,10 @@
     fn send(&mut self, message: Message) {
         self.sent(message);
     }
-    fn transfer_ahead(&mut self, now_us: u64) -> (u64, u64) {
-        (0, now_us)
+    fn transfer_ahead(&mut self, now_us: u64) -> TransferredAhead {
+        TransferredAhead { chunks: 0, finished_us: now_us }
     }
-    fn pause(&mut self) -> u64 {
+    fn pause_and_transfer(&mut self) -> u64 {
         self.0.push("paused".into());
         0
     }
@@ -44,21 +48,24 @@
     fn retire(&mut self) {
         self.0.push("retired".into());
     }
-    fn report_outcome(&mut self, how: &str) {
-        self.0.push(format!("outcome: {how}"));
+    fn report_outcome(&mut self, outcome: Result<(), &AttemptError>) {
+        let outcome = outcome.map_or_else(|error| error.to_string(), |()| "handed over".into());
+        self.0.push(format!("outcome: {outcome}"));
     }
 }
 
 impl successor::Actions for RecordedActions {
+    type LoadError = std::io::Error;
+
     fn send(&mut self, message: Message) {
         self.sent(message);
     }
     fn store(&mut self, section: &str, bytes: &[u8], descriptors: u32) {
         self.0.push(format!("store {section} {} {descriptors}", bytes.len()));
     }
-    fn load(&mut self) -> Result<(), String> {
+    fn load(&mut self) -> Result<(), std::io::Error> {
         if self.0.iter().any(|d| d.starts_with("store spoilt")) {
-            return Err("a spoilt section".into());
+            return Err(std::io::Error::other("a spoilt section"));
         }
         Ok(())
     }
@@ -71,8 +78,8 @@
     fn kill_peer(&mut self) {
         self.0.push("kill peer".into());
     }
-    fn exit(&mut self, why: &str) {
-        self.0.push(format!("exit: {why}"));
+    fn exit(&mut self, error: &SuccessorError) {
+        self.0.push(format!("exit: {error}"));
     }
 }
 
@@ -80,7 +87,7 @@
     Section { name: name.into(), version }
 }
 
-fn predecessor(shortage: Option<&str>) -> Predecessor {
+fn predecessor(shortage: Option<Shortage>) -> Predecessor {
     let limits = predecessor::Limits { prepare_us: 100, pause_us: 10, start_us: 10 };
     let summary = StateSummary {
         digest: 7,
@@ -88,7 +95,7 @@
         ahead: vec![section("tokens", 1)],
         bytes: 50,
         descriptors: 5,
-        shortage: shortage.map(String::from),
+        shortage,
     };
     Predecessor::new(0, limits, summary)
 }
@@ -103,28 +110,43 @@
 const STARTED: Message = Message::Started(Empty {});
 const PREPARE: Message = Message::Prepare(Prepare {});
 
-#[test]
-fn the_predecessor_goes_step_by_step_and_goes_on_whatever_fails() {
-    let steps = [
+/// Each message of a hand-over that succeeds, and what the predecessor does on it.
+fn predecessor_steps() -> [(Message, &'static str); 5] {
+    [
         (hello(1, 9, 7), "offer 2"),
         (PREPARE, "aheadcomplete"),
         (READY, "paused, transfercomplete"),
         (LOADED, "release"),
         (STARTED, "outcome: handed over, retired"),
-    ];
-    for steps_done in 0..=steps.len() {
-        let after_steps = || {
-            let (mut predecessor, mut actions) = (predecessor(None), RecordedActions::default());
-            for (message, wanted) in &steps[..steps_done] {
-                predecessor.message(5, message, &mut actions);
-                assert_eq!(actions.take(), *wanted);
-            }
-            (predecessor, actions)
-        };
-        assert_eq!(after_steps().0.may_act(), steps_done < 3, "{steps_done}");
-        let resumes = if steps_done == 3 { "resumed, " } else { "" };
-        // The other ends.
-        let (mut predecessor, mut actions) = after_steps();
+    ]
+}
+
+/// A predecessor after so many of its steps.
+fn predecessor_after(steps_done: usize) -> (Predecessor, RecordedActions) {
+    let (mut predecessor, mut actions) = (predecessor(None), RecordedActions::default());
+    for (message, wanted) in &predecessor_steps()[..steps_done] {
+        predecessor.message(5, message, &mut actions);
+        assert_eq!(actions.take(), *wanted);
+    }
+    (predecessor, actions)
+}
+
+/// What a predecessor does first where an attempt fails after so many steps.
+fn resumes_after(steps_done: usize) -> &'static str {
+    if steps_done == 3 {
+        "resumed, "
+    } else {
+        ""
+    }
+}
+
+#[test]
+fn the_predecessor_goes_step_by_step_and_goes_on_whatever_fails() {
+    for steps_done in 0..=predecessor_steps().len() {
+        assert_eq!(predecessor_after(steps_done).0.may_act(), steps_done < 3, "{steps_done}");
+        let resumes = resumes_after(steps_done);
+        // The successor ends.
+        let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.peer_ended(&mut actions);
         let wanted = match steps_done {
             0..=3 => format!("{resumes}outcome: the new program ended"),
@@ -134,13 +156,13 @@
         assert_eq!(actions.take(), wanted, "{steps_done}");
         assert_eq!(predecessor.may_act(), steps_done < 5);
         // It takes too long.
-        let (mut predecessor, mut actions) = after_steps();
-        let due = predecessor.deadline_us();
-        assert_eq!(due.is_none(), steps_done == 5);
-        if let Some(due) = due {
-            predecessor.tick(due - 1, &mut actions);
+        let (mut predecessor, mut actions) = predecessor_after(steps_done);
+        let deadline = predecessor.deadline_us();
+        assert_eq!(deadline.is_none(), steps_done == 5);
+        if let Some(deadline) = deadline {
+            predecessor.tick(deadline - 1, &mut actions);
             assert_eq!(actions.take(), "");
-            predecessor.tick(due, &mut actions);
+            predecessor.tick(deadline, &mut actions);
             let why = "the new program took too long";
             let wanted = match steps_done {
                 4 => "kill peer".into(),
@@ -148,28 +170,26 @@
             };
             assert_eq!(actions.take(), wanted, "{steps_done}");
         }
-        // It is interrupted, or hears what has no place here; after `Go` neither counts.
-        let (mut predecessor, mut actions) = after_steps();
+    }
+}
+
+#[test]
+fn until_the_release_the_predecessor_ends_on_interruptions_refusals_and_unexpected_messages() {
+    for steps_done in 0..=predecessor_steps().len() {
+        let resumes = resumes_after(steps_done);
+        let until_release = |wanted: String| if steps_done < 4 { wanted } else { String::new() };
+        let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.interrupt("told to leave", &mut actions);
-        let wanted = if steps_done < 4 {
-            format!("abort: told to leave, {resumes}outcome: told to leave")
-        } else {
-            String::new()
-        };
+        let wanted = until_release(format!("abort: told to leave, {resumes}outcome: told to leave"));
         assert_eq!(actions.take(), wanted, "{steps_done}");
-        let (mut predecessor, mut actions) = after_steps();
+        let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.message(6, &RELEASE, &mut actions);
         let why = "a message out of turn";
-        let wanted =
-            if steps_done < 4 { format!("abort: {why}, {resumes}outcome: {why}") } else { String::new() };
+        let wanted = until_release(format!("abort: {why}, {resumes}outcome: {why}"));
         assert_eq!(actions.take(), wanted, "{steps_done}");
-        let (mut predecessor, mut actions) = after_steps();
+        let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.message(6, &Message::Abort(Refusal { reason: "x".into() }), &mut actions);
-        let wanted = if steps_done < 4 {
-            format!("{resumes}outcome: the new program refused: x")
-        } else {
-            String::new()
-        };
+        let wanted = until_release(format!("{resumes}outcome: the new program refused: x"));
         assert_eq!(actions.take(), wanted, "{steps_done}");
         assert_eq!(predecessor.is_ended(), steps_done < 4);
     }
@@ -205,17 +225,17 @@
         }
     }
     /// Sending takes ten times as long as any other step may.
-    fn transfer_ahead(&mut self, now_us: u64) -> (u64, u64) {
+    fn transfer_ahead(&mut self, now_us: u64) -> TransferredAhead {
         self.ahead = true;
-        (0, now_us + 1_000)
+        TransferredAhead { chunks: 0, finished_us: now_us + 1_000 }
     }
-    fn pause(&mut self) -> u64 {
+    fn pause_and_transfer(&mut self) -> u64 {
         0
     }
     fn resume(&mut self) {}
     fn kill_peer(&mut self) {}
     fn retire(&mut self) {}
-    fn report_outcome(&mut self, _how: &str) {}
+    fn report_outcome(&mut self, _outcome: Result<(), &AttemptError>) {}
 }
 
 #[test]
@@ -224,7 +244,16 @@
         (hello(3, 4, 7), None, "it speaks versions 3 to 4, this program 1 to 2"),
         (hello(0, 0, 7), None, "it speaks versions 0 to 0, this program 1 to 2"),
         (hello(1, 1, 8), None, "its files set what only a start can change"),
-        (hello(1, 1, 7), Some("70 MB in use, 96 allowed"), "70 MB in use, 96 allowed"),
+        (
+            hello(1, 1, 7),
+            Some(Shortage::Memory { in_use_mb: 70, allowed_mb: 96 }),
+            "70 MB in use, twice that is more than the 96 MB allowed",
+        ),
+        (
+            hello(1, 1, 7),
+            Some(Shortage::Descriptors { in_use: 600, allowed: 1024 }),
+            "600 descriptors in use, twice that is more than the 1024 allowed",
+        ),
     ] {
         let (mut predecessor, mut actions) = (predecessor(shortage), RecordedActions::default());
         predecessor.message(0, &message, &mut actions);
@@ -250,7 +279,7 @@
 }
 
 #[test]
-fn the_successor_begins_only_at_the_word_or_when_the_other_is_dead() {
+fn the_successor_starts_only_on_the_release_or_once_the_predecessor_has_ended() {
     let steps = [
         (offer(vec![section("rpcs", 1)], 50, 5), "prepare"),
         (part("tokens"), "store tokens 2 1"),
@@ -296,7 +325,7 @@
             assert_eq!(actions.take(), wanted, "{steps_done}");
         }
         let (mut successor, mut actions) = after_steps();
-        successor.leave(&mut actions);
+        successor.drain(&mut actions);
         assert_eq!(
             actions.take(),
             if steps_done < 5 { "abort: told to leave, exit: told to leave" } else { "" }
@@ -335,19 +364,3 @@
         assert!(actions.take().ends_with(&format!("abort: {why}, exit: {why}")));
     }
 }
-
-#[test]
-fn messages_are_read_back_over_any_split_and_new_ones_are_passed_over() {
-    for message in [hello(1, 2, 3), offer(vec![section("a", 1)], 1, 2), part("x"), PREPARE, RELEASE] {
-        let bytes = messages::encode(message.clone());
-        for cut in 0..bytes.len() {
-            assert_eq!(messages::decode(&bytes[..cut]), Ok((None, 0)));
-        }
-        assert_eq!(messages::decode(&bytes), Ok((Some(message), bytes.len())));
-    }
-    // Field 99, a message of a newer program: read, and passed over.
-    let newer = [0, 0, 0, 4, 0x9a, 0x06, 0x01, 0x00];
-    assert_eq!(messages::decode(&newer), Ok((None, 8)));
-    assert!(messages::decode(&[0x7f, 0, 0, 0]).is_err());
-    assert!(messages::decode(&[0, 0, 0, 1, 0xff]).is_err());
-}
--- a/crates/ochrewalk-handover/tests/wire_format.rs
+++ b/crates/ochrewalk-handover/tests/wire_format.rs
@@ -3,6 +3,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
+use ochrewalk_handover::framing::{self, Decoded};
 use ochrewalk_handover::messages::{
     self, Chunk, ChunkCount, Empty, Hello, Message, Offer, Prepare, Refusal, Section,
 };
@@ -16,8 +17,9 @@
 /// Reads the one message of a file, and demands that it is written to the same bytes.
 fn assert_wire_format(name: &str, expected: Message) {
     let bytes = fixture(name);
-    assert_eq!(messages::decode(&bytes).unwrap(), (Some(expected.clone()), bytes.len()), "{name}");
-    assert_eq!(messages::encode(expected), bytes, "{name}");
+    let read = Decoded::Message { message: expected.clone(), length: bytes.len() };
+    assert_eq!(framing::decode(&bytes).unwrap(), read, "{name}");
+    assert_eq!(framing::encode(expected), bytes, "{name}");
 }
 
 #[test]
@@ -59,7 +61,7 @@
 #[test]
 fn the_limits_of_a_message_are_those_of_earlier_programs() {
     assert_eq!(
-        (messages::LENGTH_PREFIX_BYTES, messages::MAX_MESSAGE_BYTES, messages::MAX_DESCRIPTORS),
+        (framing::LENGTH_PREFIX_BYTES, framing::MAX_MESSAGE_BYTES, messages::MAX_DESCRIPTORS),
         (4, 1_048_576, 250)
     );
     assert_eq!((ochrewalk_handover::OLDEST_VERSION, ochrewalk_handover::NEWEST_VERSION), (1, 2));
--- a/crates/ochrewalk-node/src/handover/give.rs
+++ b/crates/ochrewalk-node/src/handover/give.rs
@@ -6,7 +6,9 @@
 use super::wire::{Heard, Wire};
 use crate::node::Node;
 use ochrewalk_handover::messages::{Chunk, Message, MAX_DESCRIPTORS};
-use ochrewalk_handover::predecessor::{Actions, Limits, Predecessor, StateSummary};
+use ochrewalk_handover::predecessor::{
+    Actions, AttemptError, Limits, Predecessor, Shortage, StateSummary, TransferredAhead,
+};
 use prost::Message as _;
 use std::os::fd::{BorrowedFd, RawFd};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,6 +28,8 @@
 const BY_WORKER: Duration = Duration::from_secs(1);
 /// How long the supervisor may take to let this program go on. Without its word another may act in this node's place.
 const RESUME: Duration = Duration::from_secs(60);
+/// How a hand-over that came about is reported.
+const HANDED_OVER: &str = "handed over";
 /// Bytes of one part.
 const PART: usize = 256 * 1024;
 
@@ -104,9 +108,9 @@
     let (memory, most) = (node.memory_bytes as u64, node.descriptors);
     let mb = |bytes: u64| bytes / 1024 / 1024;
     let shortage = if 2 * resident > memory {
-        Some(format!("{} MB in use, twice that is more than the {} MB allowed", mb(resident), mb(memory)))
+        Some(Shortage::Memory { in_use_mb: mb(resident), allowed_mb: mb(memory) })
     } else if 2 * descriptors > most {
-        Some(format!("{descriptors} descriptors in use, twice that is more than the {most} allowed"))
+        Some(Shortage::Descriptors { in_use: descriptors, allowed: most })
     } else {
         None
     };
@@ -168,7 +172,7 @@
     }
 
     /// Tokens stay as they are for most of their time. All else changes with every RPC.
-    fn transfer_ahead(&mut self, _now_us: u64) -> (u64, u64) {
+    fn transfer_ahead(&mut self, _now_us: u64) -> TransferredAhead {
         let gate = &self.node.core.gate;
         let (mut parts, mut after) = (0, None);
         self.ahead = true;
@@ -182,10 +186,10 @@
             }
             (parts, after) = (parts + 1, Some(last));
         }
-        (parts, self.node.core.clock.now_us())
+        TransferredAhead { chunks: parts, finished_us: self.node.core.clock.now_us() }
     }
 
-    fn pause(&mut self) -> u64 {
+    fn pause_and_transfer(&mut self) -> u64 {
         let patience = Duration::from_micros(LIMITS.pause_us);
         if self.link.ask(Question::MayPause, patience) != Some(true) {
             self.failed = Some("the supervisor does not allow the pause".into());
@@ -255,7 +259,8 @@
         std::process::exit(0);
     }
 
-    fn report_outcome(&mut self, how: &str) {
+    fn report_outcome(&mut self, outcome: Result<(), &AttemptError>) {
+        let how = outcome.map_or_else(|error| error.to_string(), |()| HANDED_OVER.into());
         tracing::warn!(part = "upgrade", "{how}");
         self.node.core.gate.end_ahead();
         self.link.report(&format!("told {how}"));
--- a/crates/ochrewalk-node/src/handover/take.rs
+++ b/crates/ochrewalk-node/src/handover/take.rs
@@ -9,11 +9,12 @@
 use crate::clock::Clock;
 use crate::keys::Keys;
 use ochrewalk_handover::messages::{Message, Refusal};
-use ochrewalk_handover::successor::{Actions, Capabilities, Limits, State, Successor};
+use ochrewalk_handover::successor::{Actions, Capabilities, Limits, State, Successor, SuccessorError};
 use prost::Message as _;
 use std::collections::HashMap;
 use std::os::fd::OwnedFd;
 use std::time::Duration;
+use thiserror::Error;
 
 const LIMITS: Limits = Limits { answer_us: 5_000_000, pause_us: 3_000_000 };
 const BEGIN_TRIES: u32 = 100;
@@ -36,6 +37,31 @@
     pub tokens: Keys,
 }
 
+/// Why the state that came cannot be restored.
+#[derive(Debug, Error)]
+pub enum LoadError {
+    /// Something that was announced is missing.
+    #[error("fewer descriptors came than were announced, or tokens that cannot be read")]
+    Incomplete,
+    /// A section is not of its format.
+    #[error("section {name}: {error}")]
+    Section {
+        /// The section's name.
+        name: &'static str,
+        /// What is wrong with its bytes.
+        error: prost::DecodeError,
+    },
+    /// A section names more streams than came with it, or fewer.
+    #[error("streams and descriptors differ in number")]
+    DescriptorCount,
+    /// The node cannot be put together from the state.
+    #[error("{reason}")]
+    Assembly {
+        /// What does not fit.
+        reason: String,
+    },
+}
+
 /// How this process is to begin.
 pub enum Begin<P> {
     /// With what was put together.
@@ -86,7 +112,7 @@
             return Ok(begin);
         }
         if interrupted() {
-            successor.leave(&mut side);
+            successor.drain(&mut side);
         }
         match side.wire.hear(LOOK) {
             Ok(Heard::Message(message)) => {
@@ -132,15 +158,18 @@
 }
 
 impl<P, B: FnMut(Taken) -> Result<P, String>> Side<'_, P, B> {
-    fn section<M: prost::Message + Default>(&mut self, name: &str) -> Result<(M, Vec<OwnedFd>), String> {
+    fn section<M: prost::Message + Default>(
+        &mut self,
+        name: &'static str,
+    ) -> Result<(M, Vec<OwnedFd>), LoadError> {
         let (bytes, descriptors) = self.kept.remove(name).unwrap_or_default();
-        let kept = M::decode(bytes.as_slice()).map_err(|err| format!("section {name}: {err}"))?;
+        let kept = M::decode(bytes.as_slice()).map_err(|error| LoadError::Section { name, error })?;
         Ok((kept, descriptors))
     }
 
-    fn taken(&mut self) -> Result<Taken, String> {
+    fn taken(&mut self) -> Result<Taken, LoadError> {
         if self.short {
-            return Err("fewer descriptors came than were announced, or tokens that cannot be read".into());
+            return Err(LoadError::Incomplete);
         }
         let (node, _) = self.section::<KeptNode>("node")?;
         let (rpcs, _) = self.section::<KeptRpcs>("rpcs")?;
@@ -163,12 +192,14 @@
         if matches {
             Ok(taken)
         } else {
-            Err("streams and descriptors differ in number".into())
+            Err(LoadError::DescriptorCount)
         }
     }
 }
 
 impl<P, B: FnMut(Taken) -> Result<P, String>> Actions for Side<'_, P, B> {
+    type LoadError = LoadError;
+
     fn send(&mut self, message: Message) {
         let _ = self.wire.send(message, &[]);
     }
@@ -188,9 +219,10 @@
         kept.1.extend(came.unwrap_or_default());
     }
 
-    fn load(&mut self) -> Result<(), String> {
+    fn load(&mut self) -> Result<(), LoadError> {
         let taken = self.taken()?;
-        self.built = Some((self.build)(taken)?);
+        let built = (self.build)(taken).map_err(|reason| LoadError::Assembly { reason })?;
+        self.built = Some(built);
         Ok(())
     }
 
@@ -206,8 +238,8 @@
         self.link.report("end other");
     }
 
-    fn exit(&mut self, why: &str) {
-        self.end = Some(why.to_string());
+    fn exit(&mut self, error: &SuccessorError) {
+        self.end = Some(error.to_string());
     }
 }
 
--- a/crates/ochrewalk-node/src/handover/wire.rs
+++ b/crates/ochrewalk-node/src/handover/wire.rs
@@ -1,7 +1,8 @@
 //! The Unix streams that a hand-over goes over: messages with descriptors beside them, blocking, each step with its
 //! limit of time. Used by threads, never by coroutines.
 
-use ochrewalk_handover::messages::{self, Message, MAX_DESCRIPTORS};
+use ochrewalk_handover::framing::{self, Decoded};
+use ochrewalk_handover::messages::{Message, MAX_DESCRIPTORS};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
@@ -45,23 +46,23 @@
 
     /// Writes a message, with descriptors beside its first byte.
     pub fn send(&self, message: Message, descriptors: &[BorrowedFd]) -> std::io::Result<()> {
-        send(&self.stream, &messages::encode(message), descriptors)
+        send(&self.stream, &framing::encode(message), descriptors)
     }
 
     /// The next message, within that time.
     pub fn hear(&mut self, within: Duration) -> std::io::Result<Heard> {
         self.stream.set_read_timeout(Some(within.max(Duration::from_millis(1))))?;
         loop {
-            match messages::decode(&self.input).map_err(|why| Error::new(ErrorKind::InvalidData, why))? {
-                (Some(message), taken) => {
-                    self.input.drain(..taken);
+            match framing::decode(&self.input).map_err(|why| Error::new(ErrorKind::InvalidData, why))? {
+                Decoded::Message { message, length } => {
+                    self.input.drain(..length);
                     return Ok(Heard::Message(message));
                 }
-                (None, 0) => {}
-                (None, taken) => {
-                    self.input.drain(..taken);
+                Decoded::Unknown { length } => {
+                    self.input.drain(..length);
                     return Ok(Heard::Unknown);
                 }
+                Decoded::Incomplete => {}
             }
             let mut chunk = vec![0; CHUNK];
             match receive(&self.stream, &mut chunk, &mut self.came) {
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -6,7 +6,8 @@
 mod helper;
 
 use helper::*;
-use ochrewalk_handover::messages::{self, ChunkCount, Empty, Hello, Message, Prepare, Refusal};
+use ochrewalk_handover::framing;
+use ochrewalk_handover::messages::{ChunkCount, Empty, Hello, Message, Prepare, Refusal};
 use ochrewalk_node::handover::counter_report::CounterReport;
 use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
 use ochrewalk_node::handover::wire::{inherit, lines, send_line, Heard, Wire};
@@ -205,7 +206,7 @@
     let hello = greeting_of_a_successor(&stand);
     assert_eq!((hello.oldest, hello.newest, hello.program.as_str()), (1, 2, "0.1.0"));
     let (_, answer) = begin(&supervisor, Hello { digest: !hello.digest, ..hello.clone() });
-    assert_eq!(messages::encode(answer), fixture("refused-files.bin"));
+    assert_eq!(framing::encode(answer), fixture("refused-files.bin"));
     assert_eq!(supervisor.line_but_counters(), "told its files set what only a start can change\n");
 
     let (mut wire, answer) = begin(&supervisor, hello);
