--- a/crates/ochrewalk-distribution/tests/wire_format.rs
+++ b/crates/ochrewalk-distribution/tests/wire_format.rs
@@ -18,8 +18,9 @@
 
 /// A resource of each kind, and a deleted one.
 fn resources() -> Vec<Resource> {
-    let named = |kind, value| {
-        Resource { revision: 300, ..Resource::set(ResourceName::new(kind, "shop", "one"), value) }
+    let named = |kind, value| Resource {
+        revision: 300,
+        ..Resource::set(ResourceName::new(kind, "shop", "one"), value)
     };
     vec![
         Resource { revision: 1, ..Resource::set(route_name(), route_value()) },
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -11,7 +11,7 @@
 use ochrewalk_node::handover::counter_report::CounterReport;
 use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
 use ochrewalk_node::handover::wire::{inherit, lines, send_line, Heard, Wire};
-use ochrewalk_rollout::messages::{MethodTally, Tally};
+use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::fd::{AsFd, AsRawFd};
 use std::os::unix::net::UnixStream;
@@ -30,10 +30,11 @@
     std::fs::read(fixture_path(name)).unwrap_or_else(|err| panic!("{name}: {err}"))
 }
 
-fn counters() -> Tally {
-    let method = |name: &str, calls, missed, failed| MethodTally { name: name.into(), calls, missed, failed };
+fn counters() -> ServingCounters {
+    let method =
+        |name: &str, calls, missed, failed| MethodCounters { name: name.into(), calls, missed, failed };
     let methods = vec![method("look", 1_000, 20, 3), method("sale", 7, 0, 1)];
-    Tally { is_healthy: true, memory_kb: 81_920, methods, settings: 0x1234_5678_9abc_def0 }
+    ServingCounters { is_healthy: true, memory_kb: 81_920, methods, settings: 0x1234_5678_9abc_def0 }
 }
 
 #[test]
