--- a/crates/ochrewalk-node/benches/standstill.rs
+++ b/crates/ochrewalk-node/benches/pause.rs
@@ -1,4 +1,4 @@
-//! What tokens add to an upgrade's standstill: all of them written down and taken in it, against those that changed since the
+//! What tokens add to an upgrade's pause: all of them written down and taken in it, against those that changed since the
 //! others went ahead; and the longest moment that a piece sent ahead holds everybody up.
 //! `cargo bench -p ochrewalk-node`
 
@@ -7,7 +7,7 @@
 use prost::Message;
 use std::time::Instant;
 
-/// Settled between the first piece and the standstill.
+/// Settled between the first piece and the pause.
 const CHANGED: u64 = 1_000;
 const PIECE: usize = 1_000;
 const RESULT: &str =
@@ -39,7 +39,7 @@
 }
 
 fn main() {
-    println!("tokens     all at once ms   ahead ms   longest piece ms   at the standstill ms   sweep us");
+    println!("tokens     all at once ms   ahead ms   longest piece ms   at the pause ms   sweep us");
     for count in [1_000, 10_000, 100_000, 1_000_000] {
         let mut keys = filled(count);
         let from = Instant::now();
--- a/crates/ochrewalk-node/src/gate.rs
+++ b/crates/ochrewalk-node/src/gate.rs
@@ -4,8 +4,8 @@
 
 use crate::clock::{since_us, whole_ms, Clock};
 use crate::ending::CallEnd;
+use crate::handover::is_paused;
 use crate::handover::records::{KeptNode, KeptToken};
-use crate::handover::stands_still;
 use crate::keys::{Keys, Known, Lapse, Served, State};
 use crate::wire::notices::RunEnd;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -441,7 +441,7 @@
     /// The wake-up that the module asked for, or any time at which its gauges are fresh.
     pub fn tick(&self, gauges: Gauges) {
         let unix_ms = self.clock.unix_ms();
-        if stands_still() {
+        if is_paused() {
             return;
         }
         self.tell(|module, now_us| {
@@ -461,7 +461,7 @@
         loop {
             let due_us = self.desk(|desk| desk.wake_us);
             let now_us = self.clock.now_us();
-            if due_us <= now_us && !stands_still() {
+            if due_us <= now_us && !is_paused() {
                 return;
             }
             let due_us = due_us.max(now_us + 1_000);
--- a/crates/ochrewalk-node/src/handover/wire.rs
+++ b/crates/ochrewalk-node/src/handover/descriptor_socket.rs
@@ -14,30 +14,30 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-const CHUNK: usize = 64 * 1024;
+const READ_BYTES: usize = 64 * 1024;
 /// Room for the descriptors of one message.
-const ROOM: usize = rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS));
+const ANCILLARY_BYTES: usize = rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS));
 
-pub struct Wire {
+pub struct HandOverStream {
     stream: UnixStream,
     input: Vec<u8>,
-    came: VecDeque<OwnedFd>,
+    descriptors: VecDeque<OwnedFd>,
 }
 
 /// What was heard.
 #[derive(Debug)]
-pub enum Heard {
+pub enum Received {
     Message(Message),
     /// A message that a newer program has added.
     Unknown,
-    Nothing,
+    TimedOut,
     /// The other process has ended.
     Ended,
 }
 
-impl Wire {
-    pub fn new(stream: UnixStream) -> Wire {
-        Wire { stream, input: Vec::new(), came: VecDeque::new() }
+impl HandOverStream {
+    pub fn new(stream: UnixStream) -> HandOverStream {
+        HandOverStream { stream, input: Vec::new(), descriptors: VecDeque::new() }
     }
 
     pub fn stream(&self) -> &UnixStream {
@@ -50,60 +50,64 @@
     }
 
     /// The next message, within that time.
-    pub fn hear(&mut self, within: Duration) -> std::io::Result<Heard> {
+    pub fn receive(&mut self, within: Duration) -> std::io::Result<Received> {
         self.stream.set_read_timeout(Some(within.max(Duration::from_millis(1))))?;
         loop {
             match framing::decode(&self.input).map_err(|why| Error::new(ErrorKind::InvalidData, why))? {
                 Decoded::Message { message, length } => {
                     self.input.drain(..length);
-                    return Ok(Heard::Message(message));
+                    return Ok(Received::Message(message));
                 }
                 Decoded::Unknown { length } => {
                     self.input.drain(..length);
-                    return Ok(Heard::Unknown);
+                    return Ok(Received::Unknown);
                 }
                 Decoded::Incomplete => {}
             }
-            let mut chunk = vec![0; CHUNK];
-            match receive(&self.stream, &mut chunk, &mut self.came) {
-                Ok(0) => return Ok(Heard::Ended),
+            let mut chunk = vec![0; READ_BYTES];
+            match receive(&self.stream, &mut chunk, &mut self.descriptors) {
+                Ok(0) => return Ok(Received::Ended),
                 Ok(got) => self.input.extend_from_slice(&chunk[..got]),
                 Err(err) if matches!(err.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return Ok(Heard::Nothing)
+                    return Ok(Received::TimedOut)
                 }
                 Err(err) if err.kind() == ErrorKind::Interrupted => {}
-                Err(err) if err.kind() == ErrorKind::ConnectionReset => return Ok(Heard::Ended),
+                Err(err) if err.kind() == ErrorKind::ConnectionReset => return Ok(Received::Ended),
                 Err(err) => return Err(err),
             }
         }
     }
 
     /// Takes the descriptors that came with a part, in the order in which they were sent.
-    pub fn take(&mut self, count: usize) -> Option<Vec<OwnedFd>> {
-        (self.came.len() >= count).then(|| self.came.drain(..count).collect())
+    pub fn take_descriptors(&mut self, count: usize) -> Option<Vec<OwnedFd>> {
+        (self.descriptors.len() >= count).then(|| self.descriptors.drain(..count).collect())
     }
 }
 
 /// Writes bytes, with descriptors beside the first.
 pub fn send(stream: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd]) -> std::io::Result<()> {
-    let mut space = [MaybeUninit::uninit(); ROOM];
-    let mut beside = SendAncillaryBuffer::new(&mut space);
-    if !descriptors.is_empty() && !beside.push(SendAncillaryMessage::ScmRights(descriptors)) {
+    let mut space = [MaybeUninit::uninit(); ANCILLARY_BYTES];
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+    if !descriptors.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(descriptors)) {
         return Err(Error::new(ErrorKind::InvalidInput, "too many descriptors for one message"));
     }
-    let sent = rustix::net::sendmsg(stream, &[IoSlice::new(bytes)], &mut beside, SendFlags::NOSIGNAL)?;
+    let sent = rustix::net::sendmsg(stream, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?;
     let mut rest = stream;
     rest.write_all(&bytes[sent..])
 }
 
-fn receive(stream: &UnixStream, chunk: &mut [u8], came: &mut VecDeque<OwnedFd>) -> std::io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); ROOM];
-    let mut beside = RecvAncillaryBuffer::new(&mut space);
+fn receive(
+    stream: &UnixStream,
+    chunk: &mut [u8],
+    descriptors: &mut VecDeque<OwnedFd>,
+) -> std::io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); ANCILLARY_BYTES];
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let mut parts = [IoSliceMut::new(chunk)];
-    let got = rustix::net::recvmsg(stream, &mut parts, &mut beside, RecvFlags::CMSG_CLOEXEC)?;
-    for message in beside.drain() {
-        if let RecvAncillaryMessage::ScmRights(descriptors) = message {
-            came.extend(descriptors);
+    let got = rustix::net::recvmsg(stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+    for message in ancillary.drain() {
+        if let RecvAncillaryMessage::ScmRights(passed) = message {
+            descriptors.extend(passed);
         }
     }
     // Guards against descriptors that the system dropped for lack of room: what belongs to which would not be known.
@@ -115,18 +119,18 @@
 
 /// Passes one descriptor after another `line`, and reads such a line with what came beside it.
 pub fn send_line(stream: &UnixStream, line: &str, descriptor: Option<BorrowedFd>) -> std::io::Result<()> {
-    let beside: Vec<BorrowedFd> = descriptor.into_iter().collect();
-    send(stream, format!("{line}\n").as_bytes(), &beside)
+    let ancillary: Vec<BorrowedFd> = descriptor.into_iter().collect();
+    send(stream, format!("{line}\n").as_bytes(), &ancillary)
 }
 
 /// Lines with descriptors, for ever; ends with the stream.
-pub fn lines(stream: &UnixStream, mut each: impl FnMut(&str, Option<OwnedFd>)) {
-    let (mut input, mut came) = (Vec::new(), VecDeque::new());
-    let mut chunk = vec![0; CHUNK];
+pub fn read_lines(stream: &UnixStream, mut each: impl FnMut(&str, Option<OwnedFd>)) {
+    let (mut input, mut descriptors) = (Vec::new(), VecDeque::new());
+    let mut chunk = vec![0; READ_BYTES];
     // Bytes of `input` that hold no end of a line: each is looked at once, however long a line is.
     let mut searched = 0;
     loop {
-        match receive(stream, &mut chunk, &mut came) {
+        match receive(stream, &mut chunk, &mut descriptors) {
             Ok(0) => return,
             Ok(got) => input.extend_from_slice(&chunk[..got]),
             Err(err) if err.kind() == ErrorKind::Interrupted => {}
@@ -137,7 +141,7 @@
             let line = String::from_utf8_lossy(&input[..end]).into_owned();
             input.drain(..=end);
             searched = 0;
-            each(&line, came.pop_front());
+            each(&line, descriptors.pop_front());
         }
         searched = input.len();
     }
--- a/crates/ochrewalk-node/src/handover/give.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -1,9 +1,9 @@
-//! The side that serves: it stands still, writes down all that it holds, and goes on where the other does not take it.
+//! The side that serves: it pauses, writes down all that it holds, and goes on where the other does not take it.
 
+use super::descriptor_socket::{HandOverStream, Received};
 use super::records::{self, KeptCall, KeptNode, KeptRpc, KeptRpcs, KeptTokens};
-use super::stand_still;
 use super::supervisor_link::{Question, SupervisorLink};
-use super::wire::{Heard, Wire};
+use super::{pause, resume};
 use crate::node::Node;
 use ochrewalk_handover::messages::{Chunk, Message, MAX_DESCRIPTORS};
 use ochrewalk_handover::predecessor::{
@@ -18,48 +18,49 @@
 
 const LIMITS: Limits = Limits { prepare_us: 5_000_000, pause_us: 2_000_000, start_us: 1_000_000 };
 /// Tokens that go ahead in one piece: some 200 KB of them, and a fraction of a millisecond in which nothing else is told.
-const TOKENS: usize = 1_000;
+const TOKENS_PER_CHUNK: usize = 1_000;
 /// How often signals are looked at beside messages.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long calls on connections that cannot move are waited for, and all to come to rest.
-const UNMOVABLE: Duration = Duration::from_millis(150);
-const TO_REST: Duration = Duration::from_millis(250);
+const MAX_UNMOVABLE_WAIT: Duration = Duration::from_millis(150);
+const MAX_REST_WAIT: Duration = Duration::from_millis(250);
 /// How long the runtime's worker may take for all of that. One that is held by something else hears nobody.
-const BY_WORKER: Duration = Duration::from_secs(1);
+const MAX_WORKER_WAIT: Duration = Duration::from_secs(1);
 /// How long the supervisor may take to let this program go on. Without its word another may act in this node's place.
-const RESUME: Duration = Duration::from_secs(60);
+const MAX_RESUME_WAIT: Duration = Duration::from_secs(60);
 /// How a hand-over that came about is reported.
 const HANDED_OVER: &str = "handed over";
-/// Bytes of one part.
-const PART: usize = 256 * 1024;
+/// Bytes of one chunk.
+const CHUNK_BYTES: usize = 256 * 1024;
 
 /// One section of what is handed over, and its descriptors.
 type Section = (&'static str, Vec<u8>, Vec<RawFd>);
 
 /// What the thread that waits for signals needs of an attempt.
 #[derive(Default)]
-pub struct Handing {
+pub struct HandOverControl {
     state: Mutex<Option<Sender<String>>>,
     over: Condvar,
     /// Somebody waits for the attempt's end.
-    is_wanted_back: AtomicBool,
+    is_interrupted: AtomicBool,
 }
 
-impl Handing {
+impl HandOverControl {
     /// Ends an attempt that is under way and comes back once this process serves again; not at all where it has given
     /// everything away.
     pub fn interrupt(&self, why: &str) {
-        self.is_wanted_back.store(true, Ordering::Relaxed);
+        self.is_interrupted.store(true, Ordering::Relaxed);
         let mut state = self.state.lock().unwrap_or_else(|broken| broken.into_inner());
         while let Some(to) = &*state {
             let _ = to.send(why.to_string());
-            state = self.over.wait_timeout(state, LOOK).unwrap_or_else(|broken| broken.into_inner()).0;
+            state =
+                self.over.wait_timeout(state, POLL_INTERVAL).unwrap_or_else(|broken| broken.into_inner()).0;
         }
     }
 
     fn begin(&self) -> Receiver<String> {
         let (to, interrupts) = channel();
-        self.is_wanted_back.store(false, Ordering::Relaxed);
+        self.is_interrupted.store(false, Ordering::Relaxed);
         *self.state.lock().unwrap_or_else(|broken| broken.into_inner()) = Some(to);
         interrupts
     }
@@ -71,37 +72,37 @@
 }
 
 /// Hands over, or goes on as if nothing had been tried.
-pub fn give(node: &Arc<Node>, handing: &Handing, link: &SupervisorLink, wire: Wire) {
-    let interrupts = handing.begin();
+pub fn hand_over(node: &Arc<Node>, control: &HandOverControl, link: &SupervisorLink, stream: HandOverStream) {
+    let interrupts = control.begin();
     let clock = node.core.clock;
     let limits = LIMITS.for_reading(node.reading_us.load(Ordering::Relaxed));
-    let mut predecessor = Predecessor::new(clock.now_us(), limits, holding(node));
-    let mut side = Side { node, handing, link, wire, ahead: false, failed: None };
+    let mut predecessor = Predecessor::new(clock.now_us(), limits, state_summary(node));
+    let mut actions = ProcessActions { node, control, link, stream, ahead: false, failed: None };
     while !predecessor.is_ended() {
         if let Ok(why) = interrupts.try_recv() {
-            predecessor.interrupt(&why, &mut side);
+            predecessor.interrupt(&why, &mut actions);
         }
-        match side.wire.hear(LOOK) {
-            Ok(Heard::Message(message)) => predecessor.message(clock.now_us(), &message, &mut side),
-            Ok(Heard::Ended) => predecessor.peer_ended(&mut side),
-            Ok(Heard::Unknown | Heard::Nothing) => predecessor.tick(clock.now_us(), &mut side),
+        match actions.stream.receive(POLL_INTERVAL) {
+            Ok(Received::Message(message)) => predecessor.message(clock.now_us(), &message, &mut actions),
+            Ok(Received::Ended) => predecessor.peer_ended(&mut actions),
+            Ok(Received::Unknown | Received::TimedOut) => predecessor.tick(clock.now_us(), &mut actions),
             Err(err) => {
-                predecessor.interrupt(&format!("its words cannot be read: {err}"), &mut side);
+                predecessor.interrupt(&format!("its words cannot be read: {err}"), &mut actions);
                 // Given away already: only its end counts now.
-                side.link.report("end other");
-                std::thread::sleep(LOOK);
-                predecessor.tick(clock.now_us(), &mut side);
+                actions.link.report("end other");
+                std::thread::sleep(POLL_INTERVAL);
+                predecessor.tick(clock.now_us(), &mut actions);
             }
         }
-        if let Some(why) = side.failed.take() {
-            predecessor.interrupt(&why, &mut side);
+        if let Some(why) = actions.failed.take() {
+            predecessor.interrupt(&why, &mut actions);
         }
     }
-    handing.end();
+    control.end();
 }
 
 /// What there is, and whether two of us fit the limits.
-fn holding(node: &Node) -> StateSummary {
+fn state_summary(node: &Node) -> StateSummary {
     let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |all| all.count());
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) * 4_096;
@@ -118,18 +119,18 @@
     StateSummary { digest, sections, ahead, bytes: resident, descriptors: descriptors as u32, shortage }
 }
 
-type Written = Result<Vec<Section>, &'static str>;
+type SnapshotResult = Result<Vec<Section>, &'static str>;
 
 /// What passes between the thread that hands over and the coroutine that writes all of it down: whoever is first, a
-/// state written down or the end of patience, decides for both.
+/// state written down or the end of the wait, decides for both.
 #[derive(Default)]
-struct Standstill {
-    state: Mutex<(bool, Option<Written>)>,
+struct PendingSnapshot {
+    state: Mutex<(bool, Option<SnapshotResult>)>,
     changed: Condvar,
 }
 
-impl Standstill {
-    fn lock(&self) -> std::sync::MutexGuard<'_, (bool, Option<Written>)> {
+impl PendingSnapshot {
+    fn lock(&self) -> std::sync::MutexGuard<'_, (bool, Option<SnapshotResult>)> {
         self.state.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
@@ -138,73 +139,73 @@
     }
 
     /// Whether somebody still waited for it.
-    fn came(&self, written: Written) -> bool {
+    fn deliver(&self, snapshot: SnapshotResult) -> bool {
         let mut state = self.lock();
-        state.1 = Some(written);
+        state.1 = Some(snapshot);
         self.changed.notify_one();
         !state.0
     }
 
     /// None where nothing has come in that time: nothing is wanted from then on.
-    fn wait(&self, patience: Duration) -> Option<Written> {
-        let waited = self.changed.wait_timeout_while(self.lock(), patience, |state| state.1.is_none());
+    fn wait(&self, timeout: Duration) -> Option<SnapshotResult> {
+        let waited = self.changed.wait_timeout_while(self.lock(), timeout, |state| state.1.is_none());
         let mut state = waited.unwrap_or_else(|broken| broken.into_inner()).0;
         state.0 = true;
         state.1.take()
     }
 }
 
-struct Side<'a> {
+struct ProcessActions<'a> {
     node: &'a Arc<Node>,
-    handing: &'a Handing,
+    control: &'a HandOverControl,
     link: &'a SupervisorLink,
-    wire: Wire,
+    stream: HandOverStream,
     /// Tokens have gone ahead.
     ahead: bool,
     /// Why it cannot be handed over after all.
     failed: Option<String>,
 }
 
-impl Actions for Side<'_> {
+impl Actions for ProcessActions<'_> {
     fn send(&mut self, message: Message) {
         // Where it cannot be written the other has ended, which is heard next.
-        let _ = self.wire.send(message, &[]);
+        let _ = self.stream.send(message, &[]);
     }
 
     /// Tokens stay as they are for most of their time. All else changes with every RPC.
     fn transfer_ahead(&mut self, _now_us: u64) -> TransferredAhead {
         let gate = &self.node.core.gate;
-        let (mut parts, mut after) = (0, None);
+        let (mut chunks, mut after) = (0, None);
         self.ahead = true;
         // A signal ends the attempt anyway.
-        while !self.handing.is_wanted_back.load(Ordering::Relaxed) {
-            let Some((tokens, last)) = gate.keep_ahead(after.as_ref(), TOKENS) else { break };
+        while !self.control.is_interrupted.load(Ordering::Relaxed) {
+            let Some((tokens, last)) = gate.keep_ahead(after.as_ref(), TOKENS_PER_CHUNK) else { break };
             let bytes = KeptTokens { tokens }.encode_to_vec();
-            let part = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
-            if self.wire.send(Message::Chunk(part), &[]).is_err() {
+            let chunk = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
+            if self.stream.send(Message::Chunk(chunk), &[]).is_err() {
                 break;
             }
-            (parts, after) = (parts + 1, Some(last));
+            (chunks, after) = (chunks + 1, Some(last));
         }
-        TransferredAhead { chunks: parts, finished_us: self.node.core.clock.now_us() }
+        TransferredAhead { chunks, finished_us: self.node.core.clock.now_us() }
     }
 
     fn pause_and_transfer(&mut self) -> u64 {
-        let patience = Duration::from_micros(LIMITS.pause_us);
-        if self.link.ask(Question::MayPause, patience) != Some(true) {
+        let timeout = Duration::from_micros(LIMITS.pause_us);
+        if self.link.ask(Question::MayPause, timeout) != Some(true) {
             self.failed = Some("the supervisor does not allow the pause".into());
             return 0;
         }
-        let standstill = Arc::new(Standstill::default());
-        let (node, told, ahead) = (self.node.clone(), standstill.clone(), self.ahead);
+        let pending = Arc::new(PendingSnapshot::default());
+        let (node, for_coroutine, ahead) = (self.node.clone(), pending.clone(), self.ahead);
         may::go!(move || {
-            if let Some(written) = write_down(&node, ahead, &told) {
-                if !told.came(written) {
-                    go_on(&node);
+            if let Some(snapshot) = take_snapshot(&node, ahead, &for_coroutine) {
+                if !for_coroutine.deliver(snapshot) {
+                    resume_node(&node);
                 }
             }
         });
-        let sections = match standstill.wait(BY_WORKER) {
+        let sections = match pending.wait(MAX_WORKER_WAIT) {
             Some(Ok(sections)) => sections,
             Some(Err(why)) => {
                 self.failed = Some(why.into());
@@ -215,38 +216,38 @@
                 return 0;
             }
         };
-        let mut parts = 0;
+        let mut chunks = 0;
         for (section, bytes, descriptors) in sections {
             let (mut bytes, mut descriptors) = (bytes.as_slice(), descriptors.as_slice());
             loop {
-                let (now, later) = bytes.split_at(bytes.len().min(PART));
+                let (now, later) = bytes.split_at(bytes.len().min(CHUNK_BYTES));
                 let (beside, others) = descriptors.split_at(descriptors.len().min(MAX_DESCRIPTORS));
-                // SAFETY: this process stands still, so that none of its streams is closed before this is over.
+                // SAFETY: this process is paused, so that none of its streams is closed before this is over.
                 let borrowed: Vec<BorrowedFd> =
                     beside.iter().map(|fd| unsafe { BorrowedFd::borrow_raw(*fd) }).collect();
                 let count = beside.len() as u32;
-                let part = Chunk { section: section.into(), bytes: now.to_vec(), descriptors: count };
+                let chunk = Chunk { section: section.into(), bytes: now.to_vec(), descriptors: count };
                 // Where it cannot be written the other has ended, which is heard next.
-                if self.wire.send(Message::Chunk(part), &borrowed).is_err() {
-                    return parts;
+                if self.stream.send(Message::Chunk(chunk), &borrowed).is_err() {
+                    return chunks;
                 }
-                parts += 1;
+                chunks += 1;
                 (bytes, descriptors) = (later, others);
                 if bytes.is_empty() && descriptors.is_empty() {
                     break;
                 }
             }
         }
-        parts
+        chunks
     }
 
     fn resume(&mut self) {
-        if self.link.ask(Question::MayResume, RESUME) != Some(true) {
+        if self.link.ask(Question::MayResume, MAX_RESUME_WAIT) != Some(true) {
             tracing::error!(part = "upgrade", "another acts in this node's place; this process ends");
             crate::logger::flush();
             std::process::exit(71);
         }
-        go_on(self.node);
+        resume_node(self.node);
     }
 
     fn kill_peer(&mut self) {
@@ -267,8 +268,8 @@
     }
 }
 
-fn go_on(node: &Node) {
-    stand_still(false);
+fn resume_node(node: &Node) {
+    resume();
     if let Some(below) = &node.core.below {
         below.hold(false);
         below.nudge();
@@ -280,36 +281,36 @@
     }
 }
 
-/// Stands still and writes all of it down, in a coroutine: nothing else runs between the first and the last look. None
+/// Pauses and writes all of it down, in a coroutine: nothing else runs between the first and the last look. None
 /// where nobody waits for it any more, and all goes on.
 ///
 /// The thread that waits may give up at any moment, has all go on then, and may come again with another attempt, whose
 /// coroutine runs only while this one sleeps. So what is set here after it gave up is taken back before the next sleep,
 /// and nothing is touched after a sleep in which it gave up.
-fn write_down(node: &Node, ahead: bool, told: &Standstill) -> Option<Written> {
+fn take_snapshot(node: &Node, ahead: bool, pending: &PendingSnapshot) -> Option<SnapshotResult> {
     let core = &node.core;
     let clock = core.clock;
     let until = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
     let sleep = || {
-        if !told.is_wanted() {
-            go_on(node);
+        if !pending.is_wanted() {
+            resume_node(node);
             return None;
         }
         may::coroutine::sleep(Duration::from_millis(1));
-        told.is_wanted().then_some(())
+        pending.is_wanted().then_some(())
     };
-    if !told.is_wanted() {
+    if !pending.is_wanted() {
         return None;
     }
     if let Some(below) = &core.below {
         below.hold(true);
-        let by_us = until(UNMOVABLE);
+        let by_us = until(MAX_UNMOVABLE_WAIT);
         while below.is_unmovable() && clock.now_us() < by_us {
             sleep()?;
         }
     }
-    stand_still(true);
-    let by_us = until(TO_REST);
+    pause();
+    let by_us = until(MAX_REST_WAIT);
     loop {
         let json = node.dispatchers.keep();
         let ajp = node.ajp.as_ref().map(|front| front.keep());
--- a/crates/ochrewalk-node/src/handover/supervisor.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor.rs
@@ -3,10 +3,10 @@
 //! act. It serves nothing itself, so that little can go wrong with it.
 
 use super::counter_report::CounterReport;
+use super::descriptor_socket::{inherit, read_lines, send_line};
 use super::orders::{self, Deed, Image, Ordered, Orders, Serving};
 use super::process_guard::{ProcessAction, ProcessGuard};
 use super::supervisor_link::{LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
-use super::wire::{inherit, lines, send_line};
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_rollout::messages::{self, Request};
 use ochrewalk_rollout::Outcome;
@@ -167,7 +167,7 @@
         self.workers.insert(number, Worker { pid: child.id(), line: ours.try_clone()?, serving });
         let on_said = self.to_self.clone();
         let said = std::thread::spawn(move || {
-            lines(&ours, |line, _| drop(on_said.send(Event::Said(number, line.into()))));
+            read_lines(&ours, |line, _| drop(on_said.send(Event::Said(number, line.into()))));
         });
         let on_end = self.to_self.clone();
         std::thread::spawn(move || wait(child, said, number, &on_end));
--- a/crates/ochrewalk-node/src/handover/supervisor_link.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor_link.rs
@@ -1,6 +1,6 @@
 //! A serving program's end of the stream to its supervisor: what it reports there, and what it asks before it acts.
 
-use super::wire::{lines, send_line};
+use super::descriptor_socket::{read_lines, send_line};
 use signal_hook::consts::SIGTERM;
 use std::os::fd::{FromRawFd, OwnedFd};
 use std::os::unix::net::UnixStream;
@@ -67,7 +67,7 @@
         let ((answer, came), (hand_over, successors)) = (channel(), channel());
         let reader = stream.try_clone()?;
         std::thread::spawn(move || {
-            lines(&reader, |line, descriptor| match (line, descriptor) {
+            read_lines(&reader, |line, descriptor| match (line, descriptor) {
                 ("give", Some(descriptor)) => drop(hand_over.send(descriptor)),
                 ("yes", _) => drop(answer.send(true)),
                 ("no", _) => drop(answer.send(false)),
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Has every connection looked at again, as a standstill is over.
+    /// Has every connection looked at again, as a pause is over.
     pub fn nudge(&self) {
         self.all().iter().for_each(|connection| connection.outbox.nudge());
     }
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -148,7 +148,7 @@
         self.lock().of.len()
     }
 
-    /// Has every connection looked at again, as a standstill is over.
+    /// Has every connection looked at again, as a pause is over.
     pub fn nudge(&self) {
         self.all().iter().for_each(|connection| connection.outbox.nudge());
     }
--- a/crates/ochrewalk-node/src/net/link.rs
+++ b/crates/ochrewalk-node/src/net/link.rs
@@ -3,8 +3,8 @@
 //! first, that something can be read, that it can be written, or that a line was put into the outbox.
 
 use crate::ending::Ending;
+use crate::handover::is_paused;
 use crate::handover::records::KeptStream;
-use crate::handover::stands_still;
 use crate::panics::contain;
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::{TcpListener, TcpStream};
@@ -25,7 +25,7 @@
 const LINGER: Duration = Duration::from_millis(250);
 const LINGER_BYTES: usize = 1024 * 1024;
 const LINGER_STEP: Duration = Duration::from_millis(5);
-/// How often a standstill is looked at by whoever accepts.
+/// How often a pause is looked at by whoever accepts.
 const STILL: Duration = Duration::from_millis(1);
 /// Written lines that are kept until they are confirmed.
 const MOST_WRITTEN: usize = 4_096;
@@ -253,7 +253,7 @@
 /// The next connection. While this process stands still none is taken; it waits with the system.
 pub fn accept(listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
     loop {
-        if stands_still() {
+        if is_paused() {
             may::coroutine::sleep(STILL);
             continue;
         }
@@ -324,7 +324,7 @@
         progress.fd = Some(stream.as_raw_fd());
     }
     let ending = loop {
-        let went = if stands_still() {
+        let went = if is_paused() {
             Ok(false)
         } else {
             let broken = Err(Ending::Broken(ErrorKind::Other));
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -8,7 +8,7 @@
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
 use crate::handover::records::{KeptBelow, KeptCall, KeptRpc, Whereabouts};
-use crate::handover::take::Taken;
+use crate::handover::successor::ReceivedState;
 use crate::keys::Keys;
 use crate::life::{Call, Life, Placed};
 use crate::live::Living;
@@ -82,7 +82,7 @@
     placement: &Placement,
     operators: Operators,
     digest: u64,
-    mut taken: Option<Taken>,
+    mut taken: Option<ReceivedState>,
 ) -> Result<Built, String> {
     let mut listeners =
         taken.as_mut().map(|taken| std::mem::take(&mut taken.listeners)).unwrap_or_default().into_iter();
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -10,11 +10,11 @@
 use crate::configuration::agent::ConfigurationHandle;
 use crate::core::Core;
 use crate::handover::counter_report::CounterReport;
-use crate::handover::give::{self, Handing};
+use crate::handover::descriptor_socket::HandOverStream;
+use crate::handover::predecessor::{hand_over, HandOverControl};
+use crate::handover::successor::{refuse, take_over, StartMode};
 use crate::handover::supervisor;
 use crate::handover::supervisor_link::{supervised, Supervised, SupervisorLink};
-use crate::handover::take::{self, Begin};
-use crate::handover::wire::Wire;
 use crate::logger::Logs;
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::AjpFront;
@@ -81,11 +81,11 @@
     if let Some(file) = supervised.as_mut().and_then(|by| by.operators.take()) {
         files.operators = Some(file);
     }
-    let takes = supervised.as_mut().and_then(|by| by.predecessor.take()).map(Wire::new);
+    let takes = supervised.as_mut().and_then(|by| by.predecessor.take()).map(HandOverStream::new);
     let reading = Instant::now();
     let (mut placement, operators) = files.read().inspect_err(|why| {
-        if let Some(wire) = &takes {
-            take::refuse(wire, why);
+        if let Some(stream) = &takes {
+            refuse(stream, why);
         }
     })?;
     if let (None, Some(control)) = (&supervised, &operators.upgrade_control) {
@@ -105,12 +105,12 @@
     let (mut operators_text, settings) = files.operators_text();
     let mut told_to_end = None;
     let taken = match (takes, &supervised) {
-        (Some(wire), Some(by)) => {
+        (Some(stream), Some(by)) => {
             let room = (placement.memory_mb * 1024 * 1024 / 2, placement.descriptors as u32);
             let end = |signals: &mut signal_hook::iterator::Signals| signals.pending().find(|s| *s != SIGHUP);
             let interrupted = std::cell::RefCell::new((&mut signals, &mut told_to_end));
-            let begin = take::take(
-                wire,
+            let begin = take_over(
+                stream,
                 &by.link,
                 digest,
                 room,
@@ -122,8 +122,8 @@
                 |taken| build(&placement, operators.clone(), digest, Some(taken)),
             )?;
             match begin {
-                Begin::With(built) => Some(built),
-                Begin::Anew => None,
+                StartMode::WithState(built) => Some(built),
+                StartMode::Fresh => None,
             }
         }
         _ => None,
@@ -135,15 +135,15 @@
     let (node, report_now) = begin(built, &placement);
     node.settings.store(settings, Ordering::Relaxed);
     node.reading_us.store(reading_us, Ordering::Relaxed);
-    let handing = Arc::new(Handing::default());
+    let control = Arc::new(HandOverControl::default());
     if let Some(Supervised { link, successors, reads_changes, .. }) = supervised {
         let link = Arc::new(link);
         let (of, to) = (node.clone(), link.clone());
         std::thread::spawn(move || report_counters(&of, &to, reads_changes));
-        let (node, handing) = (node.clone(), handing.clone());
+        let (node, control) = (node.clone(), control.clone());
         std::thread::spawn(move || {
             for stream in successors {
-                give::give(&node, &handing, &link, Wire::new(stream.into()));
+                hand_over(&node, &control, &link, HandOverStream::new(stream.into()));
             }
         });
     }
@@ -159,7 +159,7 @@
             signals.pending().collect()
         };
         if !came.is_empty() {
-            handing.interrupt("the running program got a signal");
+            control.interrupt("the running program got a signal");
         }
         if let Some(end) = came.iter().find(|signal| **signal != SIGHUP) {
             break *end;
--- a/crates/ochrewalk-node/src/seam.rs
+++ b/crates/ochrewalk-node/src/seam.rs
@@ -56,7 +56,7 @@
         None
     }
 
-    /// Places no new call for the moment, so that those under way can end before a standstill; or goes on.
+    /// Places no new call for the moment, so that those under way can end before a pause; or goes on.
     fn hold(&self, _hold: bool) {}
 
     /// Whether calls are under way on connections that cannot move to another process.
@@ -67,6 +67,6 @@
     /// The connections and calls, for another process to go on with, and the connections' descriptors.
     fn keep(&self) -> (KeptBelow, Vec<RawFd>);
 
-    /// Has every connection looked at again, as a standstill is over.
+    /// Has every connection looked at again, as a pause is over.
     fn nudge(&self);
 }
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -9,8 +9,8 @@
 use ochrewalk_handover::framing;
 use ochrewalk_handover::messages::{ChunkCount, Empty, Hello, Message, Prepare, Refusal};
 use ochrewalk_node::handover::counter_report::CounterReport;
+use ochrewalk_node::handover::descriptor_socket::{inherit, read_lines, send_line, HandOverStream, Received};
 use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
-use ochrewalk_node::handover::wire::{inherit, lines, send_line, Heard, Wire};
 use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::fd::{AsFd, AsRawFd};
@@ -85,7 +85,7 @@
     send_line(&sender, "yes", None).unwrap();
     drop(sender);
     let mut heard = Vec::new();
-    lines(&receiver, |line, descriptor| heard.push((line.to_string(), descriptor)));
+    read_lines(&receiver, |line, descriptor| heard.push((line.to_string(), descriptor)));
     let [(give, descriptor), (yes, none)] = &mut heard[..] else { panic!("{heard:?}") };
     assert_eq!((give.as_str(), yes.as_str(), none.is_none()), ("give", "yes", true));
     UnixStream::from(descriptor.take().unwrap()).write_all(b"x").unwrap();
@@ -146,12 +146,12 @@
 }
 
 /// The next message on a stream of a hand-over.
-fn hear(wire: &mut Wire) -> Message {
+fn hear(wire: &mut HandOverStream) -> Message {
     let until = Instant::now() + PATIENCE;
     while Instant::now() < until {
-        match wire.hear(Duration::from_millis(100)).unwrap() {
-            Heard::Message(message) => return message,
-            Heard::Nothing => {}
+        match wire.receive(Duration::from_millis(100)).unwrap() {
+            Received::Message(message) => return message,
+            Received::TimedOut => {}
             other => panic!("{other:?}"),
         }
     }
@@ -173,7 +173,7 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let Message::Hello(hello) = hear(&mut Wire::new(ours)) else { panic!("no greeting") };
+    let Message::Hello(hello) = hear(&mut HandOverStream::new(ours)) else { panic!("no greeting") };
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(config).unwrap();
@@ -199,7 +199,7 @@
         let (gives, takes) = UnixStream::pair().unwrap();
         send_line(&supervisor.stream, "give", Some(gives.as_fd())).unwrap();
         drop(gives);
-        let mut wire = Wire::new(takes);
+        let mut wire = HandOverStream::new(takes);
         wire.send(Message::Hello(hello), &[]).unwrap();
         let answer = hear(&mut wire);
         (wire, answer)
@@ -230,12 +230,12 @@
 }
 
 /// The sections of the parts that come, each with its announced descriptors; the last message counts them.
-fn parts_until_the_last(wire: &mut Wire) -> Vec<String> {
+fn parts_until_the_last(wire: &mut HandOverStream) -> Vec<String> {
     let mut sections = Vec::new();
     loop {
         match hear(wire) {
             Message::Chunk(part) => {
-                assert!(wire.take(part.descriptors as usize).is_some(), "{}", part.section);
+                assert!(wire.take_descriptors(part.descriptors as usize).is_some(), "{}", part.section);
                 sections.push(part.section);
             }
             Message::TransferComplete(count) => {
--- a/crates/ochrewalk-node/tests/supervisor_link.rs
+++ b/crates/ochrewalk-node/tests/supervisor_link.rs
@@ -1,8 +1,8 @@
 //! A program's stream to its supervisor: lines of several threads, questions and answers, and counters.
 
 use ochrewalk_node::handover::counter_report::{CounterReport, CountersByMethod, ReportedCounters};
+use ochrewalk_node::handover::descriptor_socket::{read_lines, send_line};
 use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
-use ochrewalk_node::handover::wire::{lines, send_line};
 use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver};
@@ -24,7 +24,7 @@
 fn agreeing_supervisor(stream: UnixStream) -> Receiver<String> {
     let (say, said) = channel();
     std::thread::spawn(move || {
-        lines(&stream, |line, _| {
+        read_lines(&stream, |line, _| {
             if line.ends_with('?') {
                 send_line(&stream, "yes", None).unwrap();
             }
