--- a/crates/ochrewalk-node/benches/pause.rs
+++ b/crates/ochrewalk-node/benches/pause.rs
@@ -2,7 +2,7 @@
 //! others went ahead; and the longest moment that a piece sent ahead holds everybody up.
 //! `cargo bench -p ochrewalk-node`
 
-use ochrewalk_node::handover::records::{KeptToken, KeptTokens};
+use ochrewalk_node::handover::records::{IdempotencyKeyRecord, IdempotencyKeyRecords};
 use ochrewalk_node::keys::{Keys, State};
 use prost::Message;
 use std::time::Instant;
@@ -29,9 +29,9 @@
 }
 
 /// Through bytes and into the next program's table.
-fn pass(tokens: Vec<KeptToken>, gone: &[String], to: &mut Keys) {
-    let bytes = KeptTokens { tokens }.encode_to_vec();
-    to.take(KeptTokens::decode(bytes.as_slice()).expect("just written").tokens, gone);
+fn pass(tokens: Vec<IdempotencyKeyRecord>, gone: &[String], to: &mut Keys) {
+    let bytes = IdempotencyKeyRecords { keys: tokens }.encode_to_vec();
+    to.take(IdempotencyKeyRecords::decode(bytes.as_slice()).expect("just written").keys, gone);
 }
 
 fn ms(from: Instant) -> f64 {
--- a/crates/ochrewalk-node/src/gate.rs
+++ b/crates/ochrewalk-node/src/gate.rs
@@ -5,7 +5,7 @@
 use crate::clock::{since_us, whole_ms, Clock};
 use crate::ending::CallEnd;
 use crate::handover::is_paused;
-use crate::handover::records::{KeptNode, KeptToken};
+use crate::handover::records::{IdempotencyKeyRecord, NodeRecord};
 use crate::keys::{Keys, Known, Lapse, Served, State};
 use crate::wire::notices::RunEnd;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -270,7 +270,11 @@
     }
 
     /// The next tokens to go ahead of a hand-over, while all goes on; see [`Keys::keep_ahead`].
-    pub fn keep_ahead(&self, after: Option<&Lapse>, most: usize) -> Option<(Vec<KeptToken>, Lapse)> {
+    pub fn keep_ahead(
+        &self,
+        after: Option<&Lapse>,
+        most: usize,
+    ) -> Option<(Vec<IdempotencyKeyRecord>, Lapse)> {
         self.desk(|desk| desk.keys.keep_ahead(after, most))
     }
 
@@ -281,7 +285,7 @@
 
     /// Writes down the module, the tokens (those that have changed where the others went `ahead`) and what callers are
     /// told, for `node`'s part in a hand-over.
-    pub fn keep(&self, node: &mut KeptNode, ahead: bool) {
+    pub fn keep(&self, node: &mut NodeRecord, ahead: bool) {
         let mut state = self.lock();
         let (desk, module) = match &mut *state {
             Inside::Closed(desk) => (&mut **desk, None),
@@ -290,11 +294,11 @@
                 (module.host(), Some(kept))
             }
         };
-        node.module = module;
+        node.decisions = module;
         let Posture { healthy, signal, idle_us } = desk.posture;
         (node.healthy, node.signal, node.idle_us) = (healthy, signal, idle_us);
         (node.wake_us, node.wake_token) = (desk.wake_us, desk.wake_token);
-        (node.tokens, node.gone) =
+        (node.keys, node.removed_keys) =
             if ahead { desk.keys.keep_changed() } else { (desk.keys.keep(), Vec::new()) };
     }
 
@@ -305,7 +309,7 @@
         deployment: Deployment,
         seed: u64,
         most_bytes: usize,
-        node: &mut KeptNode,
+        node: &mut NodeRecord,
         ahead: Keys,
         open: &[Incoming],
     ) -> Result<(Gate, Stirred, Vec<Ticket>), String> {
@@ -319,12 +323,12 @@
             desk.posture = Posture { healthy, signal, idle_us };
             (desk.wake_us, desk.wake_token) = (node.wake_us, node.wake_token);
             desk.keys = ahead;
-            desk.keys.take(std::mem::take(&mut node.tokens), &node.gone);
+            desk.keys.take(std::mem::take(&mut node.keys), &node.removed_keys);
             desk.keys.limit(most_bytes);
             for (rpc, ticket) in open.iter().zip(&tickets) {
                 desk.open.insert(rpc.id.clone(), Open { post: ticket.post(), token: rpc.token.clone() });
             }
-            if let Some(kept) = node.module.take() {
+            if let Some(kept) = node.decisions.take() {
                 let placeholder =
                     Desk { keys: Keys::new(0), open: HashMap::new(), shared: Vec::new(), ..**desk };
                 let desk = std::mem::replace(&mut **desk, placeholder);
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -1,7 +1,7 @@
 //! The side that serves: it pauses, writes down all that it holds, and goes on where the other does not take it.
 
 use super::descriptor_socket::{HandOverStream, Received};
-use super::records::{self, KeptCall, KeptNode, KeptRpc, KeptRpcs, KeptTokens};
+use super::records::{self, CallRecord, IdempotencyKeyRecords, NodeRecord, RpcRecord, RpcRecords};
 use super::supervisor_link::{Question, SupervisorLink};
 use super::{pause, resume};
 use crate::node::Node;
@@ -179,8 +179,8 @@
         self.ahead = true;
         // A signal ends the attempt anyway.
         while !self.control.is_interrupted.load(Ordering::Relaxed) {
-            let Some((tokens, last)) = gate.keep_ahead(after.as_ref(), TOKENS_PER_CHUNK) else { break };
-            let bytes = KeptTokens { tokens }.encode_to_vec();
+            let Some((keys, last)) = gate.keep_ahead(after.as_ref(), TOKENS_PER_CHUNK) else { break };
+            let bytes = IdempotencyKeyRecords { keys }.encode_to_vec();
             let chunk = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
             if self.stream.send(Message::Chunk(chunk), &[]).is_err() {
                 break;
@@ -329,18 +329,22 @@
 fn sections(
     node: &Node,
     ahead: bool,
-    json: (records::KeptDispatchers, Vec<RawFd>),
-    ajp: Option<(records::KeptAjps, Vec<RawFd>)>,
+    json: (records::JsonRpcConnectionRecords, Vec<RawFd>),
+    ajp: Option<(records::AjpConnectionRecords, Vec<RawFd>)>,
 ) -> Vec<Section> {
     let core = &node.core;
-    let (print_key, print_key_more) = core.print_key();
-    let mut kept =
-        KeptNode { clock_base_ns: core.clock.base_ns(), print_key, print_key_more, ..KeptNode::default() };
+    let (fingerprint_key, fingerprint_key_more) = core.print_key();
+    let mut kept = NodeRecord {
+        clock_base_ns: core.clock.base_ns(),
+        fingerprint_key,
+        fingerprint_key_more,
+        ..NodeRecord::default()
+    };
     core.gate.keep(&mut kept, ahead);
     let living = core.living();
     let rpcs = living.values().map(|living| {
         let life = living.lock();
-        let call = life.call.as_ref().map(|call| KeptCall {
+        let call = life.call.as_ref().map(|call| CallRecord {
             pos: call.pos,
             body: call.body.clone(),
             placed: call.placed.is_some(),
@@ -348,7 +352,7 @@
             until_us: call.placed.map_or(0, |placed| placed.until_us),
         });
         let token = living.rpc.token.as_ref();
-        KeptRpc {
+        RpcRecord {
             id: living.rpc.id.to_string(),
             method: living.rpc.method as u32,
             kb: living.rpc.kb,
@@ -360,10 +364,10 @@
             owed: life.owed,
             running: life.running,
             call,
-            asker: life.owed.then(|| living.asker.whereabouts()),
+            client: life.owed.then(|| living.asker.address()),
         }
     });
-    let rpcs = KeptRpcs { rpcs: rpcs.collect() };
+    let rpcs = RpcRecords { rpcs: rpcs.collect() };
     let (executor, link) = core.executor.keep();
     let (below, links) = core.below.as_ref().map(|below| below.keep()).unwrap_or_default();
     let listeners = [node.dispatchers.listener(), node.ajp.as_ref().and_then(|front| front.listener())];
--- a/crates/ochrewalk-node/src/handover/records.rs
+++ b/crates/ochrewalk-node/src/handover/records.rs
@@ -19,18 +19,18 @@
 
 /// The gate, the module inside it, the tokens, and what belongs to no other section.
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptNode {
+pub struct NodeRecord {
     /// Where the monotonic clock counts from, in nanoseconds of the system's.
     #[prost(int64, tag = "1")]
     pub clock_base_ns: i64,
     /// The key of the prints of RPCs' work.
     #[prost(fixed64, tag = "2")]
-    pub print_key: u64,
+    pub fingerprint_key: u64,
     #[prost(fixed64, tag = "3")]
-    pub print_key_more: u64,
+    pub fingerprint_key_more: u64,
     /// The module, where the executor has been up.
     #[prost(message, optional, tag = "4")]
-    pub module: Option<ochrewalk::decide::Kept>,
+    pub decisions: Option<ochrewalk::decide::Kept>,
     #[prost(bool, optional, tag = "5")]
     pub healthy: Option<bool>,
     #[prost(double, optional, tag = "6")]
@@ -43,21 +43,21 @@
     pub wake_token: u64,
     /// All tokens, or those that have changed since the others went ahead.
     #[prost(message, repeated, tag = "10")]
-    pub tokens: Vec<KeptToken>,
+    pub keys: Vec<IdempotencyKeyRecord>,
     /// Tokens that went ahead and are gone.
     #[prost(string, repeated, tag = "11")]
-    pub gone: Vec<String>,
+    pub removed_keys: Vec<String>,
 }
 
 /// Tokens that go ahead of the standstill, each message a piece of them.
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptTokens {
+pub struct IdempotencyKeyRecords {
     #[prost(message, repeated, tag = "1")]
-    pub tokens: Vec<KeptToken>,
+    pub keys: Vec<IdempotencyKeyRecord>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptToken {
+pub struct IdempotencyKeyRecord {
     #[prost(string, tag = "1")]
     pub key: String,
     #[prost(string, tag = "2")]
@@ -76,13 +76,13 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptRpcs {
+pub struct RpcRecords {
     #[prost(message, repeated, tag = "1")]
-    pub rpcs: Vec<KeptRpc>,
+    pub rpcs: Vec<RpcRecord>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptRpc {
+pub struct RpcRecord {
     #[prost(string, tag = "1")]
     pub id: String,
     #[prost(uint32, tag = "2")]
@@ -104,13 +104,13 @@
     #[prost(bool, tag = "10")]
     pub running: bool,
     #[prost(message, optional, tag = "11")]
-    pub call: Option<KeptCall>,
+    pub call: Option<CallRecord>,
     #[prost(message, optional, tag = "12")]
-    pub asker: Option<Whereabouts>,
+    pub client: Option<ClientAddress>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptCall {
+pub struct CallRecord {
     #[prost(uint64, tag = "1")]
     pub pos: u64,
     #[prost(bytes = "vec", tag = "2")]
@@ -125,14 +125,14 @@
 
 /// Where whoever asked is found again.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Whereabouts {
+pub struct ClientAddress {
     #[prost(bool, tag = "1")]
     pub by_ajp: bool,
     #[prost(uint64, tag = "2")]
     pub connection: u64,
     /// JSON-RPC: the message's id.
     #[prost(string, tag = "3")]
-    pub name: String,
+    pub message_id: String,
     /// AJP: how many came before it there.
     #[prost(uint64, tag = "4")]
     pub serial: u64,
@@ -140,41 +140,41 @@
 
 /// One stream between any two bytes.
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptStream {
+pub struct StreamRecord {
     /// Read, and no whole message yet.
     #[prost(bytes = "vec", tag = "1")]
     pub input: Vec<u8>,
     /// Waits to be written; so much of the first is written already.
     #[prost(bytes = "vec", repeated, tag = "2")]
-    pub lines: Vec<Vec<u8>>,
+    pub unsent: Vec<Vec<u8>>,
     #[prost(uint64, tag = "3")]
     pub sent: u64,
     #[prost(bool, tag = "4")]
     pub half_closed: bool,
     /// How it is asked to end: 0 not at all, then in the order of the type.
     #[prost(uint32, tag = "5")]
-    pub finish: u32,
+    pub close_reason: u32,
     /// Written and not confirmed.
     #[prost(bytes = "vec", repeated, tag = "6")]
-    pub written: Vec<Vec<u8>>,
+    pub unconfirmed: Vec<Vec<u8>>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptDispatchers {
+pub struct JsonRpcConnectionRecords {
     #[prost(message, repeated, tag = "1")]
-    pub of: Vec<KeptDispatcher>,
+    pub connections: Vec<JsonRpcConnectionRecord>,
     #[prost(uint64, tag = "2")]
-    pub next: u64,
+    pub next_number: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptDispatcher {
+pub struct JsonRpcConnectionRecord {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(message, required, tag = "2")]
-    pub stream: KeptStream,
+    pub stream: StreamRecord,
     #[prost(message, repeated, tag = "3")]
-    pub open: Vec<KeptOpen>,
+    pub open: Vec<OpenRpcRecord>,
     #[prost(uint64, tag = "4")]
     pub used_us: u64,
     #[prost(bool, tag = "5")]
@@ -194,27 +194,27 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptOpen {
+pub struct OpenRpcRecord {
     #[prost(string, tag = "1")]
-    pub name: String,
+    pub message_id: String,
     #[prost(string, tag = "2")]
     pub rpc: String,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptAjps {
+pub struct AjpConnectionRecords {
     #[prost(message, repeated, tag = "1")]
-    pub of: Vec<KeptAjp>,
+    pub connections: Vec<AjpConnectionRecord>,
     #[prost(uint64, tag = "2")]
-    pub next: u64,
+    pub next_number: u64,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptAjp {
+pub struct AjpConnectionRecord {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(message, required, tag = "2")]
-    pub stream: KeptStream,
+    pub stream: StreamRecord,
     /// The life's state, by its order in the type.
     #[prost(uint32, tag = "3")]
     pub state: u32,
@@ -233,7 +233,7 @@
     #[prost(uint32, tag = "9")]
     pub faults: u32,
     #[prost(message, optional, tag = "10")]
-    pub asks: Option<KeptAsks>,
+    pub request: Option<AjpRequestRecord>,
     #[prost(bytes = "vec", tag = "11")]
     pub body: Vec<u8>,
     #[prost(string, optional, tag = "12")]
@@ -247,7 +247,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptAsks {
+pub struct AjpRequestRecord {
     #[prost(bool, tag = "1")]
     pub health: bool,
     #[prost(uint32, tag = "2")]
@@ -267,10 +267,10 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptExecutor {
+pub struct ExecutorRecord {
     /// None while there is no link.
     #[prost(message, optional, tag = "1")]
-    pub stream: Option<KeptStream>,
+    pub stream: Option<StreamRecord>,
     /// Commands that wait for a link.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub waiting: Vec<Vec<u8>>,
@@ -289,20 +289,20 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptBelow {
+pub struct UpstreamRecord {
     #[prost(message, repeated, tag = "1")]
-    pub links: Vec<KeptLink>,
+    pub links: Vec<UpstreamConnectionRecord>,
     /// Calls on connections that cannot move: they were written, and what becomes of them is not heard any more.
     #[prost(string, repeated, tag = "2")]
     pub lost: Vec<String>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct KeptLink {
+pub struct UpstreamConnectionRecord {
     #[prost(string, tag = "1")]
-    pub at: String,
+    pub endpoint: String,
     #[prost(message, required, tag = "2")]
-    pub stream: KeptStream,
+    pub stream: StreamRecord,
     #[prost(string, repeated, tag = "3")]
     pub calls: Vec<String>,
     #[prost(uint64, tag = "4")]
--- a/crates/ochrewalk-node/src/handover/successor.rs
+++ b/crates/ochrewalk-node/src/handover/successor.rs
@@ -3,7 +3,8 @@
 
 use super::descriptor_socket::{HandOverStream, Received};
 use super::records::{
-    self, KeptAjps, KeptBelow, KeptDispatchers, KeptExecutor, KeptNode, KeptRpcs, KeptTokens,
+    self, AjpConnectionRecords, ExecutorRecord, IdempotencyKeyRecords, JsonRpcConnectionRecords, NodeRecord,
+    RpcRecords, UpstreamRecord,
 };
 use super::supervisor_link::{Question, SupervisorLink};
 use crate::clock::Clock;
@@ -26,13 +27,13 @@
 
 /// All that the program before held.
 pub struct ReceivedState {
-    pub node: KeptNode,
+    pub node: NodeRecord,
     pub listeners: Vec<OwnedFd>,
-    pub rpcs: KeptRpcs,
-    pub json: (KeptDispatchers, Vec<OwnedFd>),
-    pub ajp: (KeptAjps, Vec<OwnedFd>),
-    pub executor: (KeptExecutor, Option<OwnedFd>),
-    pub below: (KeptBelow, Vec<OwnedFd>),
+    pub rpcs: RpcRecords,
+    pub json: (JsonRpcConnectionRecords, Vec<OwnedFd>),
+    pub ajp: (AjpConnectionRecords, Vec<OwnedFd>),
+    pub executor: (ExecutorRecord, Option<OwnedFd>),
+    pub below: (UpstreamRecord, Vec<OwnedFd>),
     /// Tokens that went ahead.
     pub tokens: Keys,
 }
@@ -171,10 +172,10 @@
         if self.incomplete {
             return Err(LoadError::Incomplete);
         }
-        let (node, _) = self.section::<KeptNode>("node")?;
-        let (rpcs, _) = self.section::<KeptRpcs>("rpcs")?;
+        let (node, _) = self.section::<NodeRecord>("node")?;
+        let (rpcs, _) = self.section::<RpcRecords>("rpcs")?;
         let (_, listeners) = self.sections.remove("listeners").unwrap_or_default();
-        let (executor, link) = self.section::<KeptExecutor>("executor")?;
+        let (executor, link) = self.section::<ExecutorRecord>("executor")?;
         let received = ReceivedState {
             node,
             listeners,
@@ -185,8 +186,8 @@
             below: self.section("below")?,
             tokens: std::mem::replace(&mut self.tokens, Keys::new(0)),
         };
-        let matches = received.json.0.of.len() == received.json.1.len()
-            && received.ajp.0.of.len() == received.ajp.1.len()
+        let matches = received.json.0.connections.len() == received.json.1.len()
+            && received.ajp.0.connections.len() == received.ajp.1.len()
             && received.below.0.links.len() == received.below.1.len()
             && received.executor.0.stream.is_some() == received.executor.1.is_some();
         if matches {
@@ -208,8 +209,8 @@
         let came = self.stream.take_descriptors(descriptors as usize);
         self.incomplete |= came.is_none();
         if section == records::AHEAD.0 {
-            match KeptTokens::decode(bytes) {
-                Ok(piece) => self.tokens.take(piece.tokens, &[]),
+            match IdempotencyKeyRecords::decode(bytes) {
+                Ok(piece) => self.tokens.take(piece.keys, &[]),
                 Err(_) => self.incomplete = true,
             }
             return;
--- a/crates/ochrewalk-node/src/keys.rs
+++ b/crates/ochrewalk-node/src/keys.rs
@@ -1,6 +1,6 @@
 //! Decides what a token stands for: which RPC holds it, what became of that, and which repeats wait for it.
 
-use crate::handover::records::KeptToken;
+use crate::handover::records::IdempotencyKeyRecord;
 use ochrewalk::host::RpcId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::ops::Bound;
@@ -161,13 +161,17 @@
     }
 
     /// Writes all of it down.
-    pub fn keep(&self) -> Vec<KeptToken> {
+    pub fn keep(&self) -> Vec<IdempotencyKeyRecord> {
         self.entries.iter().map(written).collect()
     }
 
     /// Writes the next ones down while all goes on, from `after` on, so many at most; what changes from the first of them
     /// on is for [`Keys::keep_changed`]. None once all are written.
-    pub fn keep_ahead(&mut self, after: Option<&Lapse>, most: usize) -> Option<(Vec<KeptToken>, Lapse)> {
+    pub fn keep_ahead(
+        &mut self,
+        after: Option<&Lapse>,
+        most: usize,
+    ) -> Option<(Vec<IdempotencyKeyRecord>, Lapse)> {
         let from = match after {
             None => {
                 self.changed = Some(HashSet::new());
@@ -182,7 +186,7 @@
     }
 
     /// Those that have changed since the first of [`Keys::keep_ahead`], and those that are gone.
-    pub fn keep_changed(&self) -> (Vec<KeptToken>, Vec<String>) {
+    pub fn keep_changed(&self) -> (Vec<IdempotencyKeyRecord>, Vec<String>) {
         let (mut kept, mut gone) = (Vec::new(), Vec::new());
         for token in self.changed.iter().flatten() {
             match self.entries.get_key_value(token) {
@@ -199,7 +203,7 @@
     }
 
     /// Takes over what another process wrote down, later words over earlier ones.
-    pub fn take(&mut self, kept: Vec<KeptToken>, gone: &[String]) {
+    pub fn take(&mut self, kept: Vec<IdempotencyKeyRecord>, gone: &[String]) {
         for token in kept {
             let state = match token.state {
                 0 => State::Open,
@@ -207,7 +211,7 @@
                 _ => State::Failed,
             };
             let waiting = token.waiting.into_iter().map(RpcId::from).collect();
-            let KeptToken { work, until_ms, .. } = token;
+            let IdempotencyKeyRecord { work, until_ms, .. } = token;
             self.put(token.key.into(), Entry { holder: token.holder.into(), work, until_ms, state, waiting });
         }
         for token in gone {
@@ -233,13 +237,13 @@
     }
 }
 
-fn written((key, entry): (&Arc<str>, &Entry)) -> KeptToken {
+fn written((key, entry): (&Arc<str>, &Entry)) -> IdempotencyKeyRecord {
     let (state, result) = match &entry.state {
         State::Open => (0, String::new()),
         State::Served(body) => (1, body.to_string()),
         State::Failed => (2, String::new()),
     };
-    KeptToken {
+    IdempotencyKeyRecord {
         key: key.to_string(),
         holder: entry.holder.to_string(),
         work: entry.work,
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Next, Post};
-use crate::handover::records::KeptBelow;
+use crate::handover::records::UpstreamRecord;
 use crate::seam::Beneath;
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
@@ -242,13 +242,13 @@
         self.0.lock().places.open_calls() > 0
     }
 
-    fn keep(&self) -> (KeptBelow, Vec<RawFd>) {
+    fn keep(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
         // Those that only wait for a connection were not written, and are placed anew.
         let written = |link: &Link| link.call.filter(|_| link.life.wrote());
         let lost = state.hands.links.values().filter_map(written);
         let name = |call: CallId| state.hands.calls.get(&call).map(|call| call.id.to_string());
-        (KeptBelow { links: Vec::new(), lost: lost.filter_map(name).collect() }, Vec::new())
+        (UpstreamRecord { links: Vec::new(), lost: lost.filter_map(name).collect() }, Vec::new())
     }
 
     fn nudge(&self) {
--- a/crates/ochrewalk-node/src/net/ajp_front/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/handover.rs
@@ -1,7 +1,7 @@
 //! Connections as they are written down for a successor, and taken up from a predecessor.
 
 use super::{AjpFront, Caller, Carried, Connection, PendingRequest};
-use crate::handover::records::{KeptAjp, KeptAjps, KeptAsks, Whereabouts};
+use crate::handover::records::{AjpConnectionRecord, AjpConnectionRecords, AjpRequestRecord, ClientAddress};
 use crate::net::link::{adopt, Outbox};
 use crate::seam::Asker;
 use ochrewalk::host::RpcId;
@@ -20,9 +20,9 @@
 
     /// Every connection with its descriptor, for another process to go on with. None where one is only just coming
     /// or going.
-    pub fn keep(&self) -> Option<(KeptAjps, Vec<RawFd>)> {
+    pub fn keep(&self) -> Option<(AjpConnectionRecords, Vec<RawFd>)> {
         let table = self.lock();
-        let (mut of, mut descriptors) = (Vec::new(), Vec::new());
+        let (mut connections, mut descriptors) = (Vec::new(), Vec::new());
         for (number, connection) in table.of.iter().filter(|(_, connection)| !connection.lock().over) {
             let (fd, stream) = connection.outbox.keep()?;
             let state = connection.lock();
@@ -39,7 +39,7 @@
                 State::Closing { since_us } => (5, since_us, 0, None, false),
                 State::Over => (6, 0, 0, None, false),
             };
-            of.push(KeptAjp {
+            connections.push(AjpConnectionRecord {
                 number: *number,
                 stream,
                 state: kind,
@@ -49,7 +49,7 @@
                 flag,
                 spoke,
                 faults,
-                asks: state.asks.as_ref().map(kept_asks),
+                request: state.asks.as_ref().map(request_record),
                 body: state.body.clone(),
                 rpc: state.rpc.as_ref().map(|id| id.to_string()),
                 serial: state.serial,
@@ -58,21 +58,21 @@
             });
             descriptors.push(fd);
         }
-        Some((KeptAjps { of, next: table.next }, descriptors))
+        Some((AjpConnectionRecords { connections, next_number: table.next }, descriptors))
     }
 
     /// Goes on with connections of another process. `ids` are those of the RPCs that are open.
     pub fn resume(
         &self,
-        kept: KeptAjps,
+        kept: AjpConnectionRecords,
         descriptors: Vec<OwnedFd>,
         ids: &HashSet<RpcId>,
     ) -> Vec<(Arc<Connection>, OwnedFd)> {
         let mut table = self.lock();
-        table.next = kept.next;
+        table.next = kept.next_number;
         let id = |rpc: String| ids.get(rpc.as_str()).cloned().unwrap_or_else(|| rpc.into());
         let mut resumed = Vec::new();
-        for (kept, descriptor) in kept.of.into_iter().zip(descriptors) {
+        for (kept, descriptor) in kept.connections.into_iter().zip(descriptors) {
             let (since_us, flag) = (kept.since_us, kept.flag);
             let life = match kept.state {
                 0 => State::Idle { since_us },
@@ -88,7 +88,7 @@
             };
             let state = Carried {
                 life: Life::resume(self.bounds(), life, kept.spoke, kept.faults),
-                asks: kept.asks.map(asks_again),
+                asks: kept.request.map(pending_request),
                 body: kept.body,
                 rpc: kept.rpc.map(id),
                 serial: kept.serial,
@@ -113,18 +113,18 @@
         }
     }
 
-    /// Who waits for an answer on a connection, as [`Asker::whereabouts`] said.
-    pub fn asker(self: &Arc<Self>, at: &Whereabouts) -> Option<Box<dyn Asker>> {
+    /// Who waits for an answer on a connection, as [`Asker::address`] said.
+    pub fn asker(self: &Arc<Self>, at: &ClientAddress) -> Option<Box<dyn Asker>> {
         let connection = self.lock().of.get(&at.connection)?.clone();
         Some(Box::new(Caller { front: self.clone(), connection, serial: at.serial }))
     }
 }
 
-fn kept_asks(pending: &PendingRequest) -> KeptAsks {
+fn request_record(pending: &PendingRequest) -> AjpRequestRecord {
     let ts_ms = pending.read_ms;
     match &pending.asks {
-        Asks::Health => KeptAsks { health: true, ts_ms, ..KeptAsks::default() },
-        Asks::Method(Method { method, id, token, left_us, kb, tenant }) => KeptAsks {
+        Asks::Health => AjpRequestRecord { health: true, ts_ms, ..AjpRequestRecord::default() },
+        Asks::Method(Method { method, id, token, left_us, kb, tenant }) => AjpRequestRecord {
             health: false,
             method: *method as u32,
             id: id.clone(),
@@ -138,8 +138,8 @@
 }
 
 /// Its quota is not passed on: a request whose body crosses a hand-over counts as within it.
-fn asks_again(kept: KeptAsks) -> PendingRequest {
-    let KeptAsks { health, method, id, token, left_us, kb, ts_ms, tenant } = kept;
+fn pending_request(kept: AjpRequestRecord) -> PendingRequest {
+    let AjpRequestRecord { health, method, id, token, left_us, kb, ts_ms, tenant } = kept;
     let asks = if health {
         Asks::Health
     } else {
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -13,7 +13,7 @@
 use crate::configuration::state::Quotas;
 use crate::core::Core;
 use crate::ending::Ending;
-use crate::handover::records::Whereabouts;
+use crate::handover::records::ClientAddress;
 use crate::seam::{Answer, Asker};
 use inbound::{Inbound, Wanted, MOST_BODY};
 use may::net::TcpStream;
@@ -329,11 +329,11 @@
         self.connection.outbox.push(self.front.packets(answer, signal, reuse));
     }
 
-    fn whereabouts(&self) -> Whereabouts {
-        Whereabouts {
+    fn address(&self) -> ClientAddress {
+        ClientAddress {
             by_ajp: true,
             connection: self.connection.number,
-            name: String::new(),
+            message_id: String::new(),
             serial: self.serial,
         }
     }
--- a/crates/ochrewalk-node/src/net/below.rs
+++ b/crates/ochrewalk-node/src/net/below.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Next, Post};
-use crate::handover::records::{KeptBelow, KeptLink};
+use crate::handover::records::{UpstreamConnectionRecord, UpstreamRecord};
 use crate::seam::Beneath;
 use crate::wire::calls::{self, Word};
 use may::net::TcpStream;
@@ -86,14 +86,14 @@
         self.0.give_up(id);
     }
 
-    fn keep(&self) -> (KeptBelow, Vec<RawFd>) {
+    fn keep(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
         let (mut links, mut descriptors) = (Vec::new(), Vec::new());
         // One that is only being made has written nothing: its calls are placed anew.
         for (link, (fd, stream)) in state.links.iter().filter_map(|link| Some((link, link.outbox.keep()?))) {
             let carried = link.lock();
-            links.push(KeptLink {
-                at: link.at.to_string(),
+            links.push(UpstreamConnectionRecord {
+                endpoint: link.at.to_string(),
                 stream,
                 calls: carried.calls.keys().map(|id| id.to_string()).collect(),
                 used_us: carried.used_us,
@@ -101,7 +101,7 @@
             });
             descriptors.push(fd);
         }
-        (KeptBelow { links, lost: Vec::new() }, descriptors)
+        (UpstreamRecord { links, lost: Vec::new() }, descriptors)
     }
 
     fn nudge(&self) {
@@ -111,14 +111,14 @@
 
 impl Below {
     /// Goes on with the connections of another process; the posts are those of the RPCs whose calls they carry.
-    pub fn resume(&self, kept: KeptBelow, descriptors: Vec<OwnedFd>, posts: &HashMap<RpcId, Post>) {
+    pub fn resume(&self, kept: UpstreamRecord, descriptors: Vec<OwnedFd>, posts: &HashMap<RpcId, Post>) {
         let mut state = self.0.lock();
         for (kept, descriptor) in kept.links.into_iter().zip(descriptors) {
             let post =
                 |id: String| posts.get_key_value(id.as_str()).map(|(id, post)| (id.clone(), post.clone()));
             let calls = kept.calls.into_iter().filter_map(post).collect();
             let carried = Carried { calls, used_us: kept.used_us, partial_us: kept.partial_us, over: false };
-            let at = kept.at.parse().unwrap_or(state.at);
+            let at = kept.endpoint.parse().unwrap_or(state.at);
             let outbox = Outbox::resume(kept.stream, false);
             let link = Arc::new(Link { at, outbox, carried: Mutex::new(carried) });
             state.links.push(link.clone());
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -6,7 +6,9 @@
 use crate::core::{Asked, Core};
 use crate::ending::Ending;
 use crate::gate::Posture;
-use crate::handover::records::{KeptDispatcher, KeptDispatchers, KeptOpen, Whereabouts};
+use crate::handover::records::{
+    ClientAddress, JsonRpcConnectionRecord, JsonRpcConnectionRecords, OpenRpcRecord,
+};
 use crate::seam::{Answer, Asker};
 use crate::wire::jsonrpc::{self, Message, Which};
 use may::net::TcpStream;
@@ -160,19 +162,19 @@
 
     /// Every connection with its descriptor, for another process to go on with. None where one is only just coming
     /// or going.
-    pub fn keep(&self) -> Option<(KeptDispatchers, Vec<RawFd>)> {
+    pub fn keep(&self) -> Option<(JsonRpcConnectionRecords, Vec<RawFd>)> {
         let open = self.lock();
-        let (mut of, mut descriptors) = (Vec::new(), Vec::new());
+        let (mut connections, mut descriptors) = (Vec::new(), Vec::new());
         for (number, connection) in open.of.iter().filter(|(_, connection)| !connection.lock().over) {
             let (fd, stream) = connection.outbox.keep()?;
             let state = connection.lock();
-            of.push(KeptDispatcher {
+            connections.push(JsonRpcConnectionRecord {
                 number: *number,
                 stream,
                 open: state
                     .open
                     .iter()
-                    .map(|(name, rpc)| KeptOpen { name: name.to_string(), rpc: rpc.to_string() })
+                    .map(|(name, rpc)| OpenRpcRecord { message_id: name.to_string(), rpc: rpc.to_string() })
                     .collect(),
                 used_us: state.used_us,
                 spoke: state.spoke,
@@ -185,22 +187,22 @@
             });
             descriptors.push(fd);
         }
-        Some((KeptDispatchers { of, next: open.next }, descriptors))
+        Some((JsonRpcConnectionRecords { connections, next_number: open.next }, descriptors))
     }
 
     /// Goes on with connections of another process. `ids` are those of the RPCs that are open.
     pub fn resume(
         self: &Arc<Self>,
-        kept: KeptDispatchers,
+        kept: JsonRpcConnectionRecords,
         descriptors: Vec<OwnedFd>,
         ids: &HashSet<RpcId>,
     ) -> Vec<(Arc<Connection>, OwnedFd)> {
         let mut open = self.lock();
-        open.next = kept.next;
+        open.next = kept.next_number;
         let id = |rpc: String| ids.get(rpc.as_str()).cloned().unwrap_or_else(|| rpc.into());
         let mut resumed = Vec::new();
-        for (kept, descriptor) in kept.of.into_iter().zip(descriptors) {
-            let owed = kept.open.into_iter().map(|o| (o.name.into(), id(o.rpc)));
+        for (kept, descriptor) in kept.connections.into_iter().zip(descriptors) {
+            let owed = kept.open.into_iter().map(|o| (o.message_id.into(), id(o.rpc)));
             let state = Carried {
                 open: owed.collect(),
                 used_us: kept.used_us,
@@ -231,10 +233,10 @@
         }
     }
 
-    /// Who waits for an answer on a connection, as [`Asker::whereabouts`] said.
-    pub fn asker(&self, at: &Whereabouts) -> Option<Box<dyn Asker>> {
+    /// Who waits for an answer on a connection, as [`Asker::address`] said.
+    pub fn asker(&self, at: &ClientAddress) -> Option<Box<dyn Asker>> {
         let connection = self.lock().of.get(&at.connection)?.clone();
-        Some(Box::new(Caller { core: self.core.clone(), connection, id: at.name.as_str().into() }))
+        Some(Box::new(Caller { core: self.core.clone(), connection, id: at.message_id.as_str().into() }))
     }
 
     fn all(&self) -> Vec<Arc<Connection>> {
@@ -328,9 +330,9 @@
         self.connection.answer(&self.id, self.core.clock.now_us(), line);
     }
 
-    fn whereabouts(&self) -> Whereabouts {
-        let (connection, name) = (self.connection.number, self.id.to_string());
-        Whereabouts { by_ajp: false, connection, name, serial: 0 }
+    fn address(&self) -> ClientAddress {
+        let (connection, message_id) = (self.connection.number, self.id.to_string());
+        ClientAddress { by_ajp: false, connection, message_id, serial: 0 }
     }
 
     fn fault(&self) {
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -12,7 +12,7 @@
 use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
 use crate::ending::Ending;
 use crate::gate::{Gate, Next, Post};
-use crate::handover::records::KeptExecutor;
+use crate::handover::records::ExecutorRecord;
 use crate::wire::notices::{self, Notice, RunEnd};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use may::net::TcpStream;
@@ -78,7 +78,7 @@
     pub fn resume(
         at: SocketAddr,
         pauses: bool,
-        kept: KeptExecutor,
+        kept: ExecutorRecord,
         runs: Vec<(RpcId, bool, Post)>,
     ) -> Executor {
         let mut executor = Executor::new(at, pauses);
@@ -99,10 +99,10 @@
     }
 
     /// The link, where there is one with its descriptor, and what is known of the notices.
-    pub fn keep(&self) -> (KeptExecutor, Option<RawFd>) {
+    pub fn keep(&self) -> (ExecutorRecord, Option<RawFd>) {
         let stream = self.outbox.keep();
         let state = self.lock();
-        let kept = KeptExecutor {
+        let kept = ExecutorRecord {
             waiting: if stream.is_none() { self.outbox.waiting() } else { Vec::new() },
             read: state.read,
             welcomed: state.welcomed,
@@ -113,7 +113,7 @@
             stream: None,
         };
         match stream {
-            Some((fd, stream)) => (KeptExecutor { stream: Some(stream), ..kept }, Some(fd)),
+            Some((fd, stream)) => (ExecutorRecord { stream: Some(stream), ..kept }, Some(fd)),
             None => (kept, None),
         }
     }
--- a/crates/ochrewalk-node/src/net/link.rs
+++ b/crates/ochrewalk-node/src/net/link.rs
@@ -4,7 +4,7 @@
 
 use crate::ending::Ending;
 use crate::handover::is_paused;
-use crate::handover::records::KeptStream;
+use crate::handover::records::StreamRecord;
 use crate::panics::contain;
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::{TcpListener, TcpStream};
@@ -92,7 +92,7 @@
     }
 
     /// The present stream, for another process to go on with. None while there is no stream.
-    pub fn keep(&self) -> Option<(RawFd, KeptStream)> {
+    pub fn keep(&self) -> Option<(RawFd, StreamRecord)> {
         let progress = self.progress();
         let waiting = self.lock();
         let mut lines: Vec<Vec<u8>> = waiting.lines.iter().cloned().collect();
@@ -102,13 +102,13 @@
         }
         let finish =
             waiting.finish.map_or(0, |how| 1 + Finish::ALL.iter().position(|h| *h == how).unwrap_or(0));
-        let kept = KeptStream {
+        let kept = StreamRecord {
             input: progress.input.clone(),
-            lines,
+            unsent: lines,
             sent: if *sent < line.len() { *sent as u64 } else { 0 },
             half_closed: *half_closed,
-            finish: finish as u32,
-            written: waiting.written.iter().flatten().cloned().collect(),
+            close_reason: finish as u32,
+            unconfirmed: waiting.written.iter().flatten().cloned().collect(),
         };
         Some((progress.fd?, kept))
     }
@@ -119,8 +119,8 @@
     }
 
     /// Goes on with a stream of another process; `keeping` as for [`Outbox::keeping`].
-    pub fn resume(kept: KeptStream, keeping: bool) -> Outbox {
-        let mut lines: VecDeque<Vec<u8>> = kept.lines.into();
+    pub fn resume(kept: StreamRecord, keeping: bool) -> Outbox {
+        let mut lines: VecDeque<Vec<u8>> = kept.unsent.into();
         let mut writing = Writing { half_closed: kept.half_closed, ..Writing::default() };
         if kept.sent > 0 {
             (writing.line, writing.sent) = (lines.pop_front().unwrap_or_default(), kept.sent as usize);
@@ -129,8 +129,8 @@
             bytes: lines.iter().map(Vec::len).sum(),
             lines,
             waker: None,
-            finish: (kept.finish as usize).checked_sub(1).and_then(|at| Finish::ALL.get(at).copied()),
-            written: keeping.then(|| kept.written.into()),
+            finish: (kept.close_reason as usize).checked_sub(1).and_then(|at| Finish::ALL.get(at).copied()),
+            written: keeping.then(|| kept.unconfirmed.into()),
         };
         let progress = Progress { fd: None, input: kept.input, writing, resumed: true };
         Outbox { waiting: Mutex::new(waiting), progress: Mutex::new(progress) }
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -7,7 +7,7 @@
 use crate::core::Core;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
-use crate::handover::records::{KeptBelow, KeptCall, KeptRpc, Whereabouts};
+use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
 use crate::handover::successor::ReceivedState;
 use crate::keys::Keys;
 use crate::life::{Call, Life, Placed};
@@ -74,7 +74,7 @@
     /// News for lives whose calls did not come along.
     ends: Vec<(Post, CallEnd)>,
     link: Option<OwnedFd>,
-    below: Option<(KeptBelow, Vec<OwnedFd>, HashMap<RpcId, Post>)>,
+    below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, Post>)>,
 }
 
 /// Puts every part together, from what another process held where there is something.
@@ -99,7 +99,7 @@
     let pauses = deployment.machine.stopping == Stopping::Pause;
     let print_key = taken.as_ref().map_or_else(
         || (fastrand::u64(..), fastrand::u64(..)),
-        |t| (t.node.print_key, t.node.print_key_more),
+        |t| (t.node.fingerprint_key, t.node.fingerprint_key_more),
     );
     let rpcs = taken.as_mut().map(|taken| std::mem::take(&mut taken.rpcs.rpcs)).unwrap_or_default();
     let known = deployment.methods.len();
@@ -176,7 +176,7 @@
                 let end = if lost { CallEnd::Link(Ending::Moved) } else { CallEnd::Unsent };
                 resumed.ends.push((ticket.post(), end));
             }
-            let asker = kept.asker.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
+            let asker = kept.client.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
                 (Some(front), true) => front.asker(at),
                 (None, true) => None,
                 (_, false) => dispatchers.asker(at),
@@ -209,7 +209,7 @@
     Ok(Built { node, name, stirred, listener: json_listener, ajp_listener, status, resumed, agent })
 }
 
-pub(super) fn incoming(kept: &KeptRpc) -> Incoming {
+pub(super) fn incoming(kept: &RpcRecord) -> Incoming {
     let token = kept.token.as_ref().map(|key| Token { key: key.as_str().into(), work: kept.work });
     let (method, left_us) = (kept.method as usize, kept.left_us);
     // The module has counted it already.
@@ -217,7 +217,7 @@
     Incoming { id, method, kb: kept.kb, ts_ms: kept.ts_ms, left_us, token, tenant }
 }
 
-pub(super) fn call(kept: KeptCall) -> Call {
+pub(super) fn call(kept: CallRecord) -> Call {
     let placed = Placed { at_us: kept.at_us, until_us: kept.until_us };
     Call { pos: kept.pos, body: kept.body, placed: kept.placed.then_some(placed) }
 }
@@ -230,8 +230,8 @@
         false
     }
     fn answer(&self, _answer: Answer, _signal: Option<f64>) {}
-    fn whereabouts(&self) -> Whereabouts {
-        Whereabouts::default()
+    fn address(&self) -> ClientAddress {
+        ClientAddress::default()
     }
     fn fault(&self) {}
     fn proven(&self) {}
--- a/crates/ochrewalk-node/src/seam.rs
+++ b/crates/ochrewalk-node/src/seam.rs
@@ -2,7 +2,7 @@
 //! below. Each protocol brings its own; the life knows none of them.
 
 use crate::gate::Post;
-use crate::handover::records::{KeptBelow, Whereabouts};
+use crate::handover::records::{ClientAddress, UpstreamRecord};
 use ochrewalk::host::RpcId;
 use std::os::fd::RawFd;
 
@@ -33,7 +33,7 @@
     fn answer(&self, answer: Answer, signal: Option<f64>);
 
     /// Where it is found again by another process that goes on with the connections.
-    fn whereabouts(&self) -> Whereabouts;
+    fn address(&self) -> ClientAddress;
 
     /// The executor knows of no such RPC: it counts against its sender.
     fn fault(&self);
@@ -65,7 +65,7 @@
     }
 
     /// The connections and calls, for another process to go on with, and the connections' descriptors.
-    fn keep(&self) -> (KeptBelow, Vec<RawFd>);
+    fn keep(&self) -> (UpstreamRecord, Vec<RawFd>);
 
     /// Has every connection looked at again, as a pause is over.
     fn nudge(&self);
--- a/crates/ochrewalk-node/tests/handover_records.rs
+++ b/crates/ochrewalk-node/tests/handover_records.rs
@@ -4,8 +4,10 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_node::handover::records::{
-    self, KeptAjp, KeptAjps, KeptAsks, KeptBelow, KeptCall, KeptDispatcher, KeptDispatchers, KeptExecutor,
-    KeptLink, KeptNode, KeptOpen, KeptRpc, KeptRpcs, KeptStream, KeptToken, KeptTokens, Whereabouts,
+    self, AjpConnectionRecord, AjpConnectionRecords, AjpRequestRecord, CallRecord, ClientAddress,
+    ExecutorRecord, IdempotencyKeyRecord, IdempotencyKeyRecords, JsonRpcConnectionRecord,
+    JsonRpcConnectionRecords, NodeRecord, OpenRpcRecord, RpcRecord, RpcRecords, StreamRecord,
+    UpstreamConnectionRecord, UpstreamRecord,
 };
 use prost::Message;
 use std::fmt::Debug;
@@ -25,19 +27,19 @@
 }
 
 /// A stream between any two bytes, with a value in every field.
-fn stream() -> KeptStream {
-    KeptStream {
+fn stream() -> StreamRecord {
+    StreamRecord {
         input: b"half a li".to_vec(),
-        lines: vec![b"first\n".to_vec(), b"second\n".to_vec()],
+        unsent: vec![b"first\n".to_vec(), b"second\n".to_vec()],
         sent: 3,
         half_closed: true,
-        finish: 2,
-        written: vec![b"unconfirmed\n".to_vec()],
+        close_reason: 2,
+        unconfirmed: vec![b"unconfirmed\n".to_vec()],
     }
 }
 
-fn token(key: &str, state: u32) -> KeptToken {
-    KeptToken {
+fn token(key: &str, state: u32) -> IdempotencyKeyRecord {
+    IdempotencyKeyRecord {
         key: key.into(),
         holder: "00000000000000a1".into(),
         work: 0xfedc_ba98_7654_3210,
@@ -63,34 +65,34 @@
 /// The decisions inside have a snapshot test of their own; here their bytes are carried as they are.
 #[test]
 fn the_nodes_own_record_keeps_its_format() {
-    let node: KeptNode = record("node.bin");
-    assert_eq!(node.module.as_ref().unwrap().encoded_len(), 2_171);
-    let expected = KeptNode {
+    let node: NodeRecord = record("node.bin");
+    assert_eq!(node.decisions.as_ref().unwrap().encoded_len(), 2_171);
+    let expected = NodeRecord {
         clock_base_ns: -1_234_567_890_123,
-        print_key: 0x0123_4567_89ab_cdef,
-        print_key_more: 0xfedc_ba98_7654_3210,
-        module: node.module.clone(),
+        fingerprint_key: 0x0123_4567_89ab_cdef,
+        fingerprint_key_more: 0xfedc_ba98_7654_3210,
+        decisions: node.decisions.clone(),
         healthy: Some(true),
         signal: Some(0.75),
         idle_us: 1_000_001,
         wake_us: 2_000_002,
         wake_token: 42,
-        tokens: vec![token("t0", 0), token("t1", 1), token("t2", 2)],
-        gone: vec!["lapsed".into()],
+        keys: vec![token("t0", 0), token("t1", 1), token("t2", 2)],
+        removed_keys: vec!["lapsed".into()],
     };
     assert_eq!(node, expected);
 }
 
 #[test]
 fn idempotency_keys_that_go_ahead_keep_their_format() {
-    assert_record("tokens.bin", &KeptTokens { tokens: vec![token("a", 0), token("b", 1)] });
+    assert_record("tokens.bin", &IdempotencyKeyRecords { keys: vec![token("a", 0), token("b", 1)] });
 }
 
 #[test]
 fn open_rpcs_of_both_protocols_keep_their_format() {
     let call =
-        KeptCall { pos: 17, body: vec![0, 1, 2, 255], placed: true, at_us: 5_000_001, until_us: 6_000_002 };
-    let by_json = KeptRpc {
+        CallRecord { pos: 17, body: vec![0, 1, 2, 255], placed: true, at_us: 5_000_001, until_us: 6_000_002 };
+    let by_json = RpcRecord {
         id: "00000000000000a1".into(),
         method: 2,
         kb: 20.5,
@@ -102,9 +104,9 @@
         owed: true,
         running: true,
         call: Some(call),
-        asker: Some(Whereabouts { by_ajp: false, connection: 9, name: "\"a-7\"".into(), serial: 0 }),
+        client: Some(ClientAddress { by_ajp: false, connection: 9, message_id: "\"a-7\"".into(), serial: 0 }),
     };
-    let by_ajp = KeptRpc {
+    let by_ajp = RpcRecord {
         id: "00000000000000a2".into(),
         method: 1,
         kb: 0.5,
@@ -116,19 +118,19 @@
         owed: true,
         running: false,
         call: None,
-        asker: Some(Whereabouts { by_ajp: true, connection: 4, name: String::new(), serial: 12 }),
+        client: Some(ClientAddress { by_ajp: true, connection: 4, message_id: String::new(), serial: 12 }),
     };
     // Its caller is gone: nothing is owed, and its run has not ended.
-    let unowed = KeptRpc { id: "00000000000000a3".into(), running: true, ..KeptRpc::default() };
-    assert_record("rpcs.bin", &KeptRpcs { rpcs: vec![by_json, by_ajp, unowed] });
+    let unowed = RpcRecord { id: "00000000000000a3".into(), running: true, ..RpcRecord::default() };
+    assert_record("rpcs.bin", &RpcRecords { rpcs: vec![by_json, by_ajp, unowed] });
 }
 
 #[test]
 fn connections_by_json_rpc_keep_their_format() {
-    let full = KeptDispatcher {
+    let full = JsonRpcConnectionRecord {
         number: 9,
         stream: stream(),
-        open: vec![KeptOpen { name: "\"a-7\"".into(), rpc: "00000000000000a1".into() }],
+        open: vec![OpenRpcRecord { message_id: "\"a-7\"".into(), rpc: "00000000000000a1".into() }],
         used_us: 7_000_007,
         spoke: true,
         good: true,
@@ -138,13 +140,13 @@
         rpcs: true,
         end_by_us: Some(8_000_008),
     };
-    let fresh = KeptDispatcher { number: 10, ..KeptDispatcher::default() };
-    assert_record("json.bin", &KeptDispatchers { of: vec![full, fresh], next: 11 });
+    let fresh = JsonRpcConnectionRecord { number: 10, ..JsonRpcConnectionRecord::default() };
+    assert_record("json.bin", &JsonRpcConnectionRecords { connections: vec![full, fresh], next_number: 11 });
 }
 
 #[test]
 fn connections_by_ajp_keep_their_format() {
-    let asks = KeptAsks {
+    let request = AjpRequestRecord {
         health: false,
         method: 1,
         id: Some("00000000000000a2".into()),
@@ -154,7 +156,7 @@
         ts_ms: 1_796_000_000_456,
         tenant: Some("tenant-a".into()),
     };
-    let in_body = KeptAjp {
+    let in_body = AjpConnectionRecord {
         number: 4,
         stream: stream(),
         state: 2,
@@ -164,21 +166,25 @@
         flag: true,
         spoke: true,
         faults: 1,
-        asks: Some(asks),
+        request: Some(request),
         body: b"AB".to_vec(),
         rpc: Some("00000000000000a2".into()),
         serial: 12,
         used_us: 7_000_002,
         good: true,
     };
-    let health = KeptAsks { health: true, ts_ms: 1_796_000_000_789, ..KeptAsks::default() };
-    let asked_for_health = KeptAjp { number: 5, state: 4, asks: Some(health), ..KeptAjp::default() };
-    assert_record("ajp.bin", &KeptAjps { of: vec![in_body, asked_for_health], next: 6 });
+    let health = AjpRequestRecord { health: true, ts_ms: 1_796_000_000_789, ..AjpRequestRecord::default() };
+    let asked_for_health =
+        AjpConnectionRecord { number: 5, state: 4, request: Some(health), ..AjpConnectionRecord::default() };
+    assert_record(
+        "ajp.bin",
+        &AjpConnectionRecords { connections: vec![in_body, asked_for_health], next_number: 6 },
+    );
 }
 
 #[test]
 fn the_link_to_the_executor_keeps_its_format() {
-    let linked = KeptExecutor {
+    let linked = ExecutorRecord {
         stream: Some(stream()),
         waiting: vec![b"{\"action\":\"KILL\"}\n".to_vec()],
         read: 1_234,
@@ -190,18 +196,18 @@
     };
     assert_record("executor.bin", &linked);
     // Without a link only commands that wait for one.
-    let unlinked = KeptExecutor { waiting: vec![b"{}\n".to_vec()], ..KeptExecutor::default() };
+    let unlinked = ExecutorRecord { waiting: vec![b"{}\n".to_vec()], ..ExecutorRecord::default() };
     assert_record("executor-unlinked.bin", &unlinked);
 }
 
 #[test]
 fn calls_upstream_keep_their_format() {
-    let link = KeptLink {
-        at: "127.0.0.1:7400".into(),
+    let link = UpstreamConnectionRecord {
+        endpoint: "127.0.0.1:7400".into(),
         stream: stream(),
         calls: vec!["00000000000000a1".into()],
         used_us: 7_000_003,
         partial_us: Some(6_500_000),
     };
-    assert_record("below.bin", &KeptBelow { links: vec![link], lost: vec!["00000000000000a2".into()] });
+    assert_record("below.bin", &UpstreamRecord { links: vec![link], lost: vec!["00000000000000a2".into()] });
 }
