--- a/crates/ochrewalk-node/src/gate.rs
+++ b/crates/ochrewalk-node/src/gate.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::{since_us, whole_ms, Clock};
 use crate::ending::CallEnd;
-use crate::handover::is_paused;
+use crate::handover::pause::is_paused;
 use crate::handover::records::{IdempotencyKeyRecord, NodeRecord};
 use crate::keys::{Keys, Known, Lapse, Served, State};
 use crate::wire::notices::RunEnd;
--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -5,30 +5,16 @@
 
 pub mod counter_report;
 pub mod descriptor_socket;
+pub mod hand_over_control;
+pub mod hand_over_stream;
 pub mod orders;
+pub mod pause;
+mod pending_snapshot;
 pub mod predecessor;
 pub mod process_guard;
+pub mod received_state;
 pub mod records;
+mod snapshot;
 pub mod successor;
 pub mod supervisor;
 pub mod supervisor_link;
-
-use std::sync::atomic::{AtomicBool, Ordering};
-
-/// While it is set nothing is read, written, accepted or told: the state that was written down stays as it is.
-static PAUSED: AtomicBool = AtomicBool::new(false);
-
-/// Whether this process is paused.
-pub fn is_paused() -> bool {
-    PAUSED.load(Ordering::Relaxed)
-}
-
-/// From here on nothing is read, written, accepted or told.
-pub fn pause() {
-    PAUSED.store(true, Ordering::Relaxed);
-}
-
-/// The pause is over.
-pub fn resume() {
-    PAUSED.store(false, Ordering::Relaxed);
-}
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -1,19 +1,20 @@
 //! The side that serves: it pauses, writes down all that it holds, and goes on where the other does not take it.
 
-use super::descriptor_socket::{HandOverStream, Received};
-use super::records::{self, CallRecord, IdempotencyKeyRecords, NodeRecord, RpcRecord, RpcRecords};
+use super::hand_over_control::HandOverControl;
+use super::hand_over_stream::{HandOverStream, Received};
+use super::pending_snapshot::PendingSnapshot;
+use super::records::{self, IdempotencyKeyRecords};
+use super::snapshot::{resume_node, take_snapshot};
 use super::supervisor_link::{Question, SupervisorLink};
-use super::{pause, resume};
 use crate::node::Node;
 use ochrewalk_handover::messages::{Chunk, Message, MAX_DESCRIPTORS};
 use ochrewalk_handover::predecessor::{
     Actions, AttemptError, Limits, Predecessor, Shortage, StateSummary, TransferredAhead,
 };
 use prost::Message as _;
-use std::os::fd::{BorrowedFd, RawFd};
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::{channel, Receiver, Sender};
-use std::sync::{Arc, Condvar, Mutex};
+use std::os::fd::BorrowedFd;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
 use std::time::Duration;
 
 const LIMITS: Limits = Limits { prepare_us: 5_000_000, pause_us: 2_000_000, start_us: 1_000_000 };
@@ -21,9 +22,6 @@
 const TOKENS_PER_CHUNK: usize = 1_000;
 /// How often signals are looked at beside messages.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long calls on connections that cannot move are waited for, and all to come to rest.
-const MAX_UNMOVABLE_WAIT: Duration = Duration::from_millis(150);
-const MAX_REST_WAIT: Duration = Duration::from_millis(250);
 /// How long the runtime's worker may take for all of that. One that is held by something else hears nobody.
 const MAX_WORKER_WAIT: Duration = Duration::from_secs(1);
 /// How long the supervisor may take to let this program go on. Without its word another may act in this node's place.
@@ -33,44 +31,6 @@
 /// Bytes of one chunk.
 const CHUNK_BYTES: usize = 256 * 1024;
 
-/// One section of what is handed over, and its descriptors.
-type Section = (&'static str, Vec<u8>, Vec<RawFd>);
-
-/// What the thread that waits for signals needs of an attempt.
-#[derive(Default)]
-pub struct HandOverControl {
-    state: Mutex<Option<Sender<String>>>,
-    over: Condvar,
-    /// Somebody waits for the attempt's end.
-    is_interrupted: AtomicBool,
-}
-
-impl HandOverControl {
-    /// Ends an attempt that is under way and comes back once this process serves again; not at all where it has given
-    /// everything away.
-    pub fn interrupt(&self, why: &str) {
-        self.is_interrupted.store(true, Ordering::Relaxed);
-        let mut state = self.state.lock().unwrap_or_else(|broken| broken.into_inner());
-        while let Some(to) = &*state {
-            let _ = to.send(why.to_string());
-            state =
-                self.over.wait_timeout(state, POLL_INTERVAL).unwrap_or_else(|broken| broken.into_inner()).0;
-        }
-    }
-
-    fn begin(&self) -> Receiver<String> {
-        let (to, interrupts) = channel();
-        self.is_interrupted.store(false, Ordering::Relaxed);
-        *self.state.lock().unwrap_or_else(|broken| broken.into_inner()) = Some(to);
-        interrupts
-    }
-
-    fn end(&self) {
-        *self.state.lock().unwrap_or_else(|broken| broken.into_inner()) = None;
-        self.over.notify_all();
-    }
-}
-
 /// Hands over, or goes on as if nothing had been tried.
 pub fn hand_over(node: &Arc<Node>, control: &HandOverControl, link: &SupervisorLink, stream: HandOverStream) {
     let interrupts = control.begin();
@@ -119,42 +79,6 @@
     StateSummary { digest, sections, ahead, bytes: resident, descriptors: descriptors as u32, shortage }
 }
 
-type SnapshotResult = Result<Vec<Section>, &'static str>;
-
-/// What passes between the thread that hands over and the coroutine that writes all of it down: whoever is first, a
-/// state written down or the end of the wait, decides for both.
-#[derive(Default)]
-struct PendingSnapshot {
-    state: Mutex<(bool, Option<SnapshotResult>)>,
-    changed: Condvar,
-}
-
-impl PendingSnapshot {
-    fn lock(&self) -> std::sync::MutexGuard<'_, (bool, Option<SnapshotResult>)> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
-    }
-
-    fn is_wanted(&self) -> bool {
-        !self.lock().0
-    }
-
-    /// Whether somebody still waited for it.
-    fn deliver(&self, snapshot: SnapshotResult) -> bool {
-        let mut state = self.lock();
-        state.1 = Some(snapshot);
-        self.changed.notify_one();
-        !state.0
-    }
-
-    /// None where nothing has come in that time: nothing is wanted from then on.
-    fn wait(&self, timeout: Duration) -> Option<SnapshotResult> {
-        let waited = self.changed.wait_timeout_while(self.lock(), timeout, |state| state.1.is_none());
-        let mut state = waited.unwrap_or_else(|broken| broken.into_inner()).0;
-        state.0 = true;
-        state.1.take()
-    }
-}
-
 struct ProcessActions<'a> {
     node: &'a Arc<Node>,
     control: &'a HandOverControl,
@@ -267,120 +191,3 @@
         self.link.report(&format!("told {how}"));
     }
 }
-
-fn resume_node(node: &Node) {
-    resume();
-    if let Some(below) = &node.core.below {
-        below.hold(false);
-        below.nudge();
-    }
-    node.core.executor.nudge();
-    node.dispatchers.nudge();
-    if let Some(front) = &node.ajp {
-        front.nudge();
-    }
-}
-
-/// Pauses and writes all of it down, in a coroutine: nothing else runs between the first and the last look. None
-/// where nobody waits for it any more, and all goes on.
-///
-/// The thread that waits may give up at any moment, has all go on then, and may come again with another attempt, whose
-/// coroutine runs only while this one sleeps. So what is set here after it gave up is taken back before the next sleep,
-/// and nothing is touched after a sleep in which it gave up.
-fn take_snapshot(node: &Node, ahead: bool, pending: &PendingSnapshot) -> Option<SnapshotResult> {
-    let core = &node.core;
-    let clock = core.clock;
-    let until = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
-    let sleep = || {
-        if !pending.is_wanted() {
-            resume_node(node);
-            return None;
-        }
-        may::coroutine::sleep(Duration::from_millis(1));
-        pending.is_wanted().then_some(())
-    };
-    if !pending.is_wanted() {
-        return None;
-    }
-    if let Some(below) = &core.below {
-        below.hold(true);
-        let by_us = until(MAX_UNMOVABLE_WAIT);
-        while below.is_unmovable() && clock.now_us() < by_us {
-            sleep()?;
-        }
-    }
-    pause();
-    let by_us = until(MAX_REST_WAIT);
-    loop {
-        let json = node.dispatchers.keep();
-        let ajp = node.ajp.as_ref().map(|front| front.keep());
-        if let (true, Some(json), Some(ajp)) =
-            (core.gate.is_at_rest(), json, ajp.map_or(Some(None), |kept| kept.map(Some)))
-        {
-            return Some(Ok(sections(node, ahead, json, ajp)));
-        }
-        if clock.now_us() >= by_us {
-            return Some(Err("it does not come to rest"));
-        }
-        sleep()?;
-    }
-}
-
-fn sections(
-    node: &Node,
-    ahead: bool,
-    json: (records::JsonRpcConnectionRecords, Vec<RawFd>),
-    ajp: Option<(records::AjpConnectionRecords, Vec<RawFd>)>,
-) -> Vec<Section> {
-    let core = &node.core;
-    let (fingerprint_key, fingerprint_key_more) = core.print_key();
-    let mut kept = NodeRecord {
-        clock_base_ns: core.clock.base_ns(),
-        fingerprint_key,
-        fingerprint_key_more,
-        ..NodeRecord::default()
-    };
-    core.gate.keep(&mut kept, ahead);
-    let living = core.living();
-    let rpcs = living.values().map(|living| {
-        let life = living.lock();
-        let call = life.call.as_ref().map(|call| CallRecord {
-            pos: call.pos,
-            body: call.body.clone(),
-            placed: call.placed.is_some(),
-            at_us: call.placed.map_or(0, |placed| placed.at_us),
-            until_us: call.placed.map_or(0, |placed| placed.until_us),
-        });
-        let token = living.rpc.token.as_ref();
-        RpcRecord {
-            id: living.rpc.id.to_string(),
-            method: living.rpc.method as u32,
-            kb: living.rpc.kb,
-            ts_ms: living.rpc.ts_ms,
-            left_us: living.rpc.left_us,
-            token: token.map(|t| t.key.to_string()),
-            work: token.map_or(0, |t| t.work),
-            body: living.body.to_string(),
-            owed: life.owed,
-            running: life.running,
-            call,
-            client: life.owed.then(|| living.asker.address()),
-        }
-    });
-    let rpcs = RpcRecords { rpcs: rpcs.collect() };
-    let (executor, link) = core.executor.keep();
-    let (below, links) = core.below.as_ref().map(|below| below.keep()).unwrap_or_default();
-    let listeners = [node.dispatchers.listener(), node.ajp.as_ref().and_then(|front| front.listener())];
-    let mut all = vec![
-        ("node", kept.encode_to_vec(), Vec::new()),
-        ("listeners", Vec::new(), listeners.into_iter().flatten().collect()),
-        ("rpcs", rpcs.encode_to_vec(), Vec::new()),
-        ("json", json.0.encode_to_vec(), json.1),
-        ("executor", executor.encode_to_vec(), link.into_iter().collect()),
-        ("below", below.encode_to_vec(), links),
-    ];
-    if let Some((kept, descriptors)) = ajp {
-        all.push(("ajp", kept.encode_to_vec(), descriptors));
-    }
-    all
-}
--- a/crates/ochrewalk-node/src/handover/successor.rs
+++ b/crates/ochrewalk-node/src/handover/successor.rs
@@ -1,11 +1,9 @@
 //! The side that is to take over: it reads its files, takes all that the running program holds, puts it together
 //! without acting on any of it, and begins at the word.
 
-use super::descriptor_socket::{HandOverStream, Received};
-use super::records::{
-    self, AjpConnectionRecords, ExecutorRecord, IdempotencyKeyRecords, JsonRpcConnectionRecords, NodeRecord,
-    RpcRecords, UpstreamRecord,
-};
+use super::hand_over_stream::{HandOverStream, Received};
+use super::received_state::{LoadError, ReceivedState};
+use super::records::{self, ExecutorRecord, IdempotencyKeyRecords, NodeRecord, RpcRecords};
 use super::supervisor_link::{Question, SupervisorLink};
 use crate::clock::Clock;
 use crate::keys::Keys;
@@ -15,7 +13,6 @@
 use std::collections::HashMap;
 use std::os::fd::OwnedFd;
 use std::time::Duration;
-use thiserror::Error;
 
 const LIMITS: Limits = Limits { answer_us: 5_000_000, pause_us: 3_000_000 };
 const MAX_START_ATTEMPTS: u32 = 100;
@@ -25,44 +22,6 @@
 /// For tests of what fails: a step of the hand-over, and whether to crash or hang there, as in `crash:ready`.
 const FAILURE_VARIABLE: &str = "OCHREWALK_TAKE_FAILS";
 
-/// All that the program before held.
-pub struct ReceivedState {
-    pub node: NodeRecord,
-    pub listeners: Vec<OwnedFd>,
-    pub rpcs: RpcRecords,
-    pub json: (JsonRpcConnectionRecords, Vec<OwnedFd>),
-    pub ajp: (AjpConnectionRecords, Vec<OwnedFd>),
-    pub executor: (ExecutorRecord, Option<OwnedFd>),
-    pub below: (UpstreamRecord, Vec<OwnedFd>),
-    /// Tokens that went ahead.
-    pub tokens: Keys,
-}
-
-/// Why the state that came cannot be restored.
-#[derive(Debug, Error)]
-pub enum LoadError {
-    /// Something that was announced is missing.
-    #[error("fewer descriptors came than were announced, or tokens that cannot be read")]
-    Incomplete,
-    /// A section is not of its format.
-    #[error("section {name}: {error}")]
-    Section {
-        /// The section's name.
-        name: &'static str,
-        /// What is wrong with its bytes.
-        error: prost::DecodeError,
-    },
-    /// A section names more streams than came with it, or fewer.
-    #[error("streams and descriptors differ in number")]
-    DescriptorCount,
-    /// The node cannot be put together from the state.
-    #[error("{reason}")]
-    Assembly {
-        /// What does not fit.
-        reason: String,
-    },
-}
-
 /// How this process is to begin.
 pub enum StartMode<P> {
     /// With what was put together.
--- a/crates/ochrewalk-node/src/net/link.rs
+++ b/crates/ochrewalk-node/src/net/link.rs
@@ -3,7 +3,7 @@
 //! first, that something can be read, that it can be written, or that a line was put into the outbox.
 
 use crate::ending::Ending;
-use crate::handover::is_paused;
+use crate::handover::pause::is_paused;
 use crate::handover::records::StreamRecord;
 use crate::panics::contain;
 use may::io::{WaitIo, WaitIoWaker};
