--- a/crates/ochrewalk-node/src/handover/hand_over_control.rs
+++ b/crates/ochrewalk-node/src/handover/hand_over_control.rs
@@ -1,44 +1,64 @@
-//! By what other threads end an attempt to hand over.
+//! How other threads end an attempt to hand over.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
-use std::sync::{Condvar, Mutex};
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
+use thiserror::Error;
 
-/// How often an attempt is looked at by whoever waits for its end.
+/// How often whoever waits for an attempt's end looks whether it has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the thread that waits for signals needs of an attempt.
+/// Why an attempt is ended from outside.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum Interruption {
+    /// This process is to drain, or to read its files again.
+    #[error("the running program got a signal")]
+    Signal,
+}
+
+/// What the thread that waits for signals shares with the one that hands over.
 #[derive(Default)]
 pub struct HandOverControl {
-    state: Mutex<Option<Sender<String>>>,
-    over: Condvar,
-    /// Somebody waits for the attempt's end.
-    pub(super) is_interrupted: AtomicBool,
+    /// Where the attempt under way hears of interruptions.
+    attempt: Mutex<Option<Sender<Interruption>>>,
+    ended: Condvar,
+    is_interrupted: AtomicBool,
 }
 
 impl HandOverControl {
-    /// Ends an attempt that is under way and comes back once this process serves again; not at all where it has given
-    /// everything away.
-    pub fn interrupt(&self, why: &str) {
+    /// Ends an attempt that is under way, and returns once this process serves again. Where it has released its state,
+    /// this does not return unless the successor ends before it starts.
+    pub fn interrupt(&self, reason: Interruption) {
         self.is_interrupted.store(true, Ordering::Relaxed);
-        let mut state = self.state.lock().unwrap_or_else(|broken| broken.into_inner());
-        while let Some(to) = &*state {
-            let _ = to.send(why.to_string());
-            state =
-                self.over.wait_timeout(state, POLL_INTERVAL).unwrap_or_else(|broken| broken.into_inner()).0;
+        let mut attempt = self.lock();
+        while let Some(interruptions) = &*attempt {
+            let _ = interruptions.send(reason);
+            let waited = self.ended.wait_timeout(attempt, POLL_INTERVAL);
+            attempt = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    pub(super) fn begin(&self) -> Receiver<String> {
-        let (to, interrupts) = channel();
+    /// Whether the attempt under way was interrupted.
+    pub(super) fn is_interrupted(&self) -> bool {
+        self.is_interrupted.load(Ordering::Relaxed)
+    }
+
+    /// An attempt begins; its interruptions come by what is returned.
+    pub(super) fn begin(&self) -> Receiver<Interruption> {
+        let (sender, interruptions) = channel();
         self.is_interrupted.store(false, Ordering::Relaxed);
-        *self.state.lock().unwrap_or_else(|broken| broken.into_inner()) = Some(to);
-        interrupts
+        *self.lock() = Some(sender);
+        interruptions
     }
 
+    /// The attempt has ended, and this process serves.
     pub(super) fn end(&self) {
-        *self.state.lock().unwrap_or_else(|broken| broken.into_inner()) = None;
-        self.over.notify_all();
+        *self.lock() = None;
+        self.ended.notify_all();
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Option<Sender<Interruption>>> {
+        self.attempt.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -5,6 +5,7 @@
 
 pub mod counter_report;
 pub mod descriptor_socket;
+mod failure_injection;
 pub mod hand_over_control;
 pub mod hand_over_stream;
 pub mod orders;
@@ -18,3 +19,4 @@
 pub mod successor;
 pub mod supervisor;
 pub mod supervisor_link;
+pub mod supervisor_protocol;
--- a/crates/ochrewalk-node/src/handover/pause.rs
+++ b/crates/ochrewalk-node/src/handover/pause.rs
@@ -1,8 +1,9 @@
-//! Whether this process is paused.
+//! Whether this process is paused, for everything that reads, writes, accepts or calls.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// While it is set nothing is read, written, accepted or told: the state that was written down stays as it is.
+/// While it is set nothing is read, written, accepted or called, so that a snapshot stays true until the successor goes
+/// on from it.
 static PAUSED: AtomicBool = AtomicBool::new(false);
 
 /// Whether this process is paused.
@@ -10,12 +11,12 @@
     PAUSED.load(Ordering::Relaxed)
 }
 
-/// From here on nothing is read, written, accepted or told.
+/// Pauses this process.
 pub fn pause() {
     PAUSED.store(true, Ordering::Relaxed);
 }
 
-/// The pause is over.
+/// Ends the pause. Connections that were left alone meanwhile have to be looked at again.
 pub fn resume() {
     PAUSED.store(false, Ordering::Relaxed);
 }
--- a/crates/ochrewalk-node/src/handover/pending_snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/pending_snapshot.rs
@@ -1,39 +1,50 @@
 //! A snapshot that one thread waits for and a coroutine takes.
 
-use super::snapshot::SnapshotResult;
-use std::sync::{Condvar, Mutex};
+use super::snapshot::{SectionState, SnapshotError};
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What passes between the thread that hands over and the coroutine that writes all of it down: whoever is first, a
-/// state written down or the end of the wait, decides for both.
+/// All sections, or why they cannot be had.
+pub(super) type SnapshotResult = Result<Vec<SectionState>, SnapshotError>;
+
+/// Shared by the thread that hands over and the coroutine that takes the snapshot. Whichever comes first, the result or
+/// the end of the wait, decides for both.
 #[derive(Default)]
 pub(super) struct PendingSnapshot {
-    state: Mutex<(bool, Option<SnapshotResult>)>,
-    changed: Condvar,
+    state: Mutex<State>,
+    delivered: Condvar,
 }
 
-impl PendingSnapshot {
-    fn lock(&self) -> std::sync::MutexGuard<'_, (bool, Option<SnapshotResult>)> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
-    }
+#[derive(Default)]
+struct State {
+    is_abandoned: bool,
+    result: Option<SnapshotResult>,
+}
 
+impl PendingSnapshot {
+    /// Whether somebody still waits for the result.
     pub(super) fn is_wanted(&self) -> bool {
-        !self.lock().0
+        !self.lock().is_abandoned
     }
 
-    /// Whether somebody still waited for it.
-    pub(super) fn deliver(&self, snapshot: SnapshotResult) -> bool {
+    /// Delivers the result; whether somebody still waited for it.
+    pub(super) fn deliver(&self, result: SnapshotResult) -> bool {
         let mut state = self.lock();
-        state.1 = Some(snapshot);
-        self.changed.notify_one();
-        !state.0
+        state.result = Some(result);
+        self.delivered.notify_one();
+        !state.is_abandoned
     }
 
-    /// None where nothing has come in that time: nothing is wanted from then on.
+    /// Waits for the result. After the time-out none is returned, and none is wanted from then on.
     pub(super) fn wait(&self, timeout: Duration) -> Option<SnapshotResult> {
-        let waited = self.changed.wait_timeout_while(self.lock(), timeout, |state| state.1.is_none());
-        let mut state = waited.unwrap_or_else(|broken| broken.into_inner()).0;
-        state.0 = true;
-        state.1.take()
+        let is_missing = |state: &mut State| state.result.is_none();
+        let waited = self.delivered.wait_timeout_while(self.lock(), timeout, is_missing);
+        let mut state = waited.unwrap_or_else(PoisonError::into_inner).0;
+        state.is_abandoned = true;
+        state.result.take()
+    }
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -1,11 +1,12 @@
-//! The side that serves: it pauses, writes down all that it holds, and goes on where the other does not take it.
+//! The side that serves: it pauses, hands all of its state over, and resumes where the successor does not take over.
 
 use super::hand_over_control::HandOverControl;
 use super::hand_over_stream::{HandOverStream, Received};
 use super::pending_snapshot::PendingSnapshot;
 use super::records::{self, IdempotencyKeyRecords};
-use super::snapshot::{resume_node, take_snapshot};
-use super::supervisor_link::{Question, SupervisorLink};
+use super::snapshot::{resume_node, take_snapshot, SectionState, SnapshotError};
+use super::supervisor_link::SupervisorLink;
+use super::supervisor_protocol::{AttemptOutcome, ChildLine, Question};
 use crate::node::Node;
 use ochrewalk_handover::messages::{Chunk, Message, MAX_DESCRIPTORS};
 use ochrewalk_handover::predecessor::{
@@ -16,94 +17,168 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 
 const LIMITS: Limits = Limits { prepare_us: 5_000_000, pause_us: 2_000_000, start_us: 1_000_000 };
-/// Tokens that go ahead in one piece: some 200 KB of them, and a fraction of a millisecond in which nothing else is told.
-const TOKENS_PER_CHUNK: usize = 1_000;
-/// How often signals are looked at beside messages.
+/// Idempotency keys in one chunk ahead of the pause: some 200 KB, and a fraction of a millisecond in which no RPC is
+/// decided.
+const KEYS_PER_CHUNK: usize = 1_000;
+/// Bytes of a section in one chunk.
+const CHUNK_BYTES: usize = 256 * 1024;
+/// How often interruptions are looked at beside messages.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long the runtime's worker may take for all of that. One that is held by something else hears nobody.
-const MAX_WORKER_WAIT: Duration = Duration::from_secs(1);
-/// How long the supervisor may take to let this program go on. Without its word another may act in this node's place.
+/// How long the runtime's worker may take for a snapshot. One that is held by something else runs no coroutine.
+const MAX_SNAPSHOT_WAIT: Duration = Duration::from_secs(1);
+/// How long the supervisor may take to allow this process to resume. Without its answer another may act in its place.
 const MAX_RESUME_WAIT: Duration = Duration::from_secs(60);
-/// How a hand-over that came about is reported.
-const HANDED_OVER: &str = "handed over";
-/// Bytes of one chunk.
-const CHUNK_BYTES: usize = 256 * 1024;
+/// The status of a process that may not resume.
+const EXIT_STATUS_REPLACED: i32 = 71;
+/// Bytes of a page of memory.
+const PAGE_BYTES: u64 = 4_096;
+const MIB: u64 = 1024 * 1024;
 
-/// Hands over, or goes on as if nothing had been tried.
+/// Why this process cannot pause and hand over.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+enum PauseError {
+    #[error("the supervisor does not allow the pause")]
+    NotAllowed,
+    #[error("the running program hears nobody")]
+    WorkerHeld,
+    #[error(transparent)]
+    Snapshot(#[from] SnapshotError),
+}
+
+/// Hands over to the successor at the other end of `stream`, or goes on as if nothing had been tried. Where the
+/// successor takes over, this process ends here.
 pub fn hand_over(node: &Arc<Node>, control: &HandOverControl, link: &SupervisorLink, stream: HandOverStream) {
-    let interrupts = control.begin();
+    let interruptions = control.begin();
     let clock = node.core.clock;
     let limits = LIMITS.for_reading(node.reading_us.load(Ordering::Relaxed));
     let mut predecessor = Predecessor::new(clock.now_us(), limits, state_summary(node));
-    let mut actions = ProcessActions { node, control, link, stream, ahead: false, failed: None };
+    let mut actions =
+        ProcessActions { node, control, link, stream, keys_went_ahead: false, pause_error: None };
     while !predecessor.is_ended() {
-        if let Ok(why) = interrupts.try_recv() {
-            predecessor.interrupt(&why, &mut actions);
+        if let Ok(interruption) = interruptions.try_recv() {
+            predecessor.interrupt(&interruption.to_string(), &mut actions);
         }
         match actions.stream.receive(POLL_INTERVAL) {
             Ok(Received::Message(message)) => predecessor.message(clock.now_us(), &message, &mut actions),
             Ok(Received::Ended) => predecessor.peer_ended(&mut actions),
             Ok(Received::Unknown | Received::TimedOut) => predecessor.tick(clock.now_us(), &mut actions),
-            Err(err) => {
-                predecessor.interrupt(&format!("its words cannot be read: {err}"), &mut actions);
-                // Given away already: only its end counts now.
-                actions.link.report("end other");
+            Err(error) => {
+                predecessor.interrupt(&format!("its words cannot be read: {error}"), &mut actions);
+                // Where the state is released already only the successor's end counts now.
+                actions.kill_peer();
                 std::thread::sleep(POLL_INTERVAL);
                 predecessor.tick(clock.now_us(), &mut actions);
             }
         }
-        if let Some(why) = actions.failed.take() {
-            predecessor.interrupt(&why, &mut actions);
+        if let Some(error) = actions.pause_error.take() {
+            predecessor.interrupt(&error.to_string(), &mut actions);
         }
     }
     control.end();
 }
 
-/// What there is, and whether two of us fit the limits.
+/// What there is to hand over, and whether two processes fit the limits.
 fn state_summary(node: &Node) -> StateSummary {
-    let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |all| all.count());
-    let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let resident = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) * 4_096;
-    let (memory, most) = (node.memory_bytes as u64, node.descriptors);
-    let mb = |bytes: u64| bytes / 1024 / 1024;
-    let shortage = if 2 * resident > memory {
-        Some(Shortage::Memory { in_use_mb: mb(resident), allowed_mb: mb(memory) })
-    } else if 2 * descriptors > most {
-        Some(Shortage::Descriptors { in_use: descriptors, allowed: most })
+    let open_descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count());
+    let resident_bytes = resident_bytes();
+    let (allowed_bytes, allowed_descriptors) = (node.memory_bytes as u64, node.descriptors);
+    let shortage = if 2 * resident_bytes > allowed_bytes {
+        Some(Shortage::Memory { in_use_mb: resident_bytes / MIB, allowed_mb: allowed_bytes / MIB })
+    } else if 2 * open_descriptors > allowed_descriptors {
+        Some(Shortage::Descriptors { in_use: open_descriptors, allowed: allowed_descriptors })
     } else {
         None
     };
-    let (digest, (sections, ahead)) = (node.digest, records::sections());
-    StateSummary { digest, sections, ahead, bytes: resident, descriptors: descriptors as u32, shortage }
+    let (sections, ahead) = records::sections();
+    StateSummary {
+        digest: node.digest,
+        sections,
+        ahead,
+        bytes: resident_bytes,
+        descriptors: open_descriptors as u32,
+        shortage,
+    }
+}
+
+/// Resident memory of this process.
+fn resident_bytes() -> u64 {
+    let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let resident_pages = pages.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
+    resident_pages.unwrap_or(0) * PAGE_BYTES
 }
 
+/// What the state machine has this process do.
 struct ProcessActions<'a> {
     node: &'a Arc<Node>,
     control: &'a HandOverControl,
     link: &'a SupervisorLink,
     stream: HandOverStream,
-    /// Tokens have gone ahead.
-    ahead: bool,
-    /// Why it cannot be handed over after all.
-    failed: Option<String>,
+    keys_went_ahead: bool,
+    /// Why the pause came to nothing, until the state machine has been told.
+    pause_error: Option<PauseError>,
+}
+
+impl ProcessActions<'_> {
+    /// Pauses, and takes a snapshot of all sections in a coroutine.
+    fn pause_and_take_snapshot(&self) -> Result<Vec<SectionState>, PauseError> {
+        let timeout = Duration::from_micros(LIMITS.pause_us);
+        if self.link.ask(Question::MayPause, timeout) != Some(true) {
+            return Err(PauseError::NotAllowed);
+        }
+        let pending = Arc::new(PendingSnapshot::default());
+        let (node, delivery, keys_went_ahead) = (self.node.clone(), pending.clone(), self.keys_went_ahead);
+        may::go!(move || {
+            let Some(result) = take_snapshot(&node, keys_went_ahead, &delivery) else { return };
+            let is_awaited = delivery.deliver(result);
+            if !is_awaited {
+                resume_node(&node);
+            }
+        });
+        let result = pending.wait(MAX_SNAPSHOT_WAIT).ok_or(PauseError::WorkerHeld)?;
+        Ok(result?)
+    }
+
+    /// Sends one section in chunks, and counts them.
+    fn send_section(&self, section: &SectionState, chunks: &mut u64) -> std::io::Result<()> {
+        let (mut bytes, mut descriptors) = (section.bytes.as_slice(), section.descriptors.as_slice());
+        loop {
+            let (chunk_bytes, later_bytes) = bytes.split_at(bytes.len().min(CHUNK_BYTES));
+            let (passed, later_descriptors) = descriptors.split_at(descriptors.len().min(MAX_DESCRIPTORS));
+            // SAFETY: this process is paused, so that none of its streams is closed before this is over.
+            let borrowed: Vec<BorrowedFd> =
+                passed.iter().map(|fd| unsafe { BorrowedFd::borrow_raw(*fd) }).collect();
+            let chunk = Chunk {
+                section: section.name.into(),
+                bytes: chunk_bytes.to_vec(),
+                descriptors: passed.len() as u32,
+            };
+            self.stream.send(Message::Chunk(chunk), &borrowed)?;
+            *chunks += 1;
+            (bytes, descriptors) = (later_bytes, later_descriptors);
+            if bytes.is_empty() && descriptors.is_empty() {
+                return Ok(());
+            }
+        }
+    }
 }
 
 impl Actions for ProcessActions<'_> {
     fn send(&mut self, message: Message) {
-        // Where it cannot be written the other has ended, which is heard next.
+        // Where it cannot be written the successor has ended, which is reported next.
         let _ = self.stream.send(message, &[]);
     }
 
-    /// Tokens stay as they are for most of their time. All else changes with every RPC.
+    /// Sends idempotency keys: they stay as they are for most of their time, while all else changes with every RPC.
     fn transfer_ahead(&mut self, _now_us: u64) -> TransferredAhead {
         let gate = &self.node.core.gate;
         let (mut chunks, mut after) = (0, None);
-        self.ahead = true;
-        // A signal ends the attempt anyway.
-        while !self.control.is_interrupted.load(Ordering::Relaxed) {
-            let Some((keys, last)) = gate.keep_ahead(after.as_ref(), TOKENS_PER_CHUNK) else { break };
+        self.keys_went_ahead = true;
+        // An interruption ends the attempt anyway.
+        while !self.control.is_interrupted() {
+            let Some((keys, last)) = gate.keep_ahead(after.as_ref(), KEYS_PER_CHUNK) else { break };
             let bytes = IdempotencyKeyRecords { keys }.encode_to_vec();
             let chunk = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
             if self.stream.send(Message::Chunk(chunk), &[]).is_err() {
@@ -115,51 +190,18 @@
     }
 
     fn pause_and_transfer(&mut self) -> u64 {
-        let timeout = Duration::from_micros(LIMITS.pause_us);
-        if self.link.ask(Question::MayPause, timeout) != Some(true) {
-            self.failed = Some("the supervisor does not allow the pause".into());
-            return 0;
-        }
-        let pending = Arc::new(PendingSnapshot::default());
-        let (node, for_coroutine, ahead) = (self.node.clone(), pending.clone(), self.ahead);
-        may::go!(move || {
-            if let Some(snapshot) = take_snapshot(&node, ahead, &for_coroutine) {
-                if !for_coroutine.deliver(snapshot) {
-                    resume_node(&node);
-                }
-            }
-        });
-        let sections = match pending.wait(MAX_WORKER_WAIT) {
-            Some(Ok(sections)) => sections,
-            Some(Err(why)) => {
-                self.failed = Some(why.into());
-                return 0;
-            }
-            None => {
-                self.failed = Some("the running program hears nobody".into());
+        let sections = match self.pause_and_take_snapshot() {
+            Ok(sections) => sections,
+            Err(error) => {
+                self.pause_error = Some(error);
                 return 0;
             }
         };
         let mut chunks = 0;
-        for (section, bytes, descriptors) in sections {
-            let (mut bytes, mut descriptors) = (bytes.as_slice(), descriptors.as_slice());
-            loop {
-                let (now, later) = bytes.split_at(bytes.len().min(CHUNK_BYTES));
-                let (beside, others) = descriptors.split_at(descriptors.len().min(MAX_DESCRIPTORS));
-                // SAFETY: this process is paused, so that none of its streams is closed before this is over.
-                let borrowed: Vec<BorrowedFd> =
-                    beside.iter().map(|fd| unsafe { BorrowedFd::borrow_raw(*fd) }).collect();
-                let count = beside.len() as u32;
-                let chunk = Chunk { section: section.into(), bytes: now.to_vec(), descriptors: count };
-                // Where it cannot be written the other has ended, which is heard next.
-                if self.stream.send(Message::Chunk(chunk), &borrowed).is_err() {
-                    return chunks;
-                }
-                chunks += 1;
-                (bytes, descriptors) = (later, others);
-                if bytes.is_empty() && descriptors.is_empty() {
-                    break;
-                }
+        for section in &sections {
+            // Where it cannot be written the successor has ended, which is reported next.
+            if self.send_section(section, &mut chunks).is_err() {
+                break;
             }
         }
         chunks
@@ -169,13 +211,13 @@
         if self.link.ask(Question::MayResume, MAX_RESUME_WAIT) != Some(true) {
             tracing::error!(part = "upgrade", "another acts in this node's place; this process ends");
             crate::logger::flush();
-            std::process::exit(71);
+            std::process::exit(EXIT_STATUS_REPLACED);
         }
         resume_node(self.node);
     }
 
     fn kill_peer(&mut self) {
-        self.link.report("end other");
+        self.link.send(&ChildLine::KillPeer);
     }
 
     fn retire(&mut self) {
@@ -185,9 +227,12 @@
     }
 
     fn report_outcome(&mut self, outcome: Result<(), &AttemptError>) {
-        let how = outcome.map_or_else(|error| error.to_string(), |()| HANDED_OVER.into());
-        tracing::warn!(part = "upgrade", "{how}");
+        let outcome = match outcome {
+            Ok(()) => AttemptOutcome::HandedOver,
+            Err(error) => AttemptOutcome::Failed(error.to_string()),
+        };
+        tracing::warn!(part = "upgrade", "{outcome}");
         self.node.core.gate.end_ahead();
-        self.link.report(&format!("told {how}"));
+        self.link.send(&ChildLine::AttemptEnded(outcome));
     }
 }
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -1,21 +1,48 @@
 //! What a paused process writes down for its successor.
 
 use super::pause::{pause, resume};
-use super::pending_snapshot::PendingSnapshot;
-use super::records::{self, CallRecord, NodeRecord, RpcRecord, RpcRecords};
+use super::pending_snapshot::{PendingSnapshot, SnapshotResult};
+use super::records::{AjpConnectionRecords, CallRecord, JsonRpcConnectionRecords, NodeRecord};
+use super::records::{RpcRecord, RpcRecords};
+use crate::life::Call;
+use crate::live::Living;
 use crate::node::Node;
-use prost::Message as _;
+use prost::Message;
 use std::os::fd::RawFd;
 use std::time::Duration;
+use thiserror::Error;
 
-/// How long calls on connections that cannot move are waited for, and all to come to rest.
+/// How long calls on connections that cannot be handed over may take to end.
 const MAX_UNMOVABLE_WAIT: Duration = Duration::from_millis(150);
+/// How long everything that was read may take to be dealt with.
 const MAX_REST_WAIT: Duration = Duration::from_millis(250);
+/// How often these are looked at.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// One section of what is handed over, and its descriptors.
-pub(super) type Section = (&'static str, Vec<u8>, Vec<RawFd>);
+/// Why no snapshot can be taken.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub(super) enum SnapshotError {
+    /// Something that was read was not dealt with in time.
+    #[error("it does not come to rest")]
+    NotAtRest,
+}
+
+/// One section as it is handed over.
+pub(super) struct SectionState {
+    pub(super) name: &'static str,
+    pub(super) bytes: Vec<u8>,
+    /// Valid as long as this process is paused.
+    pub(super) descriptors: Vec<RawFd>,
+}
+
+impl SectionState {
+    fn new(name: &'static str, record: &impl Message, descriptors: Vec<RawFd>) -> SectionState {
+        SectionState { name, bytes: record.encode_to_vec(), descriptors }
+    }
+}
 
-pub(super) type SnapshotResult = Result<Vec<Section>, &'static str>;
+/// Connections of one protocol, and their descriptors in the same order.
+type Connections<R> = (R, Vec<RawFd>);
 
 /// Ends the pause, and has every connection looked at again.
 pub(super) fn resume_node(node: &Node) {
@@ -31,106 +58,125 @@
     }
 }
 
-/// Pauses and writes all of it down, in a coroutine: nothing else runs between the first and the last look. None
-/// where nobody waits for it any more, and all goes on.
+/// Pauses and writes all of the state down, in a coroutine: no other one runs between the first look and the last.
+/// `keys_went_ahead` says that only idempotency keys that changed since are to be written. None where nobody waits for
+/// the result any more; then the node goes on.
 ///
-/// The thread that waits may give up at any moment, has all go on then, and may come again with another attempt, whose
-/// coroutine runs only while this one sleeps. So what is set here after it gave up is taken back before the next sleep,
-/// and nothing is touched after a sleep in which it gave up.
-pub(super) fn take_snapshot(node: &Node, ahead: bool, pending: &PendingSnapshot) -> Option<SnapshotResult> {
-    let core = &node.core;
-    let clock = core.clock;
-    let until = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
-    let sleep = || {
-        if !pending.is_wanted() {
-            resume_node(node);
-            return None;
-        }
-        may::coroutine::sleep(Duration::from_millis(1));
-        pending.is_wanted().then_some(())
-    };
+/// The thread that waits may give up at any moment. It resumes the node then, and may come again with another attempt,
+/// whose coroutine runs only while this one sleeps. So what is set here after that thread gave up is taken back before
+/// the next sleep, and nothing is touched after a sleep in which it gave up.
+pub(super) fn take_snapshot(
+    node: &Node,
+    keys_went_ahead: bool,
+    pending: &PendingSnapshot,
+) -> Option<SnapshotResult> {
     if !pending.is_wanted() {
         return None;
     }
-    if let Some(below) = &core.below {
+    let clock = node.core.clock;
+    let deadline_us = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
+    if let Some(below) = &node.core.below {
         below.hold(true);
-        let by_us = until(MAX_UNMOVABLE_WAIT);
-        while below.is_unmovable() && clock.now_us() < by_us {
-            sleep()?;
+        let deadline_us = deadline_us(MAX_UNMOVABLE_WAIT);
+        while below.is_unmovable() && clock.now_us() < deadline_us {
+            sleep_while_wanted(node, pending)?;
         }
     }
     pause();
-    let by_us = until(MAX_REST_WAIT);
+    let deadline_us = deadline_us(MAX_REST_WAIT);
     loop {
-        let json = node.dispatchers.keep();
-        let ajp = node.ajp.as_ref().map(|front| front.keep());
-        if let (true, Some(json), Some(ajp)) =
-            (core.gate.is_at_rest(), json, ajp.map_or(Some(None), |kept| kept.map(Some)))
-        {
-            return Some(Ok(sections(node, ahead, json, ajp)));
+        if let Some(sections) = sections_at_rest(node, keys_went_ahead) {
+            return Some(Ok(sections));
         }
-        if clock.now_us() >= by_us {
-            return Some(Err("it does not come to rest"));
+        if clock.now_us() >= deadline_us {
+            return Some(Err(SnapshotError::NotAtRest));
         }
-        sleep()?;
+        sleep_while_wanted(node, pending)?;
     }
 }
 
+/// Lets other coroutines run. None where nobody waits for the snapshot any more.
+fn sleep_while_wanted(node: &Node, pending: &PendingSnapshot) -> Option<()> {
+    if !pending.is_wanted() {
+        resume_node(node);
+        return None;
+    }
+    may::coroutine::sleep(POLL_INTERVAL);
+    pending.is_wanted().then_some(())
+}
+
+/// All sections; none while something that was read is still being dealt with, or a connection is coming or going.
+fn sections_at_rest(node: &Node, keys_went_ahead: bool) -> Option<Vec<SectionState>> {
+    let json = node.dispatchers.keep()?;
+    let ajp = match &node.ajp {
+        Some(front) => Some(front.keep()?),
+        None => None,
+    };
+    node.core.gate.is_at_rest().then(|| sections(node, keys_went_ahead, json, ajp))
+}
+
 fn sections(
     node: &Node,
-    ahead: bool,
-    json: (records::JsonRpcConnectionRecords, Vec<RawFd>),
-    ajp: Option<(records::AjpConnectionRecords, Vec<RawFd>)>,
-) -> Vec<Section> {
+    keys_went_ahead: bool,
+    (json, json_descriptors): Connections<JsonRpcConnectionRecords>,
+    ajp: Option<Connections<AjpConnectionRecords>>,
+) -> Vec<SectionState> {
     let core = &node.core;
-    let (fingerprint_key, fingerprint_key_more) = core.print_key();
-    let mut kept = NodeRecord {
-        clock_base_ns: core.clock.base_ns(),
-        fingerprint_key,
-        fingerprint_key_more,
-        ..NodeRecord::default()
-    };
-    core.gate.keep(&mut kept, ahead);
-    let living = core.living();
-    let rpcs = living.values().map(|living| {
-        let life = living.lock();
-        let call = life.call.as_ref().map(|call| CallRecord {
-            pos: call.pos,
-            body: call.body.clone(),
-            placed: call.placed.is_some(),
-            at_us: call.placed.map_or(0, |placed| placed.at_us),
-            until_us: call.placed.map_or(0, |placed| placed.until_us),
-        });
-        let token = living.rpc.token.as_ref();
-        RpcRecord {
-            id: living.rpc.id.to_string(),
-            method: living.rpc.method as u32,
-            kb: living.rpc.kb,
-            ts_ms: living.rpc.ts_ms,
-            left_us: living.rpc.left_us,
-            token: token.map(|t| t.key.to_string()),
-            work: token.map_or(0, |t| t.work),
-            body: living.body.to_string(),
-            owed: life.owed,
-            running: life.running,
-            call,
-            client: life.owed.then(|| living.asker.address()),
-        }
-    });
-    let rpcs = RpcRecords { rpcs: rpcs.collect() };
+    let node_record = node_record(node, keys_went_ahead);
+    let rpcs = RpcRecords { rpcs: core.living().values().map(|rpc| rpc_record(rpc)).collect() };
     let (executor, link) = core.executor.keep();
     let (below, links) = core.below.as_ref().map(|below| below.keep()).unwrap_or_default();
     let listeners = [node.dispatchers.listener(), node.ajp.as_ref().and_then(|front| front.listener())];
-    let mut all = vec![
-        ("node", kept.encode_to_vec(), Vec::new()),
-        ("listeners", Vec::new(), listeners.into_iter().flatten().collect()),
-        ("rpcs", rpcs.encode_to_vec(), Vec::new()),
-        ("json", json.0.encode_to_vec(), json.1),
-        ("executor", executor.encode_to_vec(), link.into_iter().collect()),
-        ("below", below.encode_to_vec(), links),
+    let listeners = listeners.into_iter().flatten().collect();
+    let mut sections = vec![
+        SectionState::new("node", &node_record, Vec::new()),
+        SectionState { name: "listeners", bytes: Vec::new(), descriptors: listeners },
+        SectionState::new("rpcs", &rpcs, Vec::new()),
+        SectionState::new("json", &json, json_descriptors),
+        SectionState::new("executor", &executor, link.into_iter().collect()),
+        SectionState::new("below", &below, links),
     ];
-    if let Some((kept, descriptors)) = ajp {
-        all.push(("ajp", kept.encode_to_vec(), descriptors));
+    if let Some((ajp, descriptors)) = ajp {
+        sections.push(SectionState::new("ajp", &ajp, descriptors));
+    }
+    sections
+}
+
+fn node_record(node: &Node, keys_went_ahead: bool) -> NodeRecord {
+    let (fingerprint_key, fingerprint_key_more) = node.core.print_key();
+    let clock_base_ns = node.core.clock.base_ns();
+    let mut record =
+        NodeRecord { clock_base_ns, fingerprint_key, fingerprint_key_more, ..NodeRecord::default() };
+    node.core.gate.keep(&mut record, keys_went_ahead);
+    record
+}
+
+fn rpc_record(living: &Living) -> RpcRecord {
+    let life = living.lock();
+    let token = living.rpc.token.as_ref();
+    RpcRecord {
+        id: living.rpc.id.to_string(),
+        method: living.rpc.method as u32,
+        kb: living.rpc.kb,
+        ts_ms: living.rpc.ts_ms,
+        left_us: living.rpc.left_us,
+        token: token.map(|token| token.key.to_string()),
+        work: token.map_or(0, |token| token.work),
+        body: living.body.to_string(),
+        owed: life.owed,
+        running: life.running,
+        call: life.call.as_ref().map(call_record),
+        client: life.owed.then(|| living.asker.address()),
+    }
+}
+
+fn call_record(call: &Call) -> CallRecord {
+    let placed = call.placed.unwrap_or_default();
+    CallRecord {
+        pos: call.pos,
+        body: call.body.clone(),
+        placed: call.placed.is_some(),
+        at_us: placed.at_us,
+        until_us: placed.until_us,
     }
-    all
 }
--- a/crates/ochrewalk-node/src/handover/successor.rs
+++ b/crates/ochrewalk-node/src/handover/successor.rs
@@ -1,163 +1,133 @@
-//! The side that is to take over: it reads its files, takes all that the running program holds, puts it together
-//! without acting on any of it, and begins at the word.
+//! The side that is to take over: it receives all of the predecessor's state, restores it without acting on any of it,
+//! and starts once the predecessor has released it.
 
+use super::failure_injection::{fail_if_asked, Step};
 use super::hand_over_stream::{HandOverStream, Received};
-use super::received_state::{LoadError, ReceivedState};
-use super::records::{self, ExecutorRecord, IdempotencyKeyRecords, NodeRecord, RpcRecords};
-use super::supervisor_link::{Question, SupervisorLink};
+use super::received_state::{ChunkStore, LoadError, ReceivedState};
+use super::records;
+use super::supervisor_link::SupervisorLink;
+use super::supervisor_protocol::{ChildLine, Question};
 use crate::clock::Clock;
-use crate::keys::Keys;
 use ochrewalk_handover::messages::{Message, Refusal};
 use ochrewalk_handover::successor::{Actions, Capabilities, Limits, State, Successor, SuccessorError};
-use prost::Message as _;
-use std::collections::HashMap;
-use std::os::fd::OwnedFd;
 use std::time::Duration;
+use thiserror::Error;
 
 const LIMITS: Limits = Limits { answer_us: 5_000_000, pause_us: 3_000_000 };
+/// How often the supervisor is asked for the right to start: that the predecessor has ended it may hear a moment later.
 const MAX_START_ATTEMPTS: u32 = 100;
-/// How long the supervisor may take to say whether this program may begin.
+/// How long each answer may take.
 const MAX_START_WAIT: Duration = Duration::from_secs(60);
+/// How often interruptions are looked at beside messages, and between two questions to the supervisor.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// For tests of what fails: a step of the hand-over, and whether to crash or hang there, as in `crash:ready`.
-const FAILURE_VARIABLE: &str = "OCHREWALK_TAKE_FAILS";
-
-/// How this process is to begin.
-pub enum StartMode<P> {
-    /// With what was put together.
-    WithState(P),
-    /// As after any start: the program before died with all that it held.
+
+/// How this process is to start.
+pub enum StartMode<N> {
+    /// With a node that was put together from the predecessor's state.
+    WithState(N),
+    /// As after any start: the predecessor ended with its state.
     Fresh,
 }
 
-/// Says that nothing is to be taken over, as the files cannot be used.
-pub fn refuse(stream: &HandOverStream, why: &str) {
-    let _ = stream.send(Message::Refuse(Refusal { reason: why.replace('\n', "; ") }), &[]);
+/// What this process can take over.
+pub struct TakeOverLimits {
+    /// A digest of the settings that only a start can change.
+    pub digest: u64,
+    /// The most memory that the predecessor's state may take, in bytes.
+    pub bytes: u64,
+    /// The most descriptors that the predecessor may have open.
+    pub descriptors: u32,
+}
+
+/// Why nothing was taken over. The predecessor goes on.
+#[derive(Debug, Error)]
+pub enum TakeOverError {
+    /// The hand-over came to nothing.
+    #[error(transparent)]
+    Ended(#[from] SuccessorError),
+    /// The supervisor did not allow this process to start.
+    #[error("the running program goes on")]
+    StartDenied,
+    /// The stream from the predecessor is broken, or what came is not of the protocol.
+    #[error("what is passed on cannot be read: {0}")]
+    Stream(#[source] std::io::Error),
 }
 
-/// Takes over, by `build` from what was received. An error says why not; the program before goes on then.
-pub fn take_over<P>(
+/// Tells the predecessor that nothing is taken over, as this process cannot use its files.
+pub fn refuse(stream: &HandOverStream, reason: &str) {
+    let _ = stream.send(Message::Refuse(Refusal { reason: reason.replace('\n', "; ") }), &[]);
+}
+
+/// Takes over from the predecessor at the other end of `stream`. `is_interrupted` says whether this process is to drain;
+/// `build` puts the node together from the predecessor's state, without acting on any of it.
+///
+/// # Errors
+///
+/// Nothing was taken over; this process is to end.
+pub fn take_over<N>(
     stream: HandOverStream,
     link: &SupervisorLink,
-    digest: u64,
-    (bytes, descriptors): (u64, u32),
-    interrupted: impl Fn() -> bool,
-    build: impl FnMut(ReceivedState) -> Result<P, String>,
-) -> Result<StartMode<P>, String> {
-    fail_on_purpose("start");
+    limits: &TakeOverLimits,
+    is_interrupted: impl Fn() -> bool,
+    build: impl FnMut(ReceivedState) -> Result<N, String>,
+) -> Result<StartMode<N>, TakeOverError> {
+    fail_if_asked(Step::BeforeHello);
     let clock = Clock::start();
-    let program = env!("CARGO_PKG_VERSION").to_string();
-    let (mut known_sections, ahead) = records::sections();
-    known_sections.extend(ahead);
-    let capabilities = Capabilities { digest, program, known_sections, bytes, descriptors };
-    let mut actions = ProcessActions {
-        stream,
-        link,
-        build,
-        sections: HashMap::new(),
-        tokens: Keys::new(usize::MAX),
-        incomplete: false,
-        built: None,
-        start_mode: None,
-        end: None,
-    };
-    let mut successor = Successor::new(clock.now_us(), LIMITS, capabilities, &mut actions);
-    fail_on_purpose("greet");
+    let chunks = ChunkStore::new();
+    let mut actions = ProcessActions { stream, link, build, chunks, built: None, outcome: None };
+    let mut successor = Successor::new(clock.now_us(), LIMITS, capabilities(limits), &mut actions);
+    fail_if_asked(Step::HelloSent);
     loop {
-        if let Some(why) = actions.end.take() {
-            return Err(why);
-        }
-        if let Some(begin) = actions.start_mode.take() {
-            fail_on_purpose("done");
-            return Ok(begin);
+        if let Some(outcome) = actions.outcome.take() {
+            if outcome.is_ok() {
+                fail_if_asked(Step::Started);
+            }
+            return outcome;
         }
-        if interrupted() {
+        if is_interrupted() {
             successor.drain(&mut actions);
         }
-        match actions.stream.receive(POLL_INTERVAL) {
-            Ok(Received::Message(message)) => {
+        match actions.stream.receive(POLL_INTERVAL).map_err(TakeOverError::Stream)? {
+            Received::Message(message) => {
                 let before = successor.state();
                 successor.message(clock.now_us(), &message, &mut actions);
                 match (before, successor.state()) {
-                    (State::Receiving, State::Ready) => fail_on_purpose("ready"),
-                    (State::Ready, State::Loaded) => fail_on_purpose("commit"),
+                    (State::Receiving, State::Ready) => fail_if_asked(Step::Ready),
+                    (State::Ready, State::Loaded) => fail_if_asked(Step::Loaded),
                     _ => {}
                 }
             }
-            Ok(Received::Ended) => successor.peer_ended(&mut actions),
-            Ok(Received::Unknown | Received::TimedOut) => successor.tick(clock.now_us(), &mut actions),
-            Err(err) => return Err(format!("what is passed on cannot be read: {err}")),
+            Received::Ended => successor.peer_ended(&mut actions),
+            Received::Unknown | Received::TimedOut => successor.tick(clock.now_us(), &mut actions),
         }
     }
 }
 
-fn fail_on_purpose(step: &str) {
-    let Ok(wanted) = std::env::var(FAILURE_VARIABLE) else { return };
-    match wanted.split_once(':') {
-        Some(("crash", at)) if at == step => std::process::abort(),
-        Some(("hang", at)) if at == step => loop {
-            std::thread::sleep(Duration::from_secs(1));
-        },
-        _ => {}
+fn capabilities(limits: &TakeOverLimits) -> Capabilities {
+    let (mut known_sections, ahead) = records::sections();
+    known_sections.extend(ahead);
+    let TakeOverLimits { digest, bytes, descriptors } = *limits;
+    Capabilities {
+        digest,
+        program: env!("CARGO_PKG_VERSION").to_string(),
+        known_sections,
+        bytes,
+        descriptors,
     }
 }
 
-struct ProcessActions<'a, P, B> {
+/// What the state machine has this process do.
+struct ProcessActions<'a, N, B> {
     stream: HandOverStream,
     link: &'a SupervisorLink,
     build: B,
-    /// Bytes and descriptors of each section.
-    sections: HashMap<String, (Vec<u8>, Vec<OwnedFd>)>,
-    /// Put together as they come: there may be a million of them.
-    tokens: Keys,
-    /// Fewer descriptors came than were announced.
-    incomplete: bool,
-    built: Option<P>,
-    start_mode: Option<StartMode<P>>,
-    end: Option<String>,
+    chunks: ChunkStore,
+    built: Option<N>,
+    /// How the hand-over ended, once it has.
+    outcome: Option<Result<StartMode<N>, TakeOverError>>,
 }
 
-impl<P, B: FnMut(ReceivedState) -> Result<P, String>> ProcessActions<'_, P, B> {
-    fn section<M: prost::Message + Default>(
-        &mut self,
-        name: &'static str,
-    ) -> Result<(M, Vec<OwnedFd>), LoadError> {
-        let (bytes, descriptors) = self.sections.remove(name).unwrap_or_default();
-        let record = M::decode(bytes.as_slice()).map_err(|error| LoadError::Section { name, error })?;
-        Ok((record, descriptors))
-    }
-
-    fn received_state(&mut self) -> Result<ReceivedState, LoadError> {
-        if self.incomplete {
-            return Err(LoadError::Incomplete);
-        }
-        let (node, _) = self.section::<NodeRecord>("node")?;
-        let (rpcs, _) = self.section::<RpcRecords>("rpcs")?;
-        let (_, listeners) = self.sections.remove("listeners").unwrap_or_default();
-        let (executor, link) = self.section::<ExecutorRecord>("executor")?;
-        let received = ReceivedState {
-            node,
-            listeners,
-            rpcs,
-            json: self.section("json")?,
-            ajp: self.section("ajp")?,
-            executor: (executor, link.into_iter().next()),
-            below: self.section("below")?,
-            tokens: std::mem::replace(&mut self.tokens, Keys::new(0)),
-        };
-        let matches = received.json.0.connections.len() == received.json.1.len()
-            && received.ajp.0.connections.len() == received.ajp.1.len()
-            && received.below.0.links.len() == received.below.1.len()
-            && received.executor.0.stream.is_some() == received.executor.1.is_some();
-        if matches {
-            Ok(received)
-        } else {
-            Err(LoadError::DescriptorCount)
-        }
-    }
-}
-
-impl<P, B: FnMut(ReceivedState) -> Result<P, String>> Actions for ProcessActions<'_, P, B> {
+impl<N, B: FnMut(ReceivedState) -> Result<N, String>> Actions for ProcessActions<'_, N, B> {
     type LoadError = LoadError;
 
     fn send(&mut self, message: Message) {
@@ -165,60 +135,44 @@
     }
 
     fn store(&mut self, section: &str, bytes: &[u8], descriptors: u32) {
-        let came = self.stream.take_descriptors(descriptors as usize);
-        self.incomplete |= came.is_none();
-        if section == records::AHEAD.0 {
-            match IdempotencyKeyRecords::decode(bytes) {
-                Ok(piece) => self.tokens.take(piece.keys, &[]),
-                Err(_) => self.incomplete = true,
-            }
-            return;
-        }
-        let sections = self.sections.entry(section.to_string()).or_default();
-        sections.0.extend_from_slice(bytes);
-        sections.1.extend(came.unwrap_or_default());
+        let descriptors = self.stream.take_descriptors(descriptors as usize);
+        self.chunks.store(section, bytes, descriptors);
     }
 
     fn load(&mut self) -> Result<(), LoadError> {
-        let received = self.received_state()?;
-        let built = (self.build)(received).map_err(|reason| LoadError::Assembly { reason })?;
+        let state = self.chunks.take_state()?;
+        let built = (self.build)(state).map_err(|reason| LoadError::Assembly { reason })?;
         self.built = Some(built);
         Ok(())
     }
 
     fn start(&mut self) {
-        self.ask_and_start(true);
+        let mode = self.built.take().map_or(StartMode::Fresh, StartMode::WithState);
+        self.start_if_allowed(mode);
     }
 
     fn start_fresh(&mut self) {
-        self.ask_and_start(false);
+        self.start_if_allowed(StartMode::Fresh);
     }
 
     fn kill_peer(&mut self) {
-        self.link.report("end other");
+        self.link.send(&ChildLine::KillPeer);
     }
 
     fn exit(&mut self, error: &SuccessorError) {
-        self.end = Some(error.to_string());
+        self.outcome = Some(Err(error.clone().into()));
     }
 }
 
-impl<P, B> ProcessActions<'_, P, B> {
-    fn ask_and_start(&mut self, with: bool) {
-        // Whoever started both has the last word on who acts; that the other died it may hear a moment later.
-        let may = (0..MAX_START_ATTEMPTS).any(|tried| {
-            if tried > 0 {
+impl<N, B> ProcessActions<'_, N, B> {
+    /// The supervisor, which started both processes, has the last word on which of them acts.
+    fn start_if_allowed(&mut self, mode: StartMode<N>) {
+        let is_allowed = (0..MAX_START_ATTEMPTS).any(|attempt| {
+            if attempt > 0 {
                 std::thread::sleep(POLL_INTERVAL);
             }
             self.link.ask(Question::MayBegin, MAX_START_WAIT) == Some(true)
         });
-        if !may {
-            self.end = Some("the running program goes on".into());
-            return;
-        }
-        self.start_mode = Some(match self.built.take().filter(|_| with) {
-            Some(built) => StartMode::WithState(built),
-            None => StartMode::Fresh,
-        });
+        self.outcome = Some(if is_allowed { Ok(mode) } else { Err(TakeOverError::StartDenied) });
     }
 }
--- a/crates/ochrewalk-node/src/handover/supervisor.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor.rs
@@ -6,7 +6,7 @@
 use super::descriptor_socket::{inherit, read_lines, send_line};
 use super::orders::{self, Deed, Image, Ordered, Orders, Serving};
 use super::process_guard::{ProcessAction, ProcessGuard};
-use super::supervisor_link::{LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
+use super::supervisor_protocol::{LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_rollout::messages::{self, Request};
 use ochrewalk_rollout::Outcome;
--- a/crates/ochrewalk-node/src/handover/supervisor_link.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor_link.rs
@@ -1,6 +1,9 @@
 //! A serving program's end of the stream to its supervisor: what it reports there, and what it asks before it acts.
 
 use super::descriptor_socket::{read_lines, send_line};
+use super::supervisor_protocol::{
+    ChildLine, Question, SupervisorLine, LINK, OPERATORS, PREDECESSOR, READS_CHANGES,
+};
 use signal_hook::consts::SIGTERM;
 use std::os::fd::{FromRawFd, OwnedFd};
 use std::os::unix::net::UnixStream;
@@ -9,36 +12,6 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What a program that was started by a supervisor is told: the descriptor of its stream to the supervisor, and of the
-/// stream to the program that it is to succeed.
-pub(super) const LINK: &str = "OCHREWALK_KEPT";
-pub(super) const PREDECESSOR: &str = "OCHREWALK_TAKES";
-/// And the operators' file that it goes by, where that is not the one that the node was started with.
-pub(super) const OPERATORS: &str = "OCHREWALK_KEPT_OPERATORS";
-/// Set by supervisors that read changed counters; those before them take every report for all counters.
-pub(super) const READS_CHANGES: &str = "OCHREWALK_KEPT_READS_CHANGES";
-
-/// What a program asks its supervisor before it does it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
-    /// To pause, so that its state can be written down.
-    MayPause,
-    /// To go on after a pause.
-    MayResume,
-    /// To serve in the predecessor's place.
-    MayBegin,
-}
-
-impl Question {
-    fn as_line(self) -> &'static str {
-        match self {
-            Question::MayPause => "still?",
-            Question::MayResume => "on?",
-            Question::MayBegin => "begin?",
-        }
-    }
-}
-
 /// Answers come in the order of the questions.
 struct Answers {
     came: Receiver<bool>,
@@ -67,11 +40,11 @@
         let ((answer, came), (hand_over, successors)) = (channel(), channel());
         let reader = stream.try_clone()?;
         std::thread::spawn(move || {
-            read_lines(&reader, |line, descriptor| match (line, descriptor) {
-                ("give", Some(descriptor)) => drop(hand_over.send(descriptor)),
-                ("yes", _) => drop(answer.send(true)),
-                ("no", _) => drop(answer.send(false)),
-                _ => {}
+            read_lines(&reader, |line, descriptor| match (SupervisorLine::of_line(line), descriptor) {
+                (Some(SupervisorLine::HandOver), Some(descriptor)) => drop(hand_over.send(descriptor)),
+                (Some(SupervisorLine::Allowed), _) => drop(answer.send(true)),
+                (Some(SupervisorLine::Denied), _) => drop(answer.send(false)),
+                (Some(SupervisorLine::HandOver) | None, _) => {}
             });
             on_end();
         });
@@ -84,10 +57,16 @@
         let _ = send_line(&lock(&self.writer), &line.replace('\n', " "), None);
     }
 
+    /// Says something to the supervisor. Nothing comes of it where the supervisor has ended, which is reported
+    /// elsewhere.
+    pub fn send(&self, line: &ChildLine) {
+        self.report(&line.to_line());
+    }
+
     /// Asks, and waits for the answer for so long; none after that.
     pub fn ask(&self, question: Question, patience: Duration) -> Option<bool> {
         let mut answers = lock(&self.answers);
-        self.report(question.as_line());
+        self.send(&ChildLine::Question(question));
         let until = Instant::now() + patience;
         loop {
             let left = until.saturating_duration_since(Instant::now());
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -111,7 +111,7 @@
     let ids: HashSet<RpcId> = incoming.iter().map(|rpc| rpc.id.clone()).collect();
     let (gate, stirred, tickets) = match &mut taken {
         Some(taken) => {
-            let ahead = std::mem::replace(&mut taken.tokens, Keys::new(0));
+            let ahead = std::mem::replace(&mut taken.keys, Keys::new(0));
             Gate::resume(
                 clock,
                 deployment.clone(),
@@ -136,7 +136,7 @@
     let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.post())).collect();
     let (executor, link) = match &mut taken {
         Some(taken) => {
-            let (kept, link) = std::mem::take(&mut taken.executor);
+            let (kept, link) = (std::mem::take(&mut taken.executor), taken.executor_link.take());
             (Executor::resume(placement.executor, pauses, kept, runs), link)
         }
         None => (Executor::new(placement.executor, pauses), None),
@@ -171,15 +171,16 @@
     let configuration = agent.as_ref().map(|agent| agent.handle.clone());
     let mut resumed = Resumed { link, ..Resumed::default() };
     if let Some(taken) = taken {
-        resumed.json = dispatchers.resume(taken.json.0, taken.json.1, &ids);
+        resumed.json = dispatchers.resume(taken.json.record, taken.json.descriptors, &ids);
         if let Some(front) = &ajp {
-            resumed.ajp = front.resume(taken.ajp.0, taken.ajp.1, &ids);
+            resumed.ajp = front.resume(taken.ajp.record, taken.ajp.descriptors, &ids);
         }
-        let moved: HashSet<&String> = taken.below.0.links.iter().flat_map(|link| &link.calls).collect();
+        let moved: HashSet<&String> =
+            taken.upstream.record.links.iter().flat_map(|link| &link.calls).collect();
         for ((rpc, kept), ticket) in incoming.into_iter().zip(rpcs).zip(tickets) {
             let placed = kept.call.as_ref().is_some_and(|call| call.placed);
             if placed && !moved.contains(&kept.id) {
-                let lost = taken.below.0.lost.contains(&kept.id);
+                let lost = taken.upstream.record.lost.contains(&kept.id);
                 let end = if lost { CallEnd::Link(Ending::Moved) } else { CallEnd::Unsent };
                 resumed.ends.push((ticket.post(), end));
             }
@@ -195,7 +196,7 @@
         }
         let posts =
             resumed.lives.iter().map(|(living, ticket)| (living.rpc.id.clone(), ticket.post())).collect();
-        resumed.below = Some((taken.below.0, taken.below.1, posts));
+        resumed.below = Some((taken.upstream.record, taken.upstream.descriptors, posts));
     }
     let (memory_bytes, descriptors) = (bytes, placement.descriptors);
     let node = Arc::new(Node {
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -10,12 +10,13 @@
 use crate::configuration::agent::ConfigurationHandle;
 use crate::core::Core;
 use crate::handover::counter_report::CounterReport;
-use crate::handover::hand_over_control::HandOverControl;
+use crate::handover::hand_over_control::{HandOverControl, Interruption};
 use crate::handover::hand_over_stream::HandOverStream;
 use crate::handover::predecessor::hand_over;
-use crate::handover::successor::{refuse, take_over, StartMode};
+use crate::handover::successor::{refuse, take_over, StartMode, TakeOverLimits};
 use crate::handover::supervisor;
 use crate::handover::supervisor_link::{supervised, Supervised, SupervisorLink};
+use crate::handover::supervisor_protocol::ChildLine;
 use crate::logger::Logs;
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::AjpFront;
@@ -107,21 +108,25 @@
     let mut told_to_end = None;
     let taken = match (takes, &supervised) {
         (Some(stream), Some(by)) => {
-            let room = (placement.memory_mb * 1024 * 1024 / 2, placement.descriptors as u32);
+            let limits = TakeOverLimits {
+                digest,
+                bytes: placement.memory_mb * 1024 * 1024 / 2,
+                descriptors: placement.descriptors as u32,
+            };
             let end = |signals: &mut signal_hook::iterator::Signals| signals.pending().find(|s| *s != SIGHUP);
             let interrupted = std::cell::RefCell::new((&mut signals, &mut told_to_end));
             let begin = take_over(
                 stream,
                 &by.link,
-                digest,
-                room,
+                &limits,
                 || {
                     let (signals, told) = &mut *interrupted.borrow_mut();
                     **told = told.or_else(|| end(signals));
                     told.is_some()
                 },
                 |taken| build(&placement, operators.clone(), digest, Some(taken)),
-            )?;
+            )
+            .map_err(|error| error.to_string())?;
             match begin {
                 StartMode::WithState(built) => Some(built),
                 StartMode::Fresh => None,
@@ -160,7 +165,7 @@
             signals.pending().collect()
         };
         if !came.is_empty() {
-            control.interrupt("the running program got a signal");
+            control.interrupt(Interruption::Signal);
         }
         if let Some(end) = came.iter().find(|signal| **signal != SIGHUP) {
             break *end;
@@ -219,7 +224,7 @@
         let methods = if reads_changes { tally.changed(names, &mut reported) } else { tally.all(names) };
         let tally = ServingCounters { methods, ..condition(node, pulse.is_felt()) };
         let report = if reads_changes { CounterReport::Changed(tally) } else { CounterReport::All(tally) };
-        link.report(&report.to_line());
+        link.send(&ChildLine::Counters(report));
         std::thread::sleep(BETWEEN_TALLIES);
     }
 }
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -11,7 +11,8 @@
 use ochrewalk_node::handover::counter_report::CounterReport;
 use ochrewalk_node::handover::descriptor_socket::{inherit, read_lines, send_line};
 use ochrewalk_node::handover::hand_over_stream::{HandOverStream, Received};
-use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
+use ochrewalk_node::handover::supervisor_link::SupervisorLink;
+use ochrewalk_node::handover::supervisor_protocol::{AttemptOutcome, ChildLine, Question, SupervisorLine};
 use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::fd::{AsFd, AsRawFd};
@@ -62,6 +63,39 @@
     assert_eq!(reports, [CounterReport::All(counters()), CounterReport::Changed(counters())]);
 }
 
+#[test]
+fn each_line_of_a_program_is_read_as_what_it_says_and_written_as_it_was() {
+    let text = String::from_utf8(fixture("program-lines.txt")).unwrap();
+    let read: Vec<ChildLine> = text.lines().filter_map(ChildLine::of_line).collect();
+    let reason = "its files set what only a start can change".to_string();
+    let expected = [
+        ChildLine::Question(Question::MayPause),
+        ChildLine::Question(Question::MayResume),
+        ChildLine::Question(Question::MayBegin),
+        ChildLine::KillPeer,
+        ChildLine::AttemptEnded(AttemptOutcome::Failed(reason)),
+        ChildLine::Counters(CounterReport::All(counters())),
+        ChildLine::Counters(CounterReport::Changed(counters())),
+    ];
+    assert_eq!(read, expected);
+    let written: String = read.iter().map(|line| line.to_line() + "\n").collect();
+    assert_eq!(written, text);
+    let handed_over = ChildLine::AttemptEnded(AttemptOutcome::HandedOver);
+    assert_eq!(ChildLine::of_line("told handed over"), Some(handed_over.clone()));
+    assert_eq!(handed_over.to_line(), "told handed over");
+    assert_eq!(ChildLine::of_line("something newer"), None);
+}
+
+#[test]
+fn each_line_of_a_supervisor_is_read_as_what_it_says_and_written_as_it_was() {
+    let text = String::from_utf8(fixture("supervisor-lines.txt")).unwrap();
+    let read: Vec<Option<SupervisorLine>> = text.lines().map(SupervisorLine::of_line).collect();
+    let known = [SupervisorLine::Allowed, SupervisorLine::Denied, SupervisorLine::HandOver];
+    assert_eq!(read, [Some(known[0]), Some(known[1]), Some(known[2]), None]);
+    let written: Vec<&str> = known.iter().map(|line| line.as_line()).collect();
+    assert_eq!(written, text.lines().take(known.len()).collect::<Vec<_>>());
+}
+
 #[test]
 fn a_program_reads_the_lines_that_earlier_supervisors_write() {
     let (ours, mut supervisors) = UnixStream::pair().unwrap();
--- a/crates/ochrewalk-node/tests/supervisor_link.rs
+++ b/crates/ochrewalk-node/tests/supervisor_link.rs
@@ -2,7 +2,8 @@
 
 use ochrewalk_node::handover::counter_report::{CounterReport, CountersByMethod, ReportedCounters};
 use ochrewalk_node::handover::descriptor_socket::{read_lines, send_line};
-use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
+use ochrewalk_node::handover::supervisor_link::SupervisorLink;
+use ochrewalk_node::handover::supervisor_protocol::Question;
 use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::{channel, Receiver};
