--- a/crates/ochrewalk-node/src/handover/counter_report.rs
+++ b/crates/ochrewalk-node/src/handover/counter_report.rs
@@ -1,16 +1,17 @@
-//! Decides what a supervisor knows of a program's counters by method: from reports of all of them, or of those that
-//! changed, and added up over the programs that served one after another. No I/O.
+//! What a supervisor knows of a child's counters by method: from reports of all of them or of those that changed, and
+//! added up over the children that served one after another. No I/O.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// What begins a line of each kind. The first is all that supervisors before this program read.
+/// What begins a line with all counters: all that supervisors of earlier versions read.
 const ALL: &str = "tally ";
+/// What begins a line with changed counters.
 const CHANGED: &str = "tally+ ";
 
-/// A program's report to its supervisor.
+/// A child's report to its supervisor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CounterReport {
     /// All counters.
@@ -20,41 +21,38 @@
 }
 
 impl CounterReport {
-    /// The line, without its end.
+    /// The line, without its line feed.
     pub fn to_line(&self) -> String {
-        let (word, tally) = match self {
-            CounterReport::All(tally) => (ALL, tally),
-            CounterReport::Changed(tally) => (CHANGED, tally),
+        let (prefix, counters) = match self {
+            CounterReport::All(counters) => (ALL, counters),
+            CounterReport::Changed(counters) => (CHANGED, counters),
         };
-        format!("{word}{}", BASE64_STANDARD.encode(tally.encode_to_vec()))
+        format!("{prefix}{}", BASE64_STANDARD.encode(counters.encode_to_vec()))
     }
 
-    /// The report of that line; none where it holds no report that can be read.
+    /// The report of a line; none where the line has no report that can be read.
     pub fn of_line(line: &str) -> Option<CounterReport> {
-        let decoded = |text: &str| ServingCounters::decode(&BASE64_STANDARD.decode(text).ok()?[..]).ok();
         if let Some(text) = line.strip_prefix(ALL) {
-            return decoded(text).map(CounterReport::All);
+            return decode(text).map(CounterReport::All);
         }
-        line.strip_prefix(CHANGED).and_then(decoded).map(CounterReport::Changed)
+        line.strip_prefix(CHANGED).and_then(decode).map(CounterReport::Changed)
     }
 }
 
+fn decode(text: &str) -> Option<ServingCounters> {
+    ServingCounters::decode(&BASE64_STANDARD.decode(text).ok()?[..]).ok()
+}
+
 /// Counters by the name of their method.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CountersByMethod(BTreeMap<String, MethodCounters>);
 
 impl CountersByMethod {
-    fn replace(&mut self, methods: Vec<MethodCounters>) {
-        self.0.extend(methods.into_iter().map(|method| (method.name.clone(), method)));
-    }
-
-    /// Adds those of another program.
+    /// Adds the counters of another child.
     pub fn add(&mut self, others: &CountersByMethod) {
         for (name, other) in &others.0 {
-            let own = self
-                .0
-                .entry(name.clone())
-                .or_insert_with(|| MethodCounters { name: name.clone(), ..MethodCounters::default() });
+            let none = || MethodCounters { name: name.clone(), ..MethodCounters::default() };
+            let own = self.0.entry(name.clone()).or_insert_with(none);
             own.calls += other.calls;
             own.missed += other.missed;
             own.failed += other.failed;
@@ -65,27 +63,32 @@
     pub fn into_methods(self) -> Vec<MethodCounters> {
         self.0.into_values().collect()
     }
+
+    fn replace(&mut self, methods: Vec<MethodCounters>) {
+        self.0.extend(methods.into_iter().map(|method| (method.name.clone(), method)));
+    }
 }
 
-/// What one program has reported.
+/// What one child has reported.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportedCounters {
-    /// The newest report, less its methods.
+    /// The newest report, without its methods.
     pub latest: ServingCounters,
+    /// The newest counters of every method.
     pub methods: CountersByMethod,
 }
 
 impl ReportedCounters {
     /// Takes the next report.
     pub fn take(&mut self, report: CounterReport) {
-        let mut tally = match report {
-            CounterReport::All(tally) => {
+        let mut counters = match report {
+            CounterReport::All(counters) => {
                 self.methods = CountersByMethod::default();
-                tally
+                counters
             }
-            CounterReport::Changed(tally) => tally,
+            CounterReport::Changed(counters) => counters,
         };
-        self.methods.replace(std::mem::take(&mut tally.methods));
-        self.latest = tally;
+        self.methods.replace(std::mem::take(&mut counters.methods));
+        self.latest = counters;
     }
 }
