--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -7,8 +7,8 @@
 use crate::core::Core;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
-use crate::handover::records::{KeptBelow, KeptCall, KeptRpc, Whereabouts};
-use crate::handover::take::Taken;
+use crate::handover::received_state::ReceivedState;
+use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
 use crate::keys::Keys;
 use crate::life::{Call, Life, Placed};
 use crate::live::Living;
@@ -74,7 +74,7 @@
     /// News for lives whose calls did not come along.
     ends: Vec<(Post, CallEnd)>,
     link: Option<OwnedFd>,
-    below: Option<(KeptBelow, Vec<OwnedFd>, HashMap<RpcId, Post>)>,
+    below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, Post>)>,
 }
 
 /// Puts every part together, from what another process held where there is something.
@@ -82,7 +82,7 @@
     placement: &Placement,
     operators: OperatorConfig,
     digest: u64,
-    mut taken: Option<Taken>,
+    mut taken: Option<ReceivedState>,
 ) -> Result<Built, String> {
     let mut listeners =
         taken.as_mut().map(|taken| std::mem::take(&mut taken.listeners)).unwrap_or_default().into_iter();
@@ -100,7 +100,7 @@
     let pauses = deployment.machine.stopping == Stopping::Pause;
     let print_key = taken.as_ref().map_or_else(
         || (fastrand::u64(..), fastrand::u64(..)),
-        |t| (t.node.print_key, t.node.print_key_more),
+        |t| (t.node.fingerprint_key, t.node.fingerprint_key_more),
     );
     let rpcs = taken.as_mut().map(|taken| std::mem::take(&mut taken.rpcs.rpcs)).unwrap_or_default();
     let known = deployment.methods.len();
@@ -111,7 +111,7 @@
     let ids: HashSet<RpcId> = incoming.iter().map(|rpc| rpc.id.clone()).collect();
     let (gate, stirred, tickets) = match &mut taken {
         Some(taken) => {
-            let ahead = std::mem::replace(&mut taken.tokens, Keys::new(0));
+            let ahead = std::mem::replace(&mut taken.keys, Keys::new(0));
             Gate::resume(
                 clock,
                 deployment.clone(),
@@ -136,7 +136,7 @@
     let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.post())).collect();
     let (executor, link) = match &mut taken {
         Some(taken) => {
-            let (kept, link) = std::mem::take(&mut taken.executor);
+            let (kept, link) = (std::mem::take(&mut taken.executor), taken.executor_link.take());
             (Executor::resume(placement.executor, pauses, kept, runs), link)
         }
         None => (Executor::new(placement.executor, pauses), None),
@@ -171,19 +171,20 @@
     let configuration = agent.as_ref().map(|agent| agent.handle.clone());
     let mut resumed = Resumed { link, ..Resumed::default() };
     if let Some(taken) = taken {
-        resumed.json = dispatchers.resume(taken.json.0, taken.json.1, &ids);
+        resumed.json = dispatchers.resume(taken.json.record, taken.json.descriptors, &ids);
         if let Some(front) = &ajp {
-            resumed.ajp = front.resume(taken.ajp.0, taken.ajp.1, &ids);
+            resumed.ajp = front.resume(taken.ajp.record, taken.ajp.descriptors, &ids);
         }
-        let moved: HashSet<&String> = taken.below.0.links.iter().flat_map(|link| &link.calls).collect();
+        let moved: HashSet<&String> =
+            taken.upstream.record.links.iter().flat_map(|link| &link.calls).collect();
         for ((rpc, kept), ticket) in incoming.into_iter().zip(rpcs).zip(tickets) {
             let placed = kept.call.as_ref().is_some_and(|call| call.placed);
             if placed && !moved.contains(&kept.id) {
-                let lost = taken.below.0.lost.contains(&kept.id);
+                let lost = taken.upstream.record.lost.contains(&kept.id);
                 let end = if lost { CallEnd::Link(Ending::Moved) } else { CallEnd::Unsent };
                 resumed.ends.push((ticket.post(), end));
             }
-            let asker = kept.asker.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
+            let asker = kept.client.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
                 (Some(front), true) => front.asker(at),
                 (None, true) => None,
                 (_, false) => dispatchers.asker(at),
@@ -195,7 +196,7 @@
         }
         let posts =
             resumed.lives.iter().map(|(living, ticket)| (living.rpc.id.clone(), ticket.post())).collect();
-        resumed.below = Some((taken.below.0, taken.below.1, posts));
+        resumed.below = Some((taken.upstream.record, taken.upstream.descriptors, posts));
     }
     let (memory_bytes, descriptors) = (bytes, placement.descriptors);
     let node = Arc::new(Node {
@@ -216,7 +217,7 @@
     Ok(Built { node, name, stirred, listener: json_listener, ajp_listener, status, resumed, agent })
 }
 
-pub(super) fn incoming(kept: &KeptRpc) -> Incoming {
+pub(super) fn incoming(kept: &RpcRecord) -> Incoming {
     let token = kept.token.as_ref().map(|key| Token { key: key.as_str().into(), work: kept.work });
     let (method, left_us) = (kept.method as usize, kept.left_us);
     // The module has counted it already.
@@ -224,7 +225,7 @@
     Incoming { id, method, kb: kept.kb, ts_ms: kept.ts_ms, left_us, token, tenant }
 }
 
-pub(super) fn call(kept: KeptCall) -> Call {
+pub(super) fn call(kept: CallRecord) -> Call {
     let placed = Placed { at_us: kept.at_us, until_us: kept.until_us };
     Call { pos: kept.pos, body: kept.body, placed: kept.placed.then_some(placed) }
 }
@@ -237,8 +238,8 @@
         false
     }
     fn answer(&self, _answer: Answer, _signal: Option<f64>) {}
-    fn whereabouts(&self) -> Whereabouts {
-        Whereabouts::default()
+    fn address(&self) -> ClientAddress {
+        ClientAddress::default()
     }
     fn fault(&self) {}
     fn proven(&self) {}
