--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -36,7 +36,12 @@
     let method =
         |name: &str, calls, missed, failed| MethodCounters { name: name.into(), calls, missed, failed };
     let methods = vec![method("look", 1_000, 20, 3), method("sale", 7, 0, 1)];
-    ServingCounters { is_healthy: true, memory_kb: 81_920, methods, settings: 0x1234_5678_9abc_def0 }
+    ServingCounters {
+        is_healthy: true,
+        memory_kb: 81_920,
+        methods,
+        settings_fingerprint: 0x1234_5678_9abc_def0,
+    }
 }
 
 #[test]
