--- a/crates/ochrewalk-distribution/src/interest.rs
+++ b/crates/ochrewalk-distribution/src/interest.rs
@@ -26,21 +26,12 @@
         Self { scopes: scopes.into_iter().map(Into::into).collect(), ..Self::default() }
     }
 
-    /// What `message` asks for.
-    pub fn of(message: &Subscribe) -> Self {
-        Self {
-            everything: message.everything,
-            scopes: message.scopes.iter().cloned().collect(),
-            names: message.names.iter().cloned().collect(),
-        }
-    }
-
     /// Whether the subscriber wants the resource of `name`.
     pub fn matches(&self, name: &ResourceName) -> bool {
         self.everything || self.scopes.contains(&name.scope) || self.names.contains(name)
     }
 
-    /// Takes over the names that `watch` adds and removes.
+    /// Removes and adds the names of `watch`.
     pub fn update(&mut self, watch: &Watch) {
         for name in &watch.remove {
             self.names.remove(name);
@@ -48,3 +39,13 @@
         self.names.extend(watch.add.iter().cloned());
     }
 }
+
+impl From<&Subscribe> for Interest {
+    fn from(message: &Subscribe) -> Self {
+        Self {
+            everything: message.everything,
+            scopes: message.scopes.iter().cloned().collect(),
+            names: message.names.iter().cloned().collect(),
+        }
+    }
+}
--- a/crates/ochrewalk-distribution/src/server.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -1,20 +1,23 @@
-//! Decides what a publisher or relay sends to each of its subscribers, and when. Nothing is queued for a subscriber: what
-//! it lacks is told by a cursor into the store, and built when its connection has room.
+//! Decides what a publisher or relay sends to each of its subscribers, and when. Nothing is queued for a subscriber: a
+//! cursor into the store says what it lacks, and the next part is built when its connection can take it.
+
+mod subscriber;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use prost::Message;
 
-use crate::admission::{CatchUp, CatchUpLimits};
+use crate::catch_up::{CatchUp, CatchUpLimits, RetryAfter};
 use crate::interest::Interest;
 use crate::messages::{
     Position, RegionStatus, Report, ResourceName, Subscribe, Update, Watch, PROTOCOL_VERSION,
 };
 use crate::pacing::Pacer;
 use crate::status::{count_positions, Rejections};
-use crate::store::{Start, Store};
+use crate::store::{Store, UpdateKind};
 use crate::update_builder::{Built, UpdateProgress};
 use crate::validation::{name_problems, MAX_NAME_BYTES};
+use subscriber::{Activity, Subscriber};
 
 /// Rounds of an update after which it is no longer spread over time, so that it ends under ever so many changes.
 const MAX_PACED_ROUNDS: u32 = 4;
@@ -26,11 +29,13 @@
 pub struct ServerLimits {
     /// The largest part of an update in encoded bytes, unless a single resource takes more.
     pub chunk_bytes: usize,
+    /// The most subscribers at a time; further ones are to retry later.
     pub max_subscribers: usize,
     /// The most scopes and single names of one subscriber together.
     pub max_interest: usize,
     /// The most rejections that a status lists.
     pub max_rejections: usize,
+    /// Bounds on sending subscribers what they lack after they connected.
     pub catch_up: CatchUpLimits,
 }
 
@@ -50,68 +55,65 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SubscriberId(u64);
 
-/// What becomes of a subscriber that comes.
+/// The decision on a subscriber that connects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
+    /// It is served from now on.
     Accepted(SubscriberId),
-    /// Too many come at once.
+    /// Too many subscribers connect at once.
     RetryLater {
+        /// The time after which it may connect again, in milliseconds.
         after_ms: u64,
     },
+    /// It cannot be served, now or later.
     Refused {
-        reason: RefusedSubscriber,
+        /// Why.
+        reason: SubscribeError,
     },
 }
 
 /// Why a subscriber is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RefusedSubscriber {
+pub enum SubscribeError {
+    /// The subscriber needs a later version of the messages.
     #[error("the subscriber needs version {version} of the messages, and this is {PROTOCOL_VERSION}")]
-    UnknownVersion { version: u32 },
-    #[error("epoch {heard} was heard of, and this server has epoch {own}")]
-    OlderEpoch { own: u64, heard: u64 },
+    UnknownVersion {
+        /// The version that it needs.
+        version: u32,
+    },
+    /// The subscriber has observed a later publisher than the one that this server follows.
+    #[error("epoch {observed} was heard of, and this server has epoch {own}")]
+    OlderEpoch {
+        /// This server's epoch.
+        own: u64,
+        /// The epoch that the subscriber has observed.
+        observed: u64,
+    },
+    /// The subscriber wants more than one subscriber may.
     #[error("{count} scopes and names are wanted, more than {limit}")]
-    TooManyNames { count: usize, limit: usize },
+    TooManyNames {
+        /// How many scopes and names it wants.
+        count: usize,
+        /// The bound.
+        limit: usize,
+    },
+    /// A name or scope is empty, too long or of an unknown kind.
     #[error("a name is not valid")]
     InvalidName,
 }
 
-/// What is to be done for a subscriber now.
+/// What the caller has to do for a subscriber now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
-    /// Send this, and ask again once the connection has room.
+pub enum NextUpdate {
+    /// Send this part, and call again once the connection has written it.
     Send(Update),
-    /// Ask again at this time.
-    Wait { until_us: u64 },
-    /// Nothing until the store changes or the subscriber sends something.
-    Idle,
-}
-
-/// What a subscriber is doing.
-#[derive(Clone, Debug)]
-enum Activity {
-    /// It has what it was sent.
-    Ready,
-    Receiving(UpdateProgress),
-    /// It was sent a whole update and has not reported on it.
-    Applying {
-        position: Position,
-        answers: BTreeSet<ResourceName>,
+    /// Call again at a later time.
+    Wait {
+        /// That time, in microseconds.
+        until_us: u64,
     },
-}
-
-#[derive(Clone, Debug)]
-struct Subscriber {
-    node: String,
-    interest: Interest,
-    pacer: Pacer,
-    applied: Option<Position>,
-    rejected: Option<Position>,
-    /// Watched names that the next update is to answer.
-    asked: BTreeSet<ResourceName>,
-    /// How many watches were taken over.
-    watches: u64,
-    activity: Activity,
+    /// Call again when the store has changed or the subscriber has sent something.
+    Idle,
 }
 
 /// A publisher's or relay's side of all its streams of updates.
@@ -128,7 +130,7 @@
 }
 
 impl Server {
-    /// A server of what is in `store`. `name` and `region` are told in its status.
+    /// A server of what is in `store`. `name` and `region` are part of its status.
     pub fn new(
         name: impl Into<String>,
         region: impl Into<String>,
@@ -152,7 +154,7 @@
         &self.store
     }
 
-    /// What is served, to be changed. Subscribers are to be asked for by [`next`](Self::next) after that.
+    /// What is served, to be changed. Call [`next`](Self::next) for each subscriber after a change.
     pub fn store_mut(&mut self) -> &mut Store {
         &mut self.store
     }
@@ -162,20 +164,20 @@
         self.subscribers.keys().copied()
     }
 
-    /// A subscriber has come.
+    /// A subscriber connects. Nothing of it is remembered unless it is accepted, but for when it may retry.
     pub fn subscribe(&mut self, now_us: u64, message: Subscribe) -> Admission {
         if let Some(reason) = self.refusal(&message) {
             return Admission::Refused { reason };
         }
-        let interest = Interest::of(&message);
+        let interest = Interest::from(&message);
         let bytes = self.bytes_lacking(&interest, message.applied);
-        if let Err(after_ms) = self.admit(&message.node, bytes, now_us) {
-            return Admission::RetryLater { after_ms };
+        if let Err(retry) = self.admit(&message.node, bytes, now_us) {
+            return Admission::RetryLater { after_ms: retry.milliseconds };
         }
         self.last_id += 1;
         let id = SubscriberId(self.last_id);
         if !self.catch_up.is_small(bytes) {
-            self.catch_up.begin(id.0, bytes);
+            self.catch_up.begin(id, bytes);
         }
         let subscriber = Subscriber {
             node: message.node,
@@ -191,37 +193,37 @@
         Admission::Accepted(id)
     }
 
-    /// A store without anything has nothing to admit by: its subscribers come back once it has.
-    fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), u64> {
+    /// A relay without state cannot know what a subscriber lacks: subscribers retry until it has state.
+    fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), RetryAfter> {
         let is_full = self.subscribers.len() >= self.limits.max_subscribers;
-        match is_full || self.is_without_state() {
-            true => Err(self.catch_up.defer(node, now_us)),
-            false => self.catch_up.admit(node, bytes, now_us),
+        if is_full || self.is_without_state() {
+            return Err(self.catch_up.defer(node, now_us));
         }
+        self.catch_up.admit(node, bytes, now_us)
     }
 
     fn is_without_state(&self) -> bool {
         self.store.position().epoch == 0
     }
 
-    fn refusal(&mut self, message: &Subscribe) -> Option<RefusedSubscriber> {
+    fn refusal(&mut self, message: &Subscribe) -> Option<SubscribeError> {
         let count = message.scopes.len() + message.names.len();
         let limit = self.limits.max_interest;
         if message.version > PROTOCOL_VERSION {
-            return Some(RefusedSubscriber::UnknownVersion { version: message.version });
+            return Some(SubscribeError::UnknownVersion { version: message.version });
         }
         if count > limit {
-            return Some(RefusedSubscriber::TooManyNames { count, limit });
+            return Some(SubscribeError::TooManyNames { count, limit });
         }
         if !are_valid(&message.names) || message.scopes.iter().any(|scope| scope.len() > MAX_NAME_BYTES) {
-            return Some(RefusedSubscriber::InvalidName);
+            return Some(SubscribeError::InvalidName);
         }
         let own = self.store.position().epoch;
-        let heard = message.applied.map_or(0, |position| position.epoch).max(message.highest_epoch);
+        let observed = message.applied.map_or(0, |position| position.epoch).max(message.highest_epoch);
         // A relay without state has no epoch of its own yet, and cannot be behind.
-        if heard > own && !self.is_without_state() {
-            self.store.heard_epoch(heard);
-            return Some(RefusedSubscriber::OlderEpoch { own, heard });
+        if observed > own && !self.is_without_state() {
+            self.store.observe_epoch(observed);
+            return Some(SubscribeError::OlderEpoch { own, observed });
         }
         None
     }
@@ -232,7 +234,7 @@
         if applied.is_some_and(|applied| applied > self.store.position()) {
             return 0;
         }
-        let Start::Differences { after } = self.store.differences_from(applied) else { return snapshot };
+        let UpdateKind::Differences { after } = self.store.differences_from(applied) else { return snapshot };
         let changes = self.store.changes_after(after, None).take(MAX_ESTIMATED_CHANGES + 1);
         let (mut visited, mut bytes) = (0, 0);
         for resource in changes {
@@ -247,18 +249,22 @@
         bytes
     }
 
-    /// A subscriber wants further single names, or no longer wants some. The next update answers those added. An error
-    /// means that nothing was taken over, and that the connection is to be ended.
-    pub fn watch(&mut self, id: SubscriberId, watch: &Watch) -> Result<(), RefusedSubscriber> {
+    /// A subscriber wants further single names, or no longer wants some. The next update answers those added.
+    ///
+    /// # Errors
+    ///
+    /// Where a name is not valid, or the subscriber would want too many. Nothing is changed then, and the caller is to close
+    /// the connection.
+    pub fn watch(&mut self, id: SubscriberId, watch: &Watch) -> Result<(), SubscribeError> {
         let limit = self.limits.max_interest;
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return Ok(()) };
         let interest = &subscriber.interest;
         let count = interest.names.len() + interest.scopes.len() + watch.add.len();
         if count.saturating_sub(watch.remove.len()) > limit {
-            return Err(RefusedSubscriber::TooManyNames { count, limit });
+            return Err(SubscribeError::TooManyNames { count, limit });
         }
         if !are_valid(&watch.add) {
-            return Err(RefusedSubscriber::InvalidName);
+            return Err(SubscribeError::InvalidName);
         }
         subscriber.interest.update(watch);
         for name in &watch.remove {
@@ -269,7 +275,7 @@
         Ok(())
     }
 
-    /// A subscriber tells what became of an update.
+    /// A subscriber reports the outcome of an update. The next one is sent only after that.
     pub fn report(&mut self, id: SubscriberId, report: Report) {
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return };
         let in_force = Some(report.applied).filter(|position| position.epoch != 0);
@@ -282,37 +288,38 @@
         subscriber.reject(rejection.position, in_force);
         rejection.node.clone_from(&subscriber.node);
         self.rejections.add(rejection);
-        self.catch_up.end(id.0);
+        self.catch_up.end(id);
     }
 
     /// The connection of a subscriber has ended.
-    pub fn closed(&mut self, id: SubscriberId) {
+    pub fn unsubscribe(&mut self, id: SubscriberId) {
         self.subscribers.remove(&id);
-        self.catch_up.end(id.0);
+        self.catch_up.end(id);
     }
 
-    /// What is to be done for a subscriber whose connection has room. No part is built before.
-    pub fn next(&mut self, id: SubscriberId, now_us: u64) -> Next {
+    /// What to do for a subscriber whose connection has written all that it was given. A part is built only here, so that
+    /// a subscriber that does not read costs the memory of one part.
+    pub fn next(&mut self, id: SubscriberId, now_us: u64) -> NextUpdate {
         self.begin_update(id);
-        let Some(subscriber) = self.subscribers.get_mut(&id) else { return Next::Idle };
-        let Activity::Receiving(progress) = &mut subscriber.activity else { return Next::Idle };
+        let Some(subscriber) = self.subscribers.get_mut(&id) else { return NextUpdate::Idle };
+        let Activity::Receiving(progress) = &mut subscriber.activity else { return NextUpdate::Idle };
         let mut free_at_us = subscriber.pacer.free_at_us();
-        if self.catch_up.is_admitted(id.0) {
+        if self.catch_up.is_admitted(id) {
             free_at_us = free_at_us.max(self.catch_up.free_at_us());
         }
         if free_at_us > now_us && progress.rounds() <= MAX_PACED_ROUNDS {
-            return Next::Wait { until_us: free_at_us };
+            return NextUpdate::Wait { until_us: free_at_us };
         }
         let built = progress.next_part(&self.store, &subscriber.interest, self.limits.chunk_bytes);
-        let Built::Part(update) = built else { return Next::Wait { until_us: now_us } };
+        let Built::Part(update) = built else { return NextUpdate::Wait { until_us: now_us } };
         let bytes = update.encoded_len();
         subscriber.pacer.charge(bytes, now_us);
-        self.catch_up.charge(id.0, bytes, now_us);
+        self.catch_up.charge(id, bytes, now_us);
         if update.is_last {
             subscriber.finish_receiving(update.position);
-            self.catch_up.end(id.0);
+            self.catch_up.end(id);
         }
-        Next::Send(update)
+        NextUpdate::Send(update)
     }
 
     /// Begins an update if the subscriber lacks anything, or begins anew if one under way cannot be completed.
@@ -333,7 +340,7 @@
         };
         let bytes = self.store.snapshot_bytes(&subscriber.interest);
         if progress.is_snapshot() && !self.catch_up.is_small(bytes) {
-            self.catch_up.begin(id.0, bytes);
+            self.catch_up.begin(id, bytes);
         }
         subscriber.activity = Activity::Receiving(progress);
     }
@@ -354,45 +361,3 @@
 fn are_valid(names: &[ResourceName]) -> bool {
     names.iter().all(|name| name_problems(name).is_empty())
 }
-
-impl Subscriber {
-    fn lacks_something(&self, store: &Store) -> bool {
-        let head = store.position();
-        let is_rejected = self.rejected.is_some_and(|rejected| head <= rejected);
-        // A relay may be behind what the subscriber has from another one, or have no state yet.
-        let is_behind = head.epoch == 0 || self.applied.is_some_and(|applied| applied > head);
-        let is_current = self.applied == Some(head) && self.asked.is_empty();
-        !is_rejected && !is_behind && !is_current
-    }
-
-    fn finish_receiving(&mut self, position: Position) {
-        let answers = match &mut self.activity {
-            Activity::Receiving(progress) => progress.take_answers(),
-            _ => BTreeSet::new(),
-        };
-        self.activity = Activity::Applying { position, answers };
-    }
-
-    /// Whether the update that was sent is the one in force now.
-    fn finish_applying(&mut self, in_force: Position) -> bool {
-        let is_awaited =
-            matches!(&self.activity, Activity::Applying { position, .. } if *position == in_force);
-        if is_awaited {
-            self.applied = Some(in_force);
-            self.rejected = None;
-            self.activity = Activity::Ready;
-        }
-        is_awaited
-    }
-
-    /// The subscriber keeps what is `in_force`. It is sent nothing until there is something later than `position`.
-    fn reject(&mut self, position: Position, in_force: Option<Position>) {
-        self.applied = in_force;
-        self.rejected = self.rejected.max(Some(position));
-        match std::mem::replace(&mut self.activity, Activity::Ready) {
-            Activity::Ready => {}
-            Activity::Receiving(mut progress) => self.asked.extend(progress.take_answers()),
-            Activity::Applying { answers, .. } => self.asked.extend(answers),
-        }
-    }
-}
--- a/crates/ochrewalk-distribution/src/store.rs
+++ b/crates/ochrewalk-distribution/src/store/mod.rs
@@ -1,26 +1,27 @@
-//! Decides what the state is: the newest value of each name, in which order names were changed, and from which positions
-//! differences can be told. Publishers, relays and nodes use the same store.
+//! The state: the newest change of each name, the order of all changes, and the positions from which differences are
+//! complete. Publishers, relays and nodes use the same store.
 
-use std::borrow::Borrow;
-use std::cmp::Ordering;
-use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
+mod batch;
+mod index;
+
+use std::collections::BTreeSet;
 use std::ops::Bound;
 use std::sync::Arc;
 
-use prost::Message;
-
-use crate::epochs::{EpochHistory, EpochStart};
+use crate::epochs::EpochHistory;
 use crate::interest::Interest;
-use crate::messages::{Position, Resource, ResourceKind, ResourceName, Value};
+use crate::messages::{Position, Resource, ResourceKind, ResourceName};
 use crate::subscription::CompleteUpdate;
 use crate::validation::{change_problems, ChangeProblem, PublishError, RefusalReason};
 use crate::validation::{MAX_BATCH_CHANGES, MAX_REASONS};
 
+pub use batch::{ApplyError, Batch, ChangeOrder};
+use index::ResourceIndex;
+
 /// Bounds of a [`Store`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoreLimits {
-    /// The most deleted names remembered. Subscribers that were away for longer are sent a snapshot.
+    /// The most tombstones. A subscriber that lacks a deletion which is no longer remembered is sent a snapshot.
     pub tombstones: usize,
 }
 
@@ -30,114 +31,19 @@
     }
 }
 
-/// What a durable log records: changes made together at one revision, and what they replaced.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Batch {
-    pub position: Position,
-    pub resources: Vec<Resource>,
-    /// The value that each of `resources` had before, in the same order; none where there was no such resource.
-    pub previous: Vec<Option<Value>>,
-}
-
 /// What a subscriber has to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
-    /// What was changed after this revision.
-    Differences { after: u64 },
-    /// All that it wants.
+pub enum UpdateKind {
+    /// The newest changes that it wants after a revision.
+    Differences {
+        /// That revision.
+        after: u64,
+    },
+    /// All resources that it wants.
     Snapshot,
 }
 
-/// The order of all changes, without the changes themselves.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ChangeOrder {
-    pub revision: u64,
-    /// Each epoch and the revision that its own changes follow, oldest first.
-    pub epochs: Vec<EpochStart>,
-    /// The oldest revision from which differences are complete.
-    pub horizon: u64,
-    pub highest_epoch: u64,
-}
-
-/// Why an update or a recorded batch wasn't applied. The store is as it was.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ApplyError {
-    #[error("the update leads to {update:?}, older than {applied:?}")]
-    OlderPosition { applied: Position, update: Position },
-    #[error("the batch of {batch:?} does not follow {applied:?}")]
-    OutOfOrder { applied: Position, batch: Position },
-}
-
-/// A resource in the order of names.
-#[derive(Clone, Debug)]
-struct ByName(Arc<Resource>);
-
-impl Borrow<ResourceName> for ByName {
-    fn borrow(&self) -> &ResourceName {
-        &self.0.name
-    }
-}
-
-impl PartialEq for ByName {
-    fn eq(&self, other: &Self) -> bool {
-        self.0.name == other.0.name
-    }
-}
-
-impl Eq for ByName {}
-
-impl PartialOrd for ByName {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for ByName {
-    fn cmp(&self, other: &Self) -> Ordering {
-        self.0.name.cmp(&other.0.name)
-    }
-}
-
-/// A resource in the order of revisions, and of names within a revision.
-#[derive(Clone)]
-struct ByRevision(Arc<Resource>);
-
-/// Shows the key alone, as the resource is shown in the order of names.
-impl fmt::Debug for ByRevision {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}:{}", self.0.revision, self.0.name.name)
-    }
-}
-
-impl ByRevision {
-    /// What compares as a resource of `name` at `revision` would.
-    fn probe(revision: u64, name: ResourceName) -> Self {
-        Self(Arc::new(Resource { name, revision, value: None }))
-    }
-}
-
-impl PartialEq for ByRevision {
-    fn eq(&self, other: &Self) -> bool {
-        self.cmp(other) == Ordering::Equal
-    }
-}
-
-impl Eq for ByRevision {}
-
-impl PartialOrd for ByRevision {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for ByRevision {
-    fn cmp(&self, other: &Self) -> Ordering {
-        let by_revision = self.0.revision.cmp(&other.0.revision);
-        by_revision.then_with(|| self.0.name.cmp(&other.0.name))
-    }
-}
-
-/// The newest value of each name. A resource is held once, shared by all indexes and by updates under way.
+/// The newest value of each name, and the positions from which differences are complete.
 #[derive(Clone, Debug)]
 pub struct Store {
     limits: StoreLimits,
@@ -146,15 +52,11 @@
     revision: u64,
     /// Differences are complete from this revision on; deletions before it may be forgotten.
     horizon: u64,
-    names: BTreeSet<ByName>,
-    changes: BTreeSet<ByRevision>,
-    tombstones: BTreeSet<ByRevision>,
-    scope_bytes: BTreeMap<String, u64>,
-    total_bytes: u64,
+    index: ResourceIndex,
 }
 
 impl Store {
-    /// An empty store. A relay or node that has heard of nothing yet begins at epoch 0, a publisher at 1 or above.
+    /// An empty store. A relay or node without state begins at epoch 0, a publisher at 1 or above.
     pub fn new(epoch: u64, limits: StoreLimits) -> Self {
         Self {
             limits,
@@ -162,11 +64,7 @@
             highest_epoch: epoch,
             revision: 0,
             horizon: 0,
-            names: BTreeSet::new(),
-            changes: BTreeSet::new(),
-            tombstones: BTreeSet::new(),
-            scope_bytes: BTreeMap::new(),
-            total_bytes: 0,
+            index: ResourceIndex::default(),
         }
     }
 
@@ -175,7 +73,7 @@
         Position { epoch: self.epochs.current(), revision: self.revision }
     }
 
-    /// The highest epoch heard of, here or elsewhere.
+    /// The highest epoch observed: its own, or that of a peer.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
@@ -197,12 +95,12 @@
 
     /// The newest change of `name`, which may be its deletion.
     pub fn newest(&self, name: &ResourceName) -> Option<&Arc<Resource>> {
-        self.names.get(name).map(|held| &held.0)
+        self.index.newest(name)
     }
 
     /// How many resources there are, without deleted ones.
     pub fn len(&self) -> usize {
-        self.names.len() - self.tombstones.len()
+        self.index.len() - self.index.tombstone_count()
     }
 
     /// Whether there are no resources.
@@ -212,26 +110,22 @@
 
     /// How many deleted names are remembered.
     pub fn tombstone_count(&self) -> usize {
-        self.tombstones.len()
+        self.index.tombstone_count()
     }
 
     /// All resources in the order of their names, without deleted ones.
     pub fn iter(&self) -> impl Iterator<Item = &Resource> {
-        self.names.iter().map(|held| held.0.as_ref()).filter(|resource| resource.value.is_some())
+        self.index.iter()
     }
 
     /// The resources of a kind, without deleted ones.
     pub fn of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
-        // Names are in the order of their kinds first.
-        let first = ResourceName { kind: kind as i32, scope: String::new(), name: String::new() };
-        let of_kind = move |held: &&ByName| held.0.name.kind == kind as i32;
-        let held = self.names.range::<ResourceName, _>(first..).take_while(of_kind);
-        held.map(|held| held.0.as_ref()).filter(|resource| resource.value.is_some())
+        self.index.of_kind(kind)
     }
 
     /// The newest changes of names from `from` on, in the order of names, deletions included.
     pub(crate) fn names_from(&self, from: Bound<&ResourceName>) -> impl Iterator<Item = &Arc<Resource>> {
-        self.names.range::<ResourceName, _>((from, Bound::Unbounded)).map(|held| &held.0)
+        self.index.names_from(from)
     }
 
     /// The changes after `revision`, or after `name` within it, in the order of revisions.
@@ -240,25 +134,19 @@
         revision: u64,
         name: Option<&ResourceName>,
     ) -> impl Iterator<Item = &Arc<Resource>> {
-        let from = match name {
-            Some(name) => Bound::Excluded(ByRevision::probe(revision, name.clone())),
-            None => Bound::Included(ByRevision::probe(revision.saturating_add(1), ResourceName::default())),
-        };
-        self.changes.range((from, Bound::Unbounded)).map(|held| &held.0)
+        self.index.changes_after(revision, name)
     }
 
     /// The encoded size of all that `interest` matches, deletions included.
     pub(crate) fn snapshot_bytes(&self, interest: &Interest) -> u64 {
-        if interest.everything {
-            return self.total_bytes;
-        }
-        let of_scopes = interest.scopes.iter().filter_map(|scope| self.scope_bytes.get(scope)).sum::<u64>();
-        let names = interest.names.iter().filter_map(|name| self.newest(name));
-        of_scopes + names.map(|resource| resource.encoded_len() as u64).sum::<u64>()
+        self.index.snapshot_bytes(interest)
     }
 
-    /// Applies `changes` together at a new revision, or refuses them all. `expected` is the position that the caller
-    /// took the state to be at.
+    /// Applies `changes` together at a new revision. `expected` is the position that the caller took the state to be at.
+    ///
+    /// # Errors
+    ///
+    /// With all reasons for which the batch is refused; nothing of it is applied then.
     pub fn publish(
         &mut self,
         changes: &[Resource],
@@ -269,8 +157,12 @@
         Ok(batch)
     }
 
-    /// The batch that `changes` would be, or why they are refused. The state stays as it is until the batch is handed to
-    /// [`replay`](Self::replay), once it is durable.
+    /// The batch that `changes` would be. The state stays as it is until the batch is passed to [`replay`](Self::replay), once
+    /// it is durable.
+    ///
+    /// # Errors
+    ///
+    /// With all reasons for which the batch is refused.
     pub fn prepare(&self, changes: &[Resource], expected: Option<Position>) -> Result<Batch, PublishError> {
         let reasons = self.refusal_reasons(changes, expected);
         if !reasons.is_empty() {
@@ -278,13 +170,13 @@
         }
         let position = Position { epoch: self.epochs.current(), revision: self.revision + 1 };
         let previous =
-            changes.iter().map(|change| self.get(&change.name).and_then(|held| held.value.clone()));
+            changes.iter().map(|change| self.get(&change.name).and_then(|entry| entry.value.clone()));
         let previous = previous.collect();
         let at_revision = |change: &Resource| Resource { revision: position.revision, ..change.clone() };
         Ok(Batch { position, resources: changes.iter().map(at_revision).collect(), previous })
     }
 
-    /// The order of changes as a whole, to be kept beside the resources.
+    /// The order of all changes, to be persisted together with the resources.
     pub fn order(&self) -> ChangeOrder {
         ChangeOrder {
             revision: self.revision,
@@ -294,8 +186,8 @@
         }
     }
 
-    /// The state that was kept: the newest change of each name, deletions included, and their order. Deletions beyond the
-    /// bound are forgotten again.
+    /// The state that was persisted: the newest change of each name, deletions included, and their order. Deletions beyond
+    /// the bound are forgotten.
     pub fn restore(
         order: &ChangeOrder,
         resources: impl IntoIterator<Item = Resource>,
@@ -309,7 +201,7 @@
         store.horizon = order.horizon;
         store.highest_epoch = order.highest_epoch.max(store.epochs.current());
         for resource in resources {
-            store.insert(Arc::new(resource));
+            store.index.insert(Arc::new(resource));
         }
         store.forget_tombstones();
         store
@@ -319,7 +211,7 @@
         let mut reasons = Vec::new();
         let actual = self.position();
         if self.is_fenced() {
-            reasons.push(RefusalReason::Fenced { own: actual.epoch, heard: self.highest_epoch });
+            reasons.push(RefusalReason::Fenced { own: actual.epoch, observed: self.highest_epoch });
         }
         if let Some(expected) = expected.filter(|expected| *expected != actual) {
             reasons.push(RefusalReason::UnexpectedPosition { expected, actual });
@@ -335,10 +227,10 @@
     }
 
     fn check_changes(&self, changes: &[Resource], reasons: &mut Vec<RefusalReason>) {
-        let mut seen = BTreeSet::new();
+        let mut names = BTreeSet::new();
         for (index, change) in changes.iter().enumerate() {
             let mut problems = change_problems(change);
-            if !seen.insert(&change.name) {
+            if !names.insert(&change.name) {
                 problems.push(ChangeProblem::DuplicateName);
             }
             if change.value.is_none() && self.get(&change.name).is_none() {
@@ -356,12 +248,16 @@
     fn apply_batch(&mut self, batch: &Batch) {
         self.revision = batch.position.revision;
         for resource in &batch.resources {
-            self.insert(Arc::new(resource.clone()));
+            self.index.insert(Arc::new(resource.clone()));
         }
         self.forget_tombstones();
     }
 
-    /// Applies a recorded batch at restart. Batches must come in their order.
+    /// Applies a recorded batch.
+    ///
+    /// # Errors
+    ///
+    /// Where it is not the next batch after the position of the store.
     pub fn replay(&mut self, batch: &Batch) -> Result<(), ApplyError> {
         let applied = self.position();
         let begins_epoch = batch.position.epoch > applied.epoch;
@@ -374,14 +270,14 @@
         }
         if begins_epoch {
             self.epochs.begin(batch.position.epoch, self.revision);
-            self.heard_epoch(batch.position.epoch);
+            self.observe_epoch(batch.position.epoch);
         }
         self.apply_batch(batch);
         Ok(())
     }
 
-    /// This publisher takes over: an epoch above all heard of begins. The batch returned has no changes; it is to be
-    /// recorded before anything is published, so that the epoch is not used again after a restart.
+    /// This publisher takes over: an epoch above all observed ones begins. The batch returned has no changes; record it
+    /// before anything is published, so that the epoch is not used again after a restart.
     pub fn new_epoch(&mut self) -> Batch {
         let epoch = self.highest_epoch.saturating_add(1);
         self.epochs.begin(epoch, self.revision);
@@ -389,13 +285,18 @@
         Batch { position: self.position(), resources: Vec::new(), previous: Vec::new() }
     }
 
-    /// There is a publisher of `epoch`. If that is above this store's, [`publish`](Self::publish) refuses from now on.
-    pub fn heard_epoch(&mut self, epoch: u64) {
+    /// There is a publisher of `epoch`. If that is above this store's, [`publish`](Self::publish) refuses all changes from
+    /// now on.
+    pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
-    /// Applies a complete update, all of it or nothing. It never leads to an older position. Names in `absent` are
-    /// dropped before `resources` are added, and a snapshot replaces everything.
+    /// Applies a complete update, all of it or nothing. Names in `absent` are removed before `resources` are added, and a
+    /// snapshot replaces everything.
+    ///
+    /// # Errors
+    ///
+    /// Where the update would lead to an older position.
     pub fn apply(&mut self, update: &CompleteUpdate) -> Result<(), ApplyError> {
         let applied = self.position();
         if update.position < applied {
@@ -407,13 +308,13 @@
             // Where exactly the epoch began is not known here. From the position before it is safe.
             self.epochs.begin(update.position.epoch, applied.revision);
         }
-        self.heard_epoch(update.position.epoch);
+        self.observe_epoch(update.position.epoch);
         self.revision = update.position.revision;
         for name in &update.absent {
             self.forget(name);
         }
         for resource in &update.resources {
-            self.insert(Arc::clone(resource));
+            self.index.insert(Arc::clone(resource));
         }
         self.forget_tombstones();
         Ok(())
@@ -426,66 +327,31 @@
         self.horizon = update.horizon;
     }
 
-    /// Drops `name` without a trace, as it is no longer watched and its value would go stale.
+    /// Removes `name` without a tombstone, as it is no longer watched and its value would go stale.
     pub fn forget(&mut self, name: &ResourceName) {
-        if let Some(held) = self.names.take(name) {
-            self.unlink(&held.0);
-        }
-    }
-
-    fn insert(&mut self, resource: Arc<Resource>) {
-        if let Some(held) = self.names.replace(ByName(Arc::clone(&resource))) {
-            self.unlink(&held.0);
-        }
-        let bytes = resource.encoded_len() as u64;
-        self.total_bytes += bytes;
-        match self.scope_bytes.get_mut(&resource.name.scope) {
-            Some(sum) => *sum += bytes,
-            None => drop(self.scope_bytes.insert(resource.name.scope.clone(), bytes)),
-        }
-        if resource.value.is_none() {
-            self.tombstones.insert(ByRevision(Arc::clone(&resource)));
-        }
-        self.changes.insert(ByRevision(resource));
-    }
-
-    /// Takes a resource that is no longer in `names` out of the other indexes.
-    fn unlink(&mut self, resource: &Arc<Resource>) {
-        let key = ByRevision(Arc::clone(resource));
-        self.changes.remove(&key);
-        if resource.value.is_none() {
-            self.tombstones.remove(&key);
-        }
-        let bytes = resource.encoded_len() as u64;
-        self.total_bytes -= bytes;
-        if let Some(sum) = self.scope_bytes.get_mut(&resource.name.scope) {
-            *sum -= bytes;
-            if *sum == 0 {
-                self.scope_bytes.remove(&resource.name.scope);
-            }
-        }
+        self.index.remove(name);
     }
 
     fn forget_tombstones(&mut self) {
-        while self.tombstones.len() > self.limits.tombstones {
-            let Some(oldest) = self.tombstones.first().cloned() else { return };
-            self.horizon = self.horizon.max(oldest.0.revision);
-            self.forget(&oldest.0.name);
+        while self.index.tombstone_count() > self.limits.tombstones {
+            let Some(oldest) = self.index.oldest_tombstone() else { return };
+            self.horizon = self.horizon.max(oldest.revision);
+            self.forget(&oldest.name);
         }
     }
 
-    /// What a subscriber that has applied `applied` is to be sent. Differences are told only from positions on this
-    /// store's line that are neither before its horizon nor after its own revision.
-    pub fn differences_from(&self, applied: Option<Position>) -> Start {
+    /// What a subscriber that has applied `applied` is to be sent. Differences are complete only from positions in this
+    /// store's own history that are neither before its horizon nor after its revision.
+    pub fn differences_from(&self, applied: Option<Position>) -> UpdateKind {
         match applied {
             Some(position)
                 if self.epochs.contains(position)
                     && position.revision >= self.horizon
                     && position.revision <= self.revision =>
             {
-                Start::Differences { after: position.revision }
+                UpdateKind::Differences { after: position.revision }
             }
-            _ => Start::Snapshot,
+            _ => UpdateKind::Snapshot,
         }
     }
 }
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -1,34 +1,28 @@
-//! Decides what the next part of an update holds. An update under way is a cursor into the store, so that the memory held
-//! for it doesn't grow with what is changed or with what is to be sent.
+//! Builds the next part of an update. An update under way is a cursor into the store, so that its memory does not grow with
+//! what is changed or with what is to be sent.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-use prost::encoding::encoded_len_varint;
-use prost::Message;
-
 use crate::interest::Interest;
-use crate::messages::{Position, Resource, ResourceKind, ResourceName, Update};
-use crate::store::{Start, Store};
+use crate::messages::{Position, ResourceKind, ResourceName, Update};
+use crate::part_builder::PartBuilder;
+use crate::store::{Store, UpdateKind};
 use crate::subscription::extend_checksum;
 
-/// Bytes of a part apart from its resources and names.
-const PART_OVERHEAD_BYTES: usize = 128;
-/// The most resources looked at for one part, so that one call doesn't hold others up.
-const MAX_VISITED: usize = 20_000;
-/// Kinds in the order in which the store holds them.
+/// Kinds in the order of the store.
 const KINDS: [ResourceKind; 4] =
     [ResourceKind::Route, ResourceKind::Quota, ResourceKind::Endpoint, ResourceKind::Limit];
 
-/// What the builder found to send.
+/// The result of building a part.
 #[derive(Debug)]
 pub(crate) enum Built {
     Part(Update),
-    /// Nothing yet, as many resources were passed over that the subscriber doesn't want. Ask again at once.
+    /// Nothing yet, as many resources were visited that the subscriber does not want. Call again at once.
     Unfinished,
 }
 
-/// Where an update stands.
+/// How far an update has got.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     /// Watched names are answered, from this one on.
@@ -43,7 +37,7 @@
 ///
 /// Changes are walked in rounds: each goes to the head that the store had when the round began. A resource that is
 /// changed meanwhile moves behind the target and comes, at its newest revision, in the next round. The update ends when a
-/// round ends at the head, and so holds whole batches only. A round has only what was changed during the one before, so
+/// round ends at the head, and so contains complete batches only. A round has only what was changed during the one before, so
 /// rounds end as soon as less is changed than can be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct UpdateProgress {
@@ -74,10 +68,10 @@
         let target = store.position();
         let start = store.differences_from(applied);
         let (cursor, base) = match start {
-            Start::Differences { after } => (after, applied),
-            Start::Snapshot => (target.revision, None),
+            UpdateKind::Differences { after } => (after, applied),
+            UpdateKind::Snapshot => (target.revision, None),
         };
-        let is_snapshot = start == Start::Snapshot;
+        let is_snapshot = start == UpdateKind::Snapshot;
         if is_snapshot {
             asked.extend(interest.names.iter().cloned());
         }
@@ -115,7 +109,7 @@
         let is_within_revision = matches!(self.stage, Stage::Changes { after: Some(_) });
         let revision = self.cursor - u64::from(is_within_revision);
         let reached = Position { epoch: self.target.epoch, revision };
-        store.position() >= self.target && store.differences_from(Some(reached)) != Start::Snapshot
+        store.position() >= self.target && store.differences_from(Some(reached)) != UpdateKind::Snapshot
     }
 
     /// Builds the next part, of at most `chunk_bytes` unless a single resource takes more.
@@ -154,13 +148,13 @@
         }
     }
 
-    /// Adds what fits, and tells whether the update is complete with it.
+    /// Adds what fits. Returns whether the update is complete with it.
     fn fill(&mut self, store: &Store, interest: &Interest, part: &mut PartBuilder) -> bool {
         loop {
             let is_stage_done = match self.stage.clone() {
-                Stage::Answers { from } => self.fill_answers(store, from, part),
+                Stage::Answers { from } => self.fill_answers(store, from.as_ref(), part),
                 Stage::Names { range, after } => self.fill_names(store, interest, range, after, part),
-                Stage::Changes { after } => self.fill_changes(store, interest, after, part),
+                Stage::Changes { after } => self.fill_changes(store, interest, after.as_ref(), part),
             };
             if !is_stage_done {
                 return false;
@@ -171,7 +165,7 @@
         }
     }
 
-    /// Goes on after a stage is done, and tells whether that was the last.
+    /// Goes on after a stage is done. Returns whether that was the last.
     fn next_stage(&mut self, store: &Store) -> bool {
         match self.stage {
             Stage::Answers { .. } if self.is_snapshot => self.stage = Stage::Names { range: 0, after: None },
@@ -189,16 +183,16 @@
         false
     }
 
-    fn fill_answers(&mut self, store: &Store, from: Option<ResourceName>, part: &mut PartBuilder) -> bool {
-        let start = from.as_ref().map_or(Bound::Unbounded, Bound::Included);
+    fn fill_answers(&mut self, store: &Store, from: Option<&ResourceName>, part: &mut PartBuilder) -> bool {
+        let start = from.map_or(Bound::Unbounded, Bound::Included);
         for name in self.answers.range::<ResourceName, _>((start, Bound::Unbounded)) {
-            let has_room = match store.newest(name) {
+            let fits = match store.newest(name) {
                 // It comes with the changes.
                 Some(resource) if resource.revision > self.cursor => true,
                 Some(resource) if resource.value.is_some() => part.add_resource(resource),
                 _ => part.add_absent(name),
             };
-            if !has_room {
+            if !fits {
                 self.stage = Stage::Answers { from: Some(name.clone()) };
                 return false;
             }
@@ -221,10 +215,10 @@
             let is_in_range =
                 |name: &ResourceName| scope.is_none_or(|scope| name.kind() == kind && name.scope == scope);
             for resource in store.names_from(start).take_while(|resource| is_in_range(&resource.name)) {
-                let is_wanted = resource.revision <= self.cursor
+                let is_included = resource.revision <= self.cursor
                     && (resource.value.is_some() || interest.everything)
                     && !self.answers.contains(&resource.name);
-                if !part.visit() || (is_wanted && !part.add_resource(resource)) {
+                if !part.visit() || (is_included && !part.add_resource(resource)) {
                     self.stage = Stage::Names { range, after: last.or(after.as_ref()).cloned() };
                     return false;
                 }
@@ -239,17 +233,17 @@
         &mut self,
         store: &Store,
         interest: &Interest,
-        after: Option<ResourceName>,
+        after: Option<&ResourceName>,
         part: &mut PartBuilder,
     ) -> bool {
         let from = self.cursor;
-        let mut last: Option<&ResourceName> = after.as_ref();
-        for resource in store.changes_after(from, after.as_ref()) {
+        let mut last = after;
+        for resource in store.changes_after(from, after) {
             if resource.revision > self.target.revision {
                 break;
             }
-            let is_wanted = interest.matches(&resource.name);
-            if !part.visit() || (is_wanted && !part.add_resource(resource)) {
+            let is_included = interest.matches(&resource.name);
+            if !part.visit() || (is_included && !part.add_resource(resource)) {
                 self.stage = Stage::Changes { after: last.cloned() };
                 return false;
             }
@@ -268,59 +262,3 @@
     let of_kind = |kind| interest.scopes.iter().map(move |scope| (kind, Some(scope.as_str())));
     KINDS.into_iter().flat_map(of_kind).collect()
 }
-
-/// The encoded size of a message as a field of another one.
-fn field_len(message_len: usize) -> usize {
-    1 + encoded_len_varint(message_len as u64) + message_len
-}
-
-/// Gathers resources and names up to a size.
-struct PartBuilder {
-    resources: Vec<Resource>,
-    absent: Vec<ResourceName>,
-    bytes_left: usize,
-    visits_left: usize,
-}
-
-impl PartBuilder {
-    fn new(chunk_bytes: usize) -> Self {
-        let bytes_left = chunk_bytes.saturating_sub(PART_OVERHEAD_BYTES);
-        Self { resources: Vec::new(), absent: Vec::new(), bytes_left, visits_left: MAX_VISITED }
-    }
-
-    fn is_empty(&self) -> bool {
-        self.resources.is_empty() && self.absent.is_empty()
-    }
-
-    /// Whether a further resource may be looked at.
-    fn visit(&mut self) -> bool {
-        let may_visit = self.visits_left > 0;
-        self.visits_left = self.visits_left.saturating_sub(1);
-        may_visit
-    }
-
-    fn add_resource(&mut self, resource: &Resource) -> bool {
-        let has_room = self.take(field_len(resource.encoded_len()));
-        if has_room {
-            self.resources.push(resource.clone());
-        }
-        has_room
-    }
-
-    fn add_absent(&mut self, name: &ResourceName) -> bool {
-        let has_room = self.take(field_len(name.encoded_len()));
-        if has_room {
-            self.absent.push(name.clone());
-        }
-        has_room
-    }
-
-    /// Takes room of `bytes` if there is so much. There always is for the first, so that each part holds something.
-    fn take(&mut self, bytes: usize) -> bool {
-        let has_room = bytes <= self.bytes_left || self.is_empty();
-        if has_room {
-            self.bytes_left = self.bytes_left.saturating_sub(bytes);
-        }
-        has_room
-    }
-}
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -1,5 +1,6 @@
 //! Random histories of a publisher, a relay and nodes. Whatever a node has in force is exactly the publisher's state at that
 //! position, and in the end all are equal.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
@@ -8,7 +9,7 @@
 use common::*;
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName, Value, Watch};
 use ochrewalk_distribution::{
-    Admission, CatchUpLimits, Interest, Next, Received, Server, ServerLimits, Store, StoreLimits,
+    Admission, CatchUpLimits, Interest, NextUpdate, Received, Server, ServerLimits, Store, StoreLimits,
 };
 use proptest::prelude::*;
 
@@ -120,7 +121,7 @@
         let Some(id) = self.upstream.id else {
             return matches!(self.upstream.try_connect(&mut self.publisher, 0), Admission::Accepted(_));
         };
-        let Next::Send(part) = self.publisher.next(id, 0) else { return false };
+        let NextUpdate::Send(part) = self.publisher.next(id, 0) else { return false };
         if let Received::Complete(update) = self.upstream.subscription.received(part).unwrap() {
             self.relay.store_mut().apply(&update).unwrap();
             self.upstream.apply(&mut self.publisher, &update);
@@ -162,9 +163,9 @@
         let node = &mut member.node;
         let Some(id) = node.id else { return false };
         let part = match server.next(id, 0) {
-            Next::Send(part) => part,
-            Next::Wait { .. } => return true,
-            Next::Idle => return false,
+            NextUpdate::Send(part) => part,
+            NextUpdate::Wait { .. } => return true,
+            NextUpdate::Idle => return false,
         };
         let Received::Complete(update) = node.subscription.received(part).unwrap() else { return true };
         if rejects {
@@ -182,7 +183,7 @@
     /// What a node has in force is the publisher's state of its position, of all that it wants and has been answered.
     fn assert_whole(&self, node: usize) {
         let node = &self.members[node].node;
-        let held = Interest::of(&node.subscription.subscribe_message());
+        let held = Interest::from(&node.subscription.subscribe_message());
         let mut expected = self.history[&node.store.position()].clone();
         expected.retain(|name, _| held.matches(name));
         assert_eq!(values(&node.store, &Interest::everything()), expected);
--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -1,27 +1,22 @@
 //! How this process hands all that it holds to its successor, and takes it from the one before: what is written down
-//! (`records`), the standstill, the Unix socket that descriptors go over (`wire`), the two sides (`give`, `take`) and
+//! (`records`), the pause, the Unix socket that descriptors go over (`descriptor_socket`), the two sides (`predecessor`, `successor`) and
 //! the supervisor that starts both and says who may act; `rollout_agent` is its part in a rollout. A program speaks to its supervisor
 //! by `supervisor_link`; `counter_report` is what it reports there.
 
 pub mod counter_report;
-pub mod give;
+pub mod descriptor_socket;
+mod failure_injection;
+pub mod hand_over_control;
+pub mod hand_over_stream;
+pub mod pause;
+mod pending_snapshot;
+pub mod predecessor;
 pub mod process_guard;
+pub mod received_state;
 pub mod records;
 pub mod rollout_agent;
+mod snapshot;
+pub mod successor;
 pub mod supervisor;
 pub mod supervisor_link;
-pub mod take;
-pub mod wire;
-
-use std::sync::atomic::{AtomicBool, Ordering};
-
-/// While it is set nothing is read, written, accepted or told: the state that was written down stays as it is.
-static STILL: AtomicBool = AtomicBool::new(false);
-
-pub fn stands_still() -> bool {
-    STILL.load(Ordering::Relaxed)
-}
-
-pub fn stand_still(still: bool) {
-    STILL.store(still, Ordering::Relaxed);
-}
+pub mod supervisor_protocol;
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -6,10 +6,13 @@
 mod helper;
 
 use helper::*;
-use ochrewalk_handover::messages::{self, ChunkCount, Empty, Hello, Message, Prepare, Refusal};
+use ochrewalk_handover::framing;
+use ochrewalk_handover::messages::{ChunkCount, Empty, Hello, Message, Prepare, Refusal};
 use ochrewalk_node::handover::counter_report::CounterReport;
-use ochrewalk_node::handover::supervisor_link::{Question, SupervisorLink};
-use ochrewalk_node::handover::wire::{inherit, lines, send_line, Heard, Wire};
+use ochrewalk_node::handover::descriptor_socket::{inherit, read_lines, send_line};
+use ochrewalk_node::handover::hand_over_stream::{HandOverStream, Received};
+use ochrewalk_node::handover::supervisor_link::SupervisorLink;
+use ochrewalk_node::handover::supervisor_protocol::{AttemptOutcome, ChildLine, Question, SupervisorLine};
 use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::fd::{AsFd, AsRawFd};
@@ -65,6 +68,39 @@
     assert_eq!(reports, [CounterReport::All(counters()), CounterReport::Changed(counters())]);
 }
 
+#[test]
+fn each_line_of_a_program_is_read_as_what_it_says_and_written_as_it_was() {
+    let text = String::from_utf8(fixture("program-lines.txt")).unwrap();
+    let read: Vec<ChildLine> = text.lines().filter_map(ChildLine::of_line).collect();
+    let reason = "its files set what only a start can change".to_string();
+    let expected = [
+        ChildLine::Question(Question::MayPause),
+        ChildLine::Question(Question::MayResume),
+        ChildLine::Question(Question::MayBegin),
+        ChildLine::KillPeer,
+        ChildLine::AttemptEnded(AttemptOutcome::Failed(reason)),
+        ChildLine::Counters(CounterReport::All(counters())),
+        ChildLine::Counters(CounterReport::Changed(counters())),
+    ];
+    assert_eq!(read, expected);
+    let written: String = read.iter().map(|line| line.to_line() + "\n").collect();
+    assert_eq!(written, text);
+    let handed_over = ChildLine::AttemptEnded(AttemptOutcome::HandedOver);
+    assert_eq!(ChildLine::of_line("told handed over"), Some(handed_over.clone()));
+    assert_eq!(handed_over.to_line(), "told handed over");
+    assert_eq!(ChildLine::of_line("something newer"), None);
+}
+
+#[test]
+fn each_line_of_a_supervisor_is_read_as_what_it_says_and_written_as_it_was() {
+    let text = String::from_utf8(fixture("supervisor-lines.txt")).unwrap();
+    let read: Vec<Option<SupervisorLine>> = text.lines().map(SupervisorLine::of_line).collect();
+    let known = [SupervisorLine::Allowed, SupervisorLine::Denied, SupervisorLine::HandOver];
+    assert_eq!(read, [Some(known[0]), Some(known[1]), Some(known[2]), None]);
+    let written: Vec<&str> = known.iter().map(|line| line.as_line()).collect();
+    assert_eq!(written, text.lines().take(known.len()).collect::<Vec<_>>());
+}
+
 #[test]
 fn a_program_reads_the_lines_that_earlier_supervisors_write() {
     let (ours, mut supervisors) = UnixStream::pair().unwrap();
@@ -89,7 +125,7 @@
     send_line(&sender, "yes", None).unwrap();
     drop(sender);
     let mut heard = Vec::new();
-    lines(&receiver, |line, descriptor| heard.push((line.to_string(), descriptor)));
+    read_lines(&receiver, |line, descriptor| heard.push((line.to_string(), descriptor)));
     let [(give, descriptor), (yes, none)] = &mut heard[..] else { panic!("{heard:?}") };
     assert_eq!((give.as_str(), yes.as_str(), none.is_none()), ("give", "yes", true));
     UnixStream::from(descriptor.take().unwrap()).write_all(b"x").unwrap();
@@ -150,12 +186,12 @@
 }
 
 /// The next message on a stream of a hand-over.
-fn hear(wire: &mut Wire) -> Message {
+fn hear(wire: &mut HandOverStream) -> Message {
     let until = Instant::now() + PATIENCE;
     while Instant::now() < until {
-        match wire.hear(Duration::from_millis(100)).unwrap() {
-            Heard::Message(message) => return message,
-            Heard::Nothing => {}
+        match wire.receive(Duration::from_millis(100)).unwrap() {
+            Received::Message(message) => return message,
+            Received::TimedOut => {}
             other => panic!("{other:?}"),
         }
     }
@@ -177,7 +213,7 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let Message::Hello(hello) = hear(&mut Wire::new(ours)) else { panic!("no greeting") };
+    let Message::Hello(hello) = hear(&mut HandOverStream::new(ours)) else { panic!("no greeting") };
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(config).unwrap();
@@ -203,7 +239,7 @@
         let (gives, takes) = UnixStream::pair().unwrap();
         send_line(&supervisor.stream, "give", Some(gives.as_fd())).unwrap();
         drop(gives);
-        let mut wire = Wire::new(takes);
+        let mut wire = HandOverStream::new(takes);
         wire.send(Message::Hello(hello), &[]).unwrap();
         let answer = hear(&mut wire);
         (wire, answer)
@@ -211,7 +247,7 @@
     let hello = greeting_of_a_successor(&stand);
     assert_eq!((hello.oldest, hello.newest, hello.program.as_str()), (1, 2, "0.1.0"));
     let (_, answer) = begin(&supervisor, Hello { digest: !hello.digest, ..hello.clone() });
-    assert_eq!(messages::encode(answer), fixture("refused-files.bin"));
+    assert_eq!(framing::encode(answer), fixture("refused-files.bin"));
     assert_eq!(supervisor.line_but_counters(), "told its files set what only a start can change\n");
 
     let (mut wire, answer) = begin(&supervisor, hello);
@@ -234,12 +270,12 @@
 }
 
 /// The sections of the parts that come, each with its announced descriptors; the last message counts them.
-fn parts_until_the_last(wire: &mut Wire) -> Vec<String> {
+fn parts_until_the_last(wire: &mut HandOverStream) -> Vec<String> {
     let mut sections = Vec::new();
     loop {
         match hear(wire) {
             Message::Chunk(part) => {
-                assert!(wire.take(part.descriptors as usize).is_some(), "{}", part.section);
+                assert!(wire.take_descriptors(part.descriptors as usize).is_some(), "{}", part.section);
                 sections.push(part.section);
             }
             Message::TransferComplete(count) => {
