--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -3,7 +3,9 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use ochrewalk_node::logger::{Form, Logs};
 use ochrewalk_node::node::Files;
-use ochrewalk_node::rollout::{self, ConductorCommand, End};
+use ochrewalk_node::rollout::operator_socket::{send_to_controller, ControllerCommand};
+use ochrewalk_node::rollout::{self, RolloutEnd, RolloutError, StartMode};
+use ochrewalk_operators::RolloutPlan;
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -83,43 +85,47 @@
 enum Rollout {
     /// Read the plan, and ask all nodes whether they are ready for it
     Check,
-    /// Conduct the change, or go on with it
+    /// Begin the rollout, or go on with it
     Run,
-    /// How it stands
+    /// Say how it stands
     Status,
-    /// Have the conductor stop where it is
+    /// Have the running controller stop where it is
     Pause,
-    /// Go on from where it waits; what was unclear is taken for good
+    /// Go on from where it waits; a stage that could not be told passes
     GoOn,
-    /// Change all nodes back
+    /// Revert all changed nodes
     Back,
 }
 
-/// A change that waits for the operator, and one that went back, have a status of their own.
-const WAITS: u8 = 3;
-const IS_BACK: u8 = 4;
+/// The statuses of a rollout that waits for the operator, and of one that was rolled back.
+const WAITING: u8 = 3;
+const ROLLED_BACK: u8 = 4;
 
-fn rollout(what: Rollout, plan: &Path) -> Result<ExitCode, String> {
-    let plan = rollout::read(plan)?;
-    let run = |command| match rollout::run(&plan, command)? {
-        End::Done => Ok(("done".to_string(), ExitCode::SUCCESS)),
-        End::Back(why) => Ok((format!("changed back: {why}"), ExitCode::from(IS_BACK))),
-        End::Waiting(why) => Ok((format!("waits for you: {why}"), ExitCode::from(WAITS))),
-        End::Replaced => Err("another conductor has taken over".to_string()),
+fn rollout(what: Rollout, plan: &Path) -> Result<ExitCode, RolloutError> {
+    let plan = rollout::read_plan(plan)?;
+    let text = match what {
+        Rollout::Check => rollout::check(&plan)?,
+        Rollout::Status => rollout::status(&plan),
+        Rollout::Pause => send_to_controller(&plan, ControllerCommand::Pause)?,
+        Rollout::Run => return run_rollout(&plan, StartMode::Run),
+        Rollout::GoOn => return run_rollout(&plan, StartMode::PassStage),
+        // A controller that runs is told; where none does, one is begun.
+        Rollout::Back => match send_to_controller(&plan, ControllerCommand::RollBack) {
+            Ok(text) => text,
+            Err(_) => return run_rollout(&plan, StartMode::RollBack),
+        },
+    };
+    println!("{}", text.trim_end());
+    Ok(ExitCode::SUCCESS)
+}
+
+fn run_rollout(plan: &RolloutPlan, mode: StartMode) -> Result<ExitCode, RolloutError> {
+    let (text, status) = match rollout::run(plan, mode)? {
+        RolloutEnd::Done => ("done".to_string(), ExitCode::SUCCESS),
+        RolloutEnd::RolledBack(reason) => (format!("changed back: {reason}"), ExitCode::from(ROLLED_BACK)),
+        RolloutEnd::Waiting(reason) => (format!("waits for you: {reason}"), ExitCode::from(WAITING)),
+        RolloutEnd::Replaced => return Err(RolloutError::Replaced),
     };
-    let said =
-        |text: Result<String, String>| text.map(|text| (text.trim_end().to_string(), ExitCode::SUCCESS));
-    let (text, status) = match what {
-        Rollout::Check => said(rollout::check(&plan)),
-        Rollout::Status => said(rollout::status(&plan)),
-        Rollout::Pause => said(rollout::tell(&plan, "pause")),
-        Rollout::Run => run(ConductorCommand::Run),
-        Rollout::GoOn => run(ConductorCommand::GoOn),
-        // One that runs is told; else this is the one.
-        Rollout::Back => {
-            rollout::tell(&plan, "back").map_or_else(|_| run(ConductorCommand::Back), |text| said(Ok(text)))
-        }
-    }?;
     println!("{text}");
     Ok(status)
 }
@@ -153,7 +159,7 @@
         }
         Command::Rollout { what, plan } => match rollout(what, &plan) {
             Ok(status) => return status,
-            Err(why) => Err(why),
+            Err(error) => Err(error.to_string()),
         },
         Command::Places { control } => {
             ochrewalk_node::net::status::ask(&control).map(|table| print!("{table}"))
--- /dev/null
+++ b/crates/ochrewalk-node/src/rollout/polling.rs
@@ -0,0 +1,70 @@
+//! Asks nodes for their status by their control sockets.
+
+use super::fingerprints::PlanFingerprints;
+use crate::handover::rollout_agent::send_request;
+use ochrewalk_operators::RolloutPlan;
+use ochrewalk_rollout::framing::FramingError;
+use ochrewalk_rollout::messages::{NodeStatus, Reply, Request, Response};
+use ochrewalk_rollout::{FencingToken, NodeReport};
+use std::path::Path;
+use std::time::Duration;
+
+/// How long a node may take to reply to a status request.
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// The number by which an onlooker asks, who is no controller.
+pub(super) const ONLOOKER: u64 = 0;
+
+/// Why a node's status is not known.
+#[derive(Debug, thiserror::Error)]
+pub enum PollError {
+    /// The node cannot be reached, or does not reply in time.
+    #[error(transparent)]
+    Exchange(#[from] FramingError),
+    /// The node rejected the request.
+    #[error("{0}")]
+    Rejected(String),
+    /// The node replied in a way that is not known here.
+    #[error("an answer of version {protocol_version} that is not known here")]
+    UnknownReply {
+        /// The node's protocol version.
+        protocol_version: u32,
+    },
+    /// The thread that asked has panicked.
+    #[error("polling has panicked")]
+    Panicked,
+}
+
+/// What came of polling one node.
+pub(super) type Polled = Result<NodeStatus, PollError>;
+
+/// The status of all nodes in the order of the plan, asked at the same time. `controller` is the number of the controller that
+/// asks, or [`ONLOOKER`].
+pub(super) fn poll_all(plan: &RolloutPlan, controller: u64) -> Vec<Polled> {
+    std::thread::scope(|scope| {
+        let polls: Vec<_> =
+            plan.nodes.iter().map(|node| scope.spawn(move || poll(&node.control, controller))).collect();
+        polls.into_iter().map(|poll| poll.join().unwrap_or(Err(PollError::Panicked))).collect()
+    })
+}
+
+fn poll(control: &Path, controller: u64) -> Polled {
+    let Response { reply, protocol_version } =
+        send_request(control, &Request::status(controller), POLL_TIMEOUT)?;
+    match reply {
+        Some(Reply::Status(status)) => Ok(status),
+        Some(Reply::Rejected(reason)) => Err(PollError::Rejected(reason)),
+        _ => Err(PollError::UnknownReply { protocol_version }),
+    }
+}
+
+/// A node's status as the controller uses it; none where the node runs neither version of the plan.
+pub(super) fn report(
+    node: usize,
+    status: &NodeStatus,
+    fingerprints: &PlanFingerprints,
+) -> Option<NodeReport> {
+    let version = fingerprints.version_of(node, status)?;
+    let highest = status.highest.map(FencingToken::from).unwrap_or_default();
+    Some(NodeReport { version, is_healthy: status.is_healthy, highest })
+}
