--- a/crates/ochrewalk-node/src/handover/rollout_agent.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_agent.rs
@@ -1,126 +1,62 @@
-//! A supervisor's side of a rolling change: how its node stands, and the orders that it takes.
+//! Decides, for a supervisor, what is done with the requests of a rollout, and when an unconfirmed change is reverted. It starts
+//! and ends nothing itself: that is the supervisor's.
 
-use super::counter_report::{CounterReport, CountersByMethod, ReportedCounters};
-use ochrewalk_rollout::framing::{read_message, write_message, FramingError};
-use ochrewalk_rollout::messages::{
-    CommandMessage, NodeStatus, Reply, Request, Response, ServingCounters, Target, PROTOCOL_VERSION,
-};
+use super::counter_report::CountersByMethod;
+use super::fingerprint::{verify_content, ContentError};
+use super::serving_child::{ChildIdentity, ChildSpec, ServingChild};
+use ochrewalk_rollout::messages::{CommandMessage, NodeStatus, Reply, Request, Target, PROTOCOL_VERSION};
 use ochrewalk_rollout::{Admission, CommitConfirm, Fence, FencingToken, Outcome, RevertAction};
-use std::io::{Read, Write};
-use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// What begins a message of this kind on the control socket.
-pub const REQUEST_LINE: &str = "rollout";
-/// A program that has told nothing for so long is not well.
-const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
-
-/// A print of a file: its length, and a sum of what it holds.
-pub fn fingerprint_of_file(file: &Path) -> std::io::Result<u64> {
-    let mut file = std::fs::File::open(file)?;
-    let (mut sum, mut length, mut chunk) = (crc32fast::Hasher::new(), 0u64, vec![0; 1 << 20]);
-    loop {
-        match file.read(&mut chunk)? {
-            0 => return Ok(length << 32 | u64::from(sum.finalize())),
-            got => {
-                sum.update(&chunk[..got]);
-                length += got as u64;
-            }
-        }
-    }
-}
-
-/// What a node runs.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChildSpec {
-    pub program: PathBuf,
-    /// The operators' file that it goes by, where that is not the one that the node was started with.
-    pub operators: Option<PathBuf>,
+/// Whether a child is being replaced, by whomever.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Replacement {
+    /// None is.
+    Idle,
+    /// One is: no command may begin another.
+    InProgress,
 }
 
-/// What a program that serves is known by, and what it told last.
-pub struct ServingChild {
-    pub spec: ChildSpec,
-    pub fingerprint: u64,
-    reported: Option<(Instant, ReportedCounters)>,
-}
-
-impl ServingChild {
-    /// Of the running process itself, as its file may be another by now.
-    pub fn of(spec: ChildSpec, pid: u32) -> ServingChild {
-        let fingerprint = fingerprint_of_file(Path::new(&format!("/proc/{pid}/exe"))).unwrap_or(0);
-        ServingChild { spec, fingerprint, reported: None }
-    }
-
-    /// What it runs, and the fingerprint of its program.
-    pub fn identity(&self) -> ChildIdentity {
-        ChildIdentity { spec: self.spec.clone(), fingerprint: self.fingerprint }
-    }
-
-    /// Takes what the program reports.
-    pub fn take(&mut self, report: CounterReport) {
-        let (at, reported) =
-            self.reported.get_or_insert_with(|| (Instant::now(), ReportedCounters::default()));
-        *at = Instant::now();
-        reported.take(report);
-    }
-
-    fn is_healthy(&self) -> bool {
-        self.reported
-            .as_ref()
-            .is_some_and(|(at, reported)| at.elapsed() < MAX_REPORT_AGE && reported.latest.is_healthy)
-    }
-
-    /// Whether it runs that, whatever else it goes by.
-    fn runs(&self, target: &Target) -> bool {
-        let settings = self.reported.as_ref().map_or(0, |(_, reported)| reported.latest.settings_fingerprint);
-        target.fingerprint == if target.is_settings { settings } else { self.fingerprint }
-    }
+/// What the supervisor is to do with a request.
+pub enum AgentAction {
+    /// To send this reply.
+    Reply(Reply),
+    /// To replace the child that serves, and to call [`RolloutAgent::command_finished`] with what came of it.
+    ReplaceChild(ChildSpec, AcceptedCommand),
 }
 
-/// What a child runs, and the fingerprint of its program.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChildIdentity {
-    pub spec: ChildSpec,
-    pub fingerprint: u64,
+/// A command that is being carried out.
+#[derive(Clone, Copy, Debug)]
+pub struct AcceptedCommand {
+    token: FencingToken,
+    /// How long the change stays unconfirmed; 0 for good.
+    lease_us: u64,
+    /// Whether the child that serves has to end before the next one is started, in place of a hand-over.
+    pub restart: bool,
 }
 
 /// What has to run again, as a change was not confirmed in time, and how it comes to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DueRevert {
+    /// The child that serves hands over to one of this kind.
     HandOver(ChildSpec),
+    /// The child that serves is ended, and one of this kind is started.
     Restart(ChildSpec),
 }
 
-/// What the supervisor remembers of changes.
+/// What a supervisor remembers of rollouts. It starts with nothing: a supervisor that was restarted has forgotten the tokens.
 pub struct RolloutAgent {
     fence: Fence,
     commit_confirm: CommitConfirm,
-    /// What ran before the trial began, and its program's print.
+    /// What ran before the unconfirmed change.
     revert_to: Option<ChildIdentity>,
     started_at: Instant,
     incarnation: u64,
-    /// Counts of programs that served before the one that does.
+    /// Counters of the children that served before the one that does.
     previous_counters: CountersByMethod,
 }
 
-/// What is to be done with a request.
-pub enum AgentAction {
-    /// Nothing more: this is the answer.
-    Reply(Reply),
-    /// That takes over; the answer follows.
-    ReplaceChild(ChildSpec, AcceptedCommand),
-}
-
-/// An order that is being carried out.
-#[derive(Clone, Copy, Debug)]
-pub struct AcceptedCommand {
-    token: FencingToken,
-    lease_us: u64,
-    pub restart: bool,
-}
-
 impl Default for RolloutAgent {
     fn default() -> RolloutAgent {
         RolloutAgent {
@@ -139,24 +75,25 @@
         self.started_at.elapsed().as_micros() as u64
     }
 
-    /// One message of an owner's: what to do. While something is changing no order is begun.
+    /// Decides what is done with a request of the socket's owner. While a child is being replaced no command is
+    /// begun, and the status is unhealthy.
     pub fn handle_request(
         &mut self,
         request: &Request,
         serving: Option<&ServingChild>,
-        is_busy: bool,
+        replacement: Replacement,
     ) -> AgentAction {
         if request.protocol_version != PROTOCOL_VERSION {
-            return AgentAction::Reply(Reply::Rejected(format!(
-                "messages of version {PROTOCOL_VERSION} are known here"
-            )));
+            let reason = format!("messages of version {PROTOCOL_VERSION} are known here");
+            return AgentAction::Reply(Reply::Rejected(reason));
         }
         self.fence.observe_controller(request.controller);
-        self.commit_confirm.renew(self.now_us(), request.controller, self.fence.highest().controller);
+        let highest = self.fence.highest().controller;
+        self.commit_confirm.renew(self.now_us(), request.controller, highest);
         match (&request.command, serving) {
-            (None, Some(serving)) => AgentAction::Reply(Reply::Status(self.status(serving, is_busy))),
+            (None, Some(serving)) => AgentAction::Reply(Reply::Status(self.status(serving, replacement))),
             (None, None) => AgentAction::Reply(Reply::Rejected("no program serves".into())),
-            (Some(command), serving) => self.handle_command(command, serving, is_busy),
+            (Some(command), serving) => self.handle_command(command, serving, replacement),
         }
     }
 
@@ -164,90 +101,91 @@
         &mut self,
         command: &CommandMessage,
         serving: Option<&ServingChild>,
-        is_busy: bool,
+        replacement: Replacement,
     ) -> AgentAction {
         let token = command.token();
-        if is_busy && token > self.fence.highest() {
+        if replacement == Replacement::InProgress && token > self.fence.highest() {
             return AgentAction::Reply(Reply::Busy("another upgrade is under way".into()));
         }
-        match self.fence.admit(token) {
-            Admission::Stale(highest) => return AgentAction::Reply(Reply::Stale(highest.into())),
-            Admission::Repeated(outcome) => return AgentAction::Reply(Reply::Finished(outcome.into())),
-            Admission::InProgress => {
-                return AgentAction::Reply(Reply::Busy("it is being carried out".into()))
-            }
-            Admission::Execute => {}
-        }
-        let accepted =
-            AcceptedCommand { token, lease_us: command.lease_ms * 1_000, restart: command.restart };
+        let reply = match self.fence.admit(token) {
+            Admission::Execute => return self.execute(command, serving),
+            Admission::Stale(highest) => Reply::Stale(highest.into()),
+            Admission::Repeated(outcome) => Reply::Finished(outcome.into()),
+            Admission::InProgress => Reply::Busy("it is being carried out".into()),
+        };
+        AgentAction::Reply(reply)
+    }
+
+    /// Carries out a command that was admitted, as far as that can be done without the supervisor.
+    fn execute(&mut self, command: &CommandMessage, serving: Option<&ServingChild>) -> AgentAction {
+        let accepted = AcceptedCommand {
+            token: command.token(),
+            lease_us: command.lease_ms * 1_000,
+            restart: command.restart,
+        };
         let (Some(target), Some(serving)) = (&command.target, serving) else {
-            let why = "nothing is wanted, or no program serves";
-            return AgentAction::Reply(self.command_finished(accepted, None, Outcome::Failed(why.into())));
+            let reason = "nothing is wanted, or no program serves";
+            return AgentAction::Reply(self.command_finished(accepted, None, Outcome::Failed(reason.into())));
         };
-        // What runs already is there, for good or for the same trial.
+        // What runs already stays, for good or under the same lease.
         if serving.runs(target) {
             return AgentAction::Reply(self.command_finished(accepted, None, Outcome::Done));
         }
-        let path = PathBuf::from(&target.path);
-        let (spec, program) = if target.is_settings {
-            let program = serving.spec.program.clone();
-            (
-                ChildSpec { program: program.clone(), operators: Some(path.clone()) },
-                (program, serving.fingerprint),
-            )
-        } else {
-            let operators = serving.spec.operators.clone();
-            (ChildSpec { program: path.clone(), operators }, (path.clone(), target.fingerprint))
-        };
-        // Guards against files that were replaced since the plan was made, or since the program was started.
-        let wrong = [(path, target.fingerprint), program]
-            .into_iter()
-            .find_map(|(path, fingerprint)| content_mismatch(&path, fingerprint));
-        match wrong {
-            Some(why) => AgentAction::Reply(self.command_finished(accepted, None, Outcome::Failed(why))),
-            None => AgentAction::ReplaceChild(spec, accepted),
+        match next_child(target, serving) {
+            Ok(spec) => AgentAction::ReplaceChild(spec, accepted),
+            Err(error) => {
+                let outcome = Outcome::Failed(error.to_string());
+                AgentAction::Reply(self.command_finished(accepted, None, outcome))
+            }
         }
     }
 
-    /// An order has come to its end: the answer to it. `before` is what ran until then, where that has changed.
+    /// A command has been carried out, or could not be: the reply to it. `previous` is what ran until then, where the child was
+    /// replaced.
     pub fn command_finished(
         &mut self,
         accepted: AcceptedCommand,
         previous: Option<ChildIdentity>,
         outcome: Outcome,
     ) -> Reply {
-        match (&outcome, accepted.lease_us) {
-            (Outcome::Done, 0) => self.confirm(),
-            // What has run before, for good, does not come on trial by being asked for again.
-            (Outcome::Done, lease_us) if previous.is_some() || self.commit_confirm.is_pending() => {
-                self.revert_to = self.revert_to.take().or(previous);
-                self.commit_confirm.start(self.now_us(), lease_us);
-            }
-            _ => {}
+        if outcome == Outcome::Done {
+            self.change_done(accepted.lease_us, previous);
         }
         self.fence.command_finished(accepted.token, outcome.clone());
         Reply::Finished(outcome.into())
     }
 
-    /// What runs now stays.
+    fn change_done(&mut self, lease_us: u64, previous: Option<ChildIdentity>) {
+        if lease_us == 0 {
+            self.confirm();
+        } else if previous.is_some() || self.commit_confirm.is_pending() {
+            // What ran before the first unconfirmed change is what a revert goes back to.
+            self.revert_to = self.revert_to.take().or(previous);
+            self.commit_confirm.start(self.now_us(), lease_us);
+        }
+        // Else the child runs what was asked for, and for good already: it is not made unconfirmed by being asked for again.
+    }
+
+    /// What runs now stays for good.
     pub fn confirm(&mut self) {
         self.commit_confirm.confirm();
         self.revert_to = None;
     }
 
-    /// What a trial that is over needs now, and what is to run again.
+    /// What an unconfirmed change needs now. A revert that is due is under way from then on, until [`RolloutAgent::revert_succeeded`]
+    /// or [`RolloutAgent::revert_failed`].
     pub fn due_revert(&mut self) -> Option<DueRevert> {
         let action = self.commit_confirm.next_action(self.now_us());
-        let ChildIdentity { spec, fingerprint } = self.revert_to.as_ref()?;
+        let ChildIdentity { spec, fingerprint } = self.revert_to.clone()?;
         match action {
             RevertAction::None => None,
-            RevertAction::HandOver => Some(DueRevert::HandOver(spec.clone())),
-            // Guards the node: what is on trial still serves, and what ran before is not there any more.
-            RevertAction::Restart if content_mismatch(&spec.program, *fingerprint).is_some() => {
+            RevertAction::HandOver => Some(DueRevert::HandOver(spec)),
+            // The unconfirmed child still serves: it is not ended where what ran before is not there any more.
+            RevertAction::Restart if verify_content(&spec.program, fingerprint).is_err() => {
                 self.revert_failed();
                 None
             }
-            RevertAction::Restart => Some(DueRevert::Restart(spec.clone())),
+            RevertAction::Restart => Some(DueRevert::Restart(spec)),
         }
     }
 
@@ -262,56 +200,41 @@
         self.commit_confirm.revert_failed(self.now_us());
     }
 
-    /// For how long nothing is due.
+    /// For how long nothing is due; none where nothing will be until the next request.
     pub fn time_to_next_action(&self) -> Option<Duration> {
-        self.commit_confirm.next_us().map(|us| Duration::from_micros(us.saturating_sub(self.now_us())))
+        let next_us = self.commit_confirm.next_us()?;
+        Some(Duration::from_micros(next_us.saturating_sub(self.now_us())))
     }
 
-    /// A program that served is followed by another, whose counts begin at nothing.
-    pub fn child_replaced(&mut self, serving: &ServingChild) {
-        if let Some((_, reported)) = &serving.reported {
-            self.previous_counters.add(&reported.methods);
+    /// The child that served is followed by another, whose counters begin at nothing.
+    pub fn child_replaced(&mut self, previous: &ServingChild) {
+        if let Some(counters) = previous.counters_by_method() {
+            self.previous_counters.add(counters);
         }
     }
 
-    fn status(&self, serving: &ServingChild, is_busy: bool) -> NodeStatus {
-        let tally = serving.reported.as_ref().map(|(_, reported)| {
-            let mut methods = self.previous_counters.clone();
-            methods.add(&reported.methods);
-            ServingCounters { methods: methods.into_methods(), ..reported.latest.clone() }
-        });
+    fn status(&self, serving: &ServingChild, replacement: Replacement) -> NodeStatus {
         NodeStatus {
             fingerprint: serving.fingerprint,
             path: serving.spec.program.display().to_string(),
             highest: Some(self.fence.highest().into()),
-            is_healthy: serving.is_healthy() && !is_busy,
+            is_healthy: serving.is_healthy() && replacement == Replacement::Idle,
             incarnation: self.incarnation,
-            counters: tally,
+            counters: serving.counters_on_top_of(&self.previous_counters),
             is_unconfirmed: self.commit_confirm.is_pending(),
         }
     }
 }
 
-/// Why a file does not hold what it should, if so.
-fn content_mismatch(path: &Path, fingerprint: u64) -> Option<String> {
-    match fingerprint_of_file(path) {
-        Err(err) => Some(format!("{}: {err}", path.display())),
-        Ok(found) if found != fingerprint => Some(format!("{} is another file by now", path.display())),
-        Ok(_) => None,
-    }
-}
-
-pub fn send_reply(stream: &mut UnixStream, reply: Reply) {
-    let _ = stream
-        .write_all(&write_message(&Response { protocol_version: PROTOCOL_VERSION, reply: Some(reply) }));
-}
-
-/// Asks a node by its control socket, from the conductor's side.
-pub fn send_request(control: &Path, request: &Request, timeout: Duration) -> Result<Response, FramingError> {
-    let mut stream = UnixStream::connect(control)?;
-    stream.set_read_timeout(Some(timeout))?;
-    stream.set_write_timeout(Some(timeout))?;
-    stream.write_all(format!("{REQUEST_LINE}\n").as_bytes())?;
-    stream.write_all(&write_message(request))?;
-    read_message(&mut stream)
+/// What runs the target beside what the node has. Both the target and the program have to be what they were when the plan was made,
+/// and when the program was started.
+fn next_child(target: &Target, serving: &ServingChild) -> Result<ChildSpec, ContentError> {
+    let path = PathBuf::from(&target.path);
+    verify_content(&path, target.fingerprint)?;
+    if !target.is_settings {
+        return Ok(ChildSpec { program: path, operators: serving.spec.operators.clone() });
+    }
+    let program: &Path = &serving.spec.program;
+    verify_content(program, serving.fingerprint)?;
+    Ok(ChildSpec { program: program.into(), operators: Some(path) })
 }
--- a/crates/ochrewalk-node/src/handover/supervisor.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor.rs
@@ -5,9 +5,9 @@
 use super::counter_report::CounterReport;
 use super::descriptor_socket::{inherit, read_lines, send_line};
 use super::process_guard::{ProcessAction, ProcessGuard};
-use super::rollout_agent::{
-    self, AcceptedCommand, AgentAction, ChildIdentity, ChildSpec, DueRevert, RolloutAgent, ServingChild,
-};
+use super::rollout_agent::{AcceptedCommand, AgentAction, DueRevert, Replacement, RolloutAgent};
+use super::rollout_socket;
+use super::serving_child::{ChildIdentity, ChildSpec, ServingChild};
 use super::supervisor_protocol::{LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
 use ochrewalk_control_plane::control::is_owner;
 use ochrewalk_rollout::framing::read_message;
@@ -265,7 +265,7 @@
             (Asker::Plain(mut stream), Err(why)) => drop(writeln!(stream, "{why}")),
             (Asker::Conductor(mut stream, accepted), how) => {
                 let outcome = how.map_or_else(Outcome::Failed, |_| Outcome::Done);
-                rollout_agent::send_reply(
+                rollout_socket::send_reply(
                     &mut stream,
                     self.rollout_agent.command_finished(accepted, before, outcome),
                 );
@@ -336,7 +336,7 @@
             let _ = writeln!(stream, "refused: nothing was asked for");
             return;
         }
-        if line.trim_end() == rollout_agent::REQUEST_LINE {
+        if line.trim_end() == rollout_socket::REQUEST_LINE {
             return self.conducted(stream, &mut reads);
         }
         let Some(program) = line.strip_prefix("upgrade ").map(str::trim_end) else {
@@ -363,8 +363,9 @@
         }
         let serving = self.workers.get(&self.told_of).map(|worker| &worker.serving);
         let from = self.process_guard.giver().filter(|_| self.anew.is_none());
-        match self.rollout_agent.handle_request(&request, serving, from.is_none()) {
-            AgentAction::Reply(said) => rollout_agent::send_reply(&mut stream, said),
+        let replacement = if from.is_some() { Replacement::Idle } else { Replacement::InProgress };
+        match self.rollout_agent.handle_request(&request, serving, replacement) {
+            AgentAction::Reply(said) => rollout_socket::send_reply(&mut stream, said),
             AgentAction::ReplaceChild(image, accepted) => {
                 let begun = match (from, stream.try_clone()) {
                     (Some(from), Ok(asker)) if accepted.restart => {
@@ -375,7 +376,7 @@
                 };
                 if let Err(why) = begun {
                     let why = format!("{}: {why}", image.program.display());
-                    rollout_agent::send_reply(
+                    rollout_socket::send_reply(
                         &mut stream,
                         self.rollout_agent.command_finished(accepted, None, Outcome::Failed(why)),
                     );
--- a/crates/ochrewalk-node/src/node/files.rs
+++ b/crates/ochrewalk-node/src/node/files.rs
@@ -1,6 +1,6 @@
 //! The files that a node goes by, read and checked together.
 
-use crate::handover::rollout_agent::fingerprint_of_file;
+use crate::handover::fingerprint::fingerprint_of_file;
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::{Below as Called, Effect};
 use ochrewalk_operators::{MethodContext, NodeContext, OperatorConfig};
--- a/crates/ochrewalk-node/src/rollout/command_sender.rs
+++ b/crates/ochrewalk-node/src/rollout/command_sender.rs
@@ -1,6 +1,6 @@
 //! Sends commands to nodes, and tries again while a node is busy.
 
-use crate::handover::rollout_agent::send_request;
+use crate::handover::rollout_socket::send_request;
 use ochrewalk_rollout::messages::{Reply, Request, Response};
 use ochrewalk_rollout::{CommandReply, Outcome};
 use std::path::Path;
--- a/crates/ochrewalk-node/src/rollout/fingerprints.rs
+++ b/crates/ochrewalk-node/src/rollout/fingerprints.rs
@@ -1,7 +1,7 @@
 //! Which of a plan's two versions a node runs, by the fingerprints of the plan's files.
 
 use super::error::RolloutError;
-use crate::handover::rollout_agent::fingerprint_of_file;
+use crate::handover::fingerprint::fingerprint_of_file;
 use ochrewalk_operators::{PlannedNode, RolloutPlan, Subject, Version as PlanVersion};
 use ochrewalk_rollout::messages::NodeStatus;
 use ochrewalk_rollout::{Version, VersionFingerprints};
--- a/crates/ochrewalk-node/src/rollout/polling.rs
+++ b/crates/ochrewalk-node/src/rollout/polling.rs
@@ -1,7 +1,7 @@
 //! Asks nodes for their status by their control sockets.
 
 use super::fingerprints::PlanFingerprints;
-use crate::handover::rollout_agent::send_request;
+use crate::handover::rollout_socket::send_request;
 use ochrewalk_operators::RolloutPlan;
 use ochrewalk_rollout::framing::FramingError;
 use ochrewalk_rollout::messages::{NodeStatus, Reply, Request, Response};
--- a/crates/ochrewalk-node/tests/rollout_agent.rs
+++ b/crates/ochrewalk-node/tests/rollout_agent.rs
@@ -1,9 +1,11 @@
 //! A supervisor's side of a rollout: which commands it obeys, what a node's status says, and when a change is reverted.
 
 use ochrewalk_node::handover::counter_report::CounterReport;
+use ochrewalk_node::handover::fingerprint::fingerprint_of_file;
 use ochrewalk_node::handover::rollout_agent::{
-    fingerprint_of_file, AcceptedCommand, AgentAction, ChildSpec, DueRevert, RolloutAgent, ServingChild,
+    AcceptedCommand, AgentAction, DueRevert, Replacement, RolloutAgent,
 };
+use ochrewalk_node::handover::serving_child::{ChildSpec, ServingChild};
 use ochrewalk_rollout::messages::{
     CommandMessage, CommandOutcome, FencingTokenMessage, MethodCounters, NodeStatus, Reply, Request,
     ServingCounters, Target, PROTOCOL_VERSION,
@@ -55,7 +57,7 @@
 }
 
 fn status(agent: &mut RolloutAgent, child: &ServingChild) -> NodeStatus {
-    match reply(agent.handle_request(&Request::status(0), Some(child), false)) {
+    match reply(agent.handle_request(&Request::status(0), Some(child), Replacement::Idle)) {
         Reply::Status(status) => status,
         other => panic!("{other:?}"),
     }
@@ -79,21 +81,21 @@
     assert_eq!(reported.path, std::env::current_exe().unwrap().display().to_string());
     assert_eq!(reported.fingerprint, fingerprint_of_file(&std::env::current_exe().unwrap()).unwrap());
     assert_eq!((reported.counters, reported.incarnation), (Some(counters(5, 7)), silent.incarnation));
-    let busy = reply(agent.handle_request(&Request::status(0), Some(&child), true));
+    let busy = reply(agent.handle_request(&Request::status(0), Some(&child), Replacement::InProgress));
     assert!(matches!(busy, Reply::Status(status) if !status.is_healthy), "while something changes");
     agent.child_replaced(&child);
     let mut next = self::child();
     next.take(CounterReport::All(counters(3, 7)));
     let sums = status(&mut agent, &next).counters.unwrap();
     assert_eq!((sums.methods[0].calls, sums.methods[0].missed, sums.methods[0].failed), (8, 4, 2));
-    let none = reply(agent.handle_request(&Request::status(0), None, false));
+    let none = reply(agent.handle_request(&Request::status(0), None, Replacement::Idle));
     assert_eq!(none, Reply::Rejected("no program serves".into()));
 }
 
 #[test]
 fn requests_of_another_protocol_version_are_rejected_with_ones_own() {
     let request = Request { protocol_version: PROTOCOL_VERSION + 1, ..Request::status(0) };
-    let reply = reply(RolloutAgent::default().handle_request(&request, Some(&child()), false));
+    let reply = reply(RolloutAgent::default().handle_request(&request, Some(&child()), Replacement::Idle));
     assert_eq!(reply, Reply::Rejected("messages of version 2 are known here".into()));
 }
 
@@ -101,21 +103,25 @@
 fn a_command_acts_once_and_a_late_or_a_busy_one_not_at_all() {
     let (mut agent, child, new) = (RolloutAgent::default(), child(), file("acts", "new"));
     let request = |number| Request::command(command(7, number, Some(target(&new))));
-    let busy = reply(agent.handle_request(&request(1), Some(&child), true));
+    let busy = reply(agent.handle_request(&request(1), Some(&child), Replacement::InProgress));
     assert_eq!(busy, Reply::Busy("another upgrade is under way".into()));
-    let (spec, accepted) = replacement(agent.handle_request(&request(1), Some(&child), false));
+    let (spec, accepted) = replacement(agent.handle_request(&request(1), Some(&child), Replacement::Idle));
     assert_eq!(spec, ChildSpec { program: new.clone(), operators: Some("/etc/old.conf".into()) });
     assert!(!accepted.restart);
-    let again = reply(agent.handle_request(&request(1), Some(&child), true));
+    let again = reply(agent.handle_request(&request(1), Some(&child), Replacement::InProgress));
     assert_eq!(again, Reply::Busy("it is being carried out".into()));
     let done = agent.command_finished(accepted, Some(child.identity()), Outcome::Done);
     assert_eq!(done, Reply::Finished(CommandOutcome::default()));
-    assert_eq!(reply(agent.handle_request(&request(1), Some(&child), false)), done, "the same reply");
-    let late = reply(agent.handle_request(&request(0), Some(&child), false));
+    assert_eq!(
+        reply(agent.handle_request(&request(1), Some(&child), Replacement::Idle)),
+        done,
+        "the same reply"
+    );
+    let late = reply(agent.handle_request(&request(0), Some(&child), Replacement::Idle));
     assert_eq!(late, Reply::Stale(FencingTokenMessage { controller: 7, command: 1 }));
     // A later controller that polls is enough to make earlier ones' commands late.
-    reply(agent.handle_request(&Request::status(8), Some(&child), false));
-    let replaced = reply(agent.handle_request(&request(9), Some(&child), false));
+    reply(agent.handle_request(&Request::status(8), Some(&child), Replacement::Idle));
+    let replaced = reply(agent.handle_request(&request(9), Some(&child), Replacement::Idle));
     assert_eq!(replaced, Reply::Stale(FencingTokenMessage { controller: 8, command: 0 }));
     assert_eq!(agent.time_to_next_action(), None, "a change for good is never reverted");
 }
@@ -125,7 +131,7 @@
     let (mut agent, mut child, new) = (RolloutAgent::default(), child(), file("unusable", "new"));
     let mut finished = |number, target| {
         let request = Request::command(command(7, number, target));
-        failure(reply(agent.handle_request(&request, Some(&child), false)))
+        failure(reply(agent.handle_request(&request, Some(&child), Replacement::Idle)))
     };
     assert_eq!(finished(1, None), "nothing is wanted, or no program serves");
     let other = Target { fingerprint: 1, ..target(&new) };
@@ -136,7 +142,7 @@
     child.take(CounterReport::All(counters(5, 7)));
     let settings = Target { is_settings: true, path: "/etc/old.conf".into(), fingerprint: 7 };
     let request = Request::command(command(7, 5, Some(settings)));
-    assert_eq!(failure(reply(agent.handle_request(&request, Some(&child), false))), "");
+    assert_eq!(failure(reply(agent.handle_request(&request, Some(&child), Replacement::Idle))), "");
 }
 
 #[test]
@@ -144,7 +150,8 @@
     let (mut agent, child, new) = (RolloutAgent::default(), child(), file("settings", "new settings"));
     let settings = Target { is_settings: true, ..target(&new) };
     let message = CommandMessage { restart: true, ..command(7, 1, Some(settings)) };
-    let (spec, accepted) = replacement(agent.handle_request(&Request::command(message), Some(&child), false));
+    let (spec, accepted) =
+        replacement(agent.handle_request(&Request::command(message), Some(&child), Replacement::Idle));
     assert_eq!(spec, ChildSpec { program: std::env::current_exe().unwrap(), operators: Some(new) });
     assert!(accepted.restart);
 }
@@ -153,7 +160,8 @@
 fn unconfirmed(child: &ServingChild, new: &Path) -> RolloutAgent {
     let mut agent = RolloutAgent::default();
     let message = CommandMessage { lease_ms: 1, ..command(7, 1, Some(target(new))) };
-    let (_, accepted) = replacement(agent.handle_request(&Request::command(message), Some(child), false));
+    let (_, accepted) =
+        replacement(agent.handle_request(&Request::command(message), Some(child), Replacement::Idle));
     agent.command_finished(accepted, Some(child.identity()), Outcome::Done);
     std::thread::sleep(Duration::from_millis(5));
     agent
@@ -181,7 +189,7 @@
     let mut agent = unconfirmed(&child, &new);
     let running = ServingChild::of(child.spec.clone(), std::process::id());
     let confirm = Request::command(command(7, 2, Some(target(&std::env::current_exe().unwrap()))));
-    assert_eq!(failure(reply(agent.handle_request(&confirm, Some(&running), false))), "");
+    assert_eq!(failure(reply(agent.handle_request(&confirm, Some(&running), Replacement::Idle))), "");
     assert!(!status(&mut agent, &child).is_unconfirmed);
     assert_eq!((agent.due_revert(), agent.time_to_next_action()), (None, None));
     // So does one whose program an operator asked for by hand.
