--- a/crates/ochrewalk-node/src/rollout/mod.rs
+++ b/crates/ochrewalk-node/src/rollout/mod.rs
@@ -11,10 +11,11 @@
 //! | `status` | how a rollout stands, for operators |
 //! | `operator_socket` | what operators tell a running controller |
 //! | `record_file`, `log` | what outlives the controller |
-//! | `command_sender` | commands to nodes, until they are answered |
+//! | `actions`, `command_sender` | what the controller decides is done; commands to nodes, until they are answered |
 //! | `sampling` | samples for the analysis |
 //! | `run` | the loop that puts these together |
 
+mod actions;
 mod command_sender;
 mod error;
 mod fingerprints;
--- a/crates/ochrewalk-node/src/rollout/run.rs
+++ b/crates/ochrewalk-node/src/rollout/run.rs
@@ -1,6 +1,6 @@
 //! Runs a rollout to its end, or until it waits for an operator.
 
-use super::command_sender::send_until_answered;
+use super::actions::{Event, Surroundings};
 use super::error::RolloutError;
 use super::fingerprints::PlanFingerprints;
 use super::log::{LogEntry, RolloutLog, VersionCounts};
@@ -10,15 +10,14 @@
 use super::readiness::check;
 use super::record_file::RecordFile;
 use super::sampling::{method_names, Sampler};
-use ochrewalk_operators::{RolloutPlan, Subject, Version as PlanVersion};
-use ochrewalk_rollout::messages::{CommandMessage, Request, Target};
+use ochrewalk_operators::RolloutPlan;
 use ochrewalk_rollout::{
-    CanaryAnalysis, Command, CommandReply, ControllerActions, FencingToken, Outcome, Phase,
-    RolloutController, RolloutRecord, Verdict, Version, WaitReason,
+    CanaryAnalysis, CommandReply, FencingToken, Outcome, Phase, RolloutController, RolloutRecord, Verdict,
+    Version, WaitReason,
 };
 use std::io::Write;
 use std::os::unix::net::UnixStream;
-use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
+use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Samples that are taken before the first node is changed, so that the analysis knows what each node usually does.
@@ -94,68 +93,6 @@
     now_us.max(record.map_or(0, |record| record.controller) + 1)
 }
 
-/// What other threads tell the run.
-enum Event {
-    CommandAnswered { node: usize, token: FencingToken, reply: CommandReply },
-    OperatorAsked { command: ControllerCommand, stream: UnixStream },
-}
-
-/// Does what the controller decides.
-struct Surroundings<'a> {
-    plan: &'a RolloutPlan,
-    fingerprints: PlanFingerprints,
-    record_file: &'a RecordFile,
-    events: Sender<Event>,
-    log: RolloutLog,
-    /// A stage whose analysis has to begin.
-    analysis_to_begin: Option<usize>,
-    /// Why the record cannot be written: no further command may be sent.
-    persist_error: Option<RolloutError>,
-}
-
-impl ControllerActions for Surroundings<'_> {
-    fn persist(&mut self, record: &RolloutRecord) {
-        if let Err(error) = self.record_file.save(record) {
-            self.persist_error = Some(error);
-        }
-    }
-
-    fn send_command(&mut self, node: usize, command: Command) {
-        if self.persist_error.is_some() {
-            return;
-        }
-        let Command { token, version, method } = command;
-        let name = &self.plan.nodes[node].name;
-        self.log.append(LogEntry::CommandSent { node: name, version, method });
-        let lease_ms = self.plan.confirm_timeout_us / 1_000;
-        let request = Request::command(CommandMessage::new(&command, self.target(node, version), lease_ms));
-        let (control, events) = (self.plan.nodes[node].control.clone(), self.events.clone());
-        std::thread::spawn(move || {
-            let reply = send_until_answered(&control, &request);
-            let _ = events.send(Event::CommandAnswered { node, token, reply });
-        });
-    }
-
-    fn begin_analysis(&mut self, stage: usize) {
-        self.analysis_to_begin = Some(stage);
-    }
-}
-
-impl Surroundings<'_> {
-    /// The file of that version on a node.
-    fn target(&self, node: usize, version: Version) -> Target {
-        let plan_version = match version {
-            Version::Old => PlanVersion::Old,
-            Version::New => PlanVersion::New,
-        };
-        Target {
-            is_settings: self.plan.subject == Subject::Settings,
-            path: self.plan.file(&self.plan.nodes[node], plan_version).display().to_string(),
-            fingerprint: self.fingerprints.expected(node, version),
-        }
-    }
-}
-
 /// When something last changed, by a text of all that counts.
 struct Progress {
     last_state: String,
--- a/crates/ochrewalk-node/tests/rollout.rs
+++ b/crates/ochrewalk-node/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! Rolling changes of real processes, with the conductor as a process of its own and faults between them: every call has
-//! one answer, nothing runs twice that may not, and the change ends as it should. Counts and rules are judged, no times.
+//! Rollouts of real processes, with the controller as a process of its own and faults between them: every call has one answer,
+//! nothing runs twice that may not, and the rollout ends as it should. Counts and rules are asserted, no times.
 
 use ochrewalk_lab::changes::{another, play, Outcome, Plan, Subject, Trouble};
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     })
 }
 
-/// Plays a change; how it is to end is judged by whoever asked.
+/// Plays a rollout; how it has to end is asserted by the caller.
 fn run(change: impl FnOnce(&mut Plan)) -> Outcome {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let mut plan = Plan {
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_change_without_harm_reaches_all_nodes_also_with_its_conductor_killed_again_and_again() {
+fn a_rollout_without_harm_reaches_all_nodes_also_with_its_controller_killed_again_and_again() {
     let outcome = run(|plan| plan.trouble = Trouble::ConductorKilled);
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
     assert!(outcome.kills > 3, "{outcome:?}");
 }
 
 #[test]
-fn of_two_conductors_the_later_one_brings_it_to_its_end_and_links_that_break_lose_nothing() {
+fn of_two_controllers_the_later_one_brings_it_to_its_end_and_links_that_break_lose_nothing() {
     for trouble in [Trouble::TwoConductors, Trouble::LinksBreak] {
         let outcome = run(|plan| plan.trouble = trouble);
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn a_flawed_program_is_stopped_and_taken_back_whatever_its_flaw() {
+fn a_flawed_program_is_stopped_and_rolled_back_whatever_its_flaw() {
     for (flaw, most, why) in [
         ("crash-at-start", 0.0, "the new program ended"),
         ("crash-on-hand-over", 0.0, "the new program ended"),
         ("hang-on-hand-over", 0.0, "took too long"),
         ("crash-later", 0.25, "nobody asked for"),
-        // Its worker is held for good: it can neither hand back nor answer, and is begun anew.
+        // Its worker thread is blocked for good: it can neither hand over nor answer, and is restarted.
         ("deaf", 0.25, "hardly any calls"),
     ] {
         let outcome = run(|plan| plan.flaw = flaw.into());
@@ -98,19 +98,19 @@
 }
 
 #[test]
-fn settings_are_for_good_only_once_all_nodes_were_told() {
+fn settings_are_done_only_once_all_nodes_have_confirmed() {
     let outcome = run(|plan| settings(plan, Subject::Settings));
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
 }
 
 #[test]
-fn nodes_on_trial_whose_conductor_is_gone_or_not_heard_go_back_by_themselves() {
+fn unconfirmed_nodes_whose_controller_is_gone_or_not_heard_revert_by_themselves() {
     let outcome = run(|plan| {
         settings(plan, Subject::Settings);
         plan.trouble = Trouble::ConductorGone;
     });
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("gone", 0), "{outcome:?}");
-    // Cut off for longer than a trial lasts, and heard again: they are changed anew.
+    // Cut off for longer than the lease, and heard again: they are changed again.
     let outcome = run(|plan| {
         settings(plan, Subject::Settings);
         plan.trouble = Trouble::LinksSilent;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn settings_that_do_harm_or_cannot_be_read_are_taken_back_and_a_lost_file_is_the_operators_to_find() {
+fn settings_that_do_harm_or_cannot_be_read_are_rolled_back_and_a_lost_file_is_left_to_the_operator() {
     for (subject, why) in [(Subject::HarmfulSettings, "of sale"), (Subject::UnusableSettings, "no unit")] {
         let outcome = run(|plan| settings(plan, subject));
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("back", 0), "{outcome:?}");
