--- a/crates/ochrewalk-node/src/handover/rollout_agent.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_agent.rs
@@ -5,7 +5,9 @@
 use super::fingerprint::{verify_content, ContentError};
 use super::serving_child::{ChildIdentity, ChildSpec, ServingChild};
 use ochrewalk_rollout::messages::{CommandMessage, NodeStatus, Reply, Request, Target, PROTOCOL_VERSION};
-use ochrewalk_rollout::{Admission, CommitConfirm, Fence, FencingToken, Outcome, RevertAction};
+use ochrewalk_rollout::{
+    Admission, CommitConfirm, ControllerNumber, Fence, FencingToken, Outcome, RevertAction,
+};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
@@ -87,9 +89,10 @@
             let reason = format!("messages of version {PROTOCOL_VERSION} are known here");
             return AgentAction::Reply(Reply::Rejected(reason));
         }
-        self.fence.observe_controller(request.controller);
+        let controller = ControllerNumber(request.controller);
+        self.fence.observe_controller(controller);
         let highest = self.fence.highest().controller;
-        self.commit_confirm.renew(self.now_us(), request.controller, highest);
+        self.commit_confirm.renew(self.now_us(), controller, highest);
         match (&request.command, serving) {
             (None, Some(serving)) => AgentAction::Reply(Reply::Status(self.status(serving, replacement))),
             (None, None) => AgentAction::Reply(Reply::Rejected("no program serves".into())),
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -91,7 +91,7 @@
     Status,
     /// Have the running controller stop where it is
     Pause,
-    /// Go on from where it waits; a stage that could not be told passes
+    /// Go on from where it waits; a stage whose analysis was inconclusive passes
     GoOn,
     /// Revert all changed nodes
     Back,
--- a/crates/ochrewalk-node/src/rollout/log.rs
+++ b/crates/ochrewalk-node/src/rollout/log.rs
@@ -3,7 +3,9 @@
 
 use super::error::RolloutError;
 use super::run::RolloutEnd;
-use ochrewalk_rollout::{ChangeMethod, CommandReply, NodeSample, Phase, Sample, Verdict, Version};
+use ochrewalk_rollout::{
+    ChangeMethod, CommandReply, ControllerNumber, NodeSample, Phase, Sample, Verdict, Version,
+};
 use serde_json::{json, Value};
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -27,7 +29,7 @@
     /// A controller has begun.
     Begun {
         /// Its number.
-        controller: u64,
+        controller: ControllerNumber,
     },
     /// A command is sent.
     CommandSent {
@@ -76,7 +78,7 @@
     /// The event as it stands under the line's `what`.
     pub fn to_json(&self) -> Value {
         match *self {
-            LogEntry::Begun { controller } => json!({"begun": controller}),
+            LogEntry::Begun { controller } => json!({"begun": controller.0}),
             LogEntry::CommandSent { node, version, method } => {
                 json!({"order": node, "to": version_text(version), "how": method.to_string()})
             }
--- a/crates/ochrewalk-node/src/rollout/polling.rs
+++ b/crates/ochrewalk-node/src/rollout/polling.rs
@@ -5,16 +5,13 @@
 use ochrewalk_operators::RolloutPlan;
 use ochrewalk_rollout::framing::FramingError;
 use ochrewalk_rollout::messages::{NodeStatus, Reply, Request, Response};
-use ochrewalk_rollout::{FencingToken, NodeReport};
+use ochrewalk_rollout::{ControllerNumber, FencingToken, NodeReport};
 use std::path::Path;
 use std::time::Duration;
 
 /// How long a node may take to reply to a status request.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The number by which an onlooker asks, who is no controller.
-pub(super) const ONLOOKER: u64 = 0;
-
 /// Why a node's status is not known.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
@@ -39,8 +36,8 @@
 pub(super) type Polled = Result<NodeStatus, PollError>;
 
 /// The status of all nodes in the order of the plan, asked at the same time. `controller` is the number of the controller that
-/// asks, or [`ONLOOKER`].
-pub(super) fn poll_all(plan: &RolloutPlan, controller: u64) -> Vec<Polled> {
+/// asks, or that of an onlooker.
+pub(super) fn poll_all(plan: &RolloutPlan, controller: ControllerNumber) -> Vec<Polled> {
     std::thread::scope(|scope| {
         let polls: Vec<_> =
             plan.nodes.iter().map(|node| scope.spawn(move || poll(&node.control, controller))).collect();
@@ -48,7 +45,7 @@
     })
 }
 
-fn poll(control: &Path, controller: u64) -> Polled {
+fn poll(control: &Path, controller: ControllerNumber) -> Polled {
     let Response { reply, protocol_version } =
         send_request(control, &Request::status(controller), POLL_TIMEOUT)?;
     match reply {
--- a/crates/ochrewalk-node/src/rollout/readiness.rs
+++ b/crates/ochrewalk-node/src/rollout/readiness.rs
@@ -2,9 +2,10 @@
 
 use super::error::{NodeFault, RolloutError};
 use super::fingerprints::PlanFingerprints;
-use super::polling::{poll_all, Polled, ONLOOKER};
+use super::polling::{poll_all, Polled};
 use super::settings_changes::settings_changes;
 use ochrewalk_operators::{RolloutPlan, Subject};
+use ochrewalk_rollout::ControllerNumber;
 
 /// What the rollout will change, and that all nodes are ready for it, as text for operators.
 ///
@@ -13,7 +14,7 @@
 pub fn check(plan: &RolloutPlan) -> Result<String, RolloutError> {
     let fingerprints = PlanFingerprints::of(plan)?;
     let changes = settings_changes(plan)?;
-    let polled = poll_all(plan, ONLOOKER);
+    let polled = poll_all(plan, ControllerNumber::ONLOOKER);
     let faults: Vec<NodeFault> = polled
         .into_iter()
         .enumerate()
--- a/crates/ochrewalk-node/src/rollout/run.rs
+++ b/crates/ochrewalk-node/src/rollout/run.rs
@@ -12,8 +12,8 @@
 use super::sampling::{method_names, Sampler};
 use ochrewalk_operators::RolloutPlan;
 use ochrewalk_rollout::{
-    CanaryAnalysis, CommandReply, FencingToken, Outcome, Phase, RolloutController, RolloutRecord, Verdict,
-    Version, WaitReason,
+    CanaryAnalysis, CommandReply, ControllerNumber, FencingToken, Outcome, Phase, RolloutController,
+    RolloutRecord, Verdict, Version, WaitReason,
 };
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -88,9 +88,10 @@
 
 /// A number above any that an earlier controller has had, whatever became of the clock, and that no other takes that begins at
 /// the same time.
-fn controller_number(record: Option<&RolloutRecord>) -> u64 {
+fn controller_number(record: Option<&RolloutRecord>) -> ControllerNumber {
     let now_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
-    now_us.max(record.map_or(0, |record| record.controller) + 1)
+    let above_the_record = record.map_or(ControllerNumber::default(), |record| record.controller).next();
+    above_the_record.max(ControllerNumber(now_us))
 }
 
 /// When something last changed, by a text of all that counts.
--- a/crates/ochrewalk-node/src/rollout/status.rs
+++ b/crates/ochrewalk-node/src/rollout/status.rs
@@ -2,9 +2,9 @@
 
 use super::fingerprints::PlanFingerprints;
 use super::operator_socket::{send_to_controller, ControllerCommand};
-use super::polling::{poll_all, Polled, ONLOOKER};
+use super::polling::{poll_all, Polled};
 use ochrewalk_operators::RolloutPlan;
-use ochrewalk_rollout::Version;
+use ochrewalk_rollout::{ControllerNumber, Version};
 
 /// How the rollout stands by the controller, where one runs, and by each node, a line each. It says so, too, where the plan's files
 /// or nodes cannot be read.
@@ -12,7 +12,9 @@
     let fingerprints = PlanFingerprints::of(plan).ok();
     let mut text =
         send_to_controller(plan, ControllerCommand::Status).unwrap_or_else(|_| "no controller runs\n".into());
-    for (index, (node, polled)) in plan.nodes.iter().zip(poll_all(plan, ONLOOKER)).enumerate() {
+    for (index, (node, polled)) in
+        plan.nodes.iter().zip(poll_all(plan, ControllerNumber::ONLOOKER)).enumerate()
+    {
         let state = node_state(index, &polled, fingerprints.as_ref());
         text += &format!("{:<16} {:<10} {state}\n", node.name, node.zone);
     }
--- a/crates/ochrewalk-node/tests/rollout_agent.rs
+++ b/crates/ochrewalk-node/tests/rollout_agent.rs
@@ -10,7 +10,7 @@
     CommandMessage, CommandOutcome, FencingTokenMessage, MethodCounters, NodeStatus, Reply, Request,
     ServingCounters, Target, PROTOCOL_VERSION,
 };
-use ochrewalk_rollout::Outcome;
+use ochrewalk_rollout::{ControllerNumber, Outcome};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -57,7 +57,11 @@
 }
 
 fn status(agent: &mut RolloutAgent, child: &ServingChild) -> NodeStatus {
-    match reply(agent.handle_request(&Request::status(0), Some(child), Replacement::Idle)) {
+    match reply(agent.handle_request(
+        &Request::status(ControllerNumber::ONLOOKER),
+        Some(child),
+        Replacement::Idle,
+    )) {
         Reply::Status(status) => status,
         other => panic!("{other:?}"),
     }
@@ -81,20 +85,26 @@
     assert_eq!(reported.path, std::env::current_exe().unwrap().display().to_string());
     assert_eq!(reported.fingerprint, fingerprint_of_file(&std::env::current_exe().unwrap()).unwrap());
     assert_eq!((reported.counters, reported.incarnation), (Some(counters(5, 7)), silent.incarnation));
-    let busy = reply(agent.handle_request(&Request::status(0), Some(&child), Replacement::InProgress));
+    let busy = reply(agent.handle_request(
+        &Request::status(ControllerNumber::ONLOOKER),
+        Some(&child),
+        Replacement::InProgress,
+    ));
     assert!(matches!(busy, Reply::Status(status) if !status.is_healthy), "while something changes");
     agent.child_replaced(&child);
     let mut next = self::child();
     next.take(CounterReport::All(counters(3, 7)));
     let sums = status(&mut agent, &next).counters.unwrap();
     assert_eq!((sums.methods[0].calls, sums.methods[0].missed, sums.methods[0].failed), (8, 4, 2));
-    let none = reply(agent.handle_request(&Request::status(0), None, Replacement::Idle));
+    let none =
+        reply(agent.handle_request(&Request::status(ControllerNumber::ONLOOKER), None, Replacement::Idle));
     assert_eq!(none, Reply::Rejected("no program serves".into()));
 }
 
 #[test]
 fn requests_of_another_protocol_version_are_rejected_with_ones_own() {
-    let request = Request { protocol_version: PROTOCOL_VERSION + 1, ..Request::status(0) };
+    let request =
+        Request { protocol_version: PROTOCOL_VERSION + 1, ..Request::status(ControllerNumber::ONLOOKER) };
     let reply = reply(RolloutAgent::default().handle_request(&request, Some(&child()), Replacement::Idle));
     assert_eq!(reply, Reply::Rejected("messages of version 2 are known here".into()));
 }
@@ -120,7 +130,7 @@
     let late = reply(agent.handle_request(&request(0), Some(&child), Replacement::Idle));
     assert_eq!(late, Reply::Stale(FencingTokenMessage { controller: 7, command: 1 }));
     // A later controller that polls is enough to make earlier ones' commands late.
-    reply(agent.handle_request(&Request::status(8), Some(&child), Replacement::Idle));
+    reply(agent.handle_request(&Request::status(ControllerNumber(8)), Some(&child), Replacement::Idle));
     let replaced = reply(agent.handle_request(&request(9), Some(&child), Replacement::Idle));
     assert_eq!(replaced, Reply::Stale(FencingTokenMessage { controller: 8, command: 0 }));
     assert_eq!(agent.time_to_next_action(), None, "a change for good is never reverted");
--- a/crates/ochrewalk-node/tests/rollout_files.rs
+++ b/crates/ochrewalk-node/tests/rollout_files.rs
@@ -6,8 +6,8 @@
 use ochrewalk_node::rollout::{check, read_plan, status, RolloutEnd, RolloutError};
 use ochrewalk_operators::RolloutPlan;
 use ochrewalk_rollout::{
-    CallCounts, ChangeMethod, CommandReply, FencingToken, NodeSample, Outcome, Phase, RecordError,
-    RolloutRecord, Sample, Verdict, Version, WaitReason,
+    CallCounts, ChangeMethod, CommandReply, ControllerNumber, FencingToken, NodeSample, Outcome, Phase,
+    RecordError, RolloutRecord, Sample, Verdict, Version, WaitReason,
 };
 use std::path::{Path, PathBuf};
 
@@ -52,13 +52,13 @@
 #[test]
 fn each_event_is_logged_under_the_keys_and_texts_that_reports_read() {
     let (sample, methods) = (sample(), ["look".to_string(), "sale".to_string()]);
-    let stale = CommandReply::Stale(FencingToken { controller: 9, command: 1 });
+    let stale = CommandReply::Stale(FencingToken { controller: ControllerNumber(9), command: 1 });
     let done = CommandReply::Finished(Outcome::Done);
     let command = |version, method| LogEntry::CommandSent { node: "n0", version, method };
     let versions = VersionCounts { old: 5, new: 2, unknown: 1 };
     let waiting = RolloutEnd::Waiting(WaitReason::Inconclusive("few".into()));
     for (entry, line) in [
-        (LogEntry::Begun { controller: 7 }, r#"{"begun":7}"#),
+        (LogEntry::Begun { controller: ControllerNumber(7) }, r#"{"begun":7}"#),
         (
             command(Version::New, ChangeMethod::CommitConfirmed),
             r#"{"how":"OnTrial","order":"n0","to":"new"}"#,
@@ -103,7 +103,7 @@
 #[test]
 fn a_log_is_appended_to_by_one_controller_after_another() {
     let path = folder("log").join("record.log");
-    for controller in [7, 8] {
+    for controller in [7, 8].map(ControllerNumber) {
         RolloutLog::open(&path).unwrap().append(LogEntry::Begun { controller });
     }
     let text = std::fs::read_to_string(&path).unwrap();
@@ -120,8 +120,12 @@
     let plan = plan.unwrap();
     let file = RecordFile::lock(&plan).unwrap();
     assert_eq!(file.load().unwrap(), None);
-    let record =
-        RolloutRecord { controller: 3, stage: 1, changed_nodes: vec![1], ..RolloutRecord::default() };
+    let record = RolloutRecord {
+        controller: ControllerNumber(3),
+        stage: 1,
+        changed_nodes: vec![1],
+        ..RolloutRecord::default()
+    };
     file.save(&record).unwrap();
     let second = RecordFile::lock(&plan).unwrap_err();
     assert!(matches!(second, RolloutError::AnotherController { .. }), "{second}");
--- a/crates/ochrewalk-rollout/src/commit_confirm.rs
+++ b/crates/ochrewalk-rollout/src/commit_confirm.rs
@@ -2,6 +2,8 @@
 //! the change is confirmed. A node that is cut off from its controller reverts by itself, so that it is never left with a
 //! change that nobody watches.
 
+use crate::fence::ControllerNumber;
+
 /// What an unconfirmed change needs now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RevertAction {
@@ -47,10 +49,10 @@
 /// | reverting | `start`, `confirm` | as above: the later command counts |
 ///
 /// ```
-/// use ochrewalk_rollout::{CommitConfirm, RevertAction};
+/// use ochrewalk_rollout::{CommitConfirm, ControllerNumber, RevertAction};
 /// let mut change = CommitConfirm::default();
 /// change.start(0, 5_000_000);
-/// change.renew(4_000_000, 7, 7);
+/// change.renew(4_000_000, ControllerNumber(7), ControllerNumber(7));
 /// assert_eq!(change.next_action(8_999_999), RevertAction::None);
 /// assert_eq!(change.next_action(9_000_000), RevertAction::HandOver);
 /// change.revert_succeeded();
@@ -74,7 +76,7 @@
 
     /// A controller has polled the node. One with a lower number than the highest known has been replaced and renews nothing;
     /// a node that reverts already goes on doing so.
-    pub fn renew(&mut self, now_us: u64, controller: u64, highest: u64) {
+    pub fn renew(&mut self, now_us: u64, controller: ControllerNumber, highest: ControllerNumber) {
         if let (State::Unconfirmed { lease_us, deadline_us }, true) = (&mut self.state, controller >= highest)
         {
             *deadline_us = now_us + *lease_us;
--- a/crates/ochrewalk-rollout/src/controller/mod.rs
+++ b/crates/ochrewalk-rollout/src/controller/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::canary_analysis::Verdict;
 use crate::command::{ChangeMethod, Command, CommandReply};
-use crate::fence::{FencingToken, Outcome};
+use crate::fence::{ControllerNumber, FencingToken, Outcome};
 use crate::phase::{Phase, WaitReason};
 use crate::record::RolloutRecord;
 use crate::stage_plan::{NodeState, StagePlan};
@@ -67,7 +67,7 @@
         stage_plan: StagePlan,
         policy: RolloutPolicy,
         record: Option<RolloutRecord>,
-        number: u64,
+        number: ControllerNumber,
     ) -> RolloutController {
         let record = RolloutRecord { controller: number, ..record.unwrap_or_default() };
         let nodes = (0..stage_plan.node_count()).map(|node| Node::new(record.change_number(node))).collect();
@@ -127,12 +127,12 @@
     }
 
     /// Whether a node obeys a controller with a higher number. While nothing was sent yet, a still higher number is taken.
-    fn is_replaced_by(&mut self, controller: u64) -> bool {
+    fn is_replaced_by(&mut self, controller: ControllerNumber) -> bool {
         if controller <= self.record.controller {
             return false;
         }
         if self.phase == Phase::Polling {
-            self.record.controller = controller + 1;
+            self.record.controller = controller.next();
             return false;
         }
         true
--- a/crates/ochrewalk-rollout/src/fence.rs
+++ b/crates/ochrewalk-rollout/src/fence.rs
@@ -2,11 +2,25 @@
 //! numbers its commands in rising order. A node remembers the highest token and rejects what is lower: so of two
 //! controllers only the later one acts, a late command does nothing, and a command that arrives twice acts once.
 
+/// The number of a controller. The higher one replaces the lower.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ControllerNumber(pub u64);
+
+impl ControllerNumber {
+    /// What stands for the number of one who only asks for the status, and is no controller.
+    pub const ONLOOKER: ControllerNumber = ControllerNumber(0);
+
+    /// The next higher number.
+    pub fn next(self) -> ControllerNumber {
+        ControllerNumber(self.0 + 1)
+    }
+}
+
 /// A command's place among all: compared by the controller's number first, then by the command's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FencingToken {
     /// The controller's number.
-    pub controller: u64,
+    pub controller: ControllerNumber,
     /// The command's number among the controller's, counted from 1.
     pub command: u64,
 }
@@ -49,9 +63,9 @@
     /// Decides on a command that has arrived, and remembers its token.
     ///
     /// ```
-    /// use ochrewalk_rollout::{Admission, Fence, FencingToken, Outcome};
+    /// use ochrewalk_rollout::{Admission, ControllerNumber, Fence, FencingToken, Outcome};
     /// let mut fence = Fence::default();
-    /// let token = |controller, command| FencingToken { controller, command };
+    /// let token = |controller, command| FencingToken { controller: ControllerNumber(controller), command };
     /// assert_eq!(fence.admit(token(3, 1)), Admission::Execute);
     /// assert_eq!(fence.admit(token(3, 1)), Admission::InProgress);
     /// fence.command_finished(token(3, 1), Outcome::Done);
@@ -76,13 +90,14 @@
     /// A controller has polled the node: commands of earlier controllers that are still on their way come too late.
     ///
     /// ```
-    /// use ochrewalk_rollout::{Admission, Fence, FencingToken};
+    /// use ochrewalk_rollout::{Admission, ControllerNumber, Fence, FencingToken};
     /// let mut fence = Fence::default();
-    /// fence.observe_controller(4);
-    /// assert!(matches!(fence.admit(FencingToken { controller: 3, command: 9 }), Admission::Stale(_)));
-    /// assert_eq!(fence.admit(FencingToken { controller: 4, command: 1 }), Admission::Execute);
+    /// fence.observe_controller(ControllerNumber(4));
+    /// let token = |controller, command| FencingToken { controller: ControllerNumber(controller), command };
+    /// assert!(matches!(fence.admit(token(3, 9)), Admission::Stale(_)));
+    /// assert_eq!(fence.admit(token(4, 1)), Admission::Execute);
     /// ```
-    pub fn observe_controller(&mut self, controller: u64) {
+    pub fn observe_controller(&mut self, controller: ControllerNumber) {
         if controller > self.highest.controller {
             (self.highest, self.outcome) = (FencingToken { controller, command: 0 }, None);
         }
--- a/crates/ochrewalk-rollout/src/lib.rs
+++ b/crates/ochrewalk-rollout/src/lib.rs
@@ -18,8 +18,8 @@
 //! * A rollout that is done has changed every node for good; one that is rolled back has left none changed.
 //! * A rollout without harm is stopped with at most the chance that [`AnalysisSettings`] says.
 //!
-//! `tests/exploration.rs` checks all but the last in every state that can be reached with a kill, a loss, an outage and a failure;
-//! `tests/canary_analysis.rs` measures the last.
+//! `tests/exploration.rs` checks all but the last in every state that can be reached in some twenty steps, with a kill, a loss, an
+//! outage and a failure at any of them; `tests/canary_analysis.rs` measures the last.
 //!
 //! # Phases of a rollout
 //!
@@ -31,11 +31,12 @@
 //! | `Analyzing` | nodes reverted by themselves, or were restarted | `Advancing` the same stage |
 //! | `Analyzing` | the analysis cannot tell | `Waiting` |
 //! | `Confirming` | all nodes have confirmed | `Done` |
-//! | `Advancing`, `Analyzing`, `Confirming` | harm, a change that fails, or an operator's wish | `RollingBack` |
+//! | `Advancing`, `Analyzing`, `Confirming` | harm, or a change that fails | `RollingBack` |
+//! | any but `Polling`, `RolledBack` and `Replaced` | an operator has it rolled back | `RollingBack` |
 //! | `RollingBack` | all nodes run the old version | `RolledBack` |
-//! | any but the ends | an operator pauses, a node is stuck, or nothing moves for too long | `Waiting` |
-//! | `Waiting` | an operator resumes | where it waited; a stage that could not be told passes |
-//! | any but the ends | a node knows a higher controller number | `Replaced` |
+//! | `Advancing`, `Analyzing`, `Confirming`, `RollingBack` | an operator pauses, a node is stuck, or nothing moves for too long | `Waiting` |
+//! | `Waiting` | an operator resumes | where the record says; a stage whose analysis was inconclusive passes |
+//! | any but `Polling` and the ends | a node knows a higher controller number | `Replaced` |
 //!
 //! # What is left to the caller
 //!
@@ -63,7 +64,7 @@
 pub use command::{ChangeMethod, Command, CommandReply};
 pub use commit_confirm::{CommitConfirm, RevertAction};
 pub use controller::{ControllerActions, NodeReport, RolloutController, RolloutPolicy};
-pub use fence::{Admission, Fence, FencingToken, Outcome};
+pub use fence::{Admission, ControllerNumber, Fence, FencingToken, Outcome};
 pub use phase::{Phase, WaitReason};
 pub use record::{RecordError, RolloutRecord};
 pub use sequential_test::{ContingencyTable, SequentialTest};
--- a/crates/ochrewalk-rollout/src/log_text.rs
+++ b/crates/ochrewalk-rollout/src/log_text.rs
@@ -50,7 +50,7 @@
             CommandReply::Finished(Outcome::Done) => f.write_str("Ended(Done)"),
             CommandReply::Finished(Outcome::Failed(reason)) => write!(f, "Ended(Failed({reason:?}))"),
             CommandReply::Stale(token) => {
-                write!(f, "Stale(Mark {{ conductor: {}, order: {} }})", token.controller, token.command)
+                write!(f, "Stale(Mark {{ conductor: {}, order: {} }})", token.controller.0, token.command)
             }
             CommandReply::NoReply => f.write_str("Nothing"),
         }
--- a/crates/ochrewalk-rollout/src/messages.rs
+++ b/crates/ochrewalk-rollout/src/messages.rs
@@ -3,7 +3,7 @@
 //! A node rejects a request of a protocol version that it does not know, and its response carries its own version. Numbers and
 //! types of fields stay for good: nodes and controllers of several versions meet during every rollout.
 
-use crate::{CallCounts, ChangeMethod, Command, FencingToken, Outcome};
+use crate::{CallCounts, ChangeMethod, Command, ControllerNumber, FencingToken, Outcome};
 use prost::Oneof;
 
 /// The protocol version spoken here. Version 1 knew neither commit-confirmed changes nor settings.
@@ -27,9 +27,9 @@
 }
 
 impl Request {
-    /// A request for the node's status, by the controller of that number; 0 for an onlooker.
-    pub fn status(controller: u64) -> Request {
-        Request { protocol_version: PROTOCOL_VERSION, command: None, controller }
+    /// A request for the node's status, by the controller of that number.
+    pub fn status(controller: ControllerNumber) -> Request {
+        Request { protocol_version: PROTOCOL_VERSION, command: None, controller: controller.0 }
     }
 
     /// A request to carry out a command.
@@ -210,13 +210,13 @@
 
 impl From<FencingToken> for FencingTokenMessage {
     fn from(token: FencingToken) -> FencingTokenMessage {
-        FencingTokenMessage { controller: token.controller, command: token.command }
+        FencingTokenMessage { controller: token.controller.0, command: token.command }
     }
 }
 
 impl From<FencingTokenMessage> for FencingToken {
     fn from(message: FencingTokenMessage) -> FencingToken {
-        FencingToken { controller: message.controller, command: message.command }
+        FencingToken { controller: ControllerNumber(message.controller), command: message.command }
     }
 }
 
@@ -225,7 +225,7 @@
     /// without hearing of the controller, in milliseconds.
     pub fn new(command: &Command, target: Target, lease_ms: u64) -> CommandMessage {
         CommandMessage {
-            controller: command.token.controller,
+            controller: command.token.controller.0,
             command: command.token.command,
             target: Some(target),
             lease_ms: if command.method == ChangeMethod::CommitConfirmed { lease_ms } else { 0 },
@@ -235,7 +235,7 @@
 
     /// The command's fencing token.
     pub fn token(&self) -> FencingToken {
-        FencingToken { controller: self.controller, command: self.command }
+        FencingToken { controller: ControllerNumber(self.controller), command: self.command }
     }
 }
 
--- a/crates/ochrewalk-rollout/src/record.rs
+++ b/crates/ochrewalk-rollout/src/record.rs
@@ -1,5 +1,6 @@
 //! What a controller persists of a rollout before each step, and its form on disk: one protobuf message.
 
+use crate::fence::ControllerNumber;
 use prost::Message as _;
 
 /// The version of the form on disk.
@@ -9,7 +10,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutRecord {
     /// The controller's number: the first part of its fencing tokens.
-    pub controller: u64,
+    pub controller: ControllerNumber,
     /// How many stages have passed their analysis.
     pub stage: usize,
     /// Why the rollout is rolled back, if it is.
@@ -77,7 +78,7 @@
     fn from(record: &RolloutRecord) -> RolloutRecordMessage {
         RolloutRecordMessage {
             format_version: FORMAT_VERSION,
-            controller: record.controller,
+            controller: record.controller.0,
             stage: record.stage as u64,
             rollback_reason: record.rollback_reason.clone(),
             changed_nodes: record.changed_nodes.iter().map(|node| *node as u64).collect(),
@@ -94,7 +95,7 @@
             return Err(RecordError::UnknownVersion { found: message.format_version });
         }
         Ok(RolloutRecord {
-            controller: message.controller,
+            controller: ControllerNumber(message.controller),
             stage: message.stage as usize,
             rollback_reason: message.rollback_reason,
             changed_nodes: message.changed_nodes.into_iter().map(|node| node as usize).collect(),
--- a/crates/ochrewalk-rollout/tests/commit_confirm.rs
+++ b/crates/ochrewalk-rollout/tests/commit_confirm.rs
@@ -1,6 +1,6 @@
 //! How long an unconfirmed change stays, and how it is reverted.
 
-use ochrewalk_rollout::{CommitConfirm, RevertAction};
+use ochrewalk_rollout::{CommitConfirm, ControllerNumber, RevertAction};
 
 const LEASE: u64 = 5_000_000;
 
@@ -16,12 +16,12 @@
         [(7, 7, 4_000_000 + LEASE), (9, 7, 4_000_000 + LEASE), (6, 7, LEASE), (0, 7, LEASE)]
     {
         let mut change = unconfirmed();
-        change.renew(4_000_000, controller, highest);
+        change.renew(4_000_000, ControllerNumber(controller), ControllerNumber(highest));
         assert_eq!(change.next_us(), Some(deadline_us), "{controller} where {highest} is known");
     }
     let mut change = unconfirmed();
     assert_eq!(change.next_action(LEASE), RevertAction::HandOver);
-    change.renew(LEASE + 1, 7, 7);
+    change.renew(LEASE + 1, ControllerNumber(7), ControllerNumber(7));
     assert!(change.is_pending() && change.next_us().is_none());
     // A process that was stopped for an hour reverts at once when it is continued.
     assert_eq!(unconfirmed().next_action(3_600_000_000), RevertAction::HandOver);
--- a/crates/ochrewalk-rollout/tests/controller.rs
+++ b/crates/ochrewalk-rollout/tests/controller.rs
@@ -2,8 +2,8 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::{
-    ChangeMethod, Command, CommandReply, ControllerActions, FencingToken, NodeReport, Outcome, Phase,
-    RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version, WaitReason,
+    ChangeMethod, Command, CommandReply, ControllerActions, ControllerNumber, FencingToken, NodeReport,
+    Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version, WaitReason,
 };
 
 #[derive(Default)]
@@ -43,7 +43,11 @@
 }
 
 fn report(version: Version, controller: u64) -> NodeReport {
-    NodeReport { version, is_healthy: true, highest: FencingToken { controller, command: 0 } }
+    NodeReport {
+        version,
+        is_healthy: true,
+        highest: FencingToken { controller: ControllerNumber(controller), command: 0 },
+    }
 }
 
 const HAND_OVER: RolloutPolicy = RolloutPolicy { commit_confirmed: false, restart_stuck_nodes: false };
@@ -55,8 +59,10 @@
 }
 
 fn polled_with(policy: RolloutPolicy, record: Option<RolloutRecord>) -> (RolloutController, RecordedActions) {
-    let (mut controller, mut actions) =
-        (RolloutController::new(stage_plan(), policy, record, 1), RecordedActions::default());
+    let (mut controller, mut actions) = (
+        RolloutController::new(stage_plan(), policy, record, ControllerNumber(1)),
+        RecordedActions::default(),
+    );
     for node in 0..4 {
         controller.node_reported(node, Some(&report(Version::Old, 0)), &mut actions);
     }
@@ -111,7 +117,7 @@
         answer(&mut controller, &mut actions, done());
     }
     assert_eq!(controller.phase(), &Phase::RolledBack { reason: "slow".into() });
-    assert!(controller.node_states().iter().all(|seen| seen.version == Some(Version::Old)));
+    assert!(controller.node_states().iter().all(|state| state.version == Some(Version::Old)));
     assert!(controller.record().is_finished);
 }
 
@@ -163,18 +169,24 @@
 #[test]
 fn of_two_controllers_the_later_one_acts() {
     let (mut controller, mut actions) = polled(None);
-    answer(&mut controller, &mut actions, CommandReply::Stale(FencingToken { controller: 2, command: 1 }));
+    answer(
+        &mut controller,
+        &mut actions,
+        CommandReply::Stale(FencingToken { controller: ControllerNumber(2), command: 1 }),
+    );
     assert_eq!(controller.phase(), &Phase::Replaced);
     controller.analysis_concluded(Verdict::Pass, &mut actions);
     controller.roll_back(&mut actions);
     assert_eq!(controller.phase(), &Phase::Replaced);
     // A controller that begins takes a number above all that nodes know.
-    let (mut later, mut actions) =
-        (RolloutController::new(stage_plan(), HAND_OVER, None, 1), RecordedActions::default());
+    let (mut later, mut actions) = (
+        RolloutController::new(stage_plan(), HAND_OVER, None, ControllerNumber(1)),
+        RecordedActions::default(),
+    );
     for (node, highest) in [3, 7, 2, 0].into_iter().enumerate() {
         later.node_reported(node, Some(&report(Version::Old, highest)), &mut actions);
     }
-    assert_eq!(actions.commands[0].1.token, FencingToken { controller: 8, command: 1 });
+    assert_eq!(actions.commands[0].1.token, FencingToken { controller: ControllerNumber(8), command: 1 });
     // And learns of a higher one later.
     later.node_reported(3, Some(&report(Version::Old, 9)), &mut actions);
     assert_eq!(later.phase(), &Phase::Replaced);
@@ -187,8 +199,10 @@
     controller.analysis_concluded(Verdict::Pass, &mut actions);
     let record = actions.record.clone().unwrap();
     assert_eq!((record.stage, &record.changed_nodes[..]), (1, &[0, 2, 1][..]));
-    let (mut next, mut actions) =
-        (RolloutController::new(stage_plan(), HAND_OVER, Some(record), 2), RecordedActions::default());
+    let (mut next, mut actions) = (
+        RolloutController::new(stage_plan(), HAND_OVER, Some(record), ControllerNumber(2)),
+        RecordedActions::default(),
+    );
     // One of the two commands was carried out.
     for (node, version) in [Version::New, Version::Old, Version::New, Version::Old].into_iter().enumerate() {
         next.node_reported(node, Some(&report(version, 1)), &mut actions);
@@ -197,8 +211,10 @@
     // During a rollback, too; and a rollout that is finished stays so.
     next.analysis_concluded(Verdict::Harm("slow".into()), &mut actions);
     let record = actions.record.clone().unwrap();
-    let (mut next, mut actions) =
-        (RolloutController::new(stage_plan(), HAND_OVER, Some(record), 3), RecordedActions::default());
+    let (mut next, mut actions) = (
+        RolloutController::new(stage_plan(), HAND_OVER, Some(record), ControllerNumber(3)),
+        RecordedActions::default(),
+    );
     for node in 0..4 {
         next.node_reported(node, Some(&report([Version::Old, Version::New][node % 2], 2)), &mut actions);
     }
@@ -211,8 +227,10 @@
 
 #[test]
 fn an_unhealthy_fleet_makes_it_wait_and_an_operator_pauses_resumes_and_rolls_back() {
-    let (mut controller, mut actions) =
-        (RolloutController::new(stage_plan(), HAND_OVER, None, 1), RecordedActions::default());
+    let (mut controller, mut actions) = (
+        RolloutController::new(stage_plan(), HAND_OVER, None, ControllerNumber(1)),
+        RecordedActions::default(),
+    );
     for node in 0..4 {
         let well = NodeReport { is_healthy: node > 1, ..report(Version::Old, 0) };
         controller.node_reported(node, Some(&well), &mut actions);
@@ -292,8 +310,10 @@
     controller.resume(&mut actions);
     assert_eq!(controller.phase(), &Phase::Confirming);
     // The controller after one that was killed there neither analyses nor changes again.
-    let (mut next, mut actions) =
-        (RolloutController::new(stage_plan(), COMMIT_CONFIRMED, Some(record), 2), RecordedActions::default());
+    let (mut next, mut actions) = (
+        RolloutController::new(stage_plan(), COMMIT_CONFIRMED, Some(record), ControllerNumber(2)),
+        RecordedActions::default(),
+    );
     for node in 0..4 {
         next.node_reported(node, Some(&report(Version::New, 1)), &mut actions);
     }
--- a/crates/ochrewalk-rollout/tests/exploration.rs
+++ b/crates/ochrewalk-rollout/tests/exploration.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::{
-    Admission, ChangeMethod, Command, CommandReply, ControllerActions, Fence, FencingToken, NodeReport,
-    Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version,
+    Admission, ChangeMethod, Command, CommandReply, ControllerActions, ControllerNumber, Fence, FencingToken,
+    NodeReport, Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version,
 };
 use stateright::{Checker, Model, Property};
 
@@ -107,7 +107,9 @@
         what(&mut controller, &mut effects);
         let commands = effects.commands;
         // One file: a controller that no longer has the highest number may not write it.
-        if controller.record().controller >= self.record.as_ref().map_or(0, |record| record.controller) {
+        if controller.record().controller
+            >= self.record.as_ref().map_or(ControllerNumber::default(), |record| record.controller)
+        {
             self.record = record;
         }
         for (node, command) in commands {
@@ -122,8 +124,8 @@
     fn controller_begins(&mut self, at: usize, policy: RolloutPolicy) {
         self.began += 1;
         // No number is ever taken twice: in the program it is the time, in microseconds.
-        let persisted = self.record.as_ref().map_or(0, |record| record.controller);
-        let number = persisted.max(u64::from(self.began) - 1) + 1;
+        let persisted = self.record.as_ref().map_or(ControllerNumber::default(), |record| record.controller);
+        let number = persisted.max(ControllerNumber(u64::from(self.began) - 1)).next();
         self.controllers[at] =
             Some(RolloutController::new(stage_plan(), policy, self.record.clone(), number));
     }
@@ -152,7 +154,9 @@
 
 impl Explored {
     fn poll(&self, world: &mut World, at: usize, node: usize) {
-        let number = world.controllers[at].as_ref().map_or(0, |controller| controller.record().controller);
+        let number = world.controllers[at]
+            .as_ref()
+            .map_or(ControllerNumber::ONLOOKER, |controller| controller.record().controller);
         if world.nodes[node].is_healthy && !self.no_fence {
             world.nodes[node].fence.observe_controller(number);
         }
@@ -339,7 +343,7 @@
             Property::always(KNOWN, |_, w: &World| {
                 w.controllers.iter().flatten().all(|controller| {
                     let all =
-                        |version| controller.node_states().iter().all(|seen| seen.version == Some(version));
+                        |version| controller.node_states().iter().all(|state| state.version == Some(version));
                     match controller.phase() {
                         Phase::RolledBack { .. } => {
                             controller.node_states().iter().all(|s| s.version != Some(Version::New))
--- a/crates/ochrewalk-rollout/tests/log_text.rs
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -1,7 +1,9 @@
 //! The words of a rollout's log and of the operator's status line. `ochrewalk-report` reads logs that other versions wrote, and
 //! `docs/operators/rollout.md` names these words: they stay, whatever the code calls these things.
 
-use ochrewalk_rollout::{ChangeMethod, CommandReply, FencingToken, Outcome, Phase, Verdict, WaitReason};
+use ochrewalk_rollout::{
+    ChangeMethod, CommandReply, ControllerNumber, FencingToken, Outcome, Phase, Verdict, WaitReason,
+};
 
 #[test]
 fn phases_and_reasons_to_wait_have_these_texts() {
@@ -40,7 +42,7 @@
         (CommandReply::Finished(Outcome::Done), "Ended(Done)"),
         (CommandReply::Finished(Outcome::Failed("no such file".into())), r#"Ended(Failed("no such file"))"#),
         (
-            CommandReply::Stale(FencingToken { controller: 7, command: 2 }),
+            CommandReply::Stale(FencingToken { controller: ControllerNumber(7), command: 2 }),
             "Stale(Mark { conductor: 7, order: 2 })",
         ),
         (CommandReply::NoReply, "Nothing"),
--- a/crates/ochrewalk-rollout/tests/record.rs
+++ b/crates/ochrewalk-rollout/tests/record.rs
@@ -1,6 +1,6 @@
 //! What a controller persists is read back complete, or not at all.
 
-use ochrewalk_rollout::{RecordError, RolloutRecord};
+use ochrewalk_rollout::{ControllerNumber, RecordError, RolloutRecord};
 
 /// Where the version of the form stands in a record: after the tag of the first field.
 const FORMAT_VERSION_AT: usize = 1;
@@ -8,7 +8,7 @@
 #[test]
 fn a_record_is_read_back_and_a_torn_or_newer_one_is_rejected() {
     let record = RolloutRecord {
-        controller: 7,
+        controller: ControllerNumber(7),
         stage: 2,
         rollback_reason: Some("slow".into()),
         changed_nodes: vec![3, 0, 2],
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -8,11 +8,14 @@
     Response, ServingCounters, Target, PROTOCOL_VERSION,
 };
 use ochrewalk_rollout::{
-    ChangeMethod, Command, CommandReply, ControllerActions, FencingToken, NodeReport, Outcome, Phase,
-    RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version,
+    ChangeMethod, Command, CommandReply, ControllerActions, ControllerNumber, FencingToken, NodeReport,
+    Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version,
 };
 use std::path::{Path, PathBuf};
 
+/// The controller's number in all fixtures.
+const CONTROLLER: u64 = 1_764_633_600_000_007;
+
 fn fixture_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(format!("{name}.bin"))
 }
@@ -25,7 +28,7 @@
 /// Records, by the name of their fixture: one for each phase in which a record is written.
 fn records() -> Vec<(&'static str, RolloutRecord)> {
     let record = |stage, back: Option<&str>, changed: &[usize], is_finished| RolloutRecord {
-        controller: 1_764_633_600_000_007,
+        controller: ControllerNumber(CONTROLLER),
         stage,
         rollback_reason: back.map(String::from),
         changed_nodes: changed.to_vec(),
@@ -91,9 +94,9 @@
     }
 }
 
-fn begun(habits: RolloutPolicy) -> (RolloutController, Persisted) {
+fn begun(policy: RolloutPolicy) -> (RolloutController, Persisted) {
     let stage_plan = StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap();
-    let mut controller = RolloutController::new(stage_plan, habits, None, 1_764_633_600_000_007);
+    let mut controller = RolloutController::new(stage_plan, policy, None, ControllerNumber(CONTROLLER));
     let mut persisted = Persisted::default();
     let report = NodeReport { version: Version::Old, is_healthy: true, highest: FencingToken::default() };
     for node in 0..4 {
@@ -176,15 +179,15 @@
 fn requests() -> Vec<(&'static str, Request)> {
     let command = |version, method, target| {
         let command = Command {
-            token: FencingToken { controller: 1_764_633_600_000_007, command: 300 },
+            token: FencingToken { controller: ControllerNumber(CONTROLLER), command: 300 },
             version,
             method,
         };
         Request::command(CommandMessage::new(&command, target, 30_000))
     };
     vec![
-        ("request-status-of-an-onlooker", Request::status(0)),
-        ("request-status-of-a-controller", Request::status(1_764_633_600_000_007)),
+        ("request-status-of-an-onlooker", Request::status(ControllerNumber::ONLOOKER)),
+        ("request-status-of-a-controller", Request::status(ControllerNumber(CONTROLLER))),
         ("request-program-commit-confirmed", command(Version::New, ChangeMethod::CommitConfirmed, program())),
         ("request-program-hand-over", command(Version::New, ChangeMethod::HandOver, program())),
         ("request-program-restart", command(Version::Old, ChangeMethod::Restart, program())),
@@ -215,7 +218,7 @@
 /// Replies, by the name of their fixture.
 fn responses() -> Vec<(&'static str, Response)> {
     let response = |reply| Response { protocol_version: PROTOCOL_VERSION, reply: Some(reply) };
-    let highest = FencingTokenMessage { controller: 1_764_633_600_000_007, command: 300 };
+    let highest = FencingTokenMessage { controller: CONTROLLER, command: 300 };
     let full = NodeStatus {
         fingerprint: 0x0123_4567_89ab_cdef,
         path: "/usr/local/bin/ochrewalk-2".into(),
@@ -274,8 +277,8 @@
 fn what_the_fields_of_a_request_and_a_reply_mean_is_what_the_bytes_said() {
     let request: Request = read_message(&mut &fixture("request-settings-commit-confirmed")[..]).unwrap();
     let command = request.command.unwrap();
-    assert_eq!((request.protocol_version, request.controller), (2, 1_764_633_600_000_007));
-    assert_eq!(command.token(), FencingToken { controller: 1_764_633_600_000_007, command: 300 });
+    assert_eq!((request.protocol_version, request.controller), (2, CONTROLLER));
+    assert_eq!(command.token(), FencingToken { controller: ControllerNumber(CONTROLLER), command: 300 });
     assert_eq!((command.lease_ms, command.restart, command.target), (30_000, false, Some(settings())));
     let restart: Request = read_message(&mut &fixture("request-program-restart")[..]).unwrap();
     let command = restart.command.unwrap();
