--- a/crates/ochrewalk-rollout/src/lib.rs
+++ b/crates/ochrewalk-rollout/src/lib.rs
@@ -18,7 +18,7 @@
 //! * A rollout that is done has changed every node for good; one that is rolled back has left none changed.
 //! * A rollout without harm is stopped with at most the chance that [`AnalysisSettings`] says.
 //!
-//! `tests/exploration.rs` checks all but the last in every state that can be reached in some twenty steps, with a kill, a loss, an
+//! `tests/exploration/` checks all but the last in every state that can be reached in some twenty steps, with a kill, a loss, an
 //! outage and a failure at any of them; `tests/canary_analysis.rs` measures the last.
 //!
 //! # Phases of a rollout
--- a/crates/ochrewalk-rollout/tests/exploration.rs
+++ b/crates/ochrewalk-rollout/tests/exploration/main.rs
@@ -2,48 +2,14 @@
 //! without bound or lost, nodes that stop answering and come back.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
+mod world;
+
 use ochrewalk_rollout::{
-    Admission, ChangeMethod, Command, CommandReply, ControllerActions, ControllerNumber, Fence, FencingToken,
-    NodeReport, Outcome, Phase, RolloutController, RolloutPolicy, RolloutRecord, StagePlan, Verdict, Version,
+    Admission, ChangeMethod, CommandReply, ControllerNumber, Fence, FencingToken, Outcome, Phase,
+    RolloutPolicy, Verdict, Version,
 };
 use stateright::{Checker, Model, Property};
-
-const NODES: usize = 3;
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Node {
-    version: Version,
-    /// What it runs reverts by itself unless it is confirmed.
-    is_unconfirmed: bool,
-    fence: Fence,
-    /// The command that is being carried out.
-    executing: Option<Command>,
-    is_healthy: bool,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    nodes: Vec<Node>,
-    /// By controller; none where it does not run.
-    controllers: Vec<Option<RolloutController>>,
-    /// The file that controllers persist.
-    record: Option<RolloutRecord>,
-    /// Commands on their way, with the controller that sent them and their node.
-    commands: Vec<(usize, usize, Command)>,
-    replies: Vec<(usize, usize, FencingToken, CommandReply)>,
-    kills: u8,
-    outages: u8,
-    losses: u8,
-    failures: u8,
-    expirations: u8,
-    harms: u8,
-    stucks: u8,
-    began: u8,
-    /// Two tokens of different controllers were acted on out of their order.
-    acted_late: bool,
-    last_acted: Vec<FencingToken>,
-    too_many_out: bool,
-}
+use world::{Node, World, NODES};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
@@ -67,21 +33,6 @@
     NoProgress(usize),
 }
 
-struct Effects<'a> {
-    record: &'a mut Option<RolloutRecord>,
-    commands: Vec<(usize, Command)>,
-}
-
-impl ControllerActions for Effects<'_> {
-    fn persist(&mut self, record: &RolloutRecord) {
-        *self.record = Some(record.clone());
-    }
-    fn send_command(&mut self, node: usize, command: Command) {
-        self.commands.push((node, command));
-    }
-    fn begin_analysis(&mut self, _stage: usize) {}
-}
-
 /// How much may go wrong, and whether the fence is left out on purpose.
 #[derive(Clone, Copy)]
 struct Explored {
@@ -95,63 +46,6 @@
     no_fence: bool,
 }
 
-fn stage_plan() -> StagePlan {
-    StagePlan::new(vec![0, 0, 1], vec![1, NODES], 1).unwrap()
-}
-
-impl World {
-    fn with(&mut self, at: usize, what: impl FnOnce(&mut RolloutController, &mut Effects)) {
-        let Some(mut controller) = self.controllers[at].take() else { return };
-        let mut record = self.record.clone();
-        let mut effects = Effects { record: &mut record, commands: Vec::new() };
-        what(&mut controller, &mut effects);
-        let commands = effects.commands;
-        // One file: a controller that no longer has the highest number may not write it.
-        if controller.record().controller
-            >= self.record.as_ref().map_or(ControllerNumber::default(), |record| record.controller)
-        {
-            self.record = record;
-        }
-        for (node, command) in commands {
-            self.commands.push((at, node, command));
-        }
-        self.commands.sort_by_key(|(at, node, command)| (*at, *node, command.token));
-        let out = controller.pending_commands().count();
-        self.too_many_out |= out > 1;
-        self.controllers[at] = Some(controller);
-    }
-
-    fn controller_begins(&mut self, at: usize, policy: RolloutPolicy) {
-        self.began += 1;
-        // No number is ever taken twice: in the program it is the time, in microseconds.
-        let persisted = self.record.as_ref().map_or(ControllerNumber::default(), |record| record.controller);
-        let number = persisted.max(ControllerNumber(u64::from(self.began) - 1)).next();
-        self.controllers[at] =
-            Some(RolloutController::new(stage_plan(), policy, self.record.clone(), number));
-    }
-
-    fn conclude(&mut self, at: usize, verdict: Verdict) {
-        self.with(at, |controller, effects| controller.analysis_concluded(verdict, effects));
-    }
-
-    /// A reply to a controller that does not run is heard by nobody.
-    fn drop_replies_to_nobody(&mut self) {
-        self.replies.sort_by_key(|reply| (reply.0, reply.1, reply.2));
-        self.replies.dedup();
-        let runs: Vec<bool> = self.controllers.iter().map(Option::is_some).collect();
-        self.replies.retain(|(to, ..)| runs[*to]);
-    }
-
-    fn node_report(&self, node: usize) -> Option<NodeReport> {
-        let of = &self.nodes[node];
-        of.is_healthy.then(|| NodeReport {
-            version: of.version,
-            is_healthy: of.executing.is_none(),
-            highest: of.fence.highest(),
-        })
-    }
-}
-
 impl Explored {
     fn poll(&self, world: &mut World, at: usize, node: usize) {
         let number = world.controllers[at]
