--- a/crates/ochrewalk-node/src/rollout/error.rs
+++ b/crates/ochrewalk-node/src/rollout/error.rs
@@ -20,7 +20,7 @@
     #[error("{}", lines(.0))]
     Plan(Vec<Diagnostic>),
     /// The plan's nodes, stages and bound do not fit together.
-    #[error("the plan's {0}")]
+    #[error("the plan cannot be carried out: {0}")]
     Stages(#[from] StagePlanError),
     /// Nothing would change on this node.
     #[error("both files of the plan hold the same for {node}")]
--- a/crates/ochrewalk-rollout/src/log_text.rs
+++ b/crates/ochrewalk-rollout/src/log_text.rs
@@ -1,7 +1,6 @@
 //! The texts of phases, reasons, methods, replies and verdicts in a rollout's log and in the status line for operators. Logs that
 //! other versions wrote are read by `ochrewalk-report`: these texts stay, whatever the types here are called.
 
-use crate::stage_plan::StagePlanError;
 use crate::{ChangeMethod, CommandReply, Outcome, Phase, Verdict, WaitReason};
 use std::fmt::{Display, Formatter, Result};
 
@@ -68,13 +67,3 @@
         }
     }
 }
-
-impl Display for StagePlanError {
-    fn fmt(&self, f: &mut Formatter<'_>) -> Result {
-        f.write_str(match self {
-            StagePlanError::NoNodes => "NoNodes",
-            StagePlanError::Stages => "Stages",
-            StagePlanError::MaxUnavailable => "Unavailable",
-        })
-    }
-}
--- a/crates/ochrewalk-rollout/src/stage_plan.rs
+++ b/crates/ochrewalk-rollout/src/stage_plan.rs
@@ -19,19 +19,20 @@
     pub change_number: u32,
 }
 
-/// Why a plan cannot be carried out. Its text is the plan's part that is wrong.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a plan cannot be carried out.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StagePlanError {
     /// The plan has no nodes.
+    #[error("it has no nodes")]
     NoNodes,
     /// No stage, one that is not larger than the one before, or a last one that is not all nodes.
+    #[error("its stages do not rise up to all nodes")]
     Stages,
     /// No node may be out of service, or all may be.
+    #[error("no node may be out of service, or all may be")]
     MaxUnavailable,
 }
 
-impl std::error::Error for StagePlanError {}
-
 /// Which nodes each stage changes, and how many may be out of service at once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StagePlan {
