--- a/crates/ochrewalk-control-plane/src/agent.rs
+++ b/crates/ochrewalk-control-plane/src/agent/mod.rs
@@ -1,17 +1,24 @@
 //! The socket side of a subscriber, in a node or in a relay: it keeps a connection to one of its relays, hands complete
 //! updates to its owner, and tells what became of them. All that is decided stands in `ochrewalk-distribution`.
 
+mod probe;
+mod settings;
+
 use crate::connection::{Connection, ConnectionError};
 use crate::frame::MAX_SUBSCRIBER_FRAME;
 use mio::{Registry, Token};
 use ochrewalk_distribution::messages::{Body, Position, RegionStatus, ResourceName};
 use ochrewalk_distribution::{
-    Choice, CompleteUpdate, DemandSet, DemandState, Interest, NoRelays, ProbeResult, Received, RelayChoice,
-    RelayChoiceLimits, Subscription, SubscriptionLimits,
+    Choice, CompleteUpdate, DemandSet, DemandState, NoRelays, ProbeResult, Received, RelayChoice,
+    Subscription,
 };
 use std::collections::HashMap;
+use std::fmt;
 use std::net::SocketAddr;
 
+use probe::Probe;
+pub use settings::{AgentCounters, AgentSettings};
+
 /// A relay that says nothing for so long is taken for gone: three heartbeats.
 pub const SILENCE_US: u64 = 1_500_000;
 /// How long a connection may take until the relay is first heard.
@@ -21,33 +28,15 @@
 
 /// Who takes what a subscription brings.
 pub trait ConfigurationSink {
-    /// Brings an update into force as a whole, or says why it cannot be and leaves all as it is.
-    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), String>;
-}
-
-/// Who an agent is and what it wants.
-#[derive(Clone, Debug)]
-pub struct AgentSettings {
-    pub node: String,
-    pub region: String,
-    pub relays: Vec<SocketAddr>,
-    pub interest: Interest,
-    pub limits: SubscriptionLimits,
-    pub choice: RelayChoiceLimits,
-    /// Single names held at a time.
-    pub max_names: usize,
-    /// What the jitter of reconnections is drawn from.
-    pub seed: u64,
-}
+    /// Why an update cannot be applied; its text is reported to the relay.
+    type Error: fmt::Display;
 
-/// What an agent has done, for measurements and logs.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AgentCounters {
-    pub connections: u64,
-    pub updates: u64,
-    pub rejected: u64,
-    pub bytes_in: u64,
-    pub bytes_out: u64,
+    /// Brings a complete update into force.
+    ///
+    /// # Errors
+    ///
+    /// Where the update cannot be applied. All of it is left out then, and the earlier one stays in force.
+    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), Self::Error>;
 }
 
 #[derive(Debug)]
@@ -66,8 +55,7 @@
     subscription: Subscription,
     demand: DemandSet,
     link: Link,
-    /// A connection to the first choice, made while another one serves, to see whether it is well.
-    probe: Option<(Connection, u64)>,
+    probe: Option<Probe>,
     probe_token: Token,
     counters: AgentCounters,
     /// How old the relay's own state was when it was heard last.
@@ -176,7 +164,7 @@
         if let Err(why) = self.exchange(now_us, sink) {
             self.disconnect(registry, now_us, &why);
         }
-        self.probe(registry, now_us);
+        self.probe_first_choice(registry, now_us);
         if let Link::Waiting { until_us } = self.link {
             if until_us <= now_us {
                 self.connect(registry, now_us);
@@ -193,7 +181,7 @@
             Link::Waiting { until_us } | Link::Connecting { until_us, .. } => *until_us,
             Link::Subscribed { .. } => self.silent_at_us(now_us),
         };
-        let probe_us = self.probe.as_ref().map_or(u64::MAX, |(_, until_us)| *until_us);
+        let probe_us = self.probe.as_ref().map_or(u64::MAX, Probe::until_us);
         link_us.min(probe_us).max(now_us + 1)
     }
 
@@ -264,7 +252,7 @@
             Body::Update(update) => {
                 self.enter_subscribed();
                 let received = self.subscription.received(update);
-                match received.map_err(|why| ConnectionError::Protocol(why.to_string()))? {
+                match received? {
                     Received::More => Ok(()),
                     Received::Complete(update) => self.complete(&update, sink),
                 }
@@ -278,8 +266,8 @@
                 self.choice.retry_later(now_us, later.after_ms.saturating_mul(1_000));
                 Err(ConnectionError::RetryLater)
             }
-            Body::Refused(refused) => Err(ConnectionError::Refused(refused.reasons.join("; "))),
-            _ => Err(ConnectionError::Protocol("a message that relays do not send".into())),
+            Body::Refused(refused) => Err(ConnectionError::Refused { reasons: refused.reasons }),
+            _ => Err(ConnectionError::NotFromRelay),
         }
     }
 
@@ -306,9 +294,9 @@
                 self.demand.applied(update);
                 self.subscription.applied(update.position)
             }
-            Err(reason) => {
+            Err(why) => {
                 self.counters.rejected += 1;
-                self.subscription.rejected(update.position, reason)
+                self.subscription.rejected(update.position, why.to_string())
             }
         };
         match &mut self.link {
@@ -325,18 +313,14 @@
         }
     }
 
-    /// Looks whether the first choice is well again, and goes back to it once it was well for a while.
-    fn probe(&mut self, registry: &Registry, now_us: u64) {
-        if let Some((mut connection, until_us)) = self.probe.take() {
-            // A connection that stands takes what is written; one that is refused says so when it is read.
-            let is_healthy = matches!(connection.receive(|_| ()), Ok(false)) && connection.is_established();
-            let is_over = is_healthy || now_us >= until_us;
-            if !is_over && !connection.is_broken() {
-                self.probe = Some((connection, until_us));
+    /// Probes the first choice while another relay serves, and returns to it once it was healthy for long enough.
+    fn probe_first_choice(&mut self, registry: &Registry, now_us: u64) {
+        if let Some(mut probe) = self.probe.take() {
+            let Some(result) = probe.result(now_us) else {
+                self.probe = Some(probe);
                 return;
-            }
-            connection.deregister(registry);
-            let result = if is_healthy { ProbeResult::Healthy } else { ProbeResult::Unhealthy };
+            };
+            probe.close(registry);
             self.choice.probed(result, now_us);
         }
         if !self.is_connected() {
@@ -348,9 +332,8 @@
             return self.close_link(registry, now_us);
         }
         if let Some(first) = self.choice.probe_due(now_us) {
-            let address = self.addresses[first];
-            match Connection::connect(address, self.probe_token, registry, MAX_SUBSCRIBER_FRAME) {
-                Ok(connection) => self.probe = Some((connection, now_us + CONNECT_US)),
+            match Probe::begin(self.addresses[first], self.probe_token, registry, now_us) {
+                Ok(probe) => self.probe = Some(probe),
                 Err(_) => self.choice.probed(ProbeResult::Unhealthy, now_us),
             }
         }
--- a/crates/ochrewalk-control-plane/src/connection.rs
+++ b/crates/ochrewalk-control-plane/src/connection.rs
@@ -4,6 +4,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use ochrewalk_distribution::messages::Body;
+use ochrewalk_distribution::{SubscribeError, UpdateError};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 
@@ -20,11 +21,17 @@
     #[error("it does not read")]
     NotReading,
     #[error("it sends what it should not: {0}")]
-    Protocol(String),
+    Update(#[from] UpdateError),
+    #[error("it sends what it should not: {0}")]
+    Watch(SubscribeError),
+    #[error("it sends what it should not: a message that relays do not send")]
+    NotFromRelay,
+    #[error("it sends what it should not: unexpected message {kind}")]
+    NotFromSubscriber { kind: &'static str },
     #[error("it asks to come back later")]
     RetryLater,
-    #[error("it refuses: {0}")]
-    Refused(String),
+    #[error("it refuses: {}", reasons.join("; "))]
+    Refused { reasons: Vec<String> },
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error(transparent)]
--- a/crates/ochrewalk-control-plane/src/frame.rs
+++ b/crates/ochrewalk-control-plane/src/frame.rs
@@ -23,8 +23,7 @@
 /// Appends a message with its length to `out`.
 pub fn encode(body: Body, out: &mut Vec<u8>) {
     let envelope = Envelope { body: Some(body) };
-    out.reserve(envelope.encoded_len() + MAX_VARINT_BYTES);
-    envelope.encode_length_delimited(out).expect("a vector has room");
+    out.append(&mut envelope.encode_length_delimited_to_vec());
 }
 
 /// Puts bytes together to messages, however they were parted.
--- a/crates/ochrewalk-control-plane/src/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/src/publisher_log.rs
@@ -26,7 +26,7 @@
     #[error("the log cannot be opened: {0}")]
     Open(#[from] redb::DatabaseError),
     #[error("the log cannot be written or read: {0}")]
-    Storage(String),
+    Storage(#[source] redb::Error),
     #[error("the log holds a record that cannot be decoded ({0}); restore it from a copy")]
     Damaged(&'static str),
     #[error("an earlier write failed; open the log anew")]
@@ -37,7 +37,7 @@
     ($($error:ty),*) => {
         $(impl From<$error> for LogError {
             fn from(error: $error) -> LogError {
-                LogError::Storage(error.to_string())
+                LogError::Storage(error.into())
             }
         })*
     };
--- a/crates/ochrewalk-control-plane/src/relay.rs
+++ b/crates/ochrewalk-control-plane/src/relay.rs
@@ -7,7 +7,8 @@
 use mio::{Events, Poll, Token};
 use ochrewalk_distribution::messages::Position;
 use ochrewalk_distribution::{
-    CompleteUpdate, Interest, RelayChoiceLimits, Server, ServerLimits, Store, StoreLimits, SubscriptionLimits,
+    ApplyError, CompleteUpdate, Interest, RelayChoiceLimits, Server, ServerLimits, Store, StoreLimits,
+    SubscriptionLimits,
 };
 use std::io;
 use std::net::SocketAddr;
@@ -62,8 +63,10 @@
 }
 
 impl ConfigurationSink for Downstream<'_> {
-    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), String> {
-        self.subscribers.server.store_mut().apply(update).map_err(|why| why.to_string())?;
+    type Error = ApplyError;
+
+    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), ApplyError> {
+        self.subscribers.server.store_mut().apply(update)?;
         self.subscribers.state_changed();
         let Position { epoch, revision } = update.position;
         tracing::debug!(part = "config", "{} changes lead to {epoch}.{revision}", update.resources.len());
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -46,6 +46,63 @@
     relay: Option<String>,
 }
 
+impl Peer {
+    /// The connection ends with `why` at `end_us`; until then nothing is sent on it.
+    fn wait_until(&mut self, end_us: u64, now_us: u64, why: ConnectionError) -> Result<(), ConnectionError> {
+        if now_us >= end_us {
+            return Err(why);
+        }
+        self.due_us = end_us;
+        Ok(())
+    }
+
+    /// Sends parts of updates as long as the system takes each at once.
+    fn send_updates(
+        &mut self,
+        server: &mut Server,
+        id: SubscriberId,
+        now_us: u64,
+    ) -> Result<(), ConnectionError> {
+        self.due_us = u64::MAX;
+        while self.connection.is_flushed() {
+            self.since_us = now_us;
+            match server.next(id, now_us) {
+                NextUpdate::Send(update) => {
+                    self.connection.send(Body::Update(update))?;
+                    self.last_sent_us = now_us;
+                }
+                NextUpdate::Wait { until_us } => {
+                    self.due_us = until_us.max(now_us + 1);
+                    break;
+                }
+                NextUpdate::Idle => break,
+            }
+        }
+        Ok(())
+    }
+
+    /// Sends a heartbeat where nothing else was sent for long enough.
+    fn send_heartbeat(&mut self, heartbeat: Heartbeat, now_us: u64) -> Result<(), ConnectionError> {
+        if self.connection.is_flushed() && now_us >= self.last_sent_us + HEARTBEAT_US {
+            self.connection.send(Body::Heartbeat(heartbeat))?;
+            self.last_sent_us = now_us;
+        }
+        Ok(())
+    }
+
+    /// Ends the connection of a peer that does not read, or sets when to look at it again.
+    fn schedule_check(&mut self, now_us: u64) -> Result<(), ConnectionError> {
+        let is_flushed = self.connection.is_flushed();
+        if !is_flushed && now_us >= self.since_us + PEER_TIMEOUT_US {
+            return Err(ConnectionError::NotReading);
+        }
+        let check_at_us =
+            if is_flushed { self.last_sent_us + HEARTBEAT_US } else { self.since_us + PEER_TIMEOUT_US };
+        self.due_us = self.due_us.min(check_at_us.max(now_us + 1));
+        Ok(())
+    }
+}
+
 /// All subscribers of a publisher or relay, on their sockets.
 #[derive(Debug)]
 pub struct SubscriberServer {
@@ -197,7 +254,7 @@
                 Ok(())
             }
             (Role::Subscriber(id), Body::Watch(watch)) => {
-                self.server.watch(id, &watch).map_err(|why| ConnectionError::Protocol(why.to_string()))
+                self.server.watch(id, &watch).map_err(ConnectionError::Watch)
             }
             (Role::Subscriber(id), Body::Report(report)) => {
                 self.server.report(id, report);
@@ -208,59 +265,25 @@
                 Ok(())
             }
             // What neither a node nor a relay sends.
-            (_, other) => Err(ConnectionError::Protocol(format!("unexpected message {}", kind_of(&other)))),
+            (_, other) => Err(ConnectionError::NotFromSubscriber { kind: kind_of(&other) }),
         }
     }
 
     fn write(&mut self, token: Token, now_us: u64, source_age_ms: u64) -> Result<(), ConnectionError> {
         let Some(peer) = self.peers.get_mut(&token) else { return Ok(()) };
         peer.connection.flush()?;
-        let id = match peer.role {
-            Role::Subscriber(id) => id,
-            Role::Closing if now_us >= peer.since_us + CLOSE_DELAY_US => return Err(ConnectionError::Closed),
-            Role::Closing => {
-                peer.due_us = peer.since_us + CLOSE_DELAY_US;
-                return Ok(());
-            }
-            Role::Unknown if now_us >= peer.since_us + PEER_TIMEOUT_US => {
-                return Err(ConnectionError::Silent)
-            }
+        match peer.role {
             Role::Unknown => {
-                peer.due_us = peer.since_us + PEER_TIMEOUT_US;
-                return Ok(());
+                peer.wait_until(peer.since_us + PEER_TIMEOUT_US, now_us, ConnectionError::Silent)
             }
-        };
-        peer.due_us = u64::MAX;
-        while peer.connection.is_flushed() {
-            peer.since_us = now_us;
-            match self.server.next(id, now_us) {
-                NextUpdate::Send(update) => {
-                    peer.connection.send(Body::Update(update))?;
-                    peer.last_sent_us = now_us;
-                }
-                NextUpdate::Wait { until_us } => {
-                    peer.due_us = until_us.max(now_us + 1);
-                    break;
-                }
-                NextUpdate::Idle => break,
+            Role::Closing => peer.wait_until(peer.since_us + CLOSE_DELAY_US, now_us, ConnectionError::Closed),
+            Role::Subscriber(id) => {
+                peer.send_updates(&mut self.server, id, now_us)?;
+                let position = self.server.store().position();
+                peer.send_heartbeat(Heartbeat { position, age_ms: source_age_ms }, now_us)?;
+                peer.schedule_check(now_us)
             }
         }
-        let heartbeat_at_us = peer.last_sent_us + HEARTBEAT_US;
-        if peer.connection.is_flushed() && now_us >= heartbeat_at_us {
-            let position = self.server.store().position();
-            peer.connection.send(Body::Heartbeat(Heartbeat { position, age_ms: source_age_ms }))?;
-            peer.last_sent_us = now_us;
-        }
-        if !peer.connection.is_flushed() && now_us >= peer.since_us + PEER_TIMEOUT_US {
-            return Err(ConnectionError::NotReading);
-        }
-        let check_at_us = if peer.connection.is_flushed() {
-            peer.last_sent_us + HEARTBEAT_US
-        } else {
-            peer.since_us + PEER_TIMEOUT_US
-        };
-        peer.due_us = peer.due_us.min(check_at_us.max(now_us + 1));
-        Ok(())
     }
 
     fn close(&mut self, token: Token, registry: &Registry, why: &ConnectionError) {
--- a/crates/ochrewalk-lab/src/scale/hollow.rs
+++ b/crates/ochrewalk-lab/src/scale/hollow.rs
@@ -61,6 +61,8 @@
 }
 
 impl ConfigurationSink for HollowState {
+    type Error = String;
+
     fn apply(&mut self, update: &CompleteUpdate) -> Result<(), String> {
         if let Some(fault) = update.resources.iter().find_map(|resource| unknown_method(resource)) {
             return Err(fault);
--- a/crates/ochrewalk-node/src/configuration/agent.rs
+++ b/crates/ochrewalk-node/src/configuration/agent.rs
@@ -91,10 +91,11 @@
 }
 
 impl ConfigurationSink for Sink<'_> {
-    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), String> {
+    type Error = UpdateFault;
+
+    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), UpdateFault> {
         let mut state = self.handle.state();
-        let in_force = state.apply(update).map_err(|why| why.to_string());
-        let in_force = in_force.inspect_err(|why| {
+        let in_force = state.apply(update).inspect_err(|why| {
             let Position { epoch, revision } = update.position;
             tracing::warn!(part = "config", "{epoch}.{revision} is rejected: {why}");
         })?;
