--- a/crates/ochrewalk-control-plane/src/agent/mod.rs
+++ b/crates/ochrewalk-control-plane/src/agent/mod.rs
@@ -1,5 +1,15 @@
-//! The socket side of a subscriber, in a node or in a relay: it keeps a connection to one of its relays, hands complete
-//! updates to its owner, and tells what became of them. All that is decided stands in `ochrewalk-distribution`.
+//! The socket side of a subscriber, in a node or in a relay: it holds a connection to one of its relays, passes complete
+//! updates to a [`ConfigurationSink`], and reports their outcome. What it does is decided by the state machines of
+//! `ochrewalk-distribution`.
+//!
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | waiting | the time of the next attempt has come | connecting |
+//! | connecting | the first update or heartbeat | subscribed |
+//! | connecting | nothing for 1.5 s, an error, or a refusal | waiting; that relay is attempted again after a backoff |
+//! | connecting | asked to retry later | waiting; that relay is not attempted before |
+//! | subscribed | nothing for 1.5 s, or an error | waiting; that relay is attempted again after a backoff |
+//! | subscribed to another one | the first choice was healthy for long enough | waiting, to connect to the first choice at once |
 
 mod probe;
 mod settings;
@@ -19,14 +29,14 @@
 use probe::Probe;
 pub use settings::{AgentCounters, AgentSettings};
 
-/// A relay that says nothing for so long is taken for gone: three heartbeats.
+/// A relay that sends nothing for this time counts as failed, in microseconds: three heartbeats.
 pub const SILENCE_US: u64 = 1_500_000;
-/// How long a connection may take until the relay is first heard.
+/// How long a connection may take until the relay first sends something.
 const CONNECT_US: u64 = 1_500_000;
 /// Reads before others on the same event loop get their turn.
 const READS_AT_ONCE: usize = 64;
 
-/// Who takes what a subscription brings.
+/// Applies the updates of a subscription.
 pub trait ConfigurationSink {
     /// Why an update cannot be applied; its text is reported to the relay.
     type Error: fmt::Display;
@@ -58,14 +68,19 @@
     probe: Option<Probe>,
     probe_token: Token,
     counters: AgentCounters,
-    /// How old the relay's own state was when it was heard last.
+    /// How old the relay's own state was at its last heartbeat.
     source_age_ms: u64,
-    /// More may wait to be read, and the event loop will not say so again.
+    /// More may wait to be read, and the event loop will not report that again.
     has_unread: bool,
 }
 
 impl Agent {
-    /// An agent that begins to connect when it is first driven. It uses `token` and the one after it.
+    /// An agent that begins to connect when it is first driven. It uses `token` and the one after it. `saved` is the position
+    /// of the persisted state.
+    ///
+    /// # Errors
+    ///
+    /// Where the settings name no relay.
     pub fn new(settings: AgentSettings, saved: Option<Position>, token: Token) -> Result<Agent, NoRelays> {
         let AgentSettings { node, region, relays, interest, limits, choice, max_names, seed } = settings;
         let addresses: HashMap<String, SocketAddr> =
@@ -91,18 +106,18 @@
         self.subscription.position()
     }
 
-    /// How long ago the publisher's word was fresh, as far as is known: the time since anything was heard, and the age
-    /// that the relay's own state had then.
+    /// The age of what is in force, in milliseconds: the time since the relay last sent anything, and the age that the
+    /// relay's own state had then. None before the relay sent anything.
     pub fn age_ms(&self, now_us: u64) -> Option<u64> {
         Some(self.subscription.age_ms(now_us)? + self.source_age_ms)
     }
 
-    /// Whether a relay serves it now.
+    /// Whether it is subscribed to a relay.
     pub fn is_connected(&self) -> bool {
         matches!(self.link, Link::Subscribed { .. })
     }
 
-    /// What it has done so far.
+    /// Its counters so far.
     pub fn counters(&self) -> AgentCounters {
         let open = match &self.link {
             Link::Waiting { .. } => (0, 0),
@@ -127,24 +142,25 @@
         self.demand.restore_absent(name, now_us);
     }
 
-    /// A single name is needed. Gives the names that are no longer held for it.
+    /// A single name is needed. Returns the names that are no longer watched in its place.
     pub fn request_name(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
         let Some(watch) = self.demand.request(name, now_us) else { return Vec::new() };
         self.subscription.watch(&watch);
         let removed = watch.remove.clone();
         if let Link::Subscribed { connection } = &mut self.link {
-            // One that breaks is noticed when it is next driven.
+            // A connection that fails here is noticed by the next call of `drive`.
             let _ = connection.send(Body::Watch(watch));
         }
         removed
     }
 
-    /// Whether a single name was asked for, and with what result.
+    /// Whether a single name was requested, and with what result.
     pub fn name_state(&self, name: &ResourceName) -> Option<DemandState> {
         self.demand.state(name)
     }
 
-    /// Sends what a relay tells of its region. It is sent again after a new connection by whoever calls this.
+    /// Sends the status of a relay's region, unless an earlier message still waits to be written. The caller sends it again
+    /// at the next interval.
     pub fn send_status(&mut self, status: RegionStatus) {
         if let Link::Subscribed { connection } = &mut self.link {
             if connection.is_flushed() {
@@ -158,8 +174,8 @@
         token == self.token || token == self.probe_token
     }
 
-    /// Connects, reads, applies and writes what can be now. Gives the time at which to call again although nothing
-    /// happens. It is to be called after each event of its tokens.
+    /// Connects, reads, applies and writes what can be now. Call it after each event of its tokens. Returns the time at which
+    /// to call again although nothing happens, in microseconds.
     pub fn drive(&mut self, registry: &Registry, now_us: u64, sink: &mut impl ConfigurationSink) -> u64 {
         if let Err(why) = self.exchange(now_us, sink) {
             self.disconnect(registry, now_us, &why);
@@ -210,7 +226,7 @@
         }
     }
 
-    /// Connects and says what is wanted; the system holds it until the connection stands.
+    /// Connects and subscribes; the operating system holds the message until the connection is established.
     fn open(&mut self, address: SocketAddr, registry: &Registry) -> Result<Connection, ConnectionError> {
         let mut connection = Connection::connect(address, self.token, registry, MAX_SUBSCRIBER_FRAME)?;
         connection.send(Body::Subscribe(self.subscription.subscribe_message()))?;
@@ -339,7 +355,7 @@
         }
     }
 
-    /// Ends the connection there is. What it had received of an update is dropped.
+    /// Closes the connection, if there is one. An incomplete update is dropped.
     fn close_link(&mut self, registry: &Registry, now_us: u64) {
         let link = std::mem::replace(&mut self.link, Link::Waiting { until_us: now_us });
         if let Link::Connecting { connection, .. } | Link::Subscribed { connection } = link {
@@ -352,7 +368,7 @@
     }
 }
 
-/// Reads what has come, up to a bound. True where more may wait.
+/// Reads what was received, up to a bound. Returns whether more may wait.
 fn receive_all(connection: &mut Connection, bodies: &mut Vec<Body>) -> Result<bool, ConnectionError> {
     for _ in 0..READS_AT_ONCE {
         if !connection.receive(|body| bodies.push(body))? {
--- a/crates/ochrewalk-control-plane/src/clock.rs
+++ b/crates/ochrewalk-control-plane/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time for the state machines: whole microseconds since the program began, and Unix time for what people read.
+//! Time for the state machines: whole microseconds of a monotonic clock, and Unix time for what people read.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -9,7 +9,7 @@
 }
 
 impl Clock {
-    /// Begins now, at one second: nothing that is reckoned back a little falls before zero.
+    /// Begins now, at one second, so that times shortly before the start are not negative.
     pub fn start() -> Clock {
         let now = Instant::now();
         Clock { start: now.checked_sub(Duration::from_secs(1)).unwrap_or(now) }
--- a/crates/ochrewalk-control-plane/src/connection.rs
+++ b/crates/ochrewalk-control-plane/src/connection.rs
@@ -8,32 +8,49 @@
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 
-/// What is read from one connection before others get their turn.
+/// The most bytes of one read.
 const READ_CHUNK: usize = 64 * 1024;
 
-/// Why a connection is of no further use.
+/// Why a connection is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
+    /// The peer closed the connection.
     #[error("the peer closed it")]
     Closed,
+    /// The peer sent nothing for too long.
     #[error("it says nothing")]
     Silent,
+    /// The peer did not read for too long.
     #[error("it does not read")]
     NotReading,
+    /// A part of an update that does not fit what came before.
     #[error("it sends what it should not: {0}")]
     Update(#[from] UpdateError),
+    /// A watch of invalid names, or of too many.
     #[error("it sends what it should not: {0}")]
     Watch(SubscribeError),
+    /// A message that relays do not send.
     #[error("it sends what it should not: a message that relays do not send")]
     NotFromRelay,
+    /// A message that subscribers do not send.
     #[error("it sends what it should not: unexpected message {kind}")]
-    NotFromSubscriber { kind: &'static str },
+    NotFromSubscriber {
+        /// The kind of message.
+        kind: &'static str,
+    },
+    /// The relay asked to connect again later.
     #[error("it asks to come back later")]
     RetryLater,
+    /// The relay refused the subscriber.
     #[error("it refuses: {}", reasons.join("; "))]
-    Refused { reasons: Vec<String> },
+    Refused {
+        /// Why, as the relay says.
+        reasons: Vec<String>,
+    },
+    /// Bytes that are no message.
     #[error(transparent)]
     Frame(#[from] FrameError),
+    /// The operating system reported an error.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -47,20 +64,25 @@
     outbound: Vec<u8>,
     /// Bytes of `outbound` that were written already.
     written: usize,
-    /// Bytes received and sent since the connection began.
+    /// Bytes received since the connection began.
     pub bytes_in: u64,
+    /// Bytes sent since the connection began.
     pub bytes_out: u64,
 }
 
 impl Connection {
-    /// Takes over a stream that was accepted, or begins to connect.
+    /// Registers a stream that was accepted or begins to connect. Messages of more than `max_frame` bytes are refused.
+    ///
+    /// # Errors
+    ///
+    /// Where the event loop does not accept the stream.
     pub fn register(
         mut stream: TcpStream,
         token: Token,
         registry: &Registry,
         max_frame: usize,
     ) -> io::Result<Connection> {
-        // Messages are small and awaited: Nagle's algorithm would hold them back.
+        // Messages are small and waited for: Nagle's algorithm would delay them.
         let _ = stream.set_nodelay(true);
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         let decoder = FrameDecoder::new(max_frame);
@@ -68,6 +90,10 @@
     }
 
     /// Begins to connect to `address`.
+    ///
+    /// # Errors
+    ///
+    /// Where the operating system refuses at once, or the event loop does not accept the stream.
     pub fn connect(
         address: SocketAddr,
         token: Token,
@@ -82,18 +108,26 @@
         self.token
     }
 
-    /// Nothing waits to be written, so that the next message may be made.
+    /// Whether nothing waits to be written, so that the next message may be built.
     pub fn is_flushed(&self) -> bool {
         self.outbound.is_empty()
     }
 
-    /// Puts a message behind what waits to be written, and writes what the system takes.
+    /// Appends a message to what waits to be written, and writes what the operating system takes.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection is closed or broken.
     pub fn send(&mut self, body: Body) -> Result<(), ConnectionError> {
         frame::encode(body, &mut self.outbound);
         self.flush()
     }
 
-    /// Writes what the system takes. One that is still connecting takes nothing.
+    /// Writes what the operating system takes; nothing while the connection is not established.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection is closed or broken.
     pub fn flush(&mut self) -> Result<(), ConnectionError> {
         while self.written < self.outbound.len() {
             match self.stream.write(&self.outbound[self.written..]) {
@@ -112,7 +146,12 @@
         Ok(())
     }
 
-    /// Reads what has come, up to a bound, and gives each whole message to `handle` in order. True where more may wait.
+    /// Reads what was received, up to a bound, and passes each complete message to `handle` in order. Returns whether more
+    /// may wait.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection is closed or broken, or the bytes are no message.
     pub fn receive(&mut self, mut handle: impl FnMut(Body)) -> Result<bool, ConnectionError> {
         let mut chunk = vec![0; READ_CHUNK];
         let count = match self.stream.read(&mut chunk) {
@@ -130,22 +169,22 @@
         Ok(true)
     }
 
-    /// The peer has accepted it.
+    /// Whether the peer has accepted the connection.
     pub fn is_established(&self) -> bool {
         self.stream.peer_addr().is_ok()
     }
 
-    /// The system has given it up.
+    /// Whether the operating system has given the connection up.
     pub fn is_broken(&self) -> bool {
         !matches!(self.stream.take_error(), Ok(None))
     }
 
-    /// Nothing more is written, and what comes may still be read.
+    /// Closes the writing side; what the peer sends may still be read.
     pub fn shut_write(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Takes it out of the event loop; the stream closes with the value.
+    /// Removes the connection from the event loop and closes it.
     pub fn deregister(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.stream);
     }
--- a/crates/ochrewalk-control-plane/src/control.rs
+++ b/crates/ochrewalk-control-plane/src/control.rs
@@ -1,5 +1,5 @@
-//! The publisher's control socket: operators of the same user ask there, one request a connection. A thread of its own
-//! waits for them, so that nobody who connects and says nothing holds up the event loop.
+//! The publisher's control socket: operators of the same user send requests there, one a connection. A thread of its own
+//! waits for them, so that a client that connects and sends nothing does not delay the event loop.
 
 use crate::frame::{self, FrameDecoder, MAX_OPERATOR_FRAME};
 use mio::Waker;
@@ -13,30 +13,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Guards against one who asks and neither writes nor reads.
+/// How long a client may take to write its request or to read the reply.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Requests under way at a time: each has a thread while it lasts.
+/// The most requests at a time: each has a thread while it lasts.
 const MAX_REQUESTS: usize = 16;
 const READ_CHUNK: usize = 64 * 1024;
 
-/// What an operator asked, and where the reply goes.
+/// A request of an operator.
 #[derive(Debug)]
 pub struct Request {
+    /// The request.
     pub body: Body,
+    /// Takes the reply; only one is read.
     pub reply: Sender<Body>,
 }
 
 /// Why a request got no reply.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
+    /// The socket cannot be used.
     #[error("{path}: {source}")]
-    Io { path: PathBuf, source: io::Error },
+    Io {
+        /// The socket.
+        path: PathBuf,
+        /// What the operating system reports.
+        source: io::Error,
+    },
+    /// The publisher closed the connection without a reply.
     #[error("{0}: no answer that can be read")]
     NoAnswer(PathBuf),
 }
 
-/// Listens at `path`, in place of a socket that a killed publisher left. Each request comes out of the receiver, and the
-/// event loop is woken for it.
+/// Listens at `path`, in place of a socket that a killed publisher left. Requests arrive at the receiver, and the event loop
+/// is woken for each.
+///
+/// # Errors
+///
+/// Where the socket or its thread cannot be made.
 pub fn listen(path: &Path, waker: Arc<Waker>) -> io::Result<Receiver<Request>> {
     let listener = bind(path)?;
     let (sender, receiver) = channel();
@@ -59,8 +72,12 @@
     Ok(receiver)
 }
 
-/// A socket for this user alone, in the place of one that may still be there: of a program that was killed or has handed
+/// A socket for this user alone, in the place of one that may still be there from a process that was killed or has handed
 /// over.
+///
+/// # Errors
+///
+/// Where the socket cannot be made at `path`.
 pub fn bind(path: &Path) -> io::Result<UnixListener> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(".new");
@@ -115,7 +132,11 @@
     }
 }
 
-/// Asks the publisher at `path`, as an operator.
+/// Sends a request to the publisher whose control socket is at `path`, and waits for the reply.
+///
+/// # Errors
+///
+/// Where the socket cannot be used, or no reply arrives in time.
 pub fn send_request(path: &Path, body: Body) -> Result<Body, ControlError> {
     let fault = |source| ControlError::Io { path: path.into(), source };
     let mut stream = UnixStream::connect(path).map_err(fault)?;
--- a/crates/ochrewalk-control-plane/src/frame.rs
+++ b/crates/ochrewalk-control-plane/src/frame.rs
@@ -1,21 +1,28 @@
-//! Envelopes on a byte stream: each stands behind its length as a varint. Pure, as bytes in and messages out.
+//! Envelopes on a byte stream, each behind its length as a varint. No I/O: bytes in, messages out.
 
 use ochrewalk_distribution::messages::{Body, Envelope};
 use prost::encoding::decode_varint;
 use prost::Message;
 
-/// The longest envelope between servers and subscribers: guards against a peer that announces what no memory holds.
+/// The longest envelope between servers and subscribers, in bytes: a bound on the memory that a peer can take.
 pub const MAX_SUBSCRIBER_FRAME: usize = 1024 * 1024;
-/// The longest envelope of an operator: a whole batch of changes.
+/// The longest envelope of an operator, in bytes: enough for the largest batch of changes.
 pub const MAX_OPERATOR_FRAME: usize = 16 * 1024 * 1024;
 /// A varint of 64 bits has at most so many bytes.
 const MAX_VARINT_BYTES: usize = 10;
 
-/// Why a stream cannot be read on.
+/// Why nothing more can be read from a stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
+    /// The length of a message is above the bound.
     #[error("a message of {length} bytes, {limit} at most are taken")]
-    TooLong { length: u64, limit: usize },
+    TooLong {
+        /// The length that was announced, in bytes.
+        length: u64,
+        /// The bound, in bytes.
+        limit: usize,
+    },
+    /// The bytes are no message.
     #[error("a message that cannot be decoded")]
     Malformed,
 }
@@ -26,7 +33,7 @@
     out.append(&mut envelope.encode_length_delimited_to_vec());
 }
 
-/// Puts bytes together to messages, however they were parted.
+/// Joins bytes into messages, however they were split.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
@@ -36,18 +43,22 @@
 }
 
 impl FrameDecoder {
-    /// Takes messages of at most `most` bytes.
+    /// Accepts messages of at most `limit` bytes.
     pub fn new(limit: usize) -> FrameDecoder {
         FrameDecoder { buffer: Vec::new(), consumed: 0, limit }
     }
 
-    /// Bytes that came.
+    /// Adds bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message; none where more bytes are needed. An envelope whose body is not known to this version
-    /// is passed over.
+    /// The next complete message; none where more bytes are needed. An envelope whose body is not known to this version is
+    /// skipped.
+    ///
+    /// # Errors
+    ///
+    /// Where the bytes are no message, or the message is too long. Nothing after it can be read.
     pub fn next_message(&mut self) -> Result<Option<Body>, FrameError> {
         loop {
             let Some((start, end)) = self.next_frame()? else {
@@ -63,7 +74,7 @@
         }
     }
 
-    /// Where the next frame's message begins and ends in the buffer, once all of it is there.
+    /// Where the next message begins and ends in the buffer, once all of it is there.
     fn next_frame(&self) -> Result<Option<(usize, usize)>, FrameError> {
         let rest = &self.buffer[self.consumed..];
         let has_length = rest.iter().take(MAX_VARINT_BYTES).any(|byte| byte & 0x80 == 0);
--- a/crates/ochrewalk-control-plane/src/publisher.rs
+++ b/crates/ochrewalk-control-plane/src/publisher.rs
@@ -1,5 +1,6 @@
 //! The publisher as a program: one event loop over its subscribers and the requests of operators. A batch is durable before
-//! anybody hears of it; where that fails, the batch is refused and no further one is taken until the program begins anew.
+//! any subscriber is sent it; where that fails, the batch is refused, and so is any further one until the program is started
+//! again.
 
 use crate::clock::{unix_ms, Clock};
 use crate::control::{self, Request};
@@ -33,28 +34,49 @@
 /// Reasons that a refusal lists.
 const MAX_REASONS: usize = 100;
 
-/// Where a publisher listens and what it keeps.
+/// Where a publisher listens and persists its state.
 #[derive(Clone, Debug)]
 pub struct PublisherSettings {
-    /// For relays.
+    /// Where relays connect to.
     pub listen: SocketAddr,
     /// The socket of operators.
     pub control: PathBuf,
+    /// The file of the durable log.
     pub log: PathBuf,
-    /// Begin an epoch above all others: this publisher takes over from another one.
+    /// Whether to begin an epoch above all others: this publisher takes over from another one.
     pub takes_over: bool,
+    /// The most connections of relays at a time.
     pub max_connections: usize,
 }
 
-/// Why a publisher cannot begin or go on.
+/// Why a publisher cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum PublisherError {
+    /// The log cannot be used.
     #[error("{path}: {source}")]
-    Log { path: PathBuf, source: LogError },
+    Log {
+        /// The log.
+        path: PathBuf,
+        /// Why.
+        source: LogError,
+    },
+    /// The listener of relays cannot be opened.
     #[error("cannot listen on {address}: {source}")]
-    Listen { address: SocketAddr, source: io::Error },
+    Listen {
+        /// Its address.
+        address: SocketAddr,
+        /// What the operating system reports.
+        source: io::Error,
+    },
+    /// The socket of operators cannot be opened.
     #[error("{path}: {source}")]
-    Control { path: PathBuf, source: io::Error },
+    Control {
+        /// The socket.
+        path: PathBuf,
+        /// What the operating system reports.
+        source: io::Error,
+    },
+    /// The event loop failed.
     #[error("the event loop: {0}")]
     EventLoop(#[from] io::Error),
 }
@@ -98,6 +120,10 @@
 
 impl Publisher {
     /// Opens the log and both listeners.
+    ///
+    /// # Errors
+    ///
+    /// Where the log, a listener or the event loop cannot be opened.
     pub fn open(settings: &PublisherSettings) -> Result<Publisher, PublisherError> {
         let log_fault = |source| PublisherError::Log { path: settings.log.clone(), source };
         let (mut log, recovered) = PublisherLog::open(&settings.log).map_err(log_fault)?;
@@ -132,16 +158,24 @@
     }
 
     /// Where relays connect to.
+    ///
+    /// # Errors
+    ///
+    /// Where the operating system does not say.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.subscribers.address()
     }
 
-    /// What wakes the event loop, to have it look at `stop`.
+    /// Wakes the event loop, so that it looks at `stop`.
     pub fn waker(&self) -> Arc<Waker> {
         self.waker.clone()
     }
 
     /// Serves until `stop` is set.
+    ///
+    /// # Errors
+    ///
+    /// Where the event loop fails.
     pub fn run(&mut self, stop: &AtomicBool) -> Result<(), PublisherError> {
         let mut events = Events::with_capacity(EVENTS_AT_ONCE);
         while !stop.load(Ordering::Relaxed) {
@@ -217,7 +251,7 @@
         self.accept(&changes, None)
     }
 
-    /// Makes the batch durable, then lets everybody hear of it.
+    /// Makes the batch durable, then serves it to subscribers.
     fn accept(&mut self, changes: &[Resource], expected: Option<Position>) -> Result<Position, RequestError> {
         let store = self.subscribers.server.store_mut();
         let batch = store.prepare(changes, expected)?;
@@ -239,7 +273,7 @@
 
     fn status(&self) -> Status {
         let store = self.subscribers.server.store();
-        // The relays themselves are told of as subscribers of the publisher, under no region.
+        // The relays themselves are listed as subscribers of the publisher, under no region.
         let relays = self.subscribers.server.status();
         let regions = merge(self.subscribers.regions().cloned().chain([relays]), MAX_REJECTIONS);
         Status { position: store.position(), resources: store.len() as u64, regions }
@@ -256,7 +290,7 @@
     Body::Published(Published { position })
 }
 
-/// The state as it was kept. Deletions that it no longer remembers are taken out of the log, too.
+/// The state as it was persisted. Deletions that it no longer remembers are removed from the log, too.
 fn recovered_store(
     recovered: crate::publisher_log::Recovered,
     log: &mut PublisherLog,
--- a/crates/ochrewalk-control-plane/src/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/src/publisher_log.rs
@@ -1,5 +1,5 @@
 //! The publisher's durable log, on an embedded store: each accepted batch and the state that it leads to are committed in
-//! one transaction, before anybody hears of the batch. Killed at any instant, a publisher finds what it acknowledged.
+//! one transaction before the batch is acknowledged. Killed at any instant, a publisher recovers all that it acknowledged.
 
 use crate::records::{StoredBatch, StoredChange, StoredOrder};
 use ochrewalk_distribution::messages::{Resource, ResourceName};
@@ -15,20 +15,24 @@
 /// The order of changes as a whole, under one key.
 const ORDER: TableDefinition<&str, &[u8]> = TableDefinition::new("order");
 const ORDER_KEY: &str = "order";
-/// Batches kept for rollbacks: a day of them at 0.8 a second.
+/// How many batches are recorded for rollbacks: a day of them at 0.8 a second.
 pub const HISTORY_BATCHES: u64 = 70_000;
 /// Memory for pages of the store.
 const CACHE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why the log cannot be used. After one of these no batch may be acknowledged until it was opened anew.
+/// Why the log cannot be used. After one of these no batch may be acknowledged until the log was opened again.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
+    /// The file is damaged, or another process has it open.
     #[error("the log cannot be opened: {0}")]
     Open(#[from] redb::DatabaseError),
+    /// A transaction failed.
     #[error("the log cannot be written or read: {0}")]
     Storage(#[source] redb::Error),
+    /// A record was written by something else, or is damaged.
     #[error("the log holds a record that cannot be decoded ({0}); restore it from a copy")]
     Damaged(&'static str),
+    /// What is on the disk is not known since an earlier write failed.
     #[error("an earlier write failed; open the log anew")]
     Failed,
 }
@@ -44,14 +48,16 @@
 }
 storage_errors!(redb::TransactionError, redb::TableError, redb::StorageError, redb::CommitError);
 
-/// What was found when the log was opened.
+/// The state found in a log when it was opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
+    /// The order of all changes; the default one in an empty log.
     pub order: ChangeOrder,
+    /// The newest change of each name, deletions included.
     pub resources: Vec<Resource>,
 }
 
-/// An open log. Another process that has it open keeps this one out.
+/// An open log. Only one process can have a log open.
 #[derive(Debug)]
 pub struct PublisherLog {
     database: Database,
@@ -59,12 +65,20 @@
 }
 
 impl PublisherLog {
-    /// Opens the log at `path`, or makes an empty one.
+    /// Opens the log at `path`, or creates an empty one.
+    ///
+    /// # Errors
+    ///
+    /// Where the file cannot be opened, or what it contains cannot be decoded.
     pub fn open(path: &Path) -> Result<(PublisherLog, Recovered), LogError> {
         PublisherLog::from_database(Database::builder().set_cache_size(CACHE_BYTES).create(path)?)
     }
 
     /// Opens a log on another storage than a file.
+    ///
+    /// # Errors
+    ///
+    /// Where the storage cannot be opened, or what it contains cannot be decoded.
     pub fn open_on(storage: impl StorageBackend) -> Result<(PublisherLog, Recovered), LogError> {
         let mut builder = Database::builder();
         PublisherLog::from_database(builder.set_cache_size(CACHE_BYTES).create_with_backend(storage)?)
@@ -80,12 +94,16 @@
         Ok((PublisherLog { database, has_failed: false }, recovered))
     }
 
-    /// Makes a batch durable, with the order as it is after it. Once this returns, it may be acknowledged.
+    /// Makes a batch durable, with the order of changes after it. Once this returns, the batch may be acknowledged.
+    ///
+    /// # Errors
+    ///
+    /// Where the transaction failed, or an earlier one did: the log accepts nothing more until it is opened again.
     pub fn append(&mut self, batch: &Batch, order: &ChangeOrder, unix_ms: u64) -> Result<(), LogError> {
         if self.has_failed {
             return Err(LogError::Failed);
         }
-        // A write or a sync that failed once says nothing good of what is on the disk: it is not tried again.
+        // After a write or a sync that failed it is unknown what is on the disk: it is not retried.
         self.write(batch, order, unix_ms).inspect_err(|_| self.has_failed = true)
     }
 
@@ -111,7 +129,11 @@
         Ok(())
     }
 
-    /// Forgets deletions that the state no longer remembers.
+    /// Removes deletions that the state no longer remembers.
+    ///
+    /// # Errors
+    ///
+    /// Where the transaction failed; the log is as it was.
     pub fn forget(&mut self, names: &[ResourceName]) -> Result<(), LogError> {
         let transaction = self.database.begin_write()?;
         {
@@ -124,7 +146,11 @@
         Ok(())
     }
 
-    /// The batches after a revision, oldest first, as far as they are kept.
+    /// The batches after a revision, oldest first, as far as they are still recorded.
+    ///
+    /// # Errors
+    ///
+    /// Where the log cannot be read or a record cannot be decoded.
     pub fn batches_after(&self, revision: u64) -> Result<Vec<Batch>, LogError> {
         let transaction = self.database.begin_read()?;
         let batches = transaction.open_table(BATCHES)?;
--- a/crates/ochrewalk-control-plane/src/records.rs
+++ b/crates/ochrewalk-control-plane/src/records.rs
@@ -1,4 +1,4 @@
-//! What the publisher's log and a node's snapshot hold on disk, as Protocol Buffers.
+//! The records of the publisher's log and of a node's state file, as Protocol Buffers.
 
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
 use ochrewalk_distribution::{ChangeOrder, EpochStart};
@@ -7,8 +7,10 @@
 /// One change of a batch, with the resource that it replaced.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredChange {
+    /// The change, at its revision.
     #[prost(message, required, tag = "1")]
     pub resource: Resource,
+    /// The resource with its value before; none where there was none.
     #[prost(message, optional, tag = "2")]
     pub previous: Option<Resource>,
 }
@@ -16,11 +18,13 @@
 /// An accepted batch.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredBatch {
+    /// Its position.
     #[prost(message, required, tag = "1")]
     pub position: Position,
+    /// Its changes, in the order of the request.
     #[prost(message, repeated, tag = "2")]
     pub changes: Vec<StoredChange>,
-    /// When it was accepted, by Unix time; shown to operators, never compared.
+    /// When it was accepted, in milliseconds of Unix time; shown to operators, never compared.
     #[prost(uint64, tag = "3")]
     pub unix_ms: u64,
 }
@@ -28,22 +32,27 @@
 /// The revision after which an epoch's own changes follow.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct StoredEpoch {
+    /// The number of the epoch.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
+    /// The last revision before it.
     #[prost(uint64, tag = "2")]
     pub after_revision: u64,
 }
 
-/// What is known of the order of changes as a whole.
+/// The order of all changes, without the changes themselves.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredOrder {
+    /// The revision of the last batch.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
+    /// Where each epoch began, oldest first.
     #[prost(message, repeated, tag = "2")]
     pub epochs: Vec<StoredEpoch>,
+    /// The oldest revision from which differences are complete.
     #[prost(uint64, tag = "3")]
     pub horizon: u64,
-    /// The highest epoch heard of: one above the last of `epochs` means that another publisher has taken over.
+    /// The highest epoch observed: one above the last of `epochs` means that another publisher has taken over.
     #[prost(uint64, tag = "4")]
     pub highest_epoch: u64,
 }
@@ -74,22 +83,28 @@
     }
 }
 
-/// A step of what a node has in force: an update, or names that it no longer holds.
+/// One record of a state file: an update that was applied, or names that are no longer watched.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredUpdate {
+    /// The position in force after it.
     #[prost(message, required, tag = "1")]
     pub position: Position,
+    /// Whether it replaces everything before.
     #[prost(bool, tag = "2")]
     pub is_snapshot: bool,
+    /// Changed resources; those without a value are deleted.
     #[prost(message, repeated, tag = "3")]
     pub resources: Vec<Resource>,
-    /// Names that were asked for and are not there.
+    /// Names that were requested, and of which there is nothing.
     #[prost(message, repeated, tag = "4")]
     pub absent: Vec<ResourceName>,
+    /// The node that it belongs to.
     #[prost(string, tag = "5")]
     pub node: String,
+    /// When it was written, in milliseconds of Unix time.
     #[prost(uint64, tag = "6")]
     pub unix_ms: u64,
+    /// Names that are no longer watched; the record is no update where there are any.
     #[prost(message, repeated, tag = "7")]
     pub forgotten: Vec<ResourceName>,
 }
--- a/crates/ochrewalk-control-plane/src/relay.rs
+++ b/crates/ochrewalk-control-plane/src/relay.rs
@@ -1,5 +1,5 @@
 //! A relay as a program: a subscriber of everything at its publisher, and a server of it to the nodes of its region. It
-//! keeps nothing on disk: one that begins anew fetches all, and nodes go on with what they have meanwhile.
+//! persists nothing: after a restart it fetches everything, and nodes continue with what they have meanwhile.
 
 use crate::agent::{Agent, AgentSettings, ConfigurationSink};
 use crate::clock::Clock;
@@ -18,32 +18,44 @@
 /// The agent's tokens: this one and the next.
 const UPSTREAM: Token = Token(FIRST_PEER - 2);
 const EVENTS_AT_ONCE: usize = 1024;
-/// How often the publisher is told of the region at most.
+/// The shortest time between two reports on the region to the publisher.
 const STATUS_INTERVAL_US: u64 = 500_000;
-/// The longest that a relay waits before it tries a publisher again: with a second one, and thousands of nodes behind it,
-/// a relay has no herd to fear among a few dozen relays.
+/// The longest time between two attempts to connect to a publisher. It is short, because a few dozen relays that retry at
+/// once are no load, and thousands of nodes wait behind each.
 const MAX_BACKOFF_US: u64 = 1_000_000;
 
-/// Where a relay listens and whom it follows.
+/// Where a relay listens, and which publishers it may follow.
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
+    /// The name of the relay, unique in the fleet.
     pub name: String,
+    /// The region that it serves.
     pub region: String,
-    /// For nodes.
+    /// Where nodes connect to.
     pub listen: SocketAddr,
     /// The publisher, and others that may take over from it.
     pub publishers: Vec<SocketAddr>,
+    /// The most connections of nodes at a time.
     pub max_connections: usize,
+    /// The seed of the random times between attempts.
     pub seed: u64,
 }
 
-/// Why a relay cannot begin or go on.
+/// Why a relay cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum RelayError {
+    /// The listener of nodes cannot be opened.
     #[error("cannot listen on {address}: {source}")]
-    Listen { address: SocketAddr, source: io::Error },
+    Listen {
+        /// Its address.
+        address: SocketAddr,
+        /// What the operating system reports.
+        source: io::Error,
+    },
+    /// The settings name no publisher.
     #[error("no publisher is named")]
     NoPublisher,
+    /// The event loop failed.
     #[error("the event loop: {0}")]
     EventLoop(#[from] io::Error),
 }
@@ -57,7 +69,7 @@
     last_status_us: u64,
 }
 
-/// Takes what comes from the publisher into what is served.
+/// Applies updates of the publisher to the state that is served.
 struct Downstream<'a> {
     subscribers: &'a mut SubscriberServer,
 }
@@ -75,7 +87,11 @@
 }
 
 impl Relay {
-    /// Opens the listener; the publisher is connected to once it runs.
+    /// Opens the listener. The relay connects to its publisher once it runs.
+    ///
+    /// # Errors
+    ///
+    /// Where the listener or the event loop cannot be opened, or no publisher is named.
     pub fn open(settings: &RelaySettings) -> Result<Relay, RelayError> {
         let poll = Poll::new()?;
         let limits = ServerLimits { max_subscribers: settings.max_connections, ..ServerLimits::default() };
@@ -100,11 +116,19 @@
     }
 
     /// Where nodes connect to.
+    ///
+    /// # Errors
+    ///
+    /// Where the operating system does not say.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.subscribers.address()
     }
 
-    /// Serves until `stop` is set; it is looked at twice a second at least.
+    /// Serves until `stop` is set; it is checked at least twice a second.
+    ///
+    /// # Errors
+    ///
+    /// Where the event loop fails.
     pub fn run(&mut self, stop: &AtomicBool) -> Result<(), RelayError> {
         let mut events = Events::with_capacity(EVENTS_AT_ONCE);
         while !stop.load(Ordering::Relaxed) {
--- a/crates/ochrewalk-control-plane/src/state_file.rs
+++ b/crates/ochrewalk-control-plane/src/state_file.rs
@@ -1,7 +1,7 @@
 //! What a node has in force, persisted in a file for its next start: a snapshot, then each update since, every one with its
-//! length and checksum. A record that is torn or damaged ends what is read: the updates before it are an older state, from
-//! which differences lead on; nothing after it is believed. Where updates have outgrown the snapshot the file is written
-//! anew under a temporary name and renamed.
+//! length and checksum. Reading stops at a record that is torn or damaged: the updates before it are an older state, from
+//! which the node continues by differences; nothing after it is used. Once updates take more than the snapshot, a new file
+//! is written under a temporary name and renamed.
 
 use crate::records::StoredUpdate;
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
@@ -12,44 +12,58 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// What a file begins with: its kind, and the version of its form.
+/// The first bytes of a file: its kind, and the version of its format.
 const MAGIC: &[u8; 8] = b"OCHRCFG1";
 /// Before each record: its length and its CRC-32, four bytes each, most significant first.
 const RECORD_HEADER_BYTES: usize = 8;
 /// Updates are appended until they take this much, and more than the snapshot before them.
 const MIN_REWRITE_BYTES: u64 = 64 * 1024;
 
-/// Why a file is not taken up.
+/// Why a file is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFileError {
+    /// The file cannot be read.
     #[error("{path}: {source}")]
-    Io { path: PathBuf, source: io::Error },
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// What the operating system reports.
+        source: io::Error,
+    },
+    /// The file is no state file, or of another version.
     #[error("{0}: no state of this version")]
     UnknownFormat(PathBuf),
+    /// The file belongs to another node.
     #[error("{path}: the state of node {node}")]
-    OtherNode { path: PathBuf, node: String },
+    OtherNode {
+        /// The file.
+        path: PathBuf,
+        /// That node.
+        node: String,
+    },
 }
 
-/// One step of what was in force.
+/// One record of a state file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PersistedStep {
+    /// An update that was applied.
     Update(CompleteUpdate),
-    /// These names were no longer held from then on.
+    /// Names that were no longer watched from then on.
     Forgotten(Vec<ResourceName>),
 }
 
-/// What a file held.
+/// The content of a state file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// In their order, the first update a snapshot.
+    /// All records, oldest first; the first one is a snapshot.
     pub steps: Vec<PersistedStep>,
-    /// When the last one was written, by Unix time.
+    /// When the last one was written, in milliseconds of Unix time.
     pub unix_ms: u64,
-    /// Bytes at the end that are no whole record.
+    /// Bytes at the end that are no complete record.
     pub damaged_bytes: u64,
 }
 
-/// The file of a running node.
+/// The state file of a running node.
 #[derive(Debug)]
 pub struct StateFile {
     path: PathBuf,
@@ -60,7 +74,11 @@
 }
 
 impl StateFile {
-    /// Reads what stands at `path`. Nothing is written before the first update.
+    /// Reads the file at `path`, if there is one. Nothing is written before the first snapshot.
+    ///
+    /// # Errors
+    ///
+    /// Where the file cannot be read, is of another version, or belongs to another node.
     pub fn open(path: &Path, node: &str) -> Result<(StateFile, PersistedState), StateFileError> {
         let state = match std::fs::read(path) {
             Ok(bytes) => read(path, node, &bytes)?,
@@ -76,12 +94,16 @@
         StateFile { path, node, file: None, snapshot_bytes: 0, appended_bytes: 0 }
     }
 
-    /// Whether the next thing to be written is a snapshot: none was yet, or updates have outgrown it.
+    /// Whether a snapshot is to be written next: none was yet, or updates take more than the last one.
     pub fn needs_snapshot(&self) -> bool {
         self.file.is_none() || self.appended_bytes > self.snapshot_bytes.max(MIN_REWRITE_BYTES)
     }
 
-    /// Writes all that is in force in place of what stands there.
+    /// Writes all that is in force, in place of the file that is there.
+    ///
+    /// # Errors
+    ///
+    /// Where the file cannot be written; the earlier one is still there.
     pub fn write_snapshot<'a>(
         &mut self,
         position: Position,
@@ -112,7 +134,11 @@
         Ok(())
     }
 
-    /// Adds an update that is in force now.
+    /// Adds an update that was applied. Does nothing before the first snapshot.
+    ///
+    /// # Errors
+    ///
+    /// Where the record cannot be written. A snapshot is to be written next.
     pub fn append(&mut self, update: &CompleteUpdate, unix_ms: u64) -> io::Result<()> {
         self.append_record(&StoredUpdate {
             position: update.position,
@@ -125,7 +151,11 @@
         })
     }
 
-    /// Adds that names are no longer held.
+    /// Adds that names are no longer watched. Does nothing before the first snapshot.
+    ///
+    /// # Errors
+    ///
+    /// Where the record cannot be written. A snapshot is to be written next.
     pub fn append_forgotten(
         &mut self,
         position: Position,
@@ -146,7 +176,7 @@
                 Ok(())
             }
             Err(err) => {
-                // What is half written would hide all that comes after it: the next thing is a whole snapshot.
+                // A half-written record would hide all records after it, so that a snapshot has to be written next.
                 let _ = file.set_len(end);
                 self.file = None;
                 Err(err)
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -1,5 +1,13 @@
-//! The sockets of a publisher or relay towards its subscribers: bytes to and from the state machine `Server`, nothing
-//! decided here. A subscriber that does not read costs its own connection and one part of an update.
+//! The sockets of a publisher or relay towards its subscribers. What is sent is decided by the state machine [`Server`]. A
+//! subscriber that does not read costs its own connection and the memory of one part of an update.
+//!
+//! | role of a peer | event | next role |
+//! | --- | --- | --- |
+//! | unknown | a `Subscribe` that is accepted | subscriber |
+//! | unknown | a `Subscribe` that is refused, or to be retried later | closing |
+//! | unknown | any other message, or nothing for 5 s | connection closed |
+//! | subscriber | does not read for 5 s, or sends what subscribers do not send | connection closed |
+//! | closing | 1 s has passed | connection closed |
 
 use crate::connection::{Connection, ConnectionError};
 use crate::frame::MAX_SUBSCRIBER_FRAME;
@@ -11,26 +19,27 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The token of the listener; tokens of peers follow `FIRST_PEER`.
+/// The token of the listener; tokens of peers begin at [`FIRST_PEER`].
 pub const LISTENER: Token = Token(0);
-/// Tokens below it are for the owner of the event loop.
+/// The token of the first peer. Lower ones are for the owner of the event loop.
 pub const FIRST_PEER: usize = 16;
-/// A subscriber that hears nothing else hears a heartbeat so often.
+/// The time after which a subscriber that was sent nothing else is sent a heartbeat, in microseconds.
 pub const HEARTBEAT_US: u64 = 500_000;
-/// How long a connection may stay without a first message, or without taking what is written.
+/// How long a peer may take to send its first message, or to read what it was sent.
 const PEER_TIMEOUT_US: u64 = 5_000_000;
-/// How long one that was told to come back is read on, so that closing resets nothing that it was told.
+/// How long a peer that is not served is still read from: closing a connection with unread bytes would reset it, and the
+/// peer might lose the reply.
 const CLOSE_DELAY_US: u64 = 1_000_000;
-/// Reads of one connection before others get their turn.
+/// Reads of one connection in turn before the others are read.
 const READS_AT_ONCE: usize = 8;
 
-/// What a peer has shown itself to be.
+/// The role of a peer, by what it has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It has said nothing yet.
+    /// It has sent nothing yet.
     Unknown,
     Subscriber(SubscriberId),
-    /// It was turned away; what it still sends is thrown away.
+    /// It was told why it is not served; what it still sends is ignored.
     Closing,
 }
 
@@ -41,7 +50,7 @@
     /// When this role began, or the connection last took what was written.
     since_us: u64,
     last_sent_us: u64,
-    /// When it is to be looked at although nothing happens.
+    /// When to look at it again although nothing happens.
     due_us: u64,
     relay: Option<String>,
 }
@@ -106,21 +115,26 @@
 /// All subscribers of a publisher or relay, on their sockets.
 #[derive(Debug)]
 pub struct SubscriberServer {
+    /// The state machine, with the state that is served.
     pub server: Server,
     listener: TcpListener,
     peers: HashMap<Token, Peer>,
     next_token: usize,
     max_peers: usize,
-    /// Peers that have to be looked at: something came from them, or there is something for them.
+    /// Peers to look at: something was received from them, or there may be something to send.
     ready: HashSet<Token>,
     /// Peers that may have more to be read.
     unread: HashSet<Token>,
-    /// What relays told, by their names.
+    /// The latest reports of relays, by their names.
     regions: BTreeMap<String, RegionStatus>,
 }
 
 impl SubscriberServer {
-    /// Listens at `address` and serves what `server` holds to at most `max_peers` connections.
+    /// Listens at `address` and serves the state of `server` to at most `max_peers` connections.
+    ///
+    /// # Errors
+    ///
+    /// Where the listener cannot be opened.
     pub fn listen(
         address: SocketAddr,
         server: Server,
@@ -142,21 +156,25 @@
     }
 
     /// Where it listens.
+    ///
+    /// # Errors
+    ///
+    /// Where the operating system does not say.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// What relays told of their regions.
+    /// The latest reports of relays on their regions.
     pub fn regions(&self) -> impl Iterator<Item = &RegionStatus> {
         self.regions.values()
     }
 
-    /// The state has changed: there may be something for everybody.
+    /// The state has changed: there may be something to send to each subscriber.
     pub fn state_changed(&mut self) {
         self.ready.extend(self.peers.keys());
     }
 
-    /// The event loop has something for `token`.
+    /// The event loop reports an event of `token`.
     pub fn on_event(&mut self, token: Token, registry: &Registry, now_us: u64) {
         if token == LISTENER {
             self.accept(registry, now_us);
@@ -166,8 +184,8 @@
         }
     }
 
-    /// Reads, writes and closes what can be now. `source_age_ms` is how long ago the state was confirmed by its source.
-    /// Gives the time at which to call again although nothing happens.
+    /// Reads, writes and closes what can be now. `source_age_ms` is the time since the source of the state last sent anything,
+    /// in milliseconds. Returns the time at which to call again although nothing happens, in microseconds.
     pub fn drive(&mut self, registry: &Registry, now_us: u64, source_age_ms: u64) -> u64 {
         for token in std::mem::take(&mut self.unread) {
             self.read(token, registry, now_us);
@@ -188,7 +206,7 @@
     }
 
     fn accept(&mut self, registry: &Registry, now_us: u64) {
-        // Edge-triggered: all that wait have to be taken, or none is heard of again.
+        // Edge-triggered: all waiting connections have to be accepted, or no further event is reported.
         while let Ok((stream, _)) = self.listener.accept() {
             if self.peers.len() >= self.max_peers {
                 drop(stream);
@@ -264,7 +282,7 @@
                 self.regions.insert(status.relay.clone(), status);
                 Ok(())
             }
-            // What neither a node nor a relay sends.
+            // A message that neither a node nor a relay sends.
             (_, other) => Err(ConnectionError::NotFromSubscriber { kind: kind_of(&other) }),
         }
     }
--- a/crates/ochrewalk-control-plane/tests/common/mod.rs
+++ b/crates/ochrewalk-control-plane/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! A publisher that runs in a thread of the test.
 #![allow(dead_code)]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::control::send_request;
 use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
--- a/crates/ochrewalk-control-plane/tests/control_socket.rs
+++ b/crates/ochrewalk-control-plane/tests/control_socket.rs
@@ -1,4 +1,5 @@
 //! The requests of operators on the control socket, and the publisher's replies: both as recorded, byte for byte.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
--- a/crates/ochrewalk-control-plane/tests/publisher.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher.rs
@@ -1,4 +1,5 @@
 //! A publisher on real sockets, against subscribers that do what they should not.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
--- a/crates/ochrewalk-control-plane/tests/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher_log.rs
@@ -1,4 +1,5 @@
 //! The publisher's log on a storage that fails: what was acknowledged is there again, whenever it was killed.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::publisher_log::{LogError, PublisherLog, Recovered};
 use ochrewalk_distribution::messages::{Quota, Resource, Value};
--- a/crates/ochrewalk-control-plane/tests/state_file.rs
+++ b/crates/ochrewalk-control-plane/tests/state_file.rs
@@ -1,4 +1,5 @@
 //! What a node keeps for its next start, and what damage to it leads to.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::state_file::{PersistedStep, StateFile, StateFileError};
 use ochrewalk_distribution::messages::{Position, Quota, Resource, Value};
--- a/crates/ochrewalk-control-plane/tests/stored_formats.rs
+++ b/crates/ochrewalk-control-plane/tests/stored_formats.rs
@@ -1,5 +1,6 @@
 //! What stands on disk: a publisher's log and a node's state file that were recorded once are read, and written again as
 //! the same records.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::publisher_log::PublisherLog;
 use ochrewalk_control_plane::state_file::{PersistedStep, StateFile};
