--- /dev/null
+++ b/crates/ochrewalk-node/src/handover/pending_snapshot.rs
@@ -0,0 +1,50 @@
+//! A snapshot that one thread waits for and a coroutine takes.
+
+use super::snapshot::{SectionState, SnapshotError};
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+/// All sections, or why they cannot be had.
+pub(super) type SnapshotResult = Result<Vec<SectionState>, SnapshotError>;
+
+/// Shared by the thread that hands over and the coroutine that takes the snapshot. Whichever comes first, the result or
+/// the end of the wait, decides for both.
+#[derive(Default)]
+pub(super) struct PendingSnapshot {
+    state: Mutex<State>,
+    delivered: Condvar,
+}
+
+#[derive(Default)]
+struct State {
+    is_abandoned: bool,
+    result: Option<SnapshotResult>,
+}
+
+impl PendingSnapshot {
+    /// Whether somebody still waits for the result.
+    pub(super) fn is_wanted(&self) -> bool {
+        !self.lock().is_abandoned
+    }
+
+    /// Delivers the result; whether somebody still waited for it.
+    pub(super) fn deliver(&self, result: SnapshotResult) -> bool {
+        let mut state = self.lock();
+        state.result = Some(result);
+        self.delivered.notify_one();
+        !state.is_abandoned
+    }
+
+    /// Waits for the result. After the time-out none is returned, and none is wanted from then on.
+    pub(super) fn wait(&self, timeout: Duration) -> Option<SnapshotResult> {
+        let is_missing = |state: &mut State| state.result.is_none();
+        let waited = self.delivered.wait_timeout_while(self.lock(), timeout, is_missing);
+        let mut state = waited.unwrap_or_else(PoisonError::into_inner).0;
+        state.is_abandoned = true;
+        state.result.take()
+    }
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
