--- a/crates/ochrewalk-control-plane/src/connection.rs
+++ b/crates/ochrewalk-control-plane/src/connection.rs
@@ -39,7 +39,7 @@
         kind: &'static str,
     },
     /// The relay asked to connect again later.
-    #[error("it asks to come back later")]
+    #[error("it asks to connect again later")]
     RetryLater,
     /// The relay refused the subscriber.
     #[error("it refuses: {}", reasons.join("; "))]
--- a/crates/ochrewalk-control-plane/src/frame.rs
+++ b/crates/ochrewalk-control-plane/src/frame.rs
@@ -95,7 +95,7 @@
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
         if self.buffer.is_empty() {
-            // A large message is seldom followed by another: its memory is given back.
+            // A large message is seldom followed by another: its memory is released.
             self.buffer = Vec::new();
         }
     }
--- a/crates/ochrewalk-control-plane/src/lib.rs
+++ b/crates/ochrewalk-control-plane/src/lib.rs
@@ -17,7 +17,7 @@
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | starting | its log is empty, or it is told to take over | serving, in an epoch above all that it has observed |
+//! | starting | its log is empty, or it is to take over | serving, in an epoch above all that it has observed |
 //! | starting | its log has a state | serving, in the epoch of that state; fenced if it had observed a later one |
 //! | serving | a subscriber has observed a later epoch | fenced: it serves what it has, and refuses changes |
 //! | serving | a write to the log fails | it serves what it has, and refuses changes until it is started again |
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -39,7 +39,7 @@
     /// It has sent nothing yet.
     Unknown,
     Subscriber(SubscriberId),
-    /// It was told why it is not served; what it still sends is ignored.
+    /// It was sent the reason why it is not served; what it still sends is ignored.
     Closing,
 }
 
--- a/crates/ochrewalk-control-plane/tests/common/mod.rs
+++ b/crates/ochrewalk-control-plane/tests/common/mod.rs
@@ -37,8 +37,8 @@
         let mut publisher = Publisher::open(&settings).unwrap();
         let (address, waker) = (publisher.address().unwrap(), publisher.waker());
         let stop = Arc::new(AtomicBool::new(false));
-        let told = stop.clone();
-        let thread = std::thread::spawn(move || publisher.run(&told).unwrap());
+        let stop_flag = stop.clone();
+        let thread = std::thread::spawn(move || publisher.run(&stop_flag).unwrap());
         Running { address, control, stop, waker, thread: Some(thread) }
     }
 
--- a/crates/ochrewalk-control-plane/tests/frames.rs
+++ b/crates/ochrewalk-control-plane/tests/frames.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn messages_come_out_whole_however_their_bytes_are_parted() {
+fn messages_are_decoded_however_their_bytes_are_split() {
     let sent = vec![heartbeat(1), Body::RetryLater(RetryLater { after_ms: 300 }), heartbeat(u64::MAX)];
     let mut bytes = Vec::new();
     sent.iter().cloned().for_each(|body| encode(body, &mut bytes));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_message_is_refused_before_it_is_held() {
+fn what_cannot_be_a_message_is_refused_before_it_is_buffered() {
     let cases: [(&[u8], FrameError); 3] = [
         (&[0x80, 0x80, 0x04], FrameError::TooLong { length: 65_536, limit: 64 }),
         (&[0xff; 10], FrameError::Malformed),
--- a/crates/ochrewalk-control-plane/tests/publisher.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher.rs
@@ -23,7 +23,7 @@
         let stream = TcpStream::connect(publisher.address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let mut subscriber = Subscriber { stream, decoder: FrameDecoder::new(1 << 20) };
-        subscriber.say(Body::Subscribe(Subscribe {
+        subscriber.send(Body::Subscribe(Subscribe {
             version: PROTOCOL_VERSION,
             node: "east-1".into(),
             region: "east".into(),
@@ -33,14 +33,14 @@
         }));
         subscriber
     }
-    fn say(&mut self, body: Body) {
+    fn send(&mut self, body: Body) {
         let mut bytes = Vec::new();
         encode(body, &mut bytes);
         self.stream.write_all(&bytes).unwrap();
     }
 
     /// The next message; none at the end.
-    fn hear(&mut self) -> Option<Body> {
+    fn receive(&mut self) -> Option<Body> {
         let mut chunk = [0; 4096];
         loop {
             if let Some(body) = self.decoder.next_message().unwrap() {
@@ -50,7 +50,7 @@
                 Ok(0) => return None,
                 Ok(count) => self.decoder.push(&chunk[..count]),
                 Err(err) if err.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(err) => panic!("nothing heard: {err}"),
+                Err(err) => panic!("nothing received: {err}"),
             }
         }
     }
@@ -59,11 +59,11 @@
     fn follow_to(&mut self, position: Position) -> Vec<Resource> {
         let mut resources = Vec::new();
         loop {
-            match self.hear().expect("the stream goes on") {
+            match self.receive().expect("the stream goes on") {
                 Body::Update(update) => {
                     resources.extend(update.resources);
                     if update.is_last {
-                        self.say(Body::Report(Report { applied: update.position, rejected: None }));
+                        self.send(Body::Report(Report { applied: update.position, rejected: None }));
                     }
                     if update.is_last && update.position == position {
                         return resources;
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn a_publisher_that_hears_of_a_later_epoch_accepts_nothing_also_after_a_restart() {
+fn a_publisher_that_observes_a_later_epoch_accepts_nothing_also_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let publisher = Running::start(folder.path());
     assert!(matches!(publisher.publish("quota acme 1"), Body::Published(_)));
     let mut relay = Subscriber::subscribe(&publisher, 2);
-    assert!(is_fenced(&relay.hear().unwrap()));
-    assert_eq!(relay.hear(), None);
+    assert!(is_fenced(&relay.receive().unwrap()));
+    assert_eq!(relay.receive(), None);
     assert!(is_fenced(&publisher.publish("quota acme 2")));
     drop(publisher);
     let again = Running::start(folder.path());
@@ -108,8 +108,8 @@
     assert_eq!(rest, []);
     // Operators' requests are not taken from the network.
     let mut stranger = Subscriber::subscribe(&publisher, 0);
-    stranger.say(Body::Publish(Publish::default()));
-    while stranger.hear().is_some() {}
+    stranger.send(Body::Publish(Publish::default()));
+    while stranger.receive().is_some() {}
     let never_reads = Subscriber::subscribe(&publisher, 0);
     let mut follower = Subscriber::subscribe(&publisher, 0);
     let mut revision = 0;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_batch_with_an_unsound_change_is_refused_whole_with_each_reason() {
+fn a_batch_with_an_invalid_change_is_refused_with_each_reason() {
     let folder = tempfile::tempdir().unwrap();
     let publisher = Running::start(folder.path());
     let mut changes = read_changes("quota good 1\nquota bad 1\nroute shop GET /a look", "changes").unwrap();
--- a/crates/ochrewalk-control-plane/tests/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher_log.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn batches_are_kept_for_rollbacks_and_a_second_process_is_kept_out() {
+fn batches_are_recorded_for_rollbacks_and_a_second_process_cannot_open_the_log() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
     let (mut log, recovered) = PublisherLog::open(&path).unwrap();
--- a/crates/ochrewalk-control-plane/tests/state_file.rs
+++ b/crates/ochrewalk-control-plane/tests/state_file.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_file_that_has_outgrown_its_snapshot_is_written_anew() {
+fn a_file_whose_updates_take_more_than_its_snapshot_is_rewritten() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("state");
     let mut file = StateFile::new(&path, "node-1");
--- a/crates/ochrewalk-distribution/src/catch_up.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// `subscriber` is caught up, or gone.
+    /// `subscriber` is caught up, or disconnected.
     pub(crate) fn end(&mut self, subscriber: SubscriberId) {
         self.admitted.remove(&subscriber);
     }
--- a/crates/ochrewalk-distribution/src/demand.rs
+++ b/crates/ochrewalk-distribution/src/demand.rs
@@ -23,7 +23,7 @@
     used_us: u64,
 }
 
-/// The names that a node watches because it used them; at most a given number.
+/// The names that a node watches because it used them; at most `limit` of them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DemandSet {
     limit: usize,
--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -21,13 +21,13 @@
 //! | connecting | [`Server::subscribe`] accepts it | ready |
 //! | connecting | too many are caught up, or the relay has no state yet | rejected, to retry later |
 //! | connecting | it needs a later version, wants too much, or has observed a later epoch | refused |
-//! | ready | the store is ahead of it, or it asked for names | receiving an update |
+//! | ready | the store is ahead of it, or it requested names | receiving an update |
 //! | receiving | a part was sent, and another one is due | receiving |
 //! | receiving | the store can no longer complete the update | receiving a snapshot in place of it |
 //! | receiving | the last part was sent | applying |
 //! | applying | it reports the position as applied | ready |
 //! | applying | it reports the update as rejected | ready, but sent nothing until there is a later position |
-//! | any | [`Server::unsubscribe`] | gone |
+//! | any | [`Server::unsubscribe`] | removed |
 //!
 //! An update, as the [`Subscription`] sees it:
 //!
--- a/crates/ochrewalk-distribution/src/messages/stream.rs
+++ b/crates/ochrewalk-distribution/src/messages/stream.rs
@@ -84,7 +84,7 @@
     /// Changed resources; those without a value are deleted.
     #[prost(message, repeated, tag = "3")]
     pub resources: Vec<Resource>,
-    /// Names asked for of which there is nothing: their default holds.
+    /// Names requested of which there is nothing: their default holds.
     #[prost(message, repeated, tag = "4")]
     pub absent: Vec<ResourceName>,
     /// Set on the last part.
--- a/crates/ochrewalk-distribution/src/part_builder.rs
+++ b/crates/ochrewalk-distribution/src/part_builder.rs
@@ -7,7 +7,7 @@
 
 /// Bytes of a part apart from its resources and names.
 const PART_OVERHEAD_BYTES: usize = 128;
-/// The most resources looked at for one part, so that one call doesn't hold others up.
+/// The most resources looked at for one part, so that one call does not delay others.
 const MAX_VISITED: usize = 20_000;
 
 /// The encoded size of a message as a field of another one.
@@ -41,7 +41,7 @@
     }
 
     pub(crate) fn add_resource(&mut self, resource: &Resource) -> bool {
-        let fits = self.take(field_len(resource.encoded_len()));
+        let fits = self.reserve(field_len(resource.encoded_len()));
         if fits {
             self.resources.push(resource.clone());
         }
@@ -49,15 +49,15 @@
     }
 
     pub(crate) fn add_absent(&mut self, name: &ResourceName) -> bool {
-        let fits = self.take(field_len(name.encoded_len()));
+        let fits = self.reserve(field_len(name.encoded_len()));
         if fits {
             self.absent.push(name.clone());
         }
         fits
     }
 
-    /// Takes room of `bytes` if there is so much. There always is for the first, so that each part holds something.
-    fn take(&mut self, bytes: usize) -> bool {
+    /// Reserves `bytes` if they fit. The first entry always fits, so that each part has one.
+    fn reserve(&mut self, bytes: usize) -> bool {
         let fits = bytes <= self.bytes_left || self.is_empty();
         if fits {
             self.bytes_left = self.bytes_left.saturating_sub(bytes);
--- a/crates/ochrewalk-distribution/src/server/mod.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -185,7 +185,7 @@
             pacer: Pacer::new(message.bytes_per_second),
             applied: message.applied,
             rejected: None,
-            asked: BTreeSet::new(),
+            requested: BTreeSet::new(),
             watches: 0,
             activity: Activity::Ready,
         };
@@ -268,9 +268,9 @@
         }
         subscriber.interest.update(watch);
         for name in &watch.remove {
-            subscriber.asked.remove(name);
+            subscriber.requested.remove(name);
         }
-        subscriber.asked.extend(watch.add.iter().cloned());
+        subscriber.requested.extend(watch.add.iter().cloned());
         subscriber.watches += 1;
         Ok(())
     }
@@ -322,15 +322,21 @@
         NextUpdate::Send(update)
     }
 
-    /// Begins an update if the subscriber lacks anything, or begins anew if one under way cannot be completed.
+    /// Begins an update if the subscriber lacks anything, or a snapshot if an update under way cannot be completed.
     fn begin_update(&mut self, id: SubscriberId) {
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return };
         let lacks_something = subscriber.lacks_something(&self.store);
         let progress = match &mut subscriber.activity {
             Activity::Ready if lacks_something => {
-                let asked = std::mem::take(&mut subscriber.asked);
+                let requested = std::mem::take(&mut subscriber.requested);
                 let applied = subscriber.applied;
-                UpdateProgress::begin(&self.store, &subscriber.interest, applied, asked, subscriber.watches)
+                UpdateProgress::begin(
+                    &self.store,
+                    &subscriber.interest,
+                    applied,
+                    requested,
+                    subscriber.watches,
+                )
             }
             Activity::Receiving(progress) if !progress.can_continue(&self.store) => {
                 let answers = progress.take_answers();
--- a/crates/ochrewalk-distribution/src/server/subscriber.rs
+++ b/crates/ochrewalk-distribution/src/server/subscriber.rs
@@ -29,7 +29,7 @@
     pub(super) applied: Option<Position>,
     pub(super) rejected: Option<Position>,
     /// Watched names that the next update is to answer.
-    pub(super) asked: BTreeSet<ResourceName>,
+    pub(super) requested: BTreeSet<ResourceName>,
     /// How many watches were taken over.
     pub(super) watches: u64,
     pub(super) activity: Activity,
@@ -41,7 +41,7 @@
         let is_rejected = self.rejected.is_some_and(|rejected| head <= rejected);
         // A relay may be behind what the subscriber has from another one, or have no state yet.
         let is_behind = head.epoch == 0 || self.applied.is_some_and(|applied| applied > head);
-        let is_current = self.applied == Some(head) && self.asked.is_empty();
+        let is_current = self.applied == Some(head) && self.requested.is_empty();
         !is_rejected && !is_behind && !is_current
     }
 
@@ -71,8 +71,8 @@
         self.rejected = self.rejected.max(Some(position));
         match std::mem::replace(&mut self.activity, Activity::Ready) {
             Activity::Ready => {}
-            Activity::Receiving(mut progress) => self.asked.extend(progress.take_answers()),
-            Activity::Applying { answers, .. } => self.asked.extend(answers),
+            Activity::Receiving(mut progress) => self.requested.extend(progress.take_answers()),
+            Activity::Applying { answers, .. } => self.requested.extend(answers),
         }
     }
 }
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -57,12 +57,12 @@
 }
 
 impl UpdateProgress {
-    /// An update from `applied` to the head of `store`, with answers to the names `asked`.
+    /// An update from `applied` to the head of `store`, with answers to the names `requested`.
     pub(crate) fn begin(
         store: &Store,
         interest: &Interest,
         applied: Option<Position>,
-        mut asked: BTreeSet<ResourceName>,
+        mut requested: BTreeSet<ResourceName>,
         watches: u64,
     ) -> Self {
         let target = store.position();
@@ -73,7 +73,7 @@
         };
         let is_snapshot = start == UpdateKind::Snapshot;
         if is_snapshot {
-            asked.extend(interest.names.iter().cloned());
+            requested.extend(interest.names.iter().cloned());
         }
         Self {
             base,
@@ -84,7 +84,7 @@
             cursor,
             target,
             rounds: 0,
-            answers: asked,
+            answers: requested,
             watches,
         }
     }
@@ -103,7 +103,7 @@
         std::mem::take(&mut self.answers)
     }
 
-    /// Whether the store can still complete this update: neither has it gone to another line of changes, nor has it
+    /// Whether the store can still complete this update: neither has it gone to another history, nor has it
     /// forgotten deletions that were not sent.
     pub(crate) fn can_continue(&self, store: &Store) -> bool {
         let is_within_revision = matches!(self.stage, Stage::Changes { after: Some(_) });
--- a/crates/ochrewalk-distribution/tests/admission.rs
+++ b/crates/ochrewalk-distribution/tests/admission.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn few_large_snapshots_are_admitted_and_smaller_ones_while_there_is_room() {
+fn few_large_snapshots_are_admitted_and_smaller_ones_while_there_is_capacity() {
     let mut relay = relay_of(&mut publisher_of_ten_scopes());
     let admitted = fill(&mut relay);
     assert!((1..8).contains(&admitted.len()), "{}", admitted.len());
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_time_to_come_back_grows_with_those_that_wait_and_differs_by_node() {
+fn the_time_to_retry_grows_with_the_waiting_subscribers_and_differs_by_node() {
     let mut relay = relay_of(&mut publisher_of_ten_scopes());
     fill(&mut relay);
     let times: Vec<u64> =
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_relay_without_state_admits_nobody() {
+fn a_relay_without_state_admits_no_subscriber() {
     let store = Store::new(0, StoreLimits::default());
     let mut relay = Server::new("relay", "north", store, limits());
     for n in 0..10 {
--- a/crates/ochrewalk-distribution/tests/demand.rs
+++ b/crates/ochrewalk-distribution/tests/demand.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_name_is_asked_for_once_and_the_least_recently_used_goes_first() {
+fn a_name_is_requested_once_and_the_least_recently_used_is_evicted_first() {
     let mut demand = DemandSet::new(2);
     let added = |number| Some(Watch { add: vec![name(number)], remove: Vec::new() });
     assert_eq!(demand.request(&name(1), 1), added(1));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn names_restored_are_not_asked_for_again() {
+fn restored_names_are_not_requested_again() {
     let mut demand = DemandSet::new(2);
     demand.restore_present(&name(1), 0);
     demand.restore_absent(&name(2), 0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_node_that_watches_on_demand_holds_what_it_watches_and_nothing_else() {
+fn a_node_that_watches_on_demand_has_what_it_watches_and_nothing_else() {
     let mut server = filled_publisher();
     let mut node = Node::new("one", Interest::default());
     node.connect(&mut server);
--- a/crates/ochrewalk-distribution/tests/explore.rs
+++ b/crates/ochrewalk-distribution/tests/explore.rs
@@ -87,7 +87,7 @@
         for index in 0..self.followers {
             self.follower_actions(world, index, actions);
         }
-        for message in 0..world.flying.len() {
+        for message in 0..world.in_flight.len() {
             actions.push(Action::Deliver { message });
             if world.losses < self.losses {
                 actions.push(Action::Lose { message });
@@ -110,25 +110,25 @@
                 world.disconnect(follower);
             }
             // More messages on their way at once would only give more orders of the same.
-            Action::Send { .. } if world.flying.len() >= 2 => return None,
+            Action::Send { .. } if world.in_flight.len() >= 2 => return None,
             Action::Send { follower } => drop(world.send(follower)),
             Action::Deliver { message } => {
-                let (to, part) = world.flying.remove(message);
+                let (to, part) = world.in_flight.remove(message);
                 world.deliver(to, part, false, self.broken);
             }
             Action::DeliverAndLoseReport { message } => {
                 world.losses += 1;
-                let (to, part) = world.flying.remove(message);
+                let (to, part) = world.in_flight.remove(message);
                 world.deliver(to, part, true, self.broken);
             }
             Action::Repeat { message } => {
                 world.repeats += 1;
-                let (to, part) = world.flying[message].clone();
+                let (to, part) = world.in_flight[message].clone();
                 world.deliver(to, part, false, self.broken);
             }
             Action::Lose { message } => {
                 world.losses += 1;
-                world.flying.remove(message);
+                world.in_flight.remove(message);
             }
             Action::Restart { follower } => {
                 world.restarts += 1;
@@ -140,8 +140,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(FORWARD, |_, world: &World| !world.went_back),
-            Property::always(WHOLE, |_, world: &World| !world.has_half_a_batch),
+            Property::always(FORWARD, |_, world: &World| !world.moved_to_older_position),
+            Property::always(WHOLE, |_, world: &World| !world.has_partial_batch),
             Property::always(EQUAL, |_, world: &World| world.ends_equal()),
             Property::sometimes(NODE_AT_LAST, |model: &Explored, world: &World| {
                 world.publishes == model.publishes
@@ -219,7 +219,7 @@
     // One thread finds a shortest trace.
     let checker = explore(model, depth, states);
     let path = checker.discovery(WHOLE).expect("the broken rule is found out");
-    let whole = path.into_vec().into_iter().take_while(|(world, _)| !world.has_half_a_batch);
+    let whole = path.into_vec().into_iter().take_while(|(world, _)| !world.has_partial_batch);
     let trace: Vec<Action> = whole.filter_map(|(_, action)| action).collect();
     println!("{rule:?}: {trace:?}");
     trace
--- a/crates/ochrewalk-distribution/tests/explore/world.rs
+++ b/crates/ochrewalk-distribution/tests/explore/world.rs
@@ -35,7 +35,7 @@
     pub servers: [Option<Server>; 3],
     pub followers: Vec<Follower>,
     /// Parts of updates on their way, each to a follower.
-    pub flying: Vec<(usize, Update)>,
+    pub in_flight: Vec<(usize, Update)>,
     /// The hash of what publishers had at each position.
     pub history: BTreeMap<Position, u64>,
     pub publishes: u8,
@@ -43,8 +43,8 @@
     pub repeats: u8,
     pub breaks: u8,
     pub restarts: u8,
-    pub went_back: bool,
-    pub has_half_a_batch: bool,
+    pub moved_to_older_position: bool,
+    pub has_partial_batch: bool,
 }
 
 /// Hashes what is written to it.
@@ -60,13 +60,13 @@
 impl Hash for World {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let counters = (self.publishes, self.losses, self.repeats, self.breaks, self.restarts);
-        (counters, self.went_back, self.has_half_a_batch).hash(state);
+        (counters, self.moved_to_older_position, self.has_partial_batch).hash(state);
         self.history.hash(state);
         let mut writer = HashWriter(state);
         // The relay's store is its server's.
         let nodes = &self.followers[RELAY + 1..];
         let relay = &self.followers[RELAY];
-        write!(writer, "{:?}{nodes:?}{:?}", self.servers, self.flying).expect("hashing does not fail");
+        write!(writer, "{:?}{nodes:?}{:?}", self.servers, self.in_flight).expect("hashing does not fail");
         write!(writer, "{:?}{:?}", relay.subscription, relay.link).expect("hashing does not fail");
     }
 }
@@ -135,15 +135,15 @@
         let mut world = World {
             servers: [Some(Server::new("old", "north", store, server_limits())), None, Some(relay_server())],
             followers: (0..FOLLOWERS).map(follower).collect(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             history: BTreeMap::new(),
             publishes: 0,
             losses: 0,
             repeats: 0,
             breaks: 0,
             restarts: 0,
-            went_back: false,
-            has_half_a_batch: false,
+            moved_to_older_position: false,
+            has_partial_batch: false,
         };
         world.publish(OLD_PUBLISHER);
         world
@@ -208,7 +208,7 @@
     pub fn send(&mut self, index: usize) -> bool {
         let Some((server, id)) = self.followers[index].link else { return false };
         let NextUpdate::Send(part) = self.server(server).next(id, 0) else { return false };
-        self.flying.push((index, part));
+        self.in_flight.push((index, part));
         true
     }
 
@@ -243,7 +243,7 @@
         let follower = &mut self.followers[index];
         let before = follower.store.position();
         follower.store.apply(update).expect("the subscription has checked the position");
-        self.went_back |= follower.store.position() < before;
+        self.moved_to_older_position |= follower.store.position() < before;
         let report = follower.subscription.applied(update.position);
         let link = follower.link;
         if index == RELAY {
@@ -259,7 +259,7 @@
     /// What a follower has in force must be all that a publisher had at that position.
     fn check_state(&mut self, index: usize) {
         let store = &self.followers[index].store;
-        self.has_half_a_batch |= self.history.get(&store.position()) != Some(&content(store));
+        self.has_partial_batch |= self.history.get(&store.position()) != Some(&content(store));
     }
 
     /// All connect, the relay to `publisher`, and take what there is.
@@ -267,7 +267,7 @@
         for index in 0..FOLLOWERS {
             self.connect(index, if index == RELAY { publisher } else { RELAY_SERVER });
             while self.send(index) {
-                let (_, part) = self.flying.pop().expect("it was just sent");
+                let (_, part) = self.in_flight.pop().expect("it was just sent");
                 self.deliver(index, part, false, None);
             }
         }
@@ -276,7 +276,7 @@
     /// Whether all end up equal to the newest publisher once messages are no longer lost or late.
     pub fn ends_equal(&self) -> bool {
         let mut world = self.clone();
-        world.flying.clear();
+        world.in_flight.clear();
         for index in 0..FOLLOWERS {
             world.disconnect(index);
         }
@@ -285,7 +285,7 @@
         let target = world.server(newest).store().clone();
         world.followers.iter().all(|follower| {
             follower.store.position() == target.position() && content(&follower.store) == content(&target)
-        }) && !world.has_half_a_batch
-            && !world.went_back
+        }) && !world.has_partial_batch
+            && !world.moved_to_older_position
     }
 }
--- a/crates/ochrewalk-distribution/tests/memory.rs
+++ b/crates/ochrewalk-distribution/tests/memory.rs
@@ -12,14 +12,14 @@
 
 thread_local! {
     /// Bytes held by this thread, so that tests at the same time do not count each other's.
-    static HELD_BYTES: Cell<i64> = const { Cell::new(0) };
+    static ALLOCATED_BYTES: Cell<i64> = const { Cell::new(0) };
 }
 
 struct CountingAllocator;
 
 fn count(bytes: i64) {
     // The counter is gone while a thread ends.
-    let _ = HELD_BYTES.try_with(|held| held.set(held.get() + bytes));
+    let _ = ALLOCATED_BYTES.try_with(|held| held.set(held.get() + bytes));
 }
 
 // SAFETY: all requests go to the system's allocator unchanged.
@@ -38,8 +38,8 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-fn held_bytes() -> i64 {
-    HELD_BYTES.with(Cell::get)
+fn allocated_bytes() -> i64 {
+    ALLOCATED_BYTES.with(Cell::get)
 }
 
 #[test]
@@ -60,7 +60,7 @@
             let change = quota("a", &format!("tenant-{:03}", n % 400), n as f64);
             publish(&mut server, &[change]);
         }
-        held_bytes()
+        allocated_bytes()
     };
     let after_first = round(0);
     for first in (1_000..10_000).step_by(1_000) {
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn a_relay_holds_all_quotas_and_routes_of_the_fleet_in_less_than_150_mb() {
+fn a_relay_stores_all_quotas_and_routes_of_the_fleet_in_less_than_150_mb() {
     const BOUND_BYTES: i64 = 150_000_000;
-    let before = held_bytes();
+    let before = allocated_bytes();
     let mut store = Store::new(0, StoreLimits::default());
     let at_revision = |(n, resource): (u64, Resource)| Arc::new(Resource { revision: n / 100, ..resource });
     let update = CompleteUpdate {
@@ -97,9 +97,9 @@
         horizon: 0,
     };
     store.apply(&update).unwrap();
-    println!("{} bytes while the snapshot is applied", held_bytes() - before);
+    println!("{} bytes while the snapshot is applied", allocated_bytes() - before);
     drop(update);
-    let held = held_bytes() - before;
+    let held = allocated_bytes() - before;
     println!("{} resources take {held} bytes, {} each", store.len(), held / store.len() as i64);
     assert_eq!(store.len(), 459_000);
     assert!(held < BOUND_BYTES, "{held}");
--- a/crates/ochrewalk-distribution/tests/pacing.rs
+++ b/crates/ochrewalk-distribution/tests/pacing.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_is_changed_while_an_update_is_sent_comes_before_its_last_part() {
+fn what_is_changed_while_an_update_is_sent_is_part_of_it() {
     let mut server = filled_publisher();
     let mut node = node("one");
     node.connect(&mut server);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_update_that_cannot_be_completed_begins_anew_with_a_snapshot() {
+fn an_update_that_cannot_be_completed_is_replaced_by_a_snapshot() {
     let store = Store::new(1, StoreLimits { tombstones: 1 });
     let mut server = Server::new("publisher", "north", store, unbounded_limits());
     let changes: Vec<Resource> = (0..400).map(|n| quota("a", &format!("tenant-{n:03}"), 1.0)).collect();
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -176,12 +176,12 @@
         let before = node.store.position();
         node.apply(server, &update);
         assert!(node.store.position() >= before);
-        self.assert_whole(index);
+        self.assert_is_a_published_state(index);
         true
     }
 
     /// What a node has in force is the publisher's state of its position, of all that it wants and has been answered.
-    fn assert_whole(&self, node: usize) {
+    fn assert_is_a_published_state(&self, node: usize) {
         let node = &self.members[node].node;
         let held = Interest::from(&node.subscription.subscribe_message());
         let mut expected = self.history[&node.store.position()].clone();
--- a/crates/ochrewalk-distribution/tests/relay_choice.rs
+++ b/crates/ochrewalk-distribution/tests/relay_choice.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_relay_that_says_to_come_back_later_is_not_attempted_before() {
+fn a_relay_that_asks_to_retry_later_is_not_attempted_before() {
     let mut choice = choice("node", 1);
     connect(&mut choice, 0);
     choice.retry_later(0, 3_000);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_node_goes_back_to_its_first_relay_once_that_was_well_for_a_while_and_not_all_at_once() {
+fn a_node_returns_to_its_first_relay_once_that_was_healthy_for_a_while_and_not_all_at_once() {
     let mut times = Vec::new();
     for seed in 0..200 {
         let mut choice = on_second_relay("node", seed);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_first_relay_that_fails_a_probe_has_to_be_well_for_the_whole_while_again() {
+fn a_first_relay_that_fails_a_probe_has_to_be_healthy_for_the_full_time_again() {
     let mut choice = on_second_relay("node", 7);
     let time_us = return_time_us(&mut choice, |now_us| !(40_000..60_000).contains(&now_us));
     assert!(time_us >= 110_000, "{time_us}");
--- a/crates/ochrewalk-distribution/tests/store.rs
+++ b/crates/ochrewalk-distribution/tests/store.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_batch_gets_one_new_revision_and_tells_what_it_replaced() {
+fn a_batch_gets_one_new_revision_and_records_what_it_replaced() {
     let mut store = store();
     store.publish(&[quota("a", "one", 1.0)], None).unwrap();
     let batch = store.publish(&[quota("a", "one", 2.0), quota("a", "two", 3.0)], None).unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn ten_thousand_changes_in_one_batch_are_refused_whole_and_nothing_is_applied() {
+fn ten_thousand_changes_in_one_batch_are_refused_and_nothing_is_applied() {
     let changes: Vec<Resource> = (0..10_000).map(|n| quota("a", &format!("tenant-{n}"), 1.0)).collect();
     let mut store = store();
     assert_eq!(refused(&mut store, &changes), [RefusalReason::TooManyChanges { changes: 10_000 }]);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn every_reason_is_told() {
+fn every_reason_of_a_refusal_is_listed() {
     let mut store = store();
     store.observe_epoch(3);
     let changes = [quota("a", "", -1.0), deletion("a", "one")];
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_publisher_that_heard_of_a_higher_epoch_accepts_nothing_until_it_takes_over_again() {
+fn a_publisher_that_observed_a_higher_epoch_accepts_nothing_until_it_takes_over_again() {
     let mut store = store();
     store.observe_epoch(4);
     assert!(store.is_fenced());
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn differences_are_told_only_from_positions_on_the_line_that_are_still_held() {
+fn differences_are_sent_only_from_positions_of_the_history_that_are_not_before_the_horizon() {
     let mut store = Store::new(1, StoreLimits { tombstones: 0 });
     for n in 0..5 {
         store.publish(&[quota("a", &format!("tenant-{n}"), 1.0)], None).unwrap();
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_rollback_beyond_the_history_or_off_its_line_is_refused() {
+fn a_rollback_beyond_the_history_or_to_another_history_is_refused() {
     let mut store = store();
     let mut history: Vec<Batch> =
         (1..=4).map(|n| store.publish(&[quota("a", "one", f64::from(n))], None).unwrap()).collect();
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_rollback_brings_back_what_was_deleted_and_deletes_what_was_made() {
+fn a_rollback_restores_what_was_deleted_and_deletes_what_was_made() {
     let mut store = store();
     store.publish(&[quota("a", "deleted", 1.0), quota("a", "changed", 2.0)], None).unwrap();
     let to = store.position();
@@ -375,7 +375,7 @@
     }
 
     #[test]
-    fn a_rollback_leads_back_to_the_state_of_its_position(batches in batches(), to in 0..30_usize) {
+    fn a_rollback_leads_to_the_state_of_its_position(batches in batches(), to in 0..30_usize) {
         let mut store = store();
         let to = to % batches.len();
         publish_all(&mut store, &batches[..to]);
--- a/crates/ochrewalk-distribution/tests/updates.rs
+++ b/crates/ochrewalk-distribution/tests/updates.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_snapshot_comes_in_parts_within_the_bound_and_changes_come_as_differences() {
+fn a_snapshot_is_sent_in_parts_within_the_bound_and_changes_as_differences() {
     let mut server = filled_publisher();
     let mut node = node("one");
     node.connect(&mut server);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_node_that_asks_for_a_revision_no_longer_held_or_that_never_was_is_sent_a_snapshot() {
+fn a_node_at_a_revision_before_the_horizon_or_that_never_was_is_sent_a_snapshot() {
     let store = Store::new(1, StoreLimits { tombstones: 0 });
     let mut server = Server::new("publisher", "north", store, unbounded_limits());
     publish(&mut server, &[quota("a", "one", 1.0)]);
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn the_age_of_what_was_heard_last_is_told() {
+fn the_age_is_the_time_since_the_last_message() {
     let mut node = node("one");
     assert_eq!(node.subscription.age_ms(5), None);
     node.subscription.message_received(2 * SECOND_US);
--- a/crates/ochrewalk-distribution/tests/watches.rs
+++ b/crates/ochrewalk-distribution/tests/watches.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_name_asked_for_is_answered_by_its_value_or_as_absent() {
+fn a_watched_name_is_answered_by_its_value_or_as_absent() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "present", 1.0), quota("b", "deleted", 1.0)]);
     publish(&mut server, &[deletion("b", "deleted")]);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_name_whose_answer_was_lost_is_asked_for_again() {
+fn a_watched_name_whose_answer_was_lost_is_requested_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
     let mut node = node("one");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_answer_in_a_rejected_update_comes_again() {
+fn an_answer_in_a_rejected_update_is_sent_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
     let mut node = node("one");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_snapshot_answers_each_single_name_and_holds_it_once() {
+fn a_snapshot_answers_each_single_name_and_contains_it_once() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "present", 1.0)]);
     let mut interest = Interest::scopes(["a"]);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_deletion_under_way_takes_effect_although_the_name_is_asked_for_again() {
+fn a_deletion_in_an_update_under_way_is_applied_although_the_name_is_watched_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
     let mut node = node("one");
