--- a/crates/ochrewalk-control-plane/src/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/src/publisher_log.rs
@@ -1,7 +1,7 @@
 //! The publisher's durable log, on an embedded store: each accepted batch and the state that it leads to are committed in
 //! one transaction before the batch is acknowledged. Killed at any instant, a publisher recovers all that it acknowledged.
 
-use crate::records::{StoredBatch, StoredChange, StoredOrder};
+use crate::records::{StoredBatch, StoredOrder};
 use ochrewalk_distribution::messages::{Resource, ResourceName};
 use ochrewalk_distribution::{Batch, ChangeOrder};
 use prost::Message;
@@ -117,7 +117,7 @@
             }
             if !batch.resources.is_empty() {
                 let mut batches = transaction.open_table(BATCHES)?;
-                let stored = stored_batch(batch, unix_ms).encode_to_vec();
+                let stored = StoredBatch::new(batch, unix_ms).encode_to_vec();
                 batches.insert(batch.position.revision, stored.as_slice())?;
                 batches.retain_in(..batch.position.revision.saturating_sub(HISTORY_BATCHES), |_, _| false)?;
             }
@@ -158,7 +158,7 @@
         for entry in batches.range(revision + 1..)? {
             let (_, stored) = entry?;
             let stored = StoredBatch::decode(stored.value()).map_err(|_| LogError::Damaged("a batch"))?;
-            found.push(batch_of(stored));
+            found.push(Batch::from(stored));
         }
         Ok(found)
     }
@@ -180,22 +180,3 @@
     }
     Ok(Recovered { order, resources })
 }
-
-fn stored_batch(batch: &Batch, unix_ms: u64) -> StoredBatch {
-    let changes = batch.resources.iter().zip(&batch.previous).map(|(resource, previous)| StoredChange {
-        resource: resource.clone(),
-        previous: previous.clone().map(|value| Resource {
-            name: resource.name.clone(),
-            revision: 0,
-            value: Some(value),
-        }),
-    });
-    StoredBatch { position: batch.position, changes: changes.collect(), unix_ms }
-}
-
-fn batch_of(stored: StoredBatch) -> Batch {
-    let changes = stored.changes.into_iter();
-    let (resources, previous) =
-        changes.map(|change| (change.resource, change.previous.and_then(|before| before.value))).unzip();
-    Batch { position: stored.position, resources, previous }
-}
--- a/crates/ochrewalk-control-plane/src/records.rs
+++ b/crates/ochrewalk-control-plane/src/records.rs
@@ -1,7 +1,7 @@
 //! The records of the publisher's log and of a node's state file, as Protocol Buffers.
 
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
-use ochrewalk_distribution::{ChangeOrder, EpochStart};
+use ochrewalk_distribution::{Batch, ChangeOrder, EpochStart};
 use prost::Message;
 
 /// One change of a batch, with the resource that it replaced.
@@ -29,6 +29,28 @@
     pub unix_ms: u64,
 }
 
+impl StoredBatch {
+    /// The record of `batch`, accepted at `unix_ms` milliseconds of Unix time.
+    pub fn new(batch: &Batch, unix_ms: u64) -> StoredBatch {
+        let changes = batch.resources.iter().zip(&batch.previous).map(|(resource, previous)| StoredChange {
+            resource: resource.clone(),
+            previous: previous.clone().map(|value| Resource::set(resource.name.clone(), value)),
+        });
+        StoredBatch { position: batch.position, changes: changes.collect(), unix_ms }
+    }
+}
+
+impl From<StoredBatch> for Batch {
+    fn from(stored: StoredBatch) -> Batch {
+        let (resources, previous) = stored
+            .changes
+            .into_iter()
+            .map(|change| (change.resource, change.previous.and_then(|before| before.value)))
+            .unzip();
+        Batch { position: stored.position, resources, previous }
+    }
+}
+
 /// The revision after which an epoch's own changes follow.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct StoredEpoch {
--- a/crates/ochrewalk-control-plane/src/state_file.rs
+++ b/crates/ochrewalk-control-plane/src/state_file.rs
@@ -206,24 +206,26 @@
             return Err(StateFileError::OtherNode { path: path.into(), node: stored.node });
         }
         state.unix_ms = stored.unix_ms;
-        state.steps.push(step(stored));
+        state.steps.push(PersistedStep::from(stored));
         rest = after;
     }
     state.damaged_bytes = rest.len() as u64;
     Ok(state)
 }
 
-fn step(stored: StoredUpdate) -> PersistedStep {
-    if !stored.forgotten.is_empty() {
-        return PersistedStep::Forgotten(stored.forgotten);
+impl From<StoredUpdate> for PersistedStep {
+    fn from(stored: StoredUpdate) -> PersistedStep {
+        if !stored.forgotten.is_empty() {
+            return PersistedStep::Forgotten(stored.forgotten);
+        }
+        PersistedStep::Update(CompleteUpdate {
+            position: stored.position,
+            is_snapshot: stored.is_snapshot,
+            resources: stored.resources.into_iter().map(Arc::new).collect(),
+            absent: stored.absent,
+            horizon: 0,
+        })
     }
-    PersistedStep::Update(CompleteUpdate {
-        position: stored.position,
-        is_snapshot: stored.is_snapshot,
-        resources: stored.resources.into_iter().map(Arc::new).collect(),
-        absent: stored.absent,
-        horizon: 0,
-    })
 }
 
 fn next_record(bytes: &[u8]) -> Option<(StoredUpdate, &[u8])> {
--- a/crates/ochrewalk-distribution/tests/common/mod.rs
+++ b/crates/ochrewalk-distribution/tests/common/mod.rs
@@ -80,6 +80,19 @@
         .collect()
 }
 
+/// A node that wants scope `a`.
+pub fn node(name: &str) -> Node {
+    Node::new(name, Interest::scopes(["a"]))
+}
+
+/// A node that wants scope `a`, connected to `server`, with all that there is.
+pub fn caught_up_node(server: &mut Server) -> Node {
+    let mut node = node("one");
+    node.connect(server);
+    node.catch_up(server);
+    node
+}
+
 /// A subscriber with its state, and its stream to a server.
 pub struct Node {
     pub subscription: Subscription,
@@ -121,6 +134,13 @@
         self.subscription.reset();
     }
 
+    /// Ends the connection, connects again and takes all that the server has for it.
+    pub fn reconnect(&mut self, server: &mut Server) -> Vec<CompleteUpdate> {
+        self.disconnect(server);
+        self.connect(server);
+        self.catch_up(server)
+    }
+
     pub fn watch(&mut self, server: &mut Server, watch: &Watch) {
         self.subscription.watch(watch);
         for name in &watch.remove {
--- a/crates/ochrewalk-distribution/tests/pacing.rs
+++ b/crates/ochrewalk-distribution/tests/pacing.rs
@@ -7,10 +7,6 @@
 use ochrewalk_distribution::{Interest, Server, Store, StoreLimits, SubscriptionLimits};
 use prost::Message;
 
-fn node(name: &str) -> Node {
-    Node::new(name, Interest::scopes(["a"]))
-}
-
 #[test]
 fn what_is_changed_while_an_update_is_sent_is_part_of_it() {
     let mut server = filled_publisher();
@@ -56,9 +52,7 @@
     let mut server = Server::new("publisher", "north", store, unbounded_limits());
     let changes: Vec<Resource> = (0..400).map(|n| quota("a", &format!("tenant-{n:03}"), 1.0)).collect();
     publish(&mut server, &changes);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     publish(&mut server, &changes[..300]);
     publish(&mut server, &[deletion("a", "tenant-399")]);
     let part = node.next_part(&mut server, &mut 0).unwrap();
--- a/crates/ochrewalk-distribution/tests/updates.rs
+++ b/crates/ochrewalk-distribution/tests/updates.rs
@@ -10,10 +10,6 @@
 };
 use prost::Message;
 
-fn node(name: &str) -> Node {
-    Node::new(name, Interest::scopes(["a"]))
-}
-
 /// All parts of the next update.
 fn parts(node: &mut Node, server: &mut Server) -> Vec<Update> {
     let mut parts = Vec::new();
@@ -48,9 +44,7 @@
 #[test]
 fn a_change_of_what_a_node_does_not_want_moves_its_position_only() {
     let mut server = filled_publisher();
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     publish(&mut server, &[quota("b", "other", 1.0)]);
     let updates = node.catch_up(&mut server);
     assert!(updates.len() == 1 && updates[0].resources.is_empty());
@@ -71,9 +65,7 @@
             assert_eq!(node.receive(&mut server, part), Ok(None));
         }
         assert!(node.store.is_empty() && node.subscription.position().is_none());
-        node.disconnect(&mut server);
-        node.connect(&mut server);
-        node.catch_up(&mut server);
+        node.reconnect(&mut server);
         node.assert_equals(server.store());
     }
 }
@@ -91,9 +83,7 @@
         let error = UpdateError::WrongPart { expected: 2, part: part.part };
         assert_eq!(node.receive(&mut server, part.clone()), Err(error));
         assert!(node.store.is_empty());
-        node.disconnect(&mut server);
-        node.connect(&mut server);
-        node.catch_up(&mut server);
+        node.reconnect(&mut server);
         node.assert_equals(server.store());
     }
 }
@@ -136,9 +126,7 @@
 #[test]
 fn a_relay_that_answers_with_an_older_epoch_is_not_believed() {
     let mut server = filled_publisher();
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     node.subscription.observe_epoch(2);
     publish(&mut server, &[quota("a", "tenant-000", 2.0)]);
     let part = node.next_part(&mut server, &mut 0).unwrap();
@@ -197,9 +185,7 @@
         let store = Store::new(1, StoreLimits { tombstones });
         let mut server = Server::new("publisher", "north", store, unbounded_limits());
         publish(&mut server, &[quota("a", "one", 1.0), quota("a", "two", 1.0)]);
-        let mut node = node("one");
-        node.connect(&mut server);
-        node.catch_up(&mut server);
+        let mut node = caught_up_node(&mut server);
         node.disconnect(&mut server);
         publish(&mut server, &[deletion("a", "one"), deletion("a", "two")]);
         publish(&mut server, &[quota("a", "one", 2.0)]);
@@ -239,9 +225,7 @@
     relay.catch_up(&mut server);
     let mut behind = Server::new("relay", "north", relay.store.clone(), unbounded_limits());
     publish(&mut server, &[quota("a", "tenant-000", 2.0)]);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     node.disconnect(&mut server);
     node.connect(&mut behind);
     assert!(node.catch_up(&mut behind).is_empty());
@@ -257,9 +241,7 @@
 #[test]
 fn a_relay_started_from_a_snapshot_serves_differences_from_the_horizon_on() {
     let mut server = filled_publisher();
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     publish(&mut server, &[deletion("a", "tenant-000")]);
     let mut relay = Node::new("relay", Interest::everything());
     relay.connect(&mut server);
@@ -332,9 +314,7 @@
     let store = Store::new(1, StoreLimits { tombstones: 1 });
     let mut server = Server::new("publisher", "north", store, unbounded_limits());
     publish(&mut server, &[quota("a", "one", 1.0), quota("a", "two", 1.0)]);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     for tenant in ["one", "two"] {
         publish(&mut server, &[deletion("a", tenant)]);
     }
--- a/crates/ochrewalk-distribution/tests/watches.rs
+++ b/crates/ochrewalk-distribution/tests/watches.rs
@@ -6,16 +6,10 @@
 use ochrewalk_distribution::messages::{ResourceKind, ResourceName, Subscribe, Watch, PROTOCOL_VERSION};
 use ochrewalk_distribution::{Admission, Interest, NextUpdate, SubscribeError};
 
-fn node(name: &str) -> Node {
-    Node::new(name, Interest::scopes(["a"]))
-}
-
 #[test]
 fn a_rejected_update_is_not_sent_again_until_there_is_a_later_one() {
     let mut server = filled_publisher();
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     publish(&mut server, &[quota("a", "tenant-000", 2.0)]);
     let update = node.next_update(&mut server);
     let report = node.subscription.rejected(update.position, "it does not fit");
@@ -50,9 +44,7 @@
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "present", 1.0), quota("b", "deleted", 1.0)]);
     publish(&mut server, &[deletion("b", "deleted")]);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     let add = ["absent", "deleted", "present"].map(|tenant| quota_name("b", tenant));
     node.watch(&mut server, &Watch { add: add.to_vec(), remove: Vec::new() });
     let updates = node.catch_up(&mut server);
@@ -72,28 +64,20 @@
 fn a_watched_name_whose_answer_was_lost_is_requested_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     node.watch(&mut server, &Watch { add: vec![quota_name("b", "tenant")], remove: Vec::new() });
     node.next_update(&mut server);
-    node.disconnect(&mut server);
-    node.connect(&mut server);
-    assert_eq!(node.catch_up(&mut server).len(), 1);
+    assert_eq!(node.reconnect(&mut server).len(), 1);
     node.assert_equals(server.store());
     // Once it is applied, it is not.
-    node.disconnect(&mut server);
-    node.connect(&mut server);
-    assert!(node.catch_up(&mut server).is_empty());
+    assert!(node.reconnect(&mut server).is_empty());
 }
 
 #[test]
 fn an_answer_in_a_rejected_update_is_sent_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     node.watch(&mut server, &Watch { add: vec![quota_name("b", "tenant")], remove: Vec::new() });
     let update = node.next_update(&mut server);
     let report = node.subscription.rejected(update.position, "it does not fit");
@@ -152,9 +136,7 @@
 fn an_answer_to_a_watch_before_a_name_was_removed_and_added_again_is_not_taken_for_the_later_one() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     let name = quota_name("b", "tenant");
     let add = Watch { add: vec![name.clone()], remove: Vec::new() };
     let remove = Watch { add: Vec::new(), remove: vec![name.clone()] };
@@ -169,9 +151,7 @@
     server.watch(node.id.unwrap(), &remove).unwrap();
     publish(&mut server, &[quota("b", "tenant", 2.0)]);
     node.catch_up(&mut server);
-    node.disconnect(&mut server);
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    node.reconnect(&mut server);
     node.assert_equals(server.store());
     assert!(node.store.get(&name).is_some());
 }
@@ -180,9 +160,7 @@
 fn a_deletion_in_an_update_under_way_is_applied_although_the_name_is_watched_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
-    let mut node = node("one");
-    node.connect(&mut server);
-    node.catch_up(&mut server);
+    let mut node = caught_up_node(&mut server);
     let name = quota_name("b", "tenant");
     let add = Watch { add: vec![name.clone()], remove: Vec::new() };
     node.watch(&mut server, &add);
