--- a/crates/ochrewalk-control-plane/src/agent/mod.rs
+++ b/crates/ochrewalk-control-plane/src/agent/mod.rs
@@ -30,11 +30,11 @@
 pub use settings::{AgentCounters, AgentSettings};
 
 /// A relay that sends nothing for this time counts as failed, in microseconds: three heartbeats.
-pub const SILENCE_US: u64 = 1_500_000;
+pub const RELAY_TIMEOUT_US: u64 = 1_500_000;
 /// How long a connection may take until the relay first sends something.
-const CONNECT_US: u64 = 1_500_000;
+const CONNECT_TIMEOUT_US: u64 = 1_500_000;
 /// Reads before others on the same event loop get their turn.
-const READS_AT_ONCE: usize = 64;
+const MAX_READS_IN_TURN: usize = 64;
 
 /// Applies the updates of a subscription.
 pub trait ConfigurationSink {
@@ -177,8 +177,8 @@
     /// Connects, reads, applies and writes what can be now. Call it after each event of its tokens. Returns the time at which
     /// to call again although nothing happens, in microseconds.
     pub fn drive(&mut self, registry: &Registry, now_us: u64, sink: &mut impl ConfigurationSink) -> u64 {
-        if let Err(why) = self.exchange(now_us, sink) {
-            self.disconnect(registry, now_us, &why);
+        if let Err(error) = self.read_and_write(now_us, sink) {
+            self.disconnect(registry, now_us, &error);
         }
         self.probe_first_choice(registry, now_us);
         if let Link::Waiting { until_us } = self.link {
@@ -202,7 +202,7 @@
     }
 
     fn silent_at_us(&self, now_us: u64) -> u64 {
-        self.subscription.last_message_us().unwrap_or(now_us) + SILENCE_US
+        self.subscription.last_message_us().unwrap_or(now_us) + RELAY_TIMEOUT_US
     }
 
     fn connect(&mut self, registry: &Registry, now_us: u64) {
@@ -216,10 +216,10 @@
         match self.open(address, registry) {
             Ok(connection) => {
                 self.counters.connections += 1;
-                self.link = Link::Connecting { connection, until_us: now_us + CONNECT_US };
+                self.link = Link::Connecting { connection, until_us: now_us + CONNECT_TIMEOUT_US };
             }
-            Err(why) => {
-                tracing::debug!(part = "config", "relay {address}: {why}");
+            Err(error) => {
+                tracing::debug!(part = "config", "relay {address}: {error}");
                 self.choice.failed(now_us);
                 self.link = Link::Waiting { until_us: now_us + 1 };
             }
@@ -236,7 +236,11 @@
         Ok(connection)
     }
 
-    fn exchange(&mut self, now_us: u64, sink: &mut impl ConfigurationSink) -> Result<(), ConnectionError> {
+    fn read_and_write(
+        &mut self,
+        now_us: u64,
+        sink: &mut impl ConfigurationSink,
+    ) -> Result<(), ConnectionError> {
         let mut bodies = Vec::new();
         let received = match &mut self.link {
             Link::Waiting { .. } => return Ok(()),
@@ -245,7 +249,7 @@
             }
         };
         for body in bodies {
-            self.message(body, now_us, sink)?;
+            self.handle_message(body, now_us, sink)?;
         }
         self.has_unread = received?;
         let is_silent = now_us >= self.silent_at_us(now_us);
@@ -257,7 +261,7 @@
         }
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         body: Body,
         now_us: u64,
@@ -310,9 +314,9 @@
                 self.demand.applied(update);
                 self.subscription.applied(update.position)
             }
-            Err(why) => {
+            Err(error) => {
                 self.counters.rejected += 1;
-                self.subscription.rejected(update.position, why.to_string())
+                self.subscription.rejected(update.position, error.to_string())
             }
         };
         match &mut self.link {
@@ -321,10 +325,10 @@
         }
     }
 
-    fn disconnect(&mut self, registry: &Registry, now_us: u64, why: &ConnectionError) {
+    fn disconnect(&mut self, registry: &Registry, now_us: u64, error: &ConnectionError) {
         self.close_link(registry, now_us);
-        if !matches!(why, ConnectionError::RetryLater) {
-            tracing::info!(part = "config", "relay {}: {why}", self.choice.current());
+        if !matches!(error, ConnectionError::RetryLater) {
+            tracing::info!(part = "config", "relay {}: {error}", self.choice.current());
             self.choice.failed(now_us);
         }
     }
@@ -370,7 +374,7 @@
 
 /// Reads what was received, up to a bound. Returns whether more may wait.
 fn receive_all(connection: &mut Connection, bodies: &mut Vec<Body>) -> Result<bool, ConnectionError> {
-    for _ in 0..READS_AT_ONCE {
+    for _ in 0..MAX_READS_IN_TURN {
         if !connection.receive(|body| bodies.push(body))? {
             return Ok(false);
         }
--- a/crates/ochrewalk-control-plane/src/agent/probe.rs
+++ b/crates/ochrewalk-control-plane/src/agent/probe.rs
@@ -1,6 +1,6 @@
 //! A connection to the first choice among the relays, made while another one serves, to see whether it is healthy.
 
-use super::CONNECT_US;
+use super::CONNECT_TIMEOUT_US;
 use crate::connection::Connection;
 use crate::frame::MAX_SUBSCRIBER_FRAME;
 use mio::{Registry, Token};
@@ -24,7 +24,7 @@
         now_us: u64,
     ) -> io::Result<Probe> {
         let connection = Connection::connect(address, token, registry, MAX_SUBSCRIBER_FRAME)?;
-        Ok(Probe { connection, until_us: now_us + CONNECT_US })
+        Ok(Probe { connection, until_us: now_us + CONNECT_TIMEOUT_US })
     }
 
     /// When it is unhealthy if nothing happens until then, in microseconds.
--- a/crates/ochrewalk-control-plane/src/control.rs
+++ b/crates/ochrewalk-control-plane/src/control.rs
@@ -123,7 +123,7 @@
         match decoder.next_message() {
             Ok(Some(body)) => return Ok(Some(body)),
             Ok(None) => {}
-            Err(why) => return Err(io::Error::new(io::ErrorKind::InvalidData, why)),
+            Err(error) => return Err(io::Error::new(io::ErrorKind::InvalidData, error)),
         }
         match stream.read(&mut chunk)? {
             0 => return Ok(None),
--- a/crates/ochrewalk-control-plane/src/publisher.rs
+++ b/crates/ochrewalk-control-plane/src/publisher.rs
@@ -25,7 +25,7 @@
 
 /// The token by which requests wake the event loop.
 const WAKER: Token = Token(1);
-const EVENTS_AT_ONCE: usize = 1024;
+const MAX_EVENTS: usize = 1024;
 /// What catching up may take of the publisher's link, a quarter of a gigabit: its subscribers are a few dozen relays that
 /// each lack everything after a start, where a relay's are hundreds of nodes that lack little.
 const CATCH_UP_BYTES_PER_SECOND: u64 = 32_000_000;
@@ -100,7 +100,7 @@
     fn reasons(&self) -> Vec<String> {
         match self {
             RequestError::Invalid(reasons) => reasons.clone(),
-            RequestError::Publish(refused) => refused.reasons.iter().map(|why| why.to_string()).collect(),
+            RequestError::Publish(refused) => refused.texts(),
             other => vec![other.to_string()],
         }
     }
@@ -177,7 +177,7 @@
     ///
     /// Where the event loop fails.
     pub fn run(&mut self, stop: &AtomicBool) -> Result<(), PublisherError> {
-        let mut events = Events::with_capacity(EVENTS_AT_ONCE);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         while !stop.load(Ordering::Relaxed) {
             let now_us = self.clock.now_us();
             let due_us = self.subscribers.drive(self.poll.registry(), now_us, 0);
@@ -212,8 +212,8 @@
             self.logged_epoch
         );
         let nothing = Batch { position: store.position(), resources: Vec::new(), previous: Vec::new() };
-        if let Err(why) = self.log.append(&nothing, &store.order(), unix_ms()) {
-            tracing::error!(part = "config", "the log: {why}");
+        if let Err(error) = self.log.append(&nothing, &store.order(), unix_ms()) {
+            tracing::error!(part = "config", "the log: {error}");
         }
     }
 
@@ -225,8 +225,8 @@
             Body::Fetch(fetch) => Ok(Body::Fetched(self.fetch(&fetch))),
             _ => Err(RequestError::Unknown),
         };
-        reply.unwrap_or_else(|why| {
-            let reasons: Vec<String> = why.reasons().into_iter().take(MAX_REASONS).collect();
+        reply.unwrap_or_else(|error| {
+            let reasons: Vec<String> = error.reasons().into_iter().take(MAX_REASONS).collect();
             tracing::warn!(part = "config", "refused: {}", reasons.join("; "));
             Body::Refused(Refused { reasons })
         })
@@ -237,7 +237,7 @@
             .changes
             .iter()
             .filter_map(|change| check(change).err())
-            .map(|why| why.to_string())
+            .map(|error| error.to_string())
             .collect();
         if !invalid.is_empty() {
             return Err(RequestError::Invalid(invalid));
--- a/crates/ochrewalk-control-plane/src/relay.rs
+++ b/crates/ochrewalk-control-plane/src/relay.rs
@@ -17,7 +17,7 @@
 
 /// The agent's tokens: this one and the next.
 const UPSTREAM: Token = Token(FIRST_PEER - 2);
-const EVENTS_AT_ONCE: usize = 1024;
+const MAX_EVENTS: usize = 1024;
 /// The shortest time between two reports on the region to the publisher.
 const STATUS_INTERVAL_US: u64 = 500_000;
 /// The longest time between two attempts to connect to a publisher. It is short, because a few dozen relays that retry at
@@ -130,7 +130,7 @@
     ///
     /// Where the event loop fails.
     pub fn run(&mut self, stop: &AtomicBool) -> Result<(), RelayError> {
-        let mut events = Events::with_capacity(EVENTS_AT_ONCE);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         while !stop.load(Ordering::Relaxed) {
             let due_us = self.drive();
             let now_us = self.clock.now_us();
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -31,7 +31,7 @@
 /// peer might lose the reply.
 const CLOSE_DELAY_US: u64 = 1_000_000;
 /// Reads of one connection in turn before the others are read.
-const READS_AT_ONCE: usize = 8;
+const MAX_READS_IN_TURN: usize = 8;
 
 /// The role of a peer, by what it has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,10 +56,15 @@
 }
 
 impl Peer {
-    /// The connection ends with `why` at `end_us`; until then nothing is sent on it.
-    fn wait_until(&mut self, end_us: u64, now_us: u64, why: ConnectionError) -> Result<(), ConnectionError> {
+    /// The connection ends with `error` at `end_us`; until then nothing is sent on it.
+    fn wait_until(
+        &mut self,
+        end_us: u64,
+        now_us: u64,
+        error: ConnectionError,
+    ) -> Result<(), ConnectionError> {
         if now_us >= end_us {
-            return Err(why);
+            return Err(error);
         }
         self.due_us = end_us;
         Ok(())
@@ -195,8 +200,8 @@
         let mut ready = std::mem::take(&mut self.ready);
         ready.extend(due);
         for token in ready {
-            if let Err(why) = self.write(token, now_us, source_age_ms) {
-                self.close(token, registry, &why);
+            if let Err(error) = self.write(token, now_us, source_age_ms) {
+                self.close(token, registry, &error);
             }
         }
         if !self.unread.is_empty() {
@@ -229,26 +234,26 @@
         let Some(peer) = self.peers.get_mut(&token) else { return };
         let mut bodies = Vec::new();
         let mut outcome = Ok(true);
-        for _ in 0..READS_AT_ONCE {
+        for _ in 0..MAX_READS_IN_TURN {
             outcome = peer.connection.receive(|body| bodies.push(body));
             if !matches!(outcome, Ok(true)) {
                 break;
             }
         }
         for body in bodies {
-            if let Err(why) = self.message(token, body, now_us) {
-                return self.close(token, registry, &why);
+            if let Err(error) = self.handle_message(token, body, now_us) {
+                return self.close(token, registry, &error);
             }
         }
         match outcome {
             Ok(true) => drop(self.unread.insert(token)),
             Ok(false) => {}
-            Err(why) => return self.close(token, registry, &why),
+            Err(error) => return self.close(token, registry, &error),
         }
         self.ready.insert(token);
     }
 
-    fn message(&mut self, token: Token, body: Body, now_us: u64) -> Result<(), ConnectionError> {
+    fn handle_message(&mut self, token: Token, body: Body, now_us: u64) -> Result<(), ConnectionError> {
         let Some(peer) = self.peers.get_mut(&token) else { return Ok(()) };
         match (peer.role, body) {
             (Role::Closing, _) => Ok(()),
@@ -304,14 +309,14 @@
         }
     }
 
-    fn close(&mut self, token: Token, registry: &Registry, why: &ConnectionError) {
+    fn close(&mut self, token: Token, registry: &Registry, error: &ConnectionError) {
         let Some(peer) = self.peers.remove(&token) else { return };
         if let Role::Subscriber(id) = peer.role {
             self.server.unsubscribe(id);
         }
         if let Some(relay) = &peer.relay {
             self.regions.remove(relay);
-            tracing::info!(part = "config", "relay {relay} is gone: {why}");
+            tracing::info!(part = "config", "relay {relay} is gone: {error}");
         }
         self.ready.remove(&token);
         self.unread.remove(&token);
--- a/crates/ochrewalk-control-plane/tests/publisher.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher.rs
@@ -77,7 +77,7 @@
 }
 
 fn is_fenced(answer: &Body) -> bool {
-    matches!(answer, Body::Refused(refused) if refused.reasons.iter().any(|why| why.contains("epoch 2")))
+    matches!(answer, Body::Refused(refused) if refused.reasons.iter().any(|reason| reason.contains("epoch 2")))
 }
 
 #[test]
--- a/crates/ochrewalk-control-plane/tests/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher_log.rs
@@ -132,8 +132,8 @@
         let batch = store.prepare(&changes(store), None).unwrap();
         let mut after = store.clone();
         after.replay(&batch).unwrap();
-        if let Err(why) = log.append(&batch, &after.order(), 0) {
-            return (acknowledged, Some(why));
+        if let Err(error) = log.append(&batch, &after.order(), 0) {
+            return (acknowledged, Some(error));
         }
         *store = after;
     }
@@ -185,7 +185,7 @@
             Ok(opened) => opened,
             // Before the file was ever whole there is nothing to lose.
             Err(_) if acknowledged == 0 => continue,
-            Err(why) => panic!("after operation {dies_after}, {acknowledged} acknowledged: {why}"),
+            Err(error) => panic!("after operation {dies_after}, {acknowledged} acknowledged: {error}"),
         };
         let store = restored(recovered);
         let revision = store.position().revision;
--- a/crates/ochrewalk-distribution/src/catch_up.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -24,7 +24,7 @@
     /// Updates up to this size, in bytes, are not counted as catching up, and always admitted.
     pub small_update_bytes: u64,
     /// The most subscribers caught up at once.
-    pub max_at_once: usize,
+    pub max_concurrent: usize,
     /// The time that catching up all those admitted takes at most, if there is more than one, in milliseconds.
     pub max_backlog_ms: u64,
     /// The most subscribers remembered of those that are to retry.
@@ -36,7 +36,7 @@
         Self {
             bytes_per_second: 2_000_000,
             small_update_bytes: 16 << 10,
-            max_at_once: 64,
+            max_concurrent: 64,
             max_backlog_ms: 10_000,
             max_waiting: 10_000,
         }
@@ -117,7 +117,7 @@
     fn has_capacity_for(&self, bytes: u64) -> bool {
         let backlog_ms = self.duration_ms(self.backlog_bytes().saturating_add(bytes));
         self.admitted.is_empty()
-            || (self.admitted.len() < self.limits.max_at_once && backlog_ms <= self.limits.max_backlog_ms)
+            || (self.admitted.len() < self.limits.max_concurrent && backlog_ms <= self.limits.max_backlog_ms)
     }
 
     fn backlog_bytes(&self) -> u64 {
--- a/crates/ochrewalk-distribution/tests/admission.rs
+++ b/crates/ochrewalk-distribution/tests/admission.rs
@@ -16,7 +16,7 @@
 const CATCH_UP: CatchUpLimits = CatchUpLimits {
     bytes_per_second: 100_000,
     small_update_bytes: 2_000,
-    max_at_once: 8,
+    max_concurrent: 8,
     max_backlog_ms: 2_000,
     max_waiting: 1_000,
 };
--- a/crates/ochrewalk-distribution/tests/common/mod.rs
+++ b/crates/ochrewalk-distribution/tests/common/mod.rs
@@ -60,7 +60,8 @@
 
 /// Limits under which no subscriber waits to be caught up.
 pub fn unbounded_limits() -> ServerLimits {
-    let catch_up = CatchUpLimits { bytes_per_second: 0, max_at_once: usize::MAX, ..CatchUpLimits::default() };
+    let catch_up =
+        CatchUpLimits { bytes_per_second: 0, max_concurrent: usize::MAX, ..CatchUpLimits::default() };
     ServerLimits { chunk_bytes: 4_096, catch_up, ..ServerLimits::default() }
 }
 
--- a/crates/ochrewalk-distribution/tests/explore/world.rs
+++ b/crates/ochrewalk-distribution/tests/explore/world.rs
@@ -88,7 +88,7 @@
 
 pub fn server_limits() -> ServerLimits {
     // A part holds two of the three resources.
-    let catch_up = CatchUpLimits { bytes_per_second: 0, max_at_once: 9, ..CatchUpLimits::default() };
+    let catch_up = CatchUpLimits { bytes_per_second: 0, max_concurrent: 9, ..CatchUpLimits::default() };
     ServerLimits { chunk_bytes: 180, catch_up, ..ServerLimits::default() }
 }
 
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -75,7 +75,7 @@
 
 impl Fleet {
     fn new(tombstones: usize, chunk_bytes: usize) -> Self {
-        let catch_up = CatchUpLimits { bytes_per_second: 0, max_at_once: 9, ..CatchUpLimits::default() };
+        let catch_up = CatchUpLimits { bytes_per_second: 0, max_concurrent: 9, ..CatchUpLimits::default() };
         let limits = ServerLimits { chunk_bytes, catch_up, ..ServerLimits::default() };
         let store_limits = StoreLimits { tombstones };
         let member = |n| Member {
