--- a/crates/ochrewalk-distribution/src/server/mod.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -97,7 +97,7 @@
         /// The bound.
         limit: usize,
     },
-    /// A name or scope is empty, too long or of an unknown kind.
+    /// A name is empty, of an unknown kind, has control characters, or is too long; or a scope is too long.
     #[error("a name is not valid")]
     InvalidName,
 }
