--- a/crates/ochrewalk-node/src/handover/records.rs
+++ b/crates/ochrewalk-node/src/handover/records.rs
@@ -317,7 +317,7 @@
     /// When it carried something last.
     #[prost(uint64, tag = "14")]
     pub used_us: u64,
-    /// Whether a valid request has come.
+    /// Whether an RPC of its client has run.
     #[prost(bool, tag = "15")]
     pub good: bool,
 }
