--- a/crates/ochrewalk-node/src/handover/process_guard.rs
+++ b/crates/ochrewalk-node/src/handover/process_guard.rs
@@ -1,103 +1,121 @@
-//! Decides which of two programs that serve may act, and which of them may be ended: the supervisor's part without
-//! processes and sockets. One may act at the most; one is ended at the most in an attempt, and only while neither acts,
-//! as the other may be the last one alive.
+//! Decides which of two children may act, and which of them may be killed: the supervisor's part without processes and
+//! sockets.
+//!
+//! At most one child may act. In one attempt at most one child is killed, and only while neither acts, as the other may
+//! be the last one alive.
 
-/// Numbers of programs, never used twice.
-pub type Number = u64;
+use std::fmt;
 
+/// Identifies a child of the supervisor. No two children ever share one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ChildId(pub u64);
+
+impl fmt::Display for ChildId {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
+/// Which child may act, and the attempt under way.
 #[derive(Debug, Default)]
 pub struct ProcessGuard {
-    /// Who may act; nobody while state passes from one to the other.
-    acts: Option<Number>,
+    /// None while the state passes from one child to the other.
+    acting: Option<ChildId>,
     attempt: Option<Attempt>,
 }
 
-/// An upgrade that is under way.
+/// A hand-over that is under way.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
-    from: Number,
-    to: Number,
-    ended_one: bool,
+    predecessor: ChildId,
+    successor: ChildId,
+    has_killed: bool,
 }
 
-/// What a program asks before it does it.
+/// What a child asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
-    /// To stand still: nobody acts from then on.
-    Still,
-    /// To go on, or to begin.
+    /// To pause: nobody acts from then on.
+    Pause,
+    /// To act: to resume, or to start.
     Act,
 }
 
 impl ProcessGuard {
-    /// The first program was started.
-    pub fn first(&mut self, number: Number) {
-        self.acts = Some(number);
+    /// A child was started while no other one ran: it may act.
+    pub fn started_alone(&mut self, child: ChildId) {
+        self.acting = Some(child);
     }
 
-    /// Who would hand over, if an attempt may begin now.
+    /// The child that would be the predecessor of an attempt; none while an attempt is under way or nobody acts.
     ///
     /// ```
-    /// use ochrewalk_node::handover::process_guard::{ProcessGuard, ProcessAction};
-    /// let mut process_guard = ProcessGuard::default();
-    /// process_guard.first(1);
-    /// assert_eq!(process_guard.giver(), Some(1));
-    /// process_guard.begin(1, 2);
-    /// assert_eq!(process_guard.giver(), None, "one at a time");
-    /// assert!(!process_guard.may(2, ProcessAction::Act) && process_guard.end_other(1).is_none(), "the first one acts");
-    /// assert!(process_guard.may(1, ProcessAction::Still));
-    /// assert_eq!([process_guard.end_other(1), process_guard.end_other(2)], [Some(2), None], "one of them at the most");
-    /// assert!(process_guard.may(1, ProcessAction::Act) && !process_guard.may(2, ProcessAction::Act));
-    /// assert_eq!(process_guard.over(), Some(2), "nothing is left of an attempt that failed");
-    /// assert!(process_guard.ended(1), "the node's end is that of the one that acted");
-    /// assert!(!process_guard.ended(2));
+    /// use ochrewalk_node::handover::process_guard::{ChildId, ProcessAction, ProcessGuard};
+    /// let (first, second) = (ChildId(1), ChildId(2));
+    /// let mut guard = ProcessGuard::default();
+    /// guard.started_alone(first);
+    /// assert_eq!(guard.available_predecessor(), Some(first));
+    /// guard.begin_attempt(first, second);
+    /// assert_eq!(guard.available_predecessor(), None, "one attempt at a time");
+    /// assert!(!guard.allow(second, ProcessAction::Act) && guard.allow_kill(first).is_none(), "the first one acts");
+    /// assert!(guard.allow(first, ProcessAction::Pause));
+    /// assert_eq!([guard.allow_kill(first), guard.allow_kill(second)], [Some(second), None], "at most one is killed");
+    /// assert!(guard.allow(first, ProcessAction::Act) && !guard.allow(second, ProcessAction::Act));
+    /// assert_eq!(guard.end_attempt(), Some(second), "nothing is left of an attempt that failed");
+    /// assert!(guard.child_ended(first), "the node's end is that of the child that acted");
+    /// assert!(!guard.child_ended(second));
     /// ```
-    pub fn giver(&self) -> Option<Number> {
-        self.acts.filter(|_| self.attempt.is_none())
+    pub fn available_predecessor(&self) -> Option<ChildId> {
+        self.acting.filter(|_| self.attempt.is_none())
     }
 
-    /// Who acts now.
-    pub fn acting(&self) -> Option<Number> {
-        self.acts
+    /// The child that acts.
+    pub fn acting(&self) -> Option<ChildId> {
+        self.acting
     }
 
-    pub fn begin(&mut self, from: Number, to: Number) {
-        self.attempt = Some(Attempt { from, to, ended_one: false });
+    /// An attempt begins.
+    pub fn begin_attempt(&mut self, predecessor: ChildId, successor: ChildId) {
+        self.attempt = Some(Attempt { predecessor, successor, has_killed: false });
     }
 
-    /// Whether a program may do what it asks for.
-    pub fn may(&mut self, number: Number, action: ProcessAction) -> bool {
-        let may = self.acts.is_none_or(|acts| acts == number);
-        if may {
-            self.acts = if action == ProcessAction::Still { None } else { Some(number) };
+    /// Whether a child may do what it asks for; if so, it does.
+    pub fn allow(&mut self, child: ChildId, action: ProcessAction) -> bool {
+        let is_allowed = self.acting.is_none_or(|acting| acting == child);
+        if is_allowed {
+            self.acting = match action {
+                ProcessAction::Pause => None,
+                ProcessAction::Act => Some(child),
+            };
         }
-        may
+        is_allowed
     }
 
-    /// A program wants the other one ended: which that is, if it may be.
-    pub fn end_other(&mut self, number: Number) -> Option<Number> {
-        let attempt = self.attempt.as_mut().filter(|a| !a.ended_one && self.acts.is_none())?;
-        attempt.ended_one = true;
-        Some(if number == attempt.from { attempt.to } else { attempt.from })
+    /// A child asks for the other one of its attempt to be killed: which one that is, if it may be.
+    pub fn allow_kill(&mut self, child: ChildId) -> Option<ChildId> {
+        let nobody_acts = self.acting.is_none();
+        let attempt = self.attempt.as_mut().filter(|attempt| !attempt.has_killed && nobody_acts)?;
+        attempt.has_killed = true;
+        Some(if child == attempt.predecessor { attempt.successor } else { attempt.predecessor })
     }
 
-    /// A program has ended; whether it was the one that acted.
-    pub fn ended(&mut self, number: Number) -> bool {
-        let acted = self.acts == Some(number);
+    /// A child has ended; whether it was the one that acted.
+    pub fn child_ended(&mut self, child: ChildId) -> bool {
+        let acted = self.acting == Some(child);
         if acted {
-            self.acts = None;
+            self.acting = None;
         }
         acted
     }
 
-    /// Whether it is the program that hands over in an attempt under way.
-    pub fn is_giver(&self, number: Number) -> bool {
-        self.attempt.is_some_and(|a| a.from == number)
+    /// Whether a child is the predecessor of the attempt under way.
+    pub fn is_predecessor(&self, child: ChildId) -> bool {
+        self.attempt.is_some_and(|attempt| attempt.predecessor == child)
     }
 
-    /// The attempt is over: who is to be ended, as the one before goes on.
-    pub fn over(&mut self) -> Option<Number> {
+    /// The attempt has ended; the child that is to be killed, where the predecessor goes on.
+    pub fn end_attempt(&mut self) -> Option<ChildId> {
         let attempt = self.attempt.take()?;
-        (self.acts == Some(attempt.from)).then_some(attempt.to)
+        (self.acting == Some(attempt.predecessor)).then_some(attempt.successor)
     }
 }
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -149,7 +149,8 @@
             Ok(())
         }
         Command::Upgrade { control, program } => {
-            ochrewalk_node::handover::supervisor::ask(&control, &program).map(|how| println!("{how}"))
+            ochrewalk_node::handover::supervisor::request_upgrade(&control, &program)
+                .map(|how| println!("{how}"))
         }
         Command::Rollout { what, plan } => match rollout(what, &plan) {
             Ok(status) => return status,
