--- /dev/null
+++ b/crates/ochrewalk-node/src/handover/supervisor/mod.rs
@@ -0,0 +1,178 @@
+//! The supervisor: the process that the platform started and watches, where the operators' file allows upgrades. It
+//! starts the child that serves, starts another beside it when asked to, passes signals on, and says which of the two
+//! may act. It serves nothing itself, so that little can go wrong with it.
+//!
+//! One thread owns all of its state and handles one [`Event`] after another; the others only wait and report.
+
+mod children;
+mod control_socket;
+mod error;
+mod hand_over;
+mod requester;
+mod restart;
+mod rollout;
+mod signals;
+
+pub use control_socket::request_upgrade;
+pub use error::{SupervisorError, UpgradeError};
+
+use super::process_guard::{ChildId, ProcessAction, ProcessGuard};
+use super::rollout_agent::{ChildSpec, RolloutAgent};
+use super::supervisor_protocol::{ChildLine, Question, SupervisorLine};
+use children::Children;
+use hand_over::FailedAttempt;
+use requester::Requester;
+use restart::PendingRestart;
+use signals::{ChildSignal, NodeSignal};
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use std::process::ExitStatus;
+use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
+use std::time::Duration;
+
+/// What the supervisor's threads report.
+enum Event {
+    /// A child has written a line.
+    ChildLine { child: ChildId, line: String },
+    /// A child has ended, and all of its lines have been reported.
+    ChildEnded { child: ChildId, status: Option<ExitStatus> },
+    /// Somebody has connected to the control socket.
+    Connected(UnixStream),
+    /// The platform or an operator has sent a signal.
+    Signal(NodeSignal),
+    /// A child that was told to drain should have ended by now.
+    DrainOverdue(ChildId),
+}
+
+struct Supervisor {
+    children: Children,
+    process_guard: ProcessGuard,
+    /// Who waits to hear of the attempt under way.
+    requester: Option<Requester>,
+    /// Attempts that failed and whose requesters hear of it once the successor has ended.
+    failed_attempts: Vec<FailedAttempt>,
+    rollout_agent: RolloutAgent,
+    pending_restart: Option<PendingRestart>,
+    /// How long a child that is told to drain may take.
+    drain_timeout: Duration,
+    /// The child whose counters are reported. A successor's are only from the end of the attempt on, so that no call is
+    /// counted twice.
+    reported_child: ChildId,
+    last_status: Option<ExitStatus>,
+    events: Sender<Event>,
+}
+
+/// Starts the program that this process runs as a child, and supervises children until none is left. The status is that
+/// of the child that acted last. A child that is told to drain may take `drain_timeout`.
+///
+/// # Errors
+///
+/// No child was started, or the status of the last one is unknown.
+pub fn run(control: &Path, drain_timeout: Duration) -> Result<ExitStatus, SupervisorError> {
+    let (sender, events) = channel();
+    signals::report_signals(sender.clone())?;
+    control_socket::report_connections(control, sender.clone())?;
+    let program = std::env::current_exe().map_err(SupervisorError::OwnProgram)?;
+    let spec = ChildSpec { program, operators: None };
+    let mut children = Children::new(sender.clone());
+    let first = children
+        .start(&spec, None)
+        .map_err(|error| SupervisorError::Start { program: spec.program.clone(), error })?;
+    let mut process_guard = ProcessGuard::default();
+    process_guard.started_alone(first);
+    let mut supervisor = Supervisor {
+        children,
+        process_guard,
+        requester: None,
+        failed_attempts: Vec::new(),
+        rollout_agent: RolloutAgent::default(),
+        pending_restart: None,
+        drain_timeout,
+        reported_child: first,
+        last_status: None,
+        events: sender,
+    };
+    supervisor.handle_events(&events);
+    let _ = std::fs::remove_file(control);
+    supervisor.last_status.ok_or(SupervisorError::UnknownStatus)
+}
+
+impl Supervisor {
+    /// Handles events until no child is left.
+    fn handle_events(&mut self, events: &Receiver<Event>) {
+        while !self.children.is_empty() {
+            let event = match self.rollout_agent.time_to_next_action() {
+                Some(timeout) => events.recv_timeout(timeout),
+                None => events.recv().map_err(|_| RecvTimeoutError::Disconnected),
+            };
+            match event {
+                Ok(event) => self.handle_event(event),
+                Err(RecvTimeoutError::Timeout) => self.revert_if_due(),
+                Err(RecvTimeoutError::Disconnected) => return,
+            }
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::ChildLine { child, line } => self.handle_line(child, &line),
+            Event::ChildEnded { child, status } => self.child_ended(child, status),
+            Event::Connected(stream) => self.handle_request(stream),
+            Event::Signal(signal) => self.handle_signal(signal),
+            Event::DrainOverdue(child) => self.children.signal(child, ChildSignal::Kill),
+        }
+    }
+
+    fn handle_signal(&mut self, signal: NodeSignal) {
+        if signal.is_to_drain() {
+            self.cancel_restart();
+        }
+        self.children.signal_all(signal.into());
+    }
+
+    fn handle_line(&mut self, child: ChildId, line: &str) {
+        match ChildLine::of_line(line) {
+            Some(ChildLine::Question(question)) => self.answer(child, question),
+            Some(ChildLine::KillPeer) => {
+                if let Some(peer) = self.process_guard.allow_kill(child) {
+                    self.children.signal(peer, ChildSignal::Kill);
+                }
+            }
+            Some(ChildLine::AttemptEnded(outcome)) => self.attempt_ended(&outcome),
+            Some(ChildLine::Counters(report)) => {
+                if let Some(child) = self.children.get_mut(child) {
+                    child.serving.take(report);
+                }
+            }
+            None => {}
+        }
+    }
+
+    fn answer(&mut self, child: ChildId, question: Question) {
+        let action = match question {
+            Question::MayPause => ProcessAction::Pause,
+            Question::MayResume | Question::MayBegin => ProcessAction::Act,
+        };
+        let is_allowed = self.process_guard.allow(child, action);
+        let answer = if is_allowed { SupervisorLine::Allowed } else { SupervisorLine::Denied };
+        if let Some(child) = self.children.get(child) {
+            let _ = child.send(answer, None);
+        }
+    }
+
+    fn child_ended(&mut self, child: ChildId, status: Option<ExitStatus>) {
+        self.children.remove(child);
+        self.report_failed_attempts_of(child);
+        // The node's end is that of the child that acted: one that has handed over ends well beside it.
+        let acted = self.process_guard.child_ended(child);
+        if acted || self.last_status.is_none() {
+            self.last_status = status;
+        }
+        if acted {
+            if let Some(restart) = self.pending_restart.take() {
+                return self.finish_restart(restart);
+            }
+        }
+        self.predecessor_may_have_ended(child);
+    }
+}
--- /dev/null
+++ b/crates/ochrewalk-node/src/handover/supervisor/requester.rs
@@ -0,0 +1,46 @@
+//! Who waits for the outcome of an upgrade, and how each is told.
+
+use super::Supervisor;
+use crate::handover::rollout_agent::{self, AcceptedCommand, ChildIdentity};
+use crate::handover::supervisor_protocol::AttemptOutcome;
+use ochrewalk_rollout::Outcome;
+use std::io::Write;
+use std::os::unix::net::UnixStream;
+
+/// Who waits for the outcome of an upgrade.
+pub(super) enum Requester {
+    /// An operator, on a connection to the control socket.
+    Operator(UnixStream),
+    /// A rollout, on a connection to the control socket.
+    Rollout(UnixStream, AcceptedCommand),
+    /// The supervisor itself, as a commit-confirmed change was not confirmed.
+    Revert,
+}
+
+impl Supervisor {
+    /// Reports how an upgrade ended. `replaced` is what ran until then.
+    pub(super) fn report_outcome(
+        &mut self,
+        requester: Requester,
+        replaced: Option<ChildIdentity>,
+        outcome: Result<(), String>,
+    ) {
+        match (requester, outcome) {
+            (Requester::Operator(mut stream), Ok(())) => {
+                // An operator who asks for a program wants it for good.
+                self.rollout_agent.confirm();
+                let _ = writeln!(stream, "{}", AttemptOutcome::HandedOver);
+            }
+            (Requester::Operator(mut stream), Err(reason)) => {
+                let _ = writeln!(stream, "{reason}");
+            }
+            (Requester::Rollout(mut stream, accepted), outcome) => {
+                let outcome = outcome.map_or_else(Outcome::Failed, |()| Outcome::Done);
+                let reply = self.rollout_agent.command_finished(accepted, replaced, outcome);
+                rollout_agent::send_reply(&mut stream, reply);
+            }
+            (Requester::Revert, Ok(())) => self.rollout_agent.revert_succeeded(),
+            (Requester::Revert, Err(_)) => self.rollout_agent.revert_failed(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/ochrewalk-node/src/handover/supervisor/rollout.rs
@@ -0,0 +1,57 @@
+//! Requests of rollouts, and reverts of commit-confirmed changes that were not confirmed.
+
+use super::requester::Requester;
+use super::Supervisor;
+use crate::handover::rollout_agent::{self, AcceptedCommand, AgentAction, ChildSpec, DueRevert};
+use ochrewalk_rollout::messages::{self, Request};
+use ochrewalk_rollout::Outcome;
+use std::io::{ErrorKind, Read};
+use std::os::unix::net::UnixStream;
+
+impl Supervisor {
+    /// A rollout has connected to the control socket.
+    pub(super) fn handle_rollout_request(&mut self, mut stream: UnixStream, input: &mut impl Read) {
+        let Ok(request) = messages::read_message::<Request>(input) else { return };
+        if self.children.get(self.reported_child).is_none() {
+            self.report_counters_of_acting();
+        }
+        let serving = self.children.get(self.reported_child).map(|child| &child.serving);
+        let is_changing = self.available_predecessor().is_none();
+        match self.rollout_agent.handle_request(&request, serving, is_changing) {
+            AgentAction::Reply(reply) => rollout_agent::send_reply(&mut stream, reply),
+            AgentAction::ReplaceChild(spec, accepted) => self.replace_child(stream, spec, accepted),
+        }
+    }
+
+    /// Carries out a command to run something else. The reply follows once that has come to its end.
+    fn replace_child(&mut self, mut stream: UnixStream, spec: ChildSpec, accepted: AcceptedCommand) {
+        let program = spec.program.clone();
+        let begun = match (self.available_predecessor(), stream.try_clone()) {
+            (Some(child), Ok(connection)) if accepted.restart => {
+                self.begin_restart(child, spec, Requester::Rollout(connection, accepted))
+            }
+            (Some(child), Ok(connection)) => {
+                self.begin_hand_over(child, &spec, Requester::Rollout(connection, accepted))
+            }
+            _ => Err(ErrorKind::ResourceBusy.into()),
+        };
+        if let Err(error) = begun {
+            let outcome = Outcome::Failed(format!("{}: {error}", program.display()));
+            let reply = self.rollout_agent.command_finished(accepted, None, outcome);
+            rollout_agent::send_reply(&mut stream, reply);
+        }
+    }
+
+    /// Reverts a change where its controller has not confirmed it in time.
+    pub(super) fn revert_if_due(&mut self) {
+        let Some(revert) = self.rollout_agent.due_revert() else { return };
+        let begun = match (self.available_predecessor(), revert) {
+            (Some(child), DueRevert::Restart(spec)) => self.begin_restart(child, spec, Requester::Revert),
+            (Some(child), DueRevert::HandOver(spec)) => self.begin_hand_over(child, &spec, Requester::Revert),
+            (None, _) => Err(ErrorKind::ResourceBusy.into()),
+        };
+        if begun.is_err() {
+            self.rollout_agent.revert_failed();
+        }
+    }
+}
--- /dev/null
+++ b/crates/ochrewalk-node/src/handover/supervisor/signals.rs
@@ -0,0 +1,72 @@
+//! Signals that the supervisor gets, and those that it sends to its children.
+
+use super::{Event, SupervisorError};
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use signal_hook::iterator::Signals;
+use std::sync::mpsc::Sender;
+
+/// A signal to the node, which is the supervisor's process for the platform.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum NodeSignal {
+    Terminate,
+    Interrupt,
+    /// The files are to be read again.
+    Reload,
+}
+
+impl NodeSignal {
+    fn of_number(number: i32) -> Option<NodeSignal> {
+        match number {
+            SIGTERM => Some(NodeSignal::Terminate),
+            SIGINT => Some(NodeSignal::Interrupt),
+            SIGHUP => Some(NodeSignal::Reload),
+            _ => None,
+        }
+    }
+
+    /// Whether the node is to drain and end.
+    pub(super) fn is_to_drain(self) -> bool {
+        self != NodeSignal::Reload
+    }
+}
+
+/// A signal to a child.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ChildSignal {
+    /// As the node got it.
+    Node(NodeSignal),
+    /// The child ends at once.
+    Kill,
+}
+
+impl From<NodeSignal> for ChildSignal {
+    fn from(signal: NodeSignal) -> ChildSignal {
+        ChildSignal::Node(signal)
+    }
+}
+
+impl ChildSignal {
+    /// Sends it to a process. One that has ended already is passed over.
+    pub(super) fn send(self, pid: u32) {
+        let signal = match self {
+            ChildSignal::Node(NodeSignal::Terminate) => rustix::process::Signal::TERM,
+            ChildSignal::Node(NodeSignal::Interrupt) => rustix::process::Signal::INT,
+            ChildSignal::Node(NodeSignal::Reload) => rustix::process::Signal::HUP,
+            ChildSignal::Kill => rustix::process::Signal::KILL,
+        };
+        if let Some(pid) = rustix::process::Pid::from_raw(pid as i32) {
+            let _ = rustix::process::kill_process(pid, signal);
+        }
+    }
+}
+
+/// Reports signals from here on, by a thread of its own.
+pub(super) fn report_signals(events: Sender<Event>) -> Result<(), SupervisorError> {
+    let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(SupervisorError::Signals)?;
+    std::thread::spawn(move || {
+        for signal in signals.forever().filter_map(NodeSignal::of_number) {
+            let _ = events.send(Event::Signal(signal));
+        }
+    });
+    Ok(())
+}
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -1,6 +1,8 @@
 //! The command line of the real node.
 
 use clap::{Parser, Subcommand, ValueEnum};
+use ochrewalk_node::handover::supervisor::request_upgrade;
+use ochrewalk_node::handover::supervisor_protocol::AttemptOutcome;
 use ochrewalk_node::logger::{Form, Logs};
 use ochrewalk_node::node::Files;
 use ochrewalk_node::rollout::{self, ConductorCommand, End};
@@ -148,10 +150,9 @@
             println!("ochrewalk {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        Command::Upgrade { control, program } => {
-            ochrewalk_node::handover::supervisor::request_upgrade(&control, &program)
-                .map(|how| println!("{how}"))
-        }
+        Command::Upgrade { control, program } => request_upgrade(&control, &program)
+            .map(|()| println!("{}", AttemptOutcome::HandedOver))
+            .map_err(|error| error.to_string()),
         Command::Rollout { what, plan } => match rollout(what, &plan) {
             Ok(status) => return status,
             Err(why) => Err(why),
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -91,7 +91,8 @@
         }
     })?;
     if let (None, Some(control)) = (&supervised, &operators.upgrade_control) {
-        let status = supervisor::run(control, Duration::from_millis(placement.stop_ms) + AFTER_STOP)?;
+        let status = supervisor::run(control, Duration::from_millis(placement.stop_ms) + AFTER_STOP)
+            .map_err(|error| error.to_string())?;
         std::process::exit(status.code().unwrap_or(70));
     }
     crate::logger::start(logs);
