--- a/crates/ochrewalk-control-plane/src/agent.rs
+++ b/crates/ochrewalk-control-plane/src/agent.rs
@@ -6,7 +6,7 @@
 use mio::{Registry, Token};
 use ochrewalk_distribution::messages::{Body, Position, RegionStatus, ResourceName};
 use ochrewalk_distribution::{
-    Choice, CompleteUpdate, DemandSet, DemandState, Interest, NoRelays, Received, RelayChoice,
+    Choice, CompleteUpdate, DemandSet, DemandState, Interest, NoRelays, ProbeResult, Received, RelayChoice,
     RelayChoiceLimits, Subscription, SubscriptionLimits,
 };
 use std::collections::HashMap;
@@ -129,14 +129,19 @@
         }
     }
 
-    /// A single name that was kept from before; it counts as held.
-    pub fn restore_name(&mut self, name: &ResourceName, is_present: bool, now_us: u64) {
-        self.demand.restore(name, is_present, now_us);
+    /// A single name whose value is part of the state that was persisted.
+    pub fn restore_present(&mut self, name: &ResourceName, now_us: u64) {
+        self.demand.restore_present(name, now_us);
+    }
+
+    /// A single name of which there was nothing in the state that was persisted.
+    pub fn restore_absent(&mut self, name: &ResourceName, now_us: u64) {
+        self.demand.restore_absent(name, now_us);
     }
 
     /// A single name is needed. Gives the names that are no longer held for it.
-    pub fn want(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
-        let Some(watch) = self.demand.want(name, now_us) else { return Vec::new() };
+    pub fn request_name(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
+        let Some(watch) = self.demand.request(name, now_us) else { return Vec::new() };
         self.subscription.watch(&watch);
         let removed = watch.remove.clone();
         if let Link::Subscribed { connection } = &mut self.link {
@@ -154,7 +159,7 @@
     /// Sends what a relay tells of its region. It is sent again after a new connection by whoever calls this.
     pub fn send_status(&mut self, status: RegionStatus) {
         if let Link::Subscribed { connection } = &mut self.link {
-            if connection.has_room() {
+            if connection.is_flushed() {
                 let _ = connection.send(Body::RegionStatus(status));
             }
         }
@@ -193,7 +198,7 @@
     }
 
     fn silent_at_us(&self, now_us: u64) -> u64 {
-        self.subscription.last_heard_us().unwrap_or(now_us) + SILENCE_US
+        self.subscription.last_message_us().unwrap_or(now_us) + SILENCE_US
     }
 
     fn connect(&mut self, registry: &Registry, now_us: u64) {
@@ -254,10 +259,10 @@
         now_us: u64,
         sink: &mut impl ConfigurationSink,
     ) -> Result<(), ConnectionError> {
-        self.subscription.heard(now_us);
+        self.subscription.message_received(now_us);
         match body {
             Body::Update(update) => {
-                self.is_served();
+                self.enter_subscribed();
                 let received = self.subscription.received(update);
                 match received.map_err(|why| ConnectionError::Protocol(why.to_string()))? {
                     Received::More => Ok(()),
@@ -265,20 +270,20 @@
                 }
             }
             Body::Heartbeat(heartbeat) => {
-                self.is_served();
+                self.enter_subscribed();
                 self.source_age_ms = heartbeat.age_ms;
                 Ok(())
             }
             Body::RetryLater(later) => {
                 self.choice.retry_later(now_us, later.after_ms.saturating_mul(1_000));
-                Err(ConnectionError::ComeBack)
+                Err(ConnectionError::RetryLater)
             }
             Body::Refused(refused) => Err(ConnectionError::Refused(refused.reasons.join("; "))),
             _ => Err(ConnectionError::Protocol("a message that relays do not send".into())),
         }
     }
 
-    fn is_served(&mut self) {
+    fn enter_subscribed(&mut self) {
         let link = std::mem::replace(&mut self.link, Link::Waiting { until_us: 0 });
         self.link = match link {
             Link::Connecting { connection, .. } => {
@@ -314,7 +319,7 @@
 
     fn disconnect(&mut self, registry: &Registry, now_us: u64, why: &ConnectionError) {
         self.close_link(registry, now_us);
-        if !matches!(why, ConnectionError::ComeBack) {
+        if !matches!(why, ConnectionError::RetryLater) {
             tracing::info!(part = "config", "relay {}: {why}", self.choice.current());
             self.choice.failed(now_us);
         }
@@ -324,14 +329,15 @@
     fn probe(&mut self, registry: &Registry, now_us: u64) {
         if let Some((mut connection, until_us)) = self.probe.take() {
             // A connection that stands takes what is written; one that is refused says so when it is read.
-            let is_well = matches!(connection.receive(|_| ()), Ok(false)) && connection.is_established();
-            let is_over = is_well || now_us >= until_us;
+            let is_healthy = matches!(connection.receive(|_| ()), Ok(false)) && connection.is_established();
+            let is_over = is_healthy || now_us >= until_us;
             if !is_over && !connection.is_broken() {
                 self.probe = Some((connection, until_us));
                 return;
             }
             connection.deregister(registry);
-            self.choice.probed(is_well, now_us);
+            let result = if is_healthy { ProbeResult::Healthy } else { ProbeResult::Unhealthy };
+            self.choice.probed(result, now_us);
         }
         if !self.is_connected() {
             return;
@@ -345,7 +351,7 @@
             let address = self.addresses[first];
             match Connection::connect(address, self.probe_token, registry, MAX_SUBSCRIBER_FRAME) {
                 Ok(connection) => self.probe = Some((connection, now_us + CONNECT_US)),
-                Err(_) => self.choice.probed(false, now_us),
+                Err(_) => self.choice.probed(ProbeResult::Unhealthy, now_us),
             }
         }
     }
--- a/crates/ochrewalk-distribution/src/demand.rs
+++ b/crates/ochrewalk-distribution/src/demand.rs
@@ -1,4 +1,4 @@
-//! Decides which single names a node watches: those that it used, the least recently used going first once there are too
+//! Decides which single names a node watches: those that it used, the least recently used being evicted once there are too
 //! many.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,8 +9,8 @@
 /// What is known of a name that was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DemandState {
-    /// It was asked for, and no answer has been applied: the caller's default holds.
-    Asked,
+    /// It was requested, and no answer has been applied: the caller's default holds.
+    Requested,
     /// There is a value, which the store has.
     Present,
     /// There is nothing of this name: the default holds.
@@ -33,7 +33,7 @@
 }
 
 impl DemandSet {
-    /// An empty set that holds up to `limit` names, and at least one.
+    /// An empty set of up to `limit` names, and at least one.
     pub fn new(limit: usize) -> Self {
         Self { limit: limit.max(1), entries: BTreeMap::new(), by_use: BTreeSet::new() }
     }
@@ -58,24 +58,32 @@
         self.entries.get(name).map(|entry| entry.state)
     }
 
-    /// `name` is used. If it was not watched before, the watch returned is to be sent, and what it removes is to be
-    /// forgotten by the store.
-    pub fn want(&mut self, name: &ResourceName, now_us: u64) -> Option<Watch> {
+    /// `name` is used. If it was not watched before, send the watch that is returned, and have the store forget the names
+    /// that it removes.
+    pub fn request(&mut self, name: &ResourceName, now_us: u64) -> Option<Watch> {
         if let Some(entry) = self.entries.get_mut(name) {
             let last_us = std::mem::replace(&mut entry.used_us, now_us);
             self.move_in_order(name, last_us, now_us);
             return None;
         }
-        let remove = self.make_room();
-        self.add(name, DemandState::Asked, now_us);
+        let remove = self.evict_least_recently_used();
+        self.add(name, DemandState::Requested, now_us);
         Some(Watch { add: vec![name.clone()], remove })
     }
 
-    /// `name` is watched since before a restart, and its answer is part of the saved state.
-    pub fn restore(&mut self, name: &ResourceName, is_present: bool, now_us: u64) {
-        let has_room = self.entries.len() < self.limit;
-        if has_room && !self.entries.contains_key(name) {
-            let state = if is_present { DemandState::Present } else { DemandState::Absent };
+    /// `name` is watched since before a restart, and its value is part of the saved state. Ignored once the set is full.
+    pub fn restore_present(&mut self, name: &ResourceName, now_us: u64) {
+        self.restore(name, DemandState::Present, now_us);
+    }
+
+    /// `name` is watched since before a restart, and there was nothing of it. Ignored once the set is full.
+    pub fn restore_absent(&mut self, name: &ResourceName, now_us: u64) {
+        self.restore(name, DemandState::Absent, now_us);
+    }
+
+    fn restore(&mut self, name: &ResourceName, state: DemandState, now_us: u64) {
+        let has_capacity = self.entries.len() < self.limit;
+        if has_capacity && !self.entries.contains_key(name) {
             self.add(name, state, now_us);
         }
     }
@@ -93,7 +101,7 @@
         self.by_use.insert((now_us, name.clone()));
     }
 
-    fn make_room(&mut self) -> Vec<ResourceName> {
+    fn evict_least_recently_used(&mut self) -> Vec<ResourceName> {
         let mut removed = Vec::new();
         while self.entries.len() >= self.limit {
             let Some((_, name)) = self.by_use.pop_first() else { break };
