--- a/crates/ochrewalk-node/src/handover/supervisor/rollout.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/rollout.rs
@@ -3,7 +3,8 @@
 use super::requester::Requester;
 use super::Supervisor;
 use crate::handover::rollout_agent::{self, AcceptedCommand, AgentAction, ChildSpec, DueRevert};
-use ochrewalk_rollout::messages::{self, Request};
+use ochrewalk_rollout::framing::read_message;
+use ochrewalk_rollout::messages::Request;
 use ochrewalk_rollout::Outcome;
 use std::io::{ErrorKind, Read};
 use std::os::unix::net::UnixStream;
@@ -11,7 +12,7 @@
 impl Supervisor {
     /// A rollout has connected to the control socket.
     pub(super) fn handle_rollout_request(&mut self, mut stream: UnixStream, input: &mut impl Read) {
-        let Ok(request) = messages::read_message::<Request>(input) else { return };
+        let Ok(request) = read_message::<Request>(input) else { return };
         if self.children.get(self.reported_child).is_none() {
             self.report_counters_of_acting();
         }
