--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -8,6 +8,18 @@
 //! [`process_guard`] which of them may act. [`supervisor_protocol`] has the lines between the two, [`supervisor_link`] a
 //! child's end of them, [`counter_report`] what a child reports. [`rollout_agent`] is the supervisor's side of a rollout.
 
+// Those of the workspace, until all of this crate takes them.
+#![warn(
+    missing_docs,
+    clippy::unwrap_used,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::needless_pass_by_value,
+    clippy::fn_params_excessive_bools,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines
+)]
+
 pub mod counter_report;
 pub mod descriptor_socket;
 mod failure_injection;
@@ -19,6 +31,7 @@
 pub mod process_guard;
 pub mod received_state;
 pub mod records;
+#[allow(missing_docs, clippy::missing_errors_doc, reason = "not documented throughout yet")]
 pub mod rollout_agent;
 mod snapshot;
 pub mod successor;
--- a/crates/ochrewalk-node/src/handover/pending_snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/pending_snapshot.rs
@@ -23,7 +23,7 @@
 
 impl PendingSnapshot {
     /// Whether somebody still waits for the result.
-    pub(super) fn is_wanted(&self) -> bool {
+    pub(super) fn is_awaited(&self) -> bool {
         !self.lock().is_abandoned
     }
 
@@ -35,7 +35,7 @@
         !state.is_abandoned
     }
 
-    /// Waits for the result. After the time-out none is returned, and none is wanted from then on.
+    /// Waits for the result. After the time-out none is returned, and none is awaited from then on.
     pub(super) fn wait(&self, timeout: Duration) -> Option<SnapshotResult> {
         let is_missing = |state: &mut State| state.result.is_none();
         let waited = self.delivered.wait_timeout_while(self.lock(), timeout, is_missing);
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -43,7 +43,7 @@
     #[error("the supervisor does not allow the pause")]
     NotAllowed,
     #[error("the running program hears nobody")]
-    WorkerHeld,
+    WorkerBlocked,
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
 }
@@ -137,7 +137,7 @@
                 resume_node(&node);
             }
         });
-        let result = pending.wait(MAX_SNAPSHOT_WAIT).ok_or(PauseError::WorkerHeld)?;
+        let result = pending.wait(MAX_SNAPSHOT_WAIT).ok_or(PauseError::WorkerBlocked)?;
         Ok(result?)
     }
 
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -70,7 +70,7 @@
     keys_went_ahead: bool,
     pending: &PendingSnapshot,
 ) -> Option<SnapshotResult> {
-    if !pending.is_wanted() {
+    if !pending.is_awaited() {
         return None;
     }
     let clock = node.core.clock;
@@ -79,7 +79,7 @@
         below.hold(true);
         let deadline_us = deadline_us(MAX_UNMOVABLE_WAIT);
         while below.is_unmovable() && clock.now_us() < deadline_us {
-            sleep_while_wanted(node, pending)?;
+            sleep_while_awaited(node, pending)?;
         }
     }
     pause();
@@ -91,18 +91,18 @@
         if clock.now_us() >= deadline_us {
             return Some(Err(SnapshotError::NotAtRest));
         }
-        sleep_while_wanted(node, pending)?;
+        sleep_while_awaited(node, pending)?;
     }
 }
 
 /// Lets other coroutines run. None where nobody waits for the snapshot any more.
-fn sleep_while_wanted(node: &Node, pending: &PendingSnapshot) -> Option<()> {
-    if !pending.is_wanted() {
+fn sleep_while_awaited(node: &Node, pending: &PendingSnapshot) -> Option<()> {
+    if !pending.is_awaited() {
         resume_node(node);
         return None;
     }
     may::coroutine::sleep(POLL_INTERVAL);
-    pending.is_wanted().then_some(())
+    pending.is_awaited().then_some(())
 }
 
 /// All sections; none while something that was read is still being dealt with, or a connection is coming or going.
--- a/crates/ochrewalk-node/src/handover/supervisor/error.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/error.rs
@@ -70,6 +70,20 @@
     },
 }
 
+/// Why an upgrade that had begun failed.
+#[derive(Debug, Error)]
+pub(super) enum UpgradeFailure {
+    /// The hand-over failed.
+    #[error("{reason}")]
+    HandOver { reason: String },
+    /// The child that was to follow on a restart cannot be started.
+    #[error("{}: {error}", program.display())]
+    Start { program: PathBuf, error: io::Error },
+    /// The node drains.
+    #[error("the node was told to leave")]
+    Draining,
+}
+
 /// Why a request at the control socket is refused.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
--- a/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
@@ -1,5 +1,6 @@
 //! Attempts to replace the child that serves by a hand-over.
 
+use super::error::UpgradeFailure;
 use super::requester::Requester;
 use super::signals::ChildSignal;
 use super::Supervisor;
@@ -14,7 +15,7 @@
 pub(super) struct FailedAttempt {
     successor: ChildId,
     requester: Requester,
-    reason: String,
+    failure: UpgradeFailure,
 }
 
 impl Supervisor {
@@ -42,18 +43,16 @@
 
     /// An attempt has ended. A successor that has not taken over is killed, as it may hang; an operator hears of the
     /// failure once it has ended.
-    pub(super) fn attempt_ended(&mut self, outcome: &AttemptOutcome) {
+    pub(super) fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         let replaced = self.children.get(self.reported_child).map(|child| child.serving.identity());
+        let outcome = match outcome {
+            AttemptOutcome::HandedOver => Ok(()),
+            AttemptOutcome::Failed(reason) => Err(UpgradeFailure::HandOver { reason }),
+        };
         let unreported = match (self.requester.take(), outcome) {
-            (Some(requester @ Requester::Operator(_)), AttemptOutcome::Failed(reason)) => {
-                Some((requester, reason.clone()))
-            }
-            (Some(requester), AttemptOutcome::Failed(reason)) => {
-                self.report_outcome(requester, replaced, Err(reason.clone()));
-                None
-            }
-            (Some(requester), AttemptOutcome::HandedOver) => {
-                self.report_outcome(requester, replaced, Ok(()));
+            (Some(requester @ Requester::Operator(_)), Err(failure)) => Some((requester, failure)),
+            (Some(requester), outcome) => {
+                self.report_outcome(requester, replaced, outcome);
                 None
             }
             (None, _) => None,
@@ -63,10 +62,10 @@
         match (left.filter(|successor| self.children.get(*successor).is_some()), unreported) {
             (Some(successor), unreported) => {
                 self.children.signal(successor, ChildSignal::Kill);
-                let failed = |(requester, reason)| FailedAttempt { successor, requester, reason };
+                let failed = |(requester, failure)| FailedAttempt { successor, requester, failure };
                 self.failed_attempts.extend(unreported.map(failed));
             }
-            (None, Some((requester, reason))) => self.report_outcome(requester, None, Err(reason)),
+            (None, Some((requester, failure))) => self.report_outcome(requester, None, Err(failure)),
             (None, None) => {}
         }
     }
@@ -74,8 +73,8 @@
     /// A successor has ended: the failure of its attempt is reported.
     pub(super) fn report_failed_attempts_of(&mut self, child: ChildId) {
         while let Some(at) = self.failed_attempts.iter().position(|failed| failed.successor == child) {
-            let FailedAttempt { requester, reason, .. } = self.failed_attempts.swap_remove(at);
-            self.report_outcome(requester, None, Err(reason));
+            let FailedAttempt { requester, failure, .. } = self.failed_attempts.swap_remove(at);
+            self.report_outcome(requester, None, Err(failure));
         }
     }
 
@@ -84,7 +83,7 @@
     pub(super) fn predecessor_may_have_ended(&mut self, child: ChildId) {
         if self.process_guard.is_predecessor(child) {
             let reason = "the running program ended in the middle; the new one takes over";
-            self.attempt_ended(&AttemptOutcome::Failed(reason.into()));
+            self.attempt_ended(AttemptOutcome::Failed(reason.into()));
         }
     }
 
--- a/crates/ochrewalk-node/src/handover/supervisor/mod.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/mod.rs
@@ -2,7 +2,7 @@
 //! starts the child that serves, starts another beside it when asked to, passes signals on, and says which of the two
 //! may act. It serves nothing itself, so that little can go wrong with it.
 //!
-//! One thread owns all of its state and handles one [`Event`] after another; the others only wait and report.
+//! One thread owns all of its state and handles one event after another; the others only wait and report.
 
 mod children;
 mod control_socket;
@@ -138,7 +138,7 @@
                     self.children.signal(peer, ChildSignal::Kill);
                 }
             }
-            Some(ChildLine::AttemptEnded(outcome)) => self.attempt_ended(&outcome),
+            Some(ChildLine::AttemptEnded(outcome)) => self.attempt_ended(outcome),
             Some(ChildLine::Counters(report)) => {
                 if let Some(child) = self.children.get_mut(child) {
                     child.serving.take(report);
--- a/crates/ochrewalk-node/src/handover/supervisor/requester.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/requester.rs
@@ -1,5 +1,6 @@
 //! Who waits for the outcome of an upgrade, and how each is told.
 
+use super::error::UpgradeFailure;
 use super::Supervisor;
 use crate::handover::rollout_agent::{self, AcceptedCommand, ChildIdentity};
 use crate::handover::supervisor_protocol::AttemptOutcome;
@@ -23,7 +24,7 @@
         &mut self,
         requester: Requester,
         replaced: Option<ChildIdentity>,
-        outcome: Result<(), String>,
+        outcome: Result<(), UpgradeFailure>,
     ) {
         match (requester, outcome) {
             (Requester::Operator(mut stream), Ok(())) => {
@@ -31,11 +32,14 @@
                 self.rollout_agent.confirm();
                 let _ = writeln!(stream, "{}", AttemptOutcome::HandedOver);
             }
-            (Requester::Operator(mut stream), Err(reason)) => {
-                let _ = writeln!(stream, "{reason}");
+            (Requester::Operator(mut stream), Err(failure)) => {
+                let _ = writeln!(stream, "{failure}");
             }
             (Requester::Rollout(mut stream, accepted), outcome) => {
-                let outcome = outcome.map_or_else(Outcome::Failed, |()| Outcome::Done);
+                let outcome = match outcome {
+                    Ok(()) => Outcome::Done,
+                    Err(failure) => Outcome::Failed(failure.to_string()),
+                };
                 let reply = self.rollout_agent.command_finished(accepted, replaced, outcome);
                 rollout_agent::send_reply(&mut stream, reply);
             }
--- a/crates/ochrewalk-node/src/handover/supervisor/restart.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/restart.rs
@@ -1,5 +1,6 @@
 //! Restarts: the child that serves ends, then another is started in its place, as it cannot hand over.
 
+use super::error::UpgradeFailure;
 use super::requester::Requester;
 use super::signals::{ChildSignal, NodeSignal};
 use super::{Event, Supervisor};
@@ -44,7 +45,7 @@
                 self.report_counters_of_acting();
                 Ok(())
             }
-            Err(error) => Err(format!("{}: {error}", spec.program.display())),
+            Err(error) => Err(UpgradeFailure::Start { program: spec.program, error }),
         };
         self.report_outcome(requester, Some(replaced), outcome);
     }
@@ -52,7 +53,7 @@
     /// The node drains: nothing is started in the place of the child that ends.
     pub(super) fn cancel_restart(&mut self) {
         if let Some(PendingRestart { replaced, requester, .. }) = self.pending_restart.take() {
-            self.report_outcome(requester, Some(replaced), Err("the node was told to leave".into()));
+            self.report_outcome(requester, Some(replaced), Err(UpgradeFailure::Draining));
         }
     }
 }
