--- a/crates/ochrewalk-node/tests/supervisor_link.rs
+++ b/crates/ochrewalk-node/tests/supervisor_link.rs
@@ -102,8 +102,8 @@
     assert_eq!(by_changes, by_all);
     assert_eq!(by_all.latest, tally(3, vec![]));
     assert_eq!(by_all.methods.into_methods(), all);
-    let begun_anew = take(CounterReport::All(tally(1, vec![counted("c", 1, 0, 0)])));
-    assert_eq!(begun_anew.methods.into_methods(), vec![counted("c", 1, 0, 0)]);
+    let after_a_restart = take(CounterReport::All(tally(1, vec![counted("c", 1, 0, 0)])));
+    assert_eq!(after_a_restart.methods.into_methods(), vec![counted("c", 1, 0, 0)]);
     for line in ["tally", "tally !", "tally+ !", "still?", ""] {
         assert_eq!(CounterReport::of_line(line), None, "{line}");
     }
--- a/crates/ochrewalk-node/tests/upgrade.rs
+++ b/crates/ochrewalk-node/tests/upgrade.rs
@@ -13,19 +13,19 @@
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
-struct Kept {
+struct SupervisedNode {
     stand: Stand,
     control: PathBuf,
 }
 
-impl Kept {
+impl SupervisedNode {
     /// A node under a supervisor, its executor up; `fails` is what a program that takes over does wrong.
-    fn up(fails: &str) -> (Kept, Peer) {
-        Kept::up_with(|_| (), fails)
+    fn up(fails: &str) -> (SupervisedNode, Peer) {
+        SupervisedNode::up_with(|_| (), fails)
     }
 
     /// The same with changes to its file.
-    fn up_with(change: impl FnOnce(&mut serde_json::Value), fails: &str) -> (Kept, Peer) {
+    fn up_with(change: impl FnOnce(&mut serde_json::Value), fails: &str) -> (SupervisedNode, Peer) {
         let control = file("").with_extension("sock");
         let operators = format!(
             "ajp listen AJP\najp allow 127.0.0.0/8\najp memory 20.5\najp header token X-Sale\najp route GET /look look\n\
@@ -36,7 +36,7 @@
         let mut executor = stand.executor();
         executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
         stand.caller().wait_healthy();
-        (Kept { stand, control }, executor)
+        (SupervisedNode { stand, control }, executor)
     }
 
     fn upgrade(&self) -> String {
@@ -66,14 +66,14 @@
 
 #[test]
 fn all_that_is_under_way_goes_on_in_the_next_program() {
-    let (kept, mut executor) = Kept::up("");
-    let stand = &kept.stand;
+    let (node, mut executor) = SupervisedNode::up("");
+    let stand = &node.stand;
     let mut json = stand.caller();
     let mut pos = 0;
     // Again and again, with the same connections and the same executor's link.
     for round in 0..4u64 {
         let base = 100 * round;
-        let mut by_ajp = kept.ajp();
+        let mut by_ajp = node.ajp();
         // Running, one by each protocol; a third is held, a fourth is a repeat that waits for the first.
         json.say(&sale(base + 1, &format!("t{round}")));
         executor.hear_of(&exec(base + 1, "sale"));
@@ -89,13 +89,13 @@
         executor.hear_of(&exec(base + 3, "look"));
         let (line, head) = (rpc(base + 5, "look") + "\n", ajp_look(base + 6).whole());
         json.stream.write_all(&line.as_bytes()[..50]).unwrap();
-        let mut half = kept.ajp();
+        let mut half = node.ajp();
         half.send(&head[..30]).unwrap();
-        let mut body = kept.ajp();
+        let mut body = node.ajp();
         let late = ajp_look(base + 7);
         body.send(&late.head()).unwrap();
-        assert!(kept.ajp().is_alive());
-        assert_eq!(kept.upgrade(), "handed over");
+        assert!(node.ajp().is_alive());
+        assert_eq!(node.upgrade(), "handed over");
         // The rest of each comes to the next program.
         json.stream.write_all(&line.as_bytes()[50..]).unwrap();
         half.send(&head[30..]).unwrap();
@@ -134,12 +134,12 @@
 #[test]
 fn whatever_fails_before_the_word_leaves_the_running_program_as_it_was() {
     for fails in ["crash:start", "crash:greet", "crash:ready", "crash:commit", "hang:ready", "hang:commit"] {
-        let (kept, mut executor) = Kept::up(fails);
-        let mut json = kept.stand.caller();
+        let (node, mut executor) = SupervisedNode::up(fails);
+        let mut json = node.stand.caller();
         json.say(&sale(1, "aa"));
         executor.hear_of(&exec(1, "sale"));
         json.stream.write_all(&rpc(2, "look").as_bytes()[..40]).unwrap();
-        let how = kept.upgrade();
+        let how = node.upgrade();
         match fails {
             "crash:commit" => assert!(how == "the new program ended before it began", "{fails}: {how}"),
             "hang:commit" => assert!(how == "the new program ended before it began", "{fails}: {how}"),
@@ -153,53 +153,53 @@
         assert_eq!(json.hear(), served(1), "{fails}");
         assert_eq!(json.hear(), served(2), "{fails}");
         assert_eq!(json.ask(&sale(3, "aa")), served(3), "{fails}");
-        kept.stand.caller().wait_healthy();
+        node.stand.caller().wait_healthy();
     }
 }
 
 #[test]
 fn a_program_that_dies_at_its_first_act_is_the_nodes_end_and_said_so() {
-    let (mut kept, mut executor) = Kept::up("crash:done");
+    let (mut node, mut executor) = SupervisedNode::up("crash:done");
     std::thread::spawn(move || executor.hear_out());
-    assert_eq!(kept.upgrade(), "handed over");
+    assert_eq!(node.upgrade(), "handed over");
     // The platform sees that its process has ended, and not well.
-    assert!(!kept.stand.wait().success());
+    assert!(!node.stand.wait().success());
 }
 
 #[test]
 fn a_notice_to_leave_or_new_files_in_the_middle_are_obeyed() {
     // While the new program hangs, the running one hears the signal, takes itself back and leaves.
     for (fails, signal) in [("hang:greet", "-TERM"), ("hang:ready", "-TERM"), ("hang:commit", "-TERM")] {
-        let (mut kept, mut executor) = Kept::up(fails);
-        let mut json = kept.stand.caller();
+        let (mut node, mut executor) = SupervisedNode::up(fails);
+        let mut json = node.stand.caller();
         json.say(&rpc(1, "look"));
         executor.hear_of(&exec(1, "look"));
-        let (control, own) = (kept.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
+        let (control, own) = (node.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
         let asked = std::thread::spawn(move || {
             program(&["upgrade", "--control", control.to_str().unwrap(), "--program", own]).output().unwrap()
         });
         std::thread::sleep(Duration::from_millis(400));
-        kept.stand.signal(signal);
+        node.stand.signal(signal);
         json.hear_of("noMore");
         executor.say(&exit(1, 1, "complete"));
         assert!(json.hear().contains(r#""id":1,"result":{"body":"UkVT""#), "{fails}");
         std::thread::spawn(move || executor.hear_out());
         assert!(!asked.join().unwrap().status.success(), "{fails}");
-        kept.stand.wait();
+        node.stand.wait();
     }
-    let (kept, mut executor) = Kept::up("hang:greet");
-    let (control, own) = (kept.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
+    let (node, mut executor) = SupervisedNode::up("hang:greet");
+    let (control, own) = (node.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
     let asked = std::thread::spawn(move || {
         program(&["upgrade", "--control", control.to_str().unwrap(), "--program", own]).output().unwrap()
     });
     // Before the attempt has begun a signal is none of its business: until it is over there may be more of them.
     while !asked.is_finished() {
-        kept.stand.signal("-HUP");
+        node.stand.signal("-HUP");
         std::thread::sleep(Duration::from_millis(50));
     }
     let said = String::from_utf8(asked.join().unwrap().stderr).unwrap();
     assert!(said.contains("the running program got a signal"), "{said}");
-    let mut json = kept.stand.caller();
+    let mut json = node.stand.caller();
     json.say(&rpc(1, "look"));
     executor.hear_of(&exec(1, "look"));
     executor.say(&exit(1, 1, "complete"));
@@ -208,9 +208,9 @@
 
 #[test]
 fn what_cannot_take_over_is_refused_and_the_node_serves_on() {
-    let (kept, _executor) = Kept::up("");
+    let (node, _executor) = SupervisedNode::up("");
     let ask = |words: &[u8]| {
-        let mut stream = UnixStream::connect(&kept.control).unwrap();
+        let mut stream = UnixStream::connect(&node.control).unwrap();
         stream.write_all(words).unwrap();
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let mut line = String::new();
@@ -225,42 +225,42 @@
     // Another program ends without a word of ours.
     assert_eq!(ask(b"upgrade /bin/true\n"), "the new program ended\n");
     // Files that set what no running node can change, and files that cannot be used.
-    let text = std::fs::read_to_string(&kept.stand.operators).unwrap();
-    std::fs::write(&kept.stand.operators, text.replace(":8009", ":8010")).unwrap();
-    assert_eq!(kept.upgrade(), "its files set what only a start can change");
+    let text = std::fs::read_to_string(&node.stand.operators).unwrap();
+    std::fs::write(&node.stand.operators, text.replace(":8009", ":8010")).unwrap();
+    assert_eq!(node.upgrade(), "its files set what only a start can change");
     // What else they set comes into force with the hand-over.
-    std::fs::write(&kept.stand.operators, format!("{text}ajp idle 30s\n")).unwrap();
-    assert_eq!(kept.upgrade(), "handed over");
-    std::fs::write(&kept.stand.operators, "ajp idle 3\n").unwrap();
-    let how = kept.upgrade();
+    std::fs::write(&node.stand.operators, format!("{text}ajp idle 30s\n")).unwrap();
+    assert_eq!(node.upgrade(), "handed over");
+    std::fs::write(&node.stand.operators, "ajp idle 3\n").unwrap();
+    let how = node.upgrade();
     assert!(how.starts_with("the new program refused: ") && how.contains("3 has no unit"), "{how}");
-    std::fs::write(&kept.stand.operators, text).unwrap();
+    std::fs::write(&node.stand.operators, text).unwrap();
     // The socket is its owner's alone.
     use std::os::unix::fs::PermissionsExt;
-    assert_eq!(std::fs::metadata(&kept.control).unwrap().permissions().mode() & 0o777, 0o600);
-    assert_eq!(kept.upgrade(), "handed over");
-    let mut peer = kept.ajp();
+    assert_eq!(std::fs::metadata(&node.control).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(node.upgrade(), "handed over");
+    let mut peer = node.ajp();
     peer.send(&plain(&Message::CPing)).unwrap();
     assert!(peer.message(|_| ()).is_ok());
-    kept.stand.caller().wait_healthy();
+    node.stand.caller().wait_healthy();
 }
 
 #[test]
 fn when_the_running_program_is_killed_in_the_middle_the_new_one_takes_over() {
-    let (kept, mut executor) = Kept::up("hang:commit");
-    let mut json = kept.stand.caller();
+    let (mut node, mut executor) = SupervisedNode::up("hang:commit");
+    let mut json = node.stand.caller();
     json.say(&rpc(1, "look"));
     executor.hear_of(&exec(1, "look"));
     // The supervisor itself is the platform's process: its children are the programs that serve.
     let children = || -> Vec<String> {
-        let path = format!("/proc/{0}/task/{0}/children", kept.stand.pid());
+        let path = format!("/proc/{0}/task/{0}/children", node.stand.pid());
         let text = std::fs::read_to_string(path).unwrap();
         text.split_whitespace().map(String::from).collect()
     };
     let before = children();
     assert_eq!(before.len(), 1);
     for _ in 0..3 {
-        assert_eq!(kept.upgrade(), "the new program ended before it began");
+        assert_eq!(node.upgrade(), "the new program ended before it began");
         assert_eq!(children(), before, "nothing is left behind");
     }
     executor.say(&exit(1, 1, "complete"));
@@ -268,8 +268,7 @@
     let kill = std::process::Command::new("kill").args(["-KILL", &before[0]]).status().unwrap();
     assert!(kill.success());
     // Without another beside it, its end is the node's.
-    let mut kept = kept;
-    assert!(!kept.stand.wait().success());
+    assert!(!node.stand.wait().success());
 }
 
 /// A node of a large fleet knows tens of thousands of methods. Its reports to the supervisor once were megabytes long, and
@@ -291,7 +290,7 @@
         let skips = config["settings"]["extra"]["class-skip-worth"].as_array_mut().unwrap();
         skips.resize(METHODS, 0.0.into());
     };
-    let (mut node, mut executor) = Kept::up_with(many, "");
+    let (mut node, mut executor) = SupervisedNode::up_with(many, "");
     let last = name_of(METHODS - 1);
     for number in 1..=UPGRADES {
         let mut caller = node.stand.caller();
