--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -23,6 +23,7 @@
 pub mod counter_report;
 pub mod descriptor_socket;
 mod failure_injection;
+pub mod fingerprint;
 pub mod hand_over_control;
 pub mod hand_over_stream;
 pub mod pause;
@@ -33,6 +34,8 @@
 pub mod records;
 #[allow(missing_docs, clippy::missing_errors_doc, reason = "not documented throughout yet")]
 pub mod rollout_agent;
+pub mod rollout_socket;
+pub mod serving_child;
 mod snapshot;
 pub mod successor;
 pub mod supervisor;
--- a/crates/ochrewalk-node/src/handover/supervisor/children.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/children.rs
@@ -4,7 +4,7 @@
 use super::Event;
 use crate::handover::descriptor_socket::{inherit, read_lines, send_line};
 use crate::handover::process_guard::ChildId;
-use crate::handover::rollout_agent::{ChildSpec, ServingChild};
+use crate::handover::serving_child::{ChildSpec, ServingChild};
 use crate::handover::supervisor_protocol::{SupervisorLine, LINK, OPERATORS, PREDECESSOR, READS_CHANGES};
 use std::collections::BTreeMap;
 use std::os::fd::{AsFd, AsRawFd, BorrowedFd, OwnedFd};
--- a/crates/ochrewalk-node/src/handover/supervisor/control_socket.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/control_socket.rs
@@ -3,7 +3,8 @@
 use super::error::RequestError;
 use super::requester::Requester;
 use super::{Event, Supervisor, SupervisorError, UpgradeError};
-use crate::handover::rollout_agent::{self, ChildSpec};
+use crate::handover::rollout_socket;
+use crate::handover::serving_child::ChildSpec;
 use crate::handover::supervisor_protocol::AttemptOutcome;
 use ochrewalk_control_plane::control::is_owner;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -74,7 +75,7 @@
     let mut input = BufReader::new(input.take(MAX_REQUEST_BYTES));
     let mut line = String::new();
     input.read_line(&mut line).map_err(|_| RequestError::NoRequest)?;
-    if line.trim_end() == rollout_agent::REQUEST_LINE {
+    if line.trim_end() == rollout_socket::REQUEST_LINE {
         return Ok(Some(ControlRequest::Rollout { input }));
     }
     let program = line.strip_prefix(UPGRADE).ok_or(RequestError::UnknownRequest)?;
--- a/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
@@ -5,7 +5,7 @@
 use super::signals::ChildSignal;
 use super::Supervisor;
 use crate::handover::process_guard::ChildId;
-use crate::handover::rollout_agent::ChildSpec;
+use crate::handover::serving_child::ChildSpec;
 use crate::handover::supervisor_protocol::{AttemptOutcome, SupervisorLine};
 use std::io::ErrorKind;
 use std::os::fd::AsFd;
--- a/crates/ochrewalk-node/src/handover/supervisor/mod.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/mod.rs
@@ -17,7 +17,8 @@
 pub use error::{SupervisorError, UpgradeError};
 
 use super::process_guard::{ChildId, ProcessAction, ProcessGuard};
-use super::rollout_agent::{ChildSpec, RolloutAgent};
+use super::rollout_agent::RolloutAgent;
+use super::serving_child::ChildSpec;
 use super::supervisor_protocol::{ChildLine, Question, SupervisorLine};
 use children::Children;
 use hand_over::FailedAttempt;
--- a/crates/ochrewalk-node/src/handover/supervisor/requester.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/requester.rs
@@ -2,7 +2,9 @@
 
 use super::error::UpgradeFailure;
 use super::Supervisor;
-use crate::handover::rollout_agent::{self, AcceptedCommand, ChildIdentity};
+use crate::handover::rollout_agent::AcceptedCommand;
+use crate::handover::rollout_socket;
+use crate::handover::serving_child::ChildIdentity;
 use crate::handover::supervisor_protocol::AttemptOutcome;
 use ochrewalk_rollout::Outcome;
 use std::io::Write;
@@ -41,7 +43,7 @@
                     Err(failure) => Outcome::Failed(failure.to_string()),
                 };
                 let reply = self.rollout_agent.command_finished(accepted, replaced, outcome);
-                rollout_agent::send_reply(&mut stream, reply);
+                rollout_socket::send_reply(&mut stream, reply);
             }
             (Requester::Revert, Ok(())) => self.rollout_agent.revert_succeeded(),
             (Requester::Revert, Err(_)) => self.rollout_agent.revert_failed(),
--- a/crates/ochrewalk-node/src/handover/supervisor/restart.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/restart.rs
@@ -5,7 +5,7 @@
 use super::signals::{ChildSignal, NodeSignal};
 use super::{Event, Supervisor};
 use crate::handover::process_guard::ChildId;
-use crate::handover::rollout_agent::{ChildIdentity, ChildSpec};
+use crate::handover::serving_child::{ChildIdentity, ChildSpec};
 use std::io::ErrorKind;
 
 /// A restart that waits for the child before to end.
--- a/crates/ochrewalk-node/src/handover/supervisor/rollout.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/rollout.rs
@@ -2,7 +2,9 @@
 
 use super::requester::Requester;
 use super::Supervisor;
-use crate::handover::rollout_agent::{self, AcceptedCommand, AgentAction, ChildSpec, DueRevert};
+use crate::handover::rollout_agent::{AcceptedCommand, AgentAction, DueRevert, Replacement};
+use crate::handover::rollout_socket;
+use crate::handover::serving_child::ChildSpec;
 use ochrewalk_rollout::framing::read_message;
 use ochrewalk_rollout::messages::Request;
 use ochrewalk_rollout::Outcome;
@@ -17,9 +19,12 @@
             self.report_counters_of_acting();
         }
         let serving = self.children.get(self.reported_child).map(|child| &child.serving);
-        let is_changing = self.available_predecessor().is_none();
-        match self.rollout_agent.handle_request(&request, serving, is_changing) {
-            AgentAction::Reply(reply) => rollout_agent::send_reply(&mut stream, reply),
+        let replacement = match self.available_predecessor() {
+            Some(_) => Replacement::Idle,
+            None => Replacement::InProgress,
+        };
+        match self.rollout_agent.handle_request(&request, serving, replacement) {
+            AgentAction::Reply(reply) => rollout_socket::send_reply(&mut stream, reply),
             AgentAction::ReplaceChild(spec, accepted) => self.replace_child(stream, spec, accepted),
         }
     }
@@ -39,7 +44,7 @@
         if let Err(error) = begun {
             let outcome = Outcome::Failed(format!("{}: {error}", program.display()));
             let reply = self.rollout_agent.command_finished(accepted, None, outcome);
-            rollout_agent::send_reply(&mut stream, reply);
+            rollout_socket::send_reply(&mut stream, reply);
         }
     }
 
