--- a/crates/ochrewalk-control-plane/src/agent.rs
+++ b/crates/ochrewalk-control-plane/src/agent/mod.rs
@@ -1,53 +1,52 @@
-//! The socket side of a subscriber, in a node or in a relay: it keeps a connection to one of its relays, hands complete
-//! updates to its owner, and tells what became of them. All that is decided stands in `ochrewalk-distribution`.
+//! The socket side of a subscriber, in a node or in a relay: it holds a connection to one of its relays, passes complete
+//! updates to a [`ConfigurationSink`], and reports their outcome. What it does is decided by the state machines of
+//! `ochrewalk-distribution`.
+//!
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | waiting | the time of the next attempt has come | connecting |
+//! | connecting | the first update or heartbeat | subscribed |
+//! | connecting | nothing for 1.5 s, an error, or a refusal | waiting; that relay is attempted again after a backoff |
+//! | connecting | asked to retry later | waiting; that relay is not attempted before |
+//! | subscribed | nothing for 1.5 s, or an error | waiting; that relay is attempted again after a backoff |
+//! | subscribed to another one | the first choice was healthy for long enough | waiting, to connect to the first choice at once |
+
+mod probe;
+mod settings;
 
 use crate::connection::{Connection, ConnectionError};
 use crate::frame::MAX_SUBSCRIBER_FRAME;
 use mio::{Registry, Token};
 use ochrewalk_distribution::messages::{Body, Position, RegionStatus, ResourceName};
 use ochrewalk_distribution::{
-    Choice, CompleteUpdate, DemandSet, DemandState, Interest, NoRelays, ProbeResult, Received, RelayChoice,
-    RelayChoiceLimits, Subscription, SubscriptionLimits,
+    Choice, CompleteUpdate, DemandSet, DemandState, NoRelays, ProbeResult, Received, RelayChoice,
+    Subscription,
 };
 use std::collections::HashMap;
+use std::fmt;
 use std::net::SocketAddr;
 
-/// A relay that says nothing for so long is taken for gone: three heartbeats.
-pub const SILENCE_US: u64 = 1_500_000;
-/// How long a connection may take until the relay is first heard.
-const CONNECT_US: u64 = 1_500_000;
+use probe::Probe;
+pub use settings::{AgentCounters, AgentSettings};
+
+/// A relay that sends nothing for this time counts as failed, in microseconds: three heartbeats.
+pub const RELAY_TIMEOUT_US: u64 = 1_500_000;
+/// How long a connection may take until the relay first sends something.
+const CONNECT_TIMEOUT_US: u64 = 1_500_000;
 /// Reads before others on the same event loop get their turn.
-const READS_AT_ONCE: usize = 64;
+const MAX_READS_IN_TURN: usize = 64;
 
-/// Who takes what a subscription brings.
+/// Applies the updates of a subscription.
 pub trait ConfigurationSink {
-    /// Brings an update into force as a whole, or says why it cannot be and leaves all as it is.
-    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), String>;
-}
+    /// Why an update cannot be applied; its text is reported to the relay.
+    type Error: fmt::Display;
 
-/// Who an agent is and what it wants.
-#[derive(Clone, Debug)]
-pub struct AgentSettings {
-    pub node: String,
-    pub region: String,
-    pub relays: Vec<SocketAddr>,
-    pub interest: Interest,
-    pub limits: SubscriptionLimits,
-    pub choice: RelayChoiceLimits,
-    /// Single names held at a time.
-    pub max_names: usize,
-    /// What the jitter of reconnections is drawn from.
-    pub seed: u64,
-}
-
-/// What an agent has done, for measurements and logs.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AgentCounters {
-    pub connections: u64,
-    pub updates: u64,
-    pub rejected: u64,
-    pub bytes_in: u64,
-    pub bytes_out: u64,
+    /// Brings a complete update into force.
+    ///
+    /// # Errors
+    ///
+    /// Where the update cannot be applied. All of it is left out then, and the earlier one stays in force.
+    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), Self::Error>;
 }
 
 #[derive(Debug)]
@@ -66,18 +65,22 @@
     subscription: Subscription,
     demand: DemandSet,
     link: Link,
-    /// A connection to the first choice, made while another one serves, to see whether it is well.
-    probe: Option<(Connection, u64)>,
+    probe: Option<Probe>,
     probe_token: Token,
     counters: AgentCounters,
-    /// How old the relay's own state was when it was heard last.
+    /// How old the relay's own state was at its last heartbeat.
     source_age_ms: u64,
-    /// More may wait to be read, and the event loop will not say so again.
+    /// More may wait to be read, and the event loop will not report that again.
     has_unread: bool,
 }
 
 impl Agent {
-    /// An agent that begins to connect when it is first driven. It uses `token` and the one after it.
+    /// An agent that begins to connect when it is first driven. It uses `token` and the one after it. `saved` is the position
+    /// of the persisted state.
+    ///
+    /// # Errors
+    ///
+    /// Where the settings name no relay.
     pub fn new(settings: AgentSettings, saved: Option<Position>, token: Token) -> Result<Agent, NoRelays> {
         let AgentSettings { node, region, relays, interest, limits, choice, max_names, seed } = settings;
         let addresses: HashMap<String, SocketAddr> =
@@ -103,18 +106,18 @@
         self.subscription.position()
     }
 
-    /// How long ago the publisher's word was fresh, as far as is known: the time since anything was heard, and the age
-    /// that the relay's own state had then.
+    /// The age of what is in force, in milliseconds: the time since the relay last sent anything, and the age that the
+    /// relay's own state had then. None before the relay sent anything.
     pub fn age_ms(&self, now_us: u64) -> Option<u64> {
         Some(self.subscription.age_ms(now_us)? + self.source_age_ms)
     }
 
-    /// Whether a relay serves it now.
+    /// Whether it is subscribed to a relay.
     pub fn is_connected(&self) -> bool {
         matches!(self.link, Link::Subscribed { .. })
     }
 
-    /// What it has done so far.
+    /// Its counters so far.
     pub fn counters(&self) -> AgentCounters {
         let open = match &self.link {
             Link::Waiting { .. } => (0, 0),
@@ -139,24 +142,25 @@
         self.demand.restore_absent(name, now_us);
     }
 
-    /// A single name is needed. Gives the names that are no longer held for it.
+    /// A single name is needed. Returns the names that are no longer watched in its place.
     pub fn request_name(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
         let Some(watch) = self.demand.request(name, now_us) else { return Vec::new() };
         self.subscription.watch(&watch);
         let removed = watch.remove.clone();
         if let Link::Subscribed { connection } = &mut self.link {
-            // One that breaks is noticed when it is next driven.
+            // A connection that fails here is noticed by the next call of `drive`.
             let _ = connection.send(Body::Watch(watch));
         }
         removed
     }
 
-    /// Whether a single name was asked for, and with what result.
+    /// Whether a single name was requested, and with what result.
     pub fn name_state(&self, name: &ResourceName) -> Option<DemandState> {
         self.demand.state(name)
     }
 
-    /// Sends what a relay tells of its region. It is sent again after a new connection by whoever calls this.
+    /// Sends the status of a relay's region, unless an earlier message still waits to be written. The caller sends it again
+    /// at the next interval.
     pub fn send_status(&mut self, status: RegionStatus) {
         if let Link::Subscribed { connection } = &mut self.link {
             if connection.is_flushed() {
@@ -170,13 +174,13 @@
         token == self.token || token == self.probe_token
     }
 
-    /// Connects, reads, applies and writes what can be now. Gives the time at which to call again although nothing
-    /// happens. It is to be called after each event of its tokens.
+    /// Connects, reads, applies and writes what can be now. Call it after each event of its tokens. Returns the time at which
+    /// to call again although nothing happens, in microseconds.
     pub fn drive(&mut self, registry: &Registry, now_us: u64, sink: &mut impl ConfigurationSink) -> u64 {
-        if let Err(why) = self.exchange(now_us, sink) {
-            self.disconnect(registry, now_us, &why);
+        if let Err(error) = self.read_and_write(now_us, sink) {
+            self.disconnect(registry, now_us, &error);
         }
-        self.probe(registry, now_us);
+        self.probe_first_choice(registry, now_us);
         if let Link::Waiting { until_us } = self.link {
             if until_us <= now_us {
                 self.connect(registry, now_us);
@@ -193,12 +197,12 @@
             Link::Waiting { until_us } | Link::Connecting { until_us, .. } => *until_us,
             Link::Subscribed { .. } => self.silent_at_us(now_us),
         };
-        let probe_us = self.probe.as_ref().map_or(u64::MAX, |(_, until_us)| *until_us);
+        let probe_us = self.probe.as_ref().map_or(u64::MAX, Probe::until_us);
         link_us.min(probe_us).max(now_us + 1)
     }
 
     fn silent_at_us(&self, now_us: u64) -> u64 {
-        self.subscription.last_message_us().unwrap_or(now_us) + SILENCE_US
+        self.subscription.last_message_us().unwrap_or(now_us) + RELAY_TIMEOUT_US
     }
 
     fn connect(&mut self, registry: &Registry, now_us: u64) {
@@ -212,17 +216,17 @@
         match self.open(address, registry) {
             Ok(connection) => {
                 self.counters.connections += 1;
-                self.link = Link::Connecting { connection, until_us: now_us + CONNECT_US };
+                self.link = Link::Connecting { connection, until_us: now_us + CONNECT_TIMEOUT_US };
             }
-            Err(why) => {
-                tracing::debug!(part = "config", "relay {address}: {why}");
+            Err(error) => {
+                tracing::debug!(part = "config", "relay {address}: {error}");
                 self.choice.failed(now_us);
                 self.link = Link::Waiting { until_us: now_us + 1 };
             }
         }
     }
 
-    /// Connects and says what is wanted; the system holds it until the connection stands.
+    /// Connects and subscribes; the operating system holds the message until the connection is established.
     fn open(&mut self, address: SocketAddr, registry: &Registry) -> Result<Connection, ConnectionError> {
         let mut connection = Connection::connect(address, self.token, registry, MAX_SUBSCRIBER_FRAME)?;
         connection.send(Body::Subscribe(self.subscription.subscribe_message()))?;
@@ -232,7 +236,11 @@
         Ok(connection)
     }
 
-    fn exchange(&mut self, now_us: u64, sink: &mut impl ConfigurationSink) -> Result<(), ConnectionError> {
+    fn read_and_write(
+        &mut self,
+        now_us: u64,
+        sink: &mut impl ConfigurationSink,
+    ) -> Result<(), ConnectionError> {
         let mut bodies = Vec::new();
         let received = match &mut self.link {
             Link::Waiting { .. } => return Ok(()),
@@ -241,7 +249,7 @@
             }
         };
         for body in bodies {
-            self.message(body, now_us, sink)?;
+            self.handle_message(body, now_us, sink)?;
         }
         self.has_unread = received?;
         let is_silent = now_us >= self.silent_at_us(now_us);
@@ -253,7 +261,7 @@
         }
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         body: Body,
         now_us: u64,
@@ -264,7 +272,7 @@
             Body::Update(update) => {
                 self.enter_subscribed();
                 let received = self.subscription.received(update);
-                match received.map_err(|why| ConnectionError::Protocol(why.to_string()))? {
+                match received? {
                     Received::More => Ok(()),
                     Received::Complete(update) => self.complete(&update, sink),
                 }
@@ -278,8 +286,8 @@
                 self.choice.retry_later(now_us, later.after_ms.saturating_mul(1_000));
                 Err(ConnectionError::RetryLater)
             }
-            Body::Refused(refused) => Err(ConnectionError::Refused(refused.reasons.join("; "))),
-            _ => Err(ConnectionError::Protocol("a message that relays do not send".into())),
+            Body::Refused(refused) => Err(ConnectionError::Refused { reasons: refused.reasons }),
+            _ => Err(ConnectionError::NotFromRelay),
         }
     }
 
@@ -306,9 +314,9 @@
                 self.demand.applied(update);
                 self.subscription.applied(update.position)
             }
-            Err(reason) => {
+            Err(error) => {
                 self.counters.rejected += 1;
-                self.subscription.rejected(update.position, reason)
+                self.subscription.rejected(update.position, error.to_string())
             }
         };
         match &mut self.link {
@@ -317,26 +325,22 @@
         }
     }
 
-    fn disconnect(&mut self, registry: &Registry, now_us: u64, why: &ConnectionError) {
+    fn disconnect(&mut self, registry: &Registry, now_us: u64, error: &ConnectionError) {
         self.close_link(registry, now_us);
-        if !matches!(why, ConnectionError::RetryLater) {
-            tracing::info!(part = "config", "relay {}: {why}", self.choice.current());
+        if !matches!(error, ConnectionError::RetryLater) {
+            tracing::info!(part = "config", "relay {}: {error}", self.choice.current());
             self.choice.failed(now_us);
         }
     }
 
-    /// Looks whether the first choice is well again, and goes back to it once it was well for a while.
-    fn probe(&mut self, registry: &Registry, now_us: u64) {
-        if let Some((mut connection, until_us)) = self.probe.take() {
-            // A connection that stands takes what is written; one that is refused says so when it is read.
-            let is_healthy = matches!(connection.receive(|_| ()), Ok(false)) && connection.is_established();
-            let is_over = is_healthy || now_us >= until_us;
-            if !is_over && !connection.is_broken() {
-                self.probe = Some((connection, until_us));
+    /// Probes the first choice while another relay serves, and returns to it once it was healthy for long enough.
+    fn probe_first_choice(&mut self, registry: &Registry, now_us: u64) {
+        if let Some(mut probe) = self.probe.take() {
+            let Some(result) = probe.result(now_us) else {
+                self.probe = Some(probe);
                 return;
-            }
-            connection.deregister(registry);
-            let result = if is_healthy { ProbeResult::Healthy } else { ProbeResult::Unhealthy };
+            };
+            probe.close(registry);
             self.choice.probed(result, now_us);
         }
         if !self.is_connected() {
@@ -348,15 +352,14 @@
             return self.close_link(registry, now_us);
         }
         if let Some(first) = self.choice.probe_due(now_us) {
-            let address = self.addresses[first];
-            match Connection::connect(address, self.probe_token, registry, MAX_SUBSCRIBER_FRAME) {
-                Ok(connection) => self.probe = Some((connection, now_us + CONNECT_US)),
+            match Probe::begin(self.addresses[first], self.probe_token, registry, now_us) {
+                Ok(probe) => self.probe = Some(probe),
                 Err(_) => self.choice.probed(ProbeResult::Unhealthy, now_us),
             }
         }
     }
 
-    /// Ends the connection there is. What it had received of an update is dropped.
+    /// Closes the connection, if there is one. An incomplete update is dropped.
     fn close_link(&mut self, registry: &Registry, now_us: u64) {
         let link = std::mem::replace(&mut self.link, Link::Waiting { until_us: now_us });
         if let Link::Connecting { connection, .. } | Link::Subscribed { connection } = link {
@@ -369,9 +372,9 @@
     }
 }
 
-/// Reads what has come, up to a bound. True where more may wait.
+/// Reads what was received, up to a bound. Returns whether more may wait.
 fn receive_all(connection: &mut Connection, bodies: &mut Vec<Body>) -> Result<bool, ConnectionError> {
-    for _ in 0..READS_AT_ONCE {
+    for _ in 0..MAX_READS_IN_TURN {
         if !connection.receive(|body| bodies.push(body))? {
             return Ok(false);
         }
--- a/crates/ochrewalk-control-plane/tests/common/mod.rs
+++ b/crates/ochrewalk-control-plane/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! A publisher that runs in a thread of the test.
 #![allow(dead_code)]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::control::send_request;
 use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
@@ -36,8 +37,8 @@
         let mut publisher = Publisher::open(&settings).unwrap();
         let (address, waker) = (publisher.address().unwrap(), publisher.waker());
         let stop = Arc::new(AtomicBool::new(false));
-        let told = stop.clone();
-        let thread = std::thread::spawn(move || publisher.run(&told).unwrap());
+        let stop_flag = stop.clone();
+        let thread = std::thread::spawn(move || publisher.run(&stop_flag).unwrap());
         Running { address, control, stop, waker, thread: Some(thread) }
     }
 
--- a/crates/ochrewalk-control-plane/tests/log.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher_log.rs
@@ -1,4 +1,5 @@
 //! The publisher's log on a storage that fails: what was acknowledged is there again, whenever it was killed.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::publisher_log::{LogError, PublisherLog, Recovered};
 use ochrewalk_distribution::messages::{Quota, Resource, Value};
@@ -131,8 +132,8 @@
         let batch = store.prepare(&changes(store), None).unwrap();
         let mut after = store.clone();
         after.replay(&batch).unwrap();
-        if let Err(why) = log.append(&batch, &after.order(), 0) {
-            return (acknowledged, Some(why));
+        if let Err(error) = log.append(&batch, &after.order(), 0) {
+            return (acknowledged, Some(error));
         }
         *store = after;
     }
@@ -184,7 +185,7 @@
             Ok(opened) => opened,
             // Before the file was ever whole there is nothing to lose.
             Err(_) if acknowledged == 0 => continue,
-            Err(why) => panic!("after operation {dies_after}, {acknowledged} acknowledged: {why}"),
+            Err(error) => panic!("after operation {dies_after}, {acknowledged} acknowledged: {error}"),
         };
         let store = restored(recovered);
         let revision = store.position().revision;
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn batches_are_kept_for_rollbacks_and_a_second_process_is_kept_out() {
+fn batches_are_recorded_for_rollbacks_and_a_second_process_cannot_open_the_log() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
     let (mut log, recovered) = PublisherLog::open(&path).unwrap();
--- a/crates/ochrewalk-distribution/tests/common/mod.rs
+++ b/crates/ochrewalk-distribution/tests/common/mod.rs
@@ -60,7 +60,8 @@
 
 /// Limits under which no subscriber waits to be caught up.
 pub fn unbounded_limits() -> ServerLimits {
-    let catch_up = CatchUpLimits { bytes_per_second: 0, max_at_once: usize::MAX, ..CatchUpLimits::default() };
+    let catch_up =
+        CatchUpLimits { bytes_per_second: 0, max_concurrent: usize::MAX, ..CatchUpLimits::default() };
     ServerLimits { chunk_bytes: 4_096, catch_up, ..ServerLimits::default() }
 }
 
@@ -80,6 +81,19 @@
         .collect()
 }
 
+/// A node that wants scope `a`.
+pub fn node(name: &str) -> Node {
+    Node::new(name, Interest::scopes(["a"]))
+}
+
+/// A node that wants scope `a`, connected to `server`, with all that there is.
+pub fn caught_up_node(server: &mut Server) -> Node {
+    let mut node = node("one");
+    node.connect(server);
+    node.catch_up(server);
+    node
+}
+
 /// A subscriber with its state, and its stream to a server.
 pub struct Node {
     pub subscription: Subscription,
@@ -121,6 +135,13 @@
         self.subscription.reset();
     }
 
+    /// Ends the connection, connects again and takes all that the server has for it.
+    pub fn reconnect(&mut self, server: &mut Server) -> Vec<CompleteUpdate> {
+        self.disconnect(server);
+        self.connect(server);
+        self.catch_up(server)
+    }
+
     pub fn watch(&mut self, server: &mut Server, watch: &Watch) {
         self.subscription.watch(watch);
         for name in &watch.remove {
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -75,7 +75,7 @@
 
 impl Fleet {
     fn new(tombstones: usize, chunk_bytes: usize) -> Self {
-        let catch_up = CatchUpLimits { bytes_per_second: 0, max_at_once: 9, ..CatchUpLimits::default() };
+        let catch_up = CatchUpLimits { bytes_per_second: 0, max_concurrent: 9, ..CatchUpLimits::default() };
         let limits = ServerLimits { chunk_bytes, catch_up, ..ServerLimits::default() };
         let store_limits = StoreLimits { tombstones };
         let member = |n| Member {
@@ -176,12 +176,12 @@
         let before = node.store.position();
         node.apply(server, &update);
         assert!(node.store.position() >= before);
-        self.assert_whole(index);
+        self.assert_is_a_published_state(index);
         true
     }
 
     /// What a node has in force is the publisher's state of its position, of all that it wants and has been answered.
-    fn assert_whole(&self, node: usize) {
+    fn assert_is_a_published_state(&self, node: usize) {
         let node = &self.members[node].node;
         let held = Interest::from(&node.subscription.subscribe_message());
         let mut expected = self.history[&node.store.position()].clone();
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -1,6 +1,8 @@
 //! The command line of the real node.
 
 use clap::{Parser, Subcommand, ValueEnum};
+use ochrewalk_node::handover::supervisor::request_upgrade;
+use ochrewalk_node::handover::supervisor_protocol::AttemptOutcome;
 use ochrewalk_node::logger::{Form, Logs};
 use ochrewalk_node::node::Files;
 use ochrewalk_node::rollout::operator_socket::{send_to_controller, ControllerCommand};
@@ -154,9 +156,9 @@
             println!("ochrewalk {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        Command::Upgrade { control, program } => {
-            ochrewalk_node::handover::supervisor::ask(&control, &program).map(|how| println!("{how}"))
-        }
+        Command::Upgrade { control, program } => request_upgrade(&control, &program)
+            .map(|()| println!("{}", AttemptOutcome::HandedOver))
+            .map_err(|error| error.to_string()),
         Command::Rollout { what, plan } => match rollout(what, &plan) {
             Ok(status) => return status,
             Err(error) => Err(error.to_string()),
