--- a/crates/ochrewalk-lab/src/capacity/catalog.rs
+++ b/crates/ochrewalk-lab/src/capacity/catalog.rs
@@ -78,7 +78,7 @@
         name: "quotas",
         state: "a bucket for each tenant in debt, 65,536 at most",
         mechanism: Mechanism::Present {
-            file: "src/decide.rs",
+            file: "src/admission/quota.rs",
             what: "a fixed part of each quota at each server",
         },
     },
--- a/crates/ochrewalk-node/src/gate.rs
+++ b/crates/ochrewalk-node/src/gate.rs
@@ -9,7 +9,7 @@
 use crate::keys::{Keys, Known, Lapse, Served, State};
 use crate::wire::notices::RunEnd;
 use may::sync::mpsc::{channel, Receiver, Sender};
-use ochrewalk::decide::Decide;
+use ochrewalk::admission::AdmissionController;
 use ochrewalk::deployment::Deployment;
 use ochrewalk::host::{Arrival, Gauges, Host, Outcome, RpcId, Tenant};
 use std::cell::Cell;
@@ -223,7 +223,7 @@
 /// Before the executor is up there is no module, and nothing is taken.
 enum Inside {
     Closed(Box<Desk>),
-    Open(Box<Decide<Desk>>),
+    Open(Box<AdmissionController<Desk>>),
 }
 
 /// The module's host: its actions become mail for the coroutines concerned.
@@ -290,7 +290,7 @@
         let (desk, module) = match &mut *state {
             Inside::Closed(desk) => (&mut **desk, None),
             Inside::Open(module) => {
-                let kept = module.keep();
+                let kept = module.snapshot();
                 (module.host(), Some(kept))
             }
         };
@@ -332,7 +332,8 @@
                 let placeholder =
                     Desk { keys: Keys::new(0), open: HashMap::new(), shared: Vec::new(), ..**desk };
                 let desk = std::mem::replace(&mut **desk, placeholder);
-                *state = Inside::Open(Box::new(deployment.resume(desk, kept)?));
+                *state =
+                    Inside::Open(Box::new(deployment.resume(desk, kept).map_err(|error| error.to_string())?));
             }
         }
         Ok((gate, stirred, tickets))
@@ -358,7 +359,7 @@
         let mut module = Box::new(deployment.start(desk, started_us, self.seed));
         // Guards against an executor that comes up once we were told to leave: nothing is begun any more.
         if let Some(by_us) = leaves_by_us {
-            module.leave(now_us, by_us.saturating_sub(now_us));
+            module.drain(now_us, by_us.saturating_sub(now_us));
         }
         *state = Inside::Open(module);
         drop(state);
@@ -398,7 +399,7 @@
                 further_try: false,
                 tenant: new.tenant,
             };
-            module.arrived(now_us, arrival);
+            module.request_arrived(now_us, arrival);
             Ok(())
         });
         // No module yet: it cannot run.
@@ -414,7 +415,7 @@
     /// nothing does.
     pub fn report(&self, ticket: &Ticket, what: Report) {
         self.tell(|module, now_us| match what {
-            Report::NeedsCall => module.needs_call(now_us, &ticket.id),
+            Report::NeedsCall => module.call_needed(now_us, &ticket.id),
             Report::CallEnded { outcome, took_us } => {
                 module.call_ended(now_us, &ticket.id, outcome, took_us);
             }
@@ -431,7 +432,7 @@
         self.tell(|module, _| {
             let picked = module.host().open.get_key_value(id).is_some_and(|(open, _)| Arc::ptr_eq(open, id));
             if picked {
-                module.gone(id);
+                module.caller_left(id);
                 module.host().mail(id, Next::Gone);
             }
         });
@@ -455,7 +456,7 @@
             if now_us >= desk.wake_us {
                 desk.wake_us = u64::MAX;
                 let token = desk.wake_token;
-                module.timer(now_us, token, gauges);
+                module.timer_fired(now_us, token, gauges);
             }
         });
     }
@@ -478,7 +479,7 @@
     pub fn leave(&self, left_us: u64) {
         let by_us = self.clock.now_us() + left_us;
         self.desk(|desk| (desk.posture.healthy, desk.leaves_by_us) = (Some(false), Some(by_us)));
-        self.tell(|module, now_us| module.leave(now_us, left_us));
+        self.tell(|module, now_us| module.drain(now_us, left_us));
     }
 
     pub fn posture(&self) -> Posture {
@@ -499,7 +500,7 @@
             let Inside::Open(module) = &mut *state else { return };
             let was_us = module.host().wake_us;
             module.host().stirred = false;
-            module.turn(self.clock.now_us());
+            module.decide(self.clock.now_us());
             module.host().wake_us < was_us
         };
         if earlier {
@@ -508,7 +509,7 @@
     }
 
     /// Tells the module one thing; it acts in the next turn. None before it is there.
-    fn tell<T>(&self, what: impl FnOnce(&mut Decide<Desk>, u64) -> T) -> Option<T> {
+    fn tell<T>(&self, what: impl FnOnce(&mut AdmissionController<Desk>, u64) -> T) -> Option<T> {
         let mut state = self.lock();
         let Inside::Open(module) = &mut *state else { return None };
         let now_us = self.clock.now_us();
--- a/crates/ochrewalk-node/src/handover/records.rs
+++ b/crates/ochrewalk-node/src/handover/records.rs
@@ -34,7 +34,7 @@
     pub fingerprint_key_more: u64,
     /// The state of the decisions; none where the executor has never been up.
     #[prost(message, optional, tag = "4")]
-    pub decisions: Option<ochrewalk::decide::Kept>,
+    pub decisions: Option<ochrewalk::admission::snapshot::AdmissionSnapshot>,
     /// Whether health checks pass; none before there are decisions.
     #[prost(bool, optional, tag = "5")]
     pub healthy: Option<bool>,
--- a/crates/ochrewalk-wirehost/src/wire.rs
+++ b/crates/ochrewalk-wirehost/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire itself: batches in, replies out.
 
-use ochrewalk::decide::Decide;
+use ochrewalk::admission::AdmissionController;
 use ochrewalk::deployment::{Deployment, Parts};
 use ochrewalk::host::{Arrival, Host};
 use ochrewalk::json;
@@ -9,9 +9,9 @@
 use std::collections::HashMap;
 use std::fmt::Write;
 
-/// One server as the wire knows it: its module, and the deployment it belongs to.
+/// One server as the wire knows it: its controller, and the deployment it belongs to.
 struct Server {
-    module: Decide<Output>,
+    controller: AdmissionController<Output>,
     deployment: Deployment,
 }
 
@@ -57,8 +57,8 @@
             self.event(i, now_us, event)
         })?;
         let Some(server) = self.servers.get_mut(&i).filter(|_| any) else { return Ok(None) };
-        server.module.turn(now_us);
-        let output = std::mem::take(&mut server.module.host().0);
+        server.controller.decide(now_us);
+        let output = std::mem::take(&mut server.controller.host().0);
         Ok((!output.is_empty()).then_some((i, output)))
     }
 
@@ -69,8 +69,8 @@
         if msg == "OPEN_INSTANCE" {
             let name = format!("{msg} options");
             let deployment = Deployment::read(&name, parts.object_text("options")?)?;
-            let module = deployment.start(Output::default(), now_us, fields.whole("random-seed")?);
-            self.servers.insert(i, Server { module, deployment });
+            let controller = deployment.start(Output::default(), now_us, fields.whole("random-seed")?);
+            self.servers.insert(i, Server { controller, deployment });
             return Ok(());
         }
         const KNOWN: [&str; 8] =
@@ -105,21 +105,21 @@
                     further_try: bits & 2 != 0,
                     tenant: fields.maybe_text("customer")?.and_then(|name| server.deployment.tenant(name)),
                 };
-                server.module.arrived(now_us, arrival);
+                server.controller.request_arrived(now_us, arrival);
             }
-            "HANGUP" => server.module.gone(fields.text("handle")?),
-            "NEEDS" => server.module.needs_call(now_us, fields.text("handle")?),
+            "HANGUP" => server.controller.caller_left(fields.text("handle")?),
+            "NEEDS" => server.controller.call_needed(now_us, fields.text("handle")?),
             "CALL_RESULT" => {
                 let took_us = fields.maybe_whole("lag-ns")?.unwrap_or(0) / 1_000;
-                server.module.call_ended(now_us, fields.text("handle")?, fields.outcome()?, took_us);
+                server.controller.call_ended(now_us, fields.text("handle")?, fields.outcome()?, took_us);
             }
-            "SETTLED" => server.module.run_ended(now_us, fields.text("handle")?, fields.outcome()?),
-            "RETIRE_SOON" => server.module.leave(now_us, fields.whole("expires-in-ns")? / 1_000),
+            "SETTLED" => server.controller.run_ended(now_us, fields.text("handle")?, fields.outcome()?),
+            "RETIRE_SOON" => server.controller.drain(now_us, fields.whole("expires-in-ns")? / 1_000),
             "REMINDER" => {
                 let token = fields.whole("token")?;
                 let row = fields.maybe_list("health-info")?;
                 let gauges = server.deployment.gauges(|at| row.get(at)?.as_f64());
-                server.module.timer(now_us, token, gauges);
+                server.controller.timer_fired(now_us, token, gauges);
             }
             _ => {
                 self.servers.remove(&i);
@@ -129,7 +129,7 @@
     }
 }
 
-/// Writes each thing that the module asks for, as it asks.
+/// Writes each action that the controller asks for, as it asks.
 #[derive(Default)]
 struct Output(String);
 
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,7 +1,8 @@
 //! A deployment's figures: read from JSON, checked and given defaults here and nowhere else. Every message
 //! names the key at fault. A key that is not known is passed over, so that newer files still start.
 
-use crate::decide::{Decide, Kept};
+use crate::admission::snapshot::{AdmissionSnapshot, SnapshotError};
+use crate::admission::{AdmissionConfig, AdmissionController};
 use crate::host::{
     Advice, Below, Crowd, Effect, Host, Machine, Method, Outcome, Quotas, SentBack, Stopping, Tenant,
 };
@@ -115,19 +116,34 @@
         })
     }
 
-    /// A module for one server of this deployment.
-    pub fn start<H: Host>(&self, host: H, now_us: u64, seed: u64) -> Decide<H> {
-        let (machine, crowd, below, advice) = (self.machine, self.crowd, self.below, self.advice);
-        let (methods, quotas) = (self.methods.clone(), self.quotas.clone());
-        Decide::start(host, now_us, seed, machine, crowd, methods, below, advice, quotas, self.drain_grace_us)
+    /// The admission controller of a server of this deployment that starts now.
+    pub fn start<H: Host>(&self, host: H, now_us: u64, seed: u64) -> AdmissionController<H> {
+        AdmissionController::start(host, now_us, seed, self.admission_config())
     }
 
-    /// A module that goes on from what another wrote down.
-    pub fn resume<H: Host>(&self, host: H, mut kept: Kept) -> Result<Decide<H>, String> {
-        kept.complete_quotas(&self.tenants.per_second, self.quotas.servers)?;
-        let (machine, crowd, below, advice) = (self.machine, self.crowd, self.below, self.advice);
-        let (methods, quotas) = (self.methods.clone(), self.quotas.clone());
-        Decide::resume(host, machine, crowd, methods, below, advice, quotas, self.drain_grace_us, kept)
+    /// An admission controller that goes on from what another wrote down.
+    ///
+    /// # Errors
+    /// The snapshot does not fit this deployment.
+    pub fn resume<H: Host>(
+        &self,
+        host: H,
+        mut snapshot: AdmissionSnapshot,
+    ) -> Result<AdmissionController<H>, SnapshotError> {
+        snapshot.complete_quotas(&self.tenants.per_second, self.quotas.servers)?;
+        AdmissionController::resume(host, self.admission_config(), snapshot)
+    }
+
+    fn admission_config(&self) -> AdmissionConfig {
+        AdmissionConfig {
+            machine: self.machine,
+            crowd: self.crowd,
+            methods: self.methods.clone(),
+            below: self.below,
+            advice: self.advice,
+            quotas: self.quotas.clone(),
+            drain_grace_us: self.drain_grace_us,
+        }
     }
 
     pub fn method(&self, name: &str) -> Option<usize> {
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,14 +1,46 @@
-//! The control law against periods worked by hand, the lanes, the running limit and the value sent back.
+//! The integral controller against periods worked by hand, size classes, the concurrency limit and the load signal.
 mod helper;
 use helper::*;
-use ochrewalk::decide::{Cores, Lanes, Loop};
+use ochrewalk::admission::concurrency_limit::ConcurrencyLimit;
+use ochrewalk::admission::core_usage::GaugeReader;
+use ochrewalk::admission::integral_controller::IntegralController;
+use ochrewalk::admission::load_signal::IdleTimeout;
+use ochrewalk::admission::size_classes::{CallStatistics, SizeClass, SizeClasses};
 use ochrewalk::host::*;
 
 const S: u64 = 1_000_000;
 const CROWD: Crowd = Crowd { multiple: 2.0, cold: false, cold_from: 1.0, warm_within_us: 1 };
 
+fn statistics(seen: &[(f64, f64)]) -> Vec<CallStatistics> {
+    seen.iter().map(|(runs, calls)| CallStatistics { runs: *runs, calls: *calls }).collect()
+}
+
+/// What of a controller goes by the gauges of the cores.
+struct GaugedParts {
+    gauges: GaugeReader,
+    limit: ConcurrencyLimit,
+    idle: IdleTimeout,
+}
+
+impl GaugedParts {
+    fn new(cores: u32, max_idle_us: u64) -> GaugedParts {
+        GaugedParts {
+            gauges: GaugeReader::new(cores),
+            limit: ConcurrencyLimit::new(cores, CROWD, 0),
+            idle: IdleTimeout::new(max_idle_us),
+        }
+    }
+
+    fn read(&mut self, now_us: u64, gauges: Gauges, callers: u32, is_queueing: bool) {
+        if let Some(usage) = self.gauges.read(now_us, gauges) {
+            self.limit.adjust(now_us, &usage, is_queueing);
+            self.idle.adjust(&usage, callers, is_queueing);
+        }
+    }
+}
+
 #[test]
-fn the_integral_loop_follows_its_law() {
+fn the_integral_controller_follows_its_law() {
     // Each period: calls placed, RPCs released (each predicted to call once), a sign; then r and u after it.
     let table = [
         (8, 8, 0, 0.0, 0.0),     // free: nothing binds before a sign
@@ -21,93 +53,97 @@
         (0, 0, 0, 9.0, 34.0),
         (0, 0, 0, 9.0, 36.0), // u stays within four times r
     ];
-    let mut it = Loop::new(0);
+    let mut it = IntegralController::new(0);
     for (k, (calls, released, signs, r, u)) in table.into_iter().enumerate() {
-        (0..calls).for_each(|_| it.called());
-        (0..released).for_each(|_| it.released(1.0));
-        (0..signs).for_each(|_| it.overloaded());
+        (0..calls).for_each(|_| it.call_placed());
+        (0..released).for_each(|_| it.request_started(1.0));
+        (0..signs).for_each(|_| it.upstream_overloaded());
         let ends = (k as u64 + 1) * S;
-        assert!(!it.period(ends - 1) && it.period(ends));
-        assert_eq!((it.r, it.u), (r, u), "period {k}");
+        assert!(!it.end_period(ends - 1) && it.end_period(ends));
+        assert_eq!((it.call_setpoint, it.admission_limit), (r, u), "period {k}");
     }
 }
 
 #[test]
-fn release_stops_when_the_prediction_reaches_r() {
-    let mut it = Loop::new(0);
-    (0..3).for_each(|_| it.called());
-    (0..9).for_each(|_| it.released(0.5));
-    assert!(it.room(100.0), "free before any sign");
-    it.overloaded();
-    it.period(S); // r 3, u 9
+fn starts_end_when_the_prediction_reaches_the_setpoint() {
+    let mut it = IntegralController::new(0);
+    (0..3).for_each(|_| it.call_placed());
+    (0..9).for_each(|_| it.request_started(0.5));
+    assert!(it.has_capacity(100.0), "free before any sign");
+    it.upstream_overloaded();
+    it.end_period(S); // r 3, u 9
     let started = (0..20)
         .filter(|_| {
-            it.room(1.0) && {
-                it.released(1.0);
+            it.has_capacity(1.0) && {
+                it.request_started(1.0);
                 true
             }
         })
         .count();
     assert_eq!(started, 3);
-    assert!(it.room(0.0), "RPCs that never call are not held back");
-    it.period(2 * S); // stopped at r, so that calls neared it: r 4.5
-    assert_eq!(it.r, 4.5);
+    assert!(it.has_capacity(0.0), "RPCs that never call are not held back");
+    it.end_period(2 * S); // stopped at r, so that calls neared it: r 4.5
+    assert_eq!(it.call_setpoint, 4.5);
 }
 
 #[test]
-fn r_and_u_recover_within_a_few_periods() {
-    let mut it = Loop::new(0);
-    it.overloaded();
+fn setpoint_and_limit_recover_within_a_few_periods() {
+    let mut it = IntegralController::new(0);
+    it.upstream_overloaded();
     for k in 1..=30u64 {
-        it.overloaded();
-        it.period(k * S);
+        it.upstream_overloaded();
+        it.end_period(k * S);
     }
-    assert_eq!((it.r, it.u), (1.0, 4.0));
+    assert_eq!((it.call_setpoint, it.admission_limit), (1.0, 4.0));
     let mut k = 30;
-    while it.r < 20.0 && k < 99 {
+    while it.call_setpoint < 20.0 && k < 99 {
         k += 1;
-        while it.room(1.0) {
-            it.called();
-            it.released(1.0);
+        while it.has_capacity(1.0) {
+            it.call_placed();
+            it.request_started(1.0);
         }
-        it.period(k * S);
+        it.end_period(k * S);
     }
     assert!(k - 30 <= 9, "{} periods", k - 30);
 }
 
 #[test]
-fn lanes_part_methods_by_the_calls_seen() {
+fn methods_are_divided_by_the_calls_seen() {
     for (seen, large) in [
         (vec![(10.0, 10.0), (10.0, 11.0)], vec![false, false]),
         (vec![(10.0, 0.0), (10.0, 10.0)], vec![false, true]),
         (vec![(10.0, 10.0), (10.0, 20.0), (10.0, 19.0)], vec![false, true, true]),
     ] {
-        let mut lanes = Lanes::new(&vec![(1.0, 1.0); seen.len()]);
-        lanes.part(&seen);
-        assert_eq!((0..seen.len()).map(|m| lanes.is_large(m)).collect::<Vec<_>>(), large, "{seen:?}");
+        let mut classes = SizeClasses::new(&statistics(&vec![(1.0, 1.0); seen.len()]));
+        classes.divide(&statistics(&seen));
+        assert_eq!(
+            (0..seen.len()).map(|m| classes.class_of(m) == SizeClass::Large).collect::<Vec<_>>(),
+            large,
+            "{seen:?}"
+        );
     }
-    let mut lanes = Lanes::new(&[(1.0, 1.0); 3]);
-    lanes.part(&[(10.0, 10.0), (10.0, 20.0), (30.0, 60.0)]);
-    assert_eq!(lanes.means, [1.0, 2.0]);
+    let mut classes = SizeClasses::new(&statistics(&[(1.0, 1.0); 3]));
+    classes.divide(&statistics(&[(10.0, 10.0), (10.0, 20.0), (30.0, 60.0)]));
+    assert_eq!(classes.mean_calls, [1.0, 2.0]);
 }
 
 #[test]
-fn prob_l_falls_while_small_wait_and_rises_while_large_wait_longer() {
-    let mut lanes = Lanes::new(&[(1.0, 0.0), (1.0, 1.0)]);
-    assert_eq!(lanes.prob_l, 1.0);
-    lanes.small_blocked = true;
-    lanes.adapt(Some(900), Some(100));
-    let low = lanes.prob_l;
+fn the_release_probability_falls_while_small_wait_and_rises_while_large_wait_longer() {
+    let mut classes = SizeClasses::new(&statistics(&[(1.0, 0.0), (1.0, 1.0)]));
+    assert_eq!(classes.release_probability, 1.0);
+    classes.has_held_back_small = true;
+    classes.adapt(Some(900), Some(100));
+    let low = classes.release_probability;
     assert!(low < 1.0);
-    lanes.small_blocked = true;
-    lanes.adapt(Some(100), Some(900));
-    assert!(lanes.prob_l > low, "no starvation: large ones wait longer");
-    (0..20).for_each(|_| lanes.adapt(None, None));
-    assert_eq!(lanes.prob_l, 1.0, "back to one when nothing is held back");
+    classes.has_held_back_small = true;
+    classes.adapt(Some(100), Some(900));
+    assert!(classes.release_probability > low, "no starvation: large ones wait longer");
+    (0..20).for_each(|_| classes.adapt(None, None));
+    assert_eq!(classes.release_probability, 1.0, "back to one when nothing is held back");
 }
 
 #[test]
-fn a_large_rpc_is_not_starved_by_small_ones() {
+fn a_large_request_is_not_starved_by_small_ones() {
     let mut given = Given::default();
     given.methods[IDEM].calls = false;
     let mut s = given.start();
@@ -124,18 +160,21 @@
 }
 
 #[test]
-fn small_rpcs_lead_while_the_loop_binds() {
+fn small_requests_lead_while_the_controller_limits() {
     // One lane calls once, the other twice; r is 2 after the sign.
-    let mut lanes = Lanes::new(&[(1.0, 1.0); 2]);
-    lanes.part(&[(10.0, 10.0), (10.0, 20.0)]);
-    let mut it = Loop::new(0);
-    (0..2).for_each(|_| it.called());
-    (0..2).for_each(|_| it.released(1.0));
-    it.overloaded();
-    it.period(S);
-    assert!(it.room(lanes.means[0]) && it.room(lanes.means[1]));
-    it.released(lanes.means[0]);
-    assert!(it.room(lanes.means[0]) && !it.room(lanes.means[1]), "room is left for a small one only");
+    let mut classes = SizeClasses::new(&statistics(&[(1.0, 1.0); 2]));
+    classes.divide(&statistics(&[(10.0, 10.0), (10.0, 20.0)]));
+    let mut it = IntegralController::new(0);
+    (0..2).for_each(|_| it.call_placed());
+    (0..2).for_each(|_| it.request_started(1.0));
+    it.upstream_overloaded();
+    it.end_period(S);
+    assert!(it.has_capacity(classes.mean_calls[0]) && it.has_capacity(classes.mean_calls[1]));
+    it.request_started(classes.mean_calls[0]);
+    assert!(
+        it.has_capacity(classes.mean_calls[0]) && !it.has_capacity(classes.mean_calls[1]),
+        "room is left for a small one only"
+    );
 }
 
 #[test]
@@ -147,24 +186,24 @@
         (900, 60.0, 0.7, true, 2.0, 30_000_000),  // work is held
         (100, 60.0, 0.7, false, 2.0, 30_000_000), // most callers are connected, and come back
     ] {
-        let mut cores = Cores::new(2, CROWD, 30_000_000, 0);
+        let mut cores = GaugedParts::new(2, 30_000_000);
         let gauges = Gauges { busy: Some(busy), runnable: Some(runnable), connections: Some(open) };
-        (1..50).for_each(|k| cores.gauge(k * 250_000, gauges, callers, waiting));
-        assert_eq!(cores.idle_us as u64, idle_us, "{callers} {busy} {waiting}");
+        (1..50).for_each(|k| cores.read(k * 250_000, gauges, callers, waiting));
+        assert_eq!(cores.idle.timeout_us(), idle_us, "{callers} {busy} {waiting}");
         let swamped = Gauges { busy: Some(1.0), runnable: Some(9.0), ..gauges };
-        (50..99).for_each(|k| cores.gauge(k * 250_000, swamped, callers, true));
-        assert_eq!(cores.idle_us as u64, 30_000_000, "the table may fill again");
-        let mut brief = Cores::new(2, CROWD, 500_000, 0);
-        (1..50).for_each(|k| brief.gauge(k * 250_000, gauges, callers, waiting));
-        assert_eq!(brief.idle_us as u64, 500_000, "never longer than callers keep one");
+        (50..99).for_each(|k| cores.read(k * 250_000, swamped, callers, true));
+        assert_eq!(cores.idle.timeout_us(), 30_000_000, "the table may fill again");
+        let mut brief = GaugedParts::new(2, 500_000);
+        (1..50).for_each(|k| brief.read(k * 250_000, gauges, callers, waiting));
+        assert_eq!(brief.idle.timeout_us(), 500_000, "never longer than callers keep one");
     }
 }
 
 #[test]
-fn the_running_limit_grows_while_cores_idle_with_work_held() {
-    let mut cores = Cores::new(6, CROWD, 30_000_000, 0);
+fn the_concurrency_limit_grows_while_cores_idle_with_work_queued() {
+    let mut cores = GaugedParts::new(6, 30_000_000);
     let gauges = |busy, runnable| Gauges { busy: Some(busy), runnable: Some(runnable), connections: None };
-    assert_eq!(cores.limit(0), 6);
+    assert_eq!(cores.limit.limit(0), 6);
     let mut at = 0;
     for (busy, runnable, waiting, want) in [
         (0.5, 3.0, false, 6), // nothing is held
@@ -180,13 +219,13 @@
         (0.5, 3.0, true, 10), // and is back as soon as the cores idle again
     ] {
         at += 250_000;
-        cores.gauge(at, gauges(busy, runnable), 4, waiting);
-        assert_eq!(cores.limit(at), want, "at {at}");
+        cores.read(at, gauges(busy, runnable), 4, waiting);
+        assert_eq!(cores.limit.limit(at), want, "at {at}");
     }
 }
 
 #[test]
-fn the_value_sent_back_falls_under_pressure_and_recovers() {
+fn the_load_signal_falls_under_pressure_and_recovers() {
     for (sent_back, beyond, rest) in
         [(SentBack::Weight, 0.5, 1.0), (SentBack::Level, 0.45, 0.0), (SentBack::Credit, 3.0, 6.0)]
     {
@@ -198,7 +237,7 @@
         let last =
             |did: Vec<String>| did.iter().rev().find_map(|d| d.strip_prefix("signal ")?.parse::<f64>().ok());
         let low = (1..60).filter_map(|k| last(s.pulse(k * 50_000, 1.0, 9.0))).last().unwrap();
-        (0..10).for_each(|i| s.it.gone(&format!("a{i}")));
+        (0..10).for_each(|i| s.it.caller_left(&format!("a{i}")));
         let high = (60..400).filter_map(|k| last(s.pulse(k * 50_000, 1.0, 9.0))).last().unwrap();
         assert!(if rest > beyond { low < beyond } else { low > beyond }, "{sent_back:?} {low}");
         assert_eq!(high, rest, "{sent_back:?}");
@@ -240,17 +279,17 @@
     s.at(175_000);
     assert_eq!(s.pulse(200_000, 1.0, 6.0).first().map(String::as_str), Some("stop a"), "it still stands");
     // A timer that was overtaken by an earlier one arms nothing more: its token is not the last armed.
-    s.it.timer(250_000, 1, Gauges::default());
-    s.it.turn(250_000);
+    s.it.timer_fired(250_000, 1, Gauges::default());
+    s.it.decide(250_000);
     s.took();
     let armed = s.it.host().1;
-    s.it.timer(250_001, 1, Gauges::default());
-    s.it.turn(250_001);
+    s.it.timer_fired(250_001, 1, Gauges::default());
+    s.it.decide(250_001);
     assert_eq!(s.it.host().1, armed);
 }
 
 #[test]
-fn what_may_go_without_its_call_starts_while_the_loop_has_no_room() {
+fn what_may_skip_its_call_starts_while_the_controller_has_no_capacity() {
     // Bound to one RPC in this second by a push-back, with idle cores. The next can wait until its target
     // less 0.15 s, and half of that wait is over before the period is.
     for (method, want) in [(SKIP, vec!["run b", "skip b"]), (IDEM, vec![])] {
@@ -269,11 +308,11 @@
 }
 
 #[test]
-fn r_binds_to_the_most_carried_of_late() {
-    let mut it = Loop::new(0);
-    (0..20).for_each(|_| it.called());
-    it.period(S);
-    it.period(2 * S);
-    it.overloaded();
-    assert_eq!(it.r, 18.0, "hung calls show as time-outs when nothing is carried any more");
+fn the_setpoint_begins_at_the_most_carried_of_late() {
+    let mut it = IntegralController::new(0);
+    (0..20).for_each(|_| it.call_placed());
+    it.end_period(S);
+    it.end_period(2 * S);
+    it.upstream_overloaded();
+    assert_eq!(it.call_setpoint, 18.0, "hung calls show as time-outs when nothing is carried any more");
 }
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -4,7 +4,8 @@
 mod helper;
 
 use helper::method;
-use ochrewalk::decide::{Decide, Kept};
+use ochrewalk::admission::snapshot::AdmissionSnapshot;
+use ochrewalk::admission::{AdmissionConfig, AdmissionController};
 use ochrewalk::host::*;
 use prost::Message;
 use std::collections::BTreeMap;
@@ -122,17 +123,8 @@
     }
 }
 
-struct Deployment {
-    machine: Machine,
-    crowd: Crowd,
-    methods: Vec<Method>,
-    below: Below,
-    advice: Advice,
-    quotas: Quotas,
-}
-
 /// The deployment of a seed: together the seeds cover every setting of every kind.
-fn deployment(seed: u64) -> Deployment {
+fn deployment(seed: u64) -> AdmissionConfig {
     let stopping = [Stopping::Never, Stopping::Drop, Stopping::Pause][seed as usize % 3];
     let shared = Below::Shared { share: 4.0, window_us: 2_000_000, linger_us: 300_000 };
     let below = [shared, Below::Tier, shared, Below::Nothing][seed as usize % 4];
@@ -144,7 +136,7 @@
         ..method(effect, skip_share)
     };
     let sent_back = [SentBack::Weight, SentBack::Level, SentBack::Credit, SentBack::Nothing];
-    Deployment {
+    AdmissionConfig {
         machine: Machine {
             cores: 1 + (seed % 4) as u32,
             memory_kb: 300.0 + 100.0 * (seed % 5) as f64,
@@ -165,7 +157,8 @@
             with(Effect::NonIdempotent, 0.0, 3.0),
             with(Effect::Idempotent, 0.5, 2.0),
             Method { calls: false, ..with(Effect::Idempotent, 0.0, 1.0) },
-        ],
+        ]
+        .into(),
         below,
         advice: Advice {
             sent_back: sent_back[(seed as usize / 3) % 4],
@@ -174,12 +167,13 @@
             max_come_back_us: 1_000_000 * (seed % 3),
         },
         quotas: Quotas { by_work: seed.is_multiple_of(5), over_quota: 0.2, servers: 2 },
+        drain_grace_us: DRAIN_GRACE_US,
     }
 }
 
-/// One server with its module, and the events that a seed draws for it.
+/// One server with its controller, and the events that a seed draws for it.
 struct Run {
-    module: Decide<Recorder>,
+    controller: AdmissionController<Recorder>,
     rng: fastrand::Rng,
     now_us: u64,
     arrivals: u64,
@@ -188,26 +182,15 @@
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let Deployment { machine, crowd, methods, below, advice, quotas } = deployment(seed);
-        let count = methods.len();
-        let module = Decide::start(
-            Recorder::new(),
-            START_US,
-            seed,
-            machine,
-            crowd,
-            methods,
-            below,
-            advice,
-            quotas,
-            DRAIN_GRACE_US,
-        );
+        let config = deployment(seed);
+        let methods = config.methods.len();
+        let controller = AdmissionController::start(Recorder::new(), START_US, seed, config);
         let rng = fastrand::Rng::with_seed(seed);
-        Run { module, rng, now_us: START_US, arrivals: 0, methods: count }
+        Run { controller, rng, now_us: START_US, arrivals: 0, methods }
     }
 
     fn any(&mut self, place: Place) -> Option<String> {
-        let rpcs = &self.module.host().rpcs;
+        let rpcs = &self.controller.host().rpcs;
         let all: Vec<String> =
             rpcs.iter().filter(|(_, at)| **at == place).map(|(id, _)| id.clone()).collect();
         (!all.is_empty()).then(|| all[self.rng.usize(0..all.len())].clone())
@@ -217,7 +200,7 @@
         self.arrivals += 1;
         let id = format!("r{}", self.arrivals);
         let method = self.rng.usize(0..self.methods);
-        let remembered = self.module.host().remembered.clone();
+        let remembered = self.controller.host().remembered.clone();
         let may_repeat = method == 1 && !remembered.is_empty() && self.rng.u32(0..4) == 0;
         let repeats = may_repeat.then(|| remembered[self.rng.usize(0..remembered.len())].as_str().into());
         let tenant_id = self.rng.u32(0..6);
@@ -233,8 +216,8 @@
             further_try: self.rng.u32(0..4) == 0,
             tenant: self.rng.bool().then_some(Tenant { id: tenant_id, per_second }),
         };
-        self.module.host().rpcs.insert(id, Place::Queued);
-        self.module.arrived(self.now_us, arrival);
+        self.controller.host().rpcs.insert(id, Place::Queued);
+        self.controller.request_arrived(self.now_us, arrival);
     }
 
     fn end_call(&mut self) {
@@ -254,8 +237,8 @@
         ][self.rng.usize(0..11)];
         let took_us = self.rng.u64(500..900_000);
         let place = if outcome == Outcome::Ok { Place::Running } else { Place::WaitsForCall };
-        self.module.host().rpcs.insert(id.clone(), place);
-        self.module.call_ended(self.now_us, &id, outcome, took_us);
+        self.controller.host().rpcs.insert(id.clone(), place);
+        self.controller.call_ended(self.now_us, &id, outcome, took_us);
     }
 
     fn end_run(&mut self) {
@@ -263,8 +246,8 @@
         let Some(id) = self.any(place) else { return };
         let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Stopped];
         let outcome = outcome[self.rng.usize(0..5)];
-        self.module.host().rpcs.remove(&id);
-        self.module.run_ended(self.now_us, &id, outcome);
+        self.controller.host().rpcs.remove(&id);
+        self.controller.run_ended(self.now_us, &id, outcome);
     }
 
     fn caller_goes(&mut self) {
@@ -272,9 +255,9 @@
         let place = places[self.rng.usize(0..4)];
         if let Some(id) = self.any(place) {
             if place == Place::Queued {
-                self.module.host().rpcs.remove(&id);
+                self.controller.host().rpcs.remove(&id);
             }
-            self.module.gone(&id);
+            self.controller.caller_left(&id);
         }
     }
 
@@ -284,9 +267,9 @@
             runnable: self.rng.bool().then(|| self.rng.f64() * 8.0),
             connections: self.rng.bool().then(|| self.rng.f64() * 9.0),
         };
-        let timers = &mut self.module.host().timers;
+        let timers = &mut self.controller.host().timers;
         let token = timers.pop().map_or(3, |(_, token)| token);
-        self.module.timer(self.now_us, token, gauges);
+        self.controller.timer_fired(self.now_us, token, gauges);
     }
 
     fn step(&mut self, step: usize) {
@@ -297,8 +280,8 @@
             0..=4 => self.arrive(),
             5 | 6 => {
                 if let Some(id) = self.any(Place::Running) {
-                    self.module.host().rpcs.insert(id.clone(), Place::WaitsForCall);
-                    self.module.needs_call(self.now_us, &id);
+                    self.controller.host().rpcs.insert(id.clone(), Place::WaitsForCall);
+                    self.controller.call_needed(self.now_us, &id);
                 }
             }
             7..=9 => self.end_call(),
@@ -307,16 +290,16 @@
             _ => self.timer(),
         }
         if step == STEPS - 200 {
-            self.module.leave(self.now_us, 3_000_000);
+            self.controller.drain(self.now_us, 3_000_000);
         }
         // Several events of one moment are told together at times.
         if self.rng.u32(0..5) > 0 {
-            self.module.turn(self.now_us);
+            self.controller.decide(self.now_us);
         }
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        self.module.keep().encode_to_vec()
+        self.controller.snapshot().encode_to_vec()
     }
 }
 
@@ -331,7 +314,7 @@
                 digest.add(&run.snapshot());
             }
         }
-        let recorder = run.module.host();
+        let recorder = run.controller.host();
         digest.add(&recorder.digest.0.to_be_bytes());
         actions += recorder.actions;
     }
@@ -345,9 +328,7 @@
         run.step(step);
     }
     assert!(run.snapshot() == FIXTURE, "the same events bring the stored snapshot");
-    let Deployment { machine, crowd, methods, below, advice, quotas } = deployment(FIXTURE_SEED);
-    let kept = Kept::decode(FIXTURE).unwrap();
-    let resumed =
-        Decide::resume(Recorder::new(), machine, crowd, methods, below, advice, quotas, DRAIN_GRACE_US, kept);
-    assert!(resumed.unwrap().keep().encode_to_vec() == FIXTURE, "what was read is written back");
+    let snapshot = AdmissionSnapshot::decode(FIXTURE).unwrap();
+    let resumed = AdmissionController::resume(Recorder::new(), deployment(FIXTURE_SEED), snapshot);
+    assert!(resumed.unwrap().snapshot().encode_to_vec() == FIXTURE, "what was read is written back");
 }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -2,7 +2,7 @@
 //! the module.
 #![allow(dead_code)]
 
-use ochrewalk::decide::Decide;
+use ochrewalk::admission::{AdmissionConfig, AdmissionController};
 use ochrewalk::host::*;
 
 #[derive(Default)]
@@ -72,7 +72,7 @@
 }
 
 pub struct Server {
-    pub it: Decide<Tape>,
+    pub it: AdmissionController<Tape>,
     pub now: u64,
 }
 
@@ -121,17 +121,19 @@
         };
         let quotas = Quotas { by_work: true, over_quota: 0.1, servers: 10 };
         let mut server = Server {
-            it: Decide::start(
+            it: AdmissionController::start(
                 Tape::default(),
                 0,
                 7,
-                self.machine,
-                self.crowd,
-                self.methods,
-                self.below,
-                advice,
-                quotas,
-                2_000_000,
+                AdmissionConfig {
+                    machine: self.machine,
+                    crowd: self.crowd,
+                    methods: self.methods.into(),
+                    below: self.below,
+                    advice,
+                    quotas,
+                    drain_grace_us: 2_000_000,
+                },
             ),
             now: 0,
         };
@@ -160,7 +162,7 @@
     }
 
     pub fn arrives(&mut self, new: Arrival) -> Vec<String> {
-        self.it.arrived(self.now, new);
+        self.it.request_arrived(self.now, new);
         self.turn()
     }
 
@@ -171,7 +173,7 @@
     }
 
     pub fn turn(&mut self) -> Vec<String> {
-        self.it.turn(self.now);
+        self.it.decide(self.now);
         self.took()
     }
 
@@ -181,7 +183,7 @@
     }
 
     pub fn needs(&mut self, id: &str) -> Vec<String> {
-        self.it.needs_call(self.now, id);
+        self.it.call_needed(self.now, id);
         self.turn()
     }
 
@@ -192,7 +194,11 @@
 
     pub fn pulse(&mut self, now: u64, busy: f64, runnable: f64) -> Vec<String> {
         self.now = now;
-        self.it.timer(now, now, Gauges { busy: Some(busy), runnable: Some(runnable), connections: None });
+        self.it.timer_fired(
+            now,
+            now,
+            Gauges { busy: Some(busy), runnable: Some(runnable), connections: None },
+        );
         self.turn()
     }
 
--- a/tests/kept.rs
+++ b/tests/kept.rs
@@ -4,26 +4,18 @@
 mod helper;
 
 use helper::*;
-use ochrewalk::decide::{Decide, Kept};
+use ochrewalk::admission::snapshot::{AdmissionSnapshot, SnapshotError};
+use ochrewalk::admission::{AdmissionConfig, AdmissionController};
 use ochrewalk::host::*;
 use prost::Message;
 use std::collections::BTreeMap;
 
 const TENANTS: [Tenant; 2] = [Tenant { id: 0, per_second: 5.0 }, Tenant { id: 1, per_second: 50.0 }];
 
-struct Fixed {
-    machine: Machine,
-    crowd: Crowd,
-    methods: Vec<Method>,
-    below: Below,
-    advice: Advice,
-    quotas: Quotas,
-}
-
-fn fixed(seed: u64) -> Fixed {
+fn config(seed: u64) -> AdmissionConfig {
     let stopping = [Stopping::Never, Stopping::Drop, Stopping::Pause][seed as usize % 3];
     let shared = Below::Shared { share: 3.0, window_us: 2_000_000, linger_us: 300_000 };
-    Fixed {
+    AdmissionConfig {
         machine: Machine {
             cores: 2,
             memory_kb: 400.0,
@@ -43,7 +35,8 @@
             method(Effect::Tokened, 0.0),
             method(Effect::NonIdempotent, 0.0),
             method(Effect::Idempotent, 0.5),
-        ],
+        ]
+        .into(),
         below: if seed.is_multiple_of(2) { Below::Tier } else { shared },
         advice: Advice {
             sent_back: [SentBack::Weight, SentBack::Level, SentBack::Credit][seed as usize / 3 % 3],
@@ -52,20 +45,21 @@
             max_come_back_us: 1_000_000,
         },
         quotas: Quotas { by_work: seed.is_multiple_of(4), over_quota: 0.25, servers: 2 },
+        drain_grace_us: 300_000,
     }
 }
 
 /// What the outside knows of each RPC.
 #[derive(Clone, Copy, PartialEq)]
 enum At {
-    Held,
+    Queued,
     Running,
     Waiting,
     Calling,
 }
 
 /// One event, told to any module in the same way.
-type Event = Box<dyn Fn(&mut Decide<Tape>)>;
+type Event = Box<dyn Fn(&mut AdmissionController<Tape>)>;
 
 fn next_event(rng: &mut fastrand::Rng, now: u64, known: &BTreeMap<String, At>, count: &mut u64) -> Event {
     let of = |at: At, rng: &mut fastrand::Rng| -> Option<String> {
@@ -86,10 +80,10 @@
                 further_try: rng.u32(0..4) == 0,
                 tenant: rng.bool().then(|| TENANTS[rng.usize(0..2)]),
             };
-            Box::new(move |m| m.arrived(now, arrival.clone()))
+            Box::new(move |m| m.request_arrived(now, arrival.clone()))
         }
         4 | 5 => match of(At::Running, rng) {
-            Some(id) => Box::new(move |m| m.needs_call(now, &id)),
+            Some(id) => Box::new(move |m| m.call_needed(now, &id)),
             None => Box::new(|_| ()),
         },
         6 | 7 => match of(At::Calling, rng) {
@@ -108,15 +102,15 @@
             }
             None => Box::new(|_| ()),
         },
-        10 => match of([At::Held, At::Running, At::Waiting][rng.usize(0..3)], rng) {
-            Some(id) => Box::new(move |m| m.gone(&id)),
+        10 => match of([At::Queued, At::Running, At::Waiting][rng.usize(0..3)], rng) {
+            Some(id) => Box::new(move |m| m.caller_left(&id)),
             None => Box::new(|_| ()),
         },
         _ => {
             let gauges =
                 Gauges { busy: Some(rng.f64()), runnable: Some(rng.f64() * 6.0), connections: Some(9.0) };
             let token = rng.u64(0..3);
-            Box::new(move |m| m.timer(now, token, gauges))
+            Box::new(move |m| m.timer_fired(now, token, gauges))
         }
     }
 }
@@ -139,35 +133,21 @@
 fn a_successor_decides_as_the_one_before_it_would_have() {
     let mut actions = 0;
     for seed in 0..60 {
-        let f = fixed(seed);
+        let config = config(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut now, mut count, mut known) = (1_000_000, 0, BTreeMap::new());
-        let start = |f: &Fixed| {
-            let (methods, quotas) = (f.methods.clone(), f.quotas.clone());
-            Decide::start(
-                Tape::default(),
-                1_000_000,
-                seed,
-                f.machine,
-                f.crowd,
-                methods,
-                f.below,
-                f.advice,
-                quotas,
-                300_000,
-            )
-        };
-        let mut one = start(&f);
-        let mut other = start(&f);
+        let start = || AdmissionController::start(Tape::default(), 1_000_000, seed, config.clone());
+        let mut one = start();
+        let mut other = start();
         let hand_over = rng.usize(50..400);
         for step in 0..600 {
             now += rng.u64(0..30_000);
             let before = one.host().0.len();
             let event = next_event(&mut rng, now, &known, &mut count);
             event(&mut one);
-            one.turn(now);
+            one.decide(now);
             event(&mut other);
-            other.turn(now);
+            other.decide(now);
             let asked = one.host().0[before..].to_vec();
             assert_eq!(
                 asked,
@@ -178,44 +158,41 @@
             actions += asked.len();
             for id in (count.saturating_sub(1)..=count).map(|n| format!("r{n}")) {
                 if step > 0 && !known.contains_key(&id) && !asked.iter().any(|a| a.ends_with(&id)) {
-                    known.entry(id).or_insert(At::Held);
+                    known.entry(id).or_insert(At::Queued);
                 }
             }
             follow(&asked, &mut known);
             if step == hand_over {
-                let bytes = other.keep().encode_to_vec();
-                let kept = Kept::decode(&bytes[..]).unwrap();
+                let bytes = other.snapshot().encode_to_vec();
+                let snapshot = AdmissionSnapshot::decode(&bytes[..]).unwrap();
                 let tape = std::mem::take(other.host());
-                let (methods, quotas) = (f.methods.clone(), f.quotas.clone());
-                let crowd = Crowd { cold: false, ..f.crowd };
-                let resumed =
-                    Decide::resume(tape, f.machine, crowd, methods, f.below, f.advice, quotas, 300_000, kept);
-                other = resumed.unwrap();
-                // What was kept is what is kept again.
-                assert_eq!(other.keep().encode_to_vec(), bytes, "seed {seed}");
+                let crowd = Crowd { cold: false, ..config.crowd };
+                let config = AdmissionConfig { crowd, ..config.clone() };
+                other = AdmissionController::resume(tape, config, snapshot).unwrap();
+                // What was read is what is written again.
+                assert_eq!(other.snapshot().encode_to_vec(), bytes, "seed {seed}");
             }
         }
     }
     assert!(actions > 5_000, "{actions}");
 }
 
+fn started(config: &AdmissionConfig) -> AdmissionController<Tape> {
+    AdmissionController::start(Tape::default(), 0, 1, config.clone())
+}
+
 #[test]
-fn what_does_not_fit_the_deployment_is_refused() {
-    let f = fixed(1);
-    let start = || {
-        let (methods, quotas) = (f.methods.clone(), f.quotas.clone());
-        Decide::start(Tape::default(), 0, 1, f.machine, f.crowd, methods, f.below, f.advice, quotas, 300_000)
-    };
-    let mut fewer = f.methods.clone();
+fn what_does_not_fit_the_deployment_is_rejected() {
+    let config = config(1);
+    let mut fewer = config.methods.to_vec();
     fewer.pop();
-    let quotas = f.quotas.clone();
-    let kept = start().keep();
-    let refused =
-        Decide::resume(Tape::default(), f.machine, f.crowd, fewer, f.below, f.advice, quotas, 300_000, kept);
-    assert_eq!(refused.err().unwrap(), "runs seen of 4 methods, 3 here");
+    let snapshot = started(&config).snapshot();
+    let config = AdmissionConfig { methods: fewer.into(), ..config };
+    let rejected = AdmissionController::resume(Tape::default(), config, snapshot);
+    assert_eq!(rejected.err().unwrap().to_string(), "runs seen of 4 methods, 3 here");
 }
 
-/// The fields of a snapshot that programs wrote before quotas came with each RPC.
+/// The fields of a snapshot that programs wrote before quotas came with each request.
 #[derive(Clone, PartialEq, prost::Message)]
 struct LevelsByPosition {
     #[prost(double, repeated, tag = "6")]
@@ -225,34 +202,24 @@
 }
 
 /// A snapshot with levels by position, read for a deployment with these quotas, and started again.
-fn resumed_from_levels(levels: Vec<f64>, per_second: &[f64]) -> Result<Decide<Tape>, String> {
-    let f = fixed(1);
-    let (methods, quotas) = (f.methods.clone(), f.quotas.clone());
-    let started = Decide::start(
-        Tape::default(),
-        0,
-        1,
-        f.machine,
-        f.crowd,
-        methods.clone(),
-        f.below,
-        f.advice,
-        quotas.clone(),
-        300_000,
-    );
+fn resumed_from_levels(
+    levels: Vec<f64>,
+    per_second: &[f64],
+) -> Result<AdmissionController<Tape>, SnapshotError> {
+    let config = config(1);
     // Protobuf messages that follow one another read as one.
-    let mut bytes = started.keep().encode_to_vec();
+    let mut bytes = started(&config).snapshot().encode_to_vec();
     bytes.extend(LevelsByPosition { levels, at_us: 5_000_000 }.encode_to_vec());
-    let mut kept = Kept::decode(&bytes[..]).unwrap();
-    kept.complete_quotas(per_second, f.quotas.servers)?;
-    Decide::resume(Tape::default(), f.machine, f.crowd, methods, f.below, f.advice, quotas, 300_000, kept)
+    let mut snapshot = AdmissionSnapshot::decode(&bytes[..]).unwrap();
+    snapshot.complete_quotas(per_second, config.quotas.servers)?;
+    AdmissionController::resume(Tape::default(), config, snapshot)
 }
 
 #[test]
 fn levels_by_position_of_an_older_program_are_read() {
     // Two servers: the first tenant's bucket holds 20 at most, the second's is full, the third has no quota.
     let resumed = resumed_from_levels(vec![-3.0, 200.0, 0.0], &[5.0, 50.0, 0.0]).unwrap();
-    assert_eq!(resumed.held_quota_buckets(), 1);
-    let refused = resumed_from_levels(vec![1.0, 1.0], &[5.0, 50.0, 1.0]);
-    assert_eq!(refused.err().unwrap(), "buckets of 2 tenants, 3 here");
+    assert_eq!(resumed.cached_quota_buckets(), 1);
+    let rejected = resumed_from_levels(vec![1.0, 1.0], &[5.0, 50.0, 1.0]);
+    assert_eq!(rejected.err().unwrap().to_string(), "buckets of 2 tenants, 3 here");
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -3,7 +3,7 @@
 mod helper;
 
 use helper::*;
-use ochrewalk::decide::QuotaBuckets;
+use ochrewalk::admission::quota::QuotaBuckets;
 use ochrewalk::host::*;
 use proptest::prelude::*;
 
@@ -14,11 +14,11 @@
 }
 
 impl AllRefilled {
-    const SAVED_SECONDS: f64 = 8.0;
+    const BURST_SECONDS: f64 = 8.0;
 
     fn new(per_second: &[f64], servers: u32) -> AllRefilled {
         let rates = per_second.iter().map(|per_second| per_second / f64::from(servers));
-        let rates_and_levels = rates.map(|rate| (rate, rate * Self::SAVED_SECONDS)).collect();
+        let rates_and_levels = rates.map(|rate| (rate, rate * Self::BURST_SECONDS)).collect();
         AllRefilled { rates_and_levels, at_us: 0 }
     }
 
@@ -27,7 +27,7 @@
         let passed = (now_us - self.at_us) as f64 / 1e6;
         self.at_us = now_us;
         for (rate, level) in &mut self.rates_and_levels {
-            *level = (*level + *rate * passed).min(*rate * Self::SAVED_SECONDS);
+            *level = (*level + *rate * passed).min(*rate * Self::BURST_SECONDS);
         }
         self.rates_and_levels[tenant].1
     }
@@ -76,7 +76,7 @@
                 Event::Arrival { tenant, after_us } => {
                     now_us += after_us;
                     let level = old.arrival(tenant, now_us);
-                    let within = new.within(rpc_of(tenant), now_us);
+                    let within = new.is_within(rpc_of(tenant), now_us);
                     // Sums in another order differ in their last digits. A tenant without a quota is always beyond it.
                     if level.abs() > 1e-9 || per_second[tenant] == 0.0 {
                         prop_assert_eq!(within, level > 0.0, "tenant {} at {}: {}", tenant, now_us, level);
@@ -103,7 +103,7 @@
         let before = buckets.touched();
         // The ten are in debt for longer than all others, so that theirs are held.
         let tenant = tenant(id, if id < 10 { 0.001 } else { 0.5 });
-        buckets.within(tenant, now_us);
+        buckets.is_within(tenant, now_us);
         buckets.charge(tenant);
         buckets.touched() - before
     };
@@ -129,24 +129,24 @@
 }
 
 #[test]
-fn held_buckets_stay_within_the_bound_and_the_nearest_to_full_goes_first() {
+fn cached_buckets_stay_within_the_bound_and_the_nearest_to_full_is_evicted_first() {
     let mut buckets = QuotaBuckets::new(1);
     // The first tenants are in debt for longest.
-    buckets.within(None, 1_000_000);
-    for id in 0..QuotaBuckets::MOST_HELD {
+    buckets.is_within(None, 1_000_000);
+    for id in 0..QuotaBuckets::MAX_CACHED {
         buckets.charge(tenant(id, 0.001 + id as f64 * 1e-6));
     }
-    assert_eq!(buckets.held(), QuotaBuckets::MOST_HELD);
-    let (longest, shortest) = (0, QuotaBuckets::MOST_HELD - 1);
+    assert_eq!(buckets.cached(), QuotaBuckets::MAX_CACHED);
+    let (longest, shortest) = (0, QuotaBuckets::MAX_CACHED - 1);
     let quota = |id: usize| 0.001 + id as f64 * 1e-6;
-    assert!(!buckets.within(tenant(longest, quota(longest)), 1_000_000));
-    assert!(!buckets.within(tenant(shortest, quota(shortest)), 1_000_000));
-    for id in QuotaBuckets::MOST_HELD..QuotaBuckets::MOST_HELD + 1_000 {
+    assert!(!buckets.is_within(tenant(longest, quota(longest)), 1_000_000));
+    assert!(!buckets.is_within(tenant(shortest, quota(shortest)), 1_000_000));
+    for id in QuotaBuckets::MAX_CACHED..QuotaBuckets::MAX_CACHED + 1_000 {
         buckets.charge(tenant(id, 0.001));
-        assert!(buckets.held() <= QuotaBuckets::MOST_HELD);
+        assert!(buckets.cached() <= QuotaBuckets::MAX_CACHED);
     }
-    assert!(!buckets.within(tenant(longest, quota(longest)), 1_000_000));
-    assert!(buckets.within(tenant(shortest, quota(shortest)), 1_000_000), "let go of: full again");
+    assert!(!buckets.is_within(tenant(longest, quota(longest)), 1_000_000));
+    assert!(buckets.is_within(tenant(shortest, quota(shortest)), 1_000_000), "evicted: full again");
 }
 
 #[test]
@@ -155,13 +155,13 @@
     for id in 0..1_000 {
         buckets.charge(tenant(id, 1.0));
     }
-    assert_eq!(buckets.held(), 1_000);
+    assert_eq!(buckets.cached(), 1_000);
     for rpc in 0..2_000 {
         let one = tenant(5_000, 1_000.0);
-        buckets.within(one, 2_000_000 + rpc * 10);
+        buckets.is_within(one, 2_000_000 + rpc * 10);
         buckets.charge(one);
     }
-    assert_eq!(buckets.held(), 1);
+    assert_eq!(buckets.cached(), 1);
 }
 
 #[test]
@@ -172,22 +172,22 @@
     };
     // 80 saved up, 40 left. Less quota: 16 at most.
     let (much, little, none) = (tenant(1, 10.0), tenant(1, 2.0), tenant(1, 0.0));
-    assert!(buckets.within(much, 0));
+    assert!(buckets.is_within(much, 0));
     charge(&mut buckets, much, 40);
-    assert!(buckets.within(little, 0));
+    assert!(buckets.is_within(little, 0));
     charge(&mut buckets, little, 15);
-    assert!(buckets.within(little, 0));
+    assert!(buckets.is_within(little, 0));
     charge(&mut buckets, little, 1);
-    assert!(!buckets.within(little, 0));
+    assert!(!buckets.is_within(little, 0));
     // Refilled by the quota that held until now, then by the new one.
     charge(&mut buckets, little, 3);
-    assert!(!buckets.within(much, 1_000_000), "-3 and 2 of a second");
-    assert!(buckets.within(much, 1_200_000), "-1 and 2 of a fifth of one");
+    assert!(!buckets.is_within(much, 1_000_000), "-3 and 2 of a second");
+    assert!(buckets.is_within(much, 1_200_000), "-1 and 2 of a fifth of one");
     // And none at all.
-    assert!(!buckets.within(none, 1_200_000));
+    assert!(!buckets.is_within(none, 1_200_000));
     charge(&mut buckets, none, 1);
-    assert!(!buckets.within(none, 99_000_000));
-    assert_eq!(buckets.held(), 0);
+    assert!(!buckets.is_within(none, 99_000_000));
+    assert_eq!(buckets.cached(), 0);
 }
 
 #[test]
@@ -198,7 +198,7 @@
         let name = format!("{id}-{now_us}");
         server.arrives(Arrival { tenant: tenant(id, 10.0), ..rpc(&name, IDEM) });
         server.settle(&name);
-        server.it.held_quota_buckets()
+        server.it.cached_quota_buckets()
     };
     // One RPC a second here: each bucket is full again after one second.
     for id in 0..300 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The four rules at their edges, and what is held, started and turned away.
 mod helper;
 use helper::*;
-use ochrewalk::decide::Cores;
+use ochrewalk::admission::concurrency_limit::ConcurrencyLimit;
 use ochrewalk::host::*;
 
 const TENANT: Tenant = Tenant { id: 0, per_second: 10.0 };
@@ -56,13 +56,13 @@
     let mut s = Given::default().start();
     s.fill();
     s.arrive("a", IDEM);
-    s.it.gone("a");
-    s.it.gone("r0");
+    s.it.caller_left("a");
+    s.it.caller_left("r0");
     assert_eq!(s.turn(), ["stop r0"]);
     s.it.run_ended(0, "r0", Outcome::Stopped);
     assert_eq!(s.turn(), [""; 0], "a was not started in its place");
-    s.it.gone("r0");
-    s.it.needs_call(0, "nobody");
+    s.it.caller_left("r0");
+    s.it.call_needed(0, "nobody");
     s.it.call_ended(0, "nobody", Outcome::Ok, 1);
     assert_eq!(s.turn(), [""; 0], "events about what is over are harmless");
 }
@@ -114,7 +114,7 @@
     s.arrive("a", SKIP);
     s.arrive("b", IDEM);
     s.now = 3_000_000;
-    s.it.needs_call(s.now, "b");
+    s.it.call_needed(s.now, "b");
     assert_eq!(s.needs("a"), ["skip a", "call b"], "half its work is still to come");
 }
 
@@ -136,7 +136,7 @@
         }
         let repeat = Arrival { repeats: Some("a".into()), left_us: Some(1_000_000), ..rpc("b", TOKEN) };
         assert_eq!(s.arrives(repeat), ["share b"], "{state}");
-        s.it.gone("nobody");
+        s.it.caller_left("nobody");
         let late = s.at(1_975_000);
         assert!(late.contains(&"abort b".into()) && !late.contains(&"run b".into()), "{state} {late:?}");
     }
@@ -148,7 +148,7 @@
     s.fill();
     s.arrive("a", TOKEN);
     s.arrive("b", TOKEN);
-    s.it.gone("b");
+    s.it.caller_left("b");
     assert_eq!(s.turn(), ["drop b"]);
     assert_eq!(s.at(3_850_001), ["push a", "drop a"]);
 }
@@ -176,8 +176,8 @@
     given.machine.key_kb = 0.0;
     let mut s = given.start();
     s.fill();
-    (0..10).for_each(|i| s.it.arrived(0, rpc(&format!("low{i}"), IDEM)));
-    (0..10).for_each(|i| s.it.arrived(0, rpc(&format!("high{i}"), TOKEN)));
+    (0..10).for_each(|i| s.it.request_arrived(0, rpc(&format!("low{i}"), IDEM)));
+    (0..10).for_each(|i| s.it.request_arrived(0, rpc(&format!("high{i}"), TOKEN)));
     let pushed: Vec<String> = s.turn().into_iter().filter(|d| d.starts_with("push")).collect();
     assert_eq!(pushed, ["push low0", "push low1", "push low2", "push low3"]);
 }
@@ -188,7 +188,7 @@
         [(false, 0, 27), (true, 0, 10), (true, 5_000_000, 18), (true, 10_000_000, 27), (true, 99_000_000, 27)]
     {
         let crowd = Crowd { multiple: 5.0, cold, cold_from: 0.25, warm_within_us: 10_000_000 };
-        assert_eq!(Cores::new(6, crowd, 30_000_000, 0).ceiling(at), ceiling, "{cold} {at}");
+        assert_eq!(ConcurrencyLimit::new(6, crowd, 0).ceiling(at), ceiling, "{cold} {at}");
     }
     // Those at their calls come back to the cores: they count, so that a stall below cannot pile them up.
     let mut s = Given::default().start();
@@ -223,7 +223,7 @@
 fn a_drain_runs_only_what_came_within_the_grace() {
     for (came, want) in [(2_000_000, "run a"), (2_000_001, "push a")] {
         let mut s = Given::default().start();
-        s.it.leave(0, 6_000_000);
+        s.it.drain(0, 6_000_000);
         assert_eq!(s.turn(), ["ready false", "signal 0.00"]);
         s.now = 2_500_000;
         assert_eq!(s.arrives(Arrival { queued_us: s.now - came, ..rpc("a", IDEM) }), [want]);
@@ -231,7 +231,7 @@
     let mut s = Given::default().start();
     s.fill();
     s.arrive("a", IDEM);
-    s.it.leave(0, 1_000_000);
+    s.it.drain(0, 1_000_000);
     s.turn();
     let did = s.at(975_000);
     assert_eq!(did.iter().filter(|d| d.starts_with("abort")).count(), 6, "all answered before the stop");
