--- a/crates/ochrewalk-lab/src/capacity/catalog.rs
+++ b/crates/ochrewalk-lab/src/capacity/catalog.rs
@@ -70,7 +70,7 @@
         name: "rollout controller",
         state: "one state for each node",
         mechanism: Mechanism::Present {
-            file: "crates/ochrewalk-rollout/src/controller.rs",
+            file: "crates/ochrewalk-rollout/src/controller",
             what: "changes nodes in stages",
         },
     },
