--- /dev/null
+++ b/crates/ochrewalk-node/tests/configuration/main.rs
@@ -0,0 +1,12 @@
+//! The real program and a control plane of real processes on loopback: what is published is in force in a running node,
+//! what is wrong is rejected and seen, and without any relay the node serves on.
+
+#[path = "../helper/mod.rs"]
+mod helper;
+
+mod control_plane;
+mod node;
+mod outages;
+mod quotas;
+mod relay_stand_in;
+mod updates;
--- /dev/null
+++ b/crates/ochrewalk-node/tests/configuration/node.rs
@@ -0,0 +1,36 @@
+//! A node that follows a control plane, and its clients.
+
+use crate::helper::{req, Peer, Stand};
+use ochrewalk_lab::ajp::{Call, Peer as Ajp};
+use std::time::Duration;
+
+/// Far longer than anything takes that works.
+pub const PATIENCE: Duration = Duration::from_secs(10);
+
+pub const FRONT: &str = "
+ajp listen AJP
+ajp allow 127.0.0.0/8
+ajp memory 20.5
+ajp header tenant X-Tenant
+ajp route POST /sync sync
+";
+
+pub fn up(directives: &str) -> (Stand, Peer) {
+    let (stand, executor, _) = Stand::up_with(|_| (), &format!("{FRONT}{directives}"));
+    (stand, executor)
+}
+
+pub fn connect(stand: &Stand) -> Ajp {
+    Ajp::connect(stand.ajp.parse().unwrap(), PATIENCE).unwrap()
+}
+
+pub fn request<'a>(method: &'a str, uri: &'a str, number: u64) -> Call<'a> {
+    Call { method, uri, headers: vec![("x-request-id", req(number))], secret: None, body: b"" }
+}
+
+/// Whether a path is routed for GET: another HTTP method is then turned down as such, and reaches no executor.
+pub fn is_routed(stand: &Stand, uri: &str) -> bool {
+    let answer = connect(stand).call(&request("PATCH", uri, 1)).unwrap();
+    assert!(matches!(answer.status, 404 | 405), "{answer:?}");
+    answer.status == 405
+}
--- /dev/null
+++ b/crates/ochrewalk-node/tests/configuration/relay_stand_in.rs
@@ -0,0 +1,69 @@
+//! A stand-in for a relay, which a test drives message by message.
+
+use crate::control_plane::{BETWEEN_LOOKS, LOOKS};
+use crate::node::PATIENCE;
+use ochrewalk_control_plane::frame::{encode, FrameDecoder};
+use ochrewalk_distribution::messages::{Body, Subscribe, Watch};
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+
+/// A stand-in for a relay, for one node.
+pub struct RelayStandIn {
+    stream: TcpStream,
+    decoder: FrameDecoder,
+}
+
+impl RelayStandIn {
+    pub fn say(&mut self, body: Body) {
+        let mut bytes = Vec::new();
+        encode(body, &mut bytes);
+        self.stream.write_all(&bytes).unwrap();
+    }
+
+    pub fn hear(&mut self) -> Body {
+        let mut chunk = [0; 4096];
+        loop {
+            if let Some(body) = self.decoder.next_message().unwrap() {
+                return body;
+            }
+            let count = self.stream.read(&mut chunk).unwrap();
+            assert!(count > 0, "the node has gone");
+            self.decoder.push(&chunk[..count]);
+        }
+    }
+
+    pub fn hear_subscribe(&mut self) -> Subscribe {
+        match self.hear() {
+            Body::Subscribe(subscribe) => subscribe,
+            other => panic!("{other:?}"),
+        }
+    }
+
+    /// Hears the next watch, in heartbeats meanwhile.
+    pub fn hear_watch(&mut self) -> Watch {
+        loop {
+            match self.hear() {
+                Body::Watch(watch) => return watch,
+                Body::Report(_) => {}
+                other => panic!("{other:?}"),
+            }
+        }
+    }
+}
+
+/// The node connects to one of both.
+pub fn accept_from_either(first: &TcpListener, second: &TcpListener) -> RelayStandIn {
+    first.set_nonblocking(true).unwrap();
+    second.set_nonblocking(true).unwrap();
+    for _ in 0..LOOKS {
+        for listener in [first, second] {
+            if let Ok((stream, _)) = listener.accept() {
+                stream.set_nonblocking(false).unwrap();
+                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                return RelayStandIn { stream, decoder: FrameDecoder::new(1024 * 1024) };
+            }
+        }
+        std::thread::sleep(BETWEEN_LOOKS);
+    }
+    panic!("the node connects to no relay");
+}
