--- a/crates/ochrewalk-node/tests/configuration/main.rs
+++ b/crates/ochrewalk-node/tests/configuration/main.rs
@@ -4,8 +4,10 @@
 #[path = "../helper/mod.rs"]
 mod helper;
 
+mod commands;
 mod control_plane;
 mod node;
+mod operator_socket;
 mod outages;
 mod quotas;
 mod relay_stand_in;
