--- a/crates/ochrewalk-node/tests/configuration/main.rs
+++ b/crates/ochrewalk-node/tests/configuration/main.rs
@@ -4,6 +4,7 @@
 #[path = "../helper/mod.rs"]
 mod helper;
 
+mod agent;
 mod commands;
 mod control_plane;
 mod node;
--- a/crates/ochrewalk-node/tests/configuration_state.rs
+++ b/crates/ochrewalk-node/tests/configuration_state.rs
@@ -1,6 +1,6 @@
 //! What an update of the distributed configuration changes in a node, and what is refused as a whole.
 
-use ochrewalk_distribution::messages::{Position, Resource};
+use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
@@ -184,3 +184,73 @@
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
     assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
 }
+
+#[test]
+fn each_reason_for_a_rejection_names_the_resource() {
+    let methods = [("look".to_string(), target(0, true))].into();
+    let mut bare = NodeConfiguration::new(methods, FileConfiguration::default(), 0);
+    let mut reason = |update: &CompleteUpdate| bare.apply(update).unwrap_err().to_string();
+    assert_eq!(
+        reason(&snapshot(1, "route shop GET /a look")),
+        "route shop GET /a: this node has no front that is routed"
+    );
+    assert_eq!(
+        reason(&snapshot(1, "endpoint shop 10.0.0.1:80 1 east")),
+        "endpoint shop 10.0.0.1:80: this node calls nothing by AJP"
+    );
+    let mut unknown = snapshot(1, "delete quota acme");
+    let name = ResourceName { kind: 99, scope: "shop".into(), name: "thing".into() };
+    unknown.resources = vec![Arc::new(Resource { name, revision: 1, value: None })];
+    assert_eq!(reason(&unknown), "unknown shop thing: a kind that this version does not know");
+    bare.apply(&snapshot(3, "quota acme 1")).unwrap();
+    assert_eq!(
+        bare.apply(&update(2, "quota acme 2")).unwrap_err().to_string(),
+        "the update leads to Position { epoch: 1, revision: 2 }, older than Position { epoch: 1, revision: 3 }"
+    );
+}
+
+#[test]
+fn cached_quotas_are_listed_up_to_a_number_and_say_whether_there_is_one() {
+    let mut node = node();
+    let mut first = snapshot(1, "quota acme 5\nquota other 1");
+    first.absent = vec![quota_name("nobody")];
+    node.apply(&first).unwrap();
+    let all = [(quota_name("acme"), true), (quota_name("nobody"), false), (quota_name("other"), true)];
+    assert_eq!(node.held_quotas(3), all);
+    assert_eq!(node.held_quotas(100), all);
+    assert_eq!(node.held_quotas(2), all[..2]);
+    assert_eq!(node.held_quotas(0), []);
+    assert_eq!(node.resources().count(), 2);
+    node.forget_quotas(["acme", "nobody", "unheard"]);
+    assert_eq!(node.held_quotas(3), all[2..]);
+    assert_eq!((node.resources().count(), node.absent_quotas().len()), (1, 0));
+}
+
+#[test]
+fn a_snapshot_forgets_which_routes_the_file_hid_before() {
+    let mut node = node();
+    node.apply(&snapshot(1, "route shop GET /a look")).unwrap();
+    let (_, faults) = node.replace_file(file(&[("GET", "/a", 0)]));
+    assert_eq!(faults.len(), 1);
+    node.replace_file(file(&[]));
+    let in_force = node.apply(&snapshot(2, "route shop GET /a look")).unwrap();
+    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
+    let in_force = node.apply(&update(3, "delete route shop GET /a")).unwrap();
+    assert_eq!(finds(&in_force, "GET", "/a"), Found::NoRoute);
+}
+
+#[test]
+fn a_rejected_snapshot_changes_nothing() {
+    let mut node = node();
+    node.apply(&snapshot(1, "route shop GET /a look\nquota acme 5\nlimit shop usual-memory-kb 20")).unwrap();
+    let wrong = snapshot(2, "route shop GET /b look\nquota acme 7\nroute shop GET /file look");
+    let fault = node.apply(&wrong).unwrap_err();
+    let route = "route shop GET /file".into();
+    assert_eq!(fault, UpdateFault::RouteConflict { route, why: "GET /file is routed already".into() });
+    let in_force = node.in_force();
+    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
+    assert_eq!(in_force.quotas["acme"].quota().unwrap().per_second, 5.0);
+    assert_eq!(in_force.rules.usual_kb, Some(20.0));
+    assert_eq!(node.position(), Position { epoch: 1, revision: 1 });
+}
