--- a/crates/ochrewalk-node/benches/configuration.rs
+++ b/crates/ochrewalk-node/benches/configuration.rs
@@ -4,7 +4,7 @@
 use ochrewalk_distribution::messages::{Position, Resource};
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
-use ochrewalk_node::configuration::state::{FileConfiguration, NodeConfiguration};
+use ochrewalk_node::configuration::node_configuration::{FileConfiguration, NodeConfiguration};
 use ochrewalk_operators::resources::{read_changes, RouteTarget};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -31,7 +31,7 @@
     println!("routes tenants snapshot_ms update_p50_us update_max_us swap_p99_us swap_max_us");
     for (routes, tenants) in [(100, 100), (1_000, 1_000), (10_000, 16_384), (49_000, 16_384)] {
         let methods = [("look".to_string(), RouteTarget { position: 0, is_idempotent: true })].into();
-        let file = FileConfiguration { has_front: true, ..FileConfiguration::default() };
+        let file = FileConfiguration { has_listener: true, ..FileConfiguration::default() };
         let mut node = NodeConfiguration::new(methods, file, 0);
         let mut text = String::new();
         (0..routes).for_each(|route| text.push_str(&format!("route shop GET /shop/{route}/items look\n")));
--- a/crates/ochrewalk-node/src/configuration/from_files.rs
+++ b/crates/ochrewalk-node/src/configuration/from_files.rs
@@ -1,23 +1,23 @@
 //! The configuration of a node as its own files say it, and the agent that adds what is distributed.
 
 use crate::configuration::agent::{self, PreparedAgent};
-use crate::configuration::state::{FileConfiguration, InForce, NodeConfiguration};
+use crate::configuration::node_configuration::{ConfigurationInForce, FileConfiguration, NodeConfiguration};
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::{AjpFront, Open};
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::Effect;
 use ochrewalk_operators::resources::RouteTarget;
 use ochrewalk_operators::OperatorConfig;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 
 /// What of the operators' file distributed configuration comes on top of.
 pub(crate) fn file_configuration(operators: OperatorConfig) -> FileConfiguration {
-    let has_front = operators.ajp_listener.is_some();
+    let has_listener = operators.ajp_listener.is_some();
     let (allowed_peers, rules) =
-        operators.ajp_listener.map(|front| (front.allowed_peers, front.rules)).unwrap_or_default();
+        operators.ajp_listener.map(|listener| (listener.allowed_peers, listener.rules)).unwrap_or_default();
     let zone = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.zone.clone());
     let endpoints = operators.ajp_upstream.map(|upstream| upstream.endpoints);
-    FileConfiguration { allowed_peers, rules, endpoints, zone, has_front }
+    FileConfiguration { allowed_peers, rules, endpoints, zone, has_listener }
 }
 
 /// The agent of the control plane, where the operators' file names one.
@@ -41,18 +41,18 @@
     );
     let in_force_endpoints =
         Mutex::new(operators.ajp_upstream.as_ref().map(|upstream| upstream.endpoints.clone()));
-    let front = ajp.clone();
+    let listener = ajp.clone();
     let retired: Mutex<Vec<Arc<Open>>> = Mutex::default();
-    let take_over = move |in_force: InForce| {
-        if let Some(front) = &front {
-            let InForce { allowed_peers, rules, quotas, .. } = in_force;
-            let before = front.change(Open { allowed_peers, rules, quotas });
-            let mut retired = retired.lock().unwrap_or_else(|broken| broken.into_inner());
+    let activate = move |in_force: ConfigurationInForce| {
+        if let Some(listener) = &listener {
+            let ConfigurationInForce { allowed_peers, rules, quotas, .. } = in_force;
+            let before = listener.change(Open { allowed_peers, rules, quotas });
+            let mut retired = retired.lock().unwrap_or_else(PoisonError::into_inner);
             retired.push(before);
             // What no request goes by any more is freed here, by the agent's thread.
             retired.retain(|open| Arc::strong_count(open) > 1);
         }
-        let mut before = in_force_endpoints.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut before = in_force_endpoints.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Some(by_ajp), Some(endpoints)) = (&by_ajp, &in_force.endpoints) {
             if before.as_ref() != Some(endpoints) {
                 by_ajp.relist(endpoints);
@@ -60,9 +60,9 @@
         }
         *before = in_force.endpoints;
     };
-    let prepared = agent::prepare(&placement.name, config, state, placement.seed, Box::new(take_over))?;
-    if let Some(front) = &ajp {
-        front.fetch_quotas_by(prepared.handle.clone());
+    let prepared = agent::prepare(&placement.name, config, state, placement.seed, Box::new(activate))?;
+    if let Some(listener) = &ajp {
+        listener.fetch_quotas_by(prepared.handle.clone());
     }
     Ok(Some(prepared))
 }
--- a/crates/ochrewalk-node/src/configuration/mod.rs
+++ b/crates/ochrewalk-node/src/configuration/mod.rs
@@ -2,4 +2,4 @@
 
 pub mod agent;
 pub mod from_files;
-pub mod state;
+pub mod node_configuration;
--- a/crates/ochrewalk-node/src/configuration/state.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -28,84 +28,84 @@
     pub endpoints: Option<Vec<UpstreamEndpoint>>,
     /// The zone of this node.
     pub zone: Option<String>,
-    /// There is a front whose routes can change.
-    pub has_front: bool,
+    /// Whether the node has a listener whose routes can change.
+    pub has_listener: bool,
 }
 
-/// A tenant whose quota was asked for.
+/// A tenant's quota that was requested.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct KnownTenant {
-    /// Its number here, as long as it is held.
+pub struct CachedQuota {
+    /// The tenant's number here, as long as its quota is cached.
     id: u32,
     /// RPCs a second over the whole fleet; none where it is known to have no quota.
     per_second: Option<f64>,
 }
 
-impl KnownTenant {
+impl CachedQuota {
     /// What the decision module is told of an RPC of this tenant; nothing where it has no quota.
     pub fn quota(&self) -> Option<Tenant> {
         self.per_second.map(|per_second| Tenant { id: self.id, per_second })
     }
 }
 
-/// Tenants that are held. One that is not there was not asked for yet: its RPCs count as within their quota until the
+/// Quotas by tenant. One that is not there was not requested yet: its RPCs count as within their quota until the
 /// answer comes.
-pub type Quotas = BTreeMap<Arc<str>, KnownTenant>;
+pub type CachedQuotas = BTreeMap<Arc<str>, CachedQuota>;
 
-/// What is in force, taken over as one.
+/// The configuration in force, which is activated as one.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ConfigurationInForce {
     pub allowed_peers: AllowedPeers,
     pub rules: Rules,
-    pub quotas: Arc<Quotas>,
+    pub quotas: Arc<CachedQuotas>,
     pub endpoints: Option<Vec<UpstreamEndpoint>>,
 }
 
-/// Why an update is not taken: the last good state stays in force.
+/// Why an update is rejected: the last good state stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UpdateFault {
+pub enum UpdateError {
     #[error(transparent)]
     Resource(#[from] InvalidResource),
-    #[error("{route}: {why}")]
-    RouteConflict { route: String, why: String },
-    #[error("{0}: this node has no front that is routed")]
-    NoFront(String),
+    #[error("{route}: {reason}")]
+    RouteConflict { route: String, reason: String },
+    #[error("{0}: this node has no listener that is routed")]
+    NoListener(String),
     #[error("{0}: this node calls nothing by AJP")]
     NoEndpoints(String),
     #[error("{0}: a kind that this version does not know")]
     UnknownKind(String),
     #[error(transparent)]
-    Order(#[from] ApplyError),
+    Apply(#[from] ApplyError),
 }
 
 /// The node's methods by name: their positions, and whether each may happen twice.
-pub type Methods = HashMap<String, RouteTarget>;
+pub type MethodsByName = HashMap<String, RouteTarget>;
 
 /// The configuration of a node: its files, what was distributed to it, and what both come to.
 #[derive(Debug)]
 pub struct NodeConfiguration {
-    methods: Methods,
+    methods: MethodsByName,
     file: FileConfiguration,
     distributed: Store,
     routes: Routes,
-    /// Distributed routes that the node's file has, too: the file's is in force, and theirs is not taken out.
-    left_out: BTreeSet<ResourceName>,
-    quotas: Arc<Quotas>,
+    /// Distributed routes that the node's file overrides: the file's are in force.
+    overridden: BTreeSet<ResourceName>,
+    quotas: Arc<CachedQuotas>,
     /// The number of the next tenant: one is not given twice.
-    next_tenant: u32,
+    next_tenant_id: u32,
 }
 
 /// An update that was found good and is not in force yet.
 #[derive(Debug)]
-pub struct Staged {
+pub struct StagedUpdate {
     routes: Routes,
-    quotas: Arc<Quotas>,
-    next_tenant: u32,
+    quotas: Arc<CachedQuotas>,
+    next_tenant_id: u32,
 }
 
 impl NodeConfiguration {
-    /// What the files say alone. Numbers of tenants below `first_tenant` are the node file's own.
-    pub fn new(methods: Methods, file: FileConfiguration, first_tenant: u32) -> NodeConfiguration {
+    /// What the files say alone. Numbers of tenants below `first_tenant_id` are the node file's own.
+    pub fn new(methods: MethodsByName, file: FileConfiguration, first_tenant_id: u32) -> NodeConfiguration {
         let routes = file.rules.routes.clone();
         let distributed = Store::new(0, STORE_LIMITS);
         NodeConfiguration {
@@ -113,9 +113,9 @@
             file,
             distributed,
             routes,
-            left_out: BTreeSet::new(),
+            overridden: BTreeSet::new(),
             quotas: Arc::default(),
-            next_tenant: first_tenant,
+            next_tenant_id: first_tenant_id,
         }
     }
 
@@ -131,39 +131,39 @@
 
     /// Tenants that are known to have no quota.
     pub fn absent_quotas(&self) -> Vec<ResourceName> {
-        let absent = self.quotas.iter().filter(|(_, known)| known.per_second.is_none());
+        let absent = self.quotas.iter().filter(|(_, cached)| cached.per_second.is_none());
         absent.map(|(tenant, _)| quota_name(tenant)).collect()
     }
 
-    /// The names of the first `most` tenants that are held, and whether each has a quota.
-    pub fn held_quotas(&self, most: usize) -> Vec<(ResourceName, bool)> {
-        let held = self.quotas.iter().take(most);
-        held.map(|(tenant, known)| (quota_name(tenant), known.per_second.is_some())).collect()
+    /// The names of the first `limit` cached quotas, and whether there is one.
+    pub fn cached_quotas(&self, limit: usize) -> Vec<(ResourceName, bool)> {
+        let cached = self.quotas.iter().take(limit);
+        cached.map(|(tenant, quota)| (quota_name(tenant), quota.per_second.is_some())).collect()
     }
 
-    /// Checks an update and brings it into force, or leaves all as it is and says why.
-    pub fn apply(&mut self, update: &CompleteUpdate) -> Result<InForce, UpdateFault> {
+    /// Checks an update and applies it as a whole, or leaves all as it is.
+    pub fn apply(&mut self, update: &CompleteUpdate) -> Result<ConfigurationInForce, UpdateError> {
         let staged = self.stage(update)?;
         self.distributed.apply(update)?;
         self.routes = staged.routes;
         if update.is_snapshot {
-            self.left_out.clear();
+            self.overridden.clear();
         }
         for resource in &update.resources {
-            self.left_out.remove(&resource.name);
+            self.overridden.remove(&resource.name);
         }
         self.quotas = staged.quotas;
-        self.next_tenant = staged.next_tenant;
+        self.next_tenant_id = staged.next_tenant_id;
         Ok(self.in_force())
     }
 
     /// What is in force now.
-    pub fn in_force(&self) -> InForce {
+    pub fn in_force(&self) -> ConfigurationInForce {
         let mut rules = Rules { routes: self.routes.clone(), ..self.file.rules.clone() };
         if let Some(amount) = self.limit(LIMIT_USUAL_MEMORY) {
             rules.usual_kb = Some(amount);
         }
-        InForce {
+        ConfigurationInForce {
             allowed_peers: self.file.allowed_peers.clone(),
             rules,
             quotas: self.quotas.clone(),
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Quotas of these tenants are no longer watched: they would go stale.
-    pub fn forget_quotas<'a>(&mut self, tenants: impl IntoIterator<Item = &'a str>) -> InForce {
+    /// Removes the quotas of these tenants, which are no longer watched and would go stale.
+    pub fn forget_quotas<'a>(&mut self, tenants: impl IntoIterator<Item = &'a str>) -> ConfigurationInForce {
         let quotas = Arc::make_mut(&mut self.quotas);
         for tenant in tenants {
             quotas.remove(tenant);
@@ -181,24 +181,24 @@
         self.in_force()
     }
 
-    /// The node's files have changed. A distributed route that the file now has, too, is left out and named.
-    pub fn replace_file(&mut self, file: FileConfiguration) -> (InForce, Vec<UpdateFault>) {
+    /// The node's files have changed. Returns an error for each distributed route that the file now overrides.
+    pub fn replace_file(&mut self, file: FileConfiguration) -> (ConfigurationInForce, Vec<UpdateError>) {
         let mut routes = file.rules.routes.clone();
         let mut faults = Vec::new();
-        let mut left_out = BTreeSet::new();
+        let mut overridden = BTreeSet::new();
         for resource in self.distributed.iter() {
             if let Err(fault) = self.add_route(&mut routes, resource) {
                 faults.push(fault);
-                left_out.insert(resource.name.clone());
+                overridden.insert(resource.name.clone());
             }
         }
         self.routes = routes;
-        self.left_out = left_out;
+        self.overridden = overridden;
         self.file = file;
         (self.in_force(), faults)
     }
 
-    fn stage(&self, update: &CompleteUpdate) -> Result<Staged, UpdateFault> {
+    fn stage(&self, update: &CompleteUpdate) -> Result<StagedUpdate, UpdateError> {
         for resource in &update.resources {
             self.check(resource)?;
         }
@@ -211,19 +211,19 @@
         for resource in &update.resources {
             self.add_route(&mut routes, resource)?;
         }
-        let (quotas, next_tenant) = self.staged_quotas(update);
-        Ok(Staged { routes, quotas, next_tenant })
+        let (quotas, next_tenant_id) = self.staged_quotas(update);
+        Ok(StagedUpdate { routes, quotas, next_tenant_id })
     }
 
-    fn check(&self, resource: &Resource) -> Result<(), UpdateFault> {
+    fn check(&self, resource: &Resource) -> Result<(), UpdateError> {
         check(resource)?;
         match resource.name.kind() {
-            ResourceKind::Unknown => Err(UpdateFault::UnknownKind(describe(&resource.name))),
-            ResourceKind::Route if !self.file.has_front => {
-                Err(UpdateFault::NoFront(describe(&resource.name)))
+            ResourceKind::Unknown => Err(UpdateError::UnknownKind(describe(&resource.name))),
+            ResourceKind::Route if !self.file.has_listener => {
+                Err(UpdateError::NoListener(describe(&resource.name)))
             }
             ResourceKind::Endpoint if self.file.endpoints.is_none() => {
-                Err(UpdateFault::NoEndpoints(describe(&resource.name)))
+                Err(UpdateError::NoEndpoints(describe(&resource.name)))
             }
             _ => Ok(()),
         }
@@ -231,21 +231,21 @@
 
     fn remove_route(&self, routes: &mut Routes, resource: &Resource) {
         let before = self.distributed.get(&resource.name).and_then(|before| before.value.as_ref());
-        let is_in_force = !self.left_out.contains(&resource.name);
+        let is_in_force = !self.overridden.contains(&resource.name);
         if let (Some(Value::Route(route)), true) = (before, is_in_force) {
             routes.remove(&route.http_method, &route.path);
         }
     }
 
-    fn add_route(&self, routes: &mut Routes, resource: &Resource) -> Result<(), UpdateFault> {
+    fn add_route(&self, routes: &mut Routes, resource: &Resource) -> Result<(), UpdateError> {
         let Some(Value::Route(route)) = &resource.value else { return Ok(()) };
         let target = self.methods.get(&route.method).copied();
         let method = check_route_target(&resource.name, route, target)?;
         let added = routes.add(&route.http_method, &route.path, method);
-        added.map_err(|why| UpdateFault::RouteConflict { route: describe(&resource.name), why })
+        added.map_err(|reason| UpdateError::RouteConflict { route: describe(&resource.name), reason })
     }
 
-    fn staged_quotas(&self, update: &CompleteUpdate) -> (Arc<Quotas>, u32) {
+    fn staged_quotas(&self, update: &CompleteUpdate) -> (Arc<CachedQuotas>, u32) {
         let is_quota = |name: &ResourceName| name.kind() == ResourceKind::Quota;
         let changed = update.resources.iter().filter(|resource| is_quota(&resource.name));
         let changed = changed.map(|resource| match &resource.value {
@@ -255,19 +255,19 @@
         let absent = update.absent.iter().filter(|name| is_quota(name)).map(|name| (name, None));
         let mut changed = changed.chain(absent).peekable();
         if !update.is_snapshot && changed.peek().is_none() {
-            return (self.quotas.clone(), self.next_tenant);
+            return (self.quotas.clone(), self.next_tenant_id);
         }
-        let mut quotas = if update.is_snapshot { Quotas::new() } else { (*self.quotas).clone() };
-        let mut next_tenant = self.next_tenant;
+        let mut quotas = if update.is_snapshot { CachedQuotas::new() } else { (*self.quotas).clone() };
+        let mut next_tenant_id = self.next_tenant_id;
         for (name, per_second) in changed {
             // A tenant keeps its number over a change, and with it what the module holds against its quota.
-            let id = self.quotas.get(name.name.as_str()).map_or(next_tenant, |known| known.id);
-            if id == next_tenant {
-                next_tenant = next_tenant.wrapping_add(1);
+            let id = self.quotas.get(name.name.as_str()).map_or(next_tenant_id, |cached| cached.id);
+            if id == next_tenant_id {
+                next_tenant_id = next_tenant_id.wrapping_add(1);
             }
-            quotas.insert(name.name.as_str().into(), KnownTenant { id, per_second });
+            quotas.insert(name.name.as_str().into(), CachedQuota { id, per_second });
         }
-        (Arc::new(quotas), next_tenant)
+        (Arc::new(quotas), next_tenant_id)
     }
 
     fn limit(&self, limit: &str) -> Option<f64> {
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -10,7 +10,7 @@
 use super::front::{Front, ENDING};
 use super::link::{carry, let_go, Finish, Outbox};
 use crate::configuration::agent::ConfigurationHandle;
-use crate::configuration::state::Quotas;
+use crate::configuration::node_configuration::CachedQuotas;
 use crate::core::Core;
 use crate::ending::Ending;
 use crate::handover::records::ClientAddress;
@@ -39,7 +39,7 @@
     pub allowed_peers: AllowedPeers,
     pub rules: Rules,
     /// Tenants whose quotas came from the control plane.
-    pub quotas: Arc<Quotas>,
+    pub quotas: Arc<CachedQuotas>,
 }
 
 pub struct AjpFront {
@@ -120,10 +120,10 @@
             return self.core.deployment.tenant(tenant);
         };
         if let Some((tenant, known)) = open.quotas.get_key_value(tenant) {
-            configuration.used_quota(tenant.clone());
+            configuration.record_quota_use(tenant.clone());
             return known.quota();
         }
-        configuration.want_quota(tenant.into());
+        configuration.request_quota(tenant.into());
         self.core.deployment.tenant(tenant)
     }
 
--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -2,7 +2,7 @@
 
 use crate::control_plane::wait_until;
 use crate::helper::{file, listener, unix_ms};
-use crate::node::PATIENCE;
+use crate::node::TIMEOUT;
 use crate::relay_stand_in::{accept_from_either, RelayStandIn};
 use ochrewalk_control_plane::state_file::StateFile;
 use ochrewalk_distribution::messages::{Body, Position, Resource, Update};
@@ -10,7 +10,9 @@
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
 use ochrewalk_node::configuration::agent::{prepare, PreparedAgent};
-use ochrewalk_node::configuration::state::{FileConfiguration, InForce, NodeConfiguration};
+use ochrewalk_node::configuration::node_configuration::{
+    ConfigurationInForce, FileConfiguration, NodeConfiguration,
+};
 use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
 use ochrewalk_operators::ConfigAgent;
 use std::io::{self, Write};
@@ -93,7 +95,7 @@
     routes.add("GET", route, 0).unwrap();
     FileConfiguration {
         rules: Rules { routes, ..Rules::default() },
-        has_front: true,
+        has_listener: true,
         ..FileConfiguration::default()
     }
 }
@@ -104,7 +106,10 @@
 }
 
 /// An agent that follows `relays`, and what it applied in its order.
-fn prepared(relays: &[&TcpListener], snapshot: Option<PathBuf>) -> (PreparedAgent, Receiver<InForce>) {
+fn prepared(
+    relays: &[&TcpListener],
+    snapshot: Option<PathBuf>,
+) -> (PreparedAgent, Receiver<ConfigurationInForce>) {
     let config = ConfigAgent {
         relays: relays.iter().map(|relay| relay.local_addr().unwrap()).collect(),
         region: "east".into(),
@@ -118,7 +123,7 @@
     (prepare(NODE, &config, node(), SEED, apply).unwrap(), applied)
 }
 
-fn is_routed(in_force: &InForce, path: &str) -> bool {
+fn is_routed(in_force: &ConfigurationInForce, path: &str) -> bool {
     matches!(in_force.rules.routes.find(b"GET", path.as_bytes()).unwrap(), Found::Method(_))
 }
 
@@ -167,7 +172,7 @@
 
 fn report(relay: &mut RelayStandIn) -> ochrewalk_distribution::messages::Report {
     loop {
-        match relay.hear() {
+        match relay.receive() {
             Body::Report(report) => return report,
             Body::Watch(_) => {}
             other => panic!("{other:?}"),
@@ -206,12 +211,12 @@
         assert!(applied.try_recv().is_err());
         assert_eq!(agent.handle.position(), at(2));
         agent.start().unwrap();
-        let subscribe = accept_from_either(&first, &second).hear_subscribe();
+        let subscribe = accept_from_either(&first, &second).receive_subscribe();
         assert_eq!((subscribe.node.as_str(), subscribe.region.as_str()), (NODE, "east"));
         assert_eq!((subscribe.applied, subscribe.scopes), (Some(at(2)), vec!["shop".to_string()]));
         assert_eq!(subscribe.names, [quota_name("acme"), quota_name("nobody")]);
     });
-    assert_eq!(without_age(&log), " INFO 1.2 was kept, AGE s ago part=\"config\"\n");
+    assert_eq!(without_age(&log), " INFO 1.2 was persisted AGE s ago and is restored part=\"config\"\n");
 }
 
 #[test]
@@ -221,7 +226,7 @@
     written(&folder.state(), "quota a 1\nquota b 2\nquota c 3\n");
     let (agent, _applied) = prepared(&[&first, &second], Some(folder.state()));
     agent.start().unwrap();
-    let subscribe = accept_from_either(&first, &second).hear_subscribe();
+    let subscribe = accept_from_either(&first, &second).receive_subscribe();
     assert_eq!(subscribe.names, [quota_name("a"), quota_name("b")]);
 }
 
@@ -241,11 +246,11 @@
         assert!(is_routed(&in_force, "/a") && !is_routed(&in_force, "/b"));
         assert_eq!(agent.handle.position(), at(1));
     });
-    let wanted = format!(
-        " WARN the last {damaged} bytes of what was kept are damaged and passed over part=\"config\"\n \
-         INFO 1.1 was kept, AGE s ago part=\"config\"\n"
+    let expected = format!(
+        " WARN the last {damaged} bytes of the persisted state are damaged and ignored part=\"config\"\n \
+         INFO 1.1 was persisted AGE s ago and is restored part=\"config\"\n"
     );
-    assert_eq!(without_age(&log), wanted);
+    assert_eq!(without_age(&log), expected);
 }
 
 #[test]
@@ -261,9 +266,9 @@
         assert!(is_routed(&in_force, "/a") && is_routed(&in_force, "/file") && !is_routed(&in_force, "/c"));
         assert_eq!(agent.handle.position(), at(1));
     });
-    let wanted = " WARN what was kept is taken up to before this: route shop GET /file: GET /file is routed \
-                  already part=\"config\"\n INFO 1.1 was kept, AGE s ago part=\"config\"\n";
-    assert_eq!(without_age(&log), wanted);
+    let expected = " WARN the persisted state is restored up to before this: route shop GET /file: GET /file is routed \
+                  already part=\"config\"\n INFO 1.1 was persisted AGE s ago and is restored part=\"config\"\n";
+    assert_eq!(without_age(&log), expected);
 }
 
 #[test]
@@ -277,9 +282,9 @@
         assert_eq!(agent.handle.position(), Position::default());
     });
     let path = folder.state();
-    let wanted =
+    let expected =
         format!("ERROR {}: no state of this version; beginning without it part=\"config\"\n", path.display());
-    assert_eq!(log, wanted);
+    assert_eq!(log, expected);
 }
 
 #[test]
@@ -297,12 +302,12 @@
     let handle = agent.handle.clone();
     agent.start().unwrap();
     let mut relay = accept_from_either(&first, &second);
-    relay.hear_subscribe();
-    applied.recv_timeout(PATIENCE).unwrap();
-    relay.say(update(1, None, "route shop GET /a look\n"));
+    relay.receive_subscribe();
+    applied.recv_timeout(TIMEOUT).unwrap();
+    relay.send(update(1, None, "route shop GET /a look\n"));
     assert_eq!(report(&mut relay).applied, at(1));
-    assert!(is_routed(&applied.recv_timeout(PATIENCE).unwrap(), "/a"));
-    relay.say(update(2, Some(at(1)), "route shop GET /b look\nroute shop GET /file look\n"));
+    assert!(is_routed(&applied.recv_timeout(TIMEOUT).unwrap(), "/a"));
+    relay.send(update(2, Some(at(1)), "route shop GET /b look\nroute shop GET /file look\n"));
     let reported = report(&mut relay);
     let rejected = reported.rejected.unwrap();
     assert_eq!((reported.applied, rejected.position), (at(1), at(2)));
@@ -321,19 +326,19 @@
     written(&folder.state(), "quota a 1\nquota b 2\n");
     let (agent, applied) = prepared(&[&first, &second], Some(folder.state()));
     let handle = agent.handle.clone();
-    assert_eq!(applied.recv_timeout(PATIENCE).unwrap().quotas.len(), 3);
+    assert_eq!(applied.recv_timeout(TIMEOUT).unwrap().quotas.len(), 3);
     agent.start().unwrap();
     let mut relay = accept_from_either(&first, &second);
-    relay.hear_subscribe();
+    relay.receive_subscribe();
     // The state file is written anew, with a snapshot, once something is applied.
-    relay.say(update(2, Some(at(1)), "route shop GET /a look\n"));
+    relay.send(update(2, Some(at(1)), "route shop GET /a look\n"));
     assert_eq!(report(&mut relay).applied, at(2));
-    assert!(is_routed(&applied.recv_timeout(PATIENCE).unwrap(), "/a"));
-    handle.want_quota("c".into());
-    let watch = relay.hear_watch();
+    assert!(is_routed(&applied.recv_timeout(TIMEOUT).unwrap(), "/a"));
+    handle.request_quota("c".into());
+    let watch = relay.receive_watch();
     assert_eq!((watch.add, watch.remove.len()), (vec![quota_name("c")], 1));
     let removed = watch.remove[0].name.clone();
-    let in_force = applied.recv_timeout(PATIENCE).unwrap();
+    let in_force = applied.recv_timeout(TIMEOUT).unwrap();
     assert!(!in_force.quotas.contains_key(removed.as_str()) && in_force.quotas.len() == 2);
     wait_until("the removal is persisted", || {
         StateFile::open(&folder.state(), NODE).unwrap().1.steps.len() == 2
--- a/crates/ochrewalk-node/tests/configuration/commands.rs
+++ b/crates/ochrewalk-node/tests/configuration/commands.rs
@@ -254,7 +254,7 @@
 #[test]
 fn a_publisher_or_relay_that_cannot_start_says_why_and_exits_with_1() {
     let plane = ControlPlane::start();
-    let (taken, free) = (plane.publisher_at.as_str(), own_address(7103));
+    let (taken, free) = (plane.publisher_address.as_str(), own_address(7103));
     let path = |name: &str| plane.folder.join(name).to_str().unwrap().to_string();
     let (control, log) = (path("other-control"), path("other-log"));
     let serve = |listen: &str, control: &str, log: &str| {
--- a/crates/ochrewalk-node/tests/configuration/node.rs
+++ b/crates/ochrewalk-node/tests/configuration/node.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 /// Far longer than anything takes that works.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-pub const FRONT: &str = "
+pub const LISTENER_DIRECTIVES: &str = "
 ajp listen AJP
 ajp allow 127.0.0.0/8
 ajp memory 20.5
@@ -15,13 +15,13 @@
 ajp route POST /sync sync
 ";
 
-pub fn up(directives: &str) -> (Stand, Peer) {
-    let (stand, executor, _) = Stand::up_with(|_| (), &format!("{FRONT}{directives}"));
+pub fn start_node(directives: &str) -> (Stand, Peer) {
+    let (stand, executor, _) = Stand::up_with(|_| (), &format!("{LISTENER_DIRECTIVES}{directives}"));
     (stand, executor)
 }
 
 pub fn connect(stand: &Stand) -> Ajp {
-    Ajp::connect(stand.ajp.parse().unwrap(), PATIENCE).unwrap()
+    Ajp::connect(stand.ajp.parse().unwrap(), TIMEOUT).unwrap()
 }
 
 pub fn request<'a>(method: &'a str, uri: &'a str, number: u64) -> Call<'a> {
--- a/crates/ochrewalk-node/tests/configuration/outages.rs
+++ b/crates/ochrewalk-node/tests/configuration/outages.rs
@@ -2,31 +2,31 @@
 
 use crate::control_plane::{wait_until, ControlPlane, Process};
 use crate::helper::program;
-use crate::node::{is_routed, up};
+use crate::node::{is_routed, start_node};
 
 #[test]
-fn a_publisher_killed_and_started_again_goes_on_with_what_it_acknowledged() {
+fn a_restarted_publisher_has_all_that_it_acknowledged() {
     let mut plane = ControlPlane::start();
-    let (stand, _executor) = up(&plane.directives(""));
+    let (stand, _executor) = start_node(&plane.directives(""));
     plane.publish("route shop GET /a look\n");
     plane.publisher.kill();
-    plane.publisher = ControlPlane::publisher(&plane.folder, &plane.publisher_at);
+    plane.publisher = ControlPlane::start_publisher(&plane.folder, &plane.publisher_address);
     wait_until("the publisher answers", || plane.status().starts_with("published: 1.1, 1 resources"));
     assert_eq!(plane.publish("route shop GET /b look\n"), "published 1 changes as 1.2\n");
     wait_until("both routes", || is_routed(&stand, "/a") && is_routed(&stand, "/b"));
 }
 
 #[test]
-fn a_relay_that_is_killed_or_stopped_costs_no_change() {
+fn changes_arrive_while_one_relay_is_killed_or_stopped() {
     let mut plane = ControlPlane::start();
-    let (stand, _executor) = up(&plane.directives(""));
+    let (stand, _executor) = start_node(&plane.directives(""));
     plane.publish("route shop GET /a look\n");
     wait_until("the first route", || is_routed(&stand, "/a"));
     // Whichever relay serves: the first is killed, then comes back and the second is stopped.
     plane.relays[0].kill();
     plane.publish("route shop GET /b look\n");
     wait_until("the second route", || is_routed(&stand, "/b"));
-    let relays = plane.relays_at.clone();
+    let relays = plane.relay_addresses.clone();
     plane.relays[0] = Process::start(&[
         "config",
         "relay",
@@ -37,7 +37,7 @@
         "--listen",
         &relays[0],
         "--publisher",
-        &plane.publisher_at,
+        &plane.publisher_address,
     ]);
     wait_until("the relay is back", || plane.status().contains("relays: 2 nodes at 1.2\n"));
     let stopped = plane.relays[1].0.id().to_string();
@@ -50,7 +50,7 @@
 fn without_any_relay_a_node_serves_on_also_after_a_restart_and_then_catches_up() {
     let mut plane = ControlPlane::start();
     let state = plane.folder.join("state");
-    let (stand, _executor) = up(&plane.directives(&format!("config snapshot {}\n", state.display())));
+    let (stand, _executor) = start_node(&plane.directives(&format!("config snapshot {}\n", state.display())));
     plane.publish("route shop GET /a look\n");
     wait_until("the first route", || is_routed(&stand, "/a"));
     plane.publish("delete route shop GET /a\nroute shop GET /b look\n");
@@ -67,17 +67,17 @@
 }
 
 #[test]
-fn a_successor_goes_on_with_what_its_predecessor_had_in_force() {
+fn a_successor_has_in_force_what_its_predecessor_had() {
     let plane = ControlPlane::start();
     let path = |name: &str| plane.folder.join(name).to_str().unwrap().to_string();
     let (state, control) = (path("state"), path("upgrade"));
     let (stand, mut executor) =
-        up(&plane.directives(&format!("config snapshot {state}\nupgrade control {control}\n")));
+        start_node(&plane.directives(&format!("config snapshot {state}\nupgrade control {control}\n")));
     std::thread::spawn(move || executor.hear_out());
     plane.publish("route shop GET /a look\n");
     wait_until("the first route", || is_routed(&stand, "/a"));
-    let words = ["upgrade", "--control", &control, "--program", env!("CARGO_BIN_EXE_ochrewalk")];
-    let output = program(&words).output().unwrap();
+    let arguments = ["upgrade", "--control", &control, "--program", env!("CARGO_BIN_EXE_ochrewalk")];
+    let output = program(&arguments).output().unwrap();
     assert_eq!(String::from_utf8_lossy(&output.stdout), "handed over\n", "{output:?}");
     assert!(is_routed(&stand, "/a"));
     plane.publish("route shop GET /b look\n");
--- a/crates/ochrewalk-node/tests/configuration/quotas.rs
+++ b/crates/ochrewalk-node/tests/configuration/quotas.rs
@@ -1,7 +1,7 @@
 //! Quotas of tenants are fetched by name, on first use.
 
 use crate::helper::{exec, file, listener, req};
-use crate::node::{connect, up};
+use crate::node::{connect, start_node};
 use crate::relay_stand_in::accept_from_either;
 use ochrewalk_distribution::messages::{Body, Heartbeat, Position, Update};
 use ochrewalk_lab::ajp::Call;
@@ -21,18 +21,18 @@
         relays[1],
         state.display()
     );
-    let (stand, mut executor) = up(&directives);
+    let (stand, mut executor) = start_node(&directives);
     let mut relay = accept_from_either(&first, &second);
-    assert_eq!(relay.hear_subscribe().applied, None);
+    assert_eq!(relay.receive_subscribe().applied, None);
     let position = Position { epoch: 1, revision: 4 };
-    relay.say(Body::Update(Update { position, is_snapshot: true, is_last: true, ..Update::default() }));
-    assert!(matches!(relay.hear(), Body::Report(report) if report.applied == position));
+    relay.send(Body::Update(Update { position, is_snapshot: true, is_last: true, ..Update::default() }));
+    assert!(matches!(relay.receive(), Body::Report(report) if report.applied == position));
     // A tenant that was never heard of counts as within its quota, and is asked for.
     let mut peer = connect(&stand);
     let headers = vec![("x-request-id", req(1)), ("x-tenant", "acme".to_string())];
     peer.send(&Call { method: "POST", uri: "/sync", headers, secret: None, body: b"ABC" }.whole()).unwrap();
     executor.hear_of(&exec(1, "sync"));
-    assert_eq!(relay.hear_watch().add, [quota_name("acme")]);
+    assert_eq!(relay.receive_watch().add, [quota_name("acme")]);
     let quota = ochrewalk_operators::resources::read_changes("quota acme 5\n", "changes").unwrap().remove(0);
     let resource = ochrewalk_distribution::messages::Resource { revision: 2, ..quota };
     let mut update = Update {
@@ -45,17 +45,17 @@
         ..Update::default()
     };
     update.checksum = crc32fast::hash(&prost::Message::encode_to_vec(&resource));
-    relay.say(Body::Update(update));
-    assert!(matches!(relay.hear(), Body::Report(report) if report.applied == position));
-    relay.say(Body::Heartbeat(Heartbeat { position, age_ms: 0 }));
+    relay.send(Body::Update(update));
+    assert!(matches!(relay.receive(), Body::Report(report) if report.applied == position));
+    relay.send(Body::Heartbeat(Heartbeat { position, age_ms: 0 }));
     drop(relay);
     let stand = stand.again();
     let mut relay = accept_from_either(&first, &second);
-    let mut subscribe = relay.hear_subscribe();
+    let mut subscribe = relay.receive_subscribe();
     // The process that was killed may have come back to the other relay before: that one names nothing it kept.
     if subscribe.applied.is_none() {
         relay = accept_from_either(&first, &second);
-        subscribe = relay.hear_subscribe();
+        subscribe = relay.receive_subscribe();
     }
     assert_eq!((subscribe.applied, subscribe.names), (Some(position), vec![quota_name("acme")]));
     drop(stand);
--- a/crates/ochrewalk-node/tests/configuration/relay_stand_in.rs
+++ b/crates/ochrewalk-node/tests/configuration/relay_stand_in.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a relay, which a test drives message by message.
 
-use crate::control_plane::{BETWEEN_LOOKS, LOOKS};
-use crate::node::PATIENCE;
+use crate::control_plane::{CHECK_INTERVAL, MAX_CHECKS};
+use crate::node::TIMEOUT;
 use ochrewalk_control_plane::frame::{encode, FrameDecoder};
 use ochrewalk_distribution::messages::{Body, Subscribe, Watch};
 use std::io::{Read, Write};
@@ -14,13 +14,13 @@
 }
 
 impl RelayStandIn {
-    pub fn say(&mut self, body: Body) {
+    pub fn send(&mut self, body: Body) {
         let mut bytes = Vec::new();
         encode(body, &mut bytes);
         self.stream.write_all(&bytes).unwrap();
     }
 
-    pub fn hear(&mut self) -> Body {
+    pub fn receive(&mut self) -> Body {
         let mut chunk = [0; 4096];
         loop {
             if let Some(body) = self.decoder.next_message().unwrap() {
@@ -32,17 +32,17 @@
         }
     }
 
-    pub fn hear_subscribe(&mut self) -> Subscribe {
-        match self.hear() {
+    pub fn receive_subscribe(&mut self) -> Subscribe {
+        match self.receive() {
             Body::Subscribe(subscribe) => subscribe,
             other => panic!("{other:?}"),
         }
     }
 
     /// Hears the next watch, in heartbeats meanwhile.
-    pub fn hear_watch(&mut self) -> Watch {
+    pub fn receive_watch(&mut self) -> Watch {
         loop {
-            match self.hear() {
+            match self.receive() {
                 Body::Watch(watch) => return watch,
                 Body::Report(_) => {}
                 other => panic!("{other:?}"),
@@ -55,15 +55,15 @@
 pub fn accept_from_either(first: &TcpListener, second: &TcpListener) -> RelayStandIn {
     first.set_nonblocking(true).unwrap();
     second.set_nonblocking(true).unwrap();
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_CHECKS {
         for listener in [first, second] {
             if let Ok((stream, _)) = listener.accept() {
                 stream.set_nonblocking(false).unwrap();
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(TIMEOUT)).unwrap();
                 return RelayStandIn { stream, decoder: FrameDecoder::new(1024 * 1024) };
             }
         }
-        std::thread::sleep(BETWEEN_LOOKS);
+        std::thread::sleep(CHECK_INTERVAL);
     }
     panic!("the node connects to no relay");
 }
--- a/crates/ochrewalk-node/tests/configuration_state.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -4,7 +4,9 @@
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
-use ochrewalk_node::configuration::state::{FileConfiguration, InForce, NodeConfiguration, UpdateFault};
+use ochrewalk_node::configuration::node_configuration::{
+    ConfigurationInForce, FileConfiguration, NodeConfiguration, UpdateError,
+};
 use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
 use ochrewalk_operators::UpstreamEndpoint;
 use std::sync::Arc;
@@ -22,7 +24,7 @@
         rules: Rules { routes: table, ..Rules::default() },
         endpoints: Some(Vec::new()),
         zone: Some("east".into()),
-        has_front: true,
+        has_listener: true,
         ..FileConfiguration::default()
     }
 }
@@ -47,12 +49,12 @@
     CompleteUpdate { is_snapshot: true, ..update(revision, changes) }
 }
 
-fn finds(in_force: &InForce, http: &str, path: &str) -> Found {
+fn finds(in_force: &ConfigurationInForce, http: &str, path: &str) -> Found {
     in_force.rules.routes.find(http.as_bytes(), path.as_bytes()).unwrap()
 }
 
 #[test]
-fn routes_come_change_and_go_beside_those_of_the_file() {
+fn distributed_routes_are_added_replaced_and_deleted_beside_those_of_the_file() {
     let mut node = node();
     let in_force = node.apply(&snapshot(1, "route shop GET /a look\nroute shop POST /b sale")).unwrap();
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
@@ -101,23 +103,23 @@
 }
 
 #[test]
-fn resources_that_this_node_has_no_use_for_are_refused_with_the_reason() {
+fn resources_that_do_not_fit_the_node_are_rejected_with_the_reason() {
     let methods = || [("look".to_string(), target(0, true))].into();
     let bare = FileConfiguration::default();
     let mut node = NodeConfiguration::new(methods(), bare, 0);
     let fault = node.apply(&snapshot(1, "route shop GET /a look")).unwrap_err();
-    assert_eq!(fault, UpdateFault::NoFront("route shop GET /a".into()));
+    assert_eq!(fault, UpdateError::NoListener("route shop GET /a".into()));
     let fault = node.apply(&snapshot(1, "endpoint shop 10.0.0.1:80 1 east")).unwrap_err();
-    assert_eq!(fault, UpdateFault::NoEndpoints("endpoint shop 10.0.0.1:80".into()));
+    assert_eq!(fault, UpdateError::NoEndpoints("endpoint shop 10.0.0.1:80".into()));
     assert!(node.apply(&snapshot(1, "quota acme 1")).is_ok());
     // Nothing ever leads back.
-    assert!(matches!(node.apply(&update(0, "quota acme 2")), Err(UpdateFault::Order(_))));
+    assert!(matches!(node.apply(&update(0, "quota acme 2")), Err(UpdateError::Apply(_))));
 }
 
 #[test]
 fn a_tenant_keeps_its_number_over_changes_of_its_quota() {
     let mut node = node();
-    let quota = |in_force: &InForce, tenant: &str| in_force.quotas[tenant].quota();
+    let quota = |in_force: &ConfigurationInForce, tenant: &str| in_force.quotas[tenant].quota();
     let mut first = snapshot(1, "quota acme 5\nquota other 1");
     first.absent = vec![quota_name("nobody")];
     let in_force = node.apply(&first).unwrap();
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn endpoints_and_limits_come_on_top_of_the_file() {
+fn distributed_endpoints_and_limits_override_those_of_the_file() {
     let mut node = node();
     let at = |text: &str| text.parse::<std::net::SocketAddr>().unwrap();
     let of_file = UpstreamEndpoint { address: at("10.0.0.1:80"), weight: 1.0, is_in_local_zone: true };
@@ -169,7 +171,7 @@
 }
 
 #[test]
-fn a_changed_file_keeps_what_was_distributed_and_names_what_no_longer_fits() {
+fn a_changed_file_leaves_what_was_distributed_in_force_and_names_what_it_overrides() {
     let mut node = node();
     node.apply(&snapshot(1, "route shop GET /a look\nroute shop GET /b look")).unwrap();
     let (in_force, faults) = node.replace_file(file(&[("GET", "/a", 0), ("GET", "/new", 0)]));
@@ -192,7 +194,7 @@
     let mut reason = |update: &CompleteUpdate| bare.apply(update).unwrap_err().to_string();
     assert_eq!(
         reason(&snapshot(1, "route shop GET /a look")),
-        "route shop GET /a: this node has no front that is routed"
+        "route shop GET /a: this node has no listener that is routed"
     );
     assert_eq!(
         reason(&snapshot(1, "endpoint shop 10.0.0.1:80 1 east")),
@@ -216,18 +218,18 @@
     first.absent = vec![quota_name("nobody")];
     node.apply(&first).unwrap();
     let all = [(quota_name("acme"), true), (quota_name("nobody"), false), (quota_name("other"), true)];
-    assert_eq!(node.held_quotas(3), all);
-    assert_eq!(node.held_quotas(100), all);
-    assert_eq!(node.held_quotas(2), all[..2]);
-    assert_eq!(node.held_quotas(0), []);
+    assert_eq!(node.cached_quotas(3), all);
+    assert_eq!(node.cached_quotas(100), all);
+    assert_eq!(node.cached_quotas(2), all[..2]);
+    assert_eq!(node.cached_quotas(0), []);
     assert_eq!(node.resources().count(), 2);
     node.forget_quotas(["acme", "nobody", "unheard"]);
-    assert_eq!(node.held_quotas(3), all[2..]);
+    assert_eq!(node.cached_quotas(3), all[2..]);
     assert_eq!((node.resources().count(), node.absent_quotas().len()), (1, 0));
 }
 
 #[test]
-fn a_snapshot_forgets_which_routes_the_file_hid_before() {
+fn a_snapshot_forgets_which_routes_the_file_overrode() {
     let mut node = node();
     node.apply(&snapshot(1, "route shop GET /a look")).unwrap();
     let (_, faults) = node.replace_file(file(&[("GET", "/a", 0)]));
@@ -246,7 +248,7 @@
     let wrong = snapshot(2, "route shop GET /b look\nquota acme 7\nroute shop GET /file look");
     let fault = node.apply(&wrong).unwrap_err();
     let route = "route shop GET /file".into();
-    assert_eq!(fault, UpdateFault::RouteConflict { route, why: "GET /file is routed already".into() });
+    assert_eq!(fault, UpdateError::RouteConflict { route, reason: "GET /file is routed already".into() });
     let in_force = node.in_force();
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
     assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
