--- a/crates/ochrewalk-node/benches/configuration.rs
+++ b/crates/ochrewalk-node/benches/configuration.rs
@@ -4,7 +4,8 @@
 use ochrewalk_distribution::messages::{Position, Resource};
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
-use ochrewalk_node::configuration::node_configuration::{FileConfiguration, NodeConfiguration};
+use ochrewalk_node::configuration::file_configuration::FileConfiguration;
+use ochrewalk_node::configuration::node_configuration::NodeConfiguration;
 use ochrewalk_operators::resources::{read_changes, RouteTarget};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- /dev/null
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/processes.rs
@@ -0,0 +1,55 @@
+//! Publisher and relay, which run in the foreground until a signal ends them.
+
+use crate::arguments::{RelayArguments, ServeArguments, USUAL_CONNECTIONS};
+use crate::error::ConfigCommandError;
+use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
+use ochrewalk_control_plane::relay::{Relay, RelaySettings};
+use signal_hook::consts::{SIGINT, SIGTERM};
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+
+pub(crate) fn serve(arguments: ServeArguments) -> Result<(), ConfigCommandError> {
+    let settings = PublisherSettings {
+        listen: arguments.listen,
+        control: arguments.control,
+        log: arguments.log_file,
+        takes_over: arguments.take_over,
+        max_connections: USUAL_CONNECTIONS,
+    };
+    let mut publisher = Publisher::open(&settings)?;
+    let waker = publisher.waker();
+    let stop = stop_on_signal(move || drop(waker.wake()))?;
+    tracing::info!(part = "config", place = %arguments.listen, "publisher listens");
+    Ok(publisher.run(&stop)?)
+}
+
+pub(crate) fn relay(arguments: RelayArguments) -> Result<(), ConfigCommandError> {
+    let settings = RelaySettings {
+        name: arguments.name,
+        region: arguments.region,
+        listen: arguments.listen,
+        publishers: arguments.publisher,
+        max_connections: arguments.connections,
+        seed: fastrand::u64(..),
+    };
+    let mut relay = Relay::open(&settings)?;
+    // A relay looks at it twice a second by itself.
+    let stop = stop_on_signal(|| ())?;
+    tracing::info!(part = "config", place = %settings.listen, "relay {} listens", settings.name);
+    Ok(relay.run(&stop)?)
+}
+
+/// Set by SIGTERM or SIGINT. `wake` is called after that.
+fn stop_on_signal(wake: impl Fn() + Send + 'static) -> Result<Arc<AtomicBool>, ConfigCommandError> {
+    let stop = Arc::new(AtomicBool::new(false));
+    let mut signals =
+        signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).map_err(ConfigCommandError::Signals)?;
+    let told = stop.clone();
+    std::thread::spawn(move || {
+        if signals.forever().next().is_some() {
+            told.store(true, std::sync::atomic::Ordering::Relaxed);
+            wake();
+        }
+    });
+    Ok(stop)
+}
--- a/crates/ochrewalk-node/src/configuration/from_files.rs
+++ b/crates/ochrewalk-node/src/configuration/activation.rs
@@ -1,7 +1,8 @@
 //! The configuration of a node as its own files say it, and the agent that adds what is distributed.
 
 use crate::configuration::agent::{self, PreparedAgent};
-use crate::configuration::node_configuration::{ConfigurationInForce, FileConfiguration, NodeConfiguration};
+use crate::configuration::file_configuration::file_configuration;
+use crate::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::{AjpFront, Open};
 use ochrewalk::deployment::Placement;
@@ -10,16 +11,6 @@
 use ochrewalk_operators::OperatorConfig;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What of the operators' file distributed configuration comes on top of.
-pub(crate) fn file_configuration(operators: OperatorConfig) -> FileConfiguration {
-    let has_listener = operators.ajp_listener.is_some();
-    let (allowed_peers, rules) =
-        operators.ajp_listener.map(|listener| (listener.allowed_peers, listener.rules)).unwrap_or_default();
-    let zone = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.zone.clone());
-    let endpoints = operators.ajp_upstream.map(|upstream| upstream.endpoints);
-    FileConfiguration { allowed_peers, rules, endpoints, zone, has_listener }
-}
-
 /// The agent of the control plane, where the operators' file names one.
 pub(crate) fn prepare_configuration(
     placement: &Placement,
--- a/crates/ochrewalk-node/src/configuration/agent.rs
+++ b/crates/ochrewalk-node/src/configuration/agent.rs
@@ -1,21 +1,22 @@
 //! The node's agent of the control plane: a thread of its own with an event loop. It applies updates, persists them
 //! for the next start, and requests quotas of tenants that RPCs name. Without any relay the node serves on with what it has.
 
-use crate::configuration::node_configuration::{
-    ConfigurationInForce, FileConfiguration, NodeConfiguration, UpdateError,
-};
+use super::handle::{Activate, ConfigurationHandle};
+use super::node_configuration::NodeConfiguration;
+use super::persistence::restore;
+use super::sink::NodeSink;
 use mio::{Events, Poll, Token, Waker};
-use ochrewalk_control_plane::agent::{Agent, AgentSettings, ConfigurationSink};
+use ochrewalk_control_plane::agent::{Agent, AgentSettings};
 use ochrewalk_control_plane::clock::{unix_ms, Clock};
-use ochrewalk_control_plane::state_file::{PersistedState, PersistedStep, StateFile};
-use ochrewalk_distribution::messages::{Position, ResourceKind, ResourceName};
-use ochrewalk_distribution::{CompleteUpdate, Interest, RelayChoiceLimits, SubscriptionLimits};
+use ochrewalk_control_plane::state_file::{PersistedState, StateFile};
+use ochrewalk_distribution::messages::{Position, ResourceName};
+use ochrewalk_distribution::{Interest, RelayChoiceLimits, SubscriptionLimits};
 use ochrewalk_operators::resources::quota_name;
 use ochrewalk_operators::ConfigAgent;
 use std::collections::BTreeSet;
 use std::io;
-use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::mpsc::{sync_channel, Receiver};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 /// The agent's token, and the one after it; then the waker's.
@@ -27,18 +28,6 @@
 /// How often the log says how old the configuration is, while no relay is heard.
 const AGE_LOG_INTERVAL_US: u64 = 60_000_000;
 
-/// Puts a configuration in force in the running node's listener and upstream.
-pub type Activate = Box<dyn Fn(ConfigurationInForce) + Send>;
-
-/// The configuration of a running node, as its other parts see it.
-#[derive(Clone)]
-pub struct ConfigurationHandle {
-    state: Arc<Mutex<NodeConfiguration>>,
-    activate: Arc<Mutex<Activate>>,
-    requested_tenants: SyncSender<Arc<str>>,
-    waker: Arc<Waker>,
-}
-
 /// A configuration with its agent, not started yet.
 pub struct PreparedAgent {
     pub handle: ConfigurationHandle,
@@ -49,80 +38,6 @@
     clock: Clock,
 }
 
-/// Applies an update as a whole, or leaves all as it is.
-struct NodeSink<'a> {
-    handle: &'a ConfigurationHandle,
-    file: Option<&'a mut StateFile>,
-}
-
-impl ConfigurationHandle {
-    fn state(&self) -> MutexGuard<'_, NodeConfiguration> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn activate(&self, in_force: ConfigurationInForce) {
-        let activate = self.activate.lock().unwrap_or_else(PoisonError::into_inner);
-        activate(in_force);
-    }
-
-    /// A tenant's quota was used, so that it stays in the cache. Some of many uses at once may be lost.
-    pub fn record_quota_use(&self, tenant: Arc<str>) {
-        let _ = self.requested_tenants.try_send(tenant);
-    }
-
-    /// Requests a tenant's quota, unless too many requests wait already.
-    pub fn request_quota(&self, tenant: Arc<str>) {
-        if self.requested_tenants.try_send(tenant).is_ok() {
-            let _ = self.waker.wake();
-        }
-    }
-
-    /// The node's files have changed. Gives what of the distributed configuration no longer fits them.
-    pub fn replace_file(&self, file: FileConfiguration) -> Vec<UpdateError> {
-        // Held over both, so that an update cannot come between and be undone.
-        let mut state = self.state();
-        let (in_force, faults) = state.replace_file(file);
-        self.activate(in_force);
-        faults
-    }
-
-    /// The position in force.
-    pub fn position(&self) -> Position {
-        self.state().position()
-    }
-}
-
-impl ConfigurationSink for NodeSink<'_> {
-    type Error = UpdateError;
-
-    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), UpdateError> {
-        let mut state = self.handle.state();
-        let in_force = state.apply(update).inspect_err(|error| {
-            let Position { epoch, revision } = update.position;
-            tracing::warn!(part = "config", "{epoch}.{revision} is rejected: {error}");
-        })?;
-        self.handle.activate(in_force);
-        let Position { epoch, revision } = update.position;
-        tracing::debug!(
-            part = "config",
-            "{epoch}.{revision} is in force, {} changes",
-            update.resources.len()
-        );
-        let persisted = self.file.as_mut().map_or(Ok(()), |file| persist(file, &state, update));
-        if let Err(error) = persisted {
-            tracing::warn!(part = "config", "not persisted for the next start: {error}");
-        }
-        Ok(())
-    }
-}
-
-fn persist(file: &mut StateFile, state: &NodeConfiguration, update: &CompleteUpdate) -> io::Result<()> {
-    if !file.needs_snapshot() {
-        return file.append(update, unix_ms());
-    }
-    file.write_snapshot(state.position(), state.resources(), state.absent_quotas(), unix_ms())
-}
-
 /// Puts a node's configuration together from its files and its persisted state, and prepares its agent. `activate` is
 /// called with what is in force, at once and after each change.
 pub fn prepare(
@@ -186,36 +101,6 @@
     Ok(PreparedAgent { handle, agent, poll, requested_tenants, file, clock })
 }
 
-/// Applies a persisted state as far as it still fits the node's files.
-fn restore(state: &mut NodeConfiguration, persisted: PersistedState) {
-    if persisted.damaged_bytes > 0 {
-        let bytes = persisted.damaged_bytes;
-        tracing::warn!(
-            part = "config",
-            "the last {bytes} bytes of the persisted state are damaged and ignored"
-        );
-    }
-    for step in persisted.steps {
-        let restored = match step {
-            PersistedStep::Update(update) => state.apply(&update).map(|_| ()),
-            PersistedStep::Forgotten(names) => {
-                let tenants = names.iter().filter(|name| name.kind() == ResourceKind::Quota);
-                state.forget_quotas(tenants.map(|name| name.name.as_str()));
-                Ok(())
-            }
-        };
-        if let Err(error) = restored {
-            tracing::warn!(part = "config", "the persisted state is restored up to before this: {error}");
-            break;
-        }
-    }
-    let Position { epoch, revision } = state.position();
-    if epoch > 0 {
-        let age_s = unix_ms().saturating_sub(persisted.unix_ms) / 1_000;
-        tracing::info!(part = "config", "{epoch}.{revision} was persisted {age_s} s ago and is restored");
-    }
-}
-
 impl PreparedAgent {
     /// Runs the agent by a thread of its own until the process ends.
     pub fn start(mut self) -> io::Result<()> {
--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -1,57 +1,26 @@
 //! Decides what an update of the distributed configuration changes in this node: it is checked as a whole against the node's
 //! methods and its own file, and either all of it is in force or nothing of it.
 
-use ochrewalk::host::Tenant;
+use super::cached_quotas::{CachedQuota, CachedQuotas};
+use super::file_configuration::FileConfiguration;
+use super::update_error::UpdateError;
 use ochrewalk_distribution::messages::ResourceName;
 use ochrewalk_distribution::messages::{Position, Resource, ResourceKind, Value};
-use ochrewalk_distribution::{ApplyError, CompleteUpdate, Store, StoreLimits};
+use ochrewalk_distribution::{CompleteUpdate, Store, StoreLimits};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::Routes;
 use ochrewalk_operators::resources::quota_name;
 use ochrewalk_operators::resources::{
-    check, check_route_target, describe, endpoint_address, InvalidResource, RouteTarget, LIMIT_USUAL_MEMORY,
+    check, check_route_target, describe, endpoint_address, RouteTarget, LIMIT_USUAL_MEMORY,
 };
 use ochrewalk_operators::UpstreamEndpoint;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// A node serves no differences, so that it remembers no deletions.
 const STORE_LIMITS: StoreLimits = StoreLimits { tombstones: 0 };
 
-/// What the node's own files say; distributed resources come on top of it.
-#[derive(Clone, Debug, Default)]
-pub struct FileConfiguration {
-    pub allowed_peers: AllowedPeers,
-    pub rules: Rules,
-    /// Where calls go by AJP; none where they do not go by AJP.
-    pub endpoints: Option<Vec<UpstreamEndpoint>>,
-    /// The zone of this node.
-    pub zone: Option<String>,
-    /// Whether the node has a listener whose routes can change.
-    pub has_listener: bool,
-}
-
-/// A tenant's quota that was requested.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CachedQuota {
-    /// The tenant's number here, as long as its quota is cached.
-    id: u32,
-    /// RPCs a second over the whole fleet; none where it is known to have no quota.
-    per_second: Option<f64>,
-}
-
-impl CachedQuota {
-    /// What the decision module is told of an RPC of this tenant; nothing where it has no quota.
-    pub fn quota(&self) -> Option<Tenant> {
-        self.per_second.map(|per_second| Tenant { id: self.id, per_second })
-    }
-}
-
-/// Quotas by tenant. One that is not there was not requested yet: its RPCs count as within their quota until the
-/// answer comes.
-pub type CachedQuotas = BTreeMap<Arc<str>, CachedQuota>;
-
 /// The configuration in force, which is activated as one.
 #[derive(Clone, Debug)]
 pub struct ConfigurationInForce {
@@ -61,23 +30,6 @@
     pub endpoints: Option<Vec<UpstreamEndpoint>>,
 }
 
-/// Why an update is rejected: the last good state stays in force.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UpdateError {
-    #[error(transparent)]
-    Resource(#[from] InvalidResource),
-    #[error("{route}: {reason}")]
-    RouteConflict { route: String, reason: String },
-    #[error("{0}: this node has no listener that is routed")]
-    NoListener(String),
-    #[error("{0}: this node calls nothing by AJP")]
-    NoEndpoints(String),
-    #[error("{0}: a kind that this version does not know")]
-    UnknownKind(String),
-    #[error(transparent)]
-    Apply(#[from] ApplyError),
-}
-
 /// The node's methods by name: their positions, and whether each may happen twice.
 pub type MethodsByName = HashMap<String, RouteTarget>;
 
--- /dev/null
+++ b/crates/ochrewalk-node/src/configuration/sink.rs
@@ -0,0 +1,39 @@
+//! Applies updates to the node and persists them.
+
+use super::handle::ConfigurationHandle;
+use super::persistence::persist;
+use super::update_error::UpdateError;
+use ochrewalk_control_plane::agent::ConfigurationSink;
+use ochrewalk_control_plane::state_file::StateFile;
+use ochrewalk_distribution::messages::Position;
+use ochrewalk_distribution::CompleteUpdate;
+
+/// Applies an update as a whole, or leaves all as it is.
+pub(super) struct NodeSink<'a> {
+    pub(super) handle: &'a ConfigurationHandle,
+    pub(super) file: Option<&'a mut StateFile>,
+}
+
+impl ConfigurationSink for NodeSink<'_> {
+    type Error = UpdateError;
+
+    fn apply(&mut self, update: &CompleteUpdate) -> Result<(), UpdateError> {
+        let mut state = self.handle.state();
+        let in_force = state.apply(update).inspect_err(|error| {
+            let Position { epoch, revision } = update.position;
+            tracing::warn!(part = "config", "{epoch}.{revision} is rejected: {error}");
+        })?;
+        self.handle.activate(in_force);
+        let Position { epoch, revision } = update.position;
+        tracing::debug!(
+            part = "config",
+            "{epoch}.{revision} is in force, {} changes",
+            update.resources.len()
+        );
+        let persisted = self.file.as_mut().map_or(Ok(()), |file| persist(file, &state, update));
+        if let Err(error) = persisted {
+            tracing::warn!(part = "config", "not persisted for the next start: {error}");
+        }
+        Ok(())
+    }
+}
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -9,8 +9,8 @@
 
 use super::front::{Front, ENDING};
 use super::link::{carry, let_go, Finish, Outbox};
-use crate::configuration::agent::ConfigurationHandle;
-use crate::configuration::node_configuration::CachedQuotas;
+use crate::configuration::cached_quotas::CachedQuotas;
+use crate::configuration::handle::ConfigurationHandle;
 use crate::core::Core;
 use crate::ending::Ending;
 use crate::handover::records::ClientAddress;
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -2,8 +2,8 @@
 
 use super::Node;
 use crate::clock::Clock;
+use crate::configuration::activation::prepare_configuration;
 use crate::configuration::agent::PreparedAgent;
-use crate::configuration::from_files::prepare_configuration;
 use crate::core::Core;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -7,7 +7,7 @@
 
 pub use files::Files;
 
-use crate::configuration::agent::ConfigurationHandle;
+use crate::configuration::handle::ConfigurationHandle;
 use crate::core::Core;
 use crate::handover::counter_report::CounterReport;
 use crate::handover::hand_over_control::{HandOverControl, Interruption};
--- a/crates/ochrewalk-node/src/node/reload.rs
+++ b/crates/ochrewalk-node/src/node/reload.rs
@@ -1,7 +1,7 @@
 //! What a node takes over from its files when it is told to read them again.
 
 use super::{Files, Node, READINGS};
-use crate::configuration::from_files::file_configuration;
+use crate::configuration::file_configuration::file_configuration;
 use crate::net::ajp_front::Open;
 use may::sync::mpsc::Sender;
 use ochrewalk::deployment::Placement;
--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -10,9 +10,8 @@
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
 use ochrewalk_node::configuration::agent::{prepare, PreparedAgent};
-use ochrewalk_node::configuration::node_configuration::{
-    ConfigurationInForce, FileConfiguration, NodeConfiguration,
-};
+use ochrewalk_node::configuration::file_configuration::FileConfiguration;
+use ochrewalk_node::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
 use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
 use ochrewalk_operators::ConfigAgent;
 use std::io::{self, Write};
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -4,9 +4,9 @@
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
-use ochrewalk_node::configuration::node_configuration::{
-    ConfigurationInForce, FileConfiguration, NodeConfiguration, UpdateError,
-};
+use ochrewalk_node::configuration::file_configuration::FileConfiguration;
+use ochrewalk_node::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
+use ochrewalk_node::configuration::update_error::UpdateError;
 use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
 use ochrewalk_operators::UpstreamEndpoint;
 use std::sync::Arc;
