--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
@@ -8,11 +8,11 @@
 use tracing::level_filters::LevelFilter;
 
 /// Connections that a publisher or relay takes unless told otherwise.
-pub(crate) const USUAL_CONNECTIONS: usize = 4_000;
+pub(crate) const DEFAULT_CONNECTIONS: usize = 4_000;
 
 #[derive(Parser)]
 #[command(name = "ochrewalk config", version, about = "Publishes configuration to a fleet and relays it")]
-pub(crate) struct Line {
+pub(crate) struct CommandLine {
     /// The least serious lines that are logged: error, warn, info, debug
     #[arg(long, env = "OCHREWALK_LOG", default_value = "info", value_name = "LEVEL")]
     pub(crate) log: LevelFilter,
@@ -23,7 +23,7 @@
     pub(crate) command: ConfigCommand,
 }
 
-/// What is asked of the control plane.
+/// The commands of the control plane.
 #[derive(Subcommand, Debug)]
 pub(crate) enum ConfigCommand {
     /// Run the publisher: it accepts changes and serves relays
@@ -81,7 +81,7 @@
     #[arg(long, value_name = "ADDRESS:PORT", required = true)]
     pub(crate) publisher: Vec<SocketAddr>,
     /// Nodes that are served at a time
-    #[arg(long, default_value_t = USUAL_CONNECTIONS)]
+    #[arg(long, default_value_t = DEFAULT_CONNECTIONS)]
     pub(crate) connections: usize,
 }
 
@@ -97,9 +97,15 @@
     pub(crate) file: PathBuf,
 }
 
-fn parse_position(text: &str) -> Result<Position, String> {
+/// A text that is no revision.
+#[derive(Debug, thiserror::Error)]
+#[error("{0} is no revision; write one such as 1.42")]
+pub(crate) struct InvalidRevision(String);
+
+/// Reads `EPOCH.REVISION`.
+fn parse_position(text: &str) -> Result<Position, InvalidRevision> {
     let parsed = text.split_once('.').and_then(|(epoch, revision)| {
         Some(Position { epoch: epoch.parse().ok()?, revision: revision.parse().ok()? })
     });
-    parsed.ok_or_else(|| format!("{text} is no revision; write one such as 1.42"))
+    parsed.ok_or_else(|| InvalidRevision(text.to_string()))
 }
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/changes.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/changes.rs
@@ -1,55 +1,61 @@
-//! Publishing the changes of a file, and what they would change.
+//! Publishing the changes of a file, what they would change, and undoing changes.
 
 use crate::arguments::ChangeArguments;
 use crate::error::ConfigCommandError;
-use crate::publisher_request::{request, show};
-use ochrewalk_distribution::messages::{Body, Fetch, Publish, Resource, Value};
+use crate::publisher_request::{format_position, request, request_change};
+use ochrewalk_distribution::messages::{Body, Fetch, Fetched, Position, Publish, Resource, Rollback, Value};
 use ochrewalk_operators::resources::{describe, read_changes};
 use std::collections::HashMap;
-use std::fmt::Write;
 use std::path::Path;
 
+/// Publishes the changes of a file, all of them or none.
 pub(crate) fn publish(arguments: &ChangeArguments) -> Result<String, ConfigCommandError> {
-    let changes = changes_of(&arguments.file)?;
+    let changes = read_change_file(&arguments.file)?;
     let count = changes.len();
     let publish = Publish { changes, expected: arguments.expect };
-    match request(&arguments.control, Body::Publish(publish))? {
-        Body::Published(published) => {
-            Ok(format!("published {count} changes as {}\n", show(published.position)))
-        }
-        _ => Err(ConfigCommandError::OtherAnswer),
-    }
+    let position = request_change(&arguments.control, Body::Publish(publish))?;
+    Ok(format!("published {count} changes as {}\n", format_position(position)))
 }
 
+/// Undoes all changes after a position, by a new one.
+pub(crate) fn rollback(control: &Path, to: Position) -> Result<String, ConfigCommandError> {
+    let position = request_change(control, Body::Rollback(Rollback { to }))?;
+    Ok(format!("published as {}\n", format_position(position)))
+}
+
+/// Compares the changes of a file with what is published.
 pub(crate) fn diff(arguments: &ChangeArguments) -> Result<String, ConfigCommandError> {
-    let changes = changes_of(&arguments.file)?;
+    let changes = read_change_file(&arguments.file)?;
     let names = changes.iter().map(|change| change.name.clone()).collect();
-    let Body::Fetched(fetched) = request(&arguments.control, Body::Fetch(Fetch { names }))? else {
-        return Err(ConfigCommandError::OtherAnswer);
-    };
-    let published: HashMap<_, _> =
-        fetched.resources.iter().map(|resource| (&resource.name, resource.value.as_ref())).collect();
-    let mut text = format!("against {}:\n", show(fetched.position));
-    for change in &changes {
-        let before = published.get(&change.name).copied().flatten();
-        if before != change.value.as_ref() {
-            let (before, after) = (show_value(before), show_value(change.value.as_ref()));
-            let _ = writeln!(text, "{}: {before} becomes {after}", describe(&change.name));
-        }
+    match request(&arguments.control, Body::Fetch(Fetch { names }))? {
+        Body::Fetched(published) => Ok(format_diff(&changes, &published)),
+        _ => Err(ConfigCommandError::UnexpectedReply),
     }
-    Ok(text)
 }
 
-fn changes_of(file: &Path) -> Result<Vec<Resource>, ConfigCommandError> {
-    let fault = |source| ConfigCommandError::File { path: file.into(), source };
-    let text = std::fs::read_to_string(file).map_err(fault)?;
-    let faults = |faults: Vec<ochrewalk_operators::Diagnostic>| {
-        ConfigCommandError::Faults(faults.iter().map(|fault| fault.to_string()).collect())
-    };
-    read_changes(&text, &file.display().to_string()).map_err(faults)
+fn read_change_file(path: &Path) -> Result<Vec<Resource>, ConfigCommandError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ConfigCommandError::File { path: path.into(), source })?;
+    read_changes(&text, &path.display().to_string()).map_err(ConfigCommandError::InvalidChanges)
+}
+
+/// A line for each resource that would change.
+fn format_diff(changes: &[Resource], published: &Fetched) -> String {
+    let resources = published.resources.iter();
+    let values: HashMap<_, _> = resources.map(|resource| (&resource.name, resource.value.as_ref())).collect();
+    let mut text = format!("against {}:\n", format_position(published.position));
+    for change in changes {
+        let before = values.get(&change.name).copied().flatten();
+        let after = change.value.as_ref();
+        if before != after {
+            let (name, before, after) = (describe(&change.name), format_value(before), format_value(after));
+            text.push_str(&format!("{name}: {before} becomes {after}\n"));
+        }
+    }
+    text
 }
 
-fn show_value(value: Option<&Value>) -> String {
+fn format_value(value: Option<&Value>) -> String {
     match value {
         None => "nothing".into(),
         Some(Value::Route(route)) => route.method.clone(),
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/main.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/main.rs
@@ -1,6 +1,24 @@
-//! The commands of the control plane. Publisher and relays run in the foreground until SIGTERM; the other commands ask a
-//! running publisher. `ochrewalk config ...` runs this program: in the node's own, the publisher's store and these commands
-//! would weigh on every node.
+//! The commands of the control plane. Publisher and relays run in the foreground until SIGTERM; the other commands send one
+//! request to a running publisher. `ochrewalk config ...` runs this program: the publisher's store and these commands would
+//! add to the memory of every node if they were part of the node's own program.
+//!
+//! | exit code | meaning |
+//! | --- | --- |
+//! | 0 | done; the result is on standard output |
+//! | 1 | failed or refused; the reason is on standard error |
+//! | 2 | the command line is wrong |
+
+// Those of the workspace, until all of this crate takes them.
+#![warn(
+    missing_docs,
+    clippy::unwrap_used,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::needless_pass_by_value,
+    clippy::fn_params_excessive_bools,
+    clippy::struct_excessive_bools,
+    clippy::too_many_lines
+)]
 
 mod arguments;
 mod changes;
@@ -9,46 +27,36 @@
 mod publisher_request;
 mod status;
 
-use arguments::{ConfigCommand, Line};
-use changes::{diff, publish};
+use arguments::{CommandLine, ConfigCommand};
 use clap::Parser;
 use error::ConfigCommandError;
-use ochrewalk_distribution::messages::{Body, Rollback};
 use ochrewalk_node::logger::{self, Logs};
-use processes::{relay, serve};
-use publisher_request::{request, show};
-use status::status;
 use std::process::ExitCode;
 
-/// Runs a command and gives what is to be printed.
+/// Runs a command and returns what is to be printed.
 fn run(command: ConfigCommand) -> Result<String, ConfigCommandError> {
     match command {
-        ConfigCommand::Serve(arguments) => serve(arguments).map(|()| String::new()),
-        ConfigCommand::Relay(arguments) => relay(arguments).map(|()| String::new()),
-        ConfigCommand::Publish(arguments) => publish(&arguments),
-        ConfigCommand::Diff(arguments) => diff(&arguments),
-        ConfigCommand::Status { control } => status(&control),
-        ConfigCommand::Rollback { control, to } => {
-            match request(&control, Body::Rollback(Rollback { to }))? {
-                Body::Published(published) => Ok(format!("published as {}\n", show(published.position))),
-                _ => Err(ConfigCommandError::OtherAnswer),
-            }
-        }
+        ConfigCommand::Serve(arguments) => processes::serve(arguments).map(|()| String::new()),
+        ConfigCommand::Relay(arguments) => processes::relay(arguments).map(|()| String::new()),
+        ConfigCommand::Publish(arguments) => changes::publish(&arguments),
+        ConfigCommand::Diff(arguments) => changes::diff(&arguments),
+        ConfigCommand::Status { control } => status::status(&control),
+        ConfigCommand::Rollback { control, to } => changes::rollback(&control, to),
     }
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let line = CommandLine::parse();
     logger::start(Logs { level: line.log, form: line.log_format });
-    let done = run(line.command);
+    let outcome = run(line.command);
     logger::flush();
-    match done {
+    match outcome {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("{why}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/processes.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/processes.rs
@@ -1,20 +1,21 @@
 //! Publisher and relay, which run in the foreground until a signal ends them.
 
-use crate::arguments::{RelayArguments, ServeArguments, USUAL_CONNECTIONS};
+use crate::arguments::{RelayArguments, ServeArguments, DEFAULT_CONNECTIONS};
 use crate::error::ConfigCommandError;
 use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
 use ochrewalk_control_plane::relay::{Relay, RelaySettings};
 use signal_hook::consts::{SIGINT, SIGTERM};
-use std::sync::atomic::AtomicBool;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
+/// Runs the publisher.
 pub(crate) fn serve(arguments: ServeArguments) -> Result<(), ConfigCommandError> {
     let settings = PublisherSettings {
         listen: arguments.listen,
         control: arguments.control,
         log: arguments.log_file,
         takes_over: arguments.take_over,
-        max_connections: USUAL_CONNECTIONS,
+        max_connections: DEFAULT_CONNECTIONS,
     };
     let mut publisher = Publisher::open(&settings)?;
     let waker = publisher.waker();
@@ -23,6 +24,7 @@
     Ok(publisher.run(&stop)?)
 }
 
+/// Runs a relay.
 pub(crate) fn relay(arguments: RelayArguments) -> Result<(), ConfigCommandError> {
     let settings = RelaySettings {
         name: arguments.name,
@@ -33,21 +35,21 @@
         seed: fastrand::u64(..),
     };
     let mut relay = Relay::open(&settings)?;
-    // A relay looks at it twice a second by itself.
+    // A relay checks the flag twice a second without being woken.
     let stop = stop_on_signal(|| ())?;
     tracing::info!(part = "config", place = %settings.listen, "relay {} listens", settings.name);
     Ok(relay.run(&stop)?)
 }
 
-/// Set by SIGTERM or SIGINT. `wake` is called after that.
+/// A flag that SIGTERM or SIGINT sets. `wake` is called after that.
 fn stop_on_signal(wake: impl Fn() + Send + 'static) -> Result<Arc<AtomicBool>, ConfigCommandError> {
     let stop = Arc::new(AtomicBool::new(false));
     let mut signals =
         signal_hook::iterator::Signals::new([SIGTERM, SIGINT]).map_err(ConfigCommandError::Signals)?;
-    let told = stop.clone();
+    let stop_requested = stop.clone();
     std::thread::spawn(move || {
         if signals.forever().next().is_some() {
-            told.store(true, std::sync::atomic::Ordering::Relaxed);
+            stop_requested.store(true, Ordering::Relaxed);
             wake();
         }
     });
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/status.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/status.rs
@@ -1,43 +1,43 @@
-//! The state of the fleet as operators read it.
+//! The status of the fleet as operators read it.
 
 use crate::error::ConfigCommandError;
-use crate::publisher_request::{request, show};
-use ochrewalk_distribution::messages::{Body, Position, RegionStatus, Status, StatusRequest};
-use std::fmt::Write;
+use crate::publisher_request::{format_position, request};
+use ochrewalk_distribution::messages::{Body, Position, RegionStatus, Rejection, Status, StatusRequest};
 use std::path::Path;
 
+/// Asks which revision is in force where, and which nodes have rejected one.
 pub(crate) fn status(control: &Path) -> Result<String, ConfigCommandError> {
     match request(control, Body::StatusRequest(StatusRequest {}))? {
-        Body::Status(status) => Ok(show_status(&status)),
-        _ => Err(ConfigCommandError::OtherAnswer),
+        Body::Status(status) => Ok(format_status(&status)),
+        _ => Err(ConfigCommandError::UnexpectedReply),
     }
 }
 
-/// The fleet's state as operators read it: a line for each region, then one for each rejection.
-fn show_status(status: &Status) -> String {
-    let mut text = format!("published: {}, {} resources\n", show(status.position), status.resources);
-    for region in &status.regions {
-        let _ = writeln!(text, "{}", show_region(region, status.position));
-    }
-    let rejections = status.regions.iter().flat_map(|region| &region.rejections);
-    for rejection in rejections {
-        let position = show(rejection.position);
-        let _ = writeln!(text, "rejected: {position} by {}: {}", rejection.node, rejection.reason);
-    }
-    text
+/// A line for each region, then one for each rejection.
+fn format_status(status: &Status) -> String {
+    let position = format_position(status.position);
+    let published = format!("published: {position}, {} resources\n", status.resources);
+    let regions = status.regions.iter().map(|region| format_region(region, status.position));
+    let rejections = status.regions.iter().flat_map(|region| &region.rejections).map(format_rejection);
+    std::iter::once(published).chain(regions).chain(rejections).collect()
 }
 
-fn show_region(region: &RegionStatus, published: Position) -> String {
+fn format_region(region: &RegionStatus, published: Position) -> String {
+    // The publisher's own subscribers are relays, of no region.
+    let name = if region.region.is_empty() { "relays" } else { region.region.as_str() };
     let nodes: u64 = region.in_force.iter().map(|count| count.nodes).sum();
-    let is_behind = |count: &&ochrewalk_distribution::messages::PositionCount| count.position < published;
-    let behind = region.in_force.iter().filter(is_behind);
-    let (count, oldest) = behind.fold((0, None::<Position>), |(count, oldest), position| {
-        let oldest = oldest.map_or(position.position, |known| known.min(position.position));
-        (count + position.nodes, Some(oldest))
-    });
-    let named = if region.region.is_empty() { "relays" } else { region.region.as_str() };
-    match oldest {
-        None => format!("{named}: {nodes} nodes at {}", show(published)),
-        Some(oldest) => format!("{named}: {nodes} nodes, {count} behind, the farthest at {}", show(oldest)),
+    let behind = || region.in_force.iter().filter(|count| count.position < published);
+    let nodes_behind: u64 = behind().map(|count| count.nodes).sum();
+    match behind().map(|count| count.position).min() {
+        None => format!("{name}: {nodes} nodes at {}\n", format_position(published)),
+        Some(oldest) => {
+            let oldest = format_position(oldest);
+            format!("{name}: {nodes} nodes, {nodes_behind} behind, the farthest at {oldest}\n")
+        }
     }
 }
+
+fn format_rejection(rejection: &Rejection) -> String {
+    let position = format_position(rejection.position);
+    format!("rejected: {position} by {}: {}\n", rejection.node, rejection.reason)
+}
