--- a/crates/ochrewalk-node/src/configuration/activation.rs
+++ b/crates/ochrewalk-node/src/configuration/activation.rs
@@ -1,59 +1,89 @@
-//! The configuration of a node as its own files say it, and the agent that adds what is distributed.
+//! Puts the configuration in force in the listener and the upstream of the running node.
 
-use crate::configuration::agent::{self, PreparedAgent};
-use crate::configuration::file_configuration::file_configuration;
-use crate::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
+use super::agent::{PrepareError, PreparedAgent};
+use super::file_configuration::FileConfiguration;
+use super::node_configuration::{ConfigurationInForce, MethodsByName, NodeConfiguration};
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::{AjpFront, Open};
-use ochrewalk::deployment::Placement;
+use ochrewalk::deployment::{Deployment, Placement};
 use ochrewalk::host::Effect;
 use ochrewalk_operators::resources::RouteTarget;
-use ochrewalk_operators::OperatorConfig;
+use ochrewalk_operators::{OperatorConfig, UpstreamEndpoint};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The agent of the control plane, where the operators' file names one.
+/// The parts of a running node that distributed configuration reaches.
+struct ActivationTarget {
+    listener: Option<Arc<AjpFront>>,
+    upstream: Option<AjpBelow>,
+    /// The endpoints that `upstream` has.
+    endpoints: Mutex<Option<Vec<UpstreamEndpoint>>>,
+    /// Rules and quotas that are no longer in force, while requests still use them.
+    retired: Mutex<Vec<Arc<Open>>>,
+}
+
+impl ActivationTarget {
+    fn activate(&self, in_force: ConfigurationInForce) {
+        let ConfigurationInForce { allowed_peers, rules, quotas, endpoints } = in_force;
+        if let Some(listener) = &self.listener {
+            let replaced = listener.change(Open { allowed_peers, rules, quotas });
+            self.retire(replaced);
+        }
+        self.replace_endpoints(endpoints);
+    }
+
+    /// Frees what no request uses any more. It is freed here, by the agent's thread, as that takes a while where there are
+    /// many routes.
+    fn retire(&self, replaced: Arc<Open>) {
+        let mut retired = self.retired.lock().unwrap_or_else(PoisonError::into_inner);
+        retired.push(replaced);
+        retired.retain(|open| Arc::strong_count(open) > 1);
+    }
+
+    fn replace_endpoints(&self, newer: Option<Vec<UpstreamEndpoint>>) {
+        let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
+        if let (Some(upstream), Some(newer)) = (&self.upstream, &newer) {
+            if endpoints.as_ref() != Some(newer) {
+                upstream.relist(newer);
+            }
+        }
+        *endpoints = newer;
+    }
+}
+
+/// The agent of the control plane; none where the operators' file names no relays. What was persisted is active when this
+/// returns.
+///
+/// # Errors
+///
+/// Where the agent cannot be prepared.
 pub(crate) fn prepare_configuration(
     placement: &Placement,
     operators: &OperatorConfig,
-    ajp: Option<Arc<AjpFront>>,
-    by_ajp: Option<AjpBelow>,
-) -> Result<Option<PreparedAgent>, String> {
+    listener: Option<&Arc<AjpFront>>,
+    upstream: Option<&AjpBelow>,
+) -> Result<Option<PreparedAgent>, PrepareError> {
     let Some(config) = &operators.config_agent else { return Ok(None) };
     let deployment = &placement.deployment;
-    let effects = deployment.methods.iter().map(|method| method.effect == Effect::Idempotent);
-    let names = deployment.method_names.iter().map(|name| name.to_string());
-    let targets =
-        effects.enumerate().map(|(position, is_idempotent)| RouteTarget { position, is_idempotent });
-    let methods = names.zip(targets).collect();
-    let state = NodeConfiguration::new(
-        methods,
-        file_configuration(operators.clone()),
-        deployment.tenants.len() as u32,
-    );
-    let in_force_endpoints =
-        Mutex::new(operators.ajp_upstream.as_ref().map(|upstream| upstream.endpoints.clone()));
-    let listener = ajp.clone();
-    let retired: Mutex<Vec<Arc<Open>>> = Mutex::default();
-    let activate = move |in_force: ConfigurationInForce| {
-        if let Some(listener) = &listener {
-            let ConfigurationInForce { allowed_peers, rules, quotas, .. } = in_force;
-            let before = listener.change(Open { allowed_peers, rules, quotas });
-            let mut retired = retired.lock().unwrap_or_else(PoisonError::into_inner);
-            retired.push(before);
-            // What no request goes by any more is freed here, by the agent's thread.
-            retired.retain(|open| Arc::strong_count(open) > 1);
-        }
-        let mut before = in_force_endpoints.lock().unwrap_or_else(PoisonError::into_inner);
-        if let (Some(by_ajp), Some(endpoints)) = (&by_ajp, &in_force.endpoints) {
-            if before.as_ref() != Some(endpoints) {
-                by_ajp.relist(endpoints);
-            }
-        }
-        *before = in_force.endpoints;
+    let first_tenant_id = deployment.tenants.len() as u32;
+    let file = FileConfiguration::from(operators.clone());
+    let target = ActivationTarget {
+        listener: listener.cloned(),
+        upstream: upstream.cloned(),
+        endpoints: Mutex::new(file.endpoints.clone()),
+        retired: Mutex::default(),
     };
-    let prepared = agent::prepare(&placement.name, config, state, placement.seed, Box::new(activate))?;
-    if let Some(listener) = &ajp {
-        listener.fetch_quotas_by(prepared.handle.clone());
+    let state = NodeConfiguration::new(methods_by_name(deployment), file, first_tenant_id);
+    let activate = Box::new(move |in_force| target.activate(in_force));
+    let agent = PreparedAgent::new(&placement.name, config, state, placement.seed, activate)?;
+    if let Some(listener) = listener {
+        listener.fetch_quotas_by(agent.handle().clone());
     }
-    Ok(Some(prepared))
+    Ok(Some(agent))
+}
+
+fn methods_by_name(deployment: &Deployment) -> MethodsByName {
+    let target = |(position, effect)| RouteTarget { position, is_idempotent: effect == Effect::Idempotent };
+    let targets = deployment.methods.iter().map(|method| method.effect).enumerate().map(target);
+    let names = deployment.method_names.iter().map(|name| name.to_string());
+    names.zip(targets).collect()
 }
--- a/crates/ochrewalk-node/src/configuration/agent.rs
+++ b/crates/ochrewalk-node/src/configuration/agent.rs
@@ -1,36 +1,48 @@
 //! The node's agent of the control plane: a thread of its own with an event loop. It applies updates, persists them
 //! for the next start, and requests quotas of tenants that RPCs name. Without any relay the node serves on with what it has.
 
+use super::cached_quotas::CachedQuotaName;
 use super::handle::{Activate, ConfigurationHandle};
 use super::node_configuration::NodeConfiguration;
-use super::persistence::restore;
+use super::persistence::{open_and_restore, persist_forgotten};
 use super::sink::NodeSink;
 use mio::{Events, Poll, Token, Waker};
 use ochrewalk_control_plane::agent::{Agent, AgentSettings};
-use ochrewalk_control_plane::clock::{unix_ms, Clock};
-use ochrewalk_control_plane::state_file::{PersistedState, StateFile};
+use ochrewalk_control_plane::clock::Clock;
+use ochrewalk_control_plane::state_file::StateFile;
 use ochrewalk_distribution::messages::{Position, ResourceName};
-use ochrewalk_distribution::{Interest, RelayChoiceLimits, SubscriptionLimits};
+use ochrewalk_distribution::{Interest, NoRelays, RelayChoiceLimits, SubscriptionLimits};
 use ochrewalk_operators::resources::quota_name;
 use ochrewalk_operators::ConfigAgent;
-use std::collections::BTreeSet;
 use std::io;
 use std::sync::mpsc::{sync_channel, Receiver};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::Duration;
 
-/// The agent's token, and the one after it; then the waker's.
+/// The agent's token; it also uses the one after it.
 const AGENT_TOKEN: Token = Token(0);
 const WAKER_TOKEN: Token = Token(2);
+/// Events that one turn of the event loop takes.
 const MAX_EVENTS: usize = 64;
 /// Tenants whose quotas wait to be requested; the quota of a further one is requested by its next RPC.
 const MAX_REQUESTED_TENANTS: usize = 1024;
 /// How often the log says how old the configuration is, while no relay is heard.
 const AGE_LOG_INTERVAL_US: u64 = 60_000_000;
 
+/// Why an agent cannot be prepared.
+#[derive(Debug, thiserror::Error)]
+pub enum PrepareError {
+    /// The operators' file names no relay.
+    #[error(transparent)]
+    NoRelays(#[from] NoRelays),
+    /// The operating system gives no event loop.
+    #[error("config: {0}")]
+    EventLoop(#[from] io::Error),
+}
+
 /// A configuration with its agent, not started yet.
 pub struct PreparedAgent {
-    pub handle: ConfigurationHandle,
+    handle: ConfigurationHandle,
     agent: Agent,
     poll: Poll,
     requested_tenants: Receiver<Arc<str>>,
@@ -38,71 +50,43 @@
     clock: Clock,
 }
 
-/// Puts a node's configuration together from its files and its persisted state, and prepares its agent. `activate` is
-/// called with what is in force, at once and after each change.
-pub fn prepare(
-    node: &str,
-    config: &ConfigAgent,
-    mut state: NodeConfiguration,
-    seed: u64,
-    activate: Activate,
-) -> Result<PreparedAgent, String> {
-    let clock = Clock::start();
-    let mut file = None;
-    if let Some(path) = &config.snapshot {
-        let (opened, persisted) = match StateFile::open(path, node) {
-            Ok(opened) => opened,
-            Err(error) => {
-                tracing::error!(part = "config", "{error}; beginning without it");
-                (StateFile::new(path, node), PersistedState::default())
-            }
-        };
-        restore(&mut state, persisted);
-        file = Some(opened);
+impl PreparedAgent {
+    /// Adds the persisted state to `state`, which says what the node's files say, and prepares an agent that follows one of
+    /// the relays of `config`. `activate` is called with what is in force: at once, and after each change.
+    ///
+    /// A state file that cannot be read or no longer fits is logged, and as much of it as fits is restored.
+    ///
+    /// # Errors
+    ///
+    /// Where `config` names no relay, or the operating system gives no event loop.
+    pub fn new(
+        node: &str,
+        config: &ConfigAgent,
+        mut state: NodeConfiguration,
+        seed: u64,
+        activate: Activate,
+    ) -> Result<PreparedAgent, PrepareError> {
+        let clock = Clock::start();
+        let file = config.snapshot.as_ref().map(|path| open_and_restore(path, node, &mut state));
+        let agent = new_agent(node, config, &state, seed, &clock)?;
+        let poll = Poll::new()?;
+        let waker = Waker::new(poll.registry(), WAKER_TOKEN)?;
+        let (sender, requested_tenants) = sync_channel(MAX_REQUESTED_TENANTS);
+        activate(state.in_force());
+        let handle = ConfigurationHandle::new(state, activate, sender, waker);
+        Ok(PreparedAgent { handle, agent, poll, requested_tenants, file, clock })
     }
-    let position = Some(state.position()).filter(|position| position.epoch > 0);
-    let cached = state.cached_quotas(config.max_tenants);
-    let interest = Interest {
-        everything: false,
-        scopes: config.scopes.iter().cloned().collect(),
-        names: cached.iter().map(|(name, _)| name.clone()).collect::<BTreeSet<_>>(),
-    };
-    let settings = AgentSettings {
-        node: node.to_string(),
-        region: config.region.clone(),
-        relays: config.relays.clone(),
-        interest,
-        limits: SubscriptionLimits {
-            bytes_per_second: config.bytes_per_second,
-            ..SubscriptionLimits::default()
-        },
-        choice: RelayChoiceLimits::default(),
-        max_names: config.max_tenants,
-        seed,
-    };
-    let mut agent = Agent::new(settings, position, AGENT_TOKEN).map_err(|error| error.to_string())?;
-    for (name, is_present) in &cached {
-        if *is_present {
-            agent.restore_present(name, clock.now_us());
-        } else {
-            agent.restore_absent(name, clock.now_us());
-        }
+
+    /// What other parts of the node use the configuration by.
+    pub fn handle(&self) -> &ConfigurationHandle {
+        &self.handle
     }
-    let poll = Poll::new().map_err(|error| format!("config: {error}"))?;
-    let waker = Waker::new(poll.registry(), WAKER_TOKEN).map_err(|error| format!("config: {error}"))?;
-    let (sender, requested_tenants) = sync_channel(MAX_REQUESTED_TENANTS);
-    activate(state.in_force());
-    let handle = ConfigurationHandle {
-        state: Arc::new(Mutex::new(state)),
-        activate: Arc::new(Mutex::new(activate)),
-        requested_tenants: sender,
-        waker: Arc::new(waker),
-    };
-    Ok(PreparedAgent { handle, agent, poll, requested_tenants, file, clock })
-}
 
-impl PreparedAgent {
     /// Runs the agent by a thread of its own until the process ends.
+    ///
+    /// # Errors
+    ///
+    /// Where the thread cannot be started. The node then serves with what is in force and receives no updates.
     pub fn start(mut self) -> io::Result<()> {
         std::thread::Builder::new().name("config".into()).spawn(move || {
             if let Err(error) = self.run() {
@@ -126,46 +110,90 @@
             }
             let wait_us = due_us.saturating_sub(now_us).min(AGE_LOG_INTERVAL_US);
             match self.poll.poll(&mut events, Some(Duration::from_micros(wait_us))) {
-                Err(err) if err.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 polled => polled?,
             }
         }
     }
 
+    /// Requests the quotas that wait to be requested, and forgets those that they replace.
     fn request_quotas(&mut self, now_us: u64) {
-        let mut removed: Vec<ResourceName> = Vec::new();
+        let mut replaced: Vec<ResourceName> = Vec::new();
         while let Ok(tenant) = self.requested_tenants.try_recv() {
-            removed.extend(self.agent.request_name(&quota_name(&tenant), now_us));
+            replaced.extend(self.agent.request_name(&quota_name(&tenant), now_us));
         }
-        if removed.is_empty() {
-            return;
+        if !replaced.is_empty() {
+            self.forget_quotas(replaced);
         }
+    }
+
+    fn forget_quotas(&mut self, names: Vec<ResourceName>) {
         let mut state = self.handle.state();
-        let in_force = state.forget_quotas(removed.iter().map(|name| name.name.as_str()));
+        let in_force = state.forget_quotas(names.iter().map(|name| name.name.as_str()));
         self.handle.activate(in_force);
         if let Some(file) = &mut self.file {
-            if let Err(error) = file.append_forgotten(state.position(), removed, unix_ms()) {
+            if let Err(error) = persist_forgotten(file, &state, names) {
                 tracing::warn!(part = "config", "not persisted for the next start: {error}");
             }
         }
     }
 
+    /// Logs how old the configuration is, unless a relay is heard.
     fn log_age(&self, now_us: u64) {
         if self.agent.is_connected() {
             return;
         }
         let Position { epoch, revision } = self.handle.position();
-        match self.agent.age_ms(now_us) {
-            Some(age_ms) => {
-                let age_s = age_ms / 1_000;
-                tracing::warn!(part = "config", "no relay is heard; {epoch}.{revision} is {age_s} s old");
-            }
-            None => {
-                tracing::warn!(
-                    part = "config",
-                    "no relay was heard since the start; {epoch}.{revision} is restored"
-                )
-            }
+        let Some(age_ms) = self.agent.age_ms(now_us) else {
+            tracing::warn!(
+                part = "config",
+                "no relay was heard since the start; {epoch}.{revision} is restored"
+            );
+            return;
+        };
+        let age_s = age_ms / 1_000;
+        tracing::warn!(part = "config", "no relay is heard; {epoch}.{revision} is {age_s} s old");
+    }
+}
+
+/// An agent that goes on from the position of `state` and watches the quotas that are cached there.
+fn new_agent(
+    node: &str,
+    config: &ConfigAgent,
+    state: &NodeConfiguration,
+    seed: u64,
+    clock: &Clock,
+) -> Result<Agent, NoRelays> {
+    let cached = state.cached_quotas(config.max_tenants);
+    let settings = agent_settings(node, config, &cached, seed);
+    let position = Some(state.position()).filter(|position| position.epoch > 0);
+    let mut agent = Agent::new(settings, position, AGENT_TOKEN)?;
+    for CachedQuotaName { name, is_present } in &cached {
+        if *is_present {
+            agent.restore_present(name, clock.now_us());
+        } else {
+            agent.restore_absent(name, clock.now_us());
         }
     }
+    Ok(agent)
+}
+
+fn agent_settings(node: &str, config: &ConfigAgent, cached: &[CachedQuotaName], seed: u64) -> AgentSettings {
+    let interest = Interest {
+        everything: false,
+        scopes: config.scopes.iter().cloned().collect(),
+        names: cached.iter().map(|quota| quota.name.clone()).collect(),
+    };
+    let limits =
+        SubscriptionLimits { bytes_per_second: config.bytes_per_second, ..SubscriptionLimits::default() };
+    AgentSettings {
+        node: node.to_string(),
+        region: config.region.clone(),
+        relays: config.relays.clone(),
+        interest,
+        limits,
+        choice: RelayChoiceLimits::default(),
+        max_names: config.max_tenants,
+        seed,
+    }
 }
--- a/crates/ochrewalk-node/src/configuration/file_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/file_configuration.rs
@@ -4,12 +4,14 @@
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_operators::{OperatorConfig, UpstreamEndpoint};
 
-/// What the node's own files say; distributed resources come on top of it.
+/// What the node's own files say; distributed resources are added to it.
 #[derive(Clone, Debug, Default)]
 pub struct FileConfiguration {
+    /// The networks whose clients may connect.
     pub allowed_peers: AllowedPeers,
+    /// The routes of the file, and how requests are read.
     pub rules: Rules,
-    /// Where calls go by AJP; none where they do not go by AJP.
+    /// The endpoints of the upstream; none where it is not called by AJP.
     pub endpoints: Option<Vec<UpstreamEndpoint>>,
     /// The zone of this node.
     pub zone: Option<String>,
@@ -17,12 +19,15 @@
     pub has_listener: bool,
 }
 
-/// What of the operators' file distributed configuration comes on top of.
-pub(crate) fn file_configuration(operators: OperatorConfig) -> FileConfiguration {
-    let has_listener = operators.ajp_listener.is_some();
-    let (allowed_peers, rules) =
-        operators.ajp_listener.map(|listener| (listener.allowed_peers, listener.rules)).unwrap_or_default();
-    let zone = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.zone.clone());
-    let endpoints = operators.ajp_upstream.map(|upstream| upstream.endpoints);
-    FileConfiguration { allowed_peers, rules, endpoints, zone, has_listener }
+impl From<OperatorConfig> for FileConfiguration {
+    fn from(operators: OperatorConfig) -> FileConfiguration {
+        let has_listener = operators.ajp_listener.is_some();
+        let (allowed_peers, rules) = operators
+            .ajp_listener
+            .map(|listener| (listener.allowed_peers, listener.rules))
+            .unwrap_or_default();
+        let zone = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.zone.clone());
+        let endpoints = operators.ajp_upstream.map(|upstream| upstream.endpoints);
+        FileConfiguration { allowed_peers, rules, endpoints, zone, has_listener }
+    }
 }
--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -1,18 +1,16 @@
 //! Decides what an update of the distributed configuration changes in this node: it is checked as a whole against the node's
 //! methods and its own file, and either all of it is in force or nothing of it.
 
-use super::cached_quotas::{CachedQuota, CachedQuotas};
+use super::cached_quotas::{CachedQuotaName, CachedQuotas, QuotaCache};
 use super::file_configuration::FileConfiguration;
 use super::update_error::UpdateError;
-use ochrewalk_distribution::messages::ResourceName;
-use ochrewalk_distribution::messages::{Position, Resource, ResourceKind, Value};
+use ochrewalk_distribution::messages::{Position, Resource, ResourceKind, ResourceName, Value};
 use ochrewalk_distribution::{CompleteUpdate, Store, StoreLimits};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::Routes;
-use ochrewalk_operators::resources::quota_name;
 use ochrewalk_operators::resources::{
-    check, check_route_target, describe, endpoint_address, RouteTarget, LIMIT_USUAL_MEMORY,
+    check, check_route_target, endpoint_address, quota_name, RouteTarget, LIMIT_USUAL_MEMORY,
 };
 use ochrewalk_operators::UpstreamEndpoint;
 use std::collections::{BTreeSet, HashMap};
@@ -24,39 +22,54 @@
 /// The configuration in force, which is activated as one.
 #[derive(Clone, Debug)]
 pub struct ConfigurationInForce {
+    /// The networks whose clients may connect; distributed configuration does not change them.
     pub allowed_peers: AllowedPeers,
+    /// The routes of the files and the distributed ones, and how requests are read.
     pub rules: Rules,
+    /// Quotas of tenants that RPCs have named.
     pub quotas: Arc<CachedQuotas>,
+    /// The endpoints of the upstream; none where it is not called by AJP.
     pub endpoints: Option<Vec<UpstreamEndpoint>>,
 }
 
-/// The node's methods by name: their positions, and whether each may happen twice.
+/// The node's methods by name: their positions, and whether each is idempotent.
 pub type MethodsByName = HashMap<String, RouteTarget>;
 
-/// The configuration of a node: its files, what was distributed to it, and what both come to.
+/// The configuration of a node: what its files say, what was distributed to it, and what is in force of both.
+///
+/// The files win over a distributed route of the same HTTP method and path; a distributed endpoint or limit wins over that of
+/// the files. A limit that several scopes set has the lowest of their values.
 #[derive(Debug)]
 pub struct NodeConfiguration {
     methods: MethodsByName,
     file: FileConfiguration,
     distributed: Store,
+    /// Routes in force, of the files and distributed ones.
     routes: Routes,
     /// Distributed routes that the node's file overrides: the file's are in force.
     overridden: BTreeSet<ResourceName>,
-    quotas: Arc<CachedQuotas>,
-    /// The number of the next tenant: one is not given twice.
-    next_tenant_id: u32,
+    quotas: QuotaCache,
 }
 
-/// An update that was found good and is not in force yet.
+/// What a change of the node's files led to.
 #[derive(Debug)]
-pub struct StagedUpdate {
+pub struct ReplacedFile {
+    /// What is in force now.
+    pub in_force: ConfigurationInForce,
+    /// An error for each distributed route that the files now override.
+    pub overridden: Vec<UpdateError>,
+}
+
+/// An update that fits the node and is not in force yet.
+#[derive(Debug)]
+struct StagedUpdate {
     routes: Routes,
-    quotas: Arc<CachedQuotas>,
-    next_tenant_id: u32,
+    quotas: QuotaCache,
 }
 
 impl NodeConfiguration {
-    /// What the files say alone. Numbers of tenants below `first_tenant_id` are the node file's own.
+    /// The configuration before anything was distributed. Tenants of quotas are numbered from `first_tenant_id` on; lower numbers
+    /// belong to tenants of the node's file.
     pub fn new(methods: MethodsByName, file: FileConfiguration, first_tenant_id: u32) -> NodeConfiguration {
         let routes = file.rules.routes.clone();
         let distributed = Store::new(0, STORE_LIMITS);
@@ -66,8 +79,7 @@
             distributed,
             routes,
             overridden: BTreeSet::new(),
-            quotas: Arc::default(),
-            next_tenant_id: first_tenant_id,
+            quotas: QuotaCache::new(first_tenant_id),
         }
     }
 
@@ -83,17 +95,19 @@
 
     /// Tenants that are known to have no quota.
     pub fn absent_quotas(&self) -> Vec<ResourceName> {
-        let absent = self.quotas.iter().filter(|(_, cached)| cached.per_second.is_none());
-        absent.map(|(tenant, _)| quota_name(tenant)).collect()
+        self.quotas.absent()
     }
 
-    /// The names of the first `limit` cached quotas, and whether there is one.
-    pub fn cached_quotas(&self, limit: usize) -> Vec<(ResourceName, bool)> {
-        let cached = self.quotas.iter().take(limit);
-        cached.map(|(tenant, quota)| (quota_name(tenant), quota.per_second.is_some())).collect()
+    /// The names of the first `limit` cached quotas.
+    pub fn cached_quotas(&self, limit: usize) -> Vec<CachedQuotaName> {
+        self.quotas.names(limit)
     }
 
     /// Checks an update and applies it as a whole, or leaves all as it is.
+    ///
+    /// # Errors
+    ///
+    /// Where a resource does not fit this node, or the update is older than what is in force.
     pub fn apply(&mut self, update: &CompleteUpdate) -> Result<ConfigurationInForce, UpdateError> {
         let staged = self.stage(update)?;
         self.distributed.apply(update)?;
@@ -105,7 +119,6 @@
             self.overridden.remove(&resource.name);
         }
         self.quotas = staged.quotas;
-        self.next_tenant_id = staged.next_tenant_id;
         Ok(self.in_force())
     }
 
@@ -118,69 +131,68 @@
         ConfigurationInForce {
             allowed_peers: self.file.allowed_peers.clone(),
             rules,
-            quotas: self.quotas.clone(),
+            quotas: self.quotas.quotas(),
             endpoints: self.endpoints(),
         }
     }
 
     /// Removes the quotas of these tenants, which are no longer watched and would go stale.
     pub fn forget_quotas<'a>(&mut self, tenants: impl IntoIterator<Item = &'a str>) -> ConfigurationInForce {
-        let quotas = Arc::make_mut(&mut self.quotas);
         for tenant in tenants {
-            quotas.remove(tenant);
+            self.quotas.remove(tenant);
             self.distributed.forget(&quota_name(tenant));
         }
         self.in_force()
     }
 
-    /// The node's files have changed. Returns an error for each distributed route that the file now overrides.
-    pub fn replace_file(&mut self, file: FileConfiguration) -> (ConfigurationInForce, Vec<UpdateError>) {
+    /// Replaces what the node's files say. A distributed route that the files now have, too, is overridden.
+    pub fn replace_file(&mut self, file: FileConfiguration) -> ReplacedFile {
         let mut routes = file.rules.routes.clone();
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut overridden = BTreeSet::new();
         for resource in self.distributed.iter() {
-            if let Err(fault) = self.add_route(&mut routes, resource) {
-                faults.push(fault);
+            if let Err(error) = self.add_route(&mut routes, resource) {
+                errors.push(error);
                 overridden.insert(resource.name.clone());
             }
         }
         self.routes = routes;
         self.overridden = overridden;
         self.file = file;
-        (self.in_force(), faults)
+        ReplacedFile { in_force: self.in_force(), overridden: errors }
     }
 
+    /// Checks an update against this node, and builds what it leads to.
     fn stage(&self, update: &CompleteUpdate) -> Result<StagedUpdate, UpdateError> {
         for resource in &update.resources {
             self.check(resource)?;
         }
         let mut routes =
             if update.is_snapshot { self.file.rules.routes.clone() } else { self.routes.clone() };
-        // What goes makes room first: a path may move from one name to another within an update.
+        // Routes that are replaced or deleted are removed first: a path may move from one name to another within an update.
         if !update.is_snapshot {
             update.resources.iter().for_each(|resource| self.remove_route(&mut routes, resource));
         }
         for resource in &update.resources {
             self.add_route(&mut routes, resource)?;
         }
-        let (quotas, next_tenant_id) = self.staged_quotas(update);
-        Ok(StagedUpdate { routes, quotas, next_tenant_id })
+        Ok(StagedUpdate { routes, quotas: self.quotas.after(update) })
     }
 
     fn check(&self, resource: &Resource) -> Result<(), UpdateError> {
         check(resource)?;
+        let name = || resource.name.clone();
         match resource.name.kind() {
-            ResourceKind::Unknown => Err(UpdateError::UnknownKind(describe(&resource.name))),
-            ResourceKind::Route if !self.file.has_listener => {
-                Err(UpdateError::NoListener(describe(&resource.name)))
-            }
+            ResourceKind::Unknown => Err(UpdateError::UnknownKind { resource: name() }),
+            ResourceKind::Route if !self.file.has_listener => Err(UpdateError::NoListener { route: name() }),
             ResourceKind::Endpoint if self.file.endpoints.is_none() => {
-                Err(UpdateError::NoEndpoints(describe(&resource.name)))
+                Err(UpdateError::NoEndpoints { endpoint: name() })
             }
             _ => Ok(()),
         }
     }
 
+    /// Removes the route that `resource` had in force until now.
     fn remove_route(&self, routes: &mut Routes, resource: &Resource) {
         let before = self.distributed.get(&resource.name).and_then(|before| before.value.as_ref());
         let is_in_force = !self.overridden.contains(&resource.name);
@@ -194,42 +206,16 @@
         let target = self.methods.get(&route.method).copied();
         let method = check_route_target(&resource.name, route, target)?;
         let added = routes.add(&route.http_method, &route.path, method);
-        added.map_err(|reason| UpdateError::RouteConflict { route: describe(&resource.name), reason })
-    }
-
-    fn staged_quotas(&self, update: &CompleteUpdate) -> (Arc<CachedQuotas>, u32) {
-        let is_quota = |name: &ResourceName| name.kind() == ResourceKind::Quota;
-        let changed = update.resources.iter().filter(|resource| is_quota(&resource.name));
-        let changed = changed.map(|resource| match &resource.value {
-            Some(Value::Quota(quota)) => (&resource.name, Some(quota.per_second)),
-            _ => (&resource.name, None),
-        });
-        let absent = update.absent.iter().filter(|name| is_quota(name)).map(|name| (name, None));
-        let mut changed = changed.chain(absent).peekable();
-        if !update.is_snapshot && changed.peek().is_none() {
-            return (self.quotas.clone(), self.next_tenant_id);
-        }
-        let mut quotas = if update.is_snapshot { CachedQuotas::new() } else { (*self.quotas).clone() };
-        let mut next_tenant_id = self.next_tenant_id;
-        for (name, per_second) in changed {
-            // A tenant keeps its number over a change, and with it what the module holds against its quota.
-            let id = self.quotas.get(name.name.as_str()).map_or(next_tenant_id, |cached| cached.id);
-            if id == next_tenant_id {
-                next_tenant_id = next_tenant_id.wrapping_add(1);
-            }
-            quotas.insert(name.name.as_str().into(), CachedQuota { id, per_second });
-        }
-        (Arc::new(quotas), next_tenant_id)
+        added.map_err(|reason| UpdateError::RouteConflict { route: resource.name.clone(), reason })
     }
 
+    /// The lowest value that any scope sets for a limit.
     fn limit(&self, limit: &str) -> Option<f64> {
-        let of = |resource: &Resource| match &resource.value {
+        let amount = |resource: &Resource| match &resource.value {
             Some(Value::Limit(value)) if resource.name.name == limit => Some(value.amount),
             _ => None,
         };
-        // Where several scopes set it, the lowest holds.
-        let limits = self.distributed.of_kind(ResourceKind::Limit);
-        limits.filter_map(of).min_by(f64::total_cmp)
+        self.distributed.of_kind(ResourceKind::Limit).filter_map(amount).min_by(f64::total_cmp)
     }
 
     fn endpoints(&self) -> Option<Vec<UpstreamEndpoint>> {
@@ -242,9 +228,9 @@
             };
             let is_in_local_zone = self.file.zone.as_ref().is_none_or(|zone| *zone == endpoint.zone);
             let endpoint = UpstreamEndpoint { address, weight: endpoint.weight, is_in_local_zone };
-            // A distributed endpoint says the newer of what a file says, too.
-            match endpoints.iter_mut().find(|known| known.address == address) {
-                Some(known) => *known = endpoint,
+            // A distributed endpoint replaces that of the files.
+            match endpoints.iter_mut().find(|other| other.address == address) {
+                Some(replaced) => *replaced = endpoint,
                 None => endpoints.push(endpoint),
             }
         }
--- a/crates/ochrewalk-node/src/configuration/sink.rs
+++ b/crates/ochrewalk-node/src/configuration/sink.rs
@@ -18,21 +18,18 @@
     type Error = UpdateError;
 
     fn apply(&mut self, update: &CompleteUpdate) -> Result<(), UpdateError> {
+        let Position { epoch, revision } = update.position;
         let mut state = self.handle.state();
         let in_force = state.apply(update).inspect_err(|error| {
-            let Position { epoch, revision } = update.position;
             tracing::warn!(part = "config", "{epoch}.{revision} is rejected: {error}");
         })?;
         self.handle.activate(in_force);
-        let Position { epoch, revision } = update.position;
-        tracing::debug!(
-            part = "config",
-            "{epoch}.{revision} is in force, {} changes",
-            update.resources.len()
-        );
-        let persisted = self.file.as_mut().map_or(Ok(()), |file| persist(file, &state, update));
-        if let Err(error) = persisted {
-            tracing::warn!(part = "config", "not persisted for the next start: {error}");
+        let changes = update.resources.len();
+        tracing::debug!(part = "config", "{epoch}.{revision} is in force, {changes} changes");
+        if let Some(file) = &mut self.file {
+            if let Err(error) = persist(file, &state, update) {
+                tracing::warn!(part = "config", "not persisted for the next start: {error}");
+            }
         }
         Ok(())
     }
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -167,8 +167,9 @@
         let (packet, idle_us) = (settings.max_packet_bytes, settings.idle_timeout_us);
         AjpFront::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
     });
-    let agent = prepare_configuration(placement, &operators, ajp.clone(), by_ajp.clone())?;
-    let configuration = agent.as_ref().map(|agent| agent.handle.clone());
+    let agent = prepare_configuration(placement, &operators, ajp.as_ref(), by_ajp.as_ref())
+        .map_err(|error| error.to_string())?;
+    let configuration = agent.as_ref().map(|agent| agent.handle().clone());
     let mut resumed = Resumed { link, ..Resumed::default() };
     if let Some(taken) = taken {
         resumed.json = dispatchers.resume(taken.json.record, taken.json.descriptors, &ids);
--- a/crates/ochrewalk-node/src/node/reload.rs
+++ b/crates/ochrewalk-node/src/node/reload.rs
@@ -1,7 +1,6 @@
 //! What a node takes over from its files when it is told to read them again.
 
 use super::{Files, Node, READINGS};
-use crate::configuration::file_configuration::file_configuration;
 use crate::net::ajp_front::Open;
 use may::sync::mpsc::Sender;
 use ochrewalk::deployment::Placement;
@@ -54,7 +53,7 @@
     // Who may connect, what requests stand for, and where calls go; the rest takes effect with the next start.
     match &node.configuration {
         Some(configuration) => {
-            for fault in configuration.replace_file(file_configuration(operators)) {
+            for fault in configuration.replace_file(operators.into()) {
                 tracing::warn!("SIGHUP: distributed configuration left out: {fault}");
             }
         }
--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -9,7 +9,7 @@
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
-use ochrewalk_node::configuration::agent::{prepare, PreparedAgent};
+use ochrewalk_node::configuration::agent::PreparedAgent;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
 use ochrewalk_node::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
 use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
@@ -119,7 +119,7 @@
     };
     let (sender, applied) = channel();
     let apply = Box::new(move |in_force| drop(sender.send(in_force)));
-    (prepare(NODE, &config, node(), SEED, apply).unwrap(), applied)
+    (PreparedAgent::new(NODE, &config, node(), SEED, apply).unwrap(), applied)
 }
 
 fn is_routed(in_force: &ConfigurationInForce, path: &str) -> bool {
@@ -188,7 +188,7 @@
         let in_force = applied.try_recv().unwrap();
         assert!(is_routed(&in_force, "/file") && in_force.quotas.is_empty());
         assert!(applied.try_recv().is_err());
-        assert_eq!(agent.handle.position(), Position::default());
+        assert_eq!(agent.handle().position(), Position::default());
     });
     assert_eq!(log, "");
 }
@@ -208,7 +208,7 @@
         assert!(is_routed(&in_force, "/file") && is_routed(&in_force, "/b") && !is_routed(&in_force, "/a"));
         assert_eq!(in_force.quotas.keys().map(|tenant| &**tenant).collect::<Vec<_>>(), ["acme", "nobody"]);
         assert!(applied.try_recv().is_err());
-        assert_eq!(agent.handle.position(), at(2));
+        assert_eq!(agent.handle().position(), at(2));
         agent.start().unwrap();
         let subscribe = accept_from_either(&first, &second).receive_subscribe();
         assert_eq!((subscribe.node.as_str(), subscribe.region.as_str()), (NODE, "east"));
@@ -243,7 +243,7 @@
         let (agent, applied) = prepared(&[&first, &second], Some(folder.state()));
         let in_force = applied.try_recv().unwrap();
         assert!(is_routed(&in_force, "/a") && !is_routed(&in_force, "/b"));
-        assert_eq!(agent.handle.position(), at(1));
+        assert_eq!(agent.handle().position(), at(1));
     });
     let expected = format!(
         " WARN the last {damaged} bytes of the persisted state are damaged and ignored part=\"config\"\n \
@@ -263,7 +263,7 @@
         let (agent, applied) = prepared(&[&first, &second], Some(folder.state()));
         let in_force = applied.try_recv().unwrap();
         assert!(is_routed(&in_force, "/a") && is_routed(&in_force, "/file") && !is_routed(&in_force, "/c"));
-        assert_eq!(agent.handle.position(), at(1));
+        assert_eq!(agent.handle().position(), at(1));
     });
     let expected = " WARN the persisted state is restored up to before this: route shop GET /file: GET /file is routed \
                   already part=\"config\"\n INFO 1.1 was persisted AGE s ago and is restored part=\"config\"\n";
@@ -278,7 +278,7 @@
     let log = logged(|| {
         let (agent, applied) = prepared(&[&first, &second], Some(folder.state()));
         assert!(is_routed(&applied.try_recv().unwrap(), "/file"));
-        assert_eq!(agent.handle.position(), Position::default());
+        assert_eq!(agent.handle().position(), Position::default());
     });
     let path = folder.state();
     let expected =
@@ -289,7 +289,7 @@
 #[test]
 fn an_agent_without_relays_cannot_be_prepared() {
     let config = ConfigAgent::default();
-    let error = prepare(NODE, &config, node(), SEED, Box::new(|_| ())).err().unwrap();
+    let error = PreparedAgent::new(NODE, &config, node(), SEED, Box::new(|_| ())).err().unwrap();
     assert_eq!(error.to_string(), "a node needs at least one relay");
 }
 
@@ -298,7 +298,7 @@
     let (first, second) = (listener(), listener());
     let folder = StateFolder::new();
     let (agent, applied) = prepared(&[&first, &second], Some(folder.state()));
-    let handle = agent.handle.clone();
+    let handle = agent.handle().clone();
     agent.start().unwrap();
     let mut relay = accept_from_either(&first, &second);
     relay.receive_subscribe();
@@ -324,7 +324,7 @@
     let folder = StateFolder::new();
     written(&folder.state(), "quota a 1\nquota b 2\n");
     let (agent, applied) = prepared(&[&first, &second], Some(folder.state()));
-    let handle = agent.handle.clone();
+    let handle = agent.handle().clone();
     assert_eq!(applied.recv_timeout(TIMEOUT).unwrap().quotas.len(), 3);
     agent.start().unwrap();
     let mut relay = accept_from_either(&first, &second);
@@ -351,7 +351,7 @@
     written(&folder.state(), "route shop GET /a look\nroute shop GET /b look\n");
     let (agent, applied) = prepared(&[&first, &second], Some(folder.state()));
     assert!(is_routed(&applied.try_recv().unwrap(), "/file"));
-    let faults = agent.handle.replace_file(node_file("/a"));
+    let faults = agent.handle().replace_file(node_file("/a"));
     let texts: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
     assert_eq!(texts, ["route shop GET /a: GET /a is routed already"]);
     let in_force = applied.try_recv().unwrap();
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -4,10 +4,13 @@
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
+use ochrewalk_node::configuration::cached_quotas::CachedQuotaName;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
-use ochrewalk_node::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
+use ochrewalk_node::configuration::node_configuration::{
+    ConfigurationInForce, NodeConfiguration, ReplacedFile,
+};
 use ochrewalk_node::configuration::update_error::UpdateError;
-use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
+use ochrewalk_operators::resources::{endpoint_name, quota_name, read_changes, route_name, RouteTarget};
 use ochrewalk_operators::UpstreamEndpoint;
 use std::sync::Arc;
 
@@ -108,9 +111,12 @@
     let bare = FileConfiguration::default();
     let mut node = NodeConfiguration::new(methods(), bare, 0);
     let fault = node.apply(&snapshot(1, "route shop GET /a look")).unwrap_err();
-    assert_eq!(fault, UpdateError::NoListener("route shop GET /a".into()));
+    assert_eq!(fault, UpdateError::NoListener { route: route_name("shop", "GET", "/a") });
     let fault = node.apply(&snapshot(1, "endpoint shop 10.0.0.1:80 1 east")).unwrap_err();
-    assert_eq!(fault, UpdateError::NoEndpoints("endpoint shop 10.0.0.1:80".into()));
+    assert_eq!(
+        fault,
+        UpdateError::NoEndpoints { endpoint: endpoint_name("shop", "10.0.0.1:80".parse().unwrap()) }
+    );
     assert!(node.apply(&snapshot(1, "quota acme 1")).is_ok());
     // Nothing ever leads back.
     assert!(matches!(node.apply(&update(0, "quota acme 2")), Err(UpdateError::Apply(_))));
@@ -151,12 +157,12 @@
     let mut node = node();
     let at = |text: &str| text.parse::<std::net::SocketAddr>().unwrap();
     let of_file = UpstreamEndpoint { address: at("10.0.0.1:80"), weight: 1.0, is_in_local_zone: true };
-    let (_, faults) = node.replace_file(FileConfiguration {
+    let ReplacedFile { overridden, .. } = node.replace_file(FileConfiguration {
         endpoints: Some(vec![of_file]),
         rules: Rules { usual_kb: Some(9.0), ..Rules::default() },
         ..file(&[])
     });
-    assert_eq!(faults, []);
+    assert_eq!(overridden, []);
     let changes = "endpoint shop 10.0.0.1:80 3 west\nendpoint shop 10.0.0.2:80 1 east\n\
                    limit shop usual-memory-kb 20\nlimit till usual-memory-kb 12";
     let in_force = node.apply(&snapshot(1, changes)).unwrap();
@@ -174,8 +180,9 @@
 fn a_changed_file_leaves_what_was_distributed_in_force_and_names_what_it_overrides() {
     let mut node = node();
     node.apply(&snapshot(1, "route shop GET /a look\nroute shop GET /b look")).unwrap();
-    let (in_force, faults) = node.replace_file(file(&[("GET", "/a", 0), ("GET", "/new", 0)]));
-    let said: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
+    let ReplacedFile { in_force, overridden } =
+        node.replace_file(file(&[("GET", "/a", 0), ("GET", "/new", 0)]));
+    let said: Vec<String> = overridden.iter().map(|fault| fault.to_string()).collect();
     assert_eq!(said, ["route shop GET /a: GET /a is routed already"]);
     for path in ["/a", "/b", "/new"] {
         assert_eq!(finds(&in_force, "GET", path), Found::Method(0), "{path}");
@@ -217,7 +224,8 @@
     let mut first = snapshot(1, "quota acme 5\nquota other 1");
     first.absent = vec![quota_name("nobody")];
     node.apply(&first).unwrap();
-    let all = [(quota_name("acme"), true), (quota_name("nobody"), false), (quota_name("other"), true)];
+    let cached = |tenant, is_present| CachedQuotaName { name: quota_name(tenant), is_present };
+    let all = [cached("acme", true), cached("nobody", false), cached("other", true)];
     assert_eq!(node.cached_quotas(3), all);
     assert_eq!(node.cached_quotas(100), all);
     assert_eq!(node.cached_quotas(2), all[..2]);
@@ -232,8 +240,8 @@
 fn a_snapshot_forgets_which_routes_the_file_overrode() {
     let mut node = node();
     node.apply(&snapshot(1, "route shop GET /a look")).unwrap();
-    let (_, faults) = node.replace_file(file(&[("GET", "/a", 0)]));
-    assert_eq!(faults.len(), 1);
+    let ReplacedFile { overridden, .. } = node.replace_file(file(&[("GET", "/a", 0)]));
+    assert_eq!(overridden.len(), 1);
     node.replace_file(file(&[]));
     let in_force = node.apply(&snapshot(2, "route shop GET /a look")).unwrap();
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
@@ -247,7 +255,7 @@
     node.apply(&snapshot(1, "route shop GET /a look\nquota acme 5\nlimit shop usual-memory-kb 20")).unwrap();
     let wrong = snapshot(2, "route shop GET /b look\nquota acme 7\nroute shop GET /file look");
     let fault = node.apply(&wrong).unwrap_err();
-    let route = "route shop GET /file".into();
+    let route = route_name("shop", "GET", "/file");
     assert_eq!(fault, UpdateError::RouteConflict { route, reason: "GET /file is routed already".into() });
     let in_force = node.in_force();
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
