--- a/crates/ochrewalk-node/tests/configuration/commands.rs
+++ b/crates/ochrewalk-node/tests/configuration/commands.rs
@@ -72,6 +72,12 @@
     Position { epoch, revision }
 }
 
+/// The commands that send a request to the publisher, without its socket.
+fn requests(changes: &TestFile) -> [Vec<&str>; 4] {
+    let path = changes.path();
+    [vec!["publish", path], vec!["diff", path], vec!["status"], vec!["rollback", "--to", "1.1"]]
+}
+
 #[test]
 fn each_command_prints_its_result_and_exits_with_0() {
     let plane = ControlPlane::start();
@@ -137,9 +143,7 @@
 #[test]
 fn a_refusal_is_printed_with_all_its_reasons() {
     let changes = TestFile::with("quota acme 5\n");
-    let commands: [&[&str]; 4] =
-        [&["publish", changes.path()], &["diff", changes.path()], &["status"], &["rollback", "--to", "1.1"]];
-    for arguments in commands {
+    for arguments in requests(&changes) {
         let reasons = vec!["the first reason".into(), "the second".into()];
         let socket = reply_once(Some(Body::Refused(Refused { reasons })));
         let (command, more) = arguments.split_first().unwrap();
@@ -151,9 +155,7 @@
 #[test]
 fn a_reply_of_another_kind_or_none_is_an_error_of_each_command() {
     let changes = TestFile::with("quota acme 5\n");
-    let commands: [&[&str]; 4] =
-        [&["publish", changes.path()], &["diff", changes.path()], &["status"], &["rollback", "--to", "1.1"]];
-    for arguments in commands {
+    for arguments in requests(&changes) {
         let (command, more) = arguments.split_first().unwrap();
         let heartbeat = Body::Heartbeat(Heartbeat { position: position(1, 1), age_ms: 0 });
         let socket = reply_once(Some(heartbeat));
