--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -318,6 +318,24 @@
     assert_eq!(persisted.steps.len(), 1);
 }
 
+#[test]
+fn an_update_that_cannot_be_persisted_is_in_force() {
+    let (first, second) = (listener(), listener());
+    let folder = StateFolder::new();
+    let (agent, applied) = prepared(&[&first, &second], Some(folder.0.join("no-folder/state")));
+    agent.start().unwrap();
+    let mut relay = accept_from_either(&first, &second);
+    relay.receive_subscribe();
+    applied.recv_timeout(TIMEOUT).unwrap();
+    for (revision, path) in [(1, "/a"), (2, "/b")] {
+        let base = (revision > 1).then(|| at(revision - 1));
+        relay.send(update(revision, base, &format!("route shop GET {path} look\n")));
+        let reported = report(&mut relay);
+        assert_eq!((reported.applied, reported.rejected), (at(revision), None));
+        assert!(is_routed(&applied.recv_timeout(TIMEOUT).unwrap(), path));
+    }
+}
+
 #[test]
 fn a_quota_that_makes_room_for_another_is_forgotten_in_force_and_in_the_state_file() {
     let (first, second) = (listener(), listener());
--- a/crates/ochrewalk-node/tests/configuration/commands.rs
+++ b/crates/ochrewalk-node/tests/configuration/commands.rs
@@ -64,8 +64,8 @@
     }
 }
 
-fn control(plane: &ControlPlane) -> String {
-    plane.folder.join("control").to_str().unwrap().into()
+fn control(control_plane: &ControlPlane) -> String {
+    control_plane.folder.join("control").to_str().unwrap().into()
 }
 
 fn position(epoch: u64, revision: u64) -> Position {
@@ -80,8 +80,8 @@
 
 #[test]
 fn each_command_prints_its_result_and_exits_with_0() {
-    let plane = ControlPlane::start();
-    let control = control(&plane);
+    let control_plane = ControlPlane::start();
+    let control = control(&control_plane);
     let ask = |command, path: &str| config(&[command, "--control", &control, path]);
     let first = TestFile::with(
         "route shop GET /a look\nquota acme 5\nendpoint shop 10.0.0.1:80 1.5 east\n\
@@ -255,9 +255,9 @@
 
 #[test]
 fn a_publisher_or_relay_that_cannot_start_says_why_and_exits_with_1() {
-    let plane = ControlPlane::start();
-    let (taken, free) = (plane.publisher_address.as_str(), own_address(7103));
-    let path = |name: &str| plane.folder.join(name).to_str().unwrap().to_string();
+    let control_plane = ControlPlane::start();
+    let (taken, free) = (control_plane.publisher_address.as_str(), own_address(7103));
+    let path = |name: &str| control_plane.folder.join(name).to_str().unwrap().to_string();
     let (control, log) = (path("other-control"), path("other-log"));
     let serve = |listen: &str, control: &str, log: &str| {
         config(&["--log", "error", "serve", "--listen", listen, "--control", control, "--log-file", log])
--- a/crates/ochrewalk-node/tests/configuration/control_plane.rs
+++ b/crates/ochrewalk-node/tests/configuration/control_plane.rs
@@ -55,11 +55,11 @@
         let (publisher_address, first, second) = (own_address(7100), own_address(7101), own_address(7102));
         let publisher = ControlPlane::start_publisher(&folder, &publisher_address);
         let relay_addresses = [first, second];
-        let mut plane =
+        let mut control_plane =
             ControlPlane { folder, publisher_address, relay_addresses, publisher, relays: Vec::new() };
-        plane.start_relays();
-        wait_until("the publisher answers", || plane.run(&["status"]).status.success());
-        plane
+        control_plane.start_relays();
+        wait_until("the publisher answers", || control_plane.run(&["status"]).status.success());
+        control_plane
     }
 
     pub fn start_publisher(folder: &std::path::Path, address: &str) -> Process {
--- a/crates/ochrewalk-node/tests/configuration/quotas.rs
+++ b/crates/ochrewalk-node/tests/configuration/quotas.rs
@@ -27,7 +27,7 @@
     let position = Position { epoch: 1, revision: 4 };
     relay.send(Body::Update(Update { position, is_snapshot: true, is_last: true, ..Update::default() }));
     assert!(matches!(relay.receive(), Body::Report(report) if report.applied == position));
-    // A tenant that was never heard of counts as within its quota, and is asked for.
+    // The RPC of an unknown tenant counts as within its quota, which is requested.
     let mut peer = connect(&stand);
     let headers = vec![("x-request-id", req(1)), ("x-tenant", "acme".to_string())];
     peer.send(&Call { method: "POST", uri: "/sync", headers, secret: None, body: b"ABC" }.whole()).unwrap();
@@ -52,7 +52,7 @@
     let stand = stand.again();
     let mut relay = accept_from_either(&first, &second);
     let mut subscribe = relay.receive_subscribe();
-    // The process that was killed may have come back to the other relay before: that one names nothing it kept.
+    // The process that was killed may have connected to the other relay before, and named nothing that it had applied.
     if subscribe.applied.is_none() {
         relay = accept_from_either(&first, &second);
         subscribe = relay.receive_subscribe();
--- a/crates/ochrewalk-node/tests/configuration/relay_stand_in.rs
+++ b/crates/ochrewalk-node/tests/configuration/relay_stand_in.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Hears the next watch, in heartbeats meanwhile.
+    /// Receives the next watch, and passes over reports before it.
     pub fn receive_watch(&mut self) -> Watch {
         loop {
             match self.receive() {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The node connects to one of both.
+/// Accepts the node's connection, which goes to one of two relays.
 pub fn accept_from_either(first: &TcpListener, second: &TcpListener) -> RelayStandIn {
     first.set_nonblocking(true).unwrap();
     second.set_nonblocking(true).unwrap();
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -79,7 +79,7 @@
 #[test]
 fn an_update_with_one_wrong_change_changes_nothing() {
     let good = "route shop GET /a look\nquota acme 5\n";
-    for (wrong, said) in [
+    for (wrong, text) in [
         (
             "route shop GET /x lok",
             "route shop GET /x: lok is no method here; route it to a method of the node's file",
@@ -96,7 +96,7 @@
         node.apply(&snapshot(1, good)).unwrap();
         let fault =
             node.apply(&update(2, &format!("delete quota acme\nquota other 1\n{wrong}"))).unwrap_err();
-        assert_eq!(fault.to_string(), said);
+        assert_eq!(fault.to_string(), text);
         assert_eq!(node.position(), Position { epoch: 1, revision: 1 });
         let in_force = node.in_force();
         assert_eq!(finds(&in_force, "GET", "/x"), Found::NoRoute, "{wrong}");
@@ -182,8 +182,8 @@
     node.apply(&snapshot(1, "route shop GET /a look\nroute shop GET /b look")).unwrap();
     let ReplacedFile { in_force, overridden } =
         node.replace_file(file(&[("GET", "/a", 0), ("GET", "/new", 0)]));
-    let said: Vec<String> = overridden.iter().map(|fault| fault.to_string()).collect();
-    assert_eq!(said, ["route shop GET /a: GET /a is routed already"]);
+    let texts: Vec<String> = overridden.iter().map(|fault| fault.to_string()).collect();
+    assert_eq!(texts, ["route shop GET /a: GET /a is routed already"]);
     for path in ["/a", "/b", "/new"] {
         assert_eq!(finds(&in_force, "GET", path), Found::Method(0), "{path}");
     }
