--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -32,7 +32,6 @@
 pub mod process_guard;
 pub mod received_state;
 pub mod records;
-#[allow(missing_docs, clippy::missing_errors_doc, reason = "not documented throughout yet")]
 pub mod rollout_agent;
 pub mod rollout_socket;
 pub mod serving_child;
