--- a/crates/ochrewalk-lab/src/cold_endpoints.rs
+++ b/crates/ochrewalk-lab/src/cold_endpoints.rs
@@ -2,7 +2,7 @@
 //! to send them. Serves the tests of the ramp and the table of the example `cold_endpoints`.
 
 use crate::emulated::{Fault, Fleet, Relist, Seen, Trouble, SECOND};
-use ochrewalk_spread::{Member, Plan};
+use ochrewalk_spread::{BalancingConfig, EndpointHealth};
 
 const ENDPOINTS: usize = 12;
 const COLD_ENDPOINTS: usize = 2;
@@ -44,7 +44,7 @@
     /// Nodes that each send `rate` calls a second to ten warm endpoints and two cold ones, for `after_us` after those
     /// are cold.
     pub fn new(nodes: usize, rate: f64, start: ColdStart, after_us: u64, seed: u64) -> ColdScene {
-        let mut fleet = Fleet::plain(nodes, ENDPOINTS, Plan::default(), seed);
+        let mut fleet = Fleet::plain(nodes, ENDPOINTS, BalancingConfig::default(), seed);
         (fleet.rate, fleet.first_rate) = (rate, rate);
         fleet.work_us = WORK_US / rate;
         let outage_us = match start {
@@ -78,10 +78,10 @@
     /// The calls that the ramp allows one cold endpoint within that time: at each moment what a warm endpoint takes,
     /// times the warmth of one that has just joined.
     pub fn budget(&self, window_us: u64) -> f64 {
-        let member = Member::joining(self.fleet.plan.leaving, 0);
+        let health = EndpointHealth::added(self.fleet.plan.ejection, 0);
         let calls_a_step = self.fleet.rate * self.fleet.nodes as f64 * STEP_US as f64 / SECOND as f64;
         let allowed = |at_us: u64| {
-            let warmth = member.warmth(at_us);
+            let warmth = health.slow_start_factor(at_us);
             calls_a_step * warmth / (WARM_ENDPOINTS as f64 + COLD_ENDPOINTS as f64 * warmth)
         };
         (0..window_us).step_by(STEP_US as usize).map(allowed).sum()
--- a/crates/ochrewalk-lab/src/emulated.rs
+++ b/crates/ochrewalk-lab/src/emulated.rs
@@ -1,7 +1,7 @@
 //! Hundreds of processes in virtual time: nodes that each choose by the real `ochrewalk-spread`, places with cores, and
 //! what goes wrong between them. The same seed gives the same run to the last call.
 
-use ochrewalk_spread::{Listed, News, Plan, Reach, Spread};
+use ochrewalk_spread::{BalancingConfig, CallOutcome, Endpoint, LoadBalancer, Subsetting};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -66,7 +66,7 @@
     pub deadline_us: u64,
     pub seconds: u64,
     pub seed: u64,
-    pub plan: Plan,
+    pub plan: BalancingConfig,
     /// Every so often all nodes learn of every place's queue at once, free of cost, and take the shorter of two that they
     /// draw from their reach: more than any talk among them could bring. 0 for never.
     pub told_us: u64,
@@ -78,7 +78,7 @@
 
 impl Fleet {
     /// Nodes and places alike, without faults.
-    pub fn plain(nodes: usize, places: usize, plan: Plan, seed: u64) -> Fleet {
+    pub fn plain(nodes: usize, places: usize, plan: BalancingConfig, seed: u64) -> Fleet {
         Fleet {
             nodes,
             places,
@@ -220,7 +220,8 @@
     },
 }
 
-const ANSWERS: [News; 4] = [News::Served, News::Failed, News::Broken, News::Unreached];
+const ANSWERS: [CallOutcome; 4] =
+    [CallOutcome::Succeeded, CallOutcome::Failed, CallOutcome::ConnectionBroken, CallOutcome::ConnectFailed];
 
 struct Call {
     node: usize,
@@ -251,7 +252,7 @@
     now_us: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     number: u64,
-    spreads: Vec<Spread>,
+    spreads: Vec<LoadBalancer>,
     starts: Vec<u32>,
     /// Which place each slot of each node is.
     slots: Vec<Vec<usize>>,
@@ -320,24 +321,24 @@
         self.events.push(Reverse((when_us, self.number, event)));
     }
 
-    fn spread(&self, node: usize) -> Spread {
+    fn spread(&self, node: usize) -> LoadBalancer {
         let mut plan = self.fleet.plan;
-        if let Reach::Arc { number, of, .. } = &mut plan.reach {
+        if let Subsetting::Deterministic { node: number, node_count: of, .. } = &mut plan.subsetting {
             (*number, *of) = (node, self.fleet.nodes);
         }
         let seed = self.fleet.seed ^ (node as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        Spread::new(plan, seed ^ u64::from(self.starts[node]) << 32)
+        LoadBalancer::new(plan, seed ^ u64::from(self.starts[node]) << 32)
     }
 
     fn list(&mut self, node: usize, places: &[usize]) {
-        let listed: Vec<Listed> = places
+        let listed: Vec<Endpoint> = places
             .iter()
             .map(|place| {
                 let weight = if self.fleet.weighted { self.places[*place].cores as f64 } else { 1.0 };
-                Listed { key: *place as u64, weight, is_near: true }
+                Endpoint { key: *place as u64, weight, is_local_zone: true }
             })
             .collect();
-        let slots = self.spreads[node].list(self.now_us, &listed);
+        let slots = self.spreads[node].set_endpoints(self.now_us, &listed);
         for (slot, place) in slots.into_iter().zip(places) {
             if self.slots[node].len() <= slot {
                 self.slots[node].resize(slot + 1, 0);
@@ -382,7 +383,7 @@
             Event::Answered { call, news } => self.answered(call, ANSWERS[usize::from(news)]),
             Event::TimeIsOver { call } => {
                 if !self.calls[call].over {
-                    self.tell(call, News::Late);
+                    self.tell(call, CallOutcome::TimedOut);
                     self.lose(call);
                 }
             }
@@ -414,7 +415,7 @@
         if self.fleet.told_us > 0 {
             slot = self.shorter(node, slot);
         }
-        self.spreads[node].given(now_us, slot, call as u64);
+        self.spreads[node].call_started(now_us, slot, call as u64);
         let place = self.slots[node][slot];
         (self.calls[call].slot, self.calls[call].place) = (slot, place);
         self.at(now_us + WIRE_US, Event::Arrives { call });
@@ -425,7 +426,7 @@
             self.told = self.places.iter().map(|place| place.queue.len() + place.works.len()).collect();
             self.told_at_us = self.now_us;
         }
-        let reach = &self.spreads[node].view().reach;
+        let reach = &self.spreads[node].state().subset;
         let other = reach[self.rng.usize(0..reach.len())];
         let queue = |slot: usize| self.told[self.slots[node][slot]];
         if queue(other) < queue(slot) {
@@ -438,8 +439,8 @@
     fn arrives(&mut self, call: usize) {
         let (place, node) = (self.calls[call].place, self.calls[call].node);
         match self.places[place].trouble {
-            Some(Trouble::Dead) => return self.answer(call, REFUSED_US, News::Unreached),
-            Some(Trouble::FailsAtOnce) => return self.answer(call, 1_000, News::Failed),
+            Some(Trouble::Dead) => return self.answer(call, REFUSED_US, CallOutcome::ConnectFailed),
+            Some(Trouble::FailsAtOnce) => return self.answer(call, 1_000, CallOutcome::Failed),
             Some(Trouble::Silent(share)) if (node as f64) < share * self.fleet.nodes as f64 => return,
             _ => {}
         }
@@ -481,37 +482,37 @@
         let (over, left): (Vec<_>, Vec<_>) = works.into_iter().partition(|(_, until_us)| *until_us <= now_us);
         self.places[place].works = left;
         for (call, _) in over {
-            self.answer(call, 0, News::Served);
+            self.answer(call, 0, CallOutcome::Succeeded);
         }
         self.work(place);
     }
 
-    fn answer(&mut self, call: usize, after_us: u64, news: News) {
+    fn answer(&mut self, call: usize, after_us: u64, news: CallOutcome) {
         let news = ANSWERS.iter().position(|known| *known == news).expect("an answer") as u8;
         self.at(self.now_us + WIRE_US + after_us, Event::Answered { call, news });
     }
 
-    fn tell(&mut self, call: usize, news: News) {
+    fn tell(&mut self, call: usize, news: CallOutcome) {
         let of = &self.calls[call];
         if of.start == self.starts[of.node] {
-            self.spreads[of.node].ended(self.now_us, of.slot, call as u64, news);
+            self.spreads[of.node].call_ended(self.now_us, of.slot, call as u64, news);
         }
     }
 
-    fn answered(&mut self, call: usize, news: News) {
+    fn answered(&mut self, call: usize, news: CallOutcome) {
         if self.calls[call].over {
             return;
         }
         self.tell(call, news);
         match news {
-            News::Served => {
+            CallOutcome::Succeeded => {
                 self.calls[call].over = true;
                 self.seen.served += 1;
                 let from_us = self.calls[call].from_us;
                 self.seen.took.push((from_us, self.now_us - from_us));
             }
             // It never ran: it goes elsewhere, as `ochrewalk-places` has it.
-            News::Unreached if self.calls[call].tries < 3 => {
+            CallOutcome::ConnectFailed if self.calls[call].tries < 3 => {
                 self.calls[call].tries += 1;
                 let slot = self.calls[call].slot;
                 self.place(call, Some(slot));
@@ -536,7 +537,7 @@
                     let of = &mut self.places[place];
                     let mut broken: Vec<usize> = of.queue.drain(..).collect();
                     broken.extend(of.works.drain(..).map(|(call, _)| call));
-                    broken.into_iter().for_each(|call| self.answer(call, 0, News::Broken));
+                    broken.into_iter().for_each(|call| self.answer(call, 0, CallOutcome::ConnectionBroken));
                 }
                 // What was being worked on stands still, and goes on after.
                 Trouble::Stopped => {
--- a/crates/ochrewalk-lab/src/spreads.rs
+++ b/crates/ochrewalk-lab/src/spreads.rs
@@ -3,7 +3,7 @@
 use crate::emulated::{self, Evenness, Seen, SECOND};
 use crate::fleet::{self, Outcome, Plan};
 use crate::plot;
-use ochrewalk_spread::{Kind, Plan as Spread, Reach, KINDS};
+use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Subsetting, POLICIES};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -68,10 +68,10 @@
             "way", "reach", "idle", "most over mean", "dispersion", "burst", "median ms", "99% ms", "served"
         );
         let mut plots = Vec::new();
-        for (name, kind) in KINDS {
-            let arc = Reach::Arc { places: self.reach.unwrap_or(REACH), number: 0, of: 1 };
-            let drawn = Reach::Drawn { places: self.reach.unwrap_or(REACH) };
-            for (reach_name, reach) in [("all", Reach::All), ("arc", arc), ("drawn", drawn)] {
+        for (name, kind) in POLICIES {
+            let arc = Subsetting::Deterministic { size: self.reach.unwrap_or(REACH), node: 0, node_count: 1 };
+            let drawn = Subsetting::Random { size: self.reach.unwrap_or(REACH) };
+            for (reach_name, reach) in [("all", Subsetting::All), ("arc", arc), ("drawn", drawn)] {
                 let runs: Vec<Seen> =
                     (0..5).map(|more| self.emulate(kind, reach, self.seed + more)).collect();
                 let even: Vec<Evenness> = runs.iter().map(|seen| seen.evenness(&places, 1)).collect();
@@ -104,8 +104,13 @@
         Ok(true)
     }
 
-    fn emulate(&self, kind: Kind, reach: Reach, seed: u64) -> Seen {
-        let plan = Spread { kind, reach, by_worth: kind != Kind::Fastest, ..Spread::default() };
+    fn emulate(&self, policy: BalancingPolicy, subsetting: Subsetting, seed: u64) -> Seen {
+        let plan = BalancingConfig {
+            policy,
+            subsetting,
+            uses_learned_weights: policy != BalancingPolicy::LeastLatency,
+            ..BalancingConfig::default()
+        };
         let mut fleet = emulated::Fleet::plain(self.nodes, self.places, plan, seed);
         (fleet.rate, fleet.first_rate, fleet.seconds) = (self.rate, self.rate, self.seconds);
         fleet.work_us = self.work_ms as f64 * 1_000.0;
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -14,7 +14,7 @@
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_operators::{AjpUpstream, UpstreamEndpoint};
 use ochrewalk_places::{CallId, Ended, LinkId, Places, Said, Settled, Wire};
-use ochrewalk_spread::{Cause, Listed};
+use ochrewalk_spread::{EjectionCause, Endpoint};
 use siphasher::sip::SipHasher13;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -138,12 +138,12 @@
                     }
                 }
                 let spread = places.spread();
-                words.resize(spread.view().of.len(), "in");
+                words.resize(spread.state().endpoints.len(), "in");
                 for (slot, before) in words.iter_mut().enumerate() {
-                    let word = spread.word(slot, now_us);
-                    if let (true, Some(held)) = (word != *before, spread.view().of[slot].as_ref()) {
-                        let (place, in_hand) = (hands.places[slot], held.in_hand());
-                        let cause = held.member.cause().map_or("", Cause::word);
+                    let word = spread.status(slot, now_us);
+                    if let (true, Some(held)) = (word != *before, spread.state().endpoints[slot].as_ref()) {
+                        let (place, in_hand) = (hands.places[slot], held.in_flight());
+                        let cause = held.health.ejection_cause().map_or("", EjectionCause::description);
                         match (word, *before) {
                             ("out", "trying") => {}
                             ("out", _) => {
@@ -163,27 +163,28 @@
     pub fn table(&self) -> String {
         let now_us = self.0.clock.now_us();
         self.0.with(|places, hands| {
-            let view = places.spread().view();
-            let all: f64 = view.reach.iter().map(|slot| view.share(*slot, now_us)).sum();
+            let view = places.spread().state();
+            let all: f64 = view.subset.iter().map(|slot| view.share(*slot, now_us)).sum();
             let mut text = format!(
                 "{:<22} {:<8} {:>9} {:>7} {:>7} {:>9} {:>9}  {}\n",
                 "place", "state", "for s", "share", "in hand", "last ms", "calls", "cause"
             );
-            for (slot, held) in view.of.iter().enumerate().filter_map(|(at, held)| Some((at, held.as_ref()?)))
+            for (slot, held) in
+                view.endpoints.iter().enumerate().filter_map(|(at, held)| Some((at, held.as_ref()?)))
             {
                 let share =
-                    if view.reach.contains(&slot) { view.share(slot, now_us) / all.max(1e-9) } else { 0.0 };
+                    if view.subset.contains(&slot) { view.share(slot, now_us) / all.max(1e-9) } else { 0.0 };
                 let _ = writeln!(
                     text,
                     "{:<22} {:<8} {:>9.1} {:>7.3} {:>7} {:>9.1} {:>9}  {}",
                     hands.places[slot].to_string(),
-                    places.spread().word(slot, now_us),
-                    now_us.saturating_sub(held.member.since_us()) as f64 / 1e6,
+                    places.spread().status(slot, now_us),
+                    now_us.saturating_sub(held.health.since_us()) as f64 / 1e6,
                     share,
-                    held.in_hand(),
-                    held.last_us as f64 / 1e3,
-                    held.given,
-                    held.member.cause().map_or("", Cause::word)
+                    held.in_flight(),
+                    held.last_latency_us as f64 / 1e3,
+                    held.calls_started,
+                    held.health.ejection_cause().map_or("", EjectionCause::description)
                 );
             }
             text
@@ -199,12 +200,12 @@
 }
 
 fn list(places: &mut Places, hands: &mut Hands, endpoints: &[UpstreamEndpoint]) {
-    let listed = |endpoint: &UpstreamEndpoint| Listed {
+    let listed = |endpoint: &UpstreamEndpoint| Endpoint {
         key: key(&endpoint.address),
         weight: endpoint.weight,
-        is_near: endpoint.is_in_local_zone,
+        is_local_zone: endpoint.is_in_local_zone,
     };
-    let listed: Vec<Listed> = endpoints.iter().map(listed).collect();
+    let listed: Vec<Endpoint> = endpoints.iter().map(listed).collect();
     let slots = places.list(hands.now_us, &listed, hands);
     for (slot, endpoint) in slots.into_iter().zip(endpoints) {
         if hands.places.len() <= slot {
--- a/crates/ochrewalk-operators/src/parser/ajp_upstream.rs
+++ b/crates/ochrewalk-operators/src/parser/ajp_upstream.rs
@@ -6,7 +6,7 @@
 use crate::directive::{self, Section};
 use crate::settings::{AjpUpstream, UpstreamEndpoint};
 use crate::values::{packet_bytes, share, socket_path, time_us, uri_path, weight, whole_number};
-use ochrewalk_spread::{Kind, Reach, KINDS};
+use ochrewalk_spread::{BalancingPolicy, Subsetting, POLICIES};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -124,21 +124,21 @@
     fn balancing_directive(&mut self, name: &str, arguments: &[String]) -> Result<(), LineError> {
         let word = &arguments[0];
         let balancing = &mut self.upstream.balancing;
-        let ejection = &mut balancing.leaving;
+        let ejection = &mut balancing.ejection;
         match name {
-            "leave-out" => ejection.after = whole_number(word, 1, 1_000)? as u32,
+            "leave-out" => ejection.consecutive_failures = whole_number(word, 1, 1_000)? as u32,
             "pause" => {
-                ejection.first_us = time_us(word, MILLISECOND_US, 60 * SECOND_US)?;
-                ejection.most_us = time_us(&arguments[1], MILLISECOND_US, HOUR_US)?;
-                if ejection.most_us < ejection.first_us {
+                ejection.base_ejection_us = time_us(word, MILLISECOND_US, 60 * SECOND_US)?;
+                ejection.max_ejection_us = time_us(&arguments[1], MILLISECOND_US, HOUR_US)?;
+                if ejection.max_ejection_us < ejection.base_ejection_us {
                     return line_error(
                         "the longest pause is shorter than the first",
                         "write the shorter one first",
                     );
                 }
             }
-            "warm" => ejection.warm_us = time_us(word, 0, 600 * SECOND_US)?,
-            "way" => balancing.kind = balancing_policy(word)?,
+            "warm" => ejection.slow_start_us = time_us(word, 0, 600 * SECOND_US)?,
+            "way" => balancing.policy = balancing_policy(word)?,
             "repeats" => self.upstream.retry_budget = share(word)?,
             _ => self.upstream.status_socket = Some(socket_path(word)?),
         }
@@ -195,7 +195,7 @@
                 _ => true,
             };
         }
-        self.upstream.balancing.reach = self.subset();
+        self.upstream.balancing.subsetting = self.subset();
         self.upstream.zone = self.local_zone;
         Ok((!self.upstream.endpoints.is_empty()).then_some(self.upstream))
     }
@@ -228,13 +228,15 @@
     }
 
     /// Which of the endpoints this node calls.
-    fn subset(&self) -> Reach {
+    fn subset(&self) -> Subsetting {
         match (self.node_number, self.subset_size) {
-            (Some(NodeNumber { number, count }), size) => {
-                Reach::Arc { places: size.unwrap_or(DEFAULT_SUBSET_SIZE), number, of: count }
-            }
-            (None, Some(places)) => Reach::Drawn { places },
-            (None, None) => Reach::All,
+            (Some(NodeNumber { number, count }), size) => Subsetting::Deterministic {
+                size: size.unwrap_or(DEFAULT_SUBSET_SIZE),
+                node: number,
+                node_count: count,
+            },
+            (None, Some(size)) => Subsetting::Random { size },
+            (None, None) => Subsetting::All,
         }
     }
 }
@@ -248,9 +250,9 @@
     }
 }
 
-fn balancing_policy(word: &str) -> Result<Kind, LineError> {
-    Kind::named(word).ok_or_else(|| {
-        let known: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
+fn balancing_policy(word: &str) -> Result<BalancingPolicy, LineError> {
+    BalancingPolicy::from_name(word).ok_or_else(|| {
+        let known: Vec<&str> = POLICIES.iter().map(|(name, _)| *name).collect();
         LineError::new(format!("{word} is no way"), format!("write one of {}", known.join(", ")))
     })
 }
--- a/crates/ochrewalk-operators/src/settings.rs
+++ b/crates/ochrewalk-operators/src/settings.rs
@@ -3,7 +3,7 @@
 use ochrewalk_ajp::packet::USUAL_PACKET;
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::judge::{Headers, Rules};
-use ochrewalk_spread::Plan;
+use ochrewalk_spread::BalancingConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -118,7 +118,7 @@
     /// The zone of this node, if zones are configured.
     pub zone: Option<String>,
     /// How calls are balanced over the endpoints, and when one is ejected.
-    pub balancing: Plan,
+    pub balancing: BalancingConfig,
     /// The socket that reports the state of each endpoint.
     pub status_socket: Option<PathBuf>,
     /// The server name that calls carry, for servers with several names.
@@ -153,7 +153,7 @@
         AjpUpstream {
             endpoints: Vec::new(),
             zone: None,
-            balancing: Plan::default(),
+            balancing: BalancingConfig::default(),
             status_socket: None,
             server_name: "localhost".into(),
             uri: "/".into(),
--- a/crates/ochrewalk-operators/tests/operator_config.rs
+++ b/crates/ochrewalk-operators/tests/operator_config.rs
@@ -3,7 +3,7 @@
 use ochrewalk_ingress::judge::{Asks, Headers};
 use ochrewalk_ingress::routes::Found;
 use ochrewalk_operators::{parse, MethodContext, NodeContext, OperatorConfig, UpstreamEndpoint};
-use ochrewalk_spread::{Kind, Leaving, Reach};
+use ochrewalk_spread::{BalancingPolicy, OutlierEjection, Subsetting};
 
 fn methods() -> Vec<MethodContext> {
     [("part-lookup", true), ("batch-upload", true), ("order-record", false)]
@@ -88,10 +88,13 @@
         [endpoint("127.0.0.21:8010", 1.0, true), endpoint("127.0.0.22:8010", 2.5, false)]
     );
     assert_eq!(
-        (upstream.balancing.kind, upstream.status_socket),
-        (Kind::TwoChoices, Some("/run/ochrewalk/status".into()))
+        (upstream.balancing.policy, upstream.status_socket),
+        (BalancingPolicy::PowerOfTwoChoices, Some("/run/ochrewalk/status".into()))
+    );
+    assert_eq!(
+        upstream.balancing.subsetting,
+        Subsetting::Deterministic { size: 12, node: 7, node_count: 200 }
     );
-    assert_eq!(upstream.balancing.reach, Reach::Arc { places: 12, number: 7, of: 200 });
     assert_eq!((upstream.server_name.as_str(), upstream.uri.as_str()), ("ledger.example.org", "/ledger"));
     assert_eq!(
         (upstream.max_packet_bytes, upstream.max_connections, upstream.secret),
@@ -103,8 +106,16 @@
     );
     assert_eq!([upstream.ping_after_idle_us, upstream.max_idle_us], [20_000, 5_000_000]);
     assert_eq!(
-        (upstream.balancing.leaving, upstream.retry_budget),
-        (Leaving { after: 5, first_us: 100_000, most_us: 60_000_000, warm_us: 7_000_000 }, 0.25)
+        (upstream.balancing.ejection, upstream.retry_budget),
+        (
+            OutlierEjection {
+                consecutive_failures: 5,
+                base_ejection_us: 100_000,
+                max_ejection_us: 60_000_000,
+                slow_start_us: 7_000_000
+            },
+            0.25
+        )
     );
 }
 
@@ -112,9 +123,12 @@
 fn an_empty_file_switches_nothing_on_and_few_lines_are_enough() {
     let nothing = get("# nothing\n\n   \n").unwrap();
     assert!(nothing.ajp_listener.is_none() && nothing.ajp_upstream.is_none());
-    for (more, reach) in [("", Reach::All), ("below reach 9", Reach::Drawn { places: 9 })] {
+    for (more, reach) in [("", Subsetting::All), ("below reach 9", Subsetting::Random { size: 9 })] {
         let upstream = get(&format!("below ajp 1.1.1.1:80\n{more}")).unwrap().ajp_upstream.unwrap();
-        assert_eq!((upstream.balancing.reach, upstream.balancing.kind), (reach, Kind::Rounds));
+        assert_eq!(
+            (upstream.balancing.subsetting, upstream.balancing.policy),
+            (reach, BalancingPolicy::LatencyAwareRoundRobin)
+        );
     }
     let little = get("ajp route POST /a order-record\najp allow ::1\najp listen [::1]:8009").unwrap();
     let listener = little.ajp_listener.unwrap();
--- a/crates/ochrewalk-places/benches/choice.rs
+++ b/crates/ochrewalk-places/benches/choice.rs
@@ -2,7 +2,9 @@
 //! `cargo bench -p ochrewalk-places`
 
 use ochrewalk_places::{Bounds, Places, Said, Settled, Wire};
-use ochrewalk_spread::{Cause, Kind, Listed, News, Plan, Spread};
+use ochrewalk_spread::{
+    BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, LoadBalancer,
+};
 use std::time::Instant;
 
 #[derive(Default)]
@@ -24,16 +26,16 @@
 
 const ROUNDS: u64 = 200_000;
 
-fn listed(places: u64) -> Vec<Listed> {
-    (0..places).map(Listed::plain).collect()
+fn listed(places: u64) -> Vec<Endpoint> {
+    (0..places).map(Endpoint::new).collect()
 }
 
 /// The mean cost of a choice while the first `out` endpoints are out; their probes fail.
-fn choice(kind: Kind, places: u64, out: usize) -> f64 {
-    let mut spread = Spread::new(Plan { kind, ..Plan::default() }, 7);
-    spread.list(0, &listed(places));
+fn choice(policy: BalancingPolicy, places: u64, out: usize) -> f64 {
+    let mut spread = LoadBalancer::new(BalancingConfig { policy, ..BalancingConfig::default() }, 7);
+    spread.set_endpoints(0, &listed(places));
     for slot in 0..out {
-        (0..3).for_each(|_| spread.failed(0, slot, Cause::Unreached));
+        (0..3).for_each(|_| spread.record_failure(0, slot, EjectionCause::ConnectFailed));
     }
     let (mut now_us, mut spent) = (0, 0.0);
     for call in 0..ROUNDS {
@@ -41,8 +43,13 @@
         let from = Instant::now();
         let slot = spread.pick(now_us, true, None).expect("all take");
         spent += from.elapsed().as_nanos() as f64;
-        spread.given(now_us, slot, call);
-        spread.ended(now_us + 50, slot, call, if slot < out { News::Unreached } else { News::Served });
+        spread.call_started(now_us, slot, call);
+        spread.call_ended(
+            now_us + 50,
+            slot,
+            call,
+            if slot < out { CallOutcome::ConnectFailed } else { CallOutcome::Succeeded },
+        );
     }
     spent / ROUNDS as f64
 }
@@ -50,7 +57,7 @@
 /// A call from its placing to its answer's end, with so many connections kept.
 fn whole(places: u64, links: u64) -> f64 {
     let bounds = Bounds { most_links: links as usize, trust_us: 1 << 40, keep_us: 1 << 40 };
-    let (mut all, mut wire) = (Places::new(bounds, Plan::default(), 0.1, 7), Last::default());
+    let (mut all, mut wire) = (Places::new(bounds, BalancingConfig::default(), 0.1, 7), Last::default());
     all.list(0, &listed(places), &mut wire);
     (0..links).for_each(|call| all.call(0, call, true, 1 << 40, &mut wire));
     for link in std::mem::take(&mut wire.connects) {
@@ -77,9 +84,12 @@
         "places", "rounds ns", "fastest ns", "one out ns", "tenth out ns", "whole call ns at links"
     );
     for (places, links) in [(10, 100), (100, 1_000), (1_000, 10_000)] {
-        let (ours, before) = (choice(Kind::Rounds, places, 0), choice(Kind::Fastest, places, 0));
-        let one_out = choice(Kind::Rounds, places, 1);
-        let tenth_out = choice(Kind::Rounds, places, places as usize / 10);
+        let (ours, before) = (
+            choice(BalancingPolicy::LatencyAwareRoundRobin, places, 0),
+            choice(BalancingPolicy::LeastLatency, places, 0),
+        );
+        let one_out = choice(BalancingPolicy::LatencyAwareRoundRobin, places, 1);
+        let tenth_out = choice(BalancingPolicy::LatencyAwareRoundRobin, places, places as usize / 10);
         println!(
             "{places:>8}{ours:>14.0}{before:>14.0}{one_out:>16.0}{tenth_out:>16.0}{:>18.0} {links:>7}",
             whole(places, links)
--- a/crates/ochrewalk-places/src/lib.rs
+++ b/crates/ochrewalk-places/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use budget::Budget;
 
-use ochrewalk_spread::{Cause, Listed, News, Plan, Spread};
+use ochrewalk_spread::{BalancingConfig, CallOutcome, EjectionCause, Endpoint, LoadBalancer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Numbers that the carrier knows connections and calls by; never used twice.
@@ -54,12 +54,12 @@
 }
 
 impl Said {
-    fn news(self) -> News {
+    fn news(self) -> CallOutcome {
         match self {
-            Said::Well => News::Served,
-            Said::NoRoom => News::Refused,
-            Said::Failed => News::Failed,
-            Said::Late => News::Late,
+            Said::Well => CallOutcome::Succeeded,
+            Said::NoRoom => CallOutcome::Rejected,
+            Said::Failed => CallOutcome::Failed,
+            Said::Late => CallOutcome::TimedOut,
         }
     }
 }
@@ -110,7 +110,7 @@
 
 pub struct Places {
     bounds: Bounds,
-    spread: Spread,
+    spread: LoadBalancer,
     links: BTreeMap<LinkId, Link>,
     /// Connections that are made and carry nothing, by when they were used: all of them, and by place.
     idle: BTreeSet<(u64, LinkId)>,
@@ -124,10 +124,10 @@
 
 impl Places {
     /// None yet: [`Places::list`] names them.
-    pub fn new(bounds: Bounds, plan: Plan, repeats: f64, seed: u64) -> Places {
+    pub fn new(bounds: Bounds, plan: BalancingConfig, repeats: f64, seed: u64) -> Places {
         Places {
             bounds,
-            spread: Spread::new(plan, seed),
+            spread: LoadBalancer::new(plan, seed),
             links: BTreeMap::new(),
             idle: BTreeSet::new(),
             idle_at: Vec::new(),
@@ -139,8 +139,8 @@
     }
 
     /// The places there are from now on; gives the number that each is known by. What is under way at others ends there.
-    pub fn list(&mut self, now_us: u64, listed: &[Listed], wire: &mut impl Wire) -> Vec<usize> {
-        let slots = self.spread.list(now_us, listed);
+    pub fn list(&mut self, now_us: u64, listed: &[Endpoint], wire: &mut impl Wire) -> Vec<usize> {
+        let slots = self.spread.set_endpoints(now_us, listed);
         let most = slots.iter().max().map_or(0, |slot| slot + 1);
         if self.idle_at.len() < most {
             self.idle_at.resize(most, BTreeSet::new());
@@ -155,7 +155,7 @@
 
     /// How long no place is expected to take a call, where none does now.
     pub fn closed_us(&mut self, now_us: u64) -> Option<u64> {
-        self.spread.closed_us(now_us)
+        self.spread.unavailable_for_us(now_us)
     }
 
     /// A call is to be placed, and is of use until then.
@@ -175,7 +175,12 @@
             let (place, made) = (*place, *made);
             // It waited all its time there: that tells of the place as an answer would.
             let late = made && now_us >= gone.until_us;
-            self.spread.ended(now_us, place, call, if late { News::Late } else { News::Nothing });
+            self.spread.call_ended(
+                now_us,
+                place,
+                call,
+                if late { CallOutcome::TimedOut } else { CallOutcome::Inconclusive },
+            );
             if made || !self.spread.is_listed(place) {
                 // Whether a byte of it was written only the carrier knows; whatever comes there now is not to be
                 // taken for another call's.
@@ -207,7 +212,7 @@
         let (place, call) = (of.place, of.call.take());
         of.used_us = now_us;
         if let Some(call) = call {
-            self.spread.ended(now_us, place, call, said.news());
+            self.spread.call_ended(now_us, place, call, said.news());
         }
         if reuse {
             self.rest(link, wire);
@@ -226,22 +231,24 @@
         let Some(Link { place, call, made, used_us }) = self.links.remove(&link) else { return };
         self.busy(place, used_us, link);
         let news = match how {
-            Ended::NotMade => News::Unreached,
+            Ended::NotMade => CallOutcome::ConnectFailed,
             // A kept connection that was forgotten tells nothing of its place.
-            Ended::Unwritten => News::Nothing,
-            Ended::Silent | Ended::Written => News::Broken,
+            Ended::Unwritten => CallOutcome::Inconclusive,
+            Ended::Silent | Ended::Written => CallOutcome::ConnectionBroken,
         };
         match (call, news) {
-            (Some(call), news) => self.spread.ended(now_us, place, call, news),
-            (None, News::Unreached) => self.spread.failed(now_us, place, Cause::Unreached),
-            (None, News::Nothing) => {}
-            (None, _) => self.spread.failed(now_us, place, Cause::Failing),
+            (Some(call), news) => self.spread.call_ended(now_us, place, call, news),
+            (None, CallOutcome::ConnectFailed) => {
+                self.spread.record_failure(now_us, place, EjectionCause::ConnectFailed)
+            }
+            (None, CallOutcome::Inconclusive) => {}
+            (None, _) => self.spread.record_failure(now_us, place, EjectionCause::CallsFailed),
         }
         let Some(call) = call else { return self.serve_waiting(now_us, wire) };
         let Some(of) = self.calls.get_mut(&call) else { return };
         of.link = None;
         of.tries += 1;
-        of.avoid = (news != News::Nothing).then_some(place);
+        of.avoid = (news != CallOutcome::Inconclusive).then_some(place);
         of.fresh = made;
         let written = how == Ended::Written;
         let in_time = now_us < of.until_us && of.tries < MOST_TRIES;
@@ -277,7 +284,7 @@
     }
 
     /// Which place each call goes to, and how each place stands, for operators.
-    pub fn spread(&self) -> &Spread {
+    pub fn spread(&self) -> &LoadBalancer {
         &self.spread
     }
 
@@ -312,7 +319,7 @@
             }
             None => return self.waiting.push_back(call),
         };
-        self.spread.given(now_us, place, call);
+        self.spread.call_started(now_us, place, call);
         self.calls.get_mut(&call).expect("placed").link = Some(link);
         let of = self.links.get_mut(&link).expect("chosen");
         of.call = Some(call);
--- a/crates/ochrewalk-places/tests/places.rs
+++ b/crates/ochrewalk-places/tests/places.rs
@@ -1,11 +1,16 @@
 //! Where calls go, by table and by long runs of random events under the rules that must always hold.
 
 use ochrewalk_places::{Bounds, Ended, Places, Said, Settled, Wire};
-use ochrewalk_spread::{Kind, Leaving, Listed, Plan, Reach};
+use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
 use std::collections::{BTreeMap, BTreeSet};
 
 const BOUNDS: Bounds = Bounds { most_links: 3, trust_us: 50, keep_us: 1_000 };
-const LEAVING: Leaving = Leaving { after: 2, first_us: 1_000, most_us: 4_000, warm_us: 0 };
+const EJECTION: OutlierEjection = OutlierEjection {
+    consecutive_failures: 2,
+    base_ejection_us: 1_000,
+    max_ejection_us: 4_000,
+    slow_start_us: 0,
+};
 
 #[derive(Default)]
 struct Told(Vec<String>);
@@ -33,9 +38,14 @@
 
 /// The way that goes by what is fastest: which place comes next follows from what was told, not from a seed.
 fn places_of(count: u64, repeats: f64, seed: u64) -> Places {
-    let plan = Plan { kind: Kind::Fastest, reach: Reach::All, by_worth: false, leaving: LEAVING };
+    let plan = BalancingConfig {
+        policy: BalancingPolicy::LeastLatency,
+        subsetting: Subsetting::All,
+        uses_learned_weights: false,
+        ejection: EJECTION,
+    };
     let mut places = Places::new(BOUNDS, plan, repeats, seed);
-    places.list(0, &(0..count).map(Listed::plain).collect::<Vec<_>>(), &mut Told::default());
+    places.list(0, &(0..count).map(Endpoint::new).collect::<Vec<_>>(), &mut Told::default());
     places
 }
 
@@ -44,7 +54,7 @@
 }
 
 fn takes(places: &Places) -> Vec<bool> {
-    places.spread().view().of.iter().flatten().map(|held| held.member.takes()).collect()
+    places.spread().state().endpoints.iter().flatten().map(|held| held.health.accepts_calls()).collect()
 }
 
 #[test]
@@ -122,7 +132,7 @@
     all.ended(2, 3, Ended::NotMade, &mut told);
     assert_eq!(told.take(), "connect 4 to 1");
     assert_eq!(takes(&all), [false, true]);
-    let until = all.spread().come_back_us().unwrap();
+    let until = all.spread().next_probe_us().unwrap();
     assert!((752..=1_252).contains(&until), "a quarter either way: {until}");
     // While it is left out nothing goes there, however busy the other is.
     all.call(3, 103, true, 500, &mut told);
@@ -318,7 +328,10 @@
             places.tick(now, &mut book);
         }
         assert_eq!(places.open_calls(), 0, "seed {seed}");
-        assert!(places.spread().view().of.iter().flatten().all(|held| held.in_hand() == 0), "seed {seed}");
+        assert!(
+            places.spread().state().endpoints.iter().flatten().all(|held| held.in_flight() == 0),
+            "seed {seed}"
+        );
         assert_eq!(book.settled.len() + book.given_up.len(), calls as usize, "seed {seed}: {:?}", book.wrong);
     }
 }
--- a/crates/ochrewalk-spread/src/lib.rs
+++ b/crates/ochrewalk-spread/src/lib.rs
@@ -1,129 +1,142 @@
 //! Decides which of many places a call goes to, in each of hundreds of processes that see little of the load and tell one
 //! another nothing: no place gets a herd, none stands idle, and one that fails costs little and comes back gently.
 //!
-//! No sockets and no clock. Whoever carries the calls says what each came to; [`Spread`] says where the next one goes.
+//! No sockets and no clock. Whoever carries the calls says what each came to; [`LoadBalancer`] says where the next one goes.
 //!
 //! ```
-//! use ochrewalk_spread::{Listed, Plan, Spread};
-//! let mut spread = Spread::new(Plan::default(), 7);
-//! spread.list(0, &[Listed::plain(11), Listed::plain(22), Listed::plain(33)]);
+//! use ochrewalk_spread::{Endpoint, BalancingConfig, LoadBalancer};
+//! let mut spread = LoadBalancer::new(BalancingConfig::default(), 7);
+//! spread.set_endpoints(0, &[Endpoint::new(11), Endpoint::new(22), Endpoint::new(33)]);
 //! let mut round: Vec<usize> = (0..3).map(|_| spread.pick(0, true, None).unwrap()).collect();
 //! round.sort();
 //! assert_eq!(round, [0, 1, 2], "each once, in an order drawn from the seed");
 //! ```
 
-mod layout;
-mod member;
+mod health;
+mod latency_histogram;
+mod learned_weight;
+mod policy;
 mod probe;
-mod spill;
-mod times;
-mod view;
-mod ways;
-mod width;
-mod worth;
+mod state;
+mod subset;
+mod subset_multiplier;
+mod zone_overflow;
 
-pub use layout::{lay, Laid, Reach, Spot};
-pub use member::{Cause, Leaving, Member};
-pub use spill::Spill;
-pub use times::Times;
-pub use view::{Held, View};
-pub use ways::{Kind, Way, KINDS};
-pub use width::Width;
-pub use worth::{All, Worth};
+pub use health::{EjectionCause, EndpointHealth, OutlierEjection};
+pub use latency_histogram::LatencyHistogram;
+pub use learned_weight::{EndpointAverages, LearnedWeight};
+pub use policy::{BalancingPolicy, Policy, POLICIES};
+pub use state::{BalancerState, EndpointState};
+pub use subset::{assign_subset, Candidate, SubsetAssignment, Subsetting};
+pub use subset_multiplier::SubsetMultiplier;
+pub use zone_overflow::ZoneOverflow;
 
-use probe::{ProbeProgress, TakingWeight};
+use probe::{AcceptingWeight, ProbeProgress};
 use std::collections::BTreeSet;
 
 /// One place of a list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     /// A print of its name, the same in every process.
     pub key: u64,
     /// What it can do, over the others; above 0.
     pub weight: f64,
     /// In the zone of this process, or zones are not told apart.
-    pub is_near: bool,
+    pub is_local_zone: bool,
 }
 
-impl Listed {
-    pub fn plain(key: u64) -> Listed {
-        Listed { key, weight: 1.0, is_near: true }
+impl Endpoint {
+    pub fn new(key: u64) -> Endpoint {
+        Endpoint { key, weight: 1.0, is_local_zone: true }
     }
 }
 
 /// How calls are spread.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plan {
-    pub kind: Kind,
-    pub reach: Reach,
+pub struct BalancingConfig {
+    pub policy: BalancingPolicy,
+    pub subsetting: Subsetting,
     /// Shares go by what was learned of places.
-    pub by_worth: bool,
-    pub leaving: Leaving,
+    pub uses_learned_weights: bool,
+    pub ejection: OutlierEjection,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        let leaving = Leaving { after: 3, first_us: 200_000, most_us: 3_000_000, warm_us: 3_000_000 };
-        Plan { kind: Kind::Rounds, reach: Reach::All, by_worth: true, leaving }
+impl Default for BalancingConfig {
+    fn default() -> BalancingConfig {
+        let ejection = OutlierEjection {
+            consecutive_failures: 3,
+            base_ejection_us: 200_000,
+            max_ejection_us: 3_000_000,
+            slow_start_us: 3_000_000,
+        };
+        BalancingConfig {
+            policy: BalancingPolicy::LatencyAwareRoundRobin,
+            subsetting: Subsetting::All,
+            uses_learned_weights: true,
+            ejection,
+        }
     }
 }
 
 /// What a call came to, as far as it tells of its place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
-    Served,
+pub enum CallOutcome {
+    Succeeded,
     /// It was turned away there: the place does its work, and has no room.
-    Refused,
+    Rejected,
     /// It was answered, and did not do its work.
     Failed,
     /// It was not done in time.
-    Late,
+    TimedOut,
     /// A connection broke under it.
-    Broken,
+    ConnectionBroken,
     /// No connection could be made.
-    Unreached,
+    ConnectFailed,
     /// Nothing that tells of the place.
-    Nothing,
+    Inconclusive,
 }
 
 /// A trial of a place that is out may be one in so many calls: guards against all of a quiet node's calls being trials
 /// where many places are out.
-const CALLS_A_TRIAL: f64 = 5.0;
+const CALLS_PER_PROBE: f64 = 5.0;
 /// While at least this share of all calls is served, one that fails tells of its place.
-const FARES_WELL: f64 = 0.8;
+const HEALTHY_SUCCESS_RATE: f64 = 0.8;
 /// How far one answer moves the mean time of its place.
-const MEAN_PACE: f64 = 1.0 / 8.0;
+const MEAN_LATENCY_STEP: f64 = 1.0 / 8.0;
 
-pub struct Spread {
-    plan: Plan,
-    view: View,
-    way: Box<dyn Way + Send>,
-    laid: Vec<Laid>,
+pub struct LoadBalancer {
+    config: BalancingConfig,
+    state: BalancerState,
+    policy: Box<dyn Policy + Send>,
+    assignments: Vec<SubsetAssignment>,
     /// Places that are out, by when each may be tried.
-    due: BTreeSet<(u64, usize)>,
-    trials: f64,
-    taking_weight: TakingWeight,
+    ejected: BTreeSet<(u64, usize)>,
+    probe_allowance: f64,
+    accepting_weight: AcceptingWeight,
     /// When the last call was placed.
-    picked_us: u64,
-    spill: Spill,
-    width: Width,
+    last_pick_us: u64,
+    zone_overflow: ZoneOverflow,
+    subset_multiplier: SubsetMultiplier,
     rng: fastrand::Rng,
     seed: u64,
 }
 
-impl Spread {
-    pub fn new(plan: Plan, seed: u64) -> Spread {
-        Spread {
-            plan,
-            view: View { by_worth: plan.by_worth, ..View::default() },
-            way: plan.kind.way(),
-            laid: Vec::new(),
-            due: BTreeSet::new(),
-            trials: 1.0,
-            taking_weight: TakingWeight::default(),
-            picked_us: 0,
-            spill: Spill::default(),
-            width: Width::default(),
+impl LoadBalancer {
+    pub fn new(config: BalancingConfig, seed: u64) -> LoadBalancer {
+        LoadBalancer {
+            config,
+            state: BalancerState {
+                uses_learned_weights: config.uses_learned_weights,
+                ..BalancerState::default()
+            },
+            policy: config.policy.policy(),
+            assignments: Vec::new(),
+            ejected: BTreeSet::new(),
+            probe_allowance: 1.0,
+            accepting_weight: AcceptingWeight::default(),
+            last_pick_us: 0,
+            zone_overflow: ZoneOverflow::default(),
+            subset_multiplier: SubsetMultiplier::default(),
             rng: fastrand::Rng::with_seed(seed),
             seed,
         }
@@ -131,261 +144,282 @@
 
     /// The places there are now, each once. Gives the slot that each is known by from here on; a slot stays with its
     /// place until that has left and nothing is under way there.
-    pub fn list(&mut self, now_us: u64, listed: &[Listed]) -> Vec<usize> {
-        let is_first = self.view.of.iter().flatten().next().is_none();
-        let heaviest = listed.iter().map(|place| place.weight).fold(f64::MIN_POSITIVE, f64::max);
-        let keys: BTreeSet<u64> = listed.iter().map(|place| place.key).collect();
-        for held in self.view.of.iter_mut().flatten().filter(|held| !keys.contains(&held.key)) {
-            held.member.leave(now_us);
+    pub fn set_endpoints(&mut self, now_us: u64, endpoints: &[Endpoint]) -> Vec<usize> {
+        let is_first = self.state.endpoints.iter().flatten().next().is_none();
+        let heaviest = endpoints.iter().map(|listed| listed.weight).fold(f64::MIN_POSITIVE, f64::max);
+        let keys: BTreeSet<u64> = endpoints.iter().map(|listed| listed.key).collect();
+        for endpoint in
+            self.state.endpoints.iter_mut().flatten().filter(|endpoint| !keys.contains(&endpoint.key))
+        {
+            endpoint.health.remove(now_us);
         }
-        let mut slots = Vec::with_capacity(listed.len());
-        for place in listed {
-            let known = |held: &Option<Held>| held.as_ref().is_some_and(|held| held.key == place.key);
-            let slot = self.view.of.iter().position(known).unwrap_or_else(|| {
-                let (first, joining) = (Member::first, Member::joining);
-                let member = if is_first { first } else { joining }(self.plan.leaving, now_us);
-                let new = Some(Held::new(place.key, member));
-                match self.view.of.iter().position(Option::is_none) {
+        let mut slots = Vec::with_capacity(endpoints.len());
+        for listed in endpoints {
+            let known = |endpoint: &Option<EndpointState>| {
+                endpoint.as_ref().is_some_and(|endpoint| endpoint.key == listed.key)
+            };
+            let slot = self.state.endpoints.iter().position(known).unwrap_or_else(|| {
+                let (initial, added) = (EndpointHealth::initial, EndpointHealth::added);
+                let health = if is_first { initial } else { added }(self.config.ejection, now_us);
+                let new = Some(EndpointState::new(listed.key, health));
+                match self.state.endpoints.iter().position(Option::is_none) {
                     Some(free) => {
-                        self.view.of[free] = new;
+                        self.state.endpoints[free] = new;
                         free
                     }
                     None => {
-                        self.view.of.push(new);
-                        self.view.of.len() - 1
+                        self.state.endpoints.push(new);
+                        self.state.endpoints.len() - 1
                     }
                 }
             });
-            let held = self.view.of[slot].as_mut().expect("just seen");
-            held.member.come_again(now_us);
-            (held.weight, held.is_near) = (place.weight / heaviest, place.is_near);
+            let endpoint = self.state.endpoints[slot].as_mut().expect("just seen");
+            endpoint.health.added_again(now_us);
+            (endpoint.weight, endpoint.is_local_zone) = (listed.weight / heaviest, listed.is_local_zone);
             slots.push(slot);
         }
-        let zone = |near: bool| {
-            let of = listed.iter().zip(&slots).filter(|(place, _)| place.is_near == near);
-            let spot =
-                |(place, slot): (&Listed, &usize)| Spot { key: place.key, weight: place.weight, slot: *slot };
-            let places: Vec<Spot> = of.map(spot).collect();
-            lay(self.plan.reach, &places, self.seed)
+        let zone = |is_local: bool| {
+            let in_zone = endpoints.iter().zip(&slots).filter(|(listed, _)| listed.is_local_zone == is_local);
+            let candidate = |(listed, slot): (&Endpoint, &usize)| Candidate {
+                key: listed.key,
+                weight: listed.weight,
+                slot: *slot,
+            };
+            let candidates: Vec<Candidate> = in_zone.map(candidate).collect();
+            assign_subset(self.config.subsetting, &candidates, self.seed)
         };
-        self.laid = vec![zone(true), zone(false)];
-        self.view.of.iter_mut().flatten().for_each(|held| held.part = 0.0);
-        for (slot, part) in self.laid.iter().flat_map(|laid| &laid.reach) {
-            self.view.of[*slot].as_mut().expect("laid").part = *part;
+        self.assignments = vec![zone(true), zone(false)];
+        self.state.endpoints.iter_mut().flatten().for_each(|endpoint| endpoint.subset_fraction = 0.0);
+        for (slot, fraction) in self.assignments.iter().flat_map(|assignment| &assignment.own) {
+            self.state.endpoints[*slot].as_mut().expect("assigned").subset_fraction = *fraction;
         }
-        self.due.retain(|(_, slot)| self.view.of[*slot].as_ref().is_some_and(|h| !h.member.is_leaving()));
-        self.sweep();
-        self.relay();
+        self.ejected
+            .retain(|(_, slot)| self.state.endpoints[*slot].as_ref().is_some_and(|h| !h.health.is_removed()));
+        self.drop_removed();
+        self.rebuild_subset();
         slots
     }
 
-    /// The endpoint for a call. `harmless`: it may happen again, and so may be the probe of an endpoint that is out, once
-    /// that is earned. None where all are out: [`Spread::come_back_us`] says when one is probed.
-    pub fn pick(&mut self, now_us: u64, harmless: bool, avoid: Option<usize>) -> Option<usize> {
-        self.trials = (self.trials + 1.0 / CALLS_A_TRIAL).min(1.0);
+    /// The endpoint for a call. `idempotent`: it may happen again, and so may be the probe of an endpoint that is out, once
+    /// that is earned. None where all are out: [`LoadBalancer::next_probe_us`] says when one is probed.
+    pub fn pick(&mut self, now_us: u64, idempotent: bool, avoid: Option<usize>) -> Option<usize> {
+        self.probe_allowance = (self.probe_allowance + 1.0 / CALLS_PER_PROBE).min(1.0);
         self.earn_probes(now_us);
-        if harmless && self.trials >= 1.0 {
+        if idempotent && self.probe_allowance >= 1.0 {
             if let Some(slot) = self.earned_probe(now_us, avoid) {
-                self.trials = 0.0;
-                self.view.of[slot].as_mut().expect("out").probe.spend();
+                self.probe_allowance = 0.0;
+                self.state.endpoints[slot].as_mut().expect("out").probe.record_sent();
                 return Some(slot);
             }
         }
-        let due = self.due_slots(now_us).find(|slot| Some(*slot) != avoid);
-        self.way.choose(&self.view, now_us, avoid, &mut self.rng).or(due)
+        let due = self.probeable_slots(now_us).find(|slot| Some(*slot) != avoid);
+        self.policy.choose(&self.state, now_us, avoid, &mut self.rng).or(due)
     }
 
     /// Endpoints whose pause is over, the one whose pause ended first before the others.
-    fn due_slots(&self, now_us: u64) -> impl Iterator<Item = usize> + '_ {
-        self.due.iter().take_while(move |(until_us, _)| now_us >= *until_us).map(|(_, slot)| *slot)
+    fn probeable_slots(&self, now_us: u64) -> impl Iterator<Item = usize> + '_ {
+        self.ejected.iter().take_while(move |(until_us, _)| now_us >= *until_us).map(|(_, slot)| *slot)
     }
 
     /// One more call is placed: each endpoint that is out earns its part of a probe.
     fn earn_probes(&mut self, now_us: u64) {
-        let last_call_us = std::mem::replace(&mut self.picked_us, now_us);
+        let last_call_us = std::mem::replace(&mut self.last_pick_us, now_us);
         let since_last_call_us = now_us.saturating_sub(last_call_us);
-        for (until_us, slot) in &self.due {
-            let held = self.view.of[*slot].as_mut().expect("out");
-            let load_share = self.taking_weight.load_share(held.weight * held.part, self.view.spill);
+        for (until_us, slot) in &self.ejected {
+            let endpoint = self.state.endpoints[*slot].as_mut().expect("out");
+            let load_share = self
+                .accepting_weight
+                .load_share(endpoint.weight * endpoint.subset_fraction, self.state.overflow_share);
             if now_us < *until_us {
-                held.probe.earn_in_pause(load_share, since_last_call_us);
+                endpoint.probe.earn_while_ejected(load_share, since_last_call_us);
             } else {
-                held.probe.wait(now_us.saturating_sub(last_call_us.max(*until_us)));
-                held.probe.earn(load_share, since_last_call_us);
+                endpoint.probe.wait(now_us.saturating_sub(last_call_us.max(*until_us)));
+                endpoint.probe.earn(load_share, since_last_call_us);
             }
         }
     }
 
     fn earned_probe(&self, now_us: u64, avoid: Option<usize>) -> Option<usize> {
-        let may_probe = |slot: &usize| Some(*slot) != avoid && self.view.at(*slot).probe.is_earned();
-        self.due_slots(now_us).find(may_probe)
+        let may_probe = |slot: &usize| Some(*slot) != avoid && self.state.at(*slot).probe.is_earned();
+        self.probeable_slots(now_us).find(may_probe)
     }
 
     /// How long no place is expected to take a call, from the moment on at which none does: until the first of them is
     /// tried, and up to half as long again. Guards against all callers coming back at that very moment.
-    pub fn closed_us(&mut self, now_us: u64) -> Option<u64> {
-        if self.view.reach.iter().any(|slot| self.view.takes(*slot)) {
+    pub fn unavailable_for_us(&mut self, now_us: u64) -> Option<u64> {
+        if self.state.subset.iter().any(|slot| self.state.accepts_calls(*slot)) {
             return None;
         }
-        let first_us = self.due.first()?.0.saturating_sub(now_us).max(self.plan.leaving.first_us);
-        Some(first_us + self.rng.u64(0..=first_us / 2))
+        let first_probe_us =
+            self.ejected.first()?.0.saturating_sub(now_us).max(self.config.ejection.base_ejection_us);
+        Some(first_probe_us + self.rng.u64(0..=first_probe_us / 2))
     }
 
     /// When a place that is out is next tried.
-    pub fn come_back_us(&self) -> Option<u64> {
-        self.due.first().map(|(until_us, _)| *until_us)
+    pub fn next_probe_us(&self) -> Option<u64> {
+        self.ejected.first().map(|(until_us, _)| *until_us)
     }
 
     /// A call goes to that place.
-    pub fn given(&mut self, now_us: u64, slot: usize, call: u64) {
-        let Some(held) = self.view.of[slot].as_mut() else { return };
-        held.open.insert(call, now_us);
-        held.given += 1;
-        self.width.given(now_us);
-        if self.width.look(now_us, self.laid.iter().map(|laid| laid.reach.len()).max().unwrap_or(0)) {
-            self.relay();
+    pub fn call_started(&mut self, now_us: u64, slot: usize, call: u64) {
+        let Some(endpoint) = self.state.endpoints[slot].as_mut() else { return };
+        endpoint.calls.insert(call, now_us);
+        endpoint.calls_started += 1;
+        self.subset_multiplier.call_started(now_us);
+        if self
+            .subset_multiplier
+            .update(now_us, self.assignments.iter().map(|assignment| assignment.own.len()).max().unwrap_or(0))
+        {
+            self.rebuild_subset();
         }
-        self.member(slot, |member, _| member.given(call, now_us));
+        self.update_health(slot, |health, _| health.call_started(call, now_us));
     }
 
     /// What became of it there.
-    pub fn ended(&mut self, now_us: u64, slot: usize, call: u64, news: News) {
-        let Some(held) = self.view.of[slot].as_mut() else { return };
-        let Some(given_us) = held.open.remove(&call) else { return };
-        self.width.ended(now_us);
-        let took_us = now_us.saturating_sub(given_us);
-        let (fares_well, is_near) = (self.view.all.served >= FARES_WELL, held.is_near);
-        match news {
-            News::Served => {
-                self.view.times.add(took_us);
-                self.view.all.count(true);
-                self.view.all.took(took_us, self.view.times.usual_us());
-                held.worth.served(now_us, took_us, self.view.times.usual_us());
-                held.mean_us += (took_us as f64 - held.mean_us) * MEAN_PACE;
-                (held.last_us, held.last_at_us) = (took_us, now_us);
+    pub fn call_ended(&mut self, now_us: u64, slot: usize, call: u64, outcome: CallOutcome) {
+        let Some(endpoint) = self.state.endpoints[slot].as_mut() else { return };
+        let Some(started_us) = endpoint.calls.remove(&call) else { return };
+        self.subset_multiplier.call_ended(now_us);
+        let took_us = now_us.saturating_sub(started_us);
+        let (is_healthy, is_local_zone) =
+            (self.state.averages.success_rate >= HEALTHY_SUCCESS_RATE, endpoint.is_local_zone);
+        match outcome {
+            CallOutcome::Succeeded => {
+                self.state.latencies.record(took_us);
+                self.state.averages.record_outcome(true);
+                self.state.averages.record_latency(took_us, self.state.latencies.median_us());
+                endpoint.learned_weight.succeeded(now_us, took_us, self.state.latencies.median_us());
+                endpoint.mean_latency_us += (took_us as f64 - endpoint.mean_latency_us) * MEAN_LATENCY_STEP;
+                (endpoint.last_latency_us, endpoint.last_answered_us) = (took_us, now_us);
             }
             // Whoever has no room gets less, but where all have none.
-            News::Refused | News::Failed | News::Broken => {
-                self.view.all.count(false);
-                held.worth.failed(now_us);
+            CallOutcome::Rejected | CallOutcome::Failed | CallOutcome::ConnectionBroken => {
+                self.state.averages.record_outcome(false);
+                endpoint.learned_weight.failed(now_us);
             }
-            News::Late => {
-                self.view.all.count(false);
-                held.worth.late(now_us);
-                (held.last_us, held.last_at_us) = (took_us, now_us);
+            CallOutcome::TimedOut => {
+                self.state.averages.record_outcome(false);
+                endpoint.learned_weight.timed_out(now_us);
+                (endpoint.last_latency_us, endpoint.last_answered_us) = (took_us, now_us);
             }
-            News::Unreached | News::Nothing => {}
+            CallOutcome::ConnectFailed | CallOutcome::Inconclusive => {}
         }
-        if is_near && news != News::Nothing {
-            self.spill.near(now_us, news == News::Served);
-            self.view.spill = self.spill.share();
+        if is_local_zone && outcome != CallOutcome::Inconclusive {
+            self.zone_overflow.record_local(now_us, outcome == CallOutcome::Succeeded);
+            self.state.overflow_share = self.zone_overflow.share();
         }
-        self.member(slot, |member, rng| {
-            member.trial_is_over(call, now_us);
-            match news {
-                News::Served | News::Refused => member.did_well(now_us),
+        self.update_health(slot, |health, rng| {
+            health.probe_ended(call, now_us);
+            match outcome {
+                CallOutcome::Succeeded | CallOutcome::Rejected => health.succeeded(now_us),
                 // Where many fail everywhere, no place is to blame.
-                News::Failed if !fares_well => member.did_well(now_us),
-                News::Failed | News::Late | News::Broken => member.failed(now_us, Cause::Failing, rng),
-                News::Unreached => member.failed(now_us, Cause::Unreached, rng),
-                News::Nothing => {}
+                CallOutcome::Failed if !is_healthy => health.succeeded(now_us),
+                CallOutcome::Failed | CallOutcome::TimedOut | CallOutcome::ConnectionBroken => {
+                    health.failed(now_us, EjectionCause::CallsFailed, rng)
+                }
+                CallOutcome::ConnectFailed => health.failed(now_us, EjectionCause::ConnectFailed, rng),
+                CallOutcome::Inconclusive => {}
             }
         });
         // Only this one can have become gone: all are looked at with a new list alone.
-        free(&mut self.view.of[slot]);
+        drop_if_done(&mut self.state.endpoints[slot]);
     }
 
     /// A place failed outside of any call, such as on a ping.
-    pub fn failed(&mut self, now_us: u64, slot: usize, cause: Cause) {
-        self.member(slot, |member, rng| member.failed(now_us, cause, rng));
+    pub fn record_failure(&mut self, now_us: u64, slot: usize, cause: EjectionCause) {
+        self.update_health(slot, |health, rng| health.failed(now_us, cause, rng));
     }
 
     /// Whether the place of that slot is on the list.
     pub fn is_listed(&self, slot: usize) -> bool {
-        self.view.of.get(slot).and_then(Option::as_ref).is_some_and(|held| !held.member.is_leaving())
+        self.state
+            .endpoints
+            .get(slot)
+            .and_then(Option::as_ref)
+            .is_some_and(|endpoint| !endpoint.health.is_removed())
     }
 
-    pub fn view(&self) -> &View {
-        &self.view
+    pub fn state(&self) -> &BalancerState {
+        &self.state
     }
 
     /// A place's state in a word, for operators.
-    pub fn word(&self, slot: usize, now_us: u64) -> &'static str {
-        let Some(held) = self.view.of.get(slot).and_then(Option::as_ref) else { return "gone" };
-        match held.member.word(now_us) {
-            "in" if self.view.is_suspect(slot, now_us) => "suspect",
-            word => word,
+    pub fn status(&self, slot: usize, now_us: u64) -> &'static str {
+        let Some(endpoint) = self.state.endpoints.get(slot).and_then(Option::as_ref) else { return "gone" };
+        match endpoint.health.status(now_us) {
+            "in" if self.state.is_suspect(slot, now_us) => "suspect",
+            status => status,
         }
     }
 
     /// Lets what happened change a place's membership, and follows where it was left out or taken in.
-    fn member(&mut self, slot: usize, what: impl FnOnce(&mut Member, &mut fastrand::Rng)) {
-        let Some(held) = self.view.of[slot].as_mut() else { return };
-        let before = held.member;
-        what(&mut held.member, &mut self.rng);
-        let after = held.member;
-        if before.out_until_us() != after.out_until_us() {
-            if let Some(until_us) = before.out_until_us() {
-                self.due.remove(&(until_us, slot));
+    fn update_health(&mut self, slot: usize, what: impl FnOnce(&mut EndpointHealth, &mut fastrand::Rng)) {
+        let Some(endpoint) = self.state.endpoints[slot].as_mut() else { return };
+        let before = endpoint.health;
+        what(&mut endpoint.health, &mut self.rng);
+        let after = endpoint.health;
+        if before.ejected_until_us() != after.ejected_until_us() {
+            if let Some(until_us) = before.ejected_until_us() {
+                self.ejected.remove(&(until_us, slot));
             }
-            if let Some(until_us) = after.out_until_us() {
-                self.due.insert((until_us, slot));
-                held.probe.begin_pause();
+            if let Some(until_us) = after.ejected_until_us() {
+                self.ejected.insert((until_us, slot));
+                endpoint.probe.ejection_started();
             }
         }
-        if before.takes() && !after.takes() {
-            held.probe = ProbeProgress::drawn(&mut self.rng);
+        if before.accepts_calls() && !after.accepts_calls() {
+            endpoint.probe = ProbeProgress::random(&mut self.rng);
         }
-        if !before.takes() && after.takes() {
-            held.member.begin_ramp_earlier(held.probe.back_before_us());
+        if !before.accepts_calls() && after.accepts_calls() {
+            endpoint.health.backdate_slow_start(endpoint.probe.back_before_us());
         }
-        if before.takes() != after.takes() {
+        if before.accepts_calls() != after.accepts_calls() {
             // What was learned before it was out is no news of it now; it is warmed all the same.
-            held.worth = Worth::default();
-            self.relay();
+            endpoint.learned_weight = LearnedWeight::default();
+            self.rebuild_subset();
         }
     }
 
     /// The reach: its own places, and for each that is out one that stands in.
-    fn relay(&mut self) {
-        let mut reach = Vec::new();
-        for laid in &self.laid {
-            let own = || laid.reach.iter().map(|(slot, _)| *slot);
-            let takes = |slot: &usize| self.view.at(*slot).member.takes();
-            let missing = own().filter(|slot| !takes(slot)).count();
-            let wider = laid.reach.len() * (self.width.times() - 1);
-            reach.extend(own());
-            reach.extend(laid.spare.iter().copied().filter(takes).take(missing + wider));
+    fn rebuild_subset(&mut self) {
+        let mut subset = Vec::new();
+        for assignment in &self.assignments {
+            let own = || assignment.own.iter().map(|(slot, _)| *slot);
+            let accepts = |slot: &usize| self.state.at(*slot).health.accepts_calls();
+            let missing = own().filter(|slot| !accepts(slot)).count();
+            let widening = assignment.own.len() * (self.subset_multiplier.multiplier() - 1);
+            subset.extend(own());
+            subset.extend(assignment.spare.iter().copied().filter(accepts).take(missing + widening));
         }
-        for slot in &reach {
-            let held = self.view.of[*slot].as_mut().expect("laid");
-            if held.part == 0.0 {
-                held.part = 1.0;
+        for slot in &subset {
+            let endpoint = self.state.endpoints[*slot].as_mut().expect("assigned");
+            if endpoint.subset_fraction == 0.0 {
+                endpoint.subset_fraction = 1.0;
             }
         }
         // Rather than that most places have failed at once, it is we who cannot see them. What could not be reached is
         // out by proof, and stays so.
-        let takes = reach.iter().filter(|slot| self.view.at(**slot).member.takes()).count();
-        self.view.is_doubted = takes * 2 < reach.len();
-        self.taking_weight = TakingWeight::default();
-        for slot in reach.iter().filter(|slot| self.view.takes(**slot)) {
-            let held = self.view.at(*slot);
-            self.taking_weight.add(held.weight * held.part, held.is_near);
+        let accepting = subset.iter().filter(|slot| self.state.at(**slot).health.accepts_calls()).count();
+        self.state.is_in_panic_mode = accepting * 2 < subset.len();
+        self.accepting_weight = AcceptingWeight::default();
+        for slot in subset.iter().filter(|slot| self.state.accepts_calls(**slot)) {
+            let endpoint = self.state.at(*slot);
+            self.accepting_weight.add(endpoint.weight * endpoint.subset_fraction, endpoint.is_local_zone);
         }
-        if reach != self.view.reach {
-            self.view.reach = reach;
-            self.way.relaid();
+        if subset != self.state.subset {
+            self.state.subset = subset;
+            self.policy.subset_changed();
         }
     }
 
     /// Places that left and have nothing under way are gone.
-    fn sweep(&mut self) {
-        self.view.of.iter_mut().for_each(free);
+    fn drop_removed(&mut self) {
+        self.state.endpoints.iter_mut().for_each(drop_if_done);
     }
 }
 
-fn free(held: &mut Option<Held>) {
-    if held.as_ref().is_some_and(|held| held.member.is_leaving() && held.open.is_empty()) {
-        *held = None;
+fn drop_if_done(endpoint: &mut Option<EndpointState>) {
+    if endpoint.as_ref().is_some_and(|endpoint| endpoint.health.is_removed() && endpoint.calls.is_empty()) {
+        *endpoint = None;
     }
 }
--- a/crates/ochrewalk-spread/src/probe.rs
+++ b/crates/ochrewalk-spread/src/probe.rs
@@ -34,19 +34,19 @@
 
 impl ProbeProgress {
     /// Begins at a drawn point, so that nodes that saw the endpoint fail together do not probe it together.
-    pub fn drawn(rng: &mut fastrand::Rng) -> ProbeProgress {
+    pub fn random(rng: &mut fastrand::Rng) -> ProbeProgress {
         ProbeProgress { earned: rng.f64(), waited_us: 0 }
     }
 
     /// A pause begins, after which the endpoint waits anew.
-    pub fn begin_pause(&mut self) {
+    pub fn ejection_started(&mut self) {
         self.waited_us = 0;
     }
 
     /// One more call of the node is placed during the endpoint's pause, and the endpoint would get `load_share` of the
     /// node's calls if it were warm. A probe that is earned here is lost, else all nodes would send theirs as the pause
     /// ends.
-    pub fn earn_in_pause(&mut self, load_share: f64, since_last_call_us: u64) {
+    pub fn earn_while_ejected(&mut self, load_share: f64, since_last_call_us: u64) {
         self.earned = (self.earned + probe_share(load_share, since_last_call_us)).fract();
     }
 
@@ -70,33 +70,33 @@
     }
 
     /// A probe was sent.
-    pub fn spend(&mut self) {
+    pub fn record_sent(&mut self) {
         self.earned -= 1.0;
     }
 }
 
 /// The weight of all endpoints that take calls, from which the part of each follows.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TakingWeight {
-    near: f64,
-    far: f64,
+pub struct AcceptingWeight {
+    local: f64,
+    remote: f64,
 }
 
-impl TakingWeight {
+impl AcceptingWeight {
     /// Counts one endpoint that takes calls.
-    pub fn add(&mut self, weight: f64, is_near: bool) {
-        if is_near {
-            self.near += weight;
+    pub fn add(&mut self, weight: f64, is_local_zone: bool) {
+        if is_local_zone {
+            self.local += weight;
         } else {
-            self.far += weight;
+            self.remote += weight;
         }
     }
 
-    /// The part of the node's calls that an endpoint of that weight would get, where far ones get `spill` of a near
+    /// The part of the node's calls that an endpoint of that weight would get, where far ones get `overflow_share` of a near
     /// one's share.
-    pub fn load_share(&self, weight: f64, spill: f64) -> f64 {
-        let all = self.near + spill * self.far;
-        (weight / all.max(f64::MIN_POSITIVE)).min(1.0)
+    pub fn load_share(&self, weight: f64, overflow_share: f64) -> f64 {
+        let total = self.local + overflow_share * self.remote;
+        (weight / total.max(f64::MIN_POSITIVE)).min(1.0)
     }
 }
 
--- /dev/null
+++ b/crates/ochrewalk-spread/tests/balancing.rs
@@ -0,0 +1,441 @@
+//! Where calls go, by table: each case is a way in which a place, or our sight of it, goes wrong.
+
+use ochrewalk_spread::{
+    BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, LoadBalancer, OutlierEjection,
+    SubsetMultiplier, Subsetting, POLICIES,
+};
+
+const MS: u64 = 1_000;
+
+fn config(kind: BalancingPolicy) -> BalancingConfig {
+    let ejection = OutlierEjection {
+        consecutive_failures: 3,
+        base_ejection_us: 200 * MS,
+        max_ejection_us: 3_000 * MS,
+        slow_start_us: 2_000 * MS,
+    };
+    BalancingConfig { policy: kind, subsetting: Subsetting::All, uses_learned_weights: true, ejection }
+}
+
+fn balancer(places: u64) -> LoadBalancer {
+    let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 7);
+    balancer.set_endpoints(0, &(0..places).map(Endpoint::new).collect::<Vec<_>>());
+    balancer
+}
+
+/// Calls one after the other, each answered as said; gives how many each place got.
+fn calls(
+    balancer: &mut LoadBalancer,
+    from_us: &mut u64,
+    count: u64,
+    mut answer: impl FnMut(usize) -> (u64, CallOutcome),
+) -> Vec<usize> {
+    let mut got = vec![0; balancer.state().endpoints.len()];
+    for _ in 0..count {
+        *from_us += 100 * MS;
+        let Some(slot) = balancer.pick(*from_us, true, None) else { continue };
+        got[slot] += 1;
+        let call = *from_us;
+        balancer.call_started(*from_us, slot, call);
+        let (took_us, outcome) = answer(slot);
+        *from_us += took_us;
+        balancer.call_ended(*from_us, slot, call, outcome);
+    }
+    got
+}
+
+fn well(_: usize) -> (u64, CallOutcome) {
+    (20 * MS, CallOutcome::Succeeded)
+}
+
+#[test]
+fn rounds_are_even_to_a_call_and_begin_elsewhere_with_each_seed() {
+    let mut firsts = std::collections::BTreeSet::new();
+    for seed in 0..40 {
+        let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), seed);
+        balancer.set_endpoints(0, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
+        firsts.insert(balancer.pick(1, true, None).unwrap());
+        let mut now = 0;
+        let got = calls(&mut balancer, &mut now, 499, well);
+        assert!(got.iter().all(|count| (49..=51).contains(count)), "{got:?}");
+    }
+    assert!(firsts.len() >= 8, "a herd on {firsts:?}");
+}
+
+#[test]
+fn a_place_that_fails_at_once_is_no_fast_place_and_one_that_fails_like_all_is_no_worse() {
+    let mut balancer = balancer(6);
+    let mut now = 0;
+    calls(&mut balancer, &mut now, 60, well);
+    let got =
+        calls(
+            &mut balancer,
+            &mut now,
+            300,
+            |slot| if slot == 2 { (300, CallOutcome::Failed) } else { well(slot) },
+        );
+    assert!((1..25).contains(&got[2]), "{got:?}");
+    assert_eq!(balancer.state().at(2).health.ejection_cause(), Some(EjectionCause::CallsFailed));
+    // All fail: all are asked as before.
+    let mut balancer = self::balancer(6);
+    let mut now = 0;
+    calls(&mut balancer, &mut now, 60, |_| (300, CallOutcome::Failed));
+    let got = calls(&mut balancer, &mut now, 300, |_| (300, CallOutcome::Failed));
+    assert!(got.iter().all(|count| (35..=65).contains(count)), "{got:?}");
+}
+
+#[test]
+fn three_slow_answers_do_not_outweigh_chance_but_ten_times_slower_is_found_and_forgotten() {
+    let mut balancer = balancer(6);
+    let mut now = 0;
+    calls(&mut balancer, &mut now, 60, well);
+    let mut left = 3;
+    let got = calls(&mut balancer, &mut now, 60, |slot| {
+        let slow = slot == 1 && left > 0;
+        left -= i32::from(slow);
+        (if slow { 40 * MS } else { 20 * MS }, CallOutcome::Succeeded)
+    });
+    assert!(got[1] >= 8, "{got:?}");
+    let slow = |slot| (if slot == 1 { 200 * MS } else { 20 * MS }, CallOutcome::Succeeded);
+    let got = calls(&mut balancer, &mut now, 300, slow);
+    assert!((2..30).contains(&got[1]), "a fifth of the others at most, and asked again: {got:?}");
+    calls(&mut balancer, &mut now, 120, well);
+    let got = calls(&mut balancer, &mut now, 120, well);
+    assert!(got[1] >= 16, "{got:?}");
+}
+
+#[test]
+fn a_place_that_says_nothing_gets_no_more_until_it_speaks() {
+    let mut balancer = balancer(6);
+    let mut now = 0;
+    calls(&mut balancer, &mut now, 60, well);
+    // One is stopped: its call is given and never answered.
+    let stopped = loop {
+        let slot = balancer.pick(now, true, None).unwrap();
+        balancer.call_started(now, slot, 1);
+        if slot == 4 {
+            break slot;
+        }
+        balancer.call_ended(now + 20 * MS, slot, 1, CallOutcome::Succeeded);
+    };
+    now += 200 * MS;
+    assert_eq!(balancer.status(stopped, now), "suspect");
+    let got = calls(&mut balancer, &mut now, 60, well);
+    assert_eq!(got[4], 0, "{got:?}");
+    balancer.call_ended(now, stopped, 1, CallOutcome::Succeeded);
+    assert!(calls(&mut balancer, &mut now, 60, well)[4] >= 4);
+}
+
+#[test]
+fn where_all_seem_silent_it_is_our_own_clock_and_calls_go_on() {
+    for kind in POLICIES.map(|(_, kind)| kind) {
+        let mut balancer = LoadBalancer::new(config(kind), 7);
+        balancer.set_endpoints(0, &(0..6).map(Endpoint::new).collect::<Vec<_>>());
+        let mut now = 0;
+        calls(&mut balancer, &mut now, 60, well);
+        for call in 0..12 {
+            let slot = balancer.pick(now, true, None).unwrap();
+            balancer.call_started(now, slot, call);
+        }
+        // We slept for five seconds.
+        now += 5_000 * MS;
+        for _ in 0..6 {
+            assert!(balancer.pick(now, false, None).is_some(), "{kind:?}");
+        }
+    }
+}
+
+/// Puts a place out by that cause.
+fn put_out(balancer: &mut LoadBalancer, now_us: u64, slot: usize, cause: EjectionCause) {
+    (0..3).for_each(|_| balancer.record_failure(now_us, slot, cause));
+    assert_eq!(balancer.status(slot, now_us), "out");
+}
+
+#[test]
+fn where_most_are_out_by_silence_the_view_is_doubted_but_not_what_is_proven() {
+    for (cause, doubted) in [(EjectionCause::CallsFailed, true), (EjectionCause::ConnectFailed, false)] {
+        let mut balancer = balancer(8);
+        let mut now = 0;
+        calls(&mut balancer, &mut now, 80, well);
+        (0..6).for_each(|slot| put_out(&mut balancer, now, slot, cause));
+        assert!(balancer.state().is_in_panic_mode);
+        let mut got = [0; 8];
+        (0..80).for_each(|_| got[balancer.pick(now, false, None).unwrap()] += 1);
+        let most = *got.iter().max().unwrap();
+        assert_eq!(most < 30, doubted, "{cause:?}: {got:?}");
+    }
+}
+
+#[test]
+fn with_all_out_the_answer_is_none_and_when_to_come_back() {
+    let mut balancer = balancer(3);
+    (0..3).for_each(|slot| put_out(&mut balancer, 0, slot, EjectionCause::ConnectFailed));
+    assert_eq!(balancer.pick(1, true, None), None);
+    let at = balancer.next_probe_us().unwrap();
+    assert!((150 * MS..=250 * MS).contains(&at), "{at}");
+    let slot = balancer.pick(at, true, None).expect("one is due");
+    balancer.call_started(at, slot, 1);
+    assert_eq!(
+        (balancer.status(slot, at), balancer.pick(at, true, None)),
+        ("trying", None),
+        "one trial at a time"
+    );
+    balancer.call_ended(at + MS, slot, 1, CallOutcome::Succeeded);
+    assert_eq!(balancer.pick(at + MS, false, None), Some(slot));
+    // None at all.
+    let mut nothing = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 1);
+    assert_eq!((nothing.pick(0, true, None), nothing.next_probe_us()), (None, None));
+    nothing.set_endpoints(5, &[]);
+    assert_eq!(nothing.pick(6, true, None), None);
+}
+
+#[test]
+fn probes_are_harmless_calls_and_one_call_in_five_at_most() {
+    let mut balancer = balancer(10);
+    let mut now = 0;
+    calls(&mut balancer, &mut now, 100, well);
+    (0..4).for_each(|slot| put_out(&mut balancer, now, slot, EjectionCause::ConnectFailed));
+    now += 400 * MS;
+    // Each of four earns a tenth of a sixth of each call: after 60 calls all have earned a whole probe.
+    assert!(
+        (0..60).all(|_| balancer.pick(now, false, None).unwrap() >= 4),
+        "not one that may not happen twice"
+    );
+    let mut probes = Vec::new();
+    for call in 1_000..1_020 {
+        let slot = balancer.pick(now, true, None).unwrap();
+        balancer.call_started(now, slot, call);
+        let is_probe = slot < 4;
+        if is_probe {
+            probes.push((call, slot));
+            assert_eq!(balancer.status(slot, now), "trying");
+        }
+        balancer.call_ended(
+            now,
+            slot,
+            call,
+            if is_probe { CallOutcome::ConnectFailed } else { CallOutcome::Succeeded },
+        );
+    }
+    let probed_at: Vec<u64> = probes.iter().map(|(call, _)| *call).collect();
+    assert_eq!(probed_at, [1_000, 1_005, 1_010, 1_015], "one in five calls");
+    let mut probed: Vec<usize> = probes.iter().map(|(_, slot)| *slot).collect();
+    probed.sort_unstable();
+    assert_eq!(probed, [0, 1, 2, 3], "each once");
+    let pause_us = balancer.next_probe_us().unwrap() - now;
+    assert!((300 * MS..=500 * MS).contains(&pause_us), "twice the first: {pause_us}");
+}
+
+#[test]
+fn an_endpoint_is_probed_by_a_tenth_of_its_share_of_the_calls_from_a_drawn_point_on() {
+    // One of ten is out, so that each of nine takes a ninth of the calls, and a tenth of that is one call in 90.
+    const CALLS_TO_PROBE: u64 = 90;
+    let mut firsts = Vec::new();
+    for seed in 0..40 {
+        let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), seed);
+        balancer.set_endpoints(0, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
+        let mut now = 0;
+        calls(&mut balancer, &mut now, 100, well);
+        put_out(&mut balancer, now, 3, EjectionCause::ConnectFailed);
+        now += 400 * MS;
+        // Time between two calls counts as well; it does not pass from here on.
+        balancer.pick(now, false, None).unwrap();
+        let mut probes = Vec::new();
+        for call in 1..=3 * CALLS_TO_PROBE {
+            let slot = balancer.pick(now, true, None).unwrap();
+            balancer.call_started(now, slot, call);
+            if slot == 3 {
+                probes.push(call);
+                assert!(
+                    (0..200).all(|_| balancer.pick(now, true, None) != Some(3)),
+                    "not while one is under way, and nothing is earned meanwhile"
+                );
+            }
+            balancer.call_ended(
+                now,
+                slot,
+                call,
+                if slot == 3 { CallOutcome::Inconclusive } else { CallOutcome::Succeeded },
+            );
+        }
+        let apart: Vec<u64> = probes.windows(2).map(|pair| pair[1] - pair[0]).collect();
+        assert!(
+            apart.iter().all(|calls| (CALLS_TO_PROBE..=CALLS_TO_PROBE + 1).contains(calls)),
+            "seed {seed}: {probes:?}"
+        );
+        assert!(probes[0] <= CALLS_TO_PROBE && probes.len() >= 2, "seed {seed}: {probes:?}");
+        firsts.push(probes[0]);
+    }
+    let mean = firsts.iter().sum::<u64>() as f64 / firsts.len() as f64;
+    assert!(
+        (33.0..=58.0).contains(&mean),
+        "45 and three standard errors of 40 drawn points: {mean} of {firsts:?}"
+    );
+}
+
+#[test]
+fn a_node_that_waited_long_for_its_probe_begins_its_ramp_in_the_middle_of_the_wait() {
+    // The ramp takes 2 s. Calls come in steps of that many milliseconds after the pause. The first probe fails, so that a
+    // whole one is earned until the second, which is answered.
+    for (step_ms, wanted) in [(10, "back"), (200, "in")] {
+        let mut balancer = balancer(10);
+        let mut now = 0;
+        calls(&mut balancer, &mut now, 100, well);
+        put_out(&mut balancer, now, 3, EjectionCause::ConnectFailed);
+        let mut waited_us = 0;
+        for outcome in [CallOutcome::ConnectFailed, CallOutcome::Succeeded] {
+            let from_us = balancer.next_probe_us().unwrap();
+            now = from_us;
+            while balancer.status(3, now) == "out" {
+                now += step_ms * MS;
+                let slot = balancer.pick(now, true, None).unwrap();
+                balancer.call_started(now, slot, now);
+                if slot == 3 {
+                    break;
+                }
+                balancer.call_ended(now, slot, now, CallOutcome::Succeeded);
+            }
+            waited_us = now - from_us;
+            balancer.call_ended(now, 3, now, outcome);
+        }
+        let warmth = 0.1 + 0.9 * (waited_us as f64 / 2.0 / 2e6).min(1.0);
+        let got = balancer.state().at(3).health.slow_start_factor(now);
+        assert!((got - warmth).abs() < 1e-6, "{got} where {warmth} is wanted: waited {waited_us} us");
+        assert_eq!(balancer.status(3, now), wanted, "waited {waited_us} us");
+    }
+    // A node that was idle has not waited, whatever time has passed.
+    let mut balancer = balancer(1);
+    put_out(&mut balancer, 0, 0, EjectionCause::ConnectFailed);
+    let hour_us = 3_600_000 * MS;
+    assert_eq!(balancer.pick(hour_us, true, None), Some(0));
+    balancer.call_started(hour_us, 0, 1);
+    balancer.call_ended(hour_us, 0, 1, CallOutcome::Succeeded);
+    assert!(
+        balancer.state().at(0).health.slow_start_factor(hour_us) <= 0.1 + 0.9 * 0.25 + 1e-9,
+        "a second at most, halved"
+    );
+}
+
+#[test]
+fn a_place_that_is_new_gets_its_share_gradually_and_only_one_place_gets_all() {
+    let mut balancer = balancer(9);
+    let mut now = 0;
+    calls(&mut balancer, &mut now, 90, well);
+    balancer.set_endpoints(now, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
+    assert_eq!(balancer.status(9, now), "joining");
+    let first = calls(&mut balancer, &mut now, 8, |_| (0, CallOutcome::Succeeded))[9];
+    let cold = calls(&mut balancer, &mut now, 20, |_| (0, CallOutcome::Succeeded));
+    let warm = calls(&mut balancer, &mut now, 100, |_| (0, CallOutcome::Succeeded));
+    assert!(first <= 1 && cold[9] <= 2 && (9..=11).contains(&warm[9]), "{first} {cold:?} {warm:?}");
+    let mut one = self::balancer(1);
+    assert_eq!(calls(&mut one, &mut 0, 10, well), [10]);
+    assert_eq!(one.pick(0, true, Some(0)), Some(0), "there is only the one to avoid");
+}
+
+#[test]
+fn a_slot_is_its_places_until_nothing_is_under_way_there() {
+    let mut balancer = balancer(3);
+    balancer.call_started(0, 1, 77);
+    let slots = balancer.set_endpoints(1, &[Endpoint::new(0), Endpoint::new(2), Endpoint::new(50)]);
+    assert_eq!(slots, [0, 2, 3], "not 1: a call is under way there");
+    assert_eq!((balancer.status(1, 1), balancer.is_listed(1)), ("leaving", false));
+    assert!((0..30).all(|_| balancer.pick(2, true, None) != Some(1)));
+    balancer.call_ended(3, 1, 77, CallOutcome::Succeeded);
+    assert_eq!(balancer.status(1, 3), "gone");
+    let slots = balancer.set_endpoints(4, &[Endpoint::new(0), Endpoint::new(60), Endpoint::new(50)]);
+    assert_eq!(slots, [0, 1, 3]);
+    // It went and came before its call ended: its call is its own.
+    balancer.call_started(5, 1, 78);
+    balancer.set_endpoints(6, &[Endpoint::new(0), Endpoint::new(50)]);
+    assert_eq!(balancer.set_endpoints(7, &[Endpoint::new(60), Endpoint::new(0)]), [1, 0]);
+    assert_eq!((balancer.state().at(1).in_flight(), balancer.status(1, 7)), (1, "joining"));
+}
+
+#[test]
+fn far_places_are_called_only_as_far_as_near_ones_have_no_room() {
+    let near = |key| Endpoint::new(key);
+    let far = |key| Endpoint { is_local_zone: false, ..Endpoint::new(key) };
+    let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 7);
+    balancer.set_endpoints(0, &[near(0), near(1), near(2), far(3), far(4), far(5)]);
+    let mut now = 0;
+    let got = calls(&mut balancer, &mut now, 90, well);
+    assert_eq!(got[3..], [0, 0, 0], "{got:?}");
+    let full = |slot| if slot < 3 { (MS, CallOutcome::Rejected) } else { well(slot) };
+    calls(&mut balancer, &mut now, 200, full);
+    let got = calls(&mut balancer, &mut now, 120, full);
+    assert!(got[3..].iter().all(|count| *count >= 18), "evenly: {got:?}");
+    calls(&mut balancer, &mut now, 3_000, well);
+    let got = calls(&mut balancer, &mut now, 90, well);
+    assert!(got[3..].iter().sum::<usize>() <= 9, "back home: {got:?}");
+    // The near ones are gone: the far ones take all.
+    (0..3).for_each(|slot| put_out(&mut balancer, now, slot, EjectionCause::ConnectFailed));
+    assert!(balancer.pick(now, false, None).unwrap() >= 3);
+}
+
+#[test]
+fn whoever_is_out_of_a_small_reach_has_one_to_stand_in() {
+    let mut config = config(BalancingPolicy::LatencyAwareRoundRobin);
+    config.subsetting = Subsetting::Random { size: 4 };
+    let mut balancer = LoadBalancer::new(config, 7);
+    balancer.set_endpoints(0, &(0..20).map(Endpoint::new).collect::<Vec<_>>());
+    let own = balancer.state().subset.clone();
+    assert_eq!(own.len(), 4);
+    put_out(&mut balancer, 0, own[0], EjectionCause::ConnectFailed);
+    put_out(&mut balancer, 0, own[1], EjectionCause::ConnectFailed);
+    let mut now = 100 * MS;
+    let got = calls(&mut balancer, &mut now, 1, well);
+    assert_eq!(got.iter().sum::<usize>(), 1);
+    assert_eq!(
+        balancer.state().subset.iter().filter(|slot| balancer.state().accepts_calls(**slot)).count(),
+        4
+    );
+    assert!(!balancer.state().is_in_panic_mode);
+}
+
+#[test]
+fn a_node_with_much_in_hand_calls_more_places_and_fewer_again_late() {
+    let mut multiplier = SubsetMultiplier::default();
+    let mut now = 0;
+    let mut seconds = |multiplier: &mut SubsetMultiplier, count: u64, in_hand: u64| {
+        for _ in 0..count {
+            (0..in_hand).for_each(|_| multiplier.call_started(now));
+            now += 1_000_000;
+            (0..in_hand).for_each(|_| multiplier.call_ended(now));
+            multiplier.update(now, 6);
+        }
+        multiplier.multiplier()
+    };
+    assert_eq!(seconds(&mut multiplier, 10, 2), 1);
+    assert_eq!(seconds(&mut multiplier, 1, 24), 2, "by doublings");
+    assert_eq!(seconds(&mut multiplier, 8, 24), 8);
+    assert_eq!(seconds(&mut multiplier, 9, 2), 8, "late");
+    assert_eq!(seconds(&mut multiplier, 1, 2), 4);
+    assert_eq!(seconds(&mut multiplier, 9, 12), 4, "what is wanted is near enough");
+    assert_eq!(seconds(&mut multiplier, 40, 0), 1);
+}
+
+#[test]
+fn where_all_are_out_callers_are_told_when_one_is_tried_and_each_a_little_apart() {
+    let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 7);
+    balancer.set_endpoints(0, &(0..3).map(Endpoint::new).collect::<Vec<_>>());
+    assert_eq!(balancer.unavailable_for_us(0), None);
+    for slot in 0..2 {
+        put_out(&mut balancer, 0, slot, EjectionCause::ConnectFailed);
+    }
+    assert_eq!(balancer.unavailable_for_us(0), None, "one takes calls");
+    put_out(&mut balancer, 0, 2, EjectionCause::ConnectFailed);
+    let first_us = balancer.next_probe_us().unwrap().max(200 * MS);
+    let told: Vec<u64> = (0..100).map(|_| balancer.unavailable_for_us(0).unwrap()).collect();
+    assert!(told.iter().all(|us| (first_us..=first_us * 3 / 2).contains(us)), "{first_us}: {told:?}");
+    let mut apart = told.clone();
+    apart.sort_unstable();
+    apart.dedup();
+    assert!(apart.len() > 50, "{apart:?}");
+    // One that could be tried any moment is no promise yet.
+    assert!(balancer.unavailable_for_us(first_us + 1).unwrap() >= 200 * MS);
+    // Those that only fail are asked all the same where most seem out.
+    let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 7);
+    balancer.set_endpoints(0, &[Endpoint::new(1)]);
+    put_out(&mut balancer, 0, 0, EjectionCause::CallsFailed);
+    assert_eq!(balancer.unavailable_for_us(0), None);
+}
--- a/crates/ochrewalk-spread/tests/choice_trace.rs
+++ b/crates/ochrewalk-spread/tests/choice_trace.rs
@@ -1,7 +1,10 @@
 //! The same seeded events bring the choices and the states that are written down here, for each policy, each subset and
 //! each outcome of a call. A change that is meant to change no choice keeps the digest; it is never taken anew to get a pass.
 
-use ochrewalk_spread::{Cause, Leaving, Listed, News, Plan, Reach, Spread, KINDS};
+use ochrewalk_spread::{
+    BalancingConfig, CallOutcome, EjectionCause, Endpoint, LoadBalancer, OutlierEjection, Subsetting,
+    POLICIES,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SEEDS: u64 = 144;
@@ -31,7 +34,7 @@
 
 /// One load balancer, and the events that a seed draws for it.
 struct Run {
-    balancer: Spread,
+    balancer: LoadBalancer,
     rng: fastrand::Rng,
     now_us: u64,
     calls: u64,
@@ -43,20 +46,30 @@
 }
 
 /// The settings of a seed: together the seeds cover every policy with every subset, with and without learned shares.
-fn settings(seed: u64) -> Plan {
-    let leaving = Leaving { after: 2, first_us: 200 * MS, most_us: 1_500 * MS, warm_us: 800 * MS };
-    let reach = match seed / 6 % 3 {
-        0 => Reach::All,
-        1 => Reach::Drawn { places: 4 },
-        _ => Reach::Arc { places: 3, number: seed as usize % 7, of: 9 },
+fn settings(seed: u64) -> BalancingConfig {
+    let ejection = OutlierEjection {
+        consecutive_failures: 2,
+        base_ejection_us: 200 * MS,
+        max_ejection_us: 1_500 * MS,
+        slow_start_us: 800 * MS,
     };
-    Plan { kind: KINDS[seed as usize % 6].1, reach, by_worth: (seed / 18).is_multiple_of(2), leaving }
+    let subsetting = match seed / 6 % 3 {
+        0 => Subsetting::All,
+        1 => Subsetting::Random { size: 4 },
+        _ => Subsetting::Deterministic { size: 3, node: seed as usize % 7, node_count: 9 },
+    };
+    BalancingConfig {
+        policy: POLICIES[seed as usize % 6].1,
+        subsetting,
+        uses_learned_weights: (seed / 18).is_multiple_of(2),
+        ejection,
+    }
 }
 
 impl Run {
     fn new(seed: u64) -> Run {
         let mut run = Run {
-            balancer: Spread::new(settings(seed), seed),
+            balancer: LoadBalancer::new(settings(seed), seed),
             rng: fastrand::Rng::with_seed(!seed),
             now_us: 0,
             calls: 0,
@@ -73,27 +86,27 @@
     fn relist(&mut self) {
         let (count, zones) = (self.rng.u64(4..16), self.rng.bool());
         let keys: BTreeSet<u64> = (0..count).map(|_| self.rng.u64(0..24)).collect();
-        let listed: Vec<Listed> = keys
+        let listed: Vec<Endpoint> = keys
             .into_iter()
-            .map(|key| Listed {
+            .map(|key| Endpoint {
                 key,
                 weight: 1.0 + (key % 3) as f64,
-                is_near: !zones || !key.is_multiple_of(4),
+                is_local_zone: !zones || !key.is_multiple_of(4),
             })
             .collect();
-        let slots = self.balancer.list(self.now_us, &listed);
+        let slots = self.balancer.set_endpoints(self.now_us, &listed);
         self.digest.add(&format!("list {slots:?}"));
     }
 
     fn pick(&mut self) {
-        let harmless = self.rng.u32(0..3) > 0;
+        let idempotent = self.rng.u32(0..3) > 0;
         let avoid = (self.rng.u32(0..4) == 0).then(|| self.rng.usize(0..16));
-        let choice = self.balancer.pick(self.now_us, harmless, avoid);
+        let choice = self.balancer.pick(self.now_us, idempotent, avoid);
         self.choices += 1;
         self.digest.add(&format!("pick {choice:?}"));
         if let Some(slot) = choice {
             self.calls += 1;
-            self.balancer.given(self.now_us, slot, self.calls);
+            self.balancer.call_started(self.now_us, slot, self.calls);
             self.in_flight.insert(self.calls, slot);
         }
     }
@@ -106,23 +119,23 @@
         let (call, slot) =
             self.in_flight.iter().nth(at).map(|(call, slot)| (*call, *slot)).expect("in flight");
         self.in_flight.remove(&call);
-        let is_failing = self.failing.contains(&self.balancer.view().at(slot).key);
-        let news = match (is_failing, self.rng.u32(0..24)) {
-            (true, 0..=8) | (false, 0) => News::Unreached,
-            (true, 9..=12) | (false, 1) => News::Failed,
-            (true, 13..=16) | (false, 2) => News::Broken,
-            (true, 17..=19) | (false, 3) => News::Late,
-            (_, 20) => News::Refused,
-            (_, 21) => News::Nothing,
-            _ => News::Served,
+        let is_failing = self.failing.contains(&self.balancer.state().at(slot).key);
+        let outcome = match (is_failing, self.rng.u32(0..24)) {
+            (true, 0..=8) | (false, 0) => CallOutcome::ConnectFailed,
+            (true, 9..=12) | (false, 1) => CallOutcome::Failed,
+            (true, 13..=16) | (false, 2) => CallOutcome::ConnectionBroken,
+            (true, 17..=19) | (false, 3) => CallOutcome::TimedOut,
+            (_, 20) => CallOutcome::Rejected,
+            (_, 21) => CallOutcome::Inconclusive,
+            _ => CallOutcome::Succeeded,
         };
-        self.balancer.ended(self.now_us, slot, call, news);
+        self.balancer.call_ended(self.now_us, slot, call, outcome);
     }
 
     fn fail_outside_of_calls(&mut self) {
-        let slot = self.rng.usize(0..self.balancer.view().of.len());
-        let cause = if self.rng.bool() { Cause::Unreached } else { Cause::Failing };
-        self.balancer.failed(self.now_us, slot, cause);
+        let slot = self.rng.usize(0..self.balancer.state().endpoints.len());
+        let cause = if self.rng.bool() { EjectionCause::ConnectFailed } else { EjectionCause::CallsFailed };
+        self.balancer.record_failure(self.now_us, slot, cause);
     }
 
     fn step(&mut self, step: usize) {
@@ -135,9 +148,9 @@
             0 | 1 => self.relist(),
             2..=4 => self.fail_outside_of_calls(),
             5..=7 => {
-                let (closed_us, next_us) =
-                    (self.balancer.closed_us(self.now_us), self.balancer.come_back_us());
-                self.digest.add(&format!("closed {closed_us:?} {next_us:?}"));
+                let (unavailable_for_us, next_us) =
+                    (self.balancer.unavailable_for_us(self.now_us), self.balancer.next_probe_us());
+                self.digest.add(&format!("closed {unavailable_for_us:?} {next_us:?}"));
             }
             8..=104 => self.pick(),
             _ => self.end_call(),
@@ -148,21 +161,23 @@
     }
 
     fn record_state(&mut self) {
-        let view = self.balancer.view();
-        let mut lines = vec![format!("{:?} {} {:.9}", view.reach, view.is_doubted, view.spill)];
-        for (slot, held) in view.of.iter().enumerate() {
-            let state = self.balancer.word(slot, self.now_us);
-            self.states.insert(state);
-            let Some(held) = held else { continue };
-            let cause = held.member.cause().map(Cause::word);
-            let (since_us, until_us) = (held.member.since_us(), held.member.out_until_us());
-            let (share, warmth) = (view.share(slot, self.now_us), held.member.warmth(self.now_us));
+        let state = self.balancer.state();
+        let mut lines =
+            vec![format!("{:?} {} {:.9}", state.subset, state.is_in_panic_mode, state.overflow_share)];
+        for (slot, endpoint) in state.endpoints.iter().enumerate() {
+            let status = self.balancer.status(slot, self.now_us);
+            self.states.insert(status);
+            let Some(endpoint) = endpoint else { continue };
+            let cause = endpoint.health.ejection_cause().map(EjectionCause::description);
+            let (since_us, until_us) = (endpoint.health.since_us(), endpoint.health.ejected_until_us());
+            let (share, warmth) =
+                (state.share(slot, self.now_us), endpoint.health.slow_start_factor(self.now_us));
             lines.push(format!(
-                "{slot} {} {state} {cause:?} {since_us} {until_us:?} {share:.9} {warmth:.9} {} {} {:.6}",
-                held.key,
-                held.in_hand(),
-                held.given,
-                view.trouble_us(slot, self.now_us),
+                "{slot} {} {status} {cause:?} {since_us} {until_us:?} {share:.9} {warmth:.9} {} {} {:.6}",
+                endpoint.key,
+                endpoint.in_flight(),
+                endpoint.calls_started,
+                state.expected_wait_us(slot, self.now_us),
             ));
         }
         lines.iter().for_each(|line| self.digest.add(line));
--- a/crates/ochrewalk-spread/tests/fleet.rs
+++ b/crates/ochrewalk-spread/tests/fleet.rs
@@ -1,22 +1,26 @@
 //! The real choice in hundreds of nodes in virtual time: how even the load is, without faults and after each.
 
 use ochrewalk_lab::emulated::{play, Fault, Fleet, Relist, Seen, Trouble, SECOND};
-use ochrewalk_spread::{Kind, Plan, Reach};
+use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Subsetting};
 
-fn plan(kind: Kind) -> Plan {
-    Plan { kind, reach: Reach::Arc { places: 5, number: 0, of: 1 }, ..Plan::default() }
+fn config(kind: BalancingPolicy) -> BalancingConfig {
+    BalancingConfig {
+        policy: kind,
+        subsetting: Subsetting::Deterministic { size: 5, node: 0, node_count: 1 },
+        ..BalancingConfig::default()
+    }
 }
 
 /// As the operators' measure: 3 calls a second of each of 200 nodes, 100 places of one core, 100 ms of work: 60% load.
-fn plain(kind: Kind, seed: u64) -> Fleet {
-    Fleet::plain(200, 100, plan(kind), seed)
+fn plain(kind: BalancingPolicy, seed: u64) -> Fleet {
+    Fleet::plain(200, 100, config(kind), seed)
 }
 
 #[test]
 fn what_was_used_before_heaps_calls_up_and_leaves_places_idle() {
-    let mut before = plain(Kind::Fastest, 1);
-    before.plan.reach = Reach::All;
-    before.plan.by_worth = false;
+    let mut before = plain(BalancingPolicy::LeastLatency, 1);
+    before.plan.subsetting = Subsetting::All;
+    before.plan.uses_learned_weights = false;
     let seen = play(&before);
     let even = seen.evenness(&before.listed, 1);
     assert!(even.idle > 0 && even.dispersion > 50.0 && even.max_over_mean > 3.0, "{even:?}");
@@ -26,8 +30,8 @@
 #[test]
 fn no_place_is_idle_none_gets_a_herd_and_long_waits_are_shorter_than_by_chance() {
     for seed in 1..=3 {
-        let fleet = plain(Kind::Rounds, seed);
-        let (ours, chance) = (play(&fleet), play(&plain(Kind::Random, seed)));
+        let fleet = plain(BalancingPolicy::LatencyAwareRoundRobin, seed);
+        let (ours, chance) = (play(&fleet), play(&plain(BalancingPolicy::Random, seed)));
         let even = ours.evenness(&fleet.listed, 1);
         assert_eq!((even.idle, ours.served), (0, ours.calls));
         assert!(even.dispersion < 0.4, "seed {seed}: {even:?}");
@@ -46,7 +50,7 @@
         (30, 300, 20.0, 300_000.0),
         (200, 100, 1.0, 20_000.0),
     ] {
-        let mut fleet = Fleet::plain(nodes, places, plan(Kind::Rounds), 1);
+        let mut fleet = Fleet::plain(nodes, places, config(BalancingPolicy::LatencyAwareRoundRobin), 1);
         (fleet.rate, fleet.first_rate, fleet.work_us, fleet.seconds) = (rate, rate, work_us, 30);
         let seen = play(&fleet);
         let even = seen.evenness(&fleet.listed, 1);
@@ -57,7 +61,7 @@
 const FROM: u64 = 20 * SECOND;
 const UNTIL: u64 = 35 * SECOND;
 
-fn with(kind: Kind, change: impl Fn(&mut Fleet)) -> (Fleet, Seen) {
+fn with(kind: BalancingPolicy, change: impl Fn(&mut Fleet)) -> (Fleet, Seen) {
     let mut fleet = plain(kind, 1);
     (fleet.rate, fleet.first_rate, fleet.work_us) = (6.0, 6.0, 50_000.0);
     (fleet.deadline_us, fleet.seconds) = (2 * SECOND, 60);
@@ -119,8 +123,8 @@
         ),
     ];
     for (name, change, dispersion) in cases {
-        let (fleet, ours) = with(Kind::Rounds, change);
-        let (_, chance) = with(Kind::Random, change);
+        let (fleet, ours) = with(BalancingPolicy::LatencyAwareRoundRobin, change);
+        let (_, chance) = with(BalancingPolicy::Random, change);
         let listed = fleet.relists.last().map_or(&fleet.listed, |relist| &relist.places);
         let after = ours.evenness(listed, 4);
         assert!(after.idle == 0 && after.dispersion < dispersion, "{name}: {after:?}");
@@ -132,7 +136,8 @@
 
 #[test]
 fn one_node_with_fifty_times_the_traffic_overruns_nobody() {
-    let (fleet, seen) = with(Kind::Rounds, |fleet| (fleet.first_rate, fleet.rate) = (300.0, 4.5));
+    let (fleet, seen) =
+        with(BalancingPolicy::LatencyAwareRoundRobin, |fleet| (fleet.first_rate, fleet.rate) = (300.0, 4.5));
     let even = seen.evenness(&fleet.listed, 2);
     assert!(even.max_over_mean < 1.35 && even.idle == 0, "{even:?}");
     assert!(seen.served_between(10 * SECOND, 60 * SECOND) > 0.999);
@@ -140,20 +145,21 @@
 
 #[test]
 fn cores_and_times_of_two_modes() {
-    let (fleet, seen) = with(Kind::Rounds, |fleet| {
+    let (fleet, seen) = with(BalancingPolicy::LatencyAwareRoundRobin, |fleet| {
         (fleet.cores, fleet.weighted) = (vec![1, 2, 3, 4], true);
         (fleet.rate, fleet.first_rate) = (15.0, 15.0);
     });
     let even = seen.evenness(&fleet.listed, 1);
     assert!(even.dispersion < 0.3 && even.max_over_mean < 1.2, "{even:?}");
     let bimodal = |fleet: &mut Fleet| (fleet.long, fleet.work_us) = (20.0, 17_000.0);
-    let ((_, ours), (_, chance)) = (with(Kind::Rounds, bimodal), with(Kind::Random, bimodal));
+    let ((_, ours), (_, chance)) =
+        (with(BalancingPolicy::LatencyAwareRoundRobin, bimodal), with(BalancingPolicy::Random, bimodal));
     assert!(ours.served_share() > chance.served_share(), "{} {}", ours.served_share(), chance.served_share());
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let fleet = Fleet { seconds: 20, ..plain(Kind::Rounds, 5) };
+    let fleet = Fleet { seconds: 20, ..plain(BalancingPolicy::LatencyAwareRoundRobin, 5) };
     let (one, other) = (play(&fleet), play(&fleet));
     assert_eq!((one.took, one.windows), (other.took, other.windows));
 }
--- /dev/null
+++ b/crates/ochrewalk-spread/tests/health.rs
@@ -0,0 +1,95 @@
+//! How a place belongs, by table.
+
+use ochrewalk_spread::{EjectionCause, EndpointHealth, OutlierEjection};
+
+const EJECTION: OutlierEjection = OutlierEjection {
+    consecutive_failures: 2,
+    base_ejection_us: 1_000,
+    max_ejection_us: 4_000,
+    slow_start_us: 500,
+};
+
+#[test]
+fn pauses_double_up_to_the_most_and_a_trial_by_one_call_ends_them() {
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut health = EndpointHealth::initial(EJECTION, 0);
+    health.failed(0, EjectionCause::CallsFailed, &mut rng);
+    assert!(health.accepts_calls());
+    health.failed(0, EjectionCause::ConnectFailed, &mut rng);
+    assert_eq!((health.status(0), health.ejection_cause()), ("out", Some(EjectionCause::ConnectFailed)));
+    let mut now = 0;
+    for pause in [1_000.0, 2_000.0, 4_000.0, 4_000.0] {
+        let until = health.ejected_until_us().unwrap();
+        let took = (until - now) as f64;
+        assert!((0.74..=1.26).contains(&(took / pause)), "{took} of {pause}");
+        health.failed(until - 1, EjectionCause::CallsFailed, &mut rng);
+        assert_eq!(health.ejected_until_us(), Some(until), "what ends late tells nothing");
+        health.call_started(9, until - 1);
+        assert_eq!(health.status(until), "out", "not due yet");
+        health.call_started(9, until);
+        assert_eq!(
+            (health.status(until), health.accepts_calls(), health.ejected_until_us()),
+            ("trying", false, None)
+        );
+        now = until;
+        health.failed(now, EjectionCause::CallsFailed, &mut rng);
+    }
+    now += 9_000;
+    health.call_started(9, now);
+    // A trial that ended without a word leaves room for another at once.
+    health.probe_ended(8, now);
+    assert_eq!(health.status(now), "trying");
+    health.probe_ended(9, now);
+    assert_eq!(health.ejected_until_us(), Some(now));
+    health.call_started(10, now);
+    health.succeeded(now);
+    assert!(health.accepts_calls());
+}
+
+#[test]
+fn one_that_is_new_or_back_is_warmed_and_one_that_comes_and_goes_keeps_its_long_pauses() {
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut health = EndpointHealth::added(EJECTION, 100);
+    assert_eq!(health.status(100), "joining");
+    let warmth = [100, 350, 599, 600].map(|at| health.slow_start_factor(at));
+    assert!(
+        warmth[0] < 0.11 && (0.5..0.6).contains(&warmth[1]) && warmth[2] < 1.0 && warmth[3] == 1.0,
+        "{warmth:?}"
+    );
+    assert_eq!(health.status(600), "in");
+    assert_eq!(EndpointHealth::initial(EJECTION, 0).slow_start_factor(0), 1.0, "nothing to warm it beside");
+    let mut now = 10_000;
+    let mut pause = |health: &mut EndpointHealth, now: &mut u64| {
+        health.failed(*now, EjectionCause::CallsFailed, &mut rng);
+        health.failed(*now, EjectionCause::CallsFailed, &mut rng);
+        let pause = health.ejected_until_us().unwrap() - *now;
+        *now += pause;
+        health.call_started(1, *now);
+        health.succeeded(*now);
+        assert_eq!(health.status(*now), "back");
+        pause as f64
+    };
+    assert!(pause(&mut health, &mut now) < 1_251.0);
+    assert!(pause(&mut health, &mut now) > 1_499.0, "it failed as soon as it was back");
+    assert!(pause(&mut health, &mut now) > 2_999.0);
+    // It stays as long as it could have been out.
+    now += EJECTION.max_ejection_us;
+    health.succeeded(now);
+    assert!(pause(&mut health, &mut now) < 1_251.0);
+}
+
+#[test]
+fn one_that_left_takes_nothing_whatever_comes_of_its_last_calls_and_may_come_again() {
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut health = EndpointHealth::initial(EJECTION, 0);
+    health.remove(5);
+    health.succeeded(6);
+    health.failed(6, EjectionCause::ConnectFailed, &mut rng);
+    health.call_started(1, 6);
+    health.remove(9);
+    assert_eq!((health.status(9), health.accepts_calls(), health.since_us()), ("leaving", false, 5));
+    health.added_again(10);
+    assert_eq!((health.status(10), health.accepts_calls()), ("joining", true));
+    health.added_again(11);
+    assert_eq!(health.since_us(), 10, "it was there already");
+}
--- /dev/null
+++ b/crates/ochrewalk-spread/tests/invariants.rs
@@ -0,0 +1,113 @@
+//! What has to hold in any run of events.
+
+use ochrewalk_spread::{
+    BalancingConfig, BalancingPolicy, CallOutcome, Endpoint, LoadBalancer, OutlierEjection, Subsetting,
+    POLICIES,
+};
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+use std::collections::BTreeMap;
+
+#[derive(Clone, Debug)]
+enum Event {
+    Pick { idempotent: bool, avoid: Option<usize> },
+    End { which: usize, outcome: usize },
+    List(Vec<u64>),
+    Pass(u64),
+}
+
+const OUTCOMES: [CallOutcome; 7] = [
+    CallOutcome::Succeeded,
+    CallOutcome::Rejected,
+    CallOutcome::Failed,
+    CallOutcome::TimedOut,
+    CallOutcome::ConnectionBroken,
+    CallOutcome::ConnectFailed,
+    CallOutcome::Inconclusive,
+];
+
+fn event() -> impl Strategy<Value = Event> {
+    prop_oneof![
+        6 => (any::<bool>(), prop::option::of(0usize..12)).prop_map(|(idempotent, avoid)| Event::Pick { idempotent, avoid }),
+        5 => (any::<usize>(), 0usize..7).prop_map(|(which, outcome)| Event::End { which, outcome }),
+        1 => prop::collection::btree_set(0u64..20, 0..12).prop_map(|keys| Event::List(keys.into_iter().collect())),
+        2 => (0u64..3_000_000).prop_map(Event::Pass),
+    ]
+}
+
+fn reach() -> impl Strategy<Value = Subsetting> {
+    prop_oneof![
+        Just(Subsetting::All),
+        (1usize..4).prop_map(|places| Subsetting::Random { size: places }),
+        (1usize..4, 0usize..9, 1usize..9).prop_map(|(places, number, of)| Subsetting::Deterministic {
+            size: places,
+            node: number,
+            node_count: of
+        }),
+    ]
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
+
+    #[test]
+    fn calls_go_to_listed_places_and_nothing_is_left_in_hand(
+        kind in 0usize..POLICIES.len(),
+        reach in reach(),
+        seed in any::<u64>(),
+        events in prop::collection::vec(event(), 1..200),
+    ) {
+        let ejection = OutlierEjection { consecutive_failures: 2, base_ejection_us: 200_000, max_ejection_us: 1_000_000, slow_start_us: 500_000 };
+        let kind: BalancingPolicy = POLICIES[kind].1;
+        let mut balancer = LoadBalancer::new(BalancingConfig { policy: kind, subsetting: reach, uses_learned_weights: seed % 2 == 0, ejection }, seed);
+        let mut now = 0;
+        let mut keys = Vec::new();
+        // Calls under way, with the slot and the key that stood there.
+        let mut open: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
+        let mut next = 0;
+        for event in events {
+            match event {
+                Event::Pick { idempotent, avoid } => {
+                    match balancer.pick(now, idempotent, avoid) {
+                        Some(slot) => {
+                            prop_assert!(balancer.is_listed(slot));
+                            let key = balancer.state().at(slot).key;
+                            prop_assert!(keys.contains(&key));
+                            next += 1;
+                            balancer.call_started(now, slot, next);
+                            open.insert(next, (slot, key));
+                        }
+                        None => {
+                            let any = balancer.state().subset.iter().any(|slot| balancer.state().accepts_calls(*slot));
+                            prop_assert!(!any, "there is a place that takes calls");
+                        }
+                    }
+                }
+                Event::End { which, outcome } if !open.is_empty() => {
+                    let call = *open.keys().nth(which % open.len()).unwrap();
+                    let (slot, key) = open.remove(&call).unwrap();
+                    prop_assert_eq!(balancer.state().at(slot).key, key, "the slot was another's meanwhile");
+                    balancer.call_ended(now, slot, call, OUTCOMES[outcome]);
+                }
+                Event::End { .. } => {}
+                Event::List(listed) => {
+                    let places: Vec<Endpoint> = listed.iter().map(|key| Endpoint::new(*key)).collect();
+                    let slots = balancer.set_endpoints(now, &places);
+                    for (slot, key) in slots.iter().zip(&listed) {
+                        prop_assert_eq!(balancer.state().at(*slot).key, *key);
+                    }
+                    keys = listed;
+                }
+                Event::Pass(us) => now += us,
+            }
+            let shares = balancer.state().subset.iter().map(|slot| balancer.state().share(*slot, now));
+            prop_assert!(shares.into_iter().all(|share| (0.0..=1.0).contains(&share)));
+        }
+        for (call, (slot, _)) in open {
+            balancer.call_ended(now, slot, call, CallOutcome::Inconclusive);
+        }
+        prop_assert!(balancer.state().endpoints.iter().flatten().all(|endpoint| endpoint.in_flight() == 0));
+        let live = balancer.state().endpoints.iter().flatten().count();
+        prop_assert_eq!(live, keys.len(), "what left is gone once nothing is under way there");
+    }
+}
