--- a/crates/ochrewalk-lab/src/emulated.rs
+++ b/crates/ochrewalk-lab/src/emulated.rs
@@ -1,7 +1,7 @@
 //! Hundreds of processes in virtual time: nodes that each choose by the real `ochrewalk-spread`, places with cores, and
 //! what goes wrong between them. The same seed gives the same run to the last call.
 
-use ochrewalk_spread::{BalancingConfig, CallOutcome, Endpoint, LoadBalancer, Subsetting};
+use ochrewalk_spread::{BalancingConfig, CallOutcome, Endpoint, Idempotency, LoadBalancer, Subsetting};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -411,7 +411,9 @@
         if of.start != self.starts[node] {
             return self.lose(call);
         }
-        let Some(mut slot) = self.spreads[node].pick(now_us, true, avoid) else { return self.lose(call) };
+        let Some(mut slot) = self.spreads[node].pick(now_us, Idempotency::Idempotent, avoid) else {
+            return self.lose(call);
+        };
         if self.fleet.told_us > 0 {
             slot = self.shorter(node, slot);
         }
--- a/crates/ochrewalk-lab/src/spreads.rs
+++ b/crates/ochrewalk-lab/src/spreads.rs
@@ -3,7 +3,7 @@
 use crate::emulated::{self, Evenness, Seen, SECOND};
 use crate::fleet::{self, Outcome, Plan};
 use crate::plot;
-use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Subsetting, POLICIES};
+use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Subsetting};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -68,7 +68,8 @@
             "way", "reach", "idle", "most over mean", "dispersion", "burst", "median ms", "99% ms", "served"
         );
         let mut plots = Vec::new();
-        for (name, kind) in POLICIES {
+        for kind in BalancingPolicy::ALL {
+            let name = kind.name();
             let arc = Subsetting::Deterministic { size: self.reach.unwrap_or(REACH), node: 0, node_count: 1 };
             let drawn = Subsetting::Random { size: self.reach.unwrap_or(REACH) };
             for (reach_name, reach) in [("all", Subsetting::All), ("arc", arc), ("drawn", drawn)] {
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -140,7 +140,7 @@
                 let spread = places.spread();
                 words.resize(spread.state().endpoints.len(), "in");
                 for (slot, before) in words.iter_mut().enumerate() {
-                    let word = spread.status(slot, now_us);
+                    let word = spread.status(slot, now_us).name();
                     if let (true, Some(held)) = (word != *before, spread.state().endpoints[slot].as_ref()) {
                         let (place, in_hand) = (hands.places[slot], held.in_flight());
                         let cause = held.health.ejection_cause().map_or("", EjectionCause::description);
@@ -178,7 +178,7 @@
                     text,
                     "{:<22} {:<8} {:>9.1} {:>7.3} {:>7} {:>9.1} {:>9}  {}",
                     hands.places[slot].to_string(),
-                    places.spread().status(slot, now_us),
+                    places.spread().status(slot, now_us).name(),
                     now_us.saturating_sub(held.health.since_us()) as f64 / 1e6,
                     share,
                     held.in_flight(),
--- a/crates/ochrewalk-operators/src/parser/ajp_upstream.rs
+++ b/crates/ochrewalk-operators/src/parser/ajp_upstream.rs
@@ -6,7 +6,7 @@
 use crate::directive::{self, Section};
 use crate::settings::{AjpUpstream, UpstreamEndpoint};
 use crate::values::{packet_bytes, share, socket_path, time_us, uri_path, weight, whole_number};
-use ochrewalk_spread::{BalancingPolicy, Subsetting, POLICIES};
+use ochrewalk_spread::{BalancingPolicy, Subsetting};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -252,7 +252,7 @@
 
 fn balancing_policy(word: &str) -> Result<BalancingPolicy, LineError> {
     BalancingPolicy::from_name(word).ok_or_else(|| {
-        let known: Vec<&str> = POLICIES.iter().map(|(name, _)| *name).collect();
+        let known: Vec<&str> = BalancingPolicy::ALL.into_iter().map(BalancingPolicy::name).collect();
         LineError::new(format!("{word} is no way"), format!("write one of {}", known.join(", ")))
     })
 }
--- a/crates/ochrewalk-places/benches/choice.rs
+++ b/crates/ochrewalk-places/benches/choice.rs
@@ -3,7 +3,7 @@
 
 use ochrewalk_places::{Bounds, Places, Said, Settled, Wire};
 use ochrewalk_spread::{
-    BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, LoadBalancer,
+    BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
 };
 use std::time::Instant;
 
@@ -41,7 +41,7 @@
     for call in 0..ROUNDS {
         now_us += 100;
         let from = Instant::now();
-        let slot = spread.pick(now_us, true, None).expect("all take");
+        let slot = spread.pick(now_us, Idempotency::Idempotent, None).expect("all take");
         spent += from.elapsed().as_nanos() as f64;
         spread.call_started(now_us, slot, call);
         spread.call_ended(
--- a/crates/ochrewalk-places/src/lib.rs
+++ b/crates/ochrewalk-places/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use budget::Budget;
 
-use ochrewalk_spread::{BalancingConfig, CallOutcome, EjectionCause, Endpoint, LoadBalancer};
+use ochrewalk_spread::{BalancingConfig, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Numbers that the carrier knows connections and calls by; never used twice.
@@ -300,7 +300,8 @@
     fn place(&mut self, now_us: u64, call: CallId, wire: &mut impl Wire) {
         let of = &self.calls[&call];
         let (again, fresh, avoid) = (of.again, of.fresh, of.avoid);
-        let Some(place) = self.spread.pick(now_us, again, avoid) else {
+        let idempotency = if again { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
+        let Some(place) = self.spread.pick(now_us, idempotency, avoid) else {
             self.calls.remove(&call);
             return wire.settle(call, Settled::Unsent);
         };
--- a/crates/ochrewalk-spread/src/health.rs
+++ b/crates/ochrewalk-spread/src/health.rs
@@ -1,28 +1,46 @@
-//! Decides how a place belongs: new ones and those that come back are warmed, those that fail are left out for pauses that
-//! double and vary by a quarter either way, then tried by one call at a time. A place that keeps coming and going
-//! goes on with its longer pauses, as it heals only by staying.
-
-/// When a place is left out, and for how long, in microseconds.
+//! Ejection and slow start of one endpoint. An endpoint that fails is ejected for a time that doubles with each ejection
+//! and varies by a quarter either way, then probed by one call at a time. One that was added or readmitted starts slowly. An
+//! endpoint that keeps failing after each readmission keeps its long ejection times: only staying up resets them.
+//!
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | accepting | a failure that is the last of [`OutlierEjection::consecutive_failures`] in a row | ejected |
+//! | accepting | any other failure, or an answer | accepting |
+//! | ejected | a call starts after the ejection time | probing |
+//! | ejected | an answer to an earlier call | accepting, with slow start |
+//! | ejected | a failure after the ejection time | ejected, for longer |
+//! | probing | the probe is answered | accepting, with slow start |
+//! | probing | the probe fails | ejected, for longer |
+//! | probing | the probe ends inconclusively | ejected, and to be probed at once |
+//! | any | the endpoint is no longer listed | removed |
+//! | removed | the endpoint is listed again | accepting, with slow start |
+
+use crate::status::EndpointStatus;
+
+/// When an endpoint is ejected, and for how long. All times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutlierEjection {
-    /// Failures in a row.
+    /// How many failures in a row eject an endpoint; at least 1.
     pub consecutive_failures: u32,
+    /// How long the first ejection lasts, before its random variation.
     pub base_ejection_us: u64,
+    /// The longest that an ejection lasts, before its random variation.
     pub max_ejection_us: u64,
-    /// How long a place that is new or came back takes to its whole share.
+    /// How long a new or readmitted endpoint takes to its full share.
     pub slow_start_us: u64,
 }
 
-/// Why a place is left out.
+/// Why an endpoint is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionCause {
-    /// No connection could be made: it proves that nothing runs there.
+    /// No connection could be made: proof that nothing serves there.
     ConnectFailed,
-    /// Calls to it failed, or had no answer in time: that may be our side, or a link.
+    /// Calls failed or were not answered in time: the fault may be this node's, or a link's.
     CallsFailed,
 }
 
 impl EjectionCause {
+    /// The cause as logs and the operators' table have it.
     pub fn description(self) -> &'static str {
         match self {
             EjectionCause::ConnectFailed => "could not be reached",
@@ -40,75 +58,73 @@
         until_us: u64,
         cause: EjectionCause,
     },
-    /// One call is on its way to tell.
+    /// One call is under way that decides whether the endpoint is readmitted.
     Probing {
         call: u64,
         cause: EjectionCause,
     },
-    /// It is on no list any more; what is under way there ends.
+    /// The endpoint is no longer listed; calls that are under way there end.
     Removed,
 }
 
+/// The state machine of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointHealth {
-    ejection: OutlierEjection,
+    settings: OutlierEjection,
     state: State,
     since_us: u64,
-    /// It takes its whole share from then on.
     slow_start_ends_us: u64,
     was_ejected: bool,
     next_ejection_us: u64,
 }
 
-/// How far a pause varies, as a share of it in all.
+/// How far an ejection time varies, as a share of it, from its shortest to its longest.
 const JITTER: f64 = 0.5;
-/// The share that a place begins with: enough to be heard of, idempotent to a cold one.
+/// The slow start factor at the start: enough calls to learn from, harmless to a cold endpoint.
 const INITIAL_FACTOR: f64 = 0.1;
 
 impl EndpointHealth {
-    /// One of the first list, which has its whole share at once, as there is nothing to warm it beside.
-    pub fn initial(ejection: OutlierEjection, now_us: u64) -> EndpointHealth {
+    /// An endpoint of the first list: without slow start, as no other endpoint could take the load meanwhile.
+    pub fn initial(settings: OutlierEjection, now_us: u64) -> EndpointHealth {
         EndpointHealth {
-            ejection,
+            settings,
             state: State::Accepting { failures: 0 },
             since_us: now_us,
             slow_start_ends_us: now_us,
             was_ejected: false,
-            next_ejection_us: ejection.base_ejection_us,
+            next_ejection_us: settings.base_ejection_us,
         }
     }
 
-    /// One that came to a list that was there.
-    pub fn added(ejection: OutlierEjection, now_us: u64) -> EndpointHealth {
-        EndpointHealth {
-            slow_start_ends_us: now_us + ejection.slow_start_us,
-            ..EndpointHealth::initial(ejection, now_us)
-        }
+    /// An endpoint that was added to a list with others: with slow start.
+    pub fn added(settings: OutlierEjection, now_us: u64) -> EndpointHealth {
+        let slow_start_ends_us = now_us + settings.slow_start_us;
+        EndpointHealth { slow_start_ends_us, ..EndpointHealth::initial(settings, now_us) }
     }
 
-    /// Whether it takes calls without more ado.
+    /// Whether the endpoint gets calls, as far as its own state goes.
     pub fn accepts_calls(&self) -> bool {
         matches!(self.state, State::Accepting { .. })
     }
 
-    /// Its share of what it would take when warm, from 0 to 1.
+    /// Which part of its full share the endpoint gets now: from 0.1 at the beginning of a slow start to 1.
     pub fn slow_start_factor(&self, now_us: u64) -> f64 {
         let left_us = self.slow_start_ends_us.saturating_sub(now_us);
         if left_us == 0 {
             return 1.0;
         }
-        INITIAL_FACTOR + (1.0 - INITIAL_FACTOR) * (1.0 - left_us as f64 / self.ejection.slow_start_us as f64)
+        INITIAL_FACTOR + (1.0 - INITIAL_FACTOR) * (1.0 - left_us as f64 / self.settings.slow_start_us as f64)
     }
 
-    /// When one call may try it, while it is left out.
+    /// When an ejected endpoint may be probed; none in any other state.
     pub fn ejected_until_us(&self) -> Option<u64> {
         match self.state {
             State::Ejected { until_us, .. } => Some(until_us),
-            _ => None,
+            State::Accepting { .. } | State::Probing { .. } | State::Removed => None,
         }
     }
 
-    /// Why it takes nothing, if so.
+    /// Why the endpoint is ejected or probed; none in any other state.
     pub fn ejection_cause(&self) -> Option<EjectionCause> {
         match self.state {
             State::Ejected { cause, .. } | State::Probing { cause, .. } => Some(cause),
@@ -116,11 +132,12 @@
         }
     }
 
+    /// Whether the endpoint is no longer listed.
     pub fn is_removed(&self) -> bool {
         self.state == State::Removed
     }
 
-    /// A call is given to it; while it is left out and due this is its trial.
+    /// A call starts at the endpoint. If the endpoint is ejected and its ejection time is over, the call is its probe.
     pub fn call_started(&mut self, call: u64, now_us: u64) {
         if let State::Ejected { until_us, cause } = self.state {
             if now_us >= until_us {
@@ -129,31 +146,31 @@
         }
     }
 
-    /// An answer came from it.
+    /// The endpoint answered.
     pub fn succeeded(&mut self, now_us: u64) {
         match self.state {
             State::Accepting { .. } => {
                 self.state = State::Accepting { failures: 0 };
-                // It has stayed for as long as it could have been out: it is as good as new.
-                if now_us >= self.since_us + self.ejection.max_ejection_us {
-                    self.next_ejection_us = self.ejection.base_ejection_us;
+                // It has stayed up for as long as it could have been ejected.
+                if now_us >= self.since_us + self.settings.max_ejection_us {
+                    self.next_ejection_us = self.settings.base_ejection_us;
                 }
             }
             State::Ejected { .. } | State::Probing { .. } => {
                 self.enter(State::Accepting { failures: 0 }, now_us);
-                self.slow_start_ends_us = now_us + self.ejection.slow_start_us;
+                self.slow_start_ends_us = now_us + self.settings.slow_start_us;
                 self.was_ejected = true;
             }
             State::Removed => {}
         }
     }
 
-    /// The endpoint came back that long before its probe was answered: its ramp began then.
+    /// The endpoint served again that many microseconds before its probe was answered: its slow start began then.
     pub fn backdate_slow_start(&mut self, by_us: u64) {
         self.slow_start_ends_us = self.slow_start_ends_us.saturating_sub(by_us);
     }
 
-    /// The call of a trial ended without telling anything, so that another may tell.
+    /// A call ended. If it was the probe, and nothing else is known of its outcome, the endpoint may be probed again at once.
     pub fn probe_ended(&mut self, call: u64, now_us: u64) {
         if let State::Probing { call: probe, cause } = self.state {
             if probe == call {
@@ -162,51 +179,50 @@
         }
     }
 
-    /// It could not be reached, or failed a call.
+    /// A connection to the endpoint could not be made, or a call failed.
     pub fn failed(&mut self, now_us: u64, cause: EjectionCause, rng: &mut fastrand::Rng) {
         match self.state {
             State::Removed => return,
-            State::Accepting { failures } if failures + 1 < self.ejection.consecutive_failures => {
+            State::Accepting { failures } if failures + 1 < self.settings.consecutive_failures => {
                 return self.state = State::Accepting { failures: failures + 1 };
             }
-            // What was under way when it was left out ends now: that tells nothing new.
+            // The end of a call that was under way at the ejection says nothing new.
             State::Ejected { until_us, .. } if now_us < until_us => return,
             State::Accepting { .. } | State::Ejected { .. } | State::Probing { .. } => {}
         }
         let ejection_us = self.next_ejection_us as f64 * (1.0 - JITTER / 2.0 + JITTER * rng.f64());
-        self.next_ejection_us = (self.next_ejection_us * 2).min(self.ejection.max_ejection_us);
+        self.next_ejection_us = (self.next_ejection_us * 2).min(self.settings.max_ejection_us);
         self.enter(State::Ejected { until_us: now_us + ejection_us as u64, cause }, now_us);
     }
 
-    /// It is on the list no more.
+    /// The endpoint is no longer listed.
     pub fn remove(&mut self, now_us: u64) {
         if !self.is_removed() {
             self.enter(State::Removed, now_us);
         }
     }
 
-    /// It is on the list again before it was gone.
+    /// The endpoint is listed: if it was removed, it starts again, slowly and with the ejection times that it had reached.
     pub fn added_again(&mut self, now_us: u64) {
         if self.is_removed() {
-            *self = EndpointHealth {
-                next_ejection_us: self.next_ejection_us,
-                ..EndpointHealth::added(self.ejection, now_us)
-            };
+            let next_ejection_us = self.next_ejection_us;
+            *self = EndpointHealth { next_ejection_us, ..EndpointHealth::added(self.settings, now_us) };
         }
     }
 
-    /// Its state in a word, for operators.
-    pub fn status(&self, now_us: u64) -> &'static str {
+    /// The state as operators see it.
+    pub fn status(&self, now_us: u64) -> EndpointStatus {
         match self.state {
-            State::Accepting { .. } if now_us >= self.slow_start_ends_us => "in",
-            State::Accepting { .. } if self.was_ejected => "back",
-            State::Accepting { .. } => "joining",
-            State::Ejected { .. } => "out",
-            State::Probing { .. } => "trying",
-            State::Removed => "leaving",
+            State::Accepting { .. } if now_us >= self.slow_start_ends_us => EndpointStatus::Accepting,
+            State::Accepting { .. } if self.was_ejected => EndpointStatus::Readmitted,
+            State::Accepting { .. } => EndpointStatus::Added,
+            State::Ejected { .. } => EndpointStatus::Ejected,
+            State::Probing { .. } => EndpointStatus::Probing,
+            State::Removed => EndpointStatus::Removed,
         }
     }
 
+    /// When the endpoint entered its state, in microseconds.
     pub fn since_us(&self) -> u64 {
         self.since_us
     }
--- a/crates/ochrewalk-spread/src/learned_weight.rs
+++ b/crates/ochrewalk-spread/src/learned_weight.rs
@@ -1,29 +1,33 @@
-//! Decides what a node's own few samples of a place are worth: its share of an even load. Each place is endpoint for an
-//! ordinary one until many answers say otherwise, and what they said fades, so that one endpoint for slow is calls again.
+//! What a node's own few samples say of an endpoint, as a factor of its weight. An endpoint counts as an ordinary one until
+//! many answers say otherwise, and old answers count less and less, so that one that was slow gets calls again.
 
-/// So many answers in an ordinary time are added in thought: guards against a mean from three calls.
+/// So many answers of an average latency are added to those of an endpoint: a few slow ones do not outweigh chance.
 const PRIOR_LATENCIES: f64 = 4.0;
-/// So many calls that fared as all do are added in thought. Fewer, as a failure is not of a queue's making.
+/// So many calls of the average success rate are added. Fewer than for latencies, as a failure is not a matter of queueing.
 const PRIOR_OUTCOMES: f64 = 2.0;
-/// What was learned halves in this time.
+/// What was learned counts half after this time.
 const HALF_LIFE_US: f64 = 15_000_000.0;
-/// Up to so many times the usual is nothing unusual: a queue does that, and it will be gone before we act.
+/// Up to this many times the median, a latency is ordinary: a queue causes that, and it has gone before a node could react.
 const ORDINARY_RATIO: f64 = 1.5;
-/// A place answers less than so much of what it is calls only where something is wrong with it.
+/// Below this success rate, over the average of all endpoints, an endpoint is at fault.
 const MIN_SUCCESS: f64 = 0.8;
-/// One single answer counts for this many times the usual at most: guards against one that outweighs all others.
+/// One answer counts as this many times the median at most, so that it does not outweigh all others.
 const MAX_RATIO: f64 = 20.0;
-/// The part of all that was endpoint against a place that one ordinary answer takes off.
+/// Which part of what counts against an endpoint one ordinary answer takes away.
 const FORGIVENESS: f64 = 0.3;
-/// Nothing is ever shut out by what was learned: it could not be found well again.
+/// No endpoint gets less for what was learned, or its recovery would never be seen.
 const MIN_FACTOR: f64 = 0.02;
+/// How far one call moves the averages of all endpoints.
+const AVERAGES_STEP: f64 = 1.0 / 128.0;
+/// Bounds the division by the average success rate.
+const MIN_AVERAGE_SUCCESS: f64 = 0.01;
 
-/// What all places do together, each answer weighing a little.
+/// Moving averages over the calls to all endpoints.
 #[derive(Clone, Copy, Debug)]
-pub struct EndpointAverages {
-    /// The share of calls that are served.
+pub(crate) struct EndpointAverages {
+    /// The share of calls that succeed.
     pub success_rate: f64,
-    /// How long answers take over what is usual: more than 1 where some take very long.
+    /// Latencies over their median; at least 1, and more where some calls take very long.
     pub latency_ratio: f64,
 }
 
@@ -33,18 +37,15 @@
     }
 }
 
-/// How far one answer moves what is known of all.
-const AVERAGES_STEP: f64 = 1.0 / 128.0;
-
 impl EndpointAverages {
-    pub fn record_outcome(&mut self, succeeded: bool) {
-        self.success_rate += (f64::from(u8::from(succeeded)) - self.success_rate) * AVERAGES_STEP;
+    pub fn record_success(&mut self, took_us: u64, median_us: f64) {
+        self.success_rate += (1.0 - self.success_rate) * AVERAGES_STEP;
+        let step = (latency_ratio(took_us, median_us) - self.latency_ratio) * AVERAGES_STEP;
+        self.latency_ratio = (self.latency_ratio + step).max(1.0);
     }
 
-    pub fn record_latency(&mut self, took_us: u64, median_us: f64) {
-        self.latency_ratio = (self.latency_ratio
-            + (latency_ratio(took_us, median_us) - self.latency_ratio) * AVERAGES_STEP)
-            .max(1.0);
+    pub fn record_failure(&mut self) {
+        self.success_rate += (0.0 - self.success_rate) * AVERAGES_STEP;
     }
 }
 
@@ -52,13 +53,14 @@
     (took_us as f64 / median_us.max(1.0)).min(MAX_RATIO)
 }
 
+/// What was learned of one endpoint: sums over its calls that decay with time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LearnedWeight {
-    /// Sums over answers, faded: their number, times over the usual, those that were served, those with a time.
+pub(crate) struct LearnedWeight {
     calls: f64,
+    successes: f64,
+    /// Calls with a latency, and the sum of those over the median.
     timed_calls: f64,
     latency_ratio_sum: f64,
-    successes: f64,
     updated_us: u64,
 }
 
@@ -66,13 +68,13 @@
     fn decay(&mut self, now_us: u64) {
         let decay = 0.5f64.powf(now_us.saturating_sub(self.updated_us) as f64 / HALF_LIFE_US);
         self.updated_us = self.updated_us.max(now_us);
-        for sum in [&mut self.calls, &mut self.timed_calls, &mut self.latency_ratio_sum, &mut self.successes]
-        {
-            *sum *= decay;
-        }
+        self.calls *= decay;
+        self.successes *= decay;
+        self.timed_calls *= decay;
+        self.latency_ratio_sum *= decay;
     }
 
-    /// It served a call in this time, where the median of all is `median_us`.
+    /// A call succeeded after `took_us`, where `median_us` is the median over all endpoints.
     pub fn succeeded(&mut self, now_us: u64, took_us: u64, median_us: f64) {
         self.decay(now_us);
         self.calls += 1.0;
@@ -80,27 +82,28 @@
         self.timed_calls += 1.0;
         let ratio = latency_ratio(took_us, median_us);
         self.latency_ratio_sum += ratio;
-        // Good news outweighs old bad news, so that a place that is well again has its share soon.
+        // A good answer outweighs earlier bad ones, so that an endpoint gets its share soon after it has recovered.
         if ratio <= ORDINARY_RATIO {
             self.latency_ratio_sum -= (self.latency_ratio_sum - self.timed_calls).max(0.0) * FORGIVENESS;
             self.calls -= (self.calls - self.successes) * FORGIVENESS;
         }
     }
 
-    /// It failed one. However soon: that says nothing of how fast it is.
+    /// A call failed. Its latency does not count: an endpoint that fails at once is not a fast one.
     pub fn failed(&mut self, now_us: u64) {
         self.decay(now_us);
         self.calls += 1.0;
     }
 
-    /// It had one for so long that nobody waits any more: slow as can be told.
+    /// A call timed out: a failure, and as slow as can be recorded.
     pub fn timed_out(&mut self, now_us: u64) {
         self.failed(now_us);
         self.timed_calls += 1.0;
         self.latency_ratio_sum += MAX_RATIO;
     }
 
-    /// From `MIN_FACTOR` to 1, beside what all places do: where all are slow, or fail, alike none is worse.
+    /// The factor of the endpoint's weight, from `MIN_FACTOR` to 1. Where all endpoints are equally slow, or fail equally
+    /// often, none gets less.
     pub fn factor(&self, now_us: u64, averages: &EndpointAverages) -> f64 {
         let mut now = *self;
         now.decay(now_us);
@@ -108,9 +111,10 @@
             / (now.timed_calls + PRIOR_LATENCIES)
             / averages.latency_ratio;
         let speed = (ORDINARY_RATIO / ratio).min(1.0);
-        let success = (now.successes + PRIOR_OUTCOMES * averages.success_rate) / (now.calls + PRIOR_OUTCOMES);
-        let success = success / averages.success_rate.max(0.01);
-        let reliability = (success / MIN_SUCCESS).min(1.0);
+        let success_rate =
+            (now.successes + PRIOR_OUTCOMES * averages.success_rate) / (now.calls + PRIOR_OUTCOMES);
+        let relative_success = success_rate / averages.success_rate.max(MIN_AVERAGE_SUCCESS);
+        let reliability = (relative_success / MIN_SUCCESS).min(1.0);
         (speed * speed * reliability * reliability * reliability).max(MIN_FACTOR)
     }
 }
--- a/crates/ochrewalk-spread/src/subset_multiplier.rs
+++ b/crates/ochrewalk-spread/src/subset_multiplier.rs
@@ -1,19 +1,22 @@
-//! Decides how many multiplier its own few places a node calls: once, unless it has so much in hand that it would overrun them, as
-//! one with far more traffic than the others does. By doublings, soon wider and late narrower.
+//! How many times its own subset a node uses: once, unless it has so many calls in flight that it would overload those
+//! endpoints, as a node does that has far more traffic than the others. Doubles soon, halves late.
 
-/// How often it is looked at, and how many looks in a row have to agree on less.
+/// How often the multiplier is computed.
 const UPDATE_US: u64 = 1_000_000;
+/// How many updates in a row have to need less before the multiplier is halved.
 const UPDATES_BEFORE_HALVING: u32 = 10;
-/// Calls in hand that a place is good for, on the mean.
+/// Mean calls in flight that a node may have at one endpoint.
 const CALLS_PER_ENDPOINT: f64 = 0.5;
 
+/// How many times its own subset a node uses.
 #[derive(Clone, Copy, Debug)]
 pub struct SubsetMultiplier {
     multiplier: usize,
     in_flight: usize,
-    /// Calls in hand multiplier microseconds since the last look.
-    call_us: f64,
-    at_us: u64,
+    /// Calls in flight times microseconds since the last update.
+    in_flight_us: f64,
+    /// Until when `in_flight_us` is summed.
+    summed_until_us: u64,
     updated_us: u64,
     updates_below: u32,
 }
@@ -23,8 +26,8 @@
         SubsetMultiplier {
             multiplier: 1,
             in_flight: 0,
-            call_us: 0.0,
-            at_us: 0,
+            in_flight_us: 0.0,
+            summed_until_us: 0,
             updated_us: 0,
             updates_below: 0,
         }
@@ -32,34 +35,37 @@
 }
 
 impl SubsetMultiplier {
+    /// How many times its own subset the node uses now; at least 1.
     pub fn multiplier(&self) -> usize {
         self.multiplier
     }
 
+    /// A call started, at any endpoint.
     pub fn call_started(&mut self, now_us: u64) {
         self.advance(now_us);
         self.in_flight += 1;
     }
 
+    /// A call ended.
     pub fn call_ended(&mut self, now_us: u64) {
         self.advance(now_us);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     fn advance(&mut self, now_us: u64) {
-        self.call_us += self.in_flight as f64 * now_us.saturating_sub(self.at_us) as f64;
-        self.at_us = self.at_us.max(now_us);
+        self.in_flight_us += self.in_flight as f64 * now_us.saturating_sub(self.summed_until_us) as f64;
+        self.summed_until_us = self.summed_until_us.max(now_us);
     }
 
-    /// Whether it has changed, where a node's own places are so many.
+    /// Computes the multiplier once a second, for a node with that many endpoints of its own. Returns whether it changed.
     pub fn update(&mut self, now_us: u64, subset_size: usize) -> bool {
         let passed_us = now_us.saturating_sub(self.updated_us);
         if passed_us < UPDATE_US || subset_size == 0 {
             return false;
         }
-        let mean = self.call_us / passed_us as f64;
-        (self.call_us, self.updated_us) = (0.0, now_us);
-        let needed = (mean / CALLS_PER_ENDPOINT / subset_size as f64).ceil().max(1.0) as usize;
+        let mean_in_flight = self.in_flight_us / passed_us as f64;
+        (self.in_flight_us, self.updated_us) = (0.0, now_us);
+        let needed = (mean_in_flight / CALLS_PER_ENDPOINT / subset_size as f64).ceil().max(1.0) as usize;
         let before = self.multiplier;
         self.updates_below = if needed * 2 <= self.multiplier { self.updates_below + 1 } else { 0 };
         if needed > self.multiplier {
--- a/crates/ochrewalk-spread/src/zone_overflow.rs
+++ b/crates/ochrewalk-spread/src/zone_overflow.rs
@@ -1,37 +1,49 @@
-//! Decides how much goes to farther zones: nothing while the near one has room, then as much as it takes, the same to each
-//! far place. Counted per period; an integral step on the share of near calls that found no room, above a little that is
-//! always there.
+//! How many calls go to other zones: none while the local zone serves them, then as many as it rejects, the same to each
+//! remote endpoint. Once a second an integral controller compares the share of local calls that were not served with a
+//! small tolerated one.
 
 const PERIOD_US: u64 = 1_000_000;
-/// The share without room that is borne without spilling.
+/// Up to this share of unserved local calls, no calls go to other zones.
 const TOLERATED_SHARE: f64 = 0.02;
-const STEP: f64 = 0.5;
-/// A share of all calls in a period that is too little to act on.
+/// The integral gain.
+const GAIN: f64 = 0.5;
+/// A period with fewer calls goes on until it has as many.
 const MIN_CALLS: u32 = 5;
 
+/// How many calls go to other zones.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ZoneOverflow {
+pub(crate) struct ZoneOverflow {
     share: f64,
     calls: u32,
-    rejected: u32,
+    unserved: u32,
     period_ends_us: u64,
 }
 
 impl ZoneOverflow {
-    /// A near place answered, or did not take a call.
-    pub fn record_local(&mut self, now_us: u64, had_capacity: bool) {
+    /// A local endpoint served a call.
+    pub fn record_served(&mut self, now_us: u64) {
         self.calls += 1;
-        self.rejected += u32::from(!had_capacity);
+        self.end_period_if_over(now_us);
+    }
+
+    /// A local endpoint did not serve a call.
+    pub fn record_unserved(&mut self, now_us: u64) {
+        self.calls += 1;
+        self.unserved += 1;
+        self.end_period_if_over(now_us);
+    }
+
+    fn end_period_if_over(&mut self, now_us: u64) {
         if now_us < self.period_ends_us || self.calls < MIN_CALLS {
             return;
         }
-        // No wind-up: the share is endpoint between its ends, and a step is bounded by the error.
-        let error = f64::from(self.rejected) / f64::from(self.calls) - TOLERATED_SHARE;
-        self.share = (self.share + STEP * error).clamp(0.0, 1.0);
-        (self.calls, self.rejected, self.period_ends_us) = (0, 0, now_us + PERIOD_US);
+        // The clamp keeps the integral from winding up; the error bounds each step.
+        let error = f64::from(self.unserved) / f64::from(self.calls) - TOLERATED_SHARE;
+        self.share = (self.share + GAIN * error).clamp(0.0, 1.0);
+        (self.calls, self.unserved, self.period_ends_us) = (0, 0, now_us + PERIOD_US);
     }
 
-    /// What a far place gets of a near one's share, from 0 to 1.
+    /// Which part of a local endpoint's share a remote one gets, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
--- a/crates/ochrewalk-spread/tests/balancing.rs
+++ b/crates/ochrewalk-spread/tests/balancing.rs
@@ -1,8 +1,8 @@
 //! Where calls go, by table: each case is a way in which a place, or our sight of it, goes wrong.
 
 use ochrewalk_spread::{
-    BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, LoadBalancer, OutlierEjection,
-    SubsetMultiplier, Subsetting, POLICIES,
+    BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
+    OutlierEjection, SubsetMultiplier, Subsetting,
 };
 
 const MS: u64 = 1_000;
@@ -33,7 +33,7 @@
     let mut got = vec![0; balancer.state().endpoints.len()];
     for _ in 0..count {
         *from_us += 100 * MS;
-        let Some(slot) = balancer.pick(*from_us, true, None) else { continue };
+        let Some(slot) = balancer.pick(*from_us, Idempotency::Idempotent, None) else { continue };
         got[slot] += 1;
         let call = *from_us;
         balancer.call_started(*from_us, slot, call);
@@ -54,7 +54,7 @@
     for seed in 0..40 {
         let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), seed);
         balancer.set_endpoints(0, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
-        firsts.insert(balancer.pick(1, true, None).unwrap());
+        firsts.insert(balancer.pick(1, Idempotency::Idempotent, None).unwrap());
         let mut now = 0;
         let got = calls(&mut balancer, &mut now, 499, well);
         assert!(got.iter().all(|count| (49..=51).contains(count)), "{got:?}");
@@ -75,7 +75,7 @@
             |slot| if slot == 2 { (300, CallOutcome::Failed) } else { well(slot) },
         );
     assert!((1..25).contains(&got[2]), "{got:?}");
-    assert_eq!(balancer.state().at(2).health.ejection_cause(), Some(EjectionCause::CallsFailed));
+    assert_eq!(balancer.state().endpoint(2).health.ejection_cause(), Some(EjectionCause::CallsFailed));
     // All fail: all are asked as before.
     let mut balancer = self::balancer(6);
     let mut now = 0;
@@ -111,7 +111,7 @@
     calls(&mut balancer, &mut now, 60, well);
     // One is stopped: its call is given and never answered.
     let stopped = loop {
-        let slot = balancer.pick(now, true, None).unwrap();
+        let slot = balancer.pick(now, Idempotency::Idempotent, None).unwrap();
         balancer.call_started(now, slot, 1);
         if slot == 4 {
             break slot;
@@ -119,7 +119,7 @@
         balancer.call_ended(now + 20 * MS, slot, 1, CallOutcome::Succeeded);
     };
     now += 200 * MS;
-    assert_eq!(balancer.status(stopped, now), "suspect");
+    assert_eq!(balancer.status(stopped, now).name(), "suspect");
     let got = calls(&mut balancer, &mut now, 60, well);
     assert_eq!(got[4], 0, "{got:?}");
     balancer.call_ended(now, stopped, 1, CallOutcome::Succeeded);
@@ -128,19 +128,19 @@
 
 #[test]
 fn where_all_seem_silent_it_is_our_own_clock_and_calls_go_on() {
-    for kind in POLICIES.map(|(_, kind)| kind) {
+    for kind in BalancingPolicy::ALL {
         let mut balancer = LoadBalancer::new(config(kind), 7);
         balancer.set_endpoints(0, &(0..6).map(Endpoint::new).collect::<Vec<_>>());
         let mut now = 0;
         calls(&mut balancer, &mut now, 60, well);
         for call in 0..12 {
-            let slot = balancer.pick(now, true, None).unwrap();
+            let slot = balancer.pick(now, Idempotency::Idempotent, None).unwrap();
             balancer.call_started(now, slot, call);
         }
         // We slept for five seconds.
         now += 5_000 * MS;
         for _ in 0..6 {
-            assert!(balancer.pick(now, false, None).is_some(), "{kind:?}");
+            assert!(balancer.pick(now, Idempotency::NotIdempotent, None).is_some(), "{kind:?}");
         }
     }
 }
@@ -148,7 +148,7 @@
 /// Puts a place out by that cause.
 fn put_out(balancer: &mut LoadBalancer, now_us: u64, slot: usize, cause: EjectionCause) {
     (0..3).for_each(|_| balancer.record_failure(now_us, slot, cause));
-    assert_eq!(balancer.status(slot, now_us), "out");
+    assert_eq!(balancer.status(slot, now_us).name(), "out");
 }
 
 #[test]
@@ -160,7 +160,7 @@
         (0..6).for_each(|slot| put_out(&mut balancer, now, slot, cause));
         assert!(balancer.state().is_in_panic_mode);
         let mut got = [0; 8];
-        (0..80).for_each(|_| got[balancer.pick(now, false, None).unwrap()] += 1);
+        (0..80).for_each(|_| got[balancer.pick(now, Idempotency::NotIdempotent, None).unwrap()] += 1);
         let most = *got.iter().max().unwrap();
         assert_eq!(most < 30, doubted, "{cause:?}: {got:?}");
     }
@@ -170,23 +170,23 @@
 fn with_all_out_the_answer_is_none_and_when_to_come_back() {
     let mut balancer = balancer(3);
     (0..3).for_each(|slot| put_out(&mut balancer, 0, slot, EjectionCause::ConnectFailed));
-    assert_eq!(balancer.pick(1, true, None), None);
+    assert_eq!(balancer.pick(1, Idempotency::Idempotent, None), None);
     let at = balancer.next_probe_us().unwrap();
     assert!((150 * MS..=250 * MS).contains(&at), "{at}");
-    let slot = balancer.pick(at, true, None).expect("one is due");
+    let slot = balancer.pick(at, Idempotency::Idempotent, None).expect("one is due");
     balancer.call_started(at, slot, 1);
     assert_eq!(
-        (balancer.status(slot, at), balancer.pick(at, true, None)),
+        (balancer.status(slot, at).name(), balancer.pick(at, Idempotency::Idempotent, None)),
         ("trying", None),
         "one trial at a time"
     );
     balancer.call_ended(at + MS, slot, 1, CallOutcome::Succeeded);
-    assert_eq!(balancer.pick(at + MS, false, None), Some(slot));
+    assert_eq!(balancer.pick(at + MS, Idempotency::NotIdempotent, None), Some(slot));
     // None at all.
     let mut nothing = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 1);
-    assert_eq!((nothing.pick(0, true, None), nothing.next_probe_us()), (None, None));
+    assert_eq!((nothing.pick(0, Idempotency::Idempotent, None), nothing.next_probe_us()), (None, None));
     nothing.set_endpoints(5, &[]);
-    assert_eq!(nothing.pick(6, true, None), None);
+    assert_eq!(nothing.pick(6, Idempotency::Idempotent, None), None);
 }
 
 #[test]
@@ -198,17 +198,17 @@
     now += 400 * MS;
     // Each of four earns a tenth of a sixth of each call: after 60 calls all have earned a whole probe.
     assert!(
-        (0..60).all(|_| balancer.pick(now, false, None).unwrap() >= 4),
+        (0..60).all(|_| balancer.pick(now, Idempotency::NotIdempotent, None).unwrap() >= 4),
         "not one that may not happen twice"
     );
     let mut probes = Vec::new();
     for call in 1_000..1_020 {
-        let slot = balancer.pick(now, true, None).unwrap();
+        let slot = balancer.pick(now, Idempotency::Idempotent, None).unwrap();
         balancer.call_started(now, slot, call);
         let is_probe = slot < 4;
         if is_probe {
             probes.push((call, slot));
-            assert_eq!(balancer.status(slot, now), "trying");
+            assert_eq!(balancer.status(slot, now).name(), "trying");
         }
         balancer.call_ended(
             now,
@@ -239,15 +239,15 @@
         put_out(&mut balancer, now, 3, EjectionCause::ConnectFailed);
         now += 400 * MS;
         // Time between two calls counts as well; it does not pass from here on.
-        balancer.pick(now, false, None).unwrap();
+        balancer.pick(now, Idempotency::NotIdempotent, None).unwrap();
         let mut probes = Vec::new();
         for call in 1..=3 * CALLS_TO_PROBE {
-            let slot = balancer.pick(now, true, None).unwrap();
+            let slot = balancer.pick(now, Idempotency::Idempotent, None).unwrap();
             balancer.call_started(now, slot, call);
             if slot == 3 {
                 probes.push(call);
                 assert!(
-                    (0..200).all(|_| balancer.pick(now, true, None) != Some(3)),
+                    (0..200).all(|_| balancer.pick(now, Idempotency::Idempotent, None) != Some(3)),
                     "not while one is under way, and nothing is earned meanwhile"
                 );
             }
@@ -286,9 +286,9 @@
         for outcome in [CallOutcome::ConnectFailed, CallOutcome::Succeeded] {
             let from_us = balancer.next_probe_us().unwrap();
             now = from_us;
-            while balancer.status(3, now) == "out" {
+            while balancer.status(3, now).name() == "out" {
                 now += step_ms * MS;
-                let slot = balancer.pick(now, true, None).unwrap();
+                let slot = balancer.pick(now, Idempotency::Idempotent, None).unwrap();
                 balancer.call_started(now, slot, now);
                 if slot == 3 {
                     break;
@@ -299,19 +299,19 @@
             balancer.call_ended(now, 3, now, outcome);
         }
         let warmth = 0.1 + 0.9 * (waited_us as f64 / 2.0 / 2e6).min(1.0);
-        let got = balancer.state().at(3).health.slow_start_factor(now);
+        let got = balancer.state().endpoint(3).health.slow_start_factor(now);
         assert!((got - warmth).abs() < 1e-6, "{got} where {warmth} is wanted: waited {waited_us} us");
-        assert_eq!(balancer.status(3, now), wanted, "waited {waited_us} us");
+        assert_eq!(balancer.status(3, now).name(), wanted, "waited {waited_us} us");
     }
     // A node that was idle has not waited, whatever time has passed.
     let mut balancer = balancer(1);
     put_out(&mut balancer, 0, 0, EjectionCause::ConnectFailed);
     let hour_us = 3_600_000 * MS;
-    assert_eq!(balancer.pick(hour_us, true, None), Some(0));
+    assert_eq!(balancer.pick(hour_us, Idempotency::Idempotent, None), Some(0));
     balancer.call_started(hour_us, 0, 1);
     balancer.call_ended(hour_us, 0, 1, CallOutcome::Succeeded);
     assert!(
-        balancer.state().at(0).health.slow_start_factor(hour_us) <= 0.1 + 0.9 * 0.25 + 1e-9,
+        balancer.state().endpoint(0).health.slow_start_factor(hour_us) <= 0.1 + 0.9 * 0.25 + 1e-9,
         "a second at most, halved"
     );
 }
@@ -322,14 +322,14 @@
     let mut now = 0;
     calls(&mut balancer, &mut now, 90, well);
     balancer.set_endpoints(now, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
-    assert_eq!(balancer.status(9, now), "joining");
+    assert_eq!(balancer.status(9, now).name(), "joining");
     let first = calls(&mut balancer, &mut now, 8, |_| (0, CallOutcome::Succeeded))[9];
     let cold = calls(&mut balancer, &mut now, 20, |_| (0, CallOutcome::Succeeded));
     let warm = calls(&mut balancer, &mut now, 100, |_| (0, CallOutcome::Succeeded));
     assert!(first <= 1 && cold[9] <= 2 && (9..=11).contains(&warm[9]), "{first} {cold:?} {warm:?}");
     let mut one = self::balancer(1);
     assert_eq!(calls(&mut one, &mut 0, 10, well), [10]);
-    assert_eq!(one.pick(0, true, Some(0)), Some(0), "there is only the one to avoid");
+    assert_eq!(one.pick(0, Idempotency::Idempotent, Some(0)), Some(0), "there is only the one to avoid");
 }
 
 #[test]
@@ -338,17 +338,17 @@
     balancer.call_started(0, 1, 77);
     let slots = balancer.set_endpoints(1, &[Endpoint::new(0), Endpoint::new(2), Endpoint::new(50)]);
     assert_eq!(slots, [0, 2, 3], "not 1: a call is under way there");
-    assert_eq!((balancer.status(1, 1), balancer.is_listed(1)), ("leaving", false));
-    assert!((0..30).all(|_| balancer.pick(2, true, None) != Some(1)));
+    assert_eq!((balancer.status(1, 1).name(), balancer.is_listed(1)), ("leaving", false));
+    assert!((0..30).all(|_| balancer.pick(2, Idempotency::Idempotent, None) != Some(1)));
     balancer.call_ended(3, 1, 77, CallOutcome::Succeeded);
-    assert_eq!(balancer.status(1, 3), "gone");
+    assert_eq!(balancer.status(1, 3).name(), "gone");
     let slots = balancer.set_endpoints(4, &[Endpoint::new(0), Endpoint::new(60), Endpoint::new(50)]);
     assert_eq!(slots, [0, 1, 3]);
     // It went and came before its call ended: its call is its own.
     balancer.call_started(5, 1, 78);
     balancer.set_endpoints(6, &[Endpoint::new(0), Endpoint::new(50)]);
     assert_eq!(balancer.set_endpoints(7, &[Endpoint::new(60), Endpoint::new(0)]), [1, 0]);
-    assert_eq!((balancer.state().at(1).in_flight(), balancer.status(1, 7)), (1, "joining"));
+    assert_eq!((balancer.state().endpoint(1).in_flight(), balancer.status(1, 7).name()), (1, "joining"));
 }
 
 #[test]
@@ -369,7 +369,7 @@
     assert!(got[3..].iter().sum::<usize>() <= 9, "back home: {got:?}");
     // The near ones are gone: the far ones take all.
     (0..3).for_each(|slot| put_out(&mut balancer, now, slot, EjectionCause::ConnectFailed));
-    assert!(balancer.pick(now, false, None).unwrap() >= 3);
+    assert!(balancer.pick(now, Idempotency::NotIdempotent, None).unwrap() >= 3);
 }
 
 #[test]
--- a/crates/ochrewalk-spread/tests/choice_trace.rs
+++ b/crates/ochrewalk-spread/tests/choice_trace.rs
@@ -2,8 +2,8 @@
 //! each outcome of a call. A change that is meant to change no choice keeps the digest; it is never taken anew to get a pass.
 
 use ochrewalk_spread::{
-    BalancingConfig, CallOutcome, EjectionCause, Endpoint, LoadBalancer, OutlierEjection, Subsetting,
-    POLICIES,
+    BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
+    OutlierEjection, Subsetting,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -59,7 +59,7 @@
         _ => Subsetting::Deterministic { size: 3, node: seed as usize % 7, node_count: 9 },
     };
     BalancingConfig {
-        policy: POLICIES[seed as usize % 6].1,
+        policy: BalancingPolicy::ALL[seed as usize % 6],
         subsetting,
         uses_learned_weights: (seed / 18).is_multiple_of(2),
         ejection,
@@ -99,9 +99,10 @@
     }
 
     fn pick(&mut self) {
-        let idempotent = self.rng.u32(0..3) > 0;
+        let is_idempotent = self.rng.u32(0..3) > 0;
+        let idempotency = if is_idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
         let avoid = (self.rng.u32(0..4) == 0).then(|| self.rng.usize(0..16));
-        let choice = self.balancer.pick(self.now_us, idempotent, avoid);
+        let choice = self.balancer.pick(self.now_us, idempotency, avoid);
         self.choices += 1;
         self.digest.add(&format!("pick {choice:?}"));
         if let Some(slot) = choice {
@@ -119,7 +120,7 @@
         let (call, slot) =
             self.in_flight.iter().nth(at).map(|(call, slot)| (*call, *slot)).expect("in flight");
         self.in_flight.remove(&call);
-        let is_failing = self.failing.contains(&self.balancer.state().at(slot).key);
+        let is_failing = self.failing.contains(&self.balancer.state().endpoint(slot).key);
         let outcome = match (is_failing, self.rng.u32(0..24)) {
             (true, 0..=8) | (false, 0) => CallOutcome::ConnectFailed,
             (true, 9..=12) | (false, 1) => CallOutcome::Failed,
@@ -165,7 +166,7 @@
         let mut lines =
             vec![format!("{:?} {} {:.9}", state.subset, state.is_in_panic_mode, state.overflow_share)];
         for (slot, endpoint) in state.endpoints.iter().enumerate() {
-            let status = self.balancer.status(slot, self.now_us);
+            let status = self.balancer.status(slot, self.now_us).name();
             self.states.insert(status);
             let Some(endpoint) = endpoint else { continue };
             let cause = endpoint.health.ejection_cause().map(EjectionCause::description);
--- a/crates/ochrewalk-spread/tests/health.rs
+++ b/crates/ochrewalk-spread/tests/health.rs
@@ -16,7 +16,10 @@
     health.failed(0, EjectionCause::CallsFailed, &mut rng);
     assert!(health.accepts_calls());
     health.failed(0, EjectionCause::ConnectFailed, &mut rng);
-    assert_eq!((health.status(0), health.ejection_cause()), ("out", Some(EjectionCause::ConnectFailed)));
+    assert_eq!(
+        (health.status(0).name(), health.ejection_cause()),
+        ("out", Some(EjectionCause::ConnectFailed))
+    );
     let mut now = 0;
     for pause in [1_000.0, 2_000.0, 4_000.0, 4_000.0] {
         let until = health.ejected_until_us().unwrap();
@@ -25,10 +28,10 @@
         health.failed(until - 1, EjectionCause::CallsFailed, &mut rng);
         assert_eq!(health.ejected_until_us(), Some(until), "what ends late tells nothing");
         health.call_started(9, until - 1);
-        assert_eq!(health.status(until), "out", "not due yet");
+        assert_eq!(health.status(until).name(), "out", "not due yet");
         health.call_started(9, until);
         assert_eq!(
-            (health.status(until), health.accepts_calls(), health.ejected_until_us()),
+            (health.status(until).name(), health.accepts_calls(), health.ejected_until_us()),
             ("trying", false, None)
         );
         now = until;
@@ -38,7 +41,7 @@
     health.call_started(9, now);
     // A trial that ended without a word leaves room for another at once.
     health.probe_ended(8, now);
-    assert_eq!(health.status(now), "trying");
+    assert_eq!(health.status(now).name(), "trying");
     health.probe_ended(9, now);
     assert_eq!(health.ejected_until_us(), Some(now));
     health.call_started(10, now);
@@ -50,13 +53,13 @@
 fn one_that_is_new_or_back_is_warmed_and_one_that_comes_and_goes_keeps_its_long_pauses() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut health = EndpointHealth::added(EJECTION, 100);
-    assert_eq!(health.status(100), "joining");
+    assert_eq!(health.status(100).name(), "joining");
     let warmth = [100, 350, 599, 600].map(|at| health.slow_start_factor(at));
     assert!(
         warmth[0] < 0.11 && (0.5..0.6).contains(&warmth[1]) && warmth[2] < 1.0 && warmth[3] == 1.0,
         "{warmth:?}"
     );
-    assert_eq!(health.status(600), "in");
+    assert_eq!(health.status(600).name(), "in");
     assert_eq!(EndpointHealth::initial(EJECTION, 0).slow_start_factor(0), 1.0, "nothing to warm it beside");
     let mut now = 10_000;
     let mut pause = |health: &mut EndpointHealth, now: &mut u64| {
@@ -66,7 +69,7 @@
         *now += pause;
         health.call_started(1, *now);
         health.succeeded(*now);
-        assert_eq!(health.status(*now), "back");
+        assert_eq!(health.status(*now).name(), "back");
         pause as f64
     };
     assert!(pause(&mut health, &mut now) < 1_251.0);
@@ -87,9 +90,9 @@
     health.failed(6, EjectionCause::ConnectFailed, &mut rng);
     health.call_started(1, 6);
     health.remove(9);
-    assert_eq!((health.status(9), health.accepts_calls(), health.since_us()), ("leaving", false, 5));
+    assert_eq!((health.status(9).name(), health.accepts_calls(), health.since_us()), ("leaving", false, 5));
     health.added_again(10);
-    assert_eq!((health.status(10), health.accepts_calls()), ("joining", true));
+    assert_eq!((health.status(10).name(), health.accepts_calls()), ("joining", true));
     health.added_again(11);
     assert_eq!(health.since_us(), 10, "it was there already");
 }
--- a/crates/ochrewalk-spread/tests/invariants.rs
+++ b/crates/ochrewalk-spread/tests/invariants.rs
@@ -1,8 +1,8 @@
 //! What has to hold in any run of events.
 
 use ochrewalk_spread::{
-    BalancingConfig, BalancingPolicy, CallOutcome, Endpoint, LoadBalancer, OutlierEjection, Subsetting,
-    POLICIES,
+    BalancingConfig, BalancingPolicy, CallOutcome, Endpoint, Idempotency, LoadBalancer, OutlierEjection,
+    Subsetting,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Pick { idempotent: bool, avoid: Option<usize> },
+    Pick { idempotency: Idempotency, avoid: Option<usize> },
     End { which: usize, outcome: usize },
     List(Vec<u64>),
     Pass(u64),
@@ -26,9 +26,14 @@
     CallOutcome::Inconclusive,
 ];
 
+fn pick(is_idempotent: bool, avoid: Option<usize>) -> Event {
+    let idempotency = if is_idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
+    Event::Pick { idempotency, avoid }
+}
+
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        6 => (any::<bool>(), prop::option::of(0usize..12)).prop_map(|(idempotent, avoid)| Event::Pick { idempotent, avoid }),
+        6 => (any::<bool>(), prop::option::of(0usize..12)).prop_map(|(is_idempotent, avoid)| pick(is_idempotent, avoid)),
         5 => (any::<usize>(), 0usize..7).prop_map(|(which, outcome)| Event::End { which, outcome }),
         1 => prop::collection::btree_set(0u64..20, 0..12).prop_map(|keys| Event::List(keys.into_iter().collect())),
         2 => (0u64..3_000_000).prop_map(Event::Pass),
@@ -52,13 +57,13 @@
 
     #[test]
     fn calls_go_to_listed_places_and_nothing_is_left_in_hand(
-        kind in 0usize..POLICIES.len(),
+        kind in 0usize..BalancingPolicy::ALL.len(),
         reach in reach(),
         seed in any::<u64>(),
         events in prop::collection::vec(event(), 1..200),
     ) {
         let ejection = OutlierEjection { consecutive_failures: 2, base_ejection_us: 200_000, max_ejection_us: 1_000_000, slow_start_us: 500_000 };
-        let kind: BalancingPolicy = POLICIES[kind].1;
+        let kind: BalancingPolicy = BalancingPolicy::ALL[kind];
         let mut balancer = LoadBalancer::new(BalancingConfig { policy: kind, subsetting: reach, uses_learned_weights: seed % 2 == 0, ejection }, seed);
         let mut now = 0;
         let mut keys = Vec::new();
@@ -67,11 +72,11 @@
         let mut next = 0;
         for event in events {
             match event {
-                Event::Pick { idempotent, avoid } => {
-                    match balancer.pick(now, idempotent, avoid) {
+                Event::Pick { idempotency, avoid } => {
+                    match balancer.pick(now, idempotency, avoid) {
                         Some(slot) => {
                             prop_assert!(balancer.is_listed(slot));
-                            let key = balancer.state().at(slot).key;
+                            let key = balancer.state().endpoint(slot).key;
                             prop_assert!(keys.contains(&key));
                             next += 1;
                             balancer.call_started(now, slot, next);
@@ -86,7 +91,7 @@
                 Event::End { which, outcome } if !open.is_empty() => {
                     let call = *open.keys().nth(which % open.len()).unwrap();
                     let (slot, key) = open.remove(&call).unwrap();
-                    prop_assert_eq!(balancer.state().at(slot).key, key, "the slot was another's meanwhile");
+                    prop_assert_eq!(balancer.state().endpoint(slot).key, key, "the slot was another's meanwhile");
                     balancer.call_ended(now, slot, call, OUTCOMES[outcome]);
                 }
                 Event::End { .. } => {}
@@ -94,7 +99,7 @@
                     let places: Vec<Endpoint> = listed.iter().map(|key| Endpoint::new(*key)).collect();
                     let slots = balancer.set_endpoints(now, &places);
                     for (slot, key) in slots.iter().zip(&listed) {
-                        prop_assert_eq!(balancer.state().at(*slot).key, *key);
+                        prop_assert_eq!(balancer.state().endpoint(*slot).key, *key);
                     }
                     keys = listed;
                 }
--- a/crates/ochrewalk-spread/tests/subset.rs
+++ b/crates/ochrewalk-spread/tests/subset.rs
@@ -16,8 +16,11 @@
     let mut loads = vec![0.0; candidates.len()];
     for node in 0..nodes {
         let assignment = assign_subset(deterministic(few, node, nodes), candidates, 0);
-        let all: f64 = assignment.own.iter().map(|(slot, part)| part * candidates[*slot].weight).sum();
-        assignment.own.iter().for_each(|(slot, part)| loads[*slot] += part * candidates[*slot].weight / all);
+        let all: f64 =
+            assignment.own.iter().map(|assigned| assigned.fraction * candidates[assigned.slot].weight).sum();
+        assignment.own.iter().for_each(|assigned| {
+            loads[assigned.slot] += assigned.fraction * candidates[assigned.slot].weight / all
+        });
     }
     loads
 }
@@ -56,7 +59,7 @@
     ] {
         let SubsetAssignment { own, spare } = assign_subset(subsetting, &candidates(0..100), 9);
         assert!((least..=most).contains(&own.len()), "{subsetting:?}: {}", own.len());
-        let all: BTreeSet<usize> = own.iter().map(|(slot, _)| *slot).chain(spare).collect();
+        let all: BTreeSet<usize> = own.iter().map(|assigned| assigned.slot).chain(spare).collect();
         assert_eq!(all.len(), 100, "{subsetting:?}");
     }
     // A number past the count is a fault of whoever set it, and no panic.
@@ -67,7 +70,7 @@
 #[test]
 fn one_place_more_moves_about_one_of_a_nodes_own_and_which_numbers_they_have_none() {
     let names = |assignment: &SubsetAssignment, candidates: &[Candidate]| -> BTreeSet<u64> {
-        assignment.own.iter().map(|(slot, _)| candidates[*slot].key).collect()
+        assignment.own.iter().map(|assigned| candidates[assigned.slot].key).collect()
     };
     let (before, after) = (candidates(0..100), candidates((0..101).rev()));
     let mut moved = 0;
