--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -2,8 +2,8 @@
 
 use super::Node;
 use crate::clock::Clock;
+use crate::configuration::activation::prepare_configuration;
 use crate::configuration::agent::PreparedAgent;
-use crate::configuration::from_files::prepare_configuration;
 use crate::core::Core;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
@@ -144,7 +144,7 @@
     let status = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.status_socket.clone());
     let by_ajp =
         operators.ajp_upstream.clone().map(|settings| AjpBelow::new(settings, clock, placement.seed));
-    let store = placement.below.filter(|_| by_ajp.is_none()).map(|at| Below::new(at, clock, most_links));
+    let store = placement.upstream.filter(|_| by_ajp.is_none()).map(|at| Below::new(at, clock, most_links));
     let below: Option<Arc<dyn Beneath>> = match (&by_ajp, &store) {
         (Some(by_ajp), _) => Some(Arc::new(by_ajp.clone())),
         (None, Some(store)) => Some(Arc::new(store.clone())),
@@ -167,8 +167,9 @@
         let (packet, idle_us) = (settings.max_packet_bytes, settings.idle_timeout_us);
         AjpFront::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
     });
-    let agent = prepare_configuration(placement, &operators, ajp.clone(), by_ajp.clone())?;
-    let configuration = agent.as_ref().map(|agent| agent.handle.clone());
+    let agent = prepare_configuration(placement, &operators, ajp.as_ref(), by_ajp.as_ref())
+        .map_err(|error| error.to_string())?;
+    let configuration = agent.as_ref().map(|agent| agent.handle().clone());
     let mut resumed = Resumed { link, ..Resumed::default() };
     if let Some(taken) = taken {
         resumed.json = dispatchers.resume(taken.json.record, taken.json.descriptors, &ids);
--- a/crates/ochrewalk-node/tests/configuration_state.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -1,11 +1,16 @@
 //! What an update of the distributed configuration changes in a node, and what is refused as a whole.
 
-use ochrewalk_distribution::messages::{Position, Resource};
+use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::{Found, Routes};
-use ochrewalk_node::configuration::state::{FileConfiguration, InForce, NodeConfiguration, UpdateFault};
-use ochrewalk_operators::resources::{quota_name, read_changes, RouteTarget};
+use ochrewalk_node::configuration::cached_quotas::CachedQuotaName;
+use ochrewalk_node::configuration::file_configuration::FileConfiguration;
+use ochrewalk_node::configuration::node_configuration::{
+    ConfigurationInForce, NodeConfiguration, ReplacedFile,
+};
+use ochrewalk_node::configuration::update_error::UpdateError;
+use ochrewalk_operators::resources::{endpoint_name, quota_name, read_changes, route_name, RouteTarget};
 use ochrewalk_operators::UpstreamEndpoint;
 use std::sync::Arc;
 
@@ -22,7 +27,7 @@
         rules: Rules { routes: table, ..Rules::default() },
         endpoints: Some(Vec::new()),
         zone: Some("east".into()),
-        has_front: true,
+        has_listener: true,
         ..FileConfiguration::default()
     }
 }
@@ -47,12 +52,12 @@
     CompleteUpdate { is_snapshot: true, ..update(revision, changes) }
 }
 
-fn finds(in_force: &InForce, http: &str, path: &str) -> Found {
+fn finds(in_force: &ConfigurationInForce, http: &str, path: &str) -> Found {
     in_force.rules.routes.find(http.as_bytes(), path.as_bytes()).unwrap()
 }
 
 #[test]
-fn routes_come_change_and_go_beside_those_of_the_file() {
+fn distributed_routes_are_added_replaced_and_deleted_beside_those_of_the_file() {
     let mut node = node();
     let in_force = node.apply(&snapshot(1, "route shop GET /a look\nroute shop POST /b sale")).unwrap();
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
@@ -74,7 +79,7 @@
 #[test]
 fn an_update_with_one_wrong_change_changes_nothing() {
     let good = "route shop GET /a look\nquota acme 5\n";
-    for (wrong, said) in [
+    for (wrong, text) in [
         (
             "route shop GET /x lok",
             "route shop GET /x: lok is no method here; route it to a method of the node's file",
@@ -91,7 +96,7 @@
         node.apply(&snapshot(1, good)).unwrap();
         let fault =
             node.apply(&update(2, &format!("delete quota acme\nquota other 1\n{wrong}"))).unwrap_err();
-        assert_eq!(fault.to_string(), said);
+        assert_eq!(fault.to_string(), text);
         assert_eq!(node.position(), Position { epoch: 1, revision: 1 });
         let in_force = node.in_force();
         assert_eq!(finds(&in_force, "GET", "/x"), Found::NoRoute, "{wrong}");
@@ -101,23 +106,26 @@
 }
 
 #[test]
-fn resources_that_this_node_has_no_use_for_are_refused_with_the_reason() {
+fn resources_that_do_not_fit_the_node_are_rejected_with_the_reason() {
     let methods = || [("look".to_string(), target(0, true))].into();
     let bare = FileConfiguration::default();
     let mut node = NodeConfiguration::new(methods(), bare, 0);
     let fault = node.apply(&snapshot(1, "route shop GET /a look")).unwrap_err();
-    assert_eq!(fault, UpdateFault::NoFront("route shop GET /a".into()));
+    assert_eq!(fault, UpdateError::NoListener { route: route_name("shop", "GET", "/a") });
     let fault = node.apply(&snapshot(1, "endpoint shop 10.0.0.1:80 1 east")).unwrap_err();
-    assert_eq!(fault, UpdateFault::NoEndpoints("endpoint shop 10.0.0.1:80".into()));
+    assert_eq!(
+        fault,
+        UpdateError::NoEndpoints { endpoint: endpoint_name("shop", "10.0.0.1:80".parse().unwrap()) }
+    );
     assert!(node.apply(&snapshot(1, "quota acme 1")).is_ok());
     // Nothing ever leads back.
-    assert!(matches!(node.apply(&update(0, "quota acme 2")), Err(UpdateFault::Order(_))));
+    assert!(matches!(node.apply(&update(0, "quota acme 2")), Err(UpdateError::Apply(_))));
 }
 
 #[test]
 fn a_tenant_keeps_its_number_over_changes_of_its_quota() {
     let mut node = node();
-    let quota = |in_force: &InForce, tenant: &str| in_force.quotas[tenant].quota();
+    let quota = |in_force: &ConfigurationInForce, tenant: &str| in_force.quotas[tenant].quota();
     let mut first = snapshot(1, "quota acme 5\nquota other 1");
     first.absent = vec![quota_name("nobody")];
     let in_force = node.apply(&first).unwrap();
@@ -145,16 +153,16 @@
 }
 
 #[test]
-fn endpoints_and_limits_come_on_top_of_the_file() {
+fn distributed_endpoints_and_limits_override_those_of_the_file() {
     let mut node = node();
     let at = |text: &str| text.parse::<std::net::SocketAddr>().unwrap();
     let of_file = UpstreamEndpoint { address: at("10.0.0.1:80"), weight: 1.0, is_in_local_zone: true };
-    let (_, faults) = node.replace_file(FileConfiguration {
+    let ReplacedFile { overridden, .. } = node.replace_file(FileConfiguration {
         endpoints: Some(vec![of_file]),
         rules: Rules { usual_kb: Some(9.0), ..Rules::default() },
         ..file(&[])
     });
-    assert_eq!(faults, []);
+    assert_eq!(overridden, []);
     let changes = "endpoint shop 10.0.0.1:80 3 west\nendpoint shop 10.0.0.2:80 1 east\n\
                    limit shop usual-memory-kb 20\nlimit till usual-memory-kb 12";
     let in_force = node.apply(&snapshot(1, changes)).unwrap();
@@ -169,12 +177,13 @@
 }
 
 #[test]
-fn a_changed_file_keeps_what_was_distributed_and_names_what_no_longer_fits() {
+fn a_changed_file_leaves_what_was_distributed_in_force_and_names_what_it_overrides() {
     let mut node = node();
     node.apply(&snapshot(1, "route shop GET /a look\nroute shop GET /b look")).unwrap();
-    let (in_force, faults) = node.replace_file(file(&[("GET", "/a", 0), ("GET", "/new", 0)]));
-    let said: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
-    assert_eq!(said, ["route shop GET /a: GET /a is routed already"]);
+    let ReplacedFile { in_force, overridden } =
+        node.replace_file(file(&[("GET", "/a", 0), ("GET", "/new", 0)]));
+    let texts: Vec<String> = overridden.iter().map(|fault| fault.to_string()).collect();
+    assert_eq!(texts, ["route shop GET /a: GET /a is routed already"]);
     for path in ["/a", "/b", "/new"] {
         assert_eq!(finds(&in_force, "GET", path), Found::Method(0), "{path}");
     }
@@ -184,3 +193,74 @@
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
     assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
 }
+
+#[test]
+fn each_reason_for_a_rejection_names_the_resource() {
+    let methods = [("look".to_string(), target(0, true))].into();
+    let mut bare = NodeConfiguration::new(methods, FileConfiguration::default(), 0);
+    let mut reason = |update: &CompleteUpdate| bare.apply(update).unwrap_err().to_string();
+    assert_eq!(
+        reason(&snapshot(1, "route shop GET /a look")),
+        "route shop GET /a: this node has no listener that is routed"
+    );
+    assert_eq!(
+        reason(&snapshot(1, "endpoint shop 10.0.0.1:80 1 east")),
+        "endpoint shop 10.0.0.1:80: this node calls nothing by AJP"
+    );
+    let mut unknown = snapshot(1, "delete quota acme");
+    let name = ResourceName { kind: 99, scope: "shop".into(), name: "thing".into() };
+    unknown.resources = vec![Arc::new(Resource { name, revision: 1, value: None })];
+    assert_eq!(reason(&unknown), "unknown shop thing: a kind that this version does not know");
+    bare.apply(&snapshot(3, "quota acme 1")).unwrap();
+    assert_eq!(
+        bare.apply(&update(2, "quota acme 2")).unwrap_err().to_string(),
+        "the update leads to Position { epoch: 1, revision: 2 }, older than Position { epoch: 1, revision: 3 }"
+    );
+}
+
+#[test]
+fn cached_quotas_are_listed_up_to_a_number_and_say_whether_there_is_one() {
+    let mut node = node();
+    let mut first = snapshot(1, "quota acme 5\nquota other 1");
+    first.absent = vec![quota_name("nobody")];
+    node.apply(&first).unwrap();
+    let cached = |tenant, is_present| CachedQuotaName { name: quota_name(tenant), is_present };
+    let all = [cached("acme", true), cached("nobody", false), cached("other", true)];
+    assert_eq!(node.cached_quotas(3), all);
+    assert_eq!(node.cached_quotas(100), all);
+    assert_eq!(node.cached_quotas(2), all[..2]);
+    assert_eq!(node.cached_quotas(0), []);
+    assert_eq!(node.resources().count(), 2);
+    node.forget_quotas(["acme", "nobody", "unheard"]);
+    assert_eq!(node.cached_quotas(3), all[2..]);
+    assert_eq!((node.resources().count(), node.absent_quotas().len()), (1, 0));
+}
+
+#[test]
+fn a_snapshot_forgets_which_routes_the_file_overrode() {
+    let mut node = node();
+    node.apply(&snapshot(1, "route shop GET /a look")).unwrap();
+    let ReplacedFile { overridden, .. } = node.replace_file(file(&[("GET", "/a", 0)]));
+    assert_eq!(overridden.len(), 1);
+    node.replace_file(file(&[]));
+    let in_force = node.apply(&snapshot(2, "route shop GET /a look")).unwrap();
+    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
+    let in_force = node.apply(&update(3, "delete route shop GET /a")).unwrap();
+    assert_eq!(finds(&in_force, "GET", "/a"), Found::NoRoute);
+}
+
+#[test]
+fn a_rejected_snapshot_changes_nothing() {
+    let mut node = node();
+    node.apply(&snapshot(1, "route shop GET /a look\nquota acme 5\nlimit shop usual-memory-kb 20")).unwrap();
+    let wrong = snapshot(2, "route shop GET /b look\nquota acme 7\nroute shop GET /file look");
+    let fault = node.apply(&wrong).unwrap_err();
+    let route = route_name("shop", "GET", "/file");
+    assert_eq!(fault, UpdateError::RouteConflict { route, reason: "GET /file is routed already".into() });
+    let in_force = node.in_force();
+    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
+    assert_eq!(in_force.quotas["acme"].quota().unwrap().per_second, 5.0);
+    assert_eq!(in_force.rules.usual_kb, Some(20.0));
+    assert_eq!(node.position(), Position { epoch: 1, revision: 1 });
+}
