--- a/crates/ochrewalk-lab/src/pooled.rs
+++ b/crates/ochrewalk-lab/src/pooled.rs
@@ -1,7 +1,7 @@
 //! Nodes with pools before one ledger that all of them share, in virtual time: the real pools in each node, a ledger with slots
 //! that slows, fails and falls, and callers that ask again. The same seed gives the same run to the last call.
 
-use ochrewalk_pools::{Kind, Plan, PoolPlan, Pools, KINDS};
+use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig, ALGORITHMS};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -82,7 +82,7 @@
     now_us: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     serial: u64,
-    pools: Vec<Pools>,
+    pools: Vec<ConcurrencyLimits>,
     waiting: Vec<[VecDeque<u64>; 3]>,
     queue: VecDeque<Call>,
     /// By the number of their run.
@@ -94,22 +94,22 @@
 }
 
 /// Plays it.
-pub fn play(kind: Kind, case: Case, fleet: &Fleet) -> Outcome {
+pub fn play(algorithm: LimitAlgorithm, case: Case, fleet: &Fleet) -> Outcome {
     let share = (fleet.slots / fleet.nodes).max(1) as u32;
-    let pool = |part: f64, is_reserved| PoolPlan {
-        first: ((f64::from(share) * part).ceil() as u32).max(1),
-        floor: 1,
-        most: 16 * share,
-        is_reserved,
+    let pool = |part: f64, uses_reserve| PoolConfig {
+        initial: ((f64::from(share) * part).ceil() as u32).max(1),
+        min: 1,
+        max: 16 * share,
+        uses_reserve,
     };
-    let plan = Plan {
-        kind,
+    let plan = LimitsConfig {
+        algorithm,
         pools: PARTS.iter().enumerate().map(|(at, part)| pool(*part, at == 0)).collect(),
         reserve: (share / 4).max(1),
     };
     let mut rng = fastrand::Rng::with_seed(fleet.seed);
     let pools = (0..fleet.nodes)
-        .map(|_| Pools::with_turn(rng.u64(0..SECOND), plan.clone(), rng.u32(0..15)))
+        .map(|_| ConcurrencyLimits::with_phase(rng.u64(0..SECOND), plan.clone(), rng.u32(0..15)))
         .collect();
     let mut world = World {
         fleet: fleet.clone(),
@@ -176,7 +176,7 @@
             Event::Done { slot_run } => {
                 // None where the ledger fell under it.
                 let Some(call) = self.at_work.remove(&slot_run) else { return };
-                self.pools[call.node].done(call.pool, self.now_us - call.begun_us);
+                self.pools[call.node].call_succeeded(call.pool, self.now_us - call.begun_us);
                 if self.now_us - call.asked_us <= TARGET_US {
                     self.outcome.served[call.pool] += 1;
                 }
@@ -204,7 +204,7 @@
                     self.turned_away(node, pool);
                     continue;
                 }
-                if !self.pools[node].begin(self.now_us, pool) {
+                if !self.pools[node].try_acquire(self.now_us, pool) {
                     break;
                 }
                 self.waiting[node][pool].pop_front();
@@ -227,7 +227,7 @@
         let third = self.fleet.seconds / 3;
         let refuses = self.case == Case::Fails && (third..third + 10).contains(&second);
         if self.fallen || refuses || self.queue.len() >= QUEUE * self.fleet.slots {
-            self.pools[call.node].refused(call.pool);
+            self.pools[call.node].call_rejected(call.pool);
             // What it takes to turn one away is not for nothing: a flood of calls makes it fall, too.
             if !self.fallen && held >= FALLS * self.fleet.slots {
                 self.falls();
@@ -244,7 +244,7 @@
         self.fallen = true;
         let held = std::mem::take(&mut self.queue);
         for call in held.into_iter().chain(std::mem::take(&mut self.at_work).into_values()) {
-            self.pools[call.node].refused(call.pool);
+            self.pools[call.node].call_rejected(call.pool);
             self.turned_away(call.node, call.pool);
         }
         self.at(self.now_us + FALLEN_US, Event::Rises);
@@ -312,11 +312,11 @@
         "way", "case", "part-lookup", "batch-upload", "order-record", "falls", "turns/min", "variation"
     );
     for (told, case) in CASES {
-        for (name, kind) in KINDS {
+        for (name, algorithm) in ALGORITHMS {
             let runs: Vec<Outcome> = std::thread::scope(|scope| {
                 let one = |seed: u64| Fleet { seed: fleet.seed + seed, ..fleet.clone() };
                 let runs: Vec<_> =
-                    (0..seeds).map(|seed| scope.spawn(move || play(kind, case, &one(seed)))).collect();
+                    (0..seeds).map(|seed| scope.spawn(move || play(algorithm, case, &one(seed)))).collect();
                 runs.into_iter().filter_map(|run| run.join().ok()).collect()
             });
             let range = |of: &dyn Fn(&Outcome) -> f64| {
--- a/crates/ochrewalk-pools/tests/limit_trace.rs
+++ b/crates/ochrewalk-pools/tests/limit_trace.rs
@@ -1,7 +1,7 @@
 //! The same seeded events bring the admissions and the limits that are written down here, for each algorithm. A change that
 //! is meant to change no decision keeps the digest; it is never taken anew to get a pass.
 
-use ochrewalk_pools::{Plan, PoolPlan, Pools, KINDS};
+use ochrewalk_pools::{ConcurrencyLimits, LimitsConfig, PoolConfig, ALGORITHMS};
 
 const SEEDS: u64 = 48;
 const STEPS: usize = 4_000;
@@ -24,40 +24,40 @@
     }
 }
 
-fn settings(seed: u64) -> Plan {
-    let pool = |first, floor, most, is_reserved| PoolPlan { first, floor, most, is_reserved };
+fn settings(seed: u64) -> LimitsConfig {
+    let pool = |initial, min, max, uses_reserve| PoolConfig { initial, min, max, uses_reserve };
     let pools = vec![pool(4, 1, 40, true), pool(6, 2, 60, false), pool(8, 1, 12, false)];
-    Plan { kind: KINDS[seed as usize % 4].1, pools, reserve: (seed % 3) as u32 }
+    LimitsConfig { algorithm: ALGORITHMS[seed as usize % 4].1, pools, reserve: (seed % 3) as u32 }
 }
 
 /// Digest of a seed's run, and how many calls were admitted.
 fn play(seed: u64) -> (u64, u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut limits = Pools::with_turn(0, settings(seed), seed as u32);
+    let mut limits = ConcurrencyLimits::with_phase(0, settings(seed), seed as u32);
     let (mut digest, mut admitted, mut now_us) = (Digest::new(), 0, 0);
     for step in 0..STEPS {
         now_us += rng.u64(0..40_000);
         let pool = rng.usize(0..3);
-        let in_flight = limits.room().of[pool].in_hand;
+        let in_flight = limits.capacity().pools[pool].in_flight;
         // Slow for a while, then quick again: limits fall and recover.
         let (slowest_us, rejects) = if (step / 500).is_multiple_of(2) { (3_000, 40) } else { (40_000, 5) };
         match rng.u32(0..20) {
             0..=10 => {
-                let admits = limits.begin(now_us, pool);
+                let admits = limits.try_acquire(now_us, pool);
                 admitted += u64::from(admits);
                 digest.add(&format!("{pool} {admits}"));
             }
-            11 if in_flight > 0 => limits.dropped(pool),
-            _ if in_flight > 0 && rng.u32(0..rejects) == 0 => limits.refused(pool),
-            _ if in_flight > 0 => limits.done(pool, 1_000 + rng.u64(0..slowest_us)),
+            11 if in_flight > 0 => limits.call_ignored(pool),
+            _ if in_flight > 0 && rng.u32(0..rejects) == 0 => limits.call_rejected(pool),
+            _ if in_flight > 0 => limits.call_succeeded(pool, 1_000 + rng.u64(0..slowest_us)),
             _ => {}
         }
         for change in limits.tick(now_us) {
             digest.add(&format!("{} {:.9} {:.9}", change.pool, change.from, change.to));
         }
-        let room = limits.room();
-        digest.add(&format!("{} {:.9} {:.9}", room.in_hand(), room.total(), limits.limit(pool)));
-        digest.add(&format!("{:?}", limits.base_us(pool).map(|us| format!("{us:.9}"))));
+        let capacity = limits.capacity();
+        digest.add(&format!("{} {:.9} {:.9}", capacity.in_flight(), capacity.total(), limits.limit(pool)));
+        digest.add(&format!("{:?}", limits.baseline_us(pool).map(|us| format!("{us:.9}"))));
     }
     (digest.0, admitted)
 }
