--- a/crates/ochrewalk-lab/src/pooled.rs
+++ b/crates/ochrewalk-lab/src/pooled.rs
@@ -1,7 +1,7 @@
 //! Nodes with pools before one ledger that all of them share, in virtual time: the real pools in each node, a ledger with slots
 //! that slows, fails and falls, and callers that ask again. The same seed gives the same run to the last call.
 
-use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig, ALGORITHMS};
+use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -109,7 +109,7 @@
     };
     let mut rng = fastrand::Rng::with_seed(fleet.seed);
     let pools = (0..fleet.nodes)
-        .map(|_| ConcurrencyLimits::with_phase(rng.u64(0..SECOND), plan.clone(), rng.u32(0..15)))
+        .map(|_| ConcurrencyLimits::with_phase(rng.u64(0..SECOND), &plan, rng.u32(0..15)))
         .collect();
     let mut world = World {
         fleet: fleet.clone(),
@@ -312,7 +312,8 @@
         "way", "case", "part-lookup", "batch-upload", "order-record", "falls", "turns/min", "variation"
     );
     for (told, case) in CASES {
-        for (name, algorithm) in ALGORITHMS {
+        for algorithm in LimitAlgorithm::ALL {
+            let name = algorithm.name();
             let runs: Vec<Outcome> = std::thread::scope(|scope| {
                 let one = |seed: u64| Fleet { seed: fleet.seed + seed, ..fleet.clone() };
                 let runs: Vec<_> =
--- a/crates/ochrewalk-pools/src/concurrency_limits.rs
+++ b/crates/ochrewalk-pools/src/concurrency_limits.rs
@@ -1,63 +1,31 @@
-//! Decides for all pools together: counts each period, moves limits, and says what was changed and why.
+//! The limits of all pools: admits calls, counts what became of them, and moves the limits once a period.
 
-use crate::adaptive_limit::{AdaptiveLimit, LimitAlgorithm, PeriodSample};
-use crate::baseline_latency::BaselineLatency;
+use crate::adaptive_limit::PeriodSample;
+use crate::config::{LimitsConfig, PoolConfig};
+use crate::pool::Pool;
 use crate::shared_capacity::{PoolUsage, SharedCapacity};
 
-/// How often limits move.
+/// How often limits move, in microseconds.
 pub const PERIOD_US: u64 = 1_000_000;
-/// Times that are kept of a period: more say nothing new.
-const MAX_LATENCIES: usize = 512;
-/// How far a period with enough calls moves what calls are held to take. Guards against the few of one period, whose least
-/// over many periods would be far under the usual.
-const SMOOTHING: f64 = 0.3;
-const FULL_WEIGHT_CALLS: f64 = 20.0;
-/// A limit that moved by this share since it was last told is told again.
-const REPORT_CHANGE: f64 = 0.2;
+/// By how many periods the windows of two neighbouring pools are apart.
+const PHASE_BETWEEN_POOLS: u32 = 4;
+/// A limit is reported again once its logarithm has moved this far since it was last reported.
+const REPORTED_CHANGE: f64 = 0.2;
 
-/// A pool as operators set it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PoolConfig {
-    /// Its limit at first, and the bounds of it.
-    pub initial: u32,
-    pub min: u32,
-    pub max: u32,
-    /// The reserve is for it.
-    pub uses_reserve: bool,
-}
-
-/// All pools, and the way that limits go by.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LimitsConfig {
-    pub algorithm: LimitAlgorithm,
-    pub pools: Vec<PoolConfig>,
-    pub reserve: u32,
-}
-
-/// A limit has moved, for operators.
+/// A limit that has moved, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
+    /// The pool's index.
     pub pool: usize,
+    /// The limit when it was last reported.
     pub from: f64,
+    /// The limit now.
     pub to: f64,
     /// What the last period showed.
-    pub seen: PeriodSample,
-}
-
-#[derive(Clone, Debug)]
-struct Pool {
-    limit: AdaptiveLimit,
-    base: BaselineLatency,
-    /// What calls are held to take now.
-    latency_us: Option<f64>,
-    /// Of the period under way.
-    latencies_us: Vec<u64>,
-    ended: u32,
-    rejected: u32,
-    max_in_flight: u32,
-    reported: f64,
+    pub sample: PeriodSample,
 }
 
+/// The limits of all pools.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimits {
     pools: Vec<Pool>,
@@ -66,128 +34,88 @@
 }
 
 impl ConcurrencyLimits {
-    /// `turn` differs from node to node, so that not all look for what is usual at once.
-    pub fn with_phase(now_us: u64, plan: LimitsConfig, phase: u32) -> ConcurrencyLimits {
-        let limit = |of: &PoolConfig| {
-            let limit = AdaptiveLimit::new(plan.algorithm, of.initial, of.min, of.max);
-            if of.uses_reserve {
-                limit.with_priority()
-            } else {
-                limit
-            }
-        };
-        let pool = |(at, of): (usize, &PoolConfig)| Pool {
-            limit: limit(of),
-            base: BaselineLatency::new(phase + 4 * at as u32),
-            latency_us: None,
-            latencies_us: Vec::new(),
-            ended: 0,
-            rejected: 0,
-            max_in_flight: 0,
-            reported: f64::from(of.initial),
+    /// Limits whose baselines are measured in phase with those of every other node.
+    pub fn new(now_us: u64, config: &LimitsConfig) -> ConcurrencyLimits {
+        ConcurrencyLimits::with_phase(now_us, config, 0)
+    }
+
+    /// Limits whose baselines are measured that many periods earlier: different from node to node, so that not all measure
+    /// at once.
+    pub fn with_phase(now_us: u64, config: &LimitsConfig, phase: u32) -> ConcurrencyLimits {
+        let pool = |(index, pool): (usize, &PoolConfig)| {
+            Pool::new(config.algorithm, pool, phase + PHASE_BETWEEN_POOLS * index as u32)
         };
-        let pools: Vec<Pool> = plan.pools.iter().enumerate().map(pool).collect();
-        let holds = |(of, pool): (&PoolConfig, &Pool)| PoolUsage {
+        let pools: Vec<Pool> = config.pools.iter().enumerate().map(pool).collect();
+        let usage = |(config, pool): (&PoolConfig, &Pool)| PoolUsage {
             limit: pool.limit.value(),
-            uses_reserve: of.uses_reserve,
+            uses_reserve: config.uses_reserve,
             last_acquired_us: now_us,
             ..PoolUsage::default()
         };
-        let of = plan.pools.iter().zip(&pools).map(holds).collect();
-        ConcurrencyLimits {
-            pools,
-            capacity: SharedCapacity { pools: of, reserve: plan.reserve },
-            period_ends_us: now_us + PERIOD_US,
-        }
+        let usages = config.pools.iter().zip(&pools).map(usage).collect();
+        let capacity = SharedCapacity { pools: usages, reserve: config.reserve };
+        ConcurrencyLimits { pools, capacity, period_ends_us: now_us + PERIOD_US }
     }
 
-    pub fn new(now_us: u64, plan: LimitsConfig) -> ConcurrencyLimits {
-        ConcurrencyLimits::with_phase(now_us, plan, 0)
-    }
-
-    /// Whether a call of that pool may be placed now; it then counts as in hand.
+    /// Whether the pool may start a call now; the call then counts as in flight.
     pub fn try_acquire(&mut self, now_us: u64, pool: usize) -> bool {
-        let may = self.capacity.try_acquire(now_us, pool);
-        let of = &mut self.pools[pool];
-        of.max_in_flight = of.max_in_flight.max(self.capacity.pools[pool].in_flight);
-        may
+        let is_admitted = self.capacity.try_acquire(now_us, pool);
+        let in_flight = self.capacity.pools[pool].in_flight;
+        let pool = &mut self.pools[pool];
+        pool.max_in_flight = pool.max_in_flight.max(in_flight);
+        is_admitted
     }
 
-    /// A call was done, and took so long.
+    /// A call succeeded after that many microseconds.
     pub fn call_succeeded(&mut self, pool: usize, took_us: u64) {
         self.capacity.release(pool);
-        let of = &mut self.pools[pool];
-        of.ended += 1;
-        if of.latencies_us.len() < MAX_LATENCIES {
-            of.latencies_us.push(took_us);
-        }
+        self.pools[pool].call_succeeded(took_us);
     }
 
-    /// A call was turned away below, or not done in time.
+    /// A call was rejected upstream, or timed out.
     pub fn call_rejected(&mut self, pool: usize) {
         self.capacity.release(pool);
-        let of = &mut self.pools[pool];
-        (of.ended, of.rejected) = (of.ended + 1, of.rejected + 1);
+        self.pools[pool].call_rejected();
     }
 
-    /// A call ended in a way that says nothing of what lies below.
+    /// A call ended in a way that says nothing of what lies upstream.
     pub fn call_ignored(&mut self, pool: usize) {
         self.capacity.release(pool);
     }
 
-    /// Time has passed: limits move once a period is over. What has moved far enough to be told of comes back. A clock
-    /// that woke late makes one long period, not many.
+    /// Moves the limits if a period has ended. Returns those that have moved far enough to be logged. A clock that woke late
+    /// makes one long period, not many.
     pub fn tick(&mut self, now_us: u64) -> Vec<LimitChange> {
         if now_us < self.period_ends_us {
             return Vec::new();
         }
         self.period_ends_us = now_us + PERIOD_US;
         let mut changes = Vec::new();
-        for (at, pool) in self.pools.iter_mut().enumerate() {
-            let holds = &mut self.capacity.pools[at];
-            let seen = pool.period(holds.limit);
-            holds.limit = pool.limit.value() * pool.base.limit_factor();
-            let to = pool.limit.value();
-            if (to / pool.reported).ln().abs() > REPORT_CHANGE {
-                changes.push(LimitChange { pool: at, from: pool.reported, to, seen });
-                pool.reported = to;
+        for (index, (pool, usage)) in self.pools.iter_mut().zip(&mut self.capacity.pools).enumerate() {
+            let sample = pool.end_period(usage.limit);
+            let (from, to) = (pool.reported_limit, pool.limit.value());
+            usage.limit = to * pool.baseline.limit_factor();
+            if (to / from).ln().abs() > REPORTED_CHANGE {
+                changes.push(LimitChange { pool: index, from, to, sample });
+                pool.reported_limit = to;
             }
-            pool.max_in_flight = holds.in_flight;
+            pool.max_in_flight = usage.in_flight;
         }
         changes
     }
 
+    /// The pool's limit.
     pub fn limit(&self, pool: usize) -> f64 {
         self.pools[pool].limit.value()
     }
 
-    /// What a call of that pool takes where nothing waits, in microseconds.
+    /// The pool's baseline latency in microseconds; none before a call has succeeded.
     pub fn baseline_us(&self, pool: usize) -> Option<f64> {
-        self.pools[pool].base.us()
+        self.pools[pool].baseline.us()
     }
 
+    /// What the pools use.
     pub fn capacity(&self) -> &SharedCapacity {
         &self.capacity
     }
 }
-
-impl Pool {
-    /// A period with that limit is over.
-    fn period(&mut self, limit: f64) -> PeriodSample {
-        self.latencies_us.sort_unstable();
-        if let Some(median) = self.latencies_us.get(self.latencies_us.len() / 2).map(|us| *us as f64) {
-            let pace = SMOOTHING * (self.latencies_us.len() as f64 / FULL_WEIGHT_CALLS).min(1.0);
-            let before = self.latency_us.unwrap_or(median);
-            self.latency_us = Some(before + (median - before) * pace);
-        }
-        let spoke = self.latency_us.filter(|_| !self.latencies_us.is_empty());
-        self.base.period(spoke);
-        let latency_ratio = spoke.zip(self.base.us()).map(|(take, base)| take / base.max(1.0));
-        let utilization = f64::from(self.max_in_flight) / limit.max(1.0);
-        let seen = PeriodSample { ended: self.ended, rejected: self.rejected, latency_ratio, utilization };
-        self.limit.period(&seen);
-        self.latencies_us.clear();
-        (self.ended, self.rejected) = (0, 0);
-        seen
-    }
-}
--- a/crates/ochrewalk-pools/src/lib.rs
+++ b/crates/ochrewalk-pools/src/lib.rs
@@ -1,24 +1,54 @@
-//! How many calls below each pool of methods may have at once: limits that follow what lies below as it slows and recovers,
-//! room that is lent while it is idle, and a reserve that keeps the cheapest calls going.
+//! Concurrency limits for upstream calls, by pool of methods: limits that follow what lies upstream as it slows and
+//! recovers, capacity that is lent while it is idle, and a reserve that keeps the calls of some pools going.
 //!
-//! No sockets and no clock. Whoever places calls asks [`ConcurrencyLimits::may`] before each, and tells what became of it.
+//! The crate does no I/O and reads no clock. Whoever makes the calls asks [`ConcurrencyLimits::try_acquire`] before each, and
+//! reports how each ended. The same events bring the same decisions.
+//!
+//! # Guarantees
+//!
+//! * A pool is never refused a call within its own limit, nor one within the reserve if it may use that.
+//! * The reserve is never lent to other pools.
+//! * A pool without a call in flight gets one a second, however full all pools are.
+//! * A limit stays within the bounds of its [`PoolConfig`].
+//!
+//! # Which calls are admitted
+//!
+//! | a call | is admitted |
+//! | --- | --- |
+//! | within the pool's own limit | always |
+//! | within the unused reserve | if the pool may use the reserve |
+//! | beyond both | if all pools together stay within their limits less the unused reserve, and no other pool was refused within the last 200 ms |
+//! | the pool's first for a second, with none in flight | always |
+//!
+//! Limits move once in [`PERIOD_US`], by the [`LimitAlgorithm`].
+//!
+//! # Left to the caller
+//!
+//! * Reporting the end of each call that was admitted, once.
+//! * Calling [`ConcurrencyLimits::tick`] at least once a period.
 //!
 //! ```
-//! use ochrewalk_pools::{LimitAlgorithm, LimitsConfig, ConcurrencyLimits, PoolConfig};
+//! use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 //! let pool = |initial, uses_reserve| PoolConfig { initial, min: 1, max: 100, uses_reserve };
-//! let plan = LimitsConfig { algorithm: LimitAlgorithm::Integral, pools: vec![pool(2, true), pool(4, false)], reserve: 2 };
-//! let mut pools = ConcurrencyLimits::new(0, plan);
+//! let pools = vec![pool(2, true), pool(4, false)];
+//! let config = LimitsConfig { algorithm: LimitAlgorithm::Integral, pools, reserve: 2 };
+//! let mut limits = ConcurrencyLimits::new(0, &config);
 //! // The second pool has its own four; the reserve is never lent.
-//! assert_eq!((0..9).filter(|_| pools.try_acquire(0, 1)).count(), 4);
-//! assert!(pools.try_acquire(0, 0) && pools.try_acquire(0, 0));
+//! assert_eq!((0..9).filter(|_| limits.try_acquire(0, 1)).count(), 4);
+//! assert!(limits.try_acquire(0, 0) && limits.try_acquire(0, 0));
 //! ```
 
+#![warn(missing_docs)]
+
 mod adaptive_limit;
 mod baseline_latency;
 mod concurrency_limits;
+mod config;
+mod pool;
 mod shared_capacity;
 
-pub use adaptive_limit::{AdaptiveLimit, LimitAlgorithm, PeriodSample, ALGORITHMS};
+pub use adaptive_limit::{AdaptiveLimit, LimitAlgorithm, PeriodSample};
 pub use baseline_latency::BaselineLatency;
-pub use concurrency_limits::{ConcurrencyLimits, LimitChange, LimitsConfig, PoolConfig, PERIOD_US};
+pub use concurrency_limits::{ConcurrencyLimits, LimitChange, PERIOD_US};
+pub use config::{LimitsConfig, PoolConfig};
 pub use shared_capacity::{PoolUsage, SharedCapacity};
--- a/crates/ochrewalk-pools/src/shared_capacity.rs
+++ b/crates/ochrewalk-pools/src/shared_capacity.rs
@@ -1,82 +1,93 @@
-//! Decides whether a pool may have one more call in hand: its own room first; more than that only of what others leave idle
-//! and do not ask for; never of the reserve, which is for the cheapest alone. What was lent comes back as calls end, and no
-//! pool waits for ever: each may have one call now and then, however full it is.
+//! Whether a pool may have one more call in flight: up to its own limit always; beyond it only what other pools leave idle and
+//! have no demand for; never of the reserve, which is for some pools alone. What was lent comes back as calls end. No pool
+//! waits for ever: each may have one call now and then, however full all are.
 
-/// A pool that had no call for so long may have one beyond all capacity: a probe of what lies below, so that no pool is shut
-/// for good.
+/// A pool that has no call in flight and acquired none for so long may have one beyond all capacity: a probe of what lies
+/// upstream, so that no pool is shut out for good.
 const IDLE_PROBE_US: u64 = 1_000_000;
-/// For how long a pool that was turned down counts as asking.
+/// For how long a pool that was refused a call counts as one with demand.
 const DEMAND_US: u64 = 200_000;
 
-/// What a pool holds.
+/// What one pool uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolUsage {
+    /// How many calls it may always have in flight.
     pub limit: f64,
+    /// How many it has.
     pub in_flight: u32,
-    /// The reserve is for it.
+    /// Whether it may use the reserve.
     pub uses_reserve: bool,
-    /// When it last had a call begun, and was last turned down.
+    /// When it last acquired a call, in microseconds.
     pub last_acquired_us: u64,
+    /// When it was last refused one, in microseconds; none if it has acquired one since.
     pub last_refused_us: Option<u64>,
 }
 
 /// All pools beside one another.
 #[derive(Clone, Debug, Default)]
 pub struct SharedCapacity {
+    /// What each pool uses.
     pub pools: Vec<PoolUsage>,
-    /// Calls that only reserved pools may have in hand.
+    /// How many calls are kept free for the pools that may use the reserve.
     pub reserve: u32,
 }
 
 impl SharedCapacity {
-    /// What all may have in hand together.
+    /// How many calls all pools together may have in flight.
     pub fn total(&self) -> f64 {
         self.pools.iter().map(|pool| pool.limit).sum::<f64>().max(f64::from(self.reserve))
     }
 
+    /// How many calls all pools together have in flight.
     pub fn in_flight(&self) -> u32 {
         self.pools.iter().map(|pool| pool.in_flight).sum()
     }
 
-    /// What of the reserve is not in use by those that it is for.
+    /// What the pools with access to the reserve leave unused of it.
     fn unused_reserve(&self) -> u32 {
-        let utilization: u32 =
-            self.pools.iter().filter(|pool| pool.uses_reserve).map(|pool| pool.in_flight).sum();
-        self.reserve.saturating_sub(utilization)
+        let used: u32 = self.pools.iter().filter(|pool| pool.uses_reserve).map(|pool| pool.in_flight).sum();
+        self.reserve.saturating_sub(used)
     }
 
-    /// Whether it may have one more now; it then has it. One that may not counts as asking for a while.
+    /// Acquires one more call for the pool, if it may have one. A pool that is refused has demand for a while.
     pub fn try_acquire(&mut self, now_us: u64, pool: usize) -> bool {
-        let may = self.may_acquire(now_us, pool);
-        let of = &mut self.pools[pool];
-        if may {
-            (of.in_flight, of.last_acquired_us, of.last_refused_us) = (of.in_flight + 1, now_us, None);
+        let is_admitted = self.may_acquire(now_us, pool);
+        let usage = &mut self.pools[pool];
+        if is_admitted {
+            usage.in_flight += 1;
+            usage.last_acquired_us = now_us;
+            usage.last_refused_us = None;
         } else {
-            of.last_refused_us = Some(now_us);
+            usage.last_refused_us = Some(now_us);
         }
-        may
+        is_admitted
     }
 
     fn may_acquire(&self, now_us: u64, pool: usize) -> bool {
-        let of = &self.pools[pool];
-        let probes = of.in_flight == 0 && now_us >= of.last_acquired_us + IDLE_PROBE_US;
-        let kept = if of.uses_reserve { 0 } else { self.unused_reserve() };
-        let is_full = f64::from(self.in_flight() + kept) + 1.0 > self.total();
-        // Its own room is its own also where others have borrowed it: that is then beyond the total, until they are done.
-        let own = f64::from(of.in_flight) + 1.0 <= of.limit.max(1.0);
-        let reserved = of.uses_reserve && self.unused_reserve() > 0;
-        probes || own || reserved || !is_full && !self.others_demand(now_us, pool)
+        let usage = &self.pools[pool];
+        let is_probe = usage.in_flight == 0 && now_us >= usage.last_acquired_us + IDLE_PROBE_US;
+        // A pool's own limit is its own also while others have borrowed of it: the total is then exceeded until they end.
+        let is_within_limit = f64::from(usage.in_flight) + 1.0 <= usage.limit.max(1.0);
+        let is_within_reserve = usage.uses_reserve && self.unused_reserve() > 0;
+        is_probe || is_within_limit || is_within_reserve || self.may_borrow(now_us, pool)
     }
 
-    /// Another pool was turned down a moment ago, or has less in hand than its room and asks: what is idle is its.
-    fn others_demand(&self, now_us: u64, pool: usize) -> bool {
-        let asks = |of: &PoolUsage| of.last_refused_us.is_some_and(|at| now_us < at + DEMAND_US);
-        self.pools.iter().enumerate().any(|(at, of)| at != pool && asks(of))
+    fn may_borrow(&self, now_us: u64, pool: usize) -> bool {
+        let kept_free = if self.pools[pool].uses_reserve { 0 } else { self.unused_reserve() };
+        let is_full = f64::from(self.in_flight() + kept_free) + 1.0 > self.total();
+        !is_full && !self.others_have_demand(now_us, pool)
     }
 
-    /// A call has ended.
+    /// Whether another pool was refused a call a moment ago: what is idle is for that one.
+    fn others_have_demand(&self, now_us: u64, pool: usize) -> bool {
+        let has_demand =
+            |usage: &PoolUsage| usage.last_refused_us.is_some_and(|at_us| now_us < at_us + DEMAND_US);
+        self.pools.iter().enumerate().any(|(other, usage)| other != pool && has_demand(usage))
+    }
+
+    /// A call of the pool has ended.
     pub fn release(&mut self, pool: usize) {
-        let of = &mut self.pools[pool];
-        of.in_flight = of.in_flight.saturating_sub(1);
+        let usage = &mut self.pools[pool];
+        usage.in_flight = usage.in_flight.saturating_sub(1);
     }
 }
--- a/crates/ochrewalk-pools/tests/limit_trace.rs
+++ b/crates/ochrewalk-pools/tests/limit_trace.rs
@@ -1,7 +1,7 @@
 //! The same seeded events bring the admissions and the limits that are written down here, for each algorithm. A change that
 //! is meant to change no decision keeps the digest; it is never taken anew to get a pass.
 
-use ochrewalk_pools::{ConcurrencyLimits, LimitsConfig, PoolConfig, ALGORITHMS};
+use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 
 const SEEDS: u64 = 48;
 const STEPS: usize = 4_000;
@@ -27,13 +27,13 @@
 fn settings(seed: u64) -> LimitsConfig {
     let pool = |initial, min, max, uses_reserve| PoolConfig { initial, min, max, uses_reserve };
     let pools = vec![pool(4, 1, 40, true), pool(6, 2, 60, false), pool(8, 1, 12, false)];
-    LimitsConfig { algorithm: ALGORITHMS[seed as usize % 4].1, pools, reserve: (seed % 3) as u32 }
+    LimitsConfig { algorithm: LimitAlgorithm::ALL[seed as usize % 4], pools, reserve: (seed % 3) as u32 }
 }
 
 /// Digest of a seed's run, and how many calls were admitted.
 fn play(seed: u64) -> (u64, u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut limits = ConcurrencyLimits::with_phase(0, settings(seed), seed as u32);
+    let mut limits = ConcurrencyLimits::with_phase(0, &settings(seed), seed as u32);
     let (mut digest, mut admitted, mut now_us) = (Digest::new(), 0, 0);
     for step in 0..STEPS {
         now_us += rng.u64(0..40_000);
--- a/crates/ochrewalk-pools/tests/shared_capacity.rs
+++ b/crates/ochrewalk-pools/tests/shared_capacity.rs
@@ -1,4 +1,4 @@
-//! SharedCapacity among pools: by table, and in any state.
+//! Capacity shared among pools: by table, and in any state.
 
 use ochrewalk_pools::{
     ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig, PoolUsage, SharedCapacity,
@@ -8,38 +8,38 @@
 
 const LONG_AGO: u64 = 10_000_000;
 
-fn holds(limit: f64, in_flight: u32, uses_reserve: bool) -> PoolUsage {
+fn usage(limit: f64, in_flight: u32, uses_reserve: bool) -> PoolUsage {
     PoolUsage { limit, in_flight, uses_reserve, last_acquired_us: LONG_AGO, last_refused_us: None }
 }
 
 #[test]
-fn own_room_lent_room_the_reserve_and_a_probe() {
+fn a_pool_gets_its_own_limit_lent_capacity_its_reserve_and_a_probe() {
     let asks = |of: PoolUsage| PoolUsage { last_refused_us: Some(LONG_AGO), ..of };
     for (what, of, reserve, pool, wanted) in [
-        ("its own", vec![holds(2.0, 1, false), holds(2.0, 2, false)], 0, 0, true),
-        ("all in use", vec![holds(2.0, 2, false), holds(2.0, 2, false)], 0, 0, false),
-        ("lent", vec![holds(2.0, 2, false), holds(2.0, 0, false)], 0, 0, true),
-        ("asked for by its owner", vec![holds(2.0, 2, false), asks(holds(2.0, 0, false))], 0, 0, false),
-        ("lent out, its own all the same", vec![holds(2.0, 4, false), holds(2.0, 0, false)], 0, 1, true),
-        ("the reserve is not lent", vec![holds(2.0, 0, true), holds(2.0, 2, false)], 2, 1, false),
-        ("the reserve for whom it is", vec![holds(1.0, 1, true), holds(9.0, 9, false)], 2, 0, true),
-        ("the reserve once", vec![holds(1.0, 2, true), holds(9.0, 9, false)], 2, 0, false),
+        ("its own", vec![usage(2.0, 1, false), usage(2.0, 2, false)], 0, 0, true),
+        ("all in use", vec![usage(2.0, 2, false), usage(2.0, 2, false)], 0, 0, false),
+        ("lent", vec![usage(2.0, 2, false), usage(2.0, 0, false)], 0, 0, true),
+        ("asked for by its owner", vec![usage(2.0, 2, false), asks(usage(2.0, 0, false))], 0, 0, false),
+        ("lent out, its own all the same", vec![usage(2.0, 4, false), usage(2.0, 0, false)], 0, 1, true),
+        ("the reserve is not lent", vec![usage(2.0, 0, true), usage(2.0, 2, false)], 2, 1, false),
+        ("the reserve for whom it is", vec![usage(1.0, 1, true), usage(9.0, 9, false)], 2, 0, true),
+        ("the reserve once", vec![usage(1.0, 2, true), usage(9.0, 9, false)], 2, 0, false),
     ] {
         let mut capacity = SharedCapacity { pools: of, reserve };
         assert_eq!(capacity.try_acquire(LONG_AGO + 1, pool), wanted, "{what}");
     }
-    // A pool without room for a second has one call.
-    let mut capacity = SharedCapacity { pools: vec![holds(0.5, 0, false), holds(2.0, 8, false)], reserve: 0 };
+    // A pool without capacity for a second gets one call.
+    let mut capacity = SharedCapacity { pools: vec![usage(0.5, 0, false), usage(2.0, 8, false)], reserve: 0 };
     capacity.pools[0].limit = 0.0;
     assert!(capacity.try_acquire(LONG_AGO + 1_000_000, 0) && !capacity.try_acquire(LONG_AGO + 1_000_001, 0));
 }
 
 #[test]
-fn what_was_lent_comes_back_to_whom_it_is_owned_by() {
+fn lent_capacity_comes_back_to_its_owner() {
     let pool = |initial| PoolConfig { initial, min: 1, max: 100, uses_reserve: false };
     let mut pools = ConcurrencyLimits::new(
         0,
-        LimitsConfig { algorithm: LimitAlgorithm::Fixed, pools: vec![pool(4), pool(4)], reserve: 0 },
+        &LimitsConfig { algorithm: LimitAlgorithm::Fixed, pools: vec![pool(4), pool(4)], reserve: 0 },
     );
     assert_eq!((0..20).filter(|_| pools.try_acquire(0, 0)).count(), 8, "all, while nobody else asks");
     assert!((0..4).all(|_| pools.try_acquire(1, 1)), "its own, at once");
@@ -73,13 +73,13 @@
     })]
 
     #[test]
-    fn room_is_kept_the_reserve_is_not_lent_and_nobody_starves(
+    fn capacity_is_bounded_the_reserve_is_not_lent_and_no_pool_starves(
         steps in prop::collection::vec(step(), 1..400),
         reserve in 0u32..4,
     ) {
         let pool = |uses_reserve| PoolConfig { initial: 4, min: 1, max: 12, uses_reserve };
         let plan = LimitsConfig { algorithm: LimitAlgorithm::Integral, pools: vec![pool(true), pool(false), pool(false)], reserve };
-        let mut pools = ConcurrencyLimits::new(0, plan);
+        let mut pools = ConcurrencyLimits::new(0, &plan);
         let (mut now_us, mut last_acquired_us) = (0, [0u64; 3]);
         for step in steps {
             match step {
