--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -147,9 +147,9 @@
                         match (word, *before) {
                             ("out", "trying") => {}
                             ("out", _) => {
-                                tracing::warn!(part = "below", %place, in_hand, cause, "left out")
+                                tracing::warn!(part = "below", %place, in_hand, cause, "ejected")
                             }
-                            ("back", _) => tracing::warn!(part = "below", %place, in_hand, "taken in again"),
+                            ("back", _) => tracing::warn!(part = "below", %place, in_hand, "readmitted"),
                             _ => tracing::debug!(part = "below", %place, in_hand, "now {word}, was {before}"),
                         }
                     }
