--- a/crates/ochrewalk-spread/tests/balancing.rs
+++ b/crates/ochrewalk-spread/tests/balancing.rs
@@ -1,4 +1,4 @@
-//! Where calls go, by table: each case is a way in which a place, or our sight of it, goes wrong.
+//! Where calls go, by table: each case is a fault of an endpoint, or of what the node knows of it.
 
 use ochrewalk_spread::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
@@ -7,14 +7,14 @@
 
 const MS: u64 = 1_000;
 
-fn config(kind: BalancingPolicy) -> BalancingConfig {
+fn config(policy: BalancingPolicy) -> BalancingConfig {
     let ejection = OutlierEjection {
         consecutive_failures: 3,
         base_ejection_us: 200 * MS,
         max_ejection_us: 3_000 * MS,
         slow_start_us: 2_000 * MS,
     };
-    BalancingConfig { policy: kind, subsetting: Subsetting::All, uses_learned_weights: true, ejection }
+    BalancingConfig { policy, subsetting: Subsetting::All, uses_learned_weights: true, ejection }
 }
 
 fn balancer(places: u64) -> LoadBalancer {
@@ -23,7 +23,7 @@
     balancer
 }
 
-/// Calls one after the other, each answered as said; gives how many each place got.
+/// Calls one after the other, each answered as said; returns how many each endpoint got.
 fn calls(
     balancer: &mut LoadBalancer,
     from_us: &mut u64,
@@ -44,39 +44,39 @@
     got
 }
 
-fn well(_: usize) -> (u64, CallOutcome) {
+fn succeeds(_: usize) -> (u64, CallOutcome) {
     (20 * MS, CallOutcome::Succeeded)
 }
 
 #[test]
-fn rounds_are_even_to_a_call_and_begin_elsewhere_with_each_seed() {
+fn round_robin_is_even_to_a_call_and_starts_elsewhere_with_each_seed() {
     let mut firsts = std::collections::BTreeSet::new();
     for seed in 0..40 {
         let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), seed);
         balancer.set_endpoints(0, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
         firsts.insert(balancer.pick(1, Idempotency::Idempotent, None).unwrap());
         let mut now = 0;
-        let got = calls(&mut balancer, &mut now, 499, well);
+        let got = calls(&mut balancer, &mut now, 499, succeeds);
         assert!(got.iter().all(|count| (49..=51).contains(count)), "{got:?}");
     }
     assert!(firsts.len() >= 8, "a herd on {firsts:?}");
 }
 
 #[test]
-fn a_place_that_fails_at_once_is_no_fast_place_and_one_that_fails_like_all_is_no_worse() {
+fn an_endpoint_that_fails_at_once_is_not_preferred_and_one_that_fails_like_all_loses_no_calls() {
     let mut balancer = balancer(6);
     let mut now = 0;
-    calls(&mut balancer, &mut now, 60, well);
-    let got =
-        calls(
-            &mut balancer,
-            &mut now,
-            300,
-            |slot| if slot == 2 { (300, CallOutcome::Failed) } else { well(slot) },
-        );
+    calls(&mut balancer, &mut now, 60, succeeds);
+    let got = calls(&mut balancer, &mut now, 300, |slot| {
+        if slot == 2 {
+            (300, CallOutcome::Failed)
+        } else {
+            succeeds(slot)
+        }
+    });
     assert!((1..25).contains(&got[2]), "{got:?}");
     assert_eq!(balancer.state().endpoint(2).health.ejection_cause(), Some(EjectionCause::CallsFailed));
-    // All fail: all are asked as before.
+    // All fail: all are called as before.
     let mut balancer = self::balancer(6);
     let mut now = 0;
     calls(&mut balancer, &mut now, 60, |_| (300, CallOutcome::Failed));
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn three_slow_answers_do_not_outweigh_chance_but_ten_times_slower_is_found_and_forgotten() {
+fn three_slow_answers_change_little_but_ten_times_slower_gets_fewer_calls_until_it_recovers() {
     let mut balancer = balancer(6);
     let mut now = 0;
-    calls(&mut balancer, &mut now, 60, well);
+    calls(&mut balancer, &mut now, 60, succeeds);
     let mut left = 3;
     let got = calls(&mut balancer, &mut now, 60, |slot| {
         let slow = slot == 1 && left > 0;
@@ -99,17 +99,17 @@
     let slow = |slot| (if slot == 1 { 200 * MS } else { 20 * MS }, CallOutcome::Succeeded);
     let got = calls(&mut balancer, &mut now, 300, slow);
     assert!((2..30).contains(&got[1]), "a fifth of the others at most, and asked again: {got:?}");
-    calls(&mut balancer, &mut now, 120, well);
-    let got = calls(&mut balancer, &mut now, 120, well);
+    calls(&mut balancer, &mut now, 120, succeeds);
+    let got = calls(&mut balancer, &mut now, 120, succeeds);
     assert!(got[1] >= 16, "{got:?}");
 }
 
 #[test]
-fn a_place_that_says_nothing_gets_no_more_until_it_speaks() {
+fn an_endpoint_that_does_not_answer_is_suspect_until_it_does() {
     let mut balancer = balancer(6);
     let mut now = 0;
-    calls(&mut balancer, &mut now, 60, well);
-    // One is stopped: its call is given and never answered.
+    calls(&mut balancer, &mut now, 60, succeeds);
+    // One has stopped: its call is never answered.
     let stopped = loop {
         let slot = balancer.pick(now, Idempotency::Idempotent, None).unwrap();
         balancer.call_started(now, slot, 1);
@@ -120,44 +120,44 @@
     };
     now += 200 * MS;
     assert_eq!(balancer.status(stopped, now).name(), "suspect");
-    let got = calls(&mut balancer, &mut now, 60, well);
+    let got = calls(&mut balancer, &mut now, 60, succeeds);
     assert_eq!(got[4], 0, "{got:?}");
     balancer.call_ended(now, stopped, 1, CallOutcome::Succeeded);
-    assert!(calls(&mut balancer, &mut now, 60, well)[4] >= 4);
+    assert!(calls(&mut balancer, &mut now, 60, succeeds)[4] >= 4);
 }
 
 #[test]
-fn where_all_seem_silent_it_is_our_own_clock_and_calls_go_on() {
-    for kind in BalancingPolicy::ALL {
-        let mut balancer = LoadBalancer::new(config(kind), 7);
+fn calls_go_on_when_all_endpoints_seem_to_have_stopped_answering() {
+    for policy in BalancingPolicy::ALL {
+        let mut balancer = LoadBalancer::new(config(policy), 7);
         balancer.set_endpoints(0, &(0..6).map(Endpoint::new).collect::<Vec<_>>());
         let mut now = 0;
-        calls(&mut balancer, &mut now, 60, well);
+        calls(&mut balancer, &mut now, 60, succeeds);
         for call in 0..12 {
             let slot = balancer.pick(now, Idempotency::Idempotent, None).unwrap();
             balancer.call_started(now, slot, call);
         }
-        // We slept for five seconds.
+        // The node did not run for five seconds.
         now += 5_000 * MS;
         for _ in 0..6 {
-            assert!(balancer.pick(now, Idempotency::NotIdempotent, None).is_some(), "{kind:?}");
+            assert!(balancer.pick(now, Idempotency::NotIdempotent, None).is_some(), "{policy:?}");
         }
     }
 }
 
-/// Puts a place out by that cause.
-fn put_out(balancer: &mut LoadBalancer, now_us: u64, slot: usize, cause: EjectionCause) {
+/// Ejects an endpoint for that cause.
+fn eject(balancer: &mut LoadBalancer, now_us: u64, slot: usize, cause: EjectionCause) {
     (0..3).for_each(|_| balancer.record_failure(now_us, slot, cause));
     assert_eq!(balancer.status(slot, now_us).name(), "out");
 }
 
 #[test]
-fn where_most_are_out_by_silence_the_view_is_doubted_but_not_what_is_proven() {
+fn panic_mode_uses_endpoints_ejected_for_failed_calls_but_not_unreachable_ones() {
     for (cause, doubted) in [(EjectionCause::CallsFailed, true), (EjectionCause::ConnectFailed, false)] {
         let mut balancer = balancer(8);
         let mut now = 0;
-        calls(&mut balancer, &mut now, 80, well);
-        (0..6).for_each(|slot| put_out(&mut balancer, now, slot, cause));
+        calls(&mut balancer, &mut now, 80, succeeds);
+        (0..6).for_each(|slot| eject(&mut balancer, now, slot, cause));
         assert!(balancer.state().is_in_panic_mode);
         let mut got = [0; 8];
         (0..80).for_each(|_| got[balancer.pick(now, Idempotency::NotIdempotent, None).unwrap()] += 1);
@@ -167,9 +167,9 @@
 }
 
 #[test]
-fn with_all_out_the_answer_is_none_and_when_to_come_back() {
+fn with_all_endpoints_ejected_no_slot_is_picked_until_the_first_may_be_probed() {
     let mut balancer = balancer(3);
-    (0..3).for_each(|slot| put_out(&mut balancer, 0, slot, EjectionCause::ConnectFailed));
+    (0..3).for_each(|slot| eject(&mut balancer, 0, slot, EjectionCause::ConnectFailed));
     assert_eq!(balancer.pick(1, Idempotency::Idempotent, None), None);
     let at = balancer.next_probe_us().unwrap();
     assert!((150 * MS..=250 * MS).contains(&at), "{at}");
@@ -178,11 +178,11 @@
     assert_eq!(
         (balancer.status(slot, at).name(), balancer.pick(at, Idempotency::Idempotent, None)),
         ("trying", None),
-        "one trial at a time"
+        "one probe at a time"
     );
     balancer.call_ended(at + MS, slot, 1, CallOutcome::Succeeded);
     assert_eq!(balancer.pick(at + MS, Idempotency::NotIdempotent, None), Some(slot));
-    // None at all.
+    // Without any endpoint.
     let mut nothing = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 1);
     assert_eq!((nothing.pick(0, Idempotency::Idempotent, None), nothing.next_probe_us()), (None, None));
     nothing.set_endpoints(5, &[]);
@@ -190,16 +190,16 @@
 }
 
 #[test]
-fn probes_are_harmless_calls_and_one_call_in_five_at_most() {
+fn probes_are_idempotent_calls_and_one_call_in_five_at_most() {
     let mut balancer = balancer(10);
     let mut now = 0;
-    calls(&mut balancer, &mut now, 100, well);
-    (0..4).for_each(|slot| put_out(&mut balancer, now, slot, EjectionCause::ConnectFailed));
+    calls(&mut balancer, &mut now, 100, succeeds);
+    (0..4).for_each(|slot| eject(&mut balancer, now, slot, EjectionCause::ConnectFailed));
     now += 400 * MS;
     // Each of four earns a tenth of a sixth of each call: after 60 calls all have earned a whole probe.
     assert!(
         (0..60).all(|_| balancer.pick(now, Idempotency::NotIdempotent, None).unwrap() >= 4),
-        "not one that may not happen twice"
+        "no probe by a call that is not idempotent"
     );
     let mut probes = Vec::new();
     for call in 1_000..1_020 {
@@ -227,16 +227,16 @@
 }
 
 #[test]
-fn an_endpoint_is_probed_by_a_tenth_of_its_share_of_the_calls_from_a_drawn_point_on() {
-    // One of ten is out, so that each of nine takes a ninth of the calls, and a tenth of that is one call in 90.
+fn an_endpoint_is_probed_by_a_tenth_of_its_share_of_the_calls_from_a_random_point_on() {
+    // One of ten is ejected, so that each of nine takes a ninth of the calls, and a tenth of that is one call in 90.
     const CALLS_TO_PROBE: u64 = 90;
     let mut firsts = Vec::new();
     for seed in 0..40 {
         let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), seed);
         balancer.set_endpoints(0, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
         let mut now = 0;
-        calls(&mut balancer, &mut now, 100, well);
-        put_out(&mut balancer, now, 3, EjectionCause::ConnectFailed);
+        calls(&mut balancer, &mut now, 100, succeeds);
+        eject(&mut balancer, now, 3, EjectionCause::ConnectFailed);
         now += 400 * MS;
         // Time between two calls counts as well; it does not pass from here on.
         balancer.pick(now, Idempotency::NotIdempotent, None).unwrap();
@@ -274,14 +274,14 @@
 }
 
 #[test]
-fn a_node_that_waited_long_for_its_probe_begins_its_ramp_in_the_middle_of_the_wait() {
-    // The ramp takes 2 s. Calls come in steps of that many milliseconds after the pause. The first probe fails, so that a
+fn a_node_that_waited_long_for_its_probe_starts_slow_start_in_the_middle_of_the_wait() {
+    // Slow start takes 2 s. Calls come in steps of that many milliseconds after the ejection time. The first probe fails, so that a
     // whole one is earned until the second, which is answered.
     for (step_ms, wanted) in [(10, "back"), (200, "in")] {
         let mut balancer = balancer(10);
         let mut now = 0;
-        calls(&mut balancer, &mut now, 100, well);
-        put_out(&mut balancer, now, 3, EjectionCause::ConnectFailed);
+        calls(&mut balancer, &mut now, 100, succeeds);
+        eject(&mut balancer, now, 3, EjectionCause::ConnectFailed);
         let mut waited_us = 0;
         for outcome in [CallOutcome::ConnectFailed, CallOutcome::Succeeded] {
             let from_us = balancer.next_probe_us().unwrap();
@@ -305,7 +305,7 @@
     }
     // A node that was idle has not waited, whatever time has passed.
     let mut balancer = balancer(1);
-    put_out(&mut balancer, 0, 0, EjectionCause::ConnectFailed);
+    eject(&mut balancer, 0, 0, EjectionCause::ConnectFailed);
     let hour_us = 3_600_000 * MS;
     assert_eq!(balancer.pick(hour_us, Idempotency::Idempotent, None), Some(0));
     balancer.call_started(hour_us, 0, 1);
@@ -317,10 +317,10 @@
 }
 
 #[test]
-fn a_place_that_is_new_gets_its_share_gradually_and_only_one_place_gets_all() {
+fn a_new_endpoint_starts_slowly_and_a_single_endpoint_gets_all_calls() {
     let mut balancer = balancer(9);
     let mut now = 0;
-    calls(&mut balancer, &mut now, 90, well);
+    calls(&mut balancer, &mut now, 90, succeeds);
     balancer.set_endpoints(now, &(0..10).map(Endpoint::new).collect::<Vec<_>>());
     assert_eq!(balancer.status(9, now).name(), "joining");
     let first = calls(&mut balancer, &mut now, 8, |_| (0, CallOutcome::Succeeded))[9];
@@ -328,12 +328,12 @@
     let warm = calls(&mut balancer, &mut now, 100, |_| (0, CallOutcome::Succeeded));
     assert!(first <= 1 && cold[9] <= 2 && (9..=11).contains(&warm[9]), "{first} {cold:?} {warm:?}");
     let mut one = self::balancer(1);
-    assert_eq!(calls(&mut one, &mut 0, 10, well), [10]);
+    assert_eq!(calls(&mut one, &mut 0, 10, succeeds), [10]);
     assert_eq!(one.pick(0, Idempotency::Idempotent, Some(0)), Some(0), "there is only the one to avoid");
 }
 
 #[test]
-fn a_slot_is_its_places_until_nothing_is_under_way_there() {
+fn a_slot_stays_with_its_endpoint_until_no_call_is_in_flight_there() {
     let mut balancer = balancer(3);
     balancer.call_started(0, 1, 77);
     let slots = balancer.set_endpoints(1, &[Endpoint::new(0), Endpoint::new(2), Endpoint::new(50)]);
@@ -344,7 +344,7 @@
     assert_eq!(balancer.status(1, 3).name(), "gone");
     let slots = balancer.set_endpoints(4, &[Endpoint::new(0), Endpoint::new(60), Endpoint::new(50)]);
     assert_eq!(slots, [0, 1, 3]);
-    // It went and came before its call ended: its call is its own.
+    // It was removed and added again before its call ended, and keeps the call.
     balancer.call_started(5, 1, 78);
     balancer.set_endpoints(6, &[Endpoint::new(0), Endpoint::new(50)]);
     assert_eq!(balancer.set_endpoints(7, &[Endpoint::new(60), Endpoint::new(0)]), [1, 0]);
@@ -352,38 +352,38 @@
 }
 
 #[test]
-fn far_places_are_called_only_as_far_as_near_ones_have_no_room() {
-    let near = |key| Endpoint::new(key);
-    let far = |key| Endpoint { is_local_zone: false, ..Endpoint::new(key) };
+fn remote_endpoints_are_called_only_as_far_as_local_ones_reject_calls() {
+    let local = |key| Endpoint::new(key);
+    let remote = |key| Endpoint { is_local_zone: false, ..Endpoint::new(key) };
     let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 7);
-    balancer.set_endpoints(0, &[near(0), near(1), near(2), far(3), far(4), far(5)]);
+    balancer.set_endpoints(0, &[local(0), local(1), local(2), remote(3), remote(4), remote(5)]);
     let mut now = 0;
-    let got = calls(&mut balancer, &mut now, 90, well);
+    let got = calls(&mut balancer, &mut now, 90, succeeds);
     assert_eq!(got[3..], [0, 0, 0], "{got:?}");
-    let full = |slot| if slot < 3 { (MS, CallOutcome::Rejected) } else { well(slot) };
+    let full = |slot| if slot < 3 { (MS, CallOutcome::Rejected) } else { succeeds(slot) };
     calls(&mut balancer, &mut now, 200, full);
     let got = calls(&mut balancer, &mut now, 120, full);
     assert!(got[3..].iter().all(|count| *count >= 18), "evenly: {got:?}");
-    calls(&mut balancer, &mut now, 3_000, well);
-    let got = calls(&mut balancer, &mut now, 90, well);
+    calls(&mut balancer, &mut now, 3_000, succeeds);
+    let got = calls(&mut balancer, &mut now, 90, succeeds);
     assert!(got[3..].iter().sum::<usize>() <= 9, "back home: {got:?}");
-    // The near ones are gone: the far ones take all.
-    (0..3).for_each(|slot| put_out(&mut balancer, now, slot, EjectionCause::ConnectFailed));
+    // The local endpoints are ejected: the remote ones get all calls.
+    (0..3).for_each(|slot| eject(&mut balancer, now, slot, EjectionCause::ConnectFailed));
     assert!(balancer.pick(now, Idempotency::NotIdempotent, None).unwrap() >= 3);
 }
 
 #[test]
-fn whoever_is_out_of_a_small_reach_has_one_to_stand_in() {
+fn a_spare_stands_in_for_each_ejected_endpoint_of_a_small_subset() {
     let mut config = config(BalancingPolicy::LatencyAwareRoundRobin);
     config.subsetting = Subsetting::Random { size: 4 };
     let mut balancer = LoadBalancer::new(config, 7);
     balancer.set_endpoints(0, &(0..20).map(Endpoint::new).collect::<Vec<_>>());
     let own = balancer.state().subset.clone();
     assert_eq!(own.len(), 4);
-    put_out(&mut balancer, 0, own[0], EjectionCause::ConnectFailed);
-    put_out(&mut balancer, 0, own[1], EjectionCause::ConnectFailed);
+    eject(&mut balancer, 0, own[0], EjectionCause::ConnectFailed);
+    eject(&mut balancer, 0, own[1], EjectionCause::ConnectFailed);
     let mut now = 100 * MS;
-    let got = calls(&mut balancer, &mut now, 1, well);
+    let got = calls(&mut balancer, &mut now, 1, succeeds);
     assert_eq!(got.iter().sum::<usize>(), 1);
     assert_eq!(
         balancer.state().subset.iter().filter(|slot| balancer.state().accepts_calls(**slot)).count(),
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_node_with_much_in_hand_calls_more_places_and_fewer_again_late() {
+fn a_node_with_many_calls_in_flight_uses_more_endpoints_and_late_fewer_again() {
     let mut multiplier = SubsetMultiplier::default();
     let mut now = 0;
     let mut seconds = |multiplier: &mut SubsetMultiplier, count: u64, in_hand: u64| {
@@ -415,27 +415,27 @@
 }
 
 #[test]
-fn where_all_are_out_callers_are_told_when_one_is_tried_and_each_a_little_apart() {
+fn with_all_endpoints_ejected_callers_get_different_times_after_the_first_probe() {
     let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 7);
     balancer.set_endpoints(0, &(0..3).map(Endpoint::new).collect::<Vec<_>>());
     assert_eq!(balancer.unavailable_for_us(0), None);
     for slot in 0..2 {
-        put_out(&mut balancer, 0, slot, EjectionCause::ConnectFailed);
+        eject(&mut balancer, 0, slot, EjectionCause::ConnectFailed);
     }
     assert_eq!(balancer.unavailable_for_us(0), None, "one takes calls");
-    put_out(&mut balancer, 0, 2, EjectionCause::ConnectFailed);
+    eject(&mut balancer, 0, 2, EjectionCause::ConnectFailed);
     let first_us = balancer.next_probe_us().unwrap().max(200 * MS);
-    let told: Vec<u64> = (0..100).map(|_| balancer.unavailable_for_us(0).unwrap()).collect();
-    assert!(told.iter().all(|us| (first_us..=first_us * 3 / 2).contains(us)), "{first_us}: {told:?}");
-    let mut apart = told.clone();
-    apart.sort_unstable();
-    apart.dedup();
-    assert!(apart.len() > 50, "{apart:?}");
-    // One that could be tried any moment is no promise yet.
+    let waits_us: Vec<u64> = (0..100).map(|_| balancer.unavailable_for_us(0).unwrap()).collect();
+    assert!(waits_us.iter().all(|us| (first_us..=first_us * 3 / 2).contains(us)), "{first_us}: {waits_us:?}");
+    let mut distinct = waits_us.clone();
+    distinct.sort_unstable();
+    distinct.dedup();
+    assert!(distinct.len() > 50, "{distinct:?}");
+    // Even if a probe may come at any moment, callers wait for the base ejection time.
     assert!(balancer.unavailable_for_us(first_us + 1).unwrap() >= 200 * MS);
-    // Those that only fail are asked all the same where most seem out.
+    // In panic mode endpoints that only failed calls are used all the same.
     let mut balancer = LoadBalancer::new(config(BalancingPolicy::LatencyAwareRoundRobin), 7);
     balancer.set_endpoints(0, &[Endpoint::new(1)]);
-    put_out(&mut balancer, 0, 0, EjectionCause::CallsFailed);
+    eject(&mut balancer, 0, 0, EjectionCause::CallsFailed);
     assert_eq!(balancer.unavailable_for_us(0), None);
 }
--- a/crates/ochrewalk-spread/tests/fleet.rs
+++ b/crates/ochrewalk-spread/tests/fleet.rs
@@ -3,21 +3,21 @@
 use ochrewalk_lab::emulated::{play, Fault, Fleet, Relist, Seen, Trouble, SECOND};
 use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Subsetting};
 
-fn config(kind: BalancingPolicy) -> BalancingConfig {
+fn config(policy: BalancingPolicy) -> BalancingConfig {
     BalancingConfig {
-        policy: kind,
+        policy,
         subsetting: Subsetting::Deterministic { size: 5, node: 0, node_count: 1 },
         ..BalancingConfig::default()
     }
 }
 
-/// As the operators' measure: 3 calls a second of each of 200 nodes, 100 places of one core, 100 ms of work: 60% load.
-fn plain(kind: BalancingPolicy, seed: u64) -> Fleet {
-    Fleet::plain(200, 100, config(kind), seed)
+/// The load that operators measured: 3 calls a second of each of 200 nodes, 100 endpoints of one core, 100 ms of work: 60% load.
+fn plain(policy: BalancingPolicy, seed: u64) -> Fleet {
+    Fleet::plain(200, 100, config(policy), seed)
 }
 
 #[test]
-fn what_was_used_before_heaps_calls_up_and_leaves_places_idle() {
+fn least_latency_over_all_endpoints_overloads_some_and_leaves_others_idle() {
     let mut before = plain(BalancingPolicy::LeastLatency, 1);
     before.plan.subsetting = Subsetting::All;
     before.plan.uses_learned_weights = false;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn no_place_is_idle_none_gets_a_herd_and_long_waits_are_shorter_than_by_chance() {
+fn no_endpoint_is_idle_or_overloaded_and_long_waits_are_shorter_than_with_random_choice() {
     for seed in 1..=3 {
         let fleet = plain(BalancingPolicy::LatencyAwareRoundRobin, seed);
         let (ours, chance) = (play(&fleet), play(&plain(BalancingPolicy::Random, seed)));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn three_hundred_over_three_hundred_and_other_sizes() {
+fn load_is_even_for_fleets_of_other_sizes() {
     for (nodes, places, rate, work_us) in [
         (300, 300, 3.0, 200_000.0),
         (300, 30, 1.0, 60_000.0),
@@ -61,8 +61,8 @@
 const FROM: u64 = 20 * SECOND;
 const UNTIL: u64 = 35 * SECOND;
 
-fn with(kind: BalancingPolicy, change: impl Fn(&mut Fleet)) -> (Fleet, Seen) {
-    let mut fleet = plain(kind, 1);
+fn with(policy: BalancingPolicy, change: impl Fn(&mut Fleet)) -> (Fleet, Seen) {
+    let mut fleet = plain(policy, 1);
     (fleet.rate, fleet.first_rate, fleet.work_us) = (6.0, 6.0, 50_000.0);
     (fleet.deadline_us, fleet.seconds) = (2 * SECOND, 60);
     change(&mut fleet);
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn through_each_fault_as_much_is_served_as_by_chance_and_the_load_is_even_again_after() {
+fn through_each_fault_as_much_is_served_as_with_random_choice_and_the_load_is_even_again_after() {
     type Change = fn(&mut Fleet);
-    // What may be lost beside chance is noise: a thousandth.
+    // Up to a thousandth less than random choice is noise.
     let cases: [(&str, Change, f64); 8] = [
         ("ten are dead", |f| f.faults.push(fault(10, Trouble::Dead)), 0.4),
         (
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn one_node_with_fifty_times_the_traffic_overruns_nobody() {
+fn one_node_with_fifty_times_the_traffic_overloads_no_endpoint() {
     let (fleet, seen) =
         with(BalancingPolicy::LatencyAwareRoundRobin, |fleet| (fleet.first_rate, fleet.rate) = (300.0, 4.5));
     let even = seen.evenness(&fleet.listed, 2);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn cores_and_times_of_two_modes() {
+fn load_is_even_with_different_cores_and_bimodal_latencies() {
     let (fleet, seen) = with(BalancingPolicy::LatencyAwareRoundRobin, |fleet| {
         (fleet.cores, fleet.weighted) = (vec![1, 2, 3, 4], true);
         (fleet.rate, fleet.first_rate) = (15.0, 15.0);
--- a/crates/ochrewalk-spread/tests/health.rs
+++ b/crates/ochrewalk-spread/tests/health.rs
@@ -1,4 +1,4 @@
-//! How a place belongs, by table.
+//! Ejection and slow start of one endpoint, by table.
 
 use ochrewalk_spread::{EjectionCause, EndpointHealth, OutlierEjection};
 
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn pauses_double_up_to_the_most_and_a_trial_by_one_call_ends_them() {
+fn ejection_times_double_up_to_the_maximum_and_an_answered_probe_ends_them() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut health = EndpointHealth::initial(EJECTION, 0);
     health.failed(0, EjectionCause::CallsFailed, &mut rng);
@@ -26,7 +26,7 @@
         let took = (until - now) as f64;
         assert!((0.74..=1.26).contains(&(took / pause)), "{took} of {pause}");
         health.failed(until - 1, EjectionCause::CallsFailed, &mut rng);
-        assert_eq!(health.ejected_until_us(), Some(until), "what ends late tells nothing");
+        assert_eq!(health.ejected_until_us(), Some(until), "the end of an earlier call says nothing");
         health.call_started(9, until - 1);
         assert_eq!(health.status(until).name(), "out", "not due yet");
         health.call_started(9, until);
@@ -39,7 +39,7 @@
     }
     now += 9_000;
     health.call_started(9, now);
-    // A trial that ended without a word leaves room for another at once.
+    // After a probe that ended inconclusively the next may follow at once.
     health.probe_ended(8, now);
     assert_eq!(health.status(now).name(), "trying");
     health.probe_ended(9, now);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn one_that_is_new_or_back_is_warmed_and_one_that_comes_and_goes_keeps_its_long_pauses() {
+fn new_and_readmitted_endpoints_start_slowly_and_a_flapping_one_keeps_its_long_ejection_times() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut health = EndpointHealth::added(EJECTION, 100);
     assert_eq!(health.status(100).name(), "joining");
@@ -60,7 +60,11 @@
         "{warmth:?}"
     );
     assert_eq!(health.status(600).name(), "in");
-    assert_eq!(EndpointHealth::initial(EJECTION, 0).slow_start_factor(0), 1.0, "nothing to warm it beside");
+    assert_eq!(
+        EndpointHealth::initial(EJECTION, 0).slow_start_factor(0),
+        1.0,
+        "no other endpoint could take its load"
+    );
     let mut now = 10_000;
     let mut pause = |health: &mut EndpointHealth, now: &mut u64| {
         health.failed(*now, EjectionCause::CallsFailed, &mut rng);
@@ -73,16 +77,16 @@
         pause as f64
     };
     assert!(pause(&mut health, &mut now) < 1_251.0);
-    assert!(pause(&mut health, &mut now) > 1_499.0, "it failed as soon as it was back");
+    assert!(pause(&mut health, &mut now) > 1_499.0, "it failed as soon as it was readmitted");
     assert!(pause(&mut health, &mut now) > 2_999.0);
-    // It stays as long as it could have been out.
+    // It stays up for as long as it could have been ejected.
     now += EJECTION.max_ejection_us;
     health.succeeded(now);
     assert!(pause(&mut health, &mut now) < 1_251.0);
 }
 
 #[test]
-fn one_that_left_takes_nothing_whatever_comes_of_its_last_calls_and_may_come_again() {
+fn a_removed_endpoint_accepts_no_calls_whatever_its_last_calls_come_to_and_may_be_added_again() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut health = EndpointHealth::initial(EJECTION, 0);
     health.remove(5);
--- a/crates/ochrewalk-spread/tests/invariants.rs
+++ b/crates/ochrewalk-spread/tests/invariants.rs
@@ -40,7 +40,7 @@
     ]
 }
 
-fn reach() -> impl Strategy<Value = Subsetting> {
+fn subsetting() -> impl Strategy<Value = Subsetting> {
     prop_oneof![
         Just(Subsetting::All),
         (1usize..4).prop_map(|places| Subsetting::Random { size: places }),
@@ -56,18 +56,18 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn calls_go_to_listed_places_and_nothing_is_left_in_hand(
-        kind in 0usize..BalancingPolicy::ALL.len(),
-        reach in reach(),
+    fn calls_go_to_listed_endpoints_and_no_call_stays_in_flight(
+        policy in 0usize..BalancingPolicy::ALL.len(),
+        subsetting in subsetting(),
         seed in any::<u64>(),
         events in prop::collection::vec(event(), 1..200),
     ) {
         let ejection = OutlierEjection { consecutive_failures: 2, base_ejection_us: 200_000, max_ejection_us: 1_000_000, slow_start_us: 500_000 };
-        let kind: BalancingPolicy = BalancingPolicy::ALL[kind];
-        let mut balancer = LoadBalancer::new(BalancingConfig { policy: kind, subsetting: reach, uses_learned_weights: seed % 2 == 0, ejection }, seed);
+        let policy: BalancingPolicy = BalancingPolicy::ALL[policy];
+        let mut balancer = LoadBalancer::new(BalancingConfig { policy, subsetting, uses_learned_weights: seed % 2 == 0, ejection }, seed);
         let mut now = 0;
         let mut keys = Vec::new();
-        // Calls under way, with the slot and the key that stood there.
+        // Calls in flight, with their slot and the key of the endpoint in it.
         let mut open: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
         let mut next = 0;
         for event in events {
@@ -84,7 +84,7 @@
                         }
                         None => {
                             let any = balancer.state().subset.iter().any(|slot| balancer.state().accepts_calls(*slot));
-                            prop_assert!(!any, "there is a place that takes calls");
+                            prop_assert!(!any, "an endpoint accepts calls");
                         }
                     }
                 }
@@ -113,6 +113,6 @@
         }
         prop_assert!(balancer.state().endpoints.iter().flatten().all(|endpoint| endpoint.in_flight() == 0));
         let live = balancer.state().endpoints.iter().flatten().count();
-        prop_assert_eq!(live, keys.len(), "what left is gone once nothing is under way there");
+        prop_assert_eq!(live, keys.len(), "a removed endpoint's slot is free once no call is in flight there");
     }
 }
--- a/crates/ochrewalk-spread/tests/subset.rs
+++ b/crates/ochrewalk-spread/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Which places a node calls: each by as many nodes as any other, and moved little when the list changes.
+//! Subsetting: each endpoint is called by as many nodes as any other, and little moves when the list changes.
 
 use ochrewalk_spread::{assign_subset, Candidate, SubsetAssignment, Subsetting};
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
     Subsetting::Deterministic { size: places, node: number, node_count: of }
 }
 
-/// What each place gets of all nodes' calls, where all make as many.
+/// What each endpoint gets of all nodes' calls, where all make as many.
 fn loads(candidates: &[Candidate], nodes: usize, few: usize) -> Vec<f64> {
     let mut loads = vec![0.0; candidates.len()];
     for node in 0..nodes {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn arcs_load_all_places_alike_however_many_nodes_there_are() {
+fn deterministic_subsets_load_all_endpoints_alike_however_many_nodes_there_are() {
     for (nodes, places, few) in
         [(200, 100, 5), (300, 300, 5), (7, 100, 5), (1_000, 33, 4), (50, 500, 10), (9, 8, 5), (1, 50, 5)]
     {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_heavier_place_gets_that_much_more() {
+fn an_endpoint_gets_calls_by_its_weight() {
     let mut candidates = candidates(0..60);
     candidates.iter_mut().for_each(|candidate| candidate.weight = 1.0 + (candidate.slot % 4) as f64);
     let all: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_reach_is_few_and_all_others_stand_by_once() {
+fn a_subset_has_its_size_and_all_others_are_spares_once() {
     for (subsetting, least, most) in [
         (deterministic(5, 3, 200), 5, 12),
         (Subsetting::Random { size: 7 }, 7, 7),
@@ -62,13 +62,13 @@
         let all: BTreeSet<usize> = own.iter().map(|assigned| assigned.slot).chain(spare).collect();
         assert_eq!(all.len(), 100, "{subsetting:?}");
     }
-    // A number past the count is a fault of whoever set it, and no panic.
+    // A node number past the node count is a wrong setting, and must not panic.
     assert!(!assign_subset(deterministic(5, 9_999, 3), &candidates(0..100), 0).own.is_empty());
     assert!(assign_subset(deterministic(5, 0, 3), &[], 0).own.is_empty());
 }
 
 #[test]
-fn one_place_more_moves_about_one_of_a_nodes_own_and_which_numbers_they_have_none() {
+fn one_endpoint_more_causes_little_churn() {
     let names = |assignment: &SubsetAssignment, candidates: &[Candidate]| -> BTreeSet<u64> {
         assignment.own.iter().map(|assigned| candidates[assigned.slot].key).collect()
     };
