--- a/crates/ochrewalk-spread/src/health.rs
+++ b/crates/ochrewalk-spread/src/health.rs
@@ -1,19 +1,6 @@
 //! Ejection and slow start of one endpoint. An endpoint that fails is ejected for a time that doubles with each ejection
 //! and varies by a quarter either way, then probed by one call at a time. One that was added or readmitted starts slowly. An
 //! endpoint that keeps failing after each readmission keeps its long ejection times: only staying up resets them.
-//!
-//! | state | event | next state |
-//! | --- | --- | --- |
-//! | accepting | a failure that is the last of [`OutlierEjection::consecutive_failures`] in a row | ejected |
-//! | accepting | any other failure, or an answer | accepting |
-//! | ejected | a call starts after the ejection time | probing |
-//! | ejected | an answer to an earlier call | accepting, with slow start |
-//! | ejected | a failure after the ejection time | ejected, for longer |
-//! | probing | the probe is answered | accepting, with slow start |
-//! | probing | the probe fails | ejected, for longer |
-//! | probing | the probe ends inconclusively | ejected, and to be probed at once |
-//! | any | the endpoint is no longer listed | removed |
-//! | removed | the endpoint is listed again | accepting, with slow start |
 
 use crate::status::EndpointStatus;
 
@@ -68,6 +55,20 @@
 }
 
 /// The state machine of one endpoint.
+///
+/// | state | event | next state |
+/// | --- | --- | --- |
+/// | accepting | a failure that is the last of [`OutlierEjection::consecutive_failures`] in a row | ejected |
+/// | accepting | any other failure, or an answer | accepting |
+/// | ejected | a call starts after the ejection time | probing |
+/// | ejected | an answer to an earlier call | accepting, with slow start |
+/// | ejected | a failure before the ejection time ends | ejected, as before |
+/// | ejected | a failure after the ejection time | ejected, for longer |
+/// | probing | an answer to the probe or to an earlier call | accepting, with slow start |
+/// | probing | the probe or an earlier call fails | ejected, for longer |
+/// | probing | the probe ends inconclusively | ejected, and to be probed at once |
+/// | any | the endpoint is no longer listed | removed |
+/// | removed | the endpoint is listed again | accepting, with slow start |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointHealth {
     settings: OutlierEjection,
--- a/crates/ochrewalk-spread/src/lib.rs
+++ b/crates/ochrewalk-spread/src/lib.rs
@@ -24,7 +24,7 @@
 //! | probing | `trying` | no call but the one probe | the end of the probe, or removal |
 //! | removed | `leaving` | no calls | the end of its last call, or being listed again |
 //!
-//! The transitions are listed at [`EndpointHealth`]'s module, `health.rs`. If less than half of a subset accepts calls, the
+//! [`EndpointHealth`] lists the transitions. If less than half of a subset accepts calls, the
 //! load balancer is in panic mode: endpoints that were ejected for failed calls are used all the same, those that could not
 //! be connected to are not.
 //!
