--- /dev/null
+++ b/crates/ochrewalk-spread/src/subset_multiplier.rs
@@ -0,0 +1,78 @@
+//! How many times its own subset a node uses: once, unless it has so many calls in flight that it would overload those
+//! endpoints, as a node does that has far more traffic than the others. Doubles soon, halves late.
+
+/// How often the multiplier is computed.
+const UPDATE_US: u64 = 1_000_000;
+/// How many updates in a row have to need less before the multiplier is halved.
+const UPDATES_BEFORE_HALVING: u32 = 10;
+/// Mean calls in flight that a node may have at one endpoint.
+const CALLS_PER_ENDPOINT: f64 = 0.5;
+
+/// How many times its own subset a node uses.
+#[derive(Clone, Copy, Debug)]
+pub struct SubsetMultiplier {
+    multiplier: usize,
+    in_flight: usize,
+    /// Calls in flight times microseconds since the last update.
+    in_flight_us: f64,
+    /// Until when `in_flight_us` is summed.
+    summed_until_us: u64,
+    updated_us: u64,
+    updates_below: u32,
+}
+
+impl Default for SubsetMultiplier {
+    fn default() -> SubsetMultiplier {
+        SubsetMultiplier {
+            multiplier: 1,
+            in_flight: 0,
+            in_flight_us: 0.0,
+            summed_until_us: 0,
+            updated_us: 0,
+            updates_below: 0,
+        }
+    }
+}
+
+impl SubsetMultiplier {
+    /// How many times its own subset the node uses now; at least 1.
+    pub fn multiplier(&self) -> usize {
+        self.multiplier
+    }
+
+    /// A call started, at any endpoint.
+    pub fn call_started(&mut self, now_us: u64) {
+        self.advance(now_us);
+        self.in_flight += 1;
+    }
+
+    /// A call ended.
+    pub fn call_ended(&mut self, now_us: u64) {
+        self.advance(now_us);
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+
+    fn advance(&mut self, now_us: u64) {
+        self.in_flight_us += self.in_flight as f64 * now_us.saturating_sub(self.summed_until_us) as f64;
+        self.summed_until_us = self.summed_until_us.max(now_us);
+    }
+
+    /// Computes the multiplier once a second, for a node with that many endpoints of its own. Returns whether it changed.
+    pub fn update(&mut self, now_us: u64, subset_size: usize) -> bool {
+        let passed_us = now_us.saturating_sub(self.updated_us);
+        if passed_us < UPDATE_US || subset_size == 0 {
+            return false;
+        }
+        let mean_in_flight = self.in_flight_us / passed_us as f64;
+        (self.in_flight_us, self.updated_us) = (0.0, now_us);
+        let needed = (mean_in_flight / CALLS_PER_ENDPOINT / subset_size as f64).ceil().max(1.0) as usize;
+        let before = self.multiplier;
+        self.updates_below = if needed * 2 <= self.multiplier { self.updates_below + 1 } else { 0 };
+        if needed > self.multiplier {
+            self.multiplier *= 2;
+        } else if self.updates_below >= UPDATES_BEFORE_HALVING {
+            (self.multiplier, self.updates_below) = (self.multiplier / 2, 0);
+        }
+        self.multiplier != before
+    }
+}
--- /dev/null
+++ b/crates/ochrewalk-spread/tests/health.rs
@@ -0,0 +1,102 @@
+//! Ejection and slow start of one endpoint, by table.
+
+use ochrewalk_spread::{EjectionCause, EndpointHealth, OutlierEjection};
+
+const EJECTION: OutlierEjection = OutlierEjection {
+    consecutive_failures: 2,
+    base_ejection_us: 1_000,
+    max_ejection_us: 4_000,
+    slow_start_us: 500,
+};
+
+#[test]
+fn ejection_times_double_up_to_the_maximum_and_an_answered_probe_ends_them() {
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut health = EndpointHealth::initial(EJECTION, 0);
+    health.failed(0, EjectionCause::CallsFailed, &mut rng);
+    assert!(health.accepts_calls());
+    health.failed(0, EjectionCause::ConnectFailed, &mut rng);
+    assert_eq!(
+        (health.status(0).name(), health.ejection_cause()),
+        ("out", Some(EjectionCause::ConnectFailed))
+    );
+    let mut now = 0;
+    for pause in [1_000.0, 2_000.0, 4_000.0, 4_000.0] {
+        let until = health.ejected_until_us().unwrap();
+        let took = (until - now) as f64;
+        assert!((0.74..=1.26).contains(&(took / pause)), "{took} of {pause}");
+        health.failed(until - 1, EjectionCause::CallsFailed, &mut rng);
+        assert_eq!(health.ejected_until_us(), Some(until), "the end of an earlier call says nothing");
+        health.call_started(9, until - 1);
+        assert_eq!(health.status(until).name(), "out", "not due yet");
+        health.call_started(9, until);
+        assert_eq!(
+            (health.status(until).name(), health.accepts_calls(), health.ejected_until_us()),
+            ("trying", false, None)
+        );
+        now = until;
+        health.failed(now, EjectionCause::CallsFailed, &mut rng);
+    }
+    now += 9_000;
+    health.call_started(9, now);
+    // After a probe that ended inconclusively the next may follow at once.
+    health.probe_ended(8, now);
+    assert_eq!(health.status(now).name(), "trying");
+    health.probe_ended(9, now);
+    assert_eq!(health.ejected_until_us(), Some(now));
+    health.call_started(10, now);
+    health.succeeded(now);
+    assert!(health.accepts_calls());
+}
+
+#[test]
+fn new_and_readmitted_endpoints_start_slowly_and_a_flapping_one_keeps_its_long_ejection_times() {
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut health = EndpointHealth::added(EJECTION, 100);
+    assert_eq!(health.status(100).name(), "joining");
+    let warmth = [100, 350, 599, 600].map(|at| health.slow_start_factor(at));
+    assert!(
+        warmth[0] < 0.11 && (0.5..0.6).contains(&warmth[1]) && warmth[2] < 1.0 && warmth[3] == 1.0,
+        "{warmth:?}"
+    );
+    assert_eq!(health.status(600).name(), "in");
+    assert_eq!(
+        EndpointHealth::initial(EJECTION, 0).slow_start_factor(0),
+        1.0,
+        "no other endpoint could take its load"
+    );
+    let mut now = 10_000;
+    let mut pause = |health: &mut EndpointHealth, now: &mut u64| {
+        health.failed(*now, EjectionCause::CallsFailed, &mut rng);
+        health.failed(*now, EjectionCause::CallsFailed, &mut rng);
+        let pause = health.ejected_until_us().unwrap() - *now;
+        *now += pause;
+        health.call_started(1, *now);
+        health.succeeded(*now);
+        assert_eq!(health.status(*now).name(), "back");
+        pause as f64
+    };
+    assert!(pause(&mut health, &mut now) < 1_251.0);
+    assert!(pause(&mut health, &mut now) > 1_499.0, "it failed as soon as it was readmitted");
+    assert!(pause(&mut health, &mut now) > 2_999.0);
+    // It stays up for as long as it could have been ejected.
+    now += EJECTION.max_ejection_us;
+    health.succeeded(now);
+    assert!(pause(&mut health, &mut now) < 1_251.0);
+}
+
+#[test]
+fn a_removed_endpoint_accepts_no_calls_whatever_its_last_calls_come_to_and_may_be_added_again() {
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut health = EndpointHealth::initial(EJECTION, 0);
+    health.remove(5);
+    health.succeeded(6);
+    health.failed(6, EjectionCause::ConnectFailed, &mut rng);
+    health.call_started(1, 6);
+    health.remove(9);
+    assert_eq!((health.status(9).name(), health.accepts_calls(), health.since_us()), ("leaving", false, 5));
+    health.added_again(10);
+    assert_eq!((health.status(10).name(), health.accepts_calls()), ("joining", true));
+    health.added_again(11);
+    assert_eq!(health.since_us(), 10, "it was there already");
+}
