--- a/crates/ochrewalk-pools/src/lib.rs
+++ b/crates/ochrewalk-concurrency-limits/src/lib.rs
@@ -28,7 +28,7 @@
 //! * Calling [`ConcurrencyLimits::tick`] at least once a period.
 //!
 //! ```
-//! use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
+//! use ochrewalk_concurrency_limits::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 //! let pool = |initial, uses_reserve| PoolConfig { initial, min: 1, max: 100, uses_reserve };
 //! let pools = vec![pool(2, true), pool(4, false)];
 //! let config = LimitsConfig { algorithm: LimitAlgorithm::Integral, pools, reserve: 2 };
--- a/crates/ochrewalk-pools/tests/adaptive_limit.rs
+++ b/crates/ochrewalk-concurrency-limits/tests/adaptive_limit.rs
@@ -1,6 +1,6 @@
 //! How one limit follows what its periods show, by table.
 
-use ochrewalk_pools::{AdaptiveLimit, LimitAlgorithm, PeriodSample};
+use ochrewalk_concurrency_limits::{AdaptiveLimit, LimitAlgorithm, PeriodSample};
 
 const GOOD: PeriodSample =
     PeriodSample { ended: 100, rejected: 0, latency_ratio: Some(1.0), utilization: 1.0 };
--- a/crates/ochrewalk-pools/tests/baseline_latency.rs
+++ b/crates/ochrewalk-concurrency-limits/tests/baseline_latency.rs
@@ -1,6 +1,6 @@
 //! What counts as the latency of a pool's calls where nothing queues upstream.
 
-use ochrewalk_pools::BaselineLatency;
+use ochrewalk_concurrency_limits::BaselineLatency;
 
 const HALF_WINDOW: u32 = BaselineLatency::HALF_WINDOW_PERIODS;
 
--- a/crates/ochrewalk-pools/tests/limit_trace.rs
+++ b/crates/ochrewalk-concurrency-limits/tests/limit_trace.rs
@@ -1,7 +1,7 @@
 //! The same seeded events bring the admissions and the limits that are written down here, for each algorithm. A change that
 //! is meant to change no decision keeps the digest; it is never taken anew to get a pass.
 
-use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
+use ochrewalk_concurrency_limits::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 
 const SEEDS: u64 = 48;
 const STEPS: usize = 4_000;
--- a/crates/ochrewalk-pools/tests/shared_capacity.rs
+++ b/crates/ochrewalk-concurrency-limits/tests/shared_capacity.rs
@@ -1,6 +1,6 @@
 //! Capacity shared among pools: by table, and in any state.
 
-use ochrewalk_pools::{
+use ochrewalk_concurrency_limits::{
     ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig, PoolUsage, SharedCapacity,
 };
 use proptest::prelude::*;
--- a/crates/ochrewalk-places/benches/choice.rs
+++ b/crates/ochrewalk-connection-pool/benches/choice.rs
@@ -1,8 +1,8 @@
 //! What a choice costs, alone and with the connection's part, by the number of places and of connections kept.
-//! `cargo bench -p ochrewalk-places`
+//! `cargo bench -p ochrewalk-connection-pool`
 
-use ochrewalk_places::{Bounds, Places, Said, Settled, Wire};
-use ochrewalk_spread::{
+use ochrewalk_connection_pool::{Bounds, Places, Said, Settled, Wire};
+use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
 };
 use std::time::Instant;
--- a/crates/ochrewalk-places/src/budget.rs
+++ b/crates/ochrewalk-connection-pool/src/budget.rs
@@ -12,7 +12,7 @@
 
 impl Budget {
     /// ```
-    /// use ochrewalk_places::Budget;
+    /// use ochrewalk_connection_pool::Budget;
     /// let mut budget = Budget::new(0.5);
     /// assert_eq!((0..12).filter(|_| budget.spend()).count(), 10);
     /// (0..4).for_each(|_| budget.earn());
--- a/crates/ochrewalk-places/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -1,5 +1,5 @@
 //! Decides on which connection each call below goes, after which proof, and whether a call may be written a second
-//! time. Which place it goes to is `ochrewalk-spread`'s.
+//! time. Which place it goes to is `ochrewalk-load-balancer`'s.
 //!
 //! No sockets and no clock: whoever carries the connections tells [`Places`] what happened, and it acts by [`Wire`].
 //! A call is one of two kinds. One that may happen `again` can be written a second time after a connection broke under
@@ -10,7 +10,9 @@
 
 pub use budget::Budget;
 
-use ochrewalk_spread::{BalancingConfig, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer};
+use ochrewalk_load_balancer::{
+    BalancingConfig, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Numbers that the carrier knows connections and calls by; never used twice.
--- a/crates/ochrewalk-places/tests/places.rs
+++ b/crates/ochrewalk-connection-pool/tests/places.rs
@@ -1,7 +1,7 @@
 //! Where calls go, by table and by long runs of random events under the rules that must always hold.
 
-use ochrewalk_places::{Bounds, Ended, Places, Said, Settled, Wire};
-use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
+use ochrewalk_connection_pool::{Bounds, Ended, Places, Said, Settled, Wire};
+use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
 use std::collections::{BTreeMap, BTreeSet};
 
 const BOUNDS: Bounds = Bounds { most_links: 3, trust_us: 50, keep_us: 1_000 };
--- a/crates/ochrewalk-control-plane/src/publisher.rs
+++ b/crates/ochrewalk-control-plane/src/publisher.rs
@@ -14,7 +14,7 @@
     merge, rollback_changes, Batch, CatchUpLimits, PublishError, RollbackError, Server, ServerLimits, Store,
     StoreLimits,
 };
-use ochrewalk_operators::resources::check;
+use ochrewalk_operator_config::resources::check;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/ochrewalk-control-plane/tests/common/mod.rs
+++ b/crates/ochrewalk-control-plane/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use ochrewalk_control_plane::control::send_request;
 use ochrewalk_control_plane::publisher::{Publisher, PublisherSettings};
 use ochrewalk_distribution::messages::{Body, Publish, Status, StatusRequest};
-use ochrewalk_operators::resources::read_changes;
+use ochrewalk_operator_config::resources::read_changes;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/ochrewalk-control-plane/tests/control_socket.rs
+++ b/crates/ochrewalk-control-plane/tests/control_socket.rs
@@ -9,7 +9,7 @@
     Body, Fetch, Fetched, Heartbeat, Position, PositionCount, Publish, Published, Refused, RegionStatus,
     Resource, Rollback, Status, StatusRequest,
 };
-use ochrewalk_operators::resources::read_changes;
+use ochrewalk_operator_config::resources::read_changes;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
--- a/crates/ochrewalk-control-plane/tests/publisher.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher.rs
@@ -9,7 +9,7 @@
 use ochrewalk_distribution::messages::{
     Body, Position, Publish, Report, Resource, Subscribe, PROTOCOL_VERSION,
 };
-use ochrewalk_operators::resources::read_changes;
+use ochrewalk_operator_config::resources::read_changes;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
--- a/crates/ochrewalk-control-plane/tests/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher_log.rs
@@ -4,7 +4,7 @@
 use ochrewalk_control_plane::publisher_log::{LogError, PublisherLog, Recovered};
 use ochrewalk_distribution::messages::{Quota, Resource, Value};
 use ochrewalk_distribution::{rollback_changes, Store, StoreLimits};
-use ochrewalk_operators::resources::quota_name;
+use ochrewalk_operator_config::resources::quota_name;
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
--- a/crates/ochrewalk-control-plane/tests/state_file.rs
+++ b/crates/ochrewalk-control-plane/tests/state_file.rs
@@ -4,7 +4,7 @@
 use ochrewalk_control_plane::state_file::{PersistedStep, StateFile, StateFileError};
 use ochrewalk_distribution::messages::{Position, Quota, Resource, Value};
 use ochrewalk_distribution::CompleteUpdate;
-use ochrewalk_operators::resources::quota_name;
+use ochrewalk_operator_config::resources::quota_name;
 use std::sync::Arc;
 
 fn quota(tenant: &str, revision: u64) -> Resource {
--- a/crates/ochrewalk-lab/src/cold_endpoints.rs
+++ b/crates/ochrewalk-lab/src/cold_endpoints.rs
@@ -2,7 +2,7 @@
 //! to send them. Serves the tests of the ramp and the table of the example `cold_endpoints`.
 
 use crate::emulated::{Fault, Fleet, Relist, Seen, Trouble, SECOND};
-use ochrewalk_spread::{BalancingConfig, EndpointHealth};
+use ochrewalk_load_balancer::{BalancingConfig, EndpointHealth};
 
 const ENDPOINTS: usize = 12;
 const COLD_ENDPOINTS: usize = 2;
--- a/crates/ochrewalk-lab/src/emulated.rs
+++ b/crates/ochrewalk-lab/src/emulated.rs
@@ -1,7 +1,9 @@
-//! Hundreds of processes in virtual time: nodes that each choose by the real `ochrewalk-spread`, places with cores, and
+//! Hundreds of processes in virtual time: nodes that each choose by the real `ochrewalk-load-balancer`, places with cores, and
 //! what goes wrong between them. The same seed gives the same run to the last call.
 
-use ochrewalk_spread::{BalancingConfig, CallOutcome, Endpoint, Idempotency, LoadBalancer, Subsetting};
+use ochrewalk_load_balancer::{
+    BalancingConfig, CallOutcome, Endpoint, Idempotency, LoadBalancer, Subsetting,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -513,7 +515,7 @@
                 let from_us = self.calls[call].from_us;
                 self.seen.took.push((from_us, self.now_us - from_us));
             }
-            // It never ran: it goes elsewhere, as `ochrewalk-places` has it.
+            // It never ran: it goes elsewhere, as `ochrewalk-connection-pool` has it.
             CallOutcome::ConnectFailed if self.calls[call].tries < 3 => {
                 self.calls[call].tries += 1;
                 let slot = self.calls[call].slot;
--- a/crates/ochrewalk-lab/src/pooled.rs
+++ b/crates/ochrewalk-lab/src/pooled.rs
@@ -1,7 +1,7 @@
 //! Nodes with pools before one ledger that all of them share, in virtual time: the real pools in each node, a ledger with slots
 //! that slows, fails and falls, and callers that ask again. The same seed gives the same run to the last call.
 
-use ochrewalk_pools::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
+use ochrewalk_concurrency_limits::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
--- a/crates/ochrewalk-lab/src/scale/workload.rs
+++ b/crates/ochrewalk-lab/src/scale/workload.rs
@@ -3,7 +3,7 @@
 use super::options::FleetShape;
 use fastrand::Rng;
 use ochrewalk_distribution::messages::{Quota, Resource, ResourceName, Route, Value};
-use ochrewalk_operators::resources::{quota_name, route_name};
+use ochrewalk_operator_config::resources::{quota_name, route_name};
 use std::collections::BTreeSet;
 
 /// Methods that all nodes know.
--- a/crates/ochrewalk-lab/src/slopes/control_plane.rs
+++ b/crates/ochrewalk-lab/src/slopes/control_plane.rs
@@ -11,7 +11,7 @@
 use ochrewalk_control_plane::control::send_request;
 use ochrewalk_distribution::messages::{Body, Publish, Quota, Resource, Route, Status, StatusRequest, Value};
 use ochrewalk_distribution::MAX_BATCH_CHANGES;
-use ochrewalk_operators::resources::{quota_name, route_name};
+use ochrewalk_operator_config::resources::{quota_name, route_name};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
--- a/crates/ochrewalk-lab/src/spreads.rs
+++ b/crates/ochrewalk-lab/src/spreads.rs
@@ -3,7 +3,7 @@
 use crate::emulated::{self, Evenness, Seen, SECOND};
 use crate::fleet::{self, Outcome, Plan};
 use crate::plot;
-use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Subsetting};
+use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Subsetting};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/crates/ochrewalk-spread/src/latency_histogram.rs
+++ b/crates/ochrewalk-load-balancer/src/latency_histogram.rs
@@ -33,7 +33,7 @@
     /// Records a latency in microseconds.
     ///
     /// ```
-    /// use ochrewalk_spread::LatencyHistogram;
+    /// use ochrewalk_load_balancer::LatencyHistogram;
     /// let mut latencies = LatencyHistogram::default();
     /// (0..90).for_each(|_| latencies.record(1_000));
     /// (0..10).for_each(|_| latencies.record(80_000));
--- a/crates/ochrewalk-spread/src/lib.rs
+++ b/crates/ochrewalk-load-balancer/src/lib.rs
@@ -35,7 +35,7 @@
 //! * Telling which calls are idempotent.
 //!
 //! ```
-//! use ochrewalk_spread::{BalancingConfig, Endpoint, Idempotency, LoadBalancer};
+//! use ochrewalk_load_balancer::{BalancingConfig, Endpoint, Idempotency, LoadBalancer};
 //! let mut balancer = LoadBalancer::new(BalancingConfig::default(), 7);
 //! balancer.set_endpoints(0, &[Endpoint::new(11), Endpoint::new(22), Endpoint::new(33)]);
 //! let mut round: Vec<usize> =
--- a/crates/ochrewalk-spread/tests/balancing.rs
+++ b/crates/ochrewalk-load-balancer/tests/balancing.rs
@@ -1,6 +1,6 @@
 //! Where calls go, by table: each case is a fault of an endpoint, or of what the node knows of it.
 
-use ochrewalk_spread::{
+use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
     OutlierEjection, SubsetMultiplier, Subsetting,
 };
--- a/crates/ochrewalk-spread/tests/choice_trace.rs
+++ b/crates/ochrewalk-load-balancer/tests/choice_trace.rs
@@ -1,7 +1,7 @@
 //! The same seeded events bring the choices and the states that are written down here, for each policy, each subset and
 //! each outcome of a call. A change that is meant to change no choice keeps the digest; it is never taken anew to get a pass.
 
-use ochrewalk_spread::{
+use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
     OutlierEjection, Subsetting,
 };
--- a/crates/ochrewalk-spread/tests/fleet.rs
+++ b/crates/ochrewalk-load-balancer/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The real choice in hundreds of nodes in virtual time: how even the load is, without faults and after each.
 
 use ochrewalk_lab::emulated::{play, Fault, Fleet, Relist, Seen, Trouble, SECOND};
-use ochrewalk_spread::{BalancingConfig, BalancingPolicy, Subsetting};
+use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Subsetting};
 
 fn config(policy: BalancingPolicy) -> BalancingConfig {
     BalancingConfig {
--- a/crates/ochrewalk-spread/tests/health.rs
+++ b/crates/ochrewalk-load-balancer/tests/health.rs
@@ -1,6 +1,6 @@
 //! Ejection and slow start of one endpoint, by table.
 
-use ochrewalk_spread::{EjectionCause, EndpointHealth, OutlierEjection};
+use ochrewalk_load_balancer::{EjectionCause, EndpointHealth, OutlierEjection};
 
 const EJECTION: OutlierEjection = OutlierEjection {
     consecutive_failures: 2,
--- a/crates/ochrewalk-spread/tests/invariants.rs
+++ b/crates/ochrewalk-load-balancer/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! What has to hold in any run of events.
 
-use ochrewalk_spread::{
+use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, Endpoint, Idempotency, LoadBalancer, OutlierEjection,
     Subsetting,
 };
--- a/crates/ochrewalk-spread/tests/subset.rs
+++ b/crates/ochrewalk-load-balancer/tests/subset.rs
@@ -1,6 +1,6 @@
 //! Subsetting: each endpoint is called by as many nodes as any other, and little moves when the list changes.
 
-use ochrewalk_spread::{assign_subset, Candidate, SubsetAssignment, Subsetting};
+use ochrewalk_load_balancer::{assign_subset, Candidate, SubsetAssignment, Subsetting};
 use std::collections::BTreeSet;
 
 fn candidates(keys: impl Iterator<Item = u64>) -> Vec<Candidate> {
--- a/crates/ochrewalk-node/benches/configuration.rs
+++ b/crates/ochrewalk-node/benches/configuration.rs
@@ -6,7 +6,7 @@
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
 use ochrewalk_node::configuration::node_configuration::NodeConfiguration;
-use ochrewalk_operators::resources::{read_changes, RouteTarget};
+use ochrewalk_operator_config::resources::{read_changes, RouteTarget};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/changes.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/changes.rs
@@ -4,7 +4,7 @@
 use crate::error::ConfigCommandError;
 use crate::publisher_request::{format_position, request, request_change};
 use ochrewalk_distribution::messages::{Body, Fetch, Fetched, Position, Publish, Resource, Rollback, Value};
-use ochrewalk_operators::resources::{describe, read_changes};
+use ochrewalk_operator_config::resources::{describe, read_changes};
 use std::collections::HashMap;
 use std::path::Path;
 
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/error.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/error.rs
@@ -3,7 +3,7 @@
 use ochrewalk_control_plane::control::ControlError;
 use ochrewalk_control_plane::publisher::PublisherError;
 use ochrewalk_control_plane::relay::RelayError;
-use ochrewalk_operators::Diagnostic;
+use ochrewalk_operator_config::Diagnostic;
 use std::path::PathBuf;
 
 /// Why a command failed. Its text is what the operator reads on standard error.
--- a/crates/ochrewalk-node/src/configuration/activation.rs
+++ b/crates/ochrewalk-node/src/configuration/activation.rs
@@ -7,8 +7,8 @@
 use crate::net::ajp_front::{AjpFront, Open};
 use ochrewalk::deployment::{Deployment, Placement};
 use ochrewalk::host::Effect;
-use ochrewalk_operators::resources::RouteTarget;
-use ochrewalk_operators::{OperatorConfig, UpstreamEndpoint};
+use ochrewalk_operator_config::resources::RouteTarget;
+use ochrewalk_operator_config::{OperatorConfig, UpstreamEndpoint};
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// The parts of a running node that distributed configuration reaches.
--- a/crates/ochrewalk-node/src/configuration/cached_quotas.rs
+++ b/crates/ochrewalk-node/src/configuration/cached_quotas.rs
@@ -3,7 +3,7 @@
 use ochrewalk::host::Tenant;
 use ochrewalk_distribution::messages::{ResourceKind, ResourceName, Value};
 use ochrewalk_distribution::CompleteUpdate;
-use ochrewalk_operators::resources::quota_name;
+use ochrewalk_operator_config::resources::quota_name;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/ochrewalk-node/src/configuration/file_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/file_configuration.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::judge::Rules;
-use ochrewalk_operators::{OperatorConfig, UpstreamEndpoint};
+use ochrewalk_operator_config::{OperatorConfig, UpstreamEndpoint};
 
 /// What the node's own files say; distributed resources are added to it.
 #[derive(Clone, Debug, Default)]
--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -9,10 +9,10 @@
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_ingress::routes::Routes;
-use ochrewalk_operators::resources::{
+use ochrewalk_operator_config::resources::{
     check, check_route_target, endpoint_address, quota_name, RouteTarget, LIMIT_USUAL_MEMORY,
 };
-use ochrewalk_operators::UpstreamEndpoint;
+use ochrewalk_operator_config::UpstreamEndpoint;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
--- a/crates/ochrewalk-node/src/configuration/update_error.rs
+++ b/crates/ochrewalk-node/src/configuration/update_error.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_distribution::messages::ResourceName;
 use ochrewalk_distribution::ApplyError;
-use ochrewalk_operators::resources::{describe, InvalidResource};
+use ochrewalk_operator_config::resources::{describe, InvalidResource};
 
 /// Why an update is rejected: the last good state stays in force. Its text is reported to the publisher.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -7,7 +7,7 @@
 use ochrewalk_node::node::Files;
 use ochrewalk_node::rollout::operator_socket::{send_to_controller, ControllerCommand};
 use ochrewalk_node::rollout::{self, RolloutEnd, RolloutError, StartMode};
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -136,7 +136,7 @@
 fn differences(before: &Path, after: &Path) -> Result<String, String> {
     let read =
         |file: &Path| std::fs::read_to_string(file).map_err(|err| format!("{}: {err}", file.display()));
-    let found = ochrewalk_operators::changes(&read(before)?, &read(after)?);
+    let found = ochrewalk_operator_config::changes(&read(before)?, &read(after)?);
     Ok(found.iter().map(|change| format!("{change}\n")).collect())
 }
 
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -1,4 +1,4 @@
-//! Calls below by AJP: connections made, written and read as `ochrewalk-places` decides, each with the life of an
+//! Calls below by AJP: connections made, written and read as `ochrewalk-connection-pool` decides, each with the life of an
 //! asker's connection. One lock guards both; nothing is read or written while it is held.
 
 use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
@@ -11,10 +11,10 @@
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
+use ochrewalk_connection_pool::{CallId, Ended, LinkId, Places, Said, Settled, Wire};
 use ochrewalk_ingress::judge::Headers;
-use ochrewalk_operators::{AjpUpstream, UpstreamEndpoint};
-use ochrewalk_places::{CallId, Ended, LinkId, Places, Said, Settled, Wire};
-use ochrewalk_spread::{EjectionCause, Endpoint};
+use ochrewalk_load_balancer::{EjectionCause, Endpoint};
+use ochrewalk_operator_config::{AjpUpstream, UpstreamEndpoint};
 use siphasher::sip::SipHasher13;
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -90,7 +90,7 @@
 
 impl AjpBelow {
     pub fn new(settings: AjpUpstream, clock: Clock, seed: u64) -> AjpBelow {
-        let bounds = ochrewalk_places::Bounds {
+        let bounds = ochrewalk_connection_pool::Bounds {
             most_links: settings.max_connections,
             trust_us: settings.ping_after_idle_us,
             keep_us: settings.max_idle_us,
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -24,7 +24,7 @@
 use may::sync::mpsc::{channel, Sender};
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::{Effect, RpcId, Stopping};
-use ochrewalk_operators::OperatorConfig;
+use ochrewalk_operator_config::OperatorConfig;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::os::fd::{FromRawFd, IntoRawFd, OwnedFd};
--- a/crates/ochrewalk-node/src/node/files.rs
+++ b/crates/ochrewalk-node/src/node/files.rs
@@ -3,7 +3,7 @@
 use crate::handover::fingerprint::fingerprint_of_file;
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::{Effect, Upstream};
-use ochrewalk_operators::{MethodContext, NodeContext, OperatorConfig};
+use ochrewalk_operator_config::{MethodContext, NodeContext, OperatorConfig};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 use std::io::{self, Write};
@@ -73,7 +73,7 @@
         .collect();
     let has_upstream = deployment.upstream != Upstream::None;
     let node = NodeContext { methods: &methods, descriptors: placement.descriptors, has_upstream };
-    let mut operators = ochrewalk_operators::parse(&text, &name, &node)
+    let mut operators = ochrewalk_operator_config::parse(&text, &name, &node)
         .map_err(|found| found.iter().map(|d| d.to_string()).collect::<Vec<_>>().join("\n"))?;
     let secret = |at: &Path| {
         let text =
--- a/crates/ochrewalk-node/src/node/reload.rs
+++ b/crates/ochrewalk-node/src/node/reload.rs
@@ -4,7 +4,7 @@
 use crate::net::ajp_front::Open;
 use may::sync::mpsc::Sender;
 use ochrewalk::deployment::Placement;
-use ochrewalk_operators::{changes, ChangeClass, OperatorConfig};
+use ochrewalk_operator_config::{changes, ChangeClass, OperatorConfig};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Instant;
--- a/crates/ochrewalk-node/src/rollout/actions.rs
+++ b/crates/ochrewalk-node/src/rollout/actions.rs
@@ -6,7 +6,7 @@
 use super::log::{LogEntry, RolloutLog};
 use super::operator_socket::ControllerCommand;
 use super::record_file::RecordFile;
-use ochrewalk_operators::{RolloutPlan, Subject, Version as PlanVersion};
+use ochrewalk_operator_config::{RolloutPlan, Subject, Version as PlanVersion};
 use ochrewalk_rollout::messages::{CommandMessage, Request, Target};
 use ochrewalk_rollout::{Command, CommandReply, ControllerActions, FencingToken, RolloutRecord, Version};
 use std::os::unix::net::UnixStream;
--- a/crates/ochrewalk-node/src/rollout/error.rs
+++ b/crates/ochrewalk-node/src/rollout/error.rs
@@ -1,7 +1,7 @@
 //! Why a rollout cannot begin or go on.
 
 use super::polling::PollError;
-use ochrewalk_operators::Diagnostic;
+use ochrewalk_operator_config::Diagnostic;
 use ochrewalk_rollout::{RecordError, StagePlanError};
 use std::path::PathBuf;
 
--- a/crates/ochrewalk-node/src/rollout/fingerprints.rs
+++ b/crates/ochrewalk-node/src/rollout/fingerprints.rs
@@ -2,7 +2,7 @@
 
 use super::error::RolloutError;
 use crate::handover::fingerprint::fingerprint_of_file;
-use ochrewalk_operators::{PlannedNode, RolloutPlan, Subject, Version as PlanVersion};
+use ochrewalk_operator_config::{PlannedNode, RolloutPlan, Subject, Version as PlanVersion};
 use ochrewalk_rollout::messages::NodeStatus;
 use ochrewalk_rollout::{Version, VersionFingerprints};
 use std::collections::BTreeMap;
--- a/crates/ochrewalk-node/src/rollout/log.rs
+++ b/crates/ochrewalk-node/src/rollout/log.rs
@@ -1,4 +1,4 @@
-//! The log of a rollout: a line of JSON for each event, for `ochrewalk-report` and whoever looks on. Logs of other versions are
+//! The log of a rollout: a line of JSON for each event, for `ochrewalk-rollout-report` and whoever looks on. Logs of other versions are
 //! read, too: keys and texts stay.
 
 use super::error::RolloutError;
--- a/crates/ochrewalk-node/src/rollout/operator_socket.rs
+++ b/crates/ochrewalk-node/src/rollout/operator_socket.rs
@@ -3,7 +3,7 @@
 use super::error::RolloutError;
 use super::plan::operator_socket_path;
 use ochrewalk_control_plane::control::is_owner;
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::Path;
--- a/crates/ochrewalk-node/src/rollout/plan.rs
+++ b/crates/ochrewalk-node/src/rollout/plan.rs
@@ -1,7 +1,7 @@
 //! The operators' plan as the rollout's parts need it.
 
 use super::error::RolloutError;
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::{AnalysisSettings, RolloutPolicy, StagePlan};
 use std::path::{Path, PathBuf};
 
--- a/crates/ochrewalk-node/src/rollout/polling.rs
+++ b/crates/ochrewalk-node/src/rollout/polling.rs
@@ -2,7 +2,7 @@
 
 use super::fingerprints::PlanFingerprints;
 use crate::handover::rollout_socket::send_request;
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::framing::FramingError;
 use ochrewalk_rollout::messages::{NodeStatus, Reply, Request, Response};
 use ochrewalk_rollout::{ControllerNumber, FencingToken, NodeReport};
--- a/crates/ochrewalk-node/src/rollout/readiness.rs
+++ b/crates/ochrewalk-node/src/rollout/readiness.rs
@@ -4,7 +4,7 @@
 use super::fingerprints::PlanFingerprints;
 use super::polling::{poll_all, Polled};
 use super::settings_changes::settings_changes;
-use ochrewalk_operators::{RolloutPlan, Subject};
+use ochrewalk_operator_config::{RolloutPlan, Subject};
 use ochrewalk_rollout::ControllerNumber;
 
 /// What the rollout will change, and that all nodes are ready for it, as text for operators.
--- a/crates/ochrewalk-node/src/rollout/record_file.rs
+++ b/crates/ochrewalk-node/src/rollout/record_file.rs
@@ -2,7 +2,7 @@
 
 use super::error::RolloutError;
 use super::plan::lock_path;
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::RolloutRecord;
 use rustix::fs::{flock, FlockOperation};
 use std::fs::File;
--- a/crates/ochrewalk-node/src/rollout/run.rs
+++ b/crates/ochrewalk-node/src/rollout/run.rs
@@ -10,7 +10,7 @@
 use super::readiness::check;
 use super::record_file::RecordFile;
 use super::sampling::{method_names, Sampler};
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::{
     CanaryAnalysis, CommandReply, ControllerNumber, FencingToken, Outcome, Phase, RolloutController,
     RolloutRecord, Verdict, Version, WaitReason,
--- a/crates/ochrewalk-node/src/rollout/sampling.rs
+++ b/crates/ochrewalk-node/src/rollout/sampling.rs
@@ -1,7 +1,7 @@
 //! Makes samples for the analysis out of what nodes report when they are polled.
 
 use super::polling::Polled;
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::messages::{MethodCounters, NodeStatus, ServingCounters};
 use ochrewalk_rollout::{CallCounts, NodeSample, NodeState, Sample, Version};
 use std::collections::HashMap;
--- a/crates/ochrewalk-node/src/rollout/settings_changes.rs
+++ b/crates/ochrewalk-node/src/rollout/settings_changes.rs
@@ -1,7 +1,9 @@
 //! What changes with the settings of a plan, and whether running nodes can take it over.
 
 use super::error::RolloutError;
-use ochrewalk_operators::{changes, ChangeClass, PlannedNode, RolloutPlan, Subject, Version as PlanVersion};
+use ochrewalk_operator_config::{
+    changes, ChangeClass, PlannedNode, RolloutPlan, Subject, Version as PlanVersion,
+};
 use std::collections::BTreeSet;
 
 /// The changes of all nodes, each once, a line each; nothing where the plan is of a program.
--- a/crates/ochrewalk-node/src/rollout/status.rs
+++ b/crates/ochrewalk-node/src/rollout/status.rs
@@ -3,7 +3,7 @@
 use super::fingerprints::PlanFingerprints;
 use super::operator_socket::{send_to_controller, ControllerCommand};
 use super::polling::{poll_all, Polled};
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::{ControllerNumber, Version};
 
 /// How the rollout stands by the controller, where one runs, and by each node, a line each. It says so, too, where the plan's files
--- a/crates/ochrewalk-node/tests/configuration/quotas.rs
+++ b/crates/ochrewalk-node/tests/configuration/quotas.rs
@@ -5,7 +5,7 @@
 use crate::relay_stand_in::accept_from_either;
 use ochrewalk_distribution::messages::{Body, Heartbeat, Position, Update};
 use ochrewalk_lab::ajp::Call;
-use ochrewalk_operators::resources::quota_name;
+use ochrewalk_operator_config::resources::quota_name;
 use std::net::{SocketAddr, TcpListener};
 
 #[test]
@@ -33,7 +33,8 @@
     peer.send(&Call { method: "POST", uri: "/sync", headers, secret: None, body: b"ABC" }.whole()).unwrap();
     executor.hear_of(&exec(1, "sync"));
     assert_eq!(relay.receive_watch().add, [quota_name("acme")]);
-    let quota = ochrewalk_operators::resources::read_changes("quota acme 5\n", "changes").unwrap().remove(0);
+    let quota =
+        ochrewalk_operator_config::resources::read_changes("quota acme 5\n", "changes").unwrap().remove(0);
     let resource = ochrewalk_distribution::messages::Resource { revision: 2, ..quota };
     let mut update = Update {
         position,
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -10,8 +10,10 @@
     ConfigurationInForce, NodeConfiguration, ReplacedFile,
 };
 use ochrewalk_node::configuration::update_error::UpdateError;
-use ochrewalk_operators::resources::{endpoint_name, quota_name, read_changes, route_name, RouteTarget};
-use ochrewalk_operators::UpstreamEndpoint;
+use ochrewalk_operator_config::resources::{
+    endpoint_name, quota_name, read_changes, route_name, RouteTarget,
+};
+use ochrewalk_operator_config::UpstreamEndpoint;
 use std::sync::Arc;
 
 const FIRST_TENANT: u32 = 100;
--- a/crates/ochrewalk-node/tests/rollout_files.rs
+++ b/crates/ochrewalk-node/tests/rollout_files.rs
@@ -5,7 +5,7 @@
 use ochrewalk_node::rollout::operator_socket::{send_to_controller, ControllerCommand};
 use ochrewalk_node::rollout::record_file::RecordFile;
 use ochrewalk_node::rollout::{check, read_plan, status, RolloutEnd, RolloutError};
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::{
     CallCounts, ChangeMethod, CommandReply, ControllerNumber, FencingToken, NodeSample, Outcome, Phase,
     RecordError, RolloutRecord, Sample, Verdict, Version, WaitReason,
--- a/crates/ochrewalk-operators/src/changes.rs
+++ b/crates/ochrewalk-operator-config/src/changes.rs
@@ -47,7 +47,7 @@
 /// lines where it has no meaning, and how a host is named are no difference.
 ///
 /// ```
-/// use ochrewalk_operators::{changes, ChangeClass};
+/// use ochrewalk_operator_config::{changes, ChangeClass};
 /// let (old, new) = ("below ajp 10.0.0.1:8009\nbelow pong 250ms", "below  pong 300ms # slower\nhost a 10.0.0.1\nbelow ajp a:8009");
 /// let found = changes(old, new);
 /// assert_eq!(found.len(), 1);
--- a/crates/ochrewalk-operators/src/lib.rs
+++ b/crates/ochrewalk-operator-config/src/lib.rs
@@ -26,7 +26,7 @@
 //! Files are opened by the caller, secret files included: this crate does no I/O.
 //!
 //! ```
-//! use ochrewalk_operators::{parse, MethodContext, NodeContext};
+//! use ochrewalk_operator_config::{parse, MethodContext, NodeContext};
 //! let methods = [MethodContext { name: "look".into(), is_idempotent: true }];
 //! let node = NodeContext { methods: &methods, descriptors: 512, has_upstream: false };
 //! let text = "ajp listen 127.0.0.1:8009\najp allow 127.0.0.0/8\najp route GET /look lok\n";
--- a/crates/ochrewalk-operators/src/parser/ajp_upstream.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_upstream.rs
@@ -6,7 +6,7 @@
 use crate::directive::{self, Section};
 use crate::settings::{AjpUpstream, UpstreamEndpoint};
 use crate::values::{packet_bytes, share, socket_path, time_us, uri_path, weight, whole_number};
-use ochrewalk_spread::{BalancingPolicy, Subsetting};
+use ochrewalk_load_balancer::{BalancingPolicy, Subsetting};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/ochrewalk-operators/src/resources/change_file.rs
+++ b/crates/ochrewalk-operator-config/src/resources/change_file.rs
@@ -27,7 +27,7 @@
 /// All lines that are wrong, in their order.
 ///
 /// ```
-/// use ochrewalk_operators::resources::read_changes;
+/// use ochrewalk_operator_config::resources::read_changes;
 /// let changes = read_changes("quota acme 12.5\ndelete quota old # gone\n", "changes").unwrap();
 /// assert_eq!(changes.len(), 2);
 /// let diagnostics = read_changes("route shop get /a look\n", "changes").unwrap_err();
--- a/crates/ochrewalk-operators/src/settings.rs
+++ b/crates/ochrewalk-operator-config/src/settings.rs
@@ -3,7 +3,7 @@
 use ochrewalk_ajp::packet::USUAL_PACKET;
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::judge::{Headers, Rules};
-use ochrewalk_spread::BalancingConfig;
+use ochrewalk_load_balancer::BalancingConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/crates/ochrewalk-operators/tests/changes.rs
+++ b/crates/ochrewalk-operator-config/tests/changes.rs
@@ -1,6 +1,6 @@
 //! What differs between two files, and what brings it into force.
 
-use ochrewalk_operators::{changes, ChangeClass};
+use ochrewalk_operator_config::{changes, ChangeClass};
 
 #[test]
 fn each_change_has_the_class_of_its_directive() {
--- a/crates/ochrewalk-operators/tests/operator_config.rs
+++ b/crates/ochrewalk-operator-config/tests/operator_config.rs
@@ -2,8 +2,8 @@
 
 use ochrewalk_ingress::judge::{Asks, Headers};
 use ochrewalk_ingress::routes::Found;
-use ochrewalk_operators::{parse, MethodContext, NodeContext, OperatorConfig, UpstreamEndpoint};
-use ochrewalk_spread::{BalancingPolicy, OutlierEjection, Subsetting};
+use ochrewalk_load_balancer::{BalancingPolicy, OutlierEjection, Subsetting};
+use ochrewalk_operator_config::{parse, MethodContext, NodeContext, OperatorConfig, UpstreamEndpoint};
 
 fn methods() -> Vec<MethodContext> {
     [("part-lookup", true), ("batch-upload", true), ("order-record", false)]
--- a/crates/ochrewalk-operators/tests/resources.rs
+++ b/crates/ochrewalk-operator-config/tests/resources.rs
@@ -1,10 +1,10 @@
 //! Files of changes, and the checks that publisher and nodes share.
 
 use ochrewalk_distribution::messages::{Limit, Quota, Resource, Route, Value};
-use ochrewalk_operators::resources::{
+use ochrewalk_operator_config::resources::{
     check, check_route_target, describe, limit_name, quota_name, read_changes, route_name, RouteTarget,
 };
-use ochrewalk_operators::{parse, MethodContext, NodeContext};
+use ochrewalk_operator_config::{parse, MethodContext, NodeContext};
 
 #[test]
 fn each_kind_of_change_is_read() {
--- a/crates/ochrewalk-operators/tests/rollout_plan.rs
+++ b/crates/ochrewalk-operator-config/tests/rollout_plan.rs
@@ -1,11 +1,11 @@
 //! The plan of a rollout: what a complete one sets, and one message for each fault.
 
-use ochrewalk_operators::RolloutPlan;
+use ochrewalk_operator_config::RolloutPlan;
 
 const COMPLETE: &str = "old /a\nnew /b\nrecord /c\nnode n0 /run/0 east\nnode n1 /run/1 west\nnode n2 /run/2 east\nnode n3 /run/3 west\n";
 
 fn get(more: &str) -> Result<RolloutPlan, String> {
-    let first = |diagnostics: Vec<ochrewalk_operators::Diagnostic>| diagnostics[0].to_string();
+    let first = |diagnostics: Vec<ochrewalk_operator_config::Diagnostic>| diagnostics[0].to_string();
     RolloutPlan::parse(&format!("{COMPLETE}{more}"), "p").map_err(first)
 }
 
--- a/crates/ochrewalk-report/src/lib.rs
+++ b/crates/ochrewalk-rollout-report/src/lib.rs
@@ -2,7 +2,7 @@
 //! middle of a line, was written by several conductors, or holds what a newer program has added.
 //!
 //! ```
-//! use ochrewalk_report::{page, Story};
+//! use ochrewalk_rollout_report::{page, Story};
 //! let story = Story::read(r#"{"ms":1000,"what":{"end":"Done"}}"#);
 //! assert_eq!(story.end.as_deref(), Some("Done"));
 //! assert!(page(&story, "change-7").contains("<h1>change-7</h1>"));
--- a/crates/ochrewalk-report/src/main.rs
+++ b/crates/ochrewalk-rollout-report/src/main.rs
@@ -6,7 +6,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "ochrewalk-report",
+    name = "ochrewalk-rollout-report",
     version,
     about = "A page of how a rolling change went, to standard output"
 )]
@@ -19,9 +19,9 @@
     let Line { record } = Line::parse();
     match std::fs::read(&record) {
         Ok(bytes) => {
-            let story = ochrewalk_report::Story::read(&String::from_utf8_lossy(&bytes));
+            let story = ochrewalk_rollout_report::Story::read(&String::from_utf8_lossy(&bytes));
             let name = record.file_stem().map_or_else(Default::default, |name| name.to_string_lossy());
-            println!("{}", ochrewalk_report::page(&story, &name));
+            println!("{}", ochrewalk_rollout_report::page(&story, &name));
             ExitCode::SUCCESS
         }
         Err(err) => {
--- a/crates/ochrewalk-rollout/src/log_text.rs
+++ b/crates/ochrewalk-rollout/src/log_text.rs
@@ -1,5 +1,5 @@
 //! The texts of phases, reasons, methods, replies and verdicts in a rollout's log and in the status line for operators. Logs that
-//! other versions wrote are read by `ochrewalk-report`: these texts stay, whatever the types here are called.
+//! other versions wrote are read by `ochrewalk-rollout-report`: these texts stay, whatever the types here are called.
 
 use crate::{ChangeMethod, CommandReply, Outcome, Phase, Verdict, WaitReason};
 use std::fmt::{Display, Formatter, Result};
--- a/crates/ochrewalk-rollout/tests/log_text.rs
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -1,4 +1,4 @@
-//! The words of a rollout's log and of the operator's status line. `ochrewalk-report` reads logs that other versions wrote, and
+//! The words of a rollout's log and of the operator's status line. `ochrewalk-rollout-report` reads logs that other versions wrote, and
 //! `docs/operators/rollout.md` names these words: they stay, whatever the code calls these things.
 
 use ochrewalk_rollout::{
--- a/crates/ochrewalk-wirehost/tests/wire.rs
+++ b/crates/ochrewalk-simulator-adapter/tests/wire.rs
@@ -30,7 +30,7 @@
 }
 
 fn play(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_ochrewalk-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_ochrewalk-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
