--- a/crates/ochrewalk-simulator-adapter/src/main.rs
+++ b/crates/ochrewalk-simulator-adapter/src/main.rs
@@ -1,6 +1,8 @@
 //! Speaks the simulator's wire on standard input and output, in front of one admission controller for each server. It
 //! decides nothing: what it reads becomes calls on a controller, and what that asks for becomes lines.
 
+#![warn(missing_docs)]
+
 mod wire;
 
 use std::io::{self, BufRead, Write};
