--- a/src/admission/draining.rs
+++ b/src/admission/draining.rs
@@ -1,8 +1,9 @@
-//! Draining: the process ends soon. It takes a little more for a grace time, and answers all that it has read before the end.
+//! Draining, the period before the process ends. The server admits requests for a grace period, and answers all
+//! requests that it has read before the process ends.
 
-/// Whether the server drains, and what that means for requests.
+/// The drain state of the server, and the resulting time limits of requests.
 pub(super) struct Draining {
-    /// After the notice to leave, what arrived within this time may still be started.
+    /// The time after the notice to drain within which an arriving request may still be started.
     grace_us: u64,
     notice: Option<Notice>,
 }
@@ -26,12 +27,12 @@
         self.notice.is_some()
     }
 
-    /// When the process ends; far away while there is no notice.
+    /// Returns the time at which the process ends; `u64::MAX` before a notice.
     pub fn process_ends_us(&self) -> u64 {
         self.notice.map_or(u64::MAX, |notice| notice.process_ends_us)
     }
 
-    /// Requests that arrived after this are not started any more.
+    /// Returns the latest arrival time of a request that may still be started; `u64::MAX` before a notice.
     pub fn last_arrival_us(&self) -> u64 {
         self.notice.map_or(u64::MAX, |notice| notice.at_us + self.grace_us)
     }
--- a/src/admission/idempotency.rs
+++ b/src/admission/idempotency.rs
@@ -1,13 +1,14 @@
-//! Idempotency keys that the server remembers, as far as memory is counted for them: a repeat of a request that must not run
-//! twice shares the outcome of the first in place of running.
+//! Idempotency keys that the server remembers, tracked to account for their memory. A repeat of a request that must not
+//! run twice shares the outcome of the first request instead of running.
 
 use crate::host::RpcId;
 use std::collections::BTreeSet;
 
-/// The server counts its time to live from its own clock; keys are counted a little longer than they may live there.
+/// The margin by which keys are counted beyond their time to live, as the server measures the time to live by its own
+/// clock.
 const EXPIRY_MARGIN_US: u64 = 1_000;
 
-/// Remembered keys: when they expire, and whose they are.
+/// Remembered keys: the expiry time and the request of each.
 #[derive(Default)]
 pub(super) struct IdempotencyKeys(pub BTreeSet<(u64, RpcId)>);
 
@@ -16,11 +17,11 @@
         self.0.insert((now_us + time_to_live_us + EXPIRY_MARGIN_US, id));
     }
 
-    /// Forgets the key of a request that never ran, and says whether there was one.
+    /// Removes the key of a request that never ran, and returns whether a key was removed.
     pub fn remove(&mut self, id: &RpcId) -> bool {
-        let before = self.0.len();
+        let previous_len = self.0.len();
         self.0.retain(|(_, key)| key != id);
-        self.0.len() < before
+        self.0.len() < previous_len
     }
 
     pub fn expire(&mut self, now_us: u64) {
@@ -34,7 +35,7 @@
     }
 }
 
-/// How long a repeat of a request may come, counted from now: its window begins with its arrival.
+/// Returns the time from now during which repeats of a request may arrive. The window begins at the request's arrival.
 pub(super) fn time_to_live_us(arrived_us: u64, window_us: u64, now_us: u64) -> u64 {
     (arrived_us + window_us).saturating_sub(now_us) + EXPIRY_MARGIN_US
 }
--- a/src/admission/integral_controller.rs
+++ b/src/admission/integral_controller.rs
@@ -1,51 +1,56 @@
-//! The integral controller (paper 2.1, docs/design.md). Upstream calls are counted per period; the difference between the
-//! setpoint and the count sets how many requests may start in the next period. Nothing is limited until a sign of overload
-//! upstream: a time-out, a rejection, or calls above this server's part of what upstream survives.
+//! The integral controller (paper 2.1, docs/design.md). Upstream calls are counted per period, and the difference
+//! between their setpoint and the count determines how many requests may start in the next period. The controller does
+//! not limit anything before the first sign of upstream overload: a time-out, a rejection, or more calls than this
+//! server's share of the number that the upstream survives.
 //!
 //! | here | paper | meaning |
 //! | --- | --- | --- |
-//! | `call_setpoint` | r | upstream calls a period that are aimed at |
-//! | `admission_limit` | u | requests that may start in a period |
-//! | `observed_calls` | y | upstream calls placed in this period |
-//! | `INTEGRAL_GAIN` | K_I | how much of the difference e = r - y moves u |
+//! | `call_setpoint` | r | the target number of upstream calls per period |
+//! | `admission_limit` | u | the number of requests that may start per period |
+//! | `observed_calls` | y | the number of upstream calls placed in this period |
+//! | `INTEGRAL_GAIN` | K_I | the change of u per unit of the error e = r - y |
 
-/// The controller's period (the project's design page: start with 1 s).
+/// The controller's period. The project's design page says to start with 1 s.
 pub(super) const PERIOD_US: u64 = 1_000_000;
 /// The paper's K_I (2.1).
 const INTEGRAL_GAIN: f64 = 1.0;
-/// The setpoint grows when the calls of a period came this near to it.
-const NEAR_SETPOINT: f64 = 0.9;
-/// It grows by half, and halves after overload: it recovers within a few periods.
+/// The share of the setpoint that the calls of a period must reach for the setpoint to grow.
+const NEAR_SETPOINT_SHARE: f64 = 0.9;
+/// The factor by which the setpoint grows, and the divisor that reduces it after overload. The setpoint grows by half
+/// and is halved, so that it recovers within a few periods.
 const SETPOINT_GROWTH: f64 = 1.5;
 const SETPOINT_DIVISOR: f64 = 2.0;
-/// The setpoint halves after so many overloaded periods in a row: one may be chance.
+/// The number of consecutive overloaded periods after which the setpoint is halved. A single one may be chance.
 const OVERLOADED_PERIODS: u32 = 2;
-/// A period is overloaded when signs of overload are this share of its calls: a fleet upstream always has one hot server.
-const SIGN_SHARE: f64 = 0.3;
-/// The maxima of past periods decay by this factor per period.
-const MAX_DECAY: f64 = 0.9;
-/// The admission limit stays below this multiple of the setpoint, so that quiet periods do not wind it up.
+/// The ratio of overload signs to calls from which a period counts as overloaded. A lower ratio is normal, as an
+/// upstream fleet always has one hot server.
+const OVERLOAD_SIGN_RATIO: f64 = 0.3;
+/// The factor per period by which the maxima of past periods decay.
+const MAXIMA_DECAY: f64 = 0.9;
+/// The upper bound of the admission limit, as a multiple of the setpoint. The bound prevents integral wind-up in
+/// periods with little traffic.
 const MAX_LIMIT_OVER_SETPOINT: f64 = 4.0;
 
 /// The integral loop of one server.
 #[derive(Default)]
 pub struct IntegralController {
-    /// A sign of overload was seen: setpoint and limit hold from then on.
+    /// Whether a sign of overload has been seen. Setpoint and limit apply from then on.
     pub is_limiting: bool,
-    /// Upstream calls a period that are aimed at.
+    /// The target number of upstream calls per period.
     pub call_setpoint: f64,
-    /// Requests that may start in a period.
+    /// The number of requests that may start per period.
     pub admission_limit: f64,
     pub(super) observed_calls: f64,
-    /// The most calls of a period of late.
+    /// The decaying maximum of calls in a past period.
     pub(super) max_calls: f64,
     /// Requests started in this period whose class makes calls.
     pub(super) started: f64,
-    /// The most started in a period of late.
+    /// The decaying maximum of requests started in a past period.
     pub(super) max_started: f64,
-    /// Calls that the requests started in this period are expected to make.
+    /// The number of calls that the requests started in this period are expected to make.
     pub(super) predicted_calls: f64,
-    /// The prediction reached the setpoint in this period: calls came near to it, though fewer whole ones may be placed.
+    /// Whether a start was held back in this period because the predicted calls reached the setpoint. Such a period
+    /// counts as near the setpoint, even though the number of calls placed is a whole number and may be lower.
     pub(super) has_reached_setpoint: bool,
     pub(super) overload_signs: f64,
     pub(super) overloaded_periods: u32,
@@ -53,18 +58,18 @@
 }
 
 impl IntegralController {
-    /// Begins its first period.
+    /// Creates a controller whose first period begins now.
     pub fn new(now_us: u64) -> IntegralController {
         IntegralController { period_ends_us: now_us + PERIOD_US, ..IntegralController::default() }
     }
 
-    /// An upstream call was placed.
+    /// Counts an upstream call that was placed.
     pub fn call_placed(&mut self) {
         self.observed_calls += 1.0;
     }
 
-    /// A request was started whose class makes so many calls in the mean. Classes that never call are not counted against
-    /// the limit (ours): the paper notes that such requests were delayed for nothing.
+    /// Counts a started request, whose class makes `mean_calls` calls on average. Classes that never call do not count
+    /// against the limit (ours): the paper notes that such requests were delayed for nothing.
     pub fn request_started(&mut self, mean_calls: f64) {
         self.predicted_calls += mean_calls;
         if mean_calls > 0.0 {
@@ -72,8 +77,8 @@
         }
     }
 
-    /// Upstream showed overload. The first sign sets setpoint and limit to the most that was carried of late: calls that
-    /// hang show as signs only seconds later, when little is carried any more.
+    /// Counts a sign of upstream overload. The first sign sets the setpoint and the limit to the maxima of recent
+    /// periods, because calls that hang become signs only seconds later, when few calls succeed any more.
     pub fn upstream_overloaded(&mut self) {
         self.overload_signs += 1.0;
         if self.is_limiting {
@@ -84,7 +89,7 @@
         self.admission_limit = self.started.max(self.max_started).max(1.0);
     }
 
-    /// Whether one more request of a class that makes so many calls in the mean may start in this period.
+    /// Whether one more request may start in this period, if its class makes `mean_calls` calls on average.
     pub fn has_capacity(&mut self, mean_calls: f64) -> bool {
         if !self.is_limiting || mean_calls <= 0.0 {
             return true;
@@ -94,7 +99,7 @@
         is_below_setpoint && self.started < self.admission_limit
     }
 
-    /// How long the controller takes to let one request of such a class start, in microseconds.
+    /// Returns the interval at which the controller lets requests of such a class start, in microseconds.
     pub(super) fn start_interval_us(&self, mean_calls: f64) -> u64 {
         if !self.is_limiting || mean_calls <= 0.0 {
             return 0;
@@ -103,7 +108,7 @@
         (PERIOD_US as f64 * periods) as u64
     }
 
-    /// Ends the period when its time has come, and says whether it did.
+    /// Ends the period if its end has been reached, and returns whether it did.
     pub fn end_period(&mut self, now_us: u64) -> bool {
         if now_us < self.period_ends_us {
             return false;
@@ -120,10 +125,10 @@
 
     fn adjust_setpoint(&mut self) {
         let is_overloaded =
-            self.overload_signs >= 1.0 && self.overload_signs >= SIGN_SHARE * self.observed_calls;
+            self.overload_signs >= 1.0 && self.overload_signs >= OVERLOAD_SIGN_RATIO * self.observed_calls;
         self.overloaded_periods = if is_overloaded { self.overloaded_periods + 1 } else { 0 };
         let is_near_setpoint =
-            self.has_reached_setpoint || self.observed_calls >= NEAR_SETPOINT * self.call_setpoint;
+            self.has_reached_setpoint || self.observed_calls >= NEAR_SETPOINT_SHARE * self.call_setpoint;
         if self.overloaded_periods >= OVERLOADED_PERIODS {
             self.overloaded_periods = 0;
             self.call_setpoint = (self.call_setpoint / SETPOINT_DIVISOR).max(1.0);
@@ -133,8 +138,8 @@
     }
 
     fn begin_period(&mut self, now_us: u64) {
-        self.max_calls = self.observed_calls.max(MAX_DECAY * self.max_calls);
-        self.max_started = self.started.max(MAX_DECAY * self.max_started);
+        self.max_calls = self.observed_calls.max(MAXIMA_DECAY * self.max_calls);
+        self.max_started = self.started.max(MAXIMA_DECAY * self.max_started);
         self.observed_calls = 0.0;
         self.started = 0.0;
         self.predicted_calls = 0.0;
--- a/src/admission/memory_budget.rs
+++ b/src/admission/memory_budget.rs
@@ -1,16 +1,17 @@
-//! Guards against more memory than the node has: queued requests, running ones at a multiple of that, and keys.
+//! The memory budget, which keeps the server within the node's memory: queued requests, running requests at a multiple
+//! of their queued size, and idempotency keys.
 
 use super::request::{Request, RequestState};
 use super::request_table::RequestTable;
 use crate::host::Machine;
 
-/// The share of the memory that is used.
-const MEMORY_USED: f64 = 0.95;
+/// The share of the memory limit that is used.
+const USABLE_SHARE: f64 = 0.95;
 
-/// The memory of one server, in KB.
+/// The memory budget of one server, in KB.
 pub(super) struct MemoryBudget {
     limit_kb: f64,
-    /// Memory of a running request over that of a queued one.
+    /// The ratio of the memory of a running request to that of a queued one.
     run_memory_factor: f64,
     key_kb: f64,
 }
@@ -18,20 +19,20 @@
 impl MemoryBudget {
     pub fn new(machine: &Machine) -> MemoryBudget {
         let Machine { memory_kb, run_memory_factor, key_kb, .. } = *machine;
-        MemoryBudget { limit_kb: memory_kb * MEMORY_USED, run_memory_factor, key_kb }
+        MemoryBudget { limit_kb: memory_kb * USABLE_SHARE, run_memory_factor, key_kb }
     }
 
-    /// What all requests and keys take.
+    /// Returns the memory of all requests and keys.
     pub fn used_kb(&self, requests: &RequestTable, keys: usize) -> f64 {
-        let of_requests: f64 = requests.iter().map(|(_, request)| self.request_kb(request)).sum();
-        of_requests + keys as f64 * self.key_kb
+        let requests_kb: f64 = requests.iter().map(|(_, request)| self.request_kb(request)).sum();
+        requests_kb + keys as f64 * self.key_kb
     }
 
     fn request_kb(&self, request: &Request) -> f64 {
         request.kb * if request.is_queued() { 1.0 } else { self.run_memory_factor }
     }
 
-    /// What a queued request takes more once it is started.
+    /// Returns the additional memory that a queued request takes once it is started.
     pub fn start_kb(&self, request: &Request) -> f64 {
         request.kb * (self.run_memory_factor - 1.0)
     }
@@ -41,8 +42,8 @@
     }
 }
 
-/// The request to give up first where memory is short: the queued one of least value, then one that waits for a shared
-/// outcome, which can only be aborted.
+/// Returns the request to give up first when memory is short: the queued request with the lowest value, or else one
+/// that waits for a shared outcome. The latter comes last because it can only be aborted.
 pub(super) fn first_to_give_up(requests: &RequestTable) -> Option<u64> {
     let value = |request: &Request| match request.state {
         RequestState::Queued => Some(request.value),
--- a/src/admission/service_time.rs
+++ b/src/admission/service_time.rs
@@ -1,13 +1,14 @@
-//! How long requests take here: a histogram of latencies, and an estimator by method.
+//! Service times at this server: a latency histogram, and an estimator of run times by method.
 
-/// How far one run moves the mean of its method.
+/// The weight of one run in the moving mean of its method.
 const MEAN_WEIGHT: f64 = 1.0 / 16.0;
-/// A ratio of a run to its method's mean is counted in thousandths.
+/// The unit of the ratio of a run time to its method's mean: the histogram counts thousandths.
 const RATIO_UNIT: f64 = 1_000.0;
-/// What is taken for any quantile of the ratios before the first few runs.
+/// The assumed ratio for any quantile, in thousandths, before the first few runs.
 const UNKNOWN_RATIO: u64 = 1_500;
 
-/// Latencies in bins that grow by half; all are halved when many samples are in, so that late ones count more.
+/// A histogram of latencies with bins that grow by half. All counts are halved when the histogram holds many samples,
+/// so that recent samples have more weight.
 #[derive(Default)]
 pub(super) struct LatencyHistogram {
     pub bins: [u16; LatencyHistogram::BINS],
@@ -19,9 +20,9 @@
     /// The upper bound of the first bin.
     const FIRST_BIN: f64 = 500.0;
     const BIN_GROWTH: f64 = 1.5;
-    /// All bins are halved at this many samples.
+    /// The number of samples at which all counts are halved.
     const MAX_SAMPLES: u16 = 32;
-    /// Fewer samples say nothing.
+    /// The number of samples below which quantiles are unknown.
     const MIN_SAMPLES: u16 = 4;
 
     pub fn add(&mut self, value: u64) {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The middle of the bin that holds the given quantile; none before the first few samples.
+    /// Returns the middle of the bin that contains the given quantile, or `None` before the first few samples.
     pub fn quantile(&self, quantile: f64) -> Option<u64> {
         let mut samples_before = (f64::from(self.total) * quantile) as u16;
         for (bin, samples) in self.bins.iter().enumerate() {
@@ -48,12 +49,13 @@
     }
 }
 
-/// Estimates run times: for each method a slow mean, over the hint where requests carry one, and for all methods together
-/// the ratio of late runs to these means. Guards against a server that gets slow: each method alone is seen too seldom to
-/// show that in time. Harms where one method alone gets slow, as all are then taken to be slower.
+/// Estimates run times from a slow moving mean per method, relative to the work hint if requests have one, and from the
+/// ratio of recent runs to these means over all methods together. The common ratio detects a server that becomes slow:
+/// each method alone runs too rarely to show that in time. The cost is that a slowdown of a single method raises the
+/// estimates of all.
 pub(super) struct ServiceTimeEstimator {
     pub means: Vec<f64>,
-    /// In thousandths of the mean.
+    /// Recent run times relative to the mean of their method, in thousandths.
     pub ratios: LatencyHistogram,
 }
 
@@ -62,27 +64,27 @@
         ServiceTimeEstimator { means: vec![0.0; methods], ratios: LatencyHistogram::default() }
     }
 
-    /// A run took so long; `hint_us` is the work that the request announced.
+    /// Records a run time. `hint_us` is the work hint of the request.
     pub fn add(&mut self, method: usize, took_us: u64, hint_us: Option<u64>) {
-        let took = took_us as f64 / hint_us.map_or(1.0, |hint| hint.max(1) as f64);
+        let relative_time = took_us as f64 / hint_us.map_or(1.0, |hint| hint.max(1) as f64);
         let mean = &mut self.means[method];
         if *mean == 0.0 {
-            *mean = took;
+            *mean = relative_time;
         } else {
-            self.ratios.add((RATIO_UNIT * took / *mean) as u64);
-            *mean += (took - *mean) * MEAN_WEIGHT;
+            self.ratios.add((RATIO_UNIT * relative_time / *mean) as u64);
+            *mean += (relative_time - *mean) * MEAN_WEIGHT;
         }
     }
 
-    /// The given quantile of a request's run time; before the method's first run one and a half times the hint, or
-    /// `unknown_us` without one.
+    /// Returns the given quantile of a request's run time. Before the method's first run, returns one and a half times
+    /// the hint, or `unknown_us` without a hint.
     pub fn estimate_us(&self, method: usize, quantile: f64, hint_us: Option<u64>, unknown_us: u64) -> u64 {
         let mean = self.means[method];
         if mean == 0.0 {
             return hint_us.map_or(unknown_us, |hint| hint * 3 / 2);
         }
-        let usual_us = mean * hint_us.map_or(1.0, |hint| hint as f64);
+        let mean_us = mean * hint_us.map_or(1.0, |hint| hint as f64);
         let ratio = self.ratios.quantile(quantile).unwrap_or(UNKNOWN_RATIO);
-        (usual_us * ratio as f64 / RATIO_UNIT) as u64
+        (mean_us * ratio as f64 / RATIO_UNIT) as u64
     }
 }
--- a/src/admission/size_classes.rs
+++ b/src/admission/size_classes.rs
@@ -1,29 +1,30 @@
-//! Small and large requests (paper 2.2 and 2.3): methods are divided by the mean upstream calls seen of them. Small ones
-//! start first; a large one that has waited longer starts with the release probability (the paper's Prob_l), which adapts
-//! so that large requests cannot starve.
+//! Size classes (paper 2.2 and 2.3): methods are divided into small and large by their observed mean number of upstream
+//! calls. Small requests start first. A large request that has waited longer starts before them with the release
+//! probability (the paper's Prob_l), which adapts so that large requests do not starve.
 
-/// The release probability: its floor, its fall and its rise per period.
+/// The minimum of the release probability, the factor by which it falls, and its increase, both per period.
 const MIN_RELEASE_PROBABILITY: f64 = 0.05;
 const RELEASE_PROBABILITY_FALL: f64 = 0.7;
 const RELEASE_PROBABILITY_RISE: f64 = 0.15;
-/// A draw stands this long for the same request; then it is drawn again.
+/// The time for which a random draw is valid for the same request, before the next draw.
 const DRAW_VALID_US: u64 = 100_000;
-/// There are two classes only where the most mean calls are this multiple of the fewest: less is chance.
+/// The smallest ratio of the highest to the lowest mean number of calls at which methods are divided into two classes.
+/// Smaller differences are chance.
 const MIN_CLASS_RATIO: f64 = 1.4;
-/// Runs after which the statistics of a method are halved, so that late runs count more.
+/// The number of runs at which the statistics of a method are halved, so that recent runs have more weight.
 const MAX_RUNS: f64 = 64.0;
 
-/// Runs seen of a method, and the upstream calls that they made.
+/// The observed runs of a method, and the upstream calls that they made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallStatistics {
-    /// Runs, less as they age.
+    /// The number of runs, which decays with age.
     pub runs: f64,
-    /// Calls of those.
+    /// The number of calls made by these runs.
     pub calls: f64,
 }
 
 impl CallStatistics {
-    /// A method that calls is taken to call once until it is seen.
+    /// Creates the statistics of a method before its first run: a method that makes calls is assumed to make one.
     pub(super) fn before_any_run(makes_calls: bool) -> CallStatistics {
         CallStatistics { runs: 1.0, calls: f64::from(u8::from(makes_calls)) }
     }
@@ -42,7 +43,7 @@
     }
 }
 
-/// The class of a request, by its method.
+/// The size class of a request, by its method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SizeClass {
     /// Few upstream calls.
@@ -51,9 +52,9 @@
     Large,
 }
 
-/// Whether a large request may start before small ones: drawn once, then valid for a while.
+/// The random draw on whether a large request may start before small ones, valid for [`DRAW_VALID_US`].
 pub(super) struct ReleaseDraw {
-    /// The sequence number of the request that it was drawn for.
+    /// The sequence number of the request that the draw is for.
     pub sequence: u64,
     pub drawn_us: u64,
     pub may_start: bool,
@@ -65,20 +66,20 @@
     }
 }
 
-/// Which methods are small and large, and how large requests are released.
+/// The division of methods into size classes, and the release of large requests.
 pub struct SizeClasses {
     pub(super) is_large: Vec<bool>,
-    /// Mean calls of a small and of a large request.
+    /// The mean number of calls of a small and of a large request.
     pub mean_calls: [f64; 2],
-    /// The chance of a large request to start before a small one that has waited less.
+    /// The probability that a large request starts before a small one that has waited less.
     pub release_probability: f64,
     pub(super) draw: ReleaseDraw,
-    /// A small request was held back in this period because the integral controller had no capacity.
+    /// Whether a small request was held back in this period because the integral controller had no capacity.
     pub has_held_back_small: bool,
 }
 
 impl SizeClasses {
-    /// Divides the methods by these statistics, in the deployment's order.
+    /// Divides the methods by their statistics, which are in the deployment's order.
     pub fn new(statistics: &[CallStatistics]) -> SizeClasses {
         let mut classes = SizeClasses {
             is_large: vec![false; statistics.len()],
@@ -91,7 +92,7 @@
         classes
     }
 
-    /// The class of a method.
+    /// Returns the size class of a method.
     pub fn class_of(&self, method: usize) -> SizeClass {
         if self.is_large[method] {
             SizeClass::Large
@@ -100,24 +101,24 @@
         }
     }
 
-    /// Mean calls of the class of a method.
+    /// Returns the mean number of calls of a method's class.
     pub(super) fn class_mean_calls(&self, method: usize) -> f64 {
         self.mean_calls[usize::from(self.is_large[method])]
     }
 
-    /// Divides the methods at the middle between the fewest and the most mean calls. In place of the paper's offline
-    /// k-means; one class where they hardly differ.
+    /// Divides the methods at the midpoint between the lowest and the highest mean number of calls. This replaces the
+    /// paper's offline k-means. All methods are small if their means hardly differ.
     pub fn divide(&mut self, statistics: &[CallStatistics]) {
-        let most = statistics.iter().map(CallStatistics::mean_calls).fold(0.0, f64::max);
-        let fewest = statistics.iter().map(CallStatistics::mean_calls).fold(f64::MAX, f64::min);
-        let differ = most >= MIN_CLASS_RATIO * fewest.max(0.1);
+        let max_mean = statistics.iter().map(CallStatistics::mean_calls).fold(0.0, f64::max);
+        let min_mean = statistics.iter().map(CallStatistics::mean_calls).fold(f64::MAX, f64::min);
+        let has_two_classes = max_mean >= MIN_CLASS_RATIO * min_mean.max(0.1);
         let mut sums = [CallStatistics { runs: 0.0, calls: 0.0 }; 2];
-        for (method, of_method) in statistics.iter().enumerate() {
-            let is_large = differ && of_method.mean_calls() > (most + fewest) / 2.0;
+        for (method, method_statistics) in statistics.iter().enumerate() {
+            let is_large = has_two_classes && method_statistics.mean_calls() > (max_mean + min_mean) / 2.0;
             self.is_large[method] = is_large;
             let sum = &mut sums[usize::from(is_large)];
-            sum.runs += of_method.runs;
-            sum.calls += of_method.calls;
+            sum.runs += method_statistics.runs;
+            sum.calls += method_statistics.calls;
         }
         self.mean_calls = sums.map(|sum| if sum.runs > 0.0 { sum.calls / sum.runs } else { 0.0 });
     }
@@ -131,16 +132,16 @@
         self.draw.may_start
     }
 
-    /// Adapts the release probability at the end of a period, from how long the first request of each class has waited, in
-    /// microseconds. Large requests that wait longer than small ones raise it; so does a period that held no small one
-    /// back.
+    /// Adapts the release probability at the end of a period to the waiting times of the first request of each class,
+    /// in microseconds. The probability rises if the large request has waited longer than the small one, and also if no
+    /// small request was held back in the period. Otherwise it falls.
     pub fn adapt(&mut self, small_wait_us: Option<u64>, large_wait_us: Option<u64>) {
         if self.has_held_back_small && small_wait_us >= large_wait_us {
-            let fallen = self.release_probability * RELEASE_PROBABILITY_FALL;
-            self.release_probability = fallen.max(MIN_RELEASE_PROBABILITY);
+            let decreased = self.release_probability * RELEASE_PROBABILITY_FALL;
+            self.release_probability = decreased.max(MIN_RELEASE_PROBABILITY);
         } else {
-            let risen = self.release_probability + RELEASE_PROBABILITY_RISE;
-            self.release_probability = risen.min(1.0);
+            let increased = self.release_probability + RELEASE_PROBABILITY_RISE;
+            self.release_probability = increased.min(1.0);
         }
         self.has_held_back_small = false;
     }
--- a/src/admission/upstream_calls.rs
+++ b/src/admission/upstream_calls.rs
@@ -1,5 +1,6 @@
-//! Which upstream call goes when, and which is skipped. Guards what all servers call: it slows down long before it falls
-//! over, so few calls are placed at once and the others wait here without a core.
+//! The decision to place, delay or skip upstream calls. This protects the upstream that all servers share: the upstream
+//! slows down long before it fails, so few calls are in flight at the same time, and the others wait here without a
+//! core.
 
 use super::request::{Request, Run};
 use super::request_table::RequestTable;
@@ -8,40 +9,42 @@
 use crate::host::{Method, Outcome, Upstream};
 use std::collections::VecDeque;
 
-/// Of the calls in flight that upstream survives from this server: used in the mean, and at once.
-const MEAN_USED: f64 = 0.8;
-const USED_AT_ONCE: f64 = 0.4;
-/// The quantile of the calls' times that counts as usual.
+/// The used share of the number of calls in flight that the upstream survives from this server: on average, and at any
+/// one time.
+const MAX_MEAN_SHARE: f64 = 0.8;
+const MAX_SHARE_AT_ONCE: f64 = 0.4;
+/// The quantile of call times that counts as the usual call time.
 const USUAL_QUANTILE: f64 = 0.9;
-/// A call that may not be skipped gets at least this many times its usual time.
-const PATIENCE: u64 = 4;
-/// The usual time of calls before any was seen.
-const UNKNOWN_TIME_US: u64 = 1_000_000;
-/// A call gets at least this long.
-const MIN_CALL_US: u64 = 1_000;
-/// A call that failed is placed again after so long.
+/// The shortest time before a call that may not be skipped is abandoned, as a multiple of the usual call time.
+const TIMEOUT_FACTOR: u64 = 4;
+/// The assumed usual call time before the first call has succeeded.
+const UNKNOWN_CALL_TIME_US: u64 = 1_000_000;
+/// The shortest time limit of a call.
+const MIN_CALL_TIMEOUT_US: u64 = 1_000;
+/// The delay before a failed call is retried.
 const RETRY_DELAY_US: u64 = 2 * TICK_US;
 
-/// What becomes of a call that a run waits for.
+/// The decision on a call that a run waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallDecision {
     Wait,
-    /// The run goes on without it.
+    /// Resumes the run without the call.
     Skip,
-    /// It is placed, and abandoned at the given time.
+    /// Places the call, which is abandoned at the given time.
     Place {
         until_us: u64,
     },
 }
 
-/// Upstream calls of one server, as upstream has them in flight.
+/// The upstream calls of one server that are in flight.
 pub(super) struct UpstreamCalls {
     upstream: Upstream,
-    /// How long calls take that succeed.
+    /// The times of successful calls.
     pub times: LatencyHistogram,
-    /// When abandoned calls leave upstream.
+    /// The times at which abandoned calls end at the upstream.
     pub lingering: VecDeque<u64>,
-    /// Means over half of the upstream's window: calls in flight, and those with the calls that wait here.
+    /// Moving means over half of the upstream's window: of the calls in flight, and of the calls in flight or waiting
+    /// here.
     pub mean_in_flight: f64,
     pub mean_wanted: f64,
     pub counted_us: u64,
@@ -63,14 +66,15 @@
         requests.calling() + self.lingering.len()
     }
 
-    /// Counts calls up to now, before anything changes their number. Says whether more are wanted than upstream survives,
-    /// in the mean and now: bursts of a moment are normal.
+    /// Updates the means up to now, and is called before any event changes the number of calls. Returns whether more
+    /// calls are in flight or waiting than the upstream survives, both on average and at present: short bursts are
+    /// normal.
     pub fn count(&mut self, now_us: u64, requests: &RequestTable) -> bool {
         let Upstream::Shared { max_calls_in_flight: max, window_us, .. } = self.upstream else {
             return false;
         };
-        let passed = (now_us - self.counted_us) as f64 / (window_us / 2).max(1) as f64;
-        let weight = passed.min(1.0);
+        let elapsed_part = (now_us - self.counted_us) as f64 / (window_us / 2).max(1) as f64;
+        let weight = elapsed_part.min(1.0);
         let in_flight = self.in_flight(requests) as f64;
         let awaiting = requests.awaiting_call() as f64;
         self.mean_in_flight += (in_flight - self.mean_in_flight) * weight;
@@ -82,40 +86,41 @@
         self.mean_wanted > max && in_flight + awaiting > max
     }
 
-    /// A call was abandoned: upstream has it in flight for a while yet.
+    /// Records an abandoned call, which remains in flight at the upstream for the configured linger time.
     pub fn abandoned(&mut self, now_us: u64) {
         if let Upstream::Shared { linger_us, .. } = self.upstream {
             self.lingering.push_back(now_us + linger_us);
         }
     }
 
-    /// Whether the end of a call shows overload upstream. A call that was cut short here says nothing of it (ours).
+    /// Whether the outcome of a call is a sign of upstream overload. A time-out counts only if the call had at least
+    /// twice its usual time: a call that this server cut short says nothing about the upstream (ours).
     pub fn shows_overload(&self, outcome: Outcome, took_us: u64) -> bool {
-        let fair_us = self.times.quantile(USUAL_QUANTILE).map_or(0, |usual_us| 2 * usual_us);
+        let min_timeout_us = self.times.quantile(USUAL_QUANTILE).map_or(0, |usual_us| 2 * usual_us);
         match outcome {
             Outcome::Rejected => true,
-            Outcome::TimedOut => took_us >= fair_us,
+            Outcome::TimedOut => took_us >= min_timeout_us,
             _ => false,
         }
     }
 
     fn has_capacity(&self, requests: &RequestTable) -> bool {
         let Upstream::Shared { max_calls_in_flight: max, .. } = self.upstream else { return true };
-        (self.in_flight(requests) as f64) < (USED_AT_ONCE * max).max(1.0)
-            && self.mean_in_flight < MEAN_USED * max
+        (self.in_flight(requests) as f64) < (MAX_SHARE_AT_ONCE * max).max(1.0)
+            && self.mean_in_flight < MAX_MEAN_SHARE * max
     }
 
-    /// How long calls are expected to take.
+    /// Returns the expected call times.
     pub fn expected_times(&self) -> ExpectedTimes {
         let usual_us = self.times.quantile(USUAL_QUANTILE);
         ExpectedTimes {
             usual_us: usual_us.unwrap_or(0),
-            patience_us: usual_us.unwrap_or(UNKNOWN_TIME_US) * PATIENCE,
+            timeout_us: usual_us.unwrap_or(UNKNOWN_CALL_TIME_US) * TIMEOUT_FACTOR,
         }
     }
 
-    /// What becomes of a call that a run waits for. It is skipped where that earns a part and its usual time no longer
-    /// fits.
+    /// Decides on a call that a run waits for. A call that may be skipped is skipped if the run was started on that
+    /// condition, or if the usual call time no longer fits.
     pub fn decide(
         &self,
         now_us: u64,
@@ -130,7 +135,7 @@
         if now_us < call.not_before_us || !self.has_capacity(requests) {
             return CallDecision::Wait;
         }
-        CallDecision::Place { until_us: until_us.max(now_us + MIN_CALL_US) }
+        CallDecision::Place { until_us: until_us.max(now_us + MIN_CALL_TIMEOUT_US) }
     }
 }
 
@@ -148,27 +153,30 @@
     }
 }
 
-/// When a call that failed may be placed again.
+/// Returns the earliest time at which a failed call may be retried.
 pub(super) fn retry_at_us(now_us: u64) -> u64 {
     now_us + RETRY_DELAY_US
 }
 
-/// How long calls take, as far as is known.
+/// Expected call times.
 #[derive(Clone, Copy)]
 pub(super) struct ExpectedTimes {
-    /// 0 where nothing is known.
+    /// The usual call time; 0 while unknown.
     usual_us: u64,
-    /// What a call gets that may not be skipped, past its request's latency target.
-    patience_us: u64,
+    /// The shortest time limit of a call that may not be skipped, even if the limit exceeds its request's latency
+    /// target.
+    timeout_us: u64,
 }
 
 impl ExpectedTimes {
-    /// When a call is abandoned. What remains of the run after it is taken to be like what came before it. Guards against
-    /// calls into a silent endpoint, which would fill the concurrency limit until their requests are due: past the latency
-    /// target a call gets a few times its usual time. Harms a late answer that still earns a part.
+    /// Returns the time at which a call is abandoned. The rest of the run after the call is assumed to take as long on
+    /// the cores as the run did before. A call ends by its request's latency target, or after a few times the usual
+    /// call time where that is later, because calls to an endpoint that does not answer would otherwise occupy the
+    /// concurrency limit until their requests are due. The cost is the loss of a late answer that would still have had
+    /// value.
     fn abandon_us(self, now_us: u64, call: &PendingCall) -> u64 {
         let due_us = call.request.due_us.saturating_sub(ANSWER_MARGIN_US);
-        let patient_us = if call.can_skip() { 0 } else { now_us + self.patience_us };
-        call.request.target_us.saturating_sub(call.run.core_time_us).max(patient_us).min(due_us)
+        let min_until_us = if call.can_skip() { 0 } else { now_us + self.timeout_us };
+        call.request.target_us.saturating_sub(call.run.core_time_us).max(min_until_us).min(due_us)
     }
 }
