--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -1,14 +1,14 @@
-//! A host that writes down what it is asked, counts timers and keeps the last call's end; a small server around
-//! the module.
+//! Test support: a host that records the actions of a controller, and a small server with a controller and a clock.
 #![allow(dead_code)]
 
 use ochrewalk::admission::{AdmissionConfig, AdmissionController};
 use ochrewalk::host::*;
 
+/// A host that records actions as text, the number of timers set, and the time limit of the last call, in this order.
 #[derive(Default)]
-pub struct Tape(pub Vec<String>, pub u64, pub u64);
+pub struct RecordingHost(pub Vec<String>, pub u64, pub u64);
 
-impl Host for Tape {
+impl Host for RecordingHost {
     fn start(&mut self, id: &str) {
         self.0.push(format!("run {id}"));
     }
@@ -16,8 +16,8 @@
         self.0.push(format!("stop {id}"));
     }
     fn reject(&mut self, id: &str, rejection: Rejection) {
-        let last = if rejection.retry == Retry::DoNotRetry { " last" } else { "" };
-        self.0.push(format!("push {id}{last}"));
+        let advice = if rejection.retry == Retry::DoNotRetry { " last" } else { "" };
+        self.0.push(format!("reject {id}{advice}"));
     }
     fn abort(&mut self, id: &str) {
         self.0.push(format!("abort {id}"));
@@ -30,10 +30,10 @@
         self.0.push(format!("skip {id}"));
     }
     fn remember_key(&mut self, id: &str, ttl_us: u64) {
-        self.0.push(format!("key {id} {ttl_us}"));
+        self.0.push(format!("remember {id} {ttl_us}"));
     }
     fn forget_key(&mut self, id: &str) {
-        self.0.push(format!("drop {id}"));
+        self.0.push(format!("forget {id}"));
     }
     fn share_outcome(&mut self, id: &str) {
         self.0.push(format!("share {id}"));
@@ -52,12 +52,12 @@
     }
 }
 
-/// The methods of most tests, by position: idempotent, tokened, non-idempotent, idempotent that may skip its
-/// call.
-pub const IDEM: usize = 0;
-pub const TOKEN: usize = 1;
-pub const ONCE: usize = 2;
-pub const SKIP: usize = 3;
+/// The methods of most tests, by position: idempotent, with an idempotency key, non-idempotent, and idempotent with
+/// calls that may be skipped.
+pub const IDEMPOTENT: usize = 0;
+pub const WITH_KEY: usize = 1;
+pub const NON_IDEMPOTENT: usize = 2;
+pub const SKIPPABLE: usize = 3;
 
 pub fn method(effect: Effect, value_without_call: f64) -> Method {
     Method {
@@ -73,12 +73,13 @@
 }
 
 pub struct Server {
-    pub it: AdmissionController<Tape>,
+    pub controller: AdmissionController<RecordingHost>,
     pub now: u64,
 }
 
-/// What a test changes of the usual server: six cores, room for 100 running RPCs of 1 kB held, a tier below.
-pub struct Given {
+/// The configuration of a test's server. The default has six cores, memory for 100 running requests that take 1 kB each
+/// while queued, and a tier upstream.
+pub struct TestConfig {
     pub machine: Machine,
     pub survivable_load: SurvivableLoad,
     pub methods: Vec<Method>,
@@ -87,9 +88,9 @@
     pub mark_retries: bool,
 }
 
-impl Default for Given {
-    fn default() -> Given {
-        Given {
+impl Default for TestConfig {
+    fn default() -> TestConfig {
+        TestConfig {
             machine: Machine {
                 cores: 6,
                 memory_kb: 1_000.0,
@@ -117,7 +118,7 @@
     }
 }
 
-impl Given {
+impl TestConfig {
     pub fn start(self) -> Server {
         let callers = Callers {
             signal: self.signal,
@@ -127,8 +128,8 @@
         };
         let quotas = QuotaSettings { counts_by_work: true, over_quota_value: 0.1, servers: 10 };
         let mut server = Server {
-            it: AdmissionController::start(
-                Tape::default(),
+            controller: AdmissionController::start(
+                RecordingHost::default(),
                 0,
                 7,
                 AdmissionConfig {
@@ -143,7 +144,7 @@
             ),
             now: 0,
         };
-        server.took();
+        server.take_actions();
         server
     }
 }
@@ -164,58 +165,58 @@
 
 impl Server {
     pub fn arrive(&mut self, id: &str, method: usize) -> Vec<String> {
-        self.arrives(rpc(id, method))
+        self.arrive_with(rpc(id, method))
     }
 
-    pub fn arrives(&mut self, new: Arrival) -> Vec<String> {
-        self.it.request_arrived(self.now, new);
-        self.turn()
+    pub fn arrive_with(&mut self, arrival: Arrival) -> Vec<String> {
+        self.controller.request_arrived(self.now, arrival);
+        self.decide()
     }
 
-    /// Lets time pass to `now`, then tells the module that all has been told.
-    pub fn at(&mut self, now: u64) -> Vec<String> {
+    /// Advances the clock to `now`, then lets the controller decide.
+    pub fn decide_at(&mut self, now: u64) -> Vec<String> {
         self.now = now;
-        self.turn()
+        self.decide()
     }
 
-    pub fn turn(&mut self) -> Vec<String> {
-        self.it.decide(self.now);
-        self.took()
+    pub fn decide(&mut self) -> Vec<String> {
+        self.controller.decide(self.now);
+        self.take_actions()
     }
 
-    pub fn settle(&mut self, id: &str) -> Vec<String> {
-        self.it.run_ended(self.now, id, Outcome::Ok);
-        self.turn()
+    pub fn end_run(&mut self, id: &str) -> Vec<String> {
+        self.controller.run_ended(self.now, id, Outcome::Ok);
+        self.decide()
     }
 
-    pub fn needs(&mut self, id: &str) -> Vec<String> {
-        self.it.call_needed(self.now, id);
-        self.turn()
+    pub fn need_call(&mut self, id: &str) -> Vec<String> {
+        self.controller.call_needed(self.now, id);
+        self.decide()
     }
 
-    pub fn called(&mut self, id: &str, outcome: Outcome) -> Vec<String> {
-        self.it.call_ended(self.now, id, outcome, 1_000_000);
-        self.turn()
+    pub fn end_call(&mut self, id: &str, outcome: Outcome) -> Vec<String> {
+        self.controller.call_ended(self.now, id, outcome, 1_000_000);
+        self.decide()
     }
 
-    pub fn pulse(&mut self, now: u64, busy: f64, runnable: f64) -> Vec<String> {
+    pub fn fire_timer(&mut self, now: u64, busy: f64, runnable: f64) -> Vec<String> {
         self.now = now;
-        self.it.timer_fired(
+        self.controller.timer_fired(
             now,
             now,
             Gauges { busy: Some(busy), runnable: Some(runnable), connections: None },
         );
-        self.turn()
+        self.decide()
     }
 
-    pub fn took(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.it.host().0)
+    pub fn take_actions(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.controller.host().0)
     }
 
-    /// Takes all six cores with RPCs named r0 to r5.
-    pub fn fill(&mut self) {
+    /// Occupies all six cores with requests named r0 to r5.
+    pub fn fill_cores(&mut self) {
         for i in 0..6 {
-            assert_eq!(self.arrive(&format!("r{i}"), IDEM), [format!("run r{i}")]);
+            assert_eq!(self.arrive(&format!("r{i}"), IDEMPOTENT), [format!("run r{i}")]);
         }
     }
 }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -1,5 +1,5 @@
-//! The same events bring the same actions, whether one module sees them all or a successor goes on from what the first
-//! one wrote down.
+//! The same events cause the same actions, whether one controller processes all of them or a successor continues from a
+//! snapshot.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -51,28 +51,34 @@
     }
 }
 
-/// What the outside knows of each RPC.
+/// The phase of a request, as far as its server knows.
 #[derive(Clone, Copy, PartialEq)]
-enum At {
+enum Phase {
     Queued,
     Running,
     Waiting,
     Calling,
 }
 
-/// One event, told to any module in the same way.
-type Event = Box<dyn Fn(&mut AdmissionController<Tape>)>;
+/// An event, which can be reported to several controllers.
+type Event = Box<dyn Fn(&mut AdmissionController<RecordingHost>)>;
 
-fn next_event(rng: &mut fastrand::Rng, now: u64, known: &BTreeMap<String, At>, count: &mut u64) -> Event {
-    let of = |at: At, rng: &mut fastrand::Rng| -> Option<String> {
-        let all: Vec<&String> = known.iter().filter(|(_, a)| **a == at).map(|(id, _)| id).collect();
+fn next_event(
+    rng: &mut fastrand::Rng,
+    now: u64,
+    phases: &BTreeMap<String, Phase>,
+    arrivals: &mut u64,
+) -> Event {
+    let any_in = |phase: Phase, rng: &mut fastrand::Rng| -> Option<String> {
+        let all: Vec<&String> =
+            phases.iter().filter(|(_, current)| **current == phase).map(|(id, _)| id).collect();
         (!all.is_empty()).then(|| all[rng.usize(0..all.len())].clone())
     };
     match rng.u32(0..12) {
         0..=3 => {
-            *count += 1;
+            *arrivals += 1;
             let arrival = Arrival {
-                id: format!("r{count}").as_str().into(),
+                id: format!("r{arrivals}").as_str().into(),
                 method: rng.usize(0..4),
                 memory_kb: 1.0 + rng.f64() * 20.0,
                 queued_us: rng.u64(0..50_000),
@@ -82,119 +88,125 @@
                 is_retry: rng.u32(0..4) == 0,
                 tenant: rng.bool().then(|| TENANTS[rng.usize(0..2)]),
             };
-            Box::new(move |m| m.request_arrived(now, arrival.clone()))
+            Box::new(move |controller| controller.request_arrived(now, arrival.clone()))
         }
-        4 | 5 => match of(At::Running, rng) {
-            Some(id) => Box::new(move |m| m.call_needed(now, &id)),
+        4 | 5 => match any_in(Phase::Running, rng) {
+            Some(id) => Box::new(move |controller| controller.call_needed(now, &id)),
             None => Box::new(|_| ()),
         },
-        6 | 7 => match of(At::Calling, rng) {
+        6 | 7 => match any_in(Phase::Calling, rng) {
             Some(id) => {
                 let outcome =
                     [Outcome::Ok, Outcome::Ok, Outcome::Rejected, Outcome::TimedOut, Outcome::Interrupted];
                 let (outcome, took) = (outcome[rng.usize(0..5)], rng.u64(500..900_000));
-                Box::new(move |m| m.call_ended(now, &id, outcome, took))
+                Box::new(move |controller| controller.call_ended(now, &id, outcome, took))
             }
             None => Box::new(|_| ()),
         },
-        8 | 9 => match of(At::Running, rng) {
+        8 | 9 => match any_in(Phase::Running, rng) {
             Some(id) => {
                 let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Stopped][rng.usize(0..4)];
-                Box::new(move |m| m.run_ended(now, &id, outcome))
+                Box::new(move |controller| controller.run_ended(now, &id, outcome))
             }
             None => Box::new(|_| ()),
         },
-        10 => match of([At::Queued, At::Running, At::Waiting][rng.usize(0..3)], rng) {
-            Some(id) => Box::new(move |m| m.caller_left(&id)),
+        10 => match any_in([Phase::Queued, Phase::Running, Phase::Waiting][rng.usize(0..3)], rng) {
+            Some(id) => Box::new(move |controller| controller.caller_left(&id)),
             None => Box::new(|_| ()),
         },
         _ => {
             let gauges =
                 Gauges { busy: Some(rng.f64()), runnable: Some(rng.f64() * 6.0), connections: Some(9.0) };
             let token = rng.u64(0..3);
-            Box::new(move |m| m.timer_fired(now, token, gauges))
+            Box::new(move |controller| controller.timer_fired(now, token, gauges))
         }
     }
 }
 
-/// Follows what the module asked for, so that events make sense.
-fn follow(asked: &[String], known: &mut BTreeMap<String, At>) {
-    for line in asked {
-        let (what, id) = line.split_once(' ').unwrap();
+/// Updates the phases of requests after the controller's actions, so that later events are consistent.
+fn apply_actions(actions: &[String], phases: &mut BTreeMap<String, Phase>) {
+    for line in actions {
+        let (action, id) = line.split_once(' ').unwrap();
         let id = id.split(' ').next().unwrap().to_string();
-        match what {
-            "run" | "skip" => drop(known.insert(id, At::Running)),
-            "call" => drop(known.insert(id, At::Calling)),
-            "push" => drop(known.remove(&id)),
+        match action {
+            "run" | "skip" => drop(phases.insert(id, Phase::Running)),
+            "call" => drop(phases.insert(id, Phase::Calling)),
+            "reject" => drop(phases.remove(&id)),
             _ => {}
         }
     }
 }
 
 #[test]
-fn a_successor_decides_as_the_one_before_it_would_have() {
+fn a_successor_decides_as_its_predecessor_would_have() {
     let mut actions = 0;
     for seed in 0..60 {
         let config = config(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut now, mut count, mut known) = (1_000_000, 0, BTreeMap::new());
-        let start = || AdmissionController::start(Tape::default(), 1_000_000, seed, config.clone());
-        let mut one = start();
-        let mut other = start();
-        let hand_over = rng.usize(50..400);
+        let (mut now, mut arrivals, mut phases) = (1_000_000, 0, BTreeMap::new());
+        let start = || AdmissionController::start(RecordingHost::default(), 1_000_000, seed, config.clone());
+        let mut controller = start();
+        let mut successor = start();
+        let handover_step = rng.usize(50..400);
         for step in 0..600 {
             now += rng.u64(0..30_000);
-            let before = one.host().0.len();
-            let event = next_event(&mut rng, now, &known, &mut count);
-            event(&mut one);
-            one.decide(now);
-            event(&mut other);
-            other.decide(now);
-            let asked = one.host().0[before..].to_vec();
+            let previous_len = controller.host().0.len();
+            let event = next_event(&mut rng, now, &phases, &mut arrivals);
+            event(&mut controller);
+            controller.decide(now);
+            event(&mut successor);
+            successor.decide(now);
+            let new_actions = controller.host().0[previous_len..].to_vec();
             assert_eq!(
-                asked,
-                other.host().0[before..],
-                "seed {seed}, step {step}, handed over at {hand_over}"
+                new_actions,
+                successor.host().0[previous_len..],
+                "seed {seed}, step {step}, handed over at {handover_step}"
             );
-            assert_eq!(one.host().1, other.host().1, "as many wake-ups");
-            actions += asked.len();
-            for id in (count.saturating_sub(1)..=count).map(|n| format!("r{n}")) {
-                if step > 0 && !known.contains_key(&id) && !asked.iter().any(|a| a.ends_with(&id)) {
-                    known.entry(id).or_insert(At::Queued);
+            assert_eq!(controller.host().1, successor.host().1, "the same number of timers");
+            actions += new_actions.len();
+            for id in (arrivals.saturating_sub(1)..=arrivals).map(|n| format!("r{n}")) {
+                if step > 0
+                    && !phases.contains_key(&id)
+                    && !new_actions.iter().any(|action| action.ends_with(&id))
+                {
+                    phases.entry(id).or_insert(Phase::Queued);
                 }
             }
-            follow(&asked, &mut known);
-            if step == hand_over {
-                let bytes = other.snapshot().encode_to_vec();
+            apply_actions(&new_actions, &mut phases);
+            if step == handover_step {
+                let bytes = successor.snapshot().encode_to_vec();
                 let snapshot = AdmissionSnapshot::decode(&bytes[..]).unwrap();
-                let tape = std::mem::take(other.host());
+                let host = std::mem::take(successor.host());
                 let survivable_load = SurvivableLoad { is_cold: false, ..config.survivable_load };
                 let config = AdmissionConfig { survivable_load, ..config.clone() };
-                other = AdmissionController::resume(tape, config, snapshot).unwrap();
-                // What was read is what is written again.
-                assert_eq!(other.snapshot().encode_to_vec(), bytes, "seed {seed}");
+                successor = AdmissionController::resume(host, config, snapshot).unwrap();
+                // The restored state is written again with the same bytes.
+                assert_eq!(successor.snapshot().encode_to_vec(), bytes, "seed {seed}");
             }
         }
     }
     assert!(actions > 5_000, "{actions}");
 }
 
-fn started(config: &AdmissionConfig) -> AdmissionController<Tape> {
-    AdmissionController::start(Tape::default(), 0, 1, config.clone())
+fn started(config: &AdmissionConfig) -> AdmissionController<RecordingHost> {
+    AdmissionController::start(RecordingHost::default(), 0, 1, config.clone())
 }
 
 #[test]
-fn what_does_not_fit_the_deployment_is_rejected() {
+fn a_snapshot_that_does_not_fit_the_deployment_is_rejected() {
     let config = config(1);
     let mut fewer = config.methods.to_vec();
     fewer.pop();
     let snapshot = started(&config).snapshot();
     let config = AdmissionConfig { methods: fewer.into(), ..config };
-    let rejected = AdmissionController::resume(Tape::default(), config, snapshot);
-    assert_eq!(rejected.err().unwrap().to_string(), "runs seen of 4 methods, 3 here");
+    let rejected = AdmissionController::resume(RecordingHost::default(), config, snapshot);
+    assert_eq!(
+        rejected.err().unwrap().to_string(),
+        "runs seen of 4 methods, 3 here"
+    );
 }
 
-/// The fields of a snapshot that programs wrote before quotas came with each request.
+/// The fields that older versions wrote into a snapshot, before each request had its tenant's quota.
 #[derive(Clone, PartialEq, prost::Message)]
 struct LevelsByPosition {
     #[prost(double, repeated, tag = "6")]
@@ -203,25 +215,29 @@
     at_us: u64,
 }
 
-/// A snapshot with levels by position, read for a deployment with these quotas, and started again.
+/// Resumes a controller from a snapshot with levels by position, for a deployment with these quotas.
 fn resumed_from_levels(
     levels: Vec<f64>,
     per_second: &[f64],
-) -> Result<AdmissionController<Tape>, SnapshotError> {
+) -> Result<AdmissionController<RecordingHost>, SnapshotError> {
     let config = config(1);
-    // Protobuf messages that follow one another read as one.
+    // The concatenation of protobuf messages is read as one message.
     let mut bytes = started(&config).snapshot().encode_to_vec();
     bytes.extend(LevelsByPosition { levels, at_us: 5_000_000 }.encode_to_vec());
     let mut snapshot = AdmissionSnapshot::decode(&bytes[..]).unwrap();
     snapshot.complete_quotas(per_second, config.quotas.servers)?;
-    AdmissionController::resume(Tape::default(), config, snapshot)
+    AdmissionController::resume(RecordingHost::default(), config, snapshot)
 }
 
 #[test]
-fn levels_by_position_of_an_older_program_are_read() {
-    // Two servers: the first tenant's bucket holds 20 at most, the second's is full, the third has no quota.
+fn levels_by_position_of_an_older_version_are_read() {
+    // With two servers, the capacity of the first tenant's bucket is 20, the second's is full, and the third has a
+    // quota of 0.
     let resumed = resumed_from_levels(vec![-3.0, 200.0, 0.0], &[5.0, 50.0, 0.0]).unwrap();
     assert_eq!(resumed.cached_quota_buckets(), 1);
     let rejected = resumed_from_levels(vec![1.0, 1.0], &[5.0, 50.0, 1.0]);
-    assert_eq!(rejected.err().unwrap().to_string(), "buckets of 2 tenants, 3 here");
+    assert_eq!(
+        rejected.err().unwrap().to_string(),
+        "buckets of 2 tenants, 3 here"
+    );
 }
