--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -1,21 +1,23 @@
-//! QuotaSettings of tenants, as token buckets. What a tenant sends beyond its quota counts for little, whatever is done with it.
+//! Quotas of tenants, as token buckets. A request beyond its tenant's quota has a lower value in every decision.
 
 use crate::host::Tenant;
 use std::collections::{BTreeSet, HashMap};
 
-/// What a tenant has left of its quota at this server: requests that may start, refilled when it is touched.
+/// The token bucket of a tenant at this server. The level is the number of requests that may still start within the
+/// quota, and is refilled whenever the bucket is accessed.
 pub(super) struct QuotaBucket {
-    /// Requests a second that it fills by, here.
+    /// The refill rate at this server, in requests per second.
     pub rate: f64,
-    /// What was left at `refilled_us`; below 0 where more were started.
+    /// The level at `refilled_us`; below 0 if more requests were started than the quota allows.
     pub level: f64,
     pub refilled_us: u64,
-    /// When it is full, if nothing more is charged: its key in `QuotaBuckets::by_full_time`.
+    /// The time at which the bucket is full if nothing more is charged, which is its key in
+    /// `QuotaBuckets::by_full_time`.
     full_at_us: u64,
 }
 
 impl QuotaBucket {
-    /// Seconds of its rate that a tenant may save up, as traffic reaches servers unevenly.
+    /// The capacity of a bucket, in seconds of its rate. Bursts are allowed because traffic reaches servers unevenly.
     const BURST_SECONDS: f64 = 8.0;
 
     pub fn new(rate: f64, level: f64, refilled_us: u64) -> QuotaBucket {
@@ -30,65 +32,68 @@
     }
 
     fn level_at(&self, now_us: u64) -> f64 {
-        let passed = now_us.saturating_sub(self.refilled_us) as f64 / 1e6;
-        (self.level + self.rate * passed).min(self.rate * Self::BURST_SECONDS)
+        let elapsed_s = now_us.saturating_sub(self.refilled_us) as f64 / 1e6;
+        (self.level + self.rate * elapsed_s).min(self.rate * Self::BURST_SECONDS)
     }
 }
 
-/// The buckets of tenants that started requests of late. A tenant without one has a full bucket, so that one that is full
-/// again need not be cached. The quota comes with each request: a changed one holds from the tenant's next request.
+/// The buckets of tenants that have started requests recently. A tenant without a cached bucket has a full one, so a
+/// bucket that is full again need not be cached. The quota arrives with each request, so a changed quota applies from
+/// the tenant's next request.
 ///
-/// Each request touches a few buckets, however many tenants there are. At most [`Self::MAX_CACHED`] are cached; beyond
-/// that, the one that is full soonest is evicted first. Harms where more tenants than that are in debt for long: those
-/// whose buckets fill fast are not limited then.
+/// Each request accesses a few buckets, independently of the number of tenants. At most [`Self::MAX_CACHED`] buckets
+/// are cached; beyond that, the bucket that will be full soonest is evicted first. The cost of this bound: if more
+/// tenants than that exceed their quotas for a long time, those whose buckets refill fast are not limited.
 pub struct QuotaBuckets {
-    /// Servers that a quota is divided between.
+    /// The number of servers that a quota is divided between.
     servers: f64,
     pub(super) cached: HashMap<u32, QuotaBucket>,
-    /// When each is full, and its tenant.
+    /// The times at which cached buckets are full, with their tenants.
     pub(super) by_full_time: BTreeSet<(u64, u32)>,
-    /// The time of the last arrival; charges count from it.
+    /// The time of the last arrival, which is the time at which charges are made.
     pub(super) now_us: u64,
-    touched: u64,
+    accesses: u64,
 }
 
 impl QuotaBuckets {
-    /// Takes 7 MB of memory.
+    /// The maximum number of cached buckets, which take 7 MB of memory.
     pub const MAX_CACHED: usize = 65_536;
-    /// Evicted at a charge, which adds one at most: more than one, so that full ones become fewer.
+    /// The maximum number of buckets evicted per charge. A charge adds at most one bucket, so evicting up to two
+    /// reduces the number of full ones.
     const EVICTED_AT_ONCE: usize = 2;
 
-    /// For quotas that are divided between so many servers.
+    /// Creates an empty cache for quotas that are divided between this number of servers.
     pub fn new(servers: u32) -> QuotaBuckets {
         QuotaBuckets {
             servers: f64::from(servers.max(1)),
             cached: HashMap::new(),
             by_full_time: BTreeSet::new(),
             now_us: 0,
-            touched: 0,
+            accesses: 0,
         }
     }
 
-    /// Whether a request that arrives now is within its tenant's quota. One without a tenant always is.
+    /// Whether a request that arrives now is within its tenant's quota. A request without a tenant always is.
     pub fn is_within(&mut self, tenant: Option<Tenant>, now_us: u64) -> bool {
         self.now_us = self.now_us.max(now_us);
         let Some(Tenant { id, per_second }) = tenant else { return true };
         let rate = per_second / self.servers;
-        self.touched += 1;
+        self.accesses += 1;
         if let Some(bucket) = self.cached.get(&id).filter(|bucket| bucket.rate == rate) {
             return bucket.level_at(self.now_us) > 0.0;
         }
-        let changed = self.remove(id).map(|bucket| bucket.level_at(self.now_us));
-        // Without any quota it has nothing to save up, and needs no bucket.
+        let previous_level = self.remove(id).map(|bucket| bucket.level_at(self.now_us));
+        // A tenant with a quota of 0 can accumulate nothing and needs no bucket.
         if rate <= 0.0 {
             return false;
         }
-        let Some(level) = changed else { return true };
+        let Some(level) = previous_level else { return true };
         self.insert(id, QuotaBucket::new(rate, level, self.now_us));
         level > 0.0
     }
 
-    /// Only what is started counts: retries of what was rejected would use up a quota for nothing.
+    /// Charges a tenant for a request that is started. Rejected requests are not charged, as their retries would use up
+    /// the quota without any work done.
     pub fn charge(&mut self, tenant: Option<Tenant>) {
         let Some(Tenant { id, per_second }) = tenant else { return };
         let rate = per_second / self.servers;
@@ -99,25 +104,25 @@
         self.evict();
     }
 
-    /// Buckets cached now.
+    /// Returns the number of cached buckets.
     pub fn cached(&self) -> usize {
         self.cached.len()
     }
 
-    /// Buckets looked up, changed, cached or evicted since the start.
-    pub fn touched(&self) -> u64 {
-        self.touched
+    /// Returns the number of bucket look-ups, changes, insertions and evictions since the start.
+    pub fn accesses(&self) -> u64 {
+        self.accesses
     }
 
     fn remove(&mut self, id: u32) -> Option<QuotaBucket> {
-        self.touched += 1;
+        self.accesses += 1;
         let bucket = self.cached.remove(&id)?;
         self.by_full_time.remove(&(bucket.full_at_us, id));
         Some(bucket)
     }
 
     pub(super) fn insert(&mut self, id: u32, bucket: QuotaBucket) {
-        self.touched += 1;
+        self.accesses += 1;
         self.by_full_time.insert((bucket.full_at_us, id));
         self.cached.insert(id, bucket);
     }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -102,12 +102,12 @@
 fn accesses(tenants: usize) -> (Vec<u64>, u64) {
     let mut buckets = QuotaBuckets::new(1);
     let mut rpc = |id: usize, now_us: u64| {
-        let before = buckets.touched();
+        let before = buckets.accesses();
         // The buckets of the ten take longer to refill than all others, so they remain cached.
         let tenant = tenant(id, if id < 10 { 0.001 } else { 0.5 });
         buckets.is_within(tenant, now_us);
         buckets.charge(tenant);
-        buckets.touched() - before
+        buckets.accesses() - before
     };
     // After a pause without requests, all buckets but those of the ten are full.
     let mut max_accesses = 0;
