--- a/src/admission/core_usage.rs
+++ b/src/admission/core_usage.rs
@@ -1,30 +1,30 @@
-//! The server's gauges, read at an interval, as statements about its cores.
+//! Interprets the server's gauges, which are read at an interval, as the load of its cores.
 
 use crate::host::Gauges;
 
-/// Gauges cover half a second; reading them more often tells nothing new.
+/// The interval between readings. Gauges cover half a second, so more frequent readings add no information.
 const READ_INTERVAL_US: u64 = 250_000;
-/// Cores are in good use from this busy share on.
-const GOOD_USE: f64 = 0.5;
-/// Cores are busy from this busy share on.
+/// The busy share from which cores count as moderately busy.
+const MODERATELY_BUSY: f64 = 0.5;
+/// The busy share from which cores count as fully busy.
 const BUSY: f64 = 0.92;
-/// Cores are swamped when more than this multiple of them is wanted at once.
-const SWAMPED: f64 = 2.0;
+/// The ratio of runnable work to cores above which the cores count as oversubscribed.
+const OVERSUBSCRIBED: f64 = 2.0;
 
-/// Reads the gauges, where an interval has passed since it last did.
+/// Reads the gauges, at most once per interval.
 pub struct GaugeReader {
     cores: f64,
     pub(super) next_us: u64,
 }
 
 impl GaugeReader {
-    /// For a server with so many cores.
+    /// Creates the reader of a server with this number of cores.
     pub fn new(cores: u32) -> GaugeReader {
         GaugeReader { cores: f64::from(cores), next_us: 0 }
     }
 
-    /// What the gauges say of the cores; none before the interval has passed. A missing gauge reads as busy cores without
-    /// a queue, and as a full table of connections.
+    /// Returns the usage of the cores, or `None` before the interval has passed. Missing gauges read as fully busy
+    /// cores without a run queue, and as a full connection table.
     pub fn read(&mut self, now_us: u64, gauges: Gauges) -> Option<CoreUsage> {
         if now_us < self.next_us {
             return None;
@@ -39,7 +39,7 @@
     }
 }
 
-/// How the cores are used.
+/// The usage of the cores in one reading.
 #[derive(Clone, Copy, Debug)]
 pub struct CoreUsage {
     cores: f64,
@@ -49,22 +49,22 @@
 }
 
 impl CoreUsage {
-    /// Some core has nothing to do.
+    /// Whether at least one core is idle.
     pub(super) fn has_idle_core(&self) -> bool {
         self.busy < BUSY && self.runnable < self.cores
     }
 
-    /// More is runnable than the cores get through.
-    pub(super) fn is_swamped(&self) -> bool {
-        self.runnable > SWAMPED * self.cores
+    /// Whether more work is runnable than the cores can process.
+    pub(super) fn is_oversubscribed(&self) -> bool {
+        self.runnable > OVERSUBSCRIBED * self.cores
     }
 
-    /// The cores work, and can take more.
-    pub(super) fn is_in_good_use(&self) -> bool {
-        (GOOD_USE..BUSY).contains(&self.busy)
+    /// Whether the cores are busy and still have capacity.
+    pub(super) fn is_moderately_busy(&self) -> bool {
+        (MODERATELY_BUSY..BUSY).contains(&self.busy)
     }
 
-    /// Under a quarter of the callers are connected.
+    /// Whether fewer than a quarter of the callers are connected.
     pub(super) fn has_few_connections(&self, callers: u32) -> bool {
         4.0 * self.connections < f64::from(callers)
     }
--- a/src/admission/load_signal.rs
+++ b/src/admission/load_signal.rs
@@ -1,82 +1,90 @@
-//! What callers are told of this server's load: the value sent back with every answer, whether to retry elsewhere, when to
-//! come back, and how long a connection may stay idle.
+//! The load information that callers receive: the load signal sent with every answer, the advice to retry elsewhere,
+//! the retry-after time, and the time for which a connection may stay idle.
 
 use super::core_usage::CoreUsage;
 use super::integral_controller::PERIOD_US;
 use crate::host::{Callers, Rejection, Retry, SignalKind};
 
-/// The wait in the queue, over what its requests can wait, that is aimed at.
+/// The target of the queue's pressure, which is the ratio of its waiting time to the time that its requests can wait.
 const TARGET_PRESSURE: f64 = 0.4;
-/// How far the wanted share of traffic falls and rises a tick per unit of error, and its floor.
+/// The decrease and the increase of the wanted share of traffic per tick and unit of error, and the minimum of the
+/// share.
 const WANTED_FALL: f64 = 0.04;
 const WANTED_RISE: f64 = 0.01;
 const MIN_WANTED: f64 = 0.4;
-/// As a level, the value that keeps all callers away stays out of reach.
+/// The maximum of the signal as a level. A level of 1 would keep all callers away, so the signal stays below it.
 const MAX_LEVEL: f64 = 0.9;
-/// As credit, each core is worth so many requests, divided between the callers.
+/// The credit per core, in requests, which is divided between the callers.
 const CREDIT_PER_CORE: f64 = 4.0;
-/// Rejections ask not to retry while this share of retries is rejected here.
+/// The share of rejected retries above which rejections advise the caller not to retry.
 const MAX_RETRIES_REJECTED: f64 = 0.65;
-/// How far one retry moves that share.
-const RETRY_WEIGHT: f64 = 16.0;
+/// The divisor that gives the weight of one retry in that share.
+const RETRY_WEIGHT_DIVISOR: f64 = 16.0;
 
 /// The load signal of one server.
 pub(super) struct LoadSignal {
     callers: Callers,
     cores: f64,
-    /// The share of the usual traffic that is wanted.
-    pub wanted: f64,
-    /// What the callers were last told; below 0 before they were told anything.
-    pub told: f64,
-    /// Of retries (of all requests, where retries are not marked) decided on of late, the share rejected.
+    /// The wanted share of the usual traffic.
+    pub wanted_share: f64,
+    /// The wanted share that was last sent to the callers; below 0 before the first one is sent.
+    pub last_sent_share: f64,
+    /// The moving share of rejections among decided retries, or among all decided requests if retries are not marked.
     pub retries_rejected: f64,
 }
 
 impl LoadSignal {
     pub fn new(callers: Callers, cores: u32) -> LoadSignal {
-        LoadSignal { callers, cores: f64::from(cores), wanted: 1.0, told: -1.0, retries_rejected: 0.0 }
+        LoadSignal {
+            callers,
+            cores: f64::from(cores),
+            wanted_share: 1.0,
+            last_sent_share: -1.0,
+            retries_rejected: 0.0,
+        }
     }
 
-    /// An integral step on how far the pressure of the queue lies from its target. It falls faster than it rises.
+    /// Adjusts the wanted share by an integral step on the error of the queue's pressure. The share falls faster than
+    /// it rises.
     pub fn adjust(&mut self, pressure: f64) {
         let error = TARGET_PRESSURE - pressure;
         let step = if error < 0.0 { WANTED_FALL * error.max(-1.0) } else { WANTED_RISE * error };
-        self.wanted = (self.wanted + step).clamp(MIN_WANTED, 1.0);
+        self.wanted_share = (self.wanted_share + step).clamp(MIN_WANTED, 1.0);
     }
 
-    /// The wanted share to announce: a cold server wants no more than its share of speed.
-    pub fn announced(&self, warm_share: f64) -> f64 {
-        (self.wanted.min(warm_share) * 100.0).round() / 100.0
+    /// Returns the wanted share to announce. A cold server wants no more than its present share of full speed.
+    pub fn share_to_announce(&self, warm_share: f64) -> f64 {
+        (self.wanted_share.min(warm_share) * 100.0).round() / 100.0
     }
 
-    /// The value to send back for a wanted share, in the deployment's terms; none where it was sent already or callers take
-    /// no value.
-    pub fn value_to_send(&mut self, wanted: f64) -> Option<f64> {
-        if wanted == self.told {
+    /// Returns the load signal for a wanted share, in the deployment's unit, or `None` if the share was sent already or
+    /// the callers accept no signal.
+    pub fn value_to_send(&mut self, wanted_share: f64) -> Option<f64> {
+        if wanted_share == self.last_sent_share {
             return None;
         }
-        self.told = wanted;
+        self.last_sent_share = wanted_share;
         let credit = self.cores * CREDIT_PER_CORE / f64::from(self.callers.count.max(1));
         match self.callers.signal {
             SignalKind::None => None,
-            SignalKind::Weight => Some(wanted),
-            SignalKind::Level => Some(MAX_LEVEL * (1.0 - wanted)),
-            SignalKind::Credit => Some(credit * wanted),
+            SignalKind::Weight => Some(wanted_share),
+            SignalKind::Level => Some(MAX_LEVEL * (1.0 - wanted_share)),
+            SignalKind::Credit => Some(credit * wanted_share),
         }
     }
 
-    /// A request was started or rejected. Servers are met by chance, so that retries from other servers show here what ours
-    /// will find there.
+    /// Records that a request was started or rejected. Callers pick servers at random, so the outcome of retries from
+    /// other servers here predicts the outcome of this server's retries there.
     pub fn request_decided(&mut self, is_retry: bool, is_rejected: bool) {
         if is_retry || !self.callers.mark_retries {
             let rejected = f64::from(u8::from(is_rejected));
-            self.retries_rejected += (rejected - self.retries_rejected) / RETRY_WEIGHT;
+            self.retries_rejected += (rejected - self.retries_rejected) / RETRY_WEIGHT_DIVISOR;
         }
     }
 
-    /// What a rejected caller is advised, by a server that is busy for so long. Some are asked not to retry: guards against
-    /// retries that feed themselves, as each costs its reading everywhere. Harms where only the servers tried so far are
-    /// busy.
+    /// Returns the advice to a rejected caller of a server that is busy for `busy_us`. Some callers are advised not to
+    /// retry, because each attempt costs the work of reading it and retries would amplify an overload. The cost is the
+    /// loss of requests when only the servers tried so far are busy.
     pub fn rejection(&self, is_retry: bool, busy_us: u64) -> Rejection {
         let is_last = is_retry || self.retries_rejected > MAX_RETRIES_REJECTED;
         Rejection {
@@ -90,43 +98,43 @@
     }
 }
 
-/// How far the idle time falls and rises with a reading of the cores.
+/// The factors by which the idle timeout falls and rises per reading of the cores.
 const IDLE_FALL: f64 = 0.8;
 const IDLE_RISE: f64 = 1.2;
 
-/// How long a connection may stay idle before it is closed. It guards against a table full of callers that seldom return,
-/// which takes capacity and keeps others out: it falls while cores are in good use and few callers are connected. It rises
-/// while cores are swamped: a full table turns callers away at no cost, where handshakes cost work. Harms then, as it keeps
-/// callers out.
+/// The timeout after which idle connections are closed. The timeout falls while cores are moderately busy and few
+/// callers are connected: this prevents a connection table full of callers that rarely send requests, which would take
+/// capacity and keep other callers out. The timeout rises while cores are oversubscribed: a full table rejects callers
+/// at no cost, whereas handshakes cost work. The cost is that callers cannot connect then.
 pub struct IdleTimeout {
-    /// In microseconds.
+    /// The timeout in microseconds.
     pub(super) timeout_us: f64,
-    /// Callers close a connection that has been idle for so long.
+    /// The idle time after which callers close a connection themselves.
     max_us: f64,
 }
 
 impl IdleTimeout {
-    /// Begins with what callers keep at most.
+    /// Creates the timeout, which starts at the callers' own idle limit.
     pub fn new(max_us: u64) -> IdleTimeout {
         IdleTimeout { timeout_us: max_us as f64, max_us: max_us as f64 }
     }
 
-    /// The timeout in whole microseconds.
+    /// Returns the timeout in whole microseconds.
     pub fn timeout_us(&self) -> u64 {
         self.timeout_us as u64
     }
 
-    /// Takes a reading of the cores. `is_queueing`: requests are queued because the concurrency limit is reached. Gives
-    /// the timeout where it has changed.
+    /// Adjusts the timeout to a reading of the cores, and returns the timeout if it has changed. `is_queueing` is
+    /// whether requests are queued because the concurrency limit is reached.
     pub fn adjust(&mut self, usage: &CoreUsage, callers: u32, is_queueing: bool) -> Option<u64> {
-        let before = self.timeout_us;
-        if usage.is_swamped() {
+        let previous_us = self.timeout_us;
+        if usage.is_oversubscribed() {
             self.timeout_us = (self.timeout_us * IDLE_RISE).min(self.max_us);
         }
-        if usage.has_few_connections(callers) && !is_queueing && usage.is_in_good_use() {
-            let fallen = self.timeout_us * IDLE_FALL;
-            self.timeout_us = fallen.max(PERIOD_US as f64).min(self.max_us);
+        if usage.has_few_connections(callers) && !is_queueing && usage.is_moderately_busy() {
+            let decreased = self.timeout_us * IDLE_FALL;
+            self.timeout_us = decreased.max(PERIOD_US as f64).min(self.max_us);
         }
-        (self.timeout_us != before).then_some(self.timeout_us())
+        (self.timeout_us != previous_us).then_some(self.timeout_us())
     }
 }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,28 +1,30 @@
-//! Every decision of ochrewalk. A server builds one [`AdmissionController`] at its start and calls one method for each thing
-//! that happens to it; [`AdmissionController::decide`] follows once all that happened at one moment was reported. The
-//! controller acts by the [`Host`] that it was handed. It keeps no clock and does no I/O.
+//! The admission controller: every decision of ochrewalk about which requests are admitted, started, rejected or
+//! aborted. A server creates one [`AdmissionController`] when it starts and reports each event through one method.
+//! [`AdmissionController::decide`] is called once all events with the same timestamp have been reported. The controller
+//! acts through the [`Host`] that it was created with. It reads no clock and does no I/O.
 //!
-//! Each module holds one part of the state with the constants that tune it:
+//! Each module contains one part of the state and the constants that configure it:
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`integral_controller`] | upstream calls against their setpoint, and the admission limit that follows from both |
+//! | [`integral_controller`] | the count of upstream calls, its setpoint, and the admission limit derived from both |
 //! | [`size_classes`] | small and large requests, and the release probability of large ones |
-//! | [`concurrency_limit`] | how many requests may run at once |
-//! | [`core_usage`] | the gauges of the cores |
+//! | [`concurrency_limit`] | the limit on requests that run at the same time |
+//! | [`core_usage`] | the load of the cores, from the server's gauges |
 //! | [`quota`] | token buckets of tenants |
-//! | `service_time` | how long runs and calls take |
-//! | `request`, `request_table` | the requests that are here, and the state of each |
-//! | `request_queue` | the order of starting, and evictions |
-//! | `upstream_calls` | which upstream call goes when, and which is skipped |
-//! | `memory_budget` | what fits the node's memory |
-//! | [`load_signal`] | what callers are told |
-//! | `draining` | the time before the process ends |
-//! | `idempotency` | remembered keys |
-//! | `steps` | the steps of [`AdmissionController::decide`], which put all of these together |
-//! | [`snapshot`] | all state as records, for a successor |
+//! | `service_time` | estimates of run times and call times |
+//! | `request`, `request_table` | the requests at this server, and the state of each |
+//! | `request_queue` | the start order of queued requests, and evictions from the queue |
+//! | `upstream_calls` | the decision to place, delay or skip an upstream call |
+//! | `memory_budget` | the limit on the memory of requests and keys |
+//! | [`load_signal`] | the load signal and the advice that callers receive |
+//! | `draining` | the period between the notice to drain and the end of the process |
+//! | `idempotency` | idempotency keys that the server remembers |
+//! | `steps` | the steps of [`AdmissionController::decide`], which combine the other modules |
+//! | [`snapshot`] | the complete state as records, for a successor |
 //!
-//! What one decision takes is bounded by the number of requests here. "Paper" and "ours" in comments: see docs/design.md.
+//! The cost of a decision is bounded by the number of requests at this server. Comments that say "paper" or "ours"
+//! refer to docs/design.md.
 
 pub mod concurrency_limit;
 pub mod core_usage;
@@ -61,45 +63,45 @@
 use std::sync::Arc;
 use upstream_calls::UpstreamCalls;
 
-/// How often gauges are read and the load signal is set.
+/// The interval between ticks, at which gauges are read and the load signal is updated.
 pub(crate) const TICK_US: u64 = 50_000;
-/// Answers are out this long before they are due.
+/// The time before its due time at which a request is given up at the latest, so that its answer is sent in time.
 pub(crate) const ANSWER_MARGIN_US: u64 = 25_000;
-/// The token of no timer.
+/// The value of `timer_us` while no timer is set.
 const NO_TIMER: u64 = u64::MAX;
 
-/// What a controller is told of its deployment and its server.
+/// The configuration of a controller: its deployment and its server.
 #[derive(Clone, Debug)]
 pub struct AdmissionConfig {
-    /// The machine under this server.
+    /// The machine that the server runs on.
     pub machine: Machine,
-    /// What the server survives, and how that rises after its start.
+    /// The load that the server survives, and its growth after a cold start.
     pub survivable_load: SurvivableLoad,
-    /// The methods, by position.
+    /// The methods, indexed by position.
     pub methods: Arc<[Method]>,
-    /// What requests call.
+    /// The kind of upstream that requests call.
     pub upstream: Upstream,
-    /// The callers, and what they can be told.
+    /// The callers, and the advice that they understand.
     pub callers: Callers,
-    /// How criticality and quotas are counted.
+    /// The rules by which criticality and quotas are counted.
     pub quotas: QuotaSettings,
-    /// After the notice to leave, what arrives within this time may still be started, in microseconds.
+    /// The time after the notice to drain within which an arriving request may still be started, in microseconds.
     pub drain_grace_us: u64,
 }
 
-/// The decisions of one server.
+/// Makes the admission decisions of one server.
 pub struct AdmissionController<H: Host> {
     host: H,
     rng: fastrand::Rng,
     methods: Arc<[Method]>,
     stopping: Stopping,
-    /// Criticality counts for each unit of work, not for each request.
+    /// Whether criticality is the value of a unit of work, and not that of a request.
     values_by_work: bool,
-    /// What a request beyond its tenant's quota still counts for.
+    /// The factor on the value of a request beyond its tenant's quota.
     over_quota_value: f64,
-    /// The longest that the caller of a first attempt waits, by method.
+    /// The longest time that a caller of a first attempt waits for its answer, by method.
     longest_waits_us: Vec<u64>,
-    /// Runs and calls seen, by method.
+    /// Observed runs and upstream calls, by method.
     call_statistics: Vec<CallStatistics>,
     core_times: ServiceTimeEstimator,
     run_times: ServiceTimeEstimator,
@@ -117,15 +119,15 @@
     load_signal: LoadSignal,
     draining: Draining,
     next_tick_us: u64,
-    /// The earliest timer that is set; its token is its time.
+    /// The time of the earliest timer that is set, which is also its token.
     timer_us: u64,
 }
 
 impl<H: Host> AdmissionController<H> {
-    /// The controller of a server that starts now. Its first actions are asked of the host at once.
+    /// Creates the controller of a server that starts now, and requests its first actions from the host.
     pub fn start(host: H, now_us: u64, seed: u64, config: AdmissionConfig) -> AdmissionController<H> {
         let mut controller = AdmissionController::new(host, now_us, seed, config);
-        // Health checks from store: a check that does real work loads what lies upstream.
+        // Health checks are answered from the stored readiness: a check that does real work would load the upstream.
         controller.host.set_readiness(Readiness::Ready);
         controller.decide(now_us);
         controller
@@ -165,25 +167,25 @@
         }
     }
 
-    /// The host that it was handed.
+    /// Returns the host that the controller acts through.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// How many tenants' quota buckets are cached, of all tenants that it has met.
+    /// Returns the number of tenants whose quota buckets are cached, out of all tenants seen.
     pub fn cached_quota_buckets(&self) -> usize {
         self.quota_buckets.cached()
     }
 
     // ---- Events.
 
-    /// A request has been read into the queue.
+    /// Reports that a request has been read into the queue.
     pub fn request_arrived(&mut self, now_us: u64, arrival: Arrival) {
         let method = &self.methods[arrival.method];
         let (effect, window_us) = (method.effect, method.key_window_us);
         let is_repeat = arrival.repeats.is_some();
         let id = arrival.id.clone();
-        let mut request = self.admitted(now_us, arrival);
+        let mut request = self.queued_arrival(now_us, arrival);
         let arrived_us = request.arrived_us;
         if effect == Effect::WithKey && is_repeat {
             request.state = RequestState::AwaitingOutcome;
@@ -193,7 +195,7 @@
             return;
         }
         if is_repeat {
-            // Guards against a second effect: a repeat never runs, it shares the outcome of the first.
+            // A repeat shares the outcome of the first request and never runs: this prevents a second effect.
             self.host.share_outcome(&id);
         } else {
             let time_to_live_us = idempotency::time_to_live_us(arrived_us, window_us, now_us);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// The caller of a request has left; nothing is owed.
+    /// Reports that the caller of a request has disconnected and expects no answer.
     pub fn caller_left(&mut self, id: &str) {
         let Some(sequence) = self.requests.sequence_of(id) else { return };
         let request = self.requests.get_mut(sequence);
@@ -211,7 +213,8 @@
             RequestState::AwaitingOutcome => self.requests.remove(sequence),
             RequestState::Started(run) => {
                 run.settle();
-                // The run of a remembered request may go on: its repeat can share the outcome. Other work serves nobody now.
+                // The run of a request with a remembered key continues, because a repeat can share its outcome. Any
+                // other run has no caller left that can use its result.
                 if self.methods[request.method].effect != Effect::WithKey {
                     self.stop_run(sequence);
                 }
@@ -219,7 +222,8 @@
         }
     }
 
-    /// A running request waits for its upstream call; [`AdmissionController::decide`] says when it goes.
+    /// Reports that a running request waits to make an upstream call; [`AdmissionController::decide`] places or skips
+    /// the call.
     pub fn call_needed(&mut self, now_us: u64, id: &str) {
         let Some(sequence) = self.requests.sequence_of(id) else { return };
         let run = self.requests.get_mut(sequence).run_mut();
@@ -228,7 +232,7 @@
         }
     }
 
-    /// An upstream call has ended after `took_us`.
+    /// Reports that an upstream call has ended, `took_us` after it was placed.
     pub fn call_ended(&mut self, now_us: u64, id: &str, outcome: Outcome, took_us: u64) {
         self.count_upstream_calls(now_us);
         if outcome == Outcome::TimedOut {
@@ -252,8 +256,10 @@
         }
     }
 
-    /// A failed call is made again where that is harmless. Then it is also made again if it may be skipped, where its
-    /// connection broke: that is no sign of load upstream.
+    /// Skips or retries a failed call, or gives up its request. A call that may be skipped is skipped, unless the
+    /// method is idempotent and the connection broke: a broken connection is not a sign of upstream load, so the call
+    /// is retried. Any other call is retried if it never ran or the method is idempotent, because the retry is harmless
+    /// then.
     fn call_failed(&mut self, now_us: u64, sequence: u64, method: usize, outcome: Outcome) {
         let method = &self.methods[method];
         let is_idempotent = method.effect == Effect::Idempotent;
@@ -265,7 +271,7 @@
         }
     }
 
-    /// A run has ended: it takes neither core nor memory any more.
+    /// Reports that a run has ended and occupies neither a core nor memory any longer.
     pub fn run_ended(&mut self, now_us: u64, id: &str, outcome: Outcome) {
         let Some(sequence) = self.requests.sequence_of(id) else { return };
         let request = self.requests.get(sequence);
@@ -282,14 +288,14 @@
         self.requests.remove(sequence);
     }
 
-    /// This server drains: its process ends after `ends_in_us`.
+    /// Starts to drain the server, whose process ends after `ends_in_us`.
     pub fn drain(&mut self, now_us: u64, ends_in_us: u64) {
         self.draining.begin(now_us, now_us + ends_in_us);
         self.host.set_readiness(Readiness::NotReady);
         self.send_load_signal(0.0);
     }
 
-    /// A timer has come, with the server's gauges.
+    /// Reports that a timer has fired, with the server's present gauges.
     pub fn timer_fired(&mut self, now_us: u64, token: u64, gauges: Gauges) {
         if token == self.timer_us {
             self.timer_us = NO_TIMER;
@@ -299,28 +305,29 @@
         }
         self.next_tick_us = now_us + TICK_US;
         self.take_gauges(now_us, gauges);
-        // Guards against a pause of the machine, in which stopping does nothing: ask again.
+        // A stop command has no effect while the machine is paused, so pending stops are sent again at each tick.
         for (_, request) in self.requests.iter().filter(|(_, request)| request.is_stopping()) {
             self.host.stop(&request.id);
         }
         self.load_signal.adjust(self.queue.pressure);
         if !self.draining.has_begun() {
             let warm_share = self.concurrency_limit.warm_share(now_us);
-            self.send_load_signal(self.load_signal.announced(warm_share));
+            self.send_load_signal(self.load_signal.share_to_announce(warm_share));
         }
     }
 
-    /// All that happened at this moment was reported: the ordinary path of every request that is queued.
+    /// Decides on all requests, after every event with this timestamp has been reported. All queued requests pass
+    /// through here.
     pub fn decide(&mut self, now_us: u64) {
         if self.integral_controller.end_period(now_us) {
             self.adapt_size_classes(now_us);
         }
-        // What can no longer be answered, or started, in time goes at once.
+        // Requests that can no longer be answered or started in time are given up first.
         self.give_up_overdue(now_us);
         self.fit_memory(now_us);
         self.evict_for_others(now_us);
         self.start_requests(now_us);
-        // Those already started go on to their calls, oldest first.
+        // Requests that have started get their upstream calls, oldest first.
         self.place_calls(now_us);
         self.set_timer(now_us);
     }
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -1,44 +1,45 @@
-//! A request at this server: what is fixed at its arrival, and its state.
+//! A request at this server: the properties that are fixed at its arrival, and its state.
 //!
 //! | state | entered by | left by |
 //! | --- | --- | --- |
-//! | `Queued` | its arrival | a start, a rejection, or the caller's leaving |
+//! | `Queued` | its arrival | a start, a rejection, or the caller's disconnection |
 //! | `AwaitingOutcome` | the arrival of a repeat of a remembered request | the outcome of the request that it repeats |
-//! | `Started`, `OnCore` | a start, a call that succeeded or is skipped | the need of a call, or the run's end |
-//! | `Started`, `AwaitingCall` | the need of a call, or a call that failed and may be repeated | a call that is placed or skipped |
-//! | `Started`, `Calling` | a call that is placed | the call's end |
+//! | `Started`, `OnCore` | a start, or a call that succeeded or is skipped | the need for a call, or the end of the run |
+//! | `Started`, `AwaitingCall` | the need for a call, or a failed call that may be retried | a call that is placed or skipped |
+//! | `Started`, `Calling` | a call that is placed | the end of the call |
 //!
-//! A started request stays until its run ends, also when it has its answer: until then it holds a core or memory.
+//! A started request remains in the table until its run ends, even after its answer: until then the run occupies a core
+//! or memory.
 
 use crate::host::{RpcId, Tenant};
 
 /// A request and its state.
 pub(super) struct Request {
     pub id: RpcId,
-    /// Position in the deployment's list of methods.
+    /// The position of the method in the deployment's list.
     pub method: usize,
-    /// When it reached the machine.
+    /// The time at which the request reached the machine.
     pub arrived_us: u64,
-    /// Another server, or this one, has had it before.
+    /// Whether this or another server has received the request before.
     pub is_retry: bool,
-    /// An answer must be out by then.
+    /// The deadline of the answer.
     pub due_us: u64,
-    /// An answer is wanted by then.
+    /// The time at which the latency target is reached.
     pub target_us: u64,
-    /// Memory while it is queued, in KB.
+    /// The memory of the request while it is queued, in KB.
     pub kb: f64,
-    /// The work that it announced.
+    /// The work that the request announced.
     pub hint_us: Option<u64>,
     pub tenant: Option<Tenant>,
-    /// Criticality as the deployment counts it, less beyond a tenant's quota.
+    /// The criticality as the deployment counts it, reduced if the request is beyond its tenant's quota.
     pub value: f64,
     pub state: RequestState,
 }
 
-/// Where a request is.
+/// The state of a request.
 pub(super) enum RequestState {
     Queued,
-    /// It repeats a remembered request, whose outcome answers it.
+    /// Repeats a remembered request, whose outcome will answer this one.
     AwaitingOutcome,
     Started(Run),
 }
@@ -48,34 +49,34 @@
     pub phase: RunPhase,
     pub answer: AnswerState,
     pub started_us: u64,
-    /// When it last took a core.
+    /// The time at which the run last started or returned to a core.
     pub on_core_since_us: u64,
-    /// Its time on the cores before that.
+    /// The time on the cores before `on_core_since_us`.
     pub core_time_us: u64,
-    /// Upstream calls that it came to.
+    /// The number of upstream calls that the run has needed.
     pub calls: u32,
-    /// It was started on the understanding that it skips its calls.
+    /// Whether the run was started on the condition that it skips its calls.
     pub skips_calls: bool,
 }
 
-/// What a run does.
+/// The phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunPhase {
     OnCore,
-    /// It waits for its call to be placed, which may not be before the given time.
+    /// Waits for its call to be placed, not earlier than the given time.
     AwaitingCall {
         not_before_us: u64,
     },
     Calling,
 }
 
-/// What is owed to the caller of a run.
+/// The state of the answer to the caller of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerState {
-    Owed,
-    /// It was answered, or its caller has left.
+    Pending,
+    /// The run was answered, or its caller has disconnected.
     Settled,
-    /// The same, and the server was asked to take it off the cores.
+    /// The run is settled, and the server was asked to take it off the cores.
     Stopping,
 }
 
@@ -83,7 +84,7 @@
     pub fn new(now_us: u64, skips_calls: bool) -> Run {
         Run {
             phase: RunPhase::OnCore,
-            answer: AnswerState::Owed,
+            answer: AnswerState::Pending,
             started_us: now_us,
             on_core_since_us: now_us,
             core_time_us: 0,
@@ -92,31 +93,31 @@
         }
     }
 
-    /// It leaves its core for a call that may be placed at once.
+    /// Takes the run off its core to wait for a call that may be placed immediately.
     pub fn await_call(&mut self, now_us: u64) {
         self.core_time_us += now_us - self.on_core_since_us;
         self.calls += 1;
         self.phase = RunPhase::AwaitingCall { not_before_us: now_us };
     }
 
-    /// Its call has ended or is skipped.
+    /// Returns the run to a core after its call has ended or is skipped.
     pub fn return_to_core(&mut self, now_us: u64) {
         self.phase = RunPhase::OnCore;
         self.on_core_since_us = now_us;
     }
 
-    /// All its time on the cores until now.
+    /// Returns the total time on the cores until now.
     pub fn core_time_until_us(&self, now_us: u64) -> u64 {
         self.core_time_us + now_us - self.on_core_since_us
     }
 
     pub fn is_settled(&self) -> bool {
-        self.answer != AnswerState::Owed
+        self.answer != AnswerState::Pending
     }
 
-    /// Nothing is owed to its caller any more.
+    /// Marks the answer as settled: the caller expects nothing any more.
     pub fn settle(&mut self) {
-        if self.answer == AnswerState::Owed {
+        if self.answer == AnswerState::Pending {
             self.answer = AnswerState::Settled;
         }
     }
@@ -145,8 +146,8 @@
         self.run().map(|run| run.phase)
     }
 
-    /// Whether its caller still waits for an answer.
-    pub fn is_owed(&self) -> bool {
+    /// Whether the caller still waits for an answer.
+    pub fn is_unanswered(&self) -> bool {
         self.run().is_none_or(|run| !run.is_settled())
     }
 
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -1,15 +1,15 @@
-//! All requests that hold memory here, oldest first.
+//! The table of all requests that occupy memory at this server, oldest first.
 
 use super::request::{Request, RunPhase};
 use crate::host::RpcId;
 use std::collections::{BTreeMap, HashMap};
 
-/// Requests by sequence number, which grows with each arrival, and the numbers by id.
+/// Requests by sequence number, which increases with each arrival, and sequence numbers by id.
 #[derive(Default)]
 pub(super) struct RequestTable {
     pub requests: BTreeMap<u64, Request>,
     pub by_id: HashMap<RpcId, u64>,
-    /// The number of the next arrival.
+    /// The sequence number of the next arrival.
     pub next_sequence: u64,
 }
 
@@ -37,45 +37,45 @@
     }
 
     pub fn get_mut(&mut self, sequence: u64) -> &mut Request {
-        self.requests.get_mut(&sequence).expect("sequence numbers are of requests in the table")
+        self.requests.get_mut(&sequence).expect("sequence numbers belong to requests in the table")
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (u64, &Request)> {
         self.requests.iter().map(|(sequence, request)| (*sequence, request))
     }
 
-    /// Requests that wait to be started, oldest first.
+    /// Returns the requests that wait to be started, oldest first.
     pub fn queued(&self) -> impl DoubleEndedIterator<Item = (u64, &Request)> {
         let all = self.requests.iter().map(|(sequence, request)| (*sequence, request));
         all.filter(|(_, request)| request.is_queued())
     }
 
-    /// Requests whose callers still wait for an answer.
-    pub fn owed(&self) -> impl Iterator<Item = (u64, &Request)> {
-        self.iter().filter(|(_, request)| request.is_owed())
+    /// Returns the requests whose callers still wait for an answer, oldest first.
+    pub fn unanswered(&self) -> impl Iterator<Item = (u64, &Request)> {
+        self.iter().filter(|(_, request)| request.is_unanswered())
     }
 
-    /// Requests on the cores.
+    /// Returns the number of requests on the cores.
     pub fn on_core(&self) -> usize {
         self.in_phase(|phase| phase == RunPhase::OnCore)
     }
 
-    /// Requests on the cores, and those that may return to them.
+    /// Returns the number of requests that are on the cores or may return to them.
     pub fn active(&self) -> usize {
         self.requests.values().filter(|request| !request.is_queued()).count()
     }
 
-    /// Upstream calls that have not ended.
+    /// Returns the number of upstream calls that have not ended.
     pub fn calling(&self) -> usize {
         self.in_phase(|phase| phase == RunPhase::Calling)
     }
 
-    /// Requests that wait for their call to be placed.
+    /// Returns the number of requests that wait for their call to be placed.
     pub fn awaiting_call(&self) -> usize {
         self.in_phase(|phase| matches!(phase, RunPhase::AwaitingCall { .. }))
     }
 
-    fn in_phase(&self, is_it: impl Fn(RunPhase) -> bool) -> usize {
-        self.requests.values().filter(|request| request.phase().is_some_and(&is_it)).count()
+    fn in_phase(&self, is_counted: impl Fn(RunPhase) -> bool) -> usize {
+        self.requests.values().filter(|request| request.phase().is_some_and(&is_counted)).count()
     }
 }
--- a/src/admission/snapshot/conversions.rs
+++ b/src/admission/snapshot/conversions.rs
@@ -1,4 +1,4 @@
-//! Each part of a controller's state to its record and back.
+//! Conversions between the parts of a controller's state and their records.
 
 use super::error::SnapshotError;
 use super::records::{
@@ -62,7 +62,7 @@
 
 impl ServiceTimesRecord {
     pub(super) fn restore(self, methods: usize) -> Result<ServiceTimeEstimator, SnapshotError> {
-        let means = one_a_method("run times", self.means, methods)?;
+        let means = check_one_per_method("run times", self.means, methods)?;
         Ok(ServiceTimeEstimator { means, ratios: (&self.ratios).try_into()? })
     }
 }
@@ -129,7 +129,7 @@
             may_start: self.draw_may_start,
         };
         Ok(SizeClasses {
-            is_large: one_a_method("lanes", self.is_large, methods)?,
+            is_large: check_one_per_method("lanes", self.is_large, methods)?,
             mean_calls: [self.small_mean_calls, self.large_mean_calls],
             release_probability: self.release_probability,
             draw,
@@ -228,7 +228,7 @@
         let answer = match (self.is_settled, self.is_stopping) {
             (_, true) => AnswerState::Stopping,
             (true, false) => AnswerState::Settled,
-            (false, false) => AnswerState::Owed,
+            (false, false) => AnswerState::Pending,
         };
         Run {
             phase,
@@ -258,7 +258,7 @@
         Ok(table)
     }
 
-    /// The id in an allocation that it shares with the request of that id, if there is one.
+    /// Returns the id in the same allocation as the request of that id, if the table contains one.
     pub(super) fn shared_id(&self, id: String) -> RpcId {
         match self.by_id.get_key_value(id.as_str()) {
             Some((shared, _)) => shared.clone(),
@@ -267,7 +267,7 @@
     }
 }
 
-pub(super) fn one_a_method<T>(
+pub(super) fn check_one_per_method<T>(
     what: &'static str,
     list: Vec<T>,
     methods: usize,
@@ -296,7 +296,8 @@
 
 impl ConcurrencyLimit {
     pub(super) fn restore(&mut self, record: &CoresRecord) {
-        // Whether the server started cold is known to the process that started it, not to its successor.
+        // Only the process that started the server knows whether it started cold; a successor takes this from the
+        // snapshot.
         self.survivable.is_cold = record.is_cold;
         self.started_us = record.started_us;
         self.above_cores = record.above_cores;
--- a/src/admission/snapshot/mod.rs
+++ b/src/admission/snapshot/mod.rs
@@ -1,6 +1,6 @@
-//! All state of an admission controller as records, so that a successor goes on where this process stopped. Nothing is
-//! decided here: each value is written and read back as it stands. What the deployment states is not part of it: that is
-//! read anew, and what does not fit it is an error.
+//! Snapshots: the complete state of an admission controller as records, from which a successor process continues. This
+//! module makes no decision: each value is written and read back unchanged. The deployment's settings are not part of a
+//! snapshot. The successor reads them again, and a snapshot that does not fit them is an error.
 
 mod conversions;
 mod error;
@@ -14,15 +14,15 @@
 use super::size_classes::CallStatistics;
 use super::{AdmissionConfig, AdmissionController};
 use crate::host::Host;
-use conversions::one_a_method;
+use conversions::check_one_per_method;
 use records::{CoresRecord, KeyRecord, QuotaBucketRecord, RequestRecord};
 
 impl AdmissionSnapshot {
-    /// Adds the quotas of the deployment that this is read for, in the order of its tenants, to what an older program
-    /// wrote without them. What a program of today wrote stays as it is.
+    /// Adds the quotas of the deployment to a snapshot that an older program version wrote without them. `per_second`
+    /// is in the order of the deployment's tenants. Snapshots of the present version are not changed.
     ///
     /// # Errors
-    /// An older program wrote buckets for another number of tenants.
+    /// Returns an error if an older version wrote buckets for another number of tenants.
     pub fn complete_quotas(&mut self, per_second: &[f64], servers: u32) -> Result<(), SnapshotError> {
         for request in self.requests.iter_mut().filter(|request| request.tenant_per_second.is_none()) {
             request.tenant_per_second = request.tenant_id.and_then(|id| per_second.get(id as usize)).copied();
@@ -45,7 +45,8 @@
 }
 
 impl<H: Host> AdmissionController<H> {
-    /// All state as records. Nothing may be reported to this controller after it, if another goes on from there.
+    /// Returns the complete state as records. After that, no event may be reported to this controller if a successor
+    /// continues from the snapshot.
     pub fn snapshot(&self) -> AdmissionSnapshot {
         let keys = self.keys.0.iter();
         AdmissionSnapshot {
@@ -79,8 +80,8 @@
                 .map(|(expires_us, id)| KeyRecord { expires_us: *expires_us, id: id.to_string() })
                 .collect(),
             full_since_us: self.queue.full_since_us,
-            wanted: self.load_signal.wanted,
-            told: self.load_signal.told,
+            wanted_share: self.load_signal.wanted_share,
+            last_sent_share: self.load_signal.last_sent_share,
             queue_wait_us: self.queue.wait_us,
             pressure: self.queue.pressure,
             retries_rejected: self.load_signal.retries_rejected,
@@ -89,10 +90,11 @@
         }
     }
 
-    /// Goes on from what another wrote down on the same clock. Nothing is asked of the host yet.
+    /// Creates a controller that continues from the snapshot of a predecessor on the same clock, without any request to
+    /// the host yet.
     ///
     /// # Errors
-    /// The snapshot does not fit the deployment.
+    /// Returns an error if the snapshot does not fit the deployment.
     pub fn resume(
         host: H,
         config: AdmissionConfig,
@@ -102,15 +104,16 @@
         let servers = config.quotas.servers;
         let mut controller = AdmissionController::new(host, snapshot.cores.started_us, snapshot.rng, config);
         let requests = RequestTable::restore(snapshot.requests, snapshot.next_sequence, methods)?;
-        // Keys name the same ids as the requests that are still here: one allocation serves both.
+        // Keys and the requests that are still here have the same ids, and share one allocation for each.
         let keys = snapshot.keys.into_iter();
         controller.keys.0 = keys.map(|key| (key.expires_us, requests.shared_id(key.id))).collect();
         controller.requests = requests;
-        let runs = one_a_method("runs seen", snapshot.runs, methods)?;
-        let calls = one_a_method("calls seen", snapshot.calls, methods)?;
+        let runs = check_one_per_method("runs seen", snapshot.runs, methods)?;
+        let calls = check_one_per_method("calls seen", snapshot.calls, methods)?;
         let statistics = runs.into_iter().zip(calls);
         controller.call_statistics = statistics.map(|(runs, calls)| CallStatistics { runs, calls }).collect();
-        controller.longest_waits_us = one_a_method("longest waits", snapshot.longest_waits_us, methods)?;
+        controller.longest_waits_us =
+            check_one_per_method("longest waits", snapshot.longest_waits_us, methods)?;
         controller.core_times = snapshot.core_times.restore(methods)?;
         controller.run_times = snapshot.run_times.restore(methods)?;
         controller.upstream_calls.restore(snapshot.upstream_calls, &snapshot.call_times)?;
@@ -124,8 +127,8 @@
         controller.queue.full_since_us = snapshot.full_since_us;
         controller.queue.wait_us = snapshot.queue_wait_us;
         controller.queue.pressure = snapshot.pressure;
-        controller.load_signal.wanted = snapshot.wanted;
-        controller.load_signal.told = snapshot.told;
+        controller.load_signal.wanted_share = snapshot.wanted_share;
+        controller.load_signal.last_sent_share = snapshot.last_sent_share;
         controller.load_signal.retries_rejected = snapshot.retries_rejected;
         controller.next_tick_us = snapshot.next_tick_us;
         controller.timer_us = snapshot.timer_us;
--- a/src/admission/snapshot/records.rs
+++ b/src/admission/snapshot/records.rs
@@ -1,5 +1,5 @@
-//! The stored form of a controller's state, in protobuf. Field numbers and types never change; what a newer program adds is
-//! skipped by an older one.
+//! The stored form of a controller's state, in protobuf. Field numbers and types never change. An older program version
+//! skips fields that a newer one has added.
 
 /// The stage of a request as it is stored.
 pub(super) mod stage {
@@ -10,11 +10,11 @@
     pub const CALLING: u32 = 4;
 }
 
-/// All state of one [`AdmissionController`](crate::admission::AdmissionController). What a newer program adds is skipped by an older one; field
-/// numbers and types never change.
+/// The complete state of one [`AdmissionController`](crate::admission::AdmissionController). An older program version
+/// skips fields that a newer one has added; field numbers and types never change.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AdmissionSnapshot {
-    /// The state of the random numbers.
+    /// The state of the random number generator.
     #[prost(fixed64, tag = "1")]
     pub(super) rng: u64,
     #[prost(message, required, tag = "2")]
@@ -25,11 +25,11 @@
     pub(super) cores: CoresRecord,
     #[prost(message, required, tag = "5")]
     pub(super) upstream_calls: UpstreamCallsRecord,
-    /// Levels of all tenants' buckets in the deployment's order, as programs before `quota_buckets` wrote them. Read
-    /// only.
+    /// The levels of all tenants' buckets in the deployment's order, as versions before `quota_buckets` wrote them.
+    /// Read but never written.
     #[prost(double, repeated, tag = "6")]
     pub(super) levels_by_position: Vec<f64>,
-    /// The time that charges of quota buckets count from.
+    /// The time of the last arrival, at which quota buckets are charged.
     #[prost(uint64, tag = "7")]
     pub(super) quota_buckets_at_us: u64,
     #[prost(message, repeated, tag = "8")]
@@ -53,9 +53,9 @@
     #[prost(uint64, optional, tag = "17")]
     pub(super) full_since_us: Option<u64>,
     #[prost(double, tag = "18")]
-    pub(super) wanted: f64,
+    pub(super) wanted_share: f64,
     #[prost(double, tag = "19")]
-    pub(super) told: f64,
+    pub(super) last_sent_share: f64,
     #[prost(uint64, tag = "20")]
     pub(super) queue_wait_us: u64,
     #[prost(double, tag = "21")]
@@ -66,7 +66,7 @@
     pub(super) next_tick_us: u64,
     #[prost(uint64, tag = "24")]
     pub(super) timer_us: u64,
-    /// The buckets that are cached; those of all other tenants are full.
+    /// The cached buckets that are not full. The buckets of all other tenants are full.
     #[prost(message, repeated, tag = "25")]
     pub(super) quota_buckets: Vec<QuotaBucketRecord>,
 }
@@ -179,7 +179,7 @@
     pub(super) id: String,
 }
 
-#[allow(clippy::struct_excessive_bools, reason = "the stored form has a field for each")]
+#[allow(clippy::struct_excessive_bools, reason = "the stored form has one field per flag")]
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct RequestRecord {
     #[prost(uint64, tag = "1")]
@@ -204,7 +204,7 @@
     pub(super) tenant_id: Option<u32>,
     #[prost(double, tag = "11")]
     pub(super) value: f64,
-    /// One of the constants in `stage`.
+    /// A constant of `stage`.
     #[prost(uint32, tag = "12")]
     pub(super) stage: u32,
     #[prost(uint64, tag = "13")]
@@ -223,7 +223,7 @@
     pub(super) calls: u32,
     #[prost(bool, tag = "20")]
     pub(super) skips_calls: bool,
-    /// The tenant's quota when it arrived.
+    /// The tenant's quota when the request arrived.
     #[prost(double, optional, tag = "21")]
     pub(super) tenant_per_second: Option<f64>,
 }
--- a/src/admission/steps.rs
+++ b/src/admission/steps.rs
@@ -1,4 +1,5 @@
-//! The steps of a decision: what is given up, what is started, which calls go, and the timer for what comes next.
+//! The steps of a decision: giving up overdue requests, starting queued ones, placing upstream calls, and setting the
+//! timer for the next time-based event.
 
 use super::request::{AnswerState, Request, RequestState, Run, RunPhase};
 use super::request_queue::{self, Heads, QueuedRequest};
@@ -7,29 +8,30 @@
 use super::{memory_budget, AdmissionController, ANSWER_MARGIN_US};
 use crate::host::{Arrival, Gauges, Host, Stopping};
 
-/// The quantile of its run time for which a request must have time left when it starts.
+/// The quantile of the estimated run time that must fit into a request's remaining time when it starts.
 const START_QUANTILE: f64 = 0.75;
 const MEDIAN: f64 = 0.5;
-/// Before the first run of a method its run time is taken to be this part of its latency target.
-const UNKNOWN_RUN_PART: u64 = 4;
-/// A timer is set at least this far ahead.
+/// The divisor of a method's latency target that gives its assumed run time before its first run.
+const UNKNOWN_RUN_TIME_DIVISOR: u64 = 4;
+/// The shortest delay of a timer.
 const MIN_TIMER_US: u64 = 1_000;
 
-/// Whether a request may start, and how.
+/// The decision on whether a queued request starts, and in which form.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Start {
-    /// Its calls are within the integral controller's capacity.
+    /// Starts the request: its expected calls fit the integral controller's capacity.
     WithCalls,
-    /// It starts on the understanding that it skips its calls.
+    /// Starts the request on the condition that it skips its calls.
     WithoutCalls,
-    Not,
+    /// Leaves the request in the queue.
+    StayQueued,
 }
 
 impl<H: Host> AdmissionController<H> {
     // ---- Arrivals.
 
-    /// The request of an arrival, in the queue.
-    pub(super) fn admitted(&mut self, now_us: u64, arrival: Arrival) -> Request {
+    /// Creates the queued request of an arrival.
+    pub(super) fn queued_arrival(&mut self, now_us: u64, arrival: Arrival) -> Request {
         let age_us = self.age_us(&arrival);
         let is_within_quota = self.quota_buckets.is_within(arrival.tenant, now_us);
         let method = &self.methods[arrival.method];
@@ -57,7 +59,8 @@
         }
     }
 
-    /// A retry is older than it looks: by what its caller waits less than that of a first attempt.
+    /// Returns the time that a caller has already spent on earlier attempts: the longest wait of a first attempt of the
+    /// method, less the time that this caller still waits. First attempts have spent none.
     fn age_us(&mut self, arrival: &Arrival) -> u64 {
         let longest_us = &mut self.longest_waits_us[arrival.method];
         if !arrival.is_retry {
@@ -70,7 +73,8 @@
 
     // ---- Giving up.
 
-    /// Gives up what is due, what came too late in a drain, and what is queued but cannot start in time.
+    /// Gives up requests that are due, requests that arrived too late in a drain, and queued requests that cannot start
+    /// in time.
     pub(super) fn give_up_overdue(&mut self, now_us: u64) {
         let last_arrival_us = self.draining.last_arrival_us();
         let cannot_start = |request: &Request| {
@@ -81,14 +85,14 @@
         };
         let overdue: Vec<u64> = self
             .requests
-            .owed()
+            .unanswered()
             .filter(|(_, request)| is_overdue(request))
             .map(|(sequence, _)| sequence)
             .collect();
         overdue.into_iter().for_each(|sequence| self.give_up(sequence));
     }
 
-    /// Guards against more memory than there is: requests that wait are given up until the rest fits.
+    /// Gives up waiting requests until the rest fits the memory limit, so that the server does not run out of memory.
     pub(super) fn fit_memory(&mut self, now_us: u64) {
         self.keys.expire(now_us);
         while !self.memory.fits(self.memory.used_kb(&self.requests, self.keys.len())) {
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Evicts requests of little value from a full queue.
+    /// Evicts requests of low value from a full queue.
     pub(super) fn evict_for_others(&mut self, now_us: u64) {
         let limit = self.concurrency_limit.limit(now_us) as u64;
         let queued: Vec<QueuedRequest> = self
@@ -123,8 +127,8 @@
         }
     }
 
-    /// The final answer to a request that was given up, at once. One that never ran is rejected with a time to come back.
-    /// Any other is aborted, as it may have had its effect, and taken off the cores.
+    /// Gives up a request and sends its final answer immediately. A request that never ran is rejected with a
+    /// retry-after time. Any other request is aborted, because it may have had its effect, and its run is stopped.
     pub(super) fn give_up(&mut self, sequence: u64) {
         let request = self.requests.get_mut(sequence);
         match &mut request.state {
@@ -150,7 +154,7 @@
         self.forget_unstarted(sequence);
     }
 
-    /// Asks for a settled run to be taken off the cores; it is counted until its end is reported.
+    /// Asks the host to take a settled run off the cores. The run is counted until the host reports its end.
     pub(super) fn stop_run(&mut self, sequence: u64) {
         let request = self.requests.get_mut(sequence);
         let RequestState::Started(run) = &mut request.state else { return };
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Forgets a queued request and its key: it never ran, so that a repeat may.
+    /// Removes a queued request and its idempotency key. The request never ran, so a repeat of it may run.
     pub(super) fn forget_unstarted(&mut self, sequence: u64) {
         let id = &self.requests.get(sequence).id;
         if self.keys.remove(id) {
@@ -171,7 +175,8 @@
 
     // ---- Starting.
 
-    /// The end of a period: methods are divided anew, and the release probability follows the waits.
+    /// Divides the methods into size classes again at the end of a period, and adapts the release probability to the
+    /// waiting times of both classes.
     pub(super) fn adapt_size_classes(&mut self, now_us: u64) {
         self.size_classes.divide(&self.call_statistics);
         let Heads { small, large } = request_queue::heads(&self.requests, &self.size_classes, false);
@@ -179,22 +184,23 @@
         self.size_classes.adapt(small.map(wait_us), large.map(wait_us));
     }
 
-    /// Starts queued requests: small ones first, a large one that has waited longer with the release probability. The
-    /// concurrency limit, the memory, then the integral controller must have capacity.
+    /// Starts queued requests. Small requests start first; a large request that has waited longer starts before them
+    /// with the release probability. The concurrency limit, the memory limit and the integral controller must all have
+    /// capacity, and are checked in this order.
     pub(super) fn start_requests(&mut self, now_us: u64) {
         let newest_first = self.queue.is_newest_first(now_us);
         let mut memory_kb = self.memory.used_kb(&self.requests, self.keys.len());
         while let Some(sequence) = self.next_to_start(now_us, newest_first) {
-            let more_kb = self.memory.start_kb(self.requests.get(sequence));
-            if self.is_at_concurrency_limit(now_us) || !self.memory.fits(memory_kb + more_kb) {
+            let additional_kb = self.memory.start_kb(self.requests.get(sequence));
+            if self.is_at_concurrency_limit(now_us) || !self.memory.fits(memory_kb + additional_kb) {
                 return;
             }
             match self.may_start(now_us, sequence) {
-                Start::Not => return,
+                Start::StayQueued => return,
                 Start::WithCalls => self.start_request(now_us, sequence, false),
                 Start::WithoutCalls => self.start_request(now_us, sequence, true),
             }
-            memory_kb += more_kb;
+            memory_kb += additional_kb;
         }
     }
 
@@ -211,9 +217,10 @@
             || self.requests.active() >= self.concurrency_limit.ceiling(now_us)
     }
 
-    /// Whether the integral controller has capacity. Guards against cores that idle while it has none: a request that
-    /// would soon be rejected starts without its call where that earns a part. It counts as no admission, as it will not
-    /// call.
+    /// Decides whether a request starts, by the integral controller's capacity. While the controller has no capacity,
+    /// a request that has waited for half of its allowed time starts without its call if an answer without the call
+    /// still has value: this prevents cores from idling while requests are about to be rejected. Such a start does not
+    /// count against the admission limit, because the request makes no call.
     fn may_start(&mut self, now_us: u64, sequence: u64) -> Start {
         let method = self.requests.get(sequence).method;
         let mean_calls = self.mean_calls(method);
@@ -228,7 +235,7 @@
         if self.methods[method].value_without_call > 0.0 && has_waited_half {
             Start::WithoutCalls
         } else {
-            Start::Not
+            Start::StayQueued
         }
     }
 
@@ -250,12 +257,12 @@
         }
     }
 
-    /// Places the calls that runs wait for, oldest first, or skips them.
+    /// Places or skips the calls that runs wait for, oldest request first.
     pub(super) fn place_calls(&mut self, now_us: u64) {
         self.count_upstream_calls(now_us);
         let expected = self.upstream_calls.expected_times();
-        let owed: Vec<u64> = self.requests.owed().map(|(sequence, _)| sequence).collect();
-        for sequence in owed {
+        let unanswered: Vec<u64> = self.requests.unanswered().map(|(sequence, _)| sequence).collect();
+        for sequence in unanswered {
             let request = self.requests.get(sequence);
             let Some(run) = request.run() else { continue };
             let RunPhase::AwaitingCall { not_before_us } = run.phase else { continue };
@@ -278,7 +285,7 @@
         self.integral_controller.call_placed();
     }
 
-    /// A run goes on without its call.
+    /// Resumes a run without its call.
     pub(super) fn skip_call(&mut self, now_us: u64, sequence: u64) {
         let request = self.requests.get_mut(sequence);
         if let RequestState::Started(run) = &mut request.state {
@@ -289,27 +296,27 @@
 
     // ---- Times.
 
-    /// The last moment for an answer: its due time, or the end of the process, with a margin.
+    /// Returns the latest time for an answer: the due time or the end of the process, less a margin.
     fn answer_by_us(&self, request: &Request) -> u64 {
         request.due_us.min(self.draining.process_ends_us()).saturating_sub(ANSWER_MARGIN_US)
     }
 
-    /// A request started after this would likely miss its latency target.
+    /// Returns the latest start time after which a request would likely miss its latency target.
     fn latest_start_us(&self, request: &Request) -> u64 {
         let ends_us = request.target_us.min(self.answer_by_us(request));
         let latency_target_us = self.methods[request.method].latency_target_us;
-        let unknown_us = latency_target_us / UNKNOWN_RUN_PART;
+        let unknown_us = latency_target_us / UNKNOWN_RUN_TIME_DIVISOR;
         let run_us = self.run_times.estimate_us(request.method, START_QUANTILE, request.hint_us, unknown_us);
         request_queue::latest_start_us(request, ends_us, run_us, latency_target_us)
     }
 
-    /// Time on the cores that a request will likely take.
+    /// Returns the time on the cores that a request is expected to take.
     fn expected_core_time_us(&self, method: usize, hint_us: Option<u64>) -> u64 {
-        let unknown_us = self.methods[method].latency_target_us / UNKNOWN_RUN_PART;
+        let unknown_us = self.methods[method].latency_target_us / UNKNOWN_RUN_TIME_DIVISOR;
         self.core_times.estimate_us(method, MEDIAN, hint_us, unknown_us)
     }
 
-    /// What the class of a method calls in the mean; nothing where the method never calls.
+    /// Returns the mean number of upstream calls per request of the method's size class; 0 if the method never calls.
     fn mean_calls(&self, method: usize) -> f64 {
         if self.methods[method].makes_calls {
             self.size_classes.class_mean_calls(method)
@@ -331,16 +338,20 @@
         }
     }
 
-    pub(super) fn send_load_signal(&mut self, wanted: f64) {
-        if let Some(value) = self.load_signal.value_to_send(wanted) {
+    pub(super) fn send_load_signal(&mut self, wanted_share: f64) {
+        if let Some(value) = self.load_signal.value_to_send(wanted_share) {
             self.host.send_load_signal(value);
         }
     }
 
-    /// One timer, for the earliest thing that time alone brings.
+    /// Sets a timer for the next tick or the next due request, whichever is earlier, unless an earlier timer is set.
     pub(super) fn set_timer(&mut self, now_us: u64) {
-        let first_due_us =
-            self.requests.owed().map(|(_, request)| self.answer_by_us(request)).min().unwrap_or(u64::MAX);
+        let first_due_us = self
+            .requests
+            .unanswered()
+            .map(|(_, request)| self.answer_by_us(request))
+            .min()
+            .unwrap_or(u64::MAX);
         let at_us = self.next_tick_us.min(first_due_us).max(now_us + MIN_TIMER_US);
         if at_us < self.timer_us {
             self.timer_us = at_us;
