--- a/src/admission/snapshot/conversions.rs
+++ b/src/admission/snapshot/conversions.rs
@@ -129,7 +129,7 @@
             may_start: self.draw_may_start,
         };
         Ok(SizeClasses {
-            is_large: check_one_per_method("lanes", self.is_large, methods)?,
+            is_large: check_one_per_method("size classes", self.is_large, methods)?,
             mean_calls: [self.small_mean_calls, self.large_mean_calls],
             release_probability: self.release_probability,
             draw,
--- a/src/admission/snapshot/error.rs
+++ b/src/admission/snapshot/error.rs
@@ -1,33 +1,33 @@
-//! What of a snapshot can fail to fit a deployment.
+//! Errors of snapshots that do not fit a deployment.
 
-/// Why a snapshot does not fit this deployment.
+/// The reason why a snapshot does not fit this deployment.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// A list has one entry a method, and the deployment has another number of methods.
-    #[error("{what} of {found} methods, {expected} here")]
+    /// The length of a list with one entry per method differs from the deployment's number of methods.
+    #[error("snapshot contains {what} for {found} methods; the deployment has {expected}")]
     Methods {
-        /// What the list holds.
+        /// The contents of the list.
         what: &'static str,
-        /// Its length.
+        /// The length of the list.
         found: usize,
-        /// The deployment's methods.
+        /// The deployment's number of methods.
         expected: usize,
     },
-    /// An older program wrote one bucket a tenant, and the deployment has another number of tenants.
-    #[error("buckets of {found} tenants, {expected} here")]
+    /// An older program version wrote one bucket per tenant, and the deployment has another number of tenants.
+    #[error("snapshot contains quota buckets for {found} tenants; the deployment has {expected}")]
     Tenants {
-        /// Buckets in the snapshot.
+        /// The number of buckets in the snapshot.
         found: usize,
-        /// The deployment's tenants.
+        /// The deployment's number of tenants.
         expected: usize,
     },
-    /// A histogram has another number of bins.
-    #[error("a histogram of another size")]
+    /// A histogram has an unexpected number of bins.
+    #[error("snapshot contains a latency histogram with another number of bins")]
     HistogramSize,
-    /// A request is in a stage that this program does not know.
-    #[error("an RPC in an unknown stage {0}")]
+    /// A request is in a stage that this program version does not know.
+    #[error("snapshot contains a request in unknown stage {0}")]
     UnknownStage(u32),
-    /// A request is of a method that the deployment does not have.
-    #[error("an RPC of an unknown method")]
+    /// A request calls a method that the deployment does not have.
+    #[error("snapshot contains a request for an unknown method")]
     UnknownMethod,
 }
--- a/src/admission/snapshot/mod.rs
+++ b/src/admission/snapshot/mod.rs
@@ -108,8 +108,8 @@
         let keys = snapshot.keys.into_iter();
         controller.keys.0 = keys.map(|key| (key.expires_us, requests.shared_id(key.id))).collect();
         controller.requests = requests;
-        let runs = check_one_per_method("runs seen", snapshot.runs, methods)?;
-        let calls = check_one_per_method("calls seen", snapshot.calls, methods)?;
+        let runs = check_one_per_method("observed runs", snapshot.runs, methods)?;
+        let calls = check_one_per_method("observed calls", snapshot.calls, methods)?;
         let statistics = runs.into_iter().zip(calls);
         controller.call_statistics = statistics.map(|(runs, calls)| CallStatistics { runs, calls }).collect();
         controller.longest_waits_us =
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -202,7 +202,7 @@
     let rejected = AdmissionController::resume(RecordingHost::default(), config, snapshot);
     assert_eq!(
         rejected.err().unwrap().to_string(),
-        "runs seen of 4 methods, 3 here"
+        "snapshot contains observed runs for 4 methods; the deployment has 3"
     );
 }
 
@@ -238,6 +238,6 @@
     let rejected = resumed_from_levels(vec![1.0, 1.0], &[5.0, 50.0, 1.0]);
     assert_eq!(
         rejected.err().unwrap().to_string(),
-        "buckets of 2 tenants, 3 here"
+        "snapshot contains quota buckets for 2 tenants; the deployment has 3"
     );
 }
