--- a/src/host.rs
+++ b/src/host.rs
@@ -1,48 +1,50 @@
-//! The interface between a server and its admission controller: the [`Host`] trait by which the controller acts, and the
-//! small types that are handed to it. Nothing here decides; nothing here belongs to one protocol. Times are whole
-//! microseconds on any clock that only advances.
+//! The interface between a server and its admission controller: the [`Host`] trait through which the controller acts,
+//! and the small types that pass through the interface. This module makes no decision and depends on no protocol. Times
+//! are whole microseconds on any monotonic clock.
 
 use std::sync::Arc;
 
-/// A request's id, as the protocol in front gives it.
+/// The id of a request, as assigned by the ingress protocol.
 pub type RpcId = Arc<str>;
 
-/// What a controller can ask of its server. Every action takes effect at the time of the event that is reported.
+/// The actions that a controller can request from its server. Each action takes effect at the time of the reported
+/// event.
 pub trait Host {
     /// Starts a queued request, or resumes a paused one.
     fn start(&mut self, id: &str);
-    /// Takes running work off the cores; a `run_ended` with [`Outcome::Stopped`] attests it. It answers nobody.
+    /// Takes running work off the cores, which a `run_ended` with [`Outcome::Stopped`] confirms. Sends no answer.
     fn stop(&mut self, id: &str);
-    /// Final answer: rejected, and it never ran.
+    /// Sends the final answer that the request is rejected and never ran.
     fn reject(&mut self, id: &str, rejection: Rejection);
-    /// Final answer: given up, with no word on whether it ran.
+    /// Sends the final answer that the request is aborted, which leaves open whether it ran.
     fn abort(&mut self, id: &str);
-    /// Places the upstream call that a running request waits for; it is abandoned at `until_us`.
+    /// Places the upstream call that a running request waits for. The call is abandoned at `until_us`.
     fn place_call(&mut self, id: &str, until_us: u64);
-    /// Lets a running request go on without its call. Only where the method's `value_without_call` is above 0.
+    /// Resumes a running request without its call. Used only if the method's `value_without_call` is above 0.
     fn skip_call(&mut self, id: &str);
-    /// Remembers a request's idempotency key for `ttl_us`, so that its repeats are known.
+    /// Remembers a request's idempotency key for `ttl_us`, so that its repeats are recognised.
     fn remember_key(&mut self, id: &str, ttl_us: u64);
     /// Forgets the key of a remembered request.
     fn forget_key(&mut self, id: &str);
-    /// Answers a queued request from the outcome of the one that it repeats.
+    /// Answers a queued request with the outcome of the request that it repeats.
     fn share_outcome(&mut self, id: &str);
-    /// Sets what health checks are answered, without real work.
+    /// Sets the answer to health checks, which are answered without real work.
     fn set_readiness(&mut self, readiness: Readiness);
-    /// Sets the value sent back with every answer. Only where [`Callers::signal`] is not [`SignalKind::None`].
+    /// Sets the load signal that is sent with every answer. Used only if [`Callers::signal`] is not
+    /// [`SignalKind::None`].
     fn send_load_signal(&mut self, value: f64);
     /// Closes connections that have been idle for `idle_us`.
     fn close_idle_connections(&mut self, idle_us: u64);
-    /// Asks for a `timer_fired` with this token at `at_us` or soon after.
+    /// Requests a `timer_fired` with this token at `at_us` or soon after.
     fn set_timer(&mut self, at_us: u64, token: u64);
 }
 
-/// What a rejected caller is advised.
+/// The advice to a rejected caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// Whether to retry at another server.
     pub retry: Retry,
-    /// How long to keep away from this server, in microseconds; 0 for no advice.
+    /// The time before the caller should retry at this server, in microseconds; 0 for no advice.
     pub retry_after_us: u64,
 }
 
@@ -51,214 +53,214 @@
 pub enum Retry {
     /// Another server may have capacity.
     Elsewhere,
-    /// Retries would only add load.
+    /// Retries would only increase the load.
     DoNotRetry,
 }
 
-/// What health checks are answered.
+/// The answer to health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// Callers may send requests.
     Ready,
-    /// The server drains.
+    /// The server is draining.
     NotReady,
 }
 
 /// Whether a request's effect may happen again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May run again.
+    /// The request may run again.
     Idempotent,
-    /// Carries an idempotency key by which a repeat is known; runs once on a server within its window.
+    /// The request has an idempotency key by which repeats are recognised, and runs once on a server within the key's
+    /// window.
     WithKey,
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// A method, as the deployment states it.
+/// A method, as configured by the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Method {
-    /// Its priority weight.
+    /// The priority weight of the method.
     pub criticality: f64,
-    /// The answer is wanted within this time.
+    /// The latency objective: the time within which an answer is wanted.
     pub latency_target_us: u64,
-    /// The latency target grows by this multiple of the request's own work.
+    /// The multiple of a request's own work that is added to the latency target.
     pub target_stretch: f64,
-    /// The client gives up after this time.
+    /// The time after which clients give up.
     pub deadline_us: u64,
-    /// Whether it may run again.
+    /// Whether requests may run again.
     pub effect: Effect,
-    /// How long a request with a key may be repeated after its arrival.
+    /// The time after its arrival in which a request with an idempotency key may be repeated.
     pub key_window_us: u64,
-    /// Its requests may make upstream calls.
+    /// Whether requests may make upstream calls.
     pub makes_calls: bool,
-    /// What an answer without the call still earns, as a share; 0 forbids skipping it.
+    /// The share of its value that an answer without the upstream call has; 0 forbids skipping the call.
     pub value_without_call: f64,
 }
 
-/// How running work can be taken off the cores.
+/// The way in which running work can be taken off the cores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stopping {
-    /// It cannot.
+    /// The server cannot stop running work.
     Never,
-    /// The work is lost.
+    /// Stopped work is lost.
     Drop,
-    /// The work keeps its memory and can be resumed.
+    /// Stopped work retains its memory and can be resumed.
     Pause,
 }
 
-/// The machine under this server.
+/// The machine that a server runs on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
-    /// Processor cores.
+    /// The number of processor cores.
     pub cores: u32,
-    /// Memory for requests and keys.
+    /// The memory for requests and idempotency keys, in KB.
     pub memory_kb: f64,
-    /// Memory of a running request over that of a queued one.
+    /// The ratio of the memory of a running request to that of a queued one.
     pub run_memory_factor: f64,
-    /// Memory of one remembered key.
+    /// The memory of one remembered key, in KB.
     pub key_kb: f64,
-    /// How running work can be stopped.
+    /// The way in which running work can be stopped.
     pub stopping: Stopping,
-    /// Callers close a connection that has been idle for so long.
+    /// The idle time after which callers close a connection, in microseconds.
     pub max_connection_idle_us: u64,
 }
 
-/// How many running requests the server survives, and how that rises after a cold start.
+/// The number of running requests that the server survives, and its growth after a cold start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SurvivableLoad {
-    /// Running requests for each core that a warm server withstands.
+    /// The number of running requests per core that a warm server survives.
     pub requests_per_core: f64,
-    /// The server starts cold.
+    /// Whether the server starts cold.
     pub is_cold: bool,
-    /// A cold server has at least this share of its speed.
+    /// The minimum share of its full speed that a cold server has.
     pub min_cold_speed: f64,
-    /// It is warm after this time at the latest.
+    /// The time after which the server is warm at the latest.
     pub warm_within_us: u64,
 }
 
-/// What requests call while they run.
+/// The upstream that requests call while they run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Upstream {
-    /// Nothing.
+    /// No upstream.
     None,
-    /// One dependency for the whole fleet.
+    /// A single dependency for the whole fleet.
     Shared {
-        /// This server's part of the calls in flight that it survives, as a mean over the window.
+        /// This server's share of the calls in flight that the dependency survives, as a mean over the window.
         max_calls_in_flight: f64,
-        /// The window of that mean.
+        /// The length of that window, in microseconds.
         window_us: u64,
-        /// An abandoned call stays in flight for so long.
+        /// The time for which an abandoned call stays in flight, in microseconds.
         linger_us: u64,
     },
-    /// A tier of servers that decide as this one does.
+    /// A tier of servers that make the same decisions as this one.
     Tier,
 }
 
-/// What callers take the value sent back for.
+/// The interpretation of the load signal by callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalKind {
-    /// They take no value.
+    /// Callers accept no load signal.
     None,
-    /// They send nothing whose standing is below the value.
+    /// A threshold: callers send no requests whose rank is below the value.
     Level,
-    /// Each keeps at most so many requests outstanding here.
+    /// The maximum number of requests that each caller has outstanding at this server.
     Credit,
-    /// The probability that a caller does not pass this server over.
+    /// The probability that a caller that selects this server uses it.
     Weight,
 }
 
-/// The callers of a server, and what they can be told.
+/// The callers of a server, and the advice that they understand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Callers {
-    /// What they take the load signal for.
+    /// The interpretation of the load signal.
     pub signal: SignalKind,
-    /// How many there are.
+    /// The number of callers.
     pub count: u32,
-    /// They mark retries as such.
+    /// Whether callers mark retries as such.
     pub mark_retries: bool,
-    /// The longest Retry-After that is heeded; 0 where none is.
+    /// The longest Retry-After that callers respect, in microseconds; 0 if they respect none.
     pub max_retry_after_us: u64,
 }
 
-/// A tenant, and its quota when the request arrived: requests a second over the whole fleet, beyond which its requests
-/// count for little.
+/// A tenant, and its quota when the request arrived. Requests beyond the quota have a lower value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Stands for the same tenant as long as the server runs.
+    /// The id, which identifies the same tenant as long as the server runs.
     pub id: u32,
-    /// The quota.
+    /// The quota, in requests per second over the whole fleet.
     pub per_second: f64,
 }
 
-/// How criticality is counted, and what quotas are divided between.
+/// The rules by which criticality and quotas are counted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// Criticality counts for each unit of work, not for each request.
+    /// Whether criticality is the value of a unit of work, and not that of a request.
     pub counts_by_work: bool,
-    /// What a request beyond its tenant's quota still counts for, as a share.
+    /// The share of its value that a request beyond its tenant's quota has.
     pub over_quota_value: f64,
-    /// Servers of this tier.
+    /// The number of servers in this tier, between which quotas are divided.
     pub servers: u32,
 }
 
 /// A request that has been read into this server's queue.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// The id of the request.
     pub id: RpcId,
-    /// Position in the list of methods.
+    /// The position of the method in the list of methods.
     pub method: usize,
-    /// Memory while it is queued.
+    /// The memory of the request while it is queued, in KB.
     pub memory_kb: f64,
-    /// Time since it reached the machine.
+    /// The time since the request reached the machine.
     pub queued_us: u64,
-    /// How long its caller still waits, where that is conveyed.
+    /// The time that the caller still waits, if requests convey it.
     pub time_left_us: Option<u64>,
-    /// Likely work on a standard core.
+    /// The expected work on a standard core.
     pub work_hint_us: Option<u64>,
     /// The remembered request that this one repeats.
     pub repeats: Option<RpcId>,
-    /// Marked as a retry.
+    /// Whether the request is marked as a retry.
     pub is_retry: bool,
-    /// Whose it is, where tenants are told apart.
+    /// The tenant of the request, if the deployment distinguishes tenants.
     pub tenant: Option<Tenant>,
 }
 
-/// The server's own gauges, where it has them.
+/// The present values of the server's gauges, as far as available.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Busy share of the cores over the last half second.
+    /// The busy share of the cores over the last half second.
     pub busy: Option<f64>,
-    /// All present demand for a core.
+    /// The total present demand for cores, by running and waiting work.
     pub runnable: Option<f64>,
-    /// Open connections.
+    /// The number of open connections.
     pub connections: Option<f64>,
 }
 
-/// How a run or a call ended.
+/// The outcome of a run or an upstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Ok,
-    /// It ran and failed.
+    /// The run or call was executed and failed.
     Error,
-    /// The call was rejected unseen.
+    /// The call was rejected without being executed.
     Rejected,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
     /// The upstream could not be reached.
     Unreachable,
-    /// Its connection broke.
+    /// The connection broke.
     Interrupted,
-    /// It was stopped as asked.
+    /// The run was stopped at the controller's request.
     Stopped,
-    /// Nothing was started.
+    /// The run or call was not started.
     NotStarted,
 }
 
 impl Outcome {
-    /// Whether this proves that the call never ran.
+    /// Whether this outcome proves that the call never ran.
     ///
     /// ```
     /// use ochrewalk::host::Outcome;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
-//! ochrewalk decides, inside each server of a fleet, what that server admits, runs and rejects.
+//! ochrewalk decides, inside each server of a fleet, which requests that server admits, runs and rejects.
 //!
-//! The server reports to an [`admission::AdmissionController`] what happens to it, one method for each kind of event, and
-//! the controller acts by calling the [`host::Host`] that it was handed at its start. It keeps no clock and opens no socket:
-//! time comes in with every call, so that any protocol can be put in front of the same decisions.
+//! The server reports events to an [`admission::AdmissionController`], which has one method for each kind of event, and
+//! the controller acts by calling the [`host::Host`] that it was created with. The controller reads no clock and opens
+//! no socket. Every call passes the time, so that any protocol can use the same decisions.
 //!
-//! * [`host`] is the interface: the `Host` trait and the small types handed over.
-//! * [`deployment`] reads, checks and defaults a deployment's figures.
-//! * [`json`] reads long texts in parts.
-//! * [`names`] finds positions by name.
-//! * [`admission`] holds every decision, every tuned value and all state.
+//! * [`host`] is the interface: the `Host` trait and the small types that pass through it.
+//! * [`deployment`] reads a deployment's settings, validates them and applies defaults.
+//! * [`json`] reads long JSON texts in parts.
+//! * [`names`] looks up positions by name.
+//! * [`admission`] contains all decisions, their constants and the state.
 
 #![warn(missing_docs)]
 
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,26 +1,28 @@
-//! Distinct names by their position, and positions by their name. The text of each name is stored once.
+//! An index between names and their positions, in both directions. The text of each name is stored once.
 
 use hashbrown::HashTable;
 use std::hash::{BuildHasher, RandomState};
 
-/// Names in their order, looked up by hash. Where a name comes twice, its first position is the one found.
+/// Names in order, looked up by hash. If a name occurs twice, a look-up finds its first position.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// All names, one after another, and where each ends.
+    /// The concatenation of all names.
     text: String,
+    /// The end of each name in `text`.
     ends: Vec<usize>,
-    /// Positions, by the hash of the name there. Keyed at random: callers choose what is looked up.
+    /// Positions, by the hash of the name at each. The hash is randomly keyed, because callers control the names that
+    /// are looked up.
     positions: HashTable<u32>,
     hasher: RandomState,
 }
 
 impl Names {
-    /// The name at a position.
+    /// Returns the name at a position.
     pub fn get(&self, position: usize) -> Option<&str> {
         (position < self.ends.len()).then(|| slice(&self.text, &self.ends, position))
     }
 
-    /// The first position of a name.
+    /// Returns the first position of a name.
     ///
     /// ```
     /// let names: ochrewalk::names::Names = ["read", "write", "read"].into_iter().collect();
@@ -28,8 +30,8 @@
     /// ```
     pub fn position(&self, name: &str) -> Option<usize> {
         let hash = self.hasher.hash_one(name);
-        let found = self.positions.find(hash, |position| self.get(*position as usize) == Some(name));
-        found.map(|position| *position as usize)
+        let entry = self.positions.find(hash, |position| self.get(*position as usize) == Some(name));
+        entry.map(|position| *position as usize)
     }
 
     /// Adds a name at the end.
@@ -46,23 +48,23 @@
         }
     }
 
-    /// Gives back what was set aside for more names.
+    /// Releases memory that was reserved for more names.
     pub fn shrink_to_fit(&mut self) {
         self.text.shrink_to_fit();
         self.ends.shrink_to_fit();
     }
 
-    /// The names in their order.
+    /// Returns the names in order.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = &str> {
         (0..self.ends.len()).map(|position| slice(&self.text, &self.ends, position))
     }
 
-    /// How many there are.
+    /// Returns the number of names, including repeated ones.
     pub fn len(&self) -> usize {
         self.ends.len()
     }
 
-    /// Whether there is none.
+    /// Whether the index contains no names.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
