--- a/src/deployment/mod.rs
+++ b/src/deployment/mod.rs
@@ -1,5 +1,5 @@
-//! A deployment's figures, and a real node's file: read from JSON, checked and given defaults here and nowhere else. Every
-//! error names the key. An unknown key is skipped, so that newer files still start.
+//! The settings of a deployment and the file of a node. Only this module reads them from JSON, validates them and
+//! applies defaults. Every error names the key. Unknown keys are ignored, so that a node starts with a newer file.
 
 mod fields;
 mod placement;
@@ -19,52 +19,52 @@
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
-/// What the operators state of a deployment: the object `options` of the simulator's wire, and `settings` in a real node's
-/// file. Long lists are shared between clones.
+/// The settings of a deployment: the object `options` in the simulator's protocol, and `settings` in a node's file.
+/// Clones share the long lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// The machine under each server.
+    /// The machine that each server runs on.
     pub machine: Machine,
-    /// What a server survives.
+    /// The load that a server survives.
     pub survivable_load: SurvivableLoad,
-    /// The methods, by position.
+    /// The methods, indexed by position.
     pub methods: Arc<[Method]>,
-    /// What requests call.
+    /// The kind of upstream that requests call.
     pub upstream: Upstream,
-    /// The callers, and what they can be told.
+    /// The callers, and the advice that they understand.
     pub callers: Callers,
-    /// How quotas are counted.
+    /// The rules by which quotas are counted.
     pub quotas: QuotaSettings,
-    /// After the notice to leave, what arrives within this time may still be started, in microseconds.
+    /// The time after the notice to drain within which an arriving request may still be started, in microseconds.
     pub drain_grace_us: u64,
-    /// The methods' names by position.
+    /// The names of the methods, indexed by position.
     pub method_names: Arc<Names>,
     /// The tenants and their quotas.
     pub tenants: Arc<TenantTable>,
-    /// The names of the gauges, in the order of a row of them.
+    /// The names of the gauges, in the order of a row of gauge values.
     pub gauge_names: Vec<String>,
-    /// Requests convey how long their caller still waits.
+    /// Whether requests convey the time that their caller still waits.
     pub conveys_time_left: bool,
 }
 
 impl Deployment {
-    /// Reads an object's text; `message` is the path to it.
+    /// Reads the text of an object. `message` is the path to the object, for errors.
     ///
     /// # Errors
-    /// The first key that is missing or out of range.
+    /// Names the first key that is missing or out of range.
     pub fn read(message: &str, text: &RawValue) -> Result<Deployment, FieldError> {
         schema::read(message, text)
     }
 
-    /// The admission controller of a server of this deployment that starts now.
+    /// Creates the admission controller of a server of this deployment that starts now.
     pub fn start<H: Host>(&self, host: H, now_us: u64, seed: u64) -> AdmissionController<H> {
         AdmissionController::start(host, now_us, seed, self.admission_config())
     }
 
-    /// An admission controller that goes on from what another wrote down.
+    /// Creates an admission controller that continues from the snapshot of a predecessor.
     ///
     /// # Errors
-    /// The snapshot does not fit this deployment.
+    /// Returns an error if the snapshot does not fit this deployment.
     pub fn resume<H: Host>(
         &self,
         host: H,
@@ -86,19 +86,19 @@
         }
     }
 
-    /// The position of a method.
+    /// Returns the position of a method, by its name.
     pub fn method(&self, name: &str) -> Option<usize> {
         self.method_names.position(name)
     }
 
-    /// A tenant by its name.
+    /// Returns a tenant, by its name.
     pub fn tenant(&self, name: &str) -> Option<Tenant> {
         self.tenants.find(name)
     }
 
-    /// The controller's gauges from a row in the deployment's order.
+    /// Returns the controller's gauges from a row of values in the deployment's order.
     pub fn gauges<'a>(&self, row: impl Fn(usize) -> Option<f64> + 'a) -> Gauges {
-        let gauge = |name: &str| row(self.gauge_names.iter().position(|known| known == name)?);
+        let gauge = |name: &str| row(self.gauge_names.iter().position(|known_name| known_name == name)?);
         Gauges { busy: gauge("cpu_busy"), runnable: gauge("runnable"), connections: gauge("sockets") }
     }
 }
--- a/src/deployment/placement.rs
+++ b/src/deployment/placement.rs
@@ -1,4 +1,4 @@
-//! A real node's file: where it stands, with its deployment inside.
+//! The file of a node: its name, addresses, limits and deployment settings.
 
 use super::fields::{FieldError, Parts};
 use super::Deployment;
@@ -7,20 +7,20 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How errors name the file's outermost object.
+/// The name of the file's outermost object in errors.
 pub(super) const MESSAGE: &str = "config";
 const MIN_MEMORY_MB: u64 = 16;
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Why a node's file cannot be used.
+/// The reason why a node's file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// A key is missing or out of range.
@@ -28,33 +28,33 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// The key.
+        /// The error, which names the key.
         source: FieldError,
     },
 }
 
-/// Where one real node stands: its file, with the deployment inside.
+/// The contents of a node's file: its identity, addresses, limits and deployment settings.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The node's name in the directory.
     pub name: String,
-    /// Where clients connect.
+    /// The address that the node listens on for clients.
     pub listen: SocketAddr,
-    /// Where the executor listens.
+    /// The address of the executor.
     pub executor: SocketAddr,
-    /// Where the directory listens.
+    /// The address of the directory.
     pub directory: SocketAddr,
-    /// Where upstream calls go; servers of the last tier make none.
+    /// The address that upstream calls go to; absent in the last tier, whose servers make no calls.
     pub upstream: Option<SocketAddr>,
-    /// The seed of random numbers, new with each start.
+    /// The seed of the random number generator, different at each start.
     pub seed: u64,
-    /// From SIGTERM to the end of the process.
+    /// The time from SIGTERM to the end of the process, in milliseconds.
     pub stop_ms: u64,
-    /// The limit of the process's memory.
+    /// The memory limit of the process, in MB.
     pub memory_mb: u64,
-    /// The limit of its file descriptors.
+    /// The limit on file descriptors of the process.
     pub descriptors: usize,
-    /// The deployment's figures.
+    /// The settings of the deployment.
     pub deployment: Deployment,
 }
 
@@ -67,7 +67,7 @@
     /// ```
     ///
     /// # Errors
-    /// The first key that is missing or out of range.
+    /// Names the first key that is missing or out of range.
     pub fn read(text: &[u8]) -> Result<Placement, FieldError> {
         let not_json = |source| FieldError::not_json(MESSAGE, source);
         let text = json::check(text).map_err(not_json)?;
@@ -105,7 +105,7 @@
     /// Reads a node's file.
     ///
     /// # Errors
-    /// It cannot be read, or the first key that is missing or out of range.
+    /// Returns an error if the file cannot be read, or names the first key that is missing or out of range.
     pub fn read_file(file: &Path) -> Result<Placement, NodeFileError> {
         let path = || file.to_path_buf();
         let text =
@@ -113,11 +113,12 @@
         Placement::read(&text).map_err(|source| NodeFileError::Invalid { path: path(), source })
     }
 
-    /// Takes from a newer file what may change while the node runs: the addresses of its peers and `stop_ms`. Gives the
-    /// keys that have changed and wait for the next start. `seed` is new in any file.
+    /// Applies the values of a newer file that may change while the node runs: the addresses of its peers and
+    /// `stop_ms`. Returns the keys that have changed but apply only from the next start. A difference in `seed` is
+    /// ignored, as every file has a new seed.
     pub fn apply_reload(&mut self, newer: &Placement) -> Vec<&'static str> {
         let limits = (self.memory_mb, self.descriptors);
-        let unchanged = [
+        let comparisons = [
             ("name", self.name == newer.name),
             ("listen", self.listen == newer.listen),
             ("limits", limits == (newer.memory_mb, newer.descriptors)),
@@ -127,13 +128,13 @@
         self.executor = newer.executor;
         self.directory = newer.directory;
         self.stop_ms = newer.stop_ms;
-        // A tier that makes upstream calls goes on doing so, and the last one has none.
-        self.upstream = self.upstream.map(|old| newer.upstream.unwrap_or(old));
-        unchanged.into_iter().filter(|(_, unchanged)| !unchanged).map(|(key, _)| key).collect()
+        // A tier that makes upstream calls continues to do so, and the last tier continues to make none.
+        self.upstream = self.upstream.map(|current| newer.upstream.unwrap_or(current));
+        comparisons.into_iter().filter(|(_, is_unchanged)| !is_unchanged).map(|(key, _)| key).collect()
     }
 }
 
 fn is_valid_name(name: &str) -> bool {
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    !name.is_empty() && name.chars().all(is_plain)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    !name.is_empty() && name.chars().all(is_allowed)
 }
--- a/src/deployment/schema.rs
+++ b/src/deployment/schema.rs
@@ -1,5 +1,5 @@
-//! The keys of a deployment's figures, their ranges and defaults. The keys keep their names; each value is read into the
-//! field's term.
+//! The schema of a deployment's settings: the keys, their ranges and their defaults. The keys are an external format
+//! and keep their names; the fields that they are read into use the terms of the field.
 
 use super::fields::{FieldError, Fields, Parts};
 use super::tenants::TenantTable;
@@ -14,7 +14,8 @@
 
 const NS_PER_US: u64 = 1_000;
 
-/// Reads an object's text; `message` is the path to it. Its long lists are read one element at a time.
+/// Reads the text of an object, whose long lists are read one element at a time. `message` is the path to the object,
+/// for errors.
 pub(super) fn read(message: &str, text: &RawValue) -> Result<Deployment, FieldError> {
     let parts = Parts::read(message, text, &["categories", "tenants", "extra"])?;
     let options = parts.fields();
@@ -25,7 +26,7 @@
     let upstream = upstream(&extra)?;
     let (method_names, methods) = methods(&parts, &extra_parts, upstream)?;
     let tenants = tenants(&parts)?;
-    // Each key is checked in this order, so that the first one at fault is named.
+    // Keys are checked in this order, so that the error names the first invalid one.
     let respects_retry_after = limits.optional_bool("retry-after")?.unwrap_or(false);
     let machine = machine(&extra)?;
     let survivable_load = survivable_load(&rules, &extra)?;
@@ -135,15 +136,16 @@
     })
 }
 
-/// The methods and their names. What `extra` says of them stands in lists of its own, by position.
+/// Reads the methods and their names. `extra` contains further properties of the methods, in separate lists by
+/// position.
 fn methods(options: &Parts, extra: &Parts, upstream: Upstream) -> Result<(Names, Vec<Method>), FieldError> {
     let (mut may_call, mut value_without_call) = (Vec::new(), Vec::new());
-    extra.for_each("calls-by-class", |may: Value| -> Result<(), FieldError> {
-        may_call.push(may.as_bool());
+    extra.for_each("calls-by-class", |value: Value| -> Result<(), FieldError> {
+        may_call.push(value.as_bool());
         Ok(())
     })?;
-    extra.for_each("class-skip-worth", |share: Value| -> Result<(), FieldError> {
-        value_without_call.push(share.as_f64());
+    extra.for_each("class-skip-worth", |value: Value| -> Result<(), FieldError> {
+        value_without_call.push(value.as_f64());
         Ok(())
     })?;
     let (mut names, mut methods) = (Names::default(), Vec::new());
@@ -165,7 +167,7 @@
     Ok((names, methods))
 }
 
-/// What a category says of itself.
+/// Reads the properties of a method from its category.
 fn method(category: &Fields) -> Result<Method, FieldError> {
     Ok(Method {
         criticality: category.at_least("worth", 0.0)?,
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,5 +1,5 @@
-//! Reads JSON text in parts, so that no tree of a whole text stands beside what is made of it: an object's long fields
-//! stay text, and the elements of their lists are read one at a time.
+//! Reads JSON text in parts, so that memory never holds a tree of the complete text in addition to the result. The long
+//! fields of an object remain unparsed text, and the elements of their lists are read one at a time.
 
 use serde::de::{Deserialize, Deserializer as _, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
@@ -10,17 +10,17 @@
 use std::io::{self, Write};
 use std::marker::PhantomData;
 
-/// Checks all of a text as reading it into a [`Value`] would, and keeps nothing of it. After this no part of the text
-/// fails to be read, so that errors tell their place in the whole.
+/// Validates a complete text as reading it into a [`Value`] would, and stores nothing. After this no part of the text
+/// fails to parse, so that errors give their position in the complete text.
 ///
 /// # Errors
-/// The text is no JSON, or no UTF-8.
+/// Returns an error if the text is not valid JSON, or not valid UTF-8.
 pub fn check(text: &[u8]) -> Result<&str, Error> {
     let Checked = serde_json::from_slice(text)?;
     std::str::from_utf8(text).map_err(serde::de::Error::custom)
 }
 
-/// Any JSON value, read as a [`Value`] is and dropped.
+/// A marker for any JSON value that was read as a [`Value`] would be, and dropped.
 struct Checked;
 
 impl<'de> Deserialize<'de> for Checked {
@@ -73,37 +73,37 @@
     }
 }
 
-/// An object of which named fields stay text. A field that comes twice stands as it comes last.
+/// An object of which some fields remain text. If a field occurs twice, its last value applies.
 pub struct Object<'a> {
-    /// All other fields; the value itself, where it is no object.
-    pub small: Value,
-    long: Vec<(&'static str, &'a RawValue)>,
+    /// All other fields, or the value itself if it is not an object.
+    pub parsed: Value,
+    unparsed: Vec<(&'static str, &'a RawValue)>,
 }
 
 impl<'a> Object<'a> {
-    /// Reads an object's text; `long` are the fields that stay text.
+    /// Reads the text of an object. `unparsed` lists the fields that remain text.
     ///
     /// # Errors
-    /// The text is no JSON.
-    pub fn read(text: &'a str, long: &[&'static str]) -> Result<Object<'a>, Error> {
+    /// Returns an error if the text is not valid JSON.
+    pub fn read(text: &'a str, unparsed: &[&'static str]) -> Result<Object<'a>, Error> {
         if !text.trim_ascii_start().starts_with('{') {
-            return Ok(Object { small: serde_json::from_str(text)?, long: Vec::new() });
+            return Ok(Object { parsed: serde_json::from_str(text)?, unparsed: Vec::new() });
         }
         let mut reader = Deserializer::from_str(text);
-        let object = reader.deserialize_map(ObjectVisitor { long })?;
+        let object = reader.deserialize_map(ObjectVisitor { unparsed })?;
         reader.end()?;
         Ok(object)
     }
 
-    /// The text of a field that stayed text; nothing where it is absent or null.
-    pub fn long(&self, field: &str) -> Option<&'a RawValue> {
-        let found = self.long.iter().rev().find(|(name, _)| *name == field);
-        found.map(|(_, text)| *text).filter(|text| text.get() != "null")
+    /// Returns the text of an unparsed field, or `None` if the field is absent or null.
+    pub fn unparsed(&self, field: &str) -> Option<&'a RawValue> {
+        let field_text = self.unparsed.iter().rev().find(|(name, _)| *name == field);
+        field_text.map(|(_, text)| *text).filter(|text| text.get() != "null")
     }
 }
 
 struct ObjectVisitor<'l> {
-    long: &'l [&'static str],
+    unparsed: &'l [&'static str],
 }
 
 impl<'de> Visitor<'de> for ObjectVisitor<'_> {
@@ -114,14 +114,14 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Object<'de>, A::Error> {
-        let (mut small, mut long) = (Map::new(), Vec::new());
+        let (mut parsed, mut unparsed) = (Map::new(), Vec::new());
         while let Some(name) = fields.next_key::<String>()? {
-            match self.long.iter().find(|long| **long == name) {
-                Some(name) => long.push((*name, fields.next_value()?)),
-                None => drop(small.insert(name, fields.next_value()?)),
+            match self.unparsed.iter().find(|unparsed| **unparsed == name) {
+                Some(name) => unparsed.push((*name, fields.next_value()?)),
+                None => drop(parsed.insert(name, fields.next_value()?)),
             }
         }
-        Ok(Object { small: Value::Object(small), long })
+        Ok(Object { parsed: Value::Object(parsed), unparsed })
     }
 }
 
@@ -135,11 +135,11 @@
     text.get().starts_with('[')
 }
 
-/// Hands over the elements of a list one at a time, up to the first error of whoever takes them, which is the inner
-/// result. The outer one is an error of the text.
+/// Passes the elements of a list to `take` one at a time, up to the first error of `take`, which is the inner result.
+/// The outer result is an error of the text.
 ///
 /// # Errors
-/// The text is no list of such elements.
+/// Returns an error if the text is not a list of such elements.
 pub fn for_each<'a, T: Deserialize<'a>, E>(
     list: &'a RawValue,
     take: impl FnMut(T) -> Result<(), E>,
@@ -164,20 +164,20 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(mut self, mut list: A) -> Result<Self::Value, A::Error> {
-        let mut taken = Ok(());
-        while taken.is_ok() {
-            let Some(element) = list.next_element()? else { return Ok(taken) };
-            taken = (self.take)(element);
+        let mut result = Ok(());
+        while result.is_ok() {
+            let Some(element) = list.next_element()? else { return Ok(result) };
+            result = (self.take)(element);
         }
         while let Some(IgnoredAny) = list.next_element()? {}
-        Ok(taken)
+        Ok(result)
     }
 }
 
-/// The fields of an object by name, as text.
+/// Returns the fields of an object by name, as text.
 ///
 /// # Errors
-/// The text is no object.
+/// Returns an error if the text is not an object.
 pub fn fields(text: &str) -> Result<BTreeMap<Cow<'_, str>, &RawValue>, Error> {
     serde_json::from_str(text)
 }
@@ -185,7 +185,7 @@
 /// Writes an object of these fields as [`Value`] would.
 ///
 /// # Errors
-/// It cannot be written, or a value is no JSON.
+/// Returns an error if the output cannot be written, or if a value is not valid JSON.
 pub fn write_fields(fields: &BTreeMap<Cow<'_, str>, &RawValue>, out: &mut impl Write) -> io::Result<()> {
     out.write_all(b"{")?;
     for (position, (name, value)) in fields.iter().enumerate() {
@@ -199,10 +199,10 @@
     out.write_all(b"}")
 }
 
-/// Writes a value as [`Value`] would: fields by their names' order, without spaces. Equal values give the same text.
+/// Writes a value as [`Value`] would: with fields sorted by name, and without spaces. Equal values give the same text.
 ///
 /// # Errors
-/// It cannot be written, or the text is no JSON.
+/// Returns an error if the output cannot be written, or if the text is not valid JSON.
 pub fn write_value(text: &RawValue, out: &mut impl Write) -> io::Result<()> {
     if is_object(text) {
         write_fields(&fields(text.get())?, out)
@@ -215,10 +215,10 @@
 }
 
 fn write_list(list: &RawValue, out: &mut impl Write) -> io::Result<()> {
-    let mut before: &[u8] = b"[";
+    let mut separator: &[u8] = b"[";
     for_each(list, |element: Value| -> io::Result<()> {
-        out.write_all(std::mem::replace(&mut before, b","))?;
+        out.write_all(std::mem::replace(&mut separator, b","))?;
         Ok(serde_json::to_writer(&mut *out, &element)?)
     })??;
-    out.write_all(if before == b"[" { b"[]" } else { b"]" })
+    out.write_all(if separator == b"[" { b"[]" } else { b"]" })
 }
