--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -1,5 +1,5 @@
-//! The same seeded events bring, byte for byte, the actions and the snapshots that are written down here. A change that is
-//! meant to change no decision keeps both; the digests are never taken anew to get a pass.
+//! The same seeded events cause, byte for byte, the recorded actions and snapshots. A change that is not intended to
+//! change a decision leaves both as they are; the digest is never recorded again only to make the test pass.
 
 mod helper;
 
@@ -12,7 +12,7 @@
 
 const STEPS: usize = 1_200;
 const SEEDS: u64 = 36;
-/// Of all actions of all seeds, and of a snapshot every hundred steps.
+/// The digest of all actions of all seeds, and of a snapshot every hundred steps.
 const DIGEST: u64 = 14_539_994_788_114_879_433;
 const ACTIONS: u64 = 28_429;
 /// The seed and the step whose snapshot is the fixture.
@@ -23,7 +23,7 @@
 const START_US: u64 = 1_000_000;
 const DRAIN_GRACE_US: u64 = 300_000;
 
-/// FNV-1a, 64 bits: small, and the same everywhere.
+/// A 64-bit FNV-1a hash, which is short and the same on every platform.
 struct Digest(u64);
 
 impl Digest {
@@ -38,20 +38,20 @@
     }
 }
 
-/// Where an RPC is, as far as the server outside can tell.
+/// The phase of a request, as far as its server knows.
 #[derive(Clone, Copy, PartialEq)]
-enum Place {
+enum Phase {
     Queued,
     Running,
-    WaitsForCall,
+    AwaitingCall,
     Calling,
 }
 
-/// A host that digests every action with all its arguments, and follows where each RPC is.
+/// A host that digests every action with all its arguments, and tracks the phase of each request.
 struct Recorder {
     digest: Digest,
     actions: u64,
-    rpcs: BTreeMap<String, Place>,
+    rpcs: BTreeMap<String, Phase>,
     remembered: Vec<String>,
     timers: Vec<(u64, u64)>,
 }
@@ -77,7 +77,7 @@
 impl Host for Recorder {
     fn start(&mut self, id: &str) {
         self.record(&format!("run {id}"));
-        self.rpcs.insert(id.into(), Place::Running);
+        self.rpcs.insert(id.into(), Phase::Running);
     }
     fn stop(&mut self, id: &str) {
         self.record(&format!("stop {id}"));
@@ -92,11 +92,11 @@
     }
     fn place_call(&mut self, id: &str, until_us: u64) {
         self.record(&format!("call {id} {until_us}"));
-        self.rpcs.insert(id.into(), Place::Calling);
+        self.rpcs.insert(id.into(), Phase::Calling);
     }
     fn skip_call(&mut self, id: &str) {
         self.record(&format!("skip {id}"));
-        self.rpcs.insert(id.into(), Place::Running);
+        self.rpcs.insert(id.into(), Phase::Running);
     }
     fn remember_key(&mut self, id: &str, ttl_us: u64) {
         self.record(&format!("remember {id} {ttl_us}"));
@@ -110,7 +110,7 @@
         self.record(&format!("share {id}"));
     }
     fn set_readiness(&mut self, readiness: Readiness) {
-        // Health checks were always answered without real work; the digest was taken with a word on that.
+        // The recorded digest contains a flag for health checks without real work, which was always true.
         self.record(&format!("health {} true", readiness == Readiness::Ready));
     }
     fn send_load_signal(&mut self, value: f64) {
@@ -125,19 +125,19 @@
     }
 }
 
-/// The deployment of a seed: together the seeds cover every setting of every kind.
+/// Returns the deployment of a seed. Together the seeds cover every variant of every setting.
 fn deployment(seed: u64) -> AdmissionConfig {
     let stopping = [Stopping::Never, Stopping::Drop, Stopping::Pause][seed as usize % 3];
     let shared = Upstream::Shared { max_calls_in_flight: 4.0, window_us: 2_000_000, linger_us: 300_000 };
     let upstream = [shared, Upstream::Tier, shared, Upstream::None][seed as usize % 4];
-    let calls = upstream != Upstream::None;
-    let with = |effect, value_without_call, criticality| Method {
-        makes_calls: calls,
+    let makes_calls = upstream != Upstream::None;
+    let method_with = |effect, value_without_call, criticality| Method {
+        makes_calls,
         criticality,
         target_stretch: 0.5,
         ..method(effect, value_without_call)
     };
-    let sent_back = [SignalKind::Weight, SignalKind::Level, SignalKind::Credit, SignalKind::None];
+    let signals = [SignalKind::Weight, SignalKind::Level, SignalKind::Credit, SignalKind::None];
     AdmissionConfig {
         machine: Machine {
             cores: 1 + (seed % 4) as u32,
@@ -154,16 +154,16 @@
             warm_within_us: 9_000_000,
         },
         methods: vec![
-            with(Effect::Idempotent, 0.0, 1.0),
-            with(Effect::WithKey, 0.0, 4.0),
-            with(Effect::NonIdempotent, 0.0, 3.0),
-            with(Effect::Idempotent, 0.5, 2.0),
-            Method { makes_calls: false, ..with(Effect::Idempotent, 0.0, 1.0) },
+            method_with(Effect::Idempotent, 0.0, 1.0),
+            method_with(Effect::WithKey, 0.0, 4.0),
+            method_with(Effect::NonIdempotent, 0.0, 3.0),
+            method_with(Effect::Idempotent, 0.5, 2.0),
+            Method { makes_calls: false, ..method_with(Effect::Idempotent, 0.0, 1.0) },
         ]
         .into(),
         upstream,
         callers: Callers {
-            signal: sent_back[(seed as usize / 3) % 4],
+            signal: signals[(seed as usize / 3) % 4],
             count: 1 + (seed % 7) as u32,
             mark_retries: !seed.is_multiple_of(3),
             max_retry_after_us: 1_000_000 * (seed % 3),
@@ -191,10 +191,10 @@
         Run { controller, rng, now_us: START_US, arrivals: 0, methods }
     }
 
-    fn any(&mut self, place: Place) -> Option<String> {
+    fn any(&mut self, phase: Phase) -> Option<String> {
         let rpcs = &self.controller.host().rpcs;
         let all: Vec<String> =
-            rpcs.iter().filter(|(_, at)| **at == place).map(|(id, _)| id.clone()).collect();
+            rpcs.iter().filter(|(_, current)| **current == phase).map(|(id, _)| id.clone()).collect();
         (!all.is_empty()).then(|| all[self.rng.usize(0..all.len())].clone())
     }
 
@@ -218,12 +218,12 @@
             is_retry: self.rng.u32(0..4) == 0,
             tenant: self.rng.bool().then_some(Tenant { id: tenant_id, per_second }),
         };
-        self.controller.host().rpcs.insert(id, Place::Queued);
+        self.controller.host().rpcs.insert(id, Phase::Queued);
         self.controller.request_arrived(self.now_us, arrival);
     }
 
     fn end_call(&mut self) {
-        let Some(id) = self.any(Place::Calling) else { return };
+        let Some(id) = self.any(Phase::Calling) else { return };
         let outcome = [
             Outcome::Ok,
             Outcome::Ok,
@@ -238,25 +238,25 @@
             Outcome::NotStarted,
         ][self.rng.usize(0..11)];
         let took_us = self.rng.u64(500..900_000);
-        let place = if outcome == Outcome::Ok { Place::Running } else { Place::WaitsForCall };
-        self.controller.host().rpcs.insert(id.clone(), place);
+        let phase = if outcome == Outcome::Ok { Phase::Running } else { Phase::AwaitingCall };
+        self.controller.host().rpcs.insert(id.clone(), phase);
         self.controller.call_ended(self.now_us, &id, outcome, took_us);
     }
 
     fn end_run(&mut self) {
-        let place = [Place::Running, Place::Running, Place::Running, Place::Calling][self.rng.usize(0..4)];
-        let Some(id) = self.any(place) else { return };
+        let phase = [Phase::Running, Phase::Running, Phase::Running, Phase::Calling][self.rng.usize(0..4)];
+        let Some(id) = self.any(phase) else { return };
         let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Stopped];
         let outcome = outcome[self.rng.usize(0..5)];
         self.controller.host().rpcs.remove(&id);
         self.controller.run_ended(self.now_us, &id, outcome);
     }
 
-    fn caller_goes(&mut self) {
-        let places = [Place::Queued, Place::Running, Place::WaitsForCall, Place::Calling];
-        let place = places[self.rng.usize(0..4)];
-        if let Some(id) = self.any(place) {
-            if place == Place::Queued {
+    fn disconnect_caller(&mut self) {
+        let phases = [Phase::Queued, Phase::Running, Phase::AwaitingCall, Phase::Calling];
+        let phase = phases[self.rng.usize(0..4)];
+        if let Some(id) = self.any(phase) {
+            if phase == Phase::Queued {
                 self.controller.host().rpcs.remove(&id);
             }
             self.controller.caller_left(&id);
@@ -275,26 +275,26 @@
     }
 
     fn step(&mut self, step: usize) {
-        // Traffic comes in bursts, so that queues fill and empty again.
-        let longest_us = if (step / 150).is_multiple_of(2) { 4_000 } else { 40_000 };
-        self.now_us += self.rng.u64(0..longest_us);
+        // Traffic arrives in bursts, so that queues fill and drain.
+        let max_interval_us = if (step / 150).is_multiple_of(2) { 4_000 } else { 40_000 };
+        self.now_us += self.rng.u64(0..max_interval_us);
         match self.rng.u32(0..15) {
             0..=4 => self.arrive(),
             5 | 6 => {
-                if let Some(id) = self.any(Place::Running) {
-                    self.controller.host().rpcs.insert(id.clone(), Place::WaitsForCall);
+                if let Some(id) = self.any(Phase::Running) {
+                    self.controller.host().rpcs.insert(id.clone(), Phase::AwaitingCall);
                     self.controller.call_needed(self.now_us, &id);
                 }
             }
             7..=9 => self.end_call(),
             10 | 11 => self.end_run(),
-            12 => self.caller_goes(),
+            12 => self.disconnect_caller(),
             _ => self.timer(),
         }
         if step == STEPS - 200 {
             self.controller.drain(self.now_us, 3_000_000);
         }
-        // Several events of one moment are told together at times.
+        // Sometimes several events are reported before a decision.
         if self.rng.u32(0..5) > 0 {
             self.controller.decide(self.now_us);
         }
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn seeded_events_bring_the_actions_and_snapshots_that_are_written_down() {
+fn seeded_events_cause_the_recorded_actions_and_snapshots() {
     let (mut digest, mut actions) = (Digest::new(), 0);
     for seed in 0..SEEDS {
         let mut run = Run::new(seed);
@@ -324,13 +324,13 @@
 }
 
 #[test]
-fn the_snapshot_that_is_stored_is_read_and_written_back_with_the_same_bytes() {
+fn the_stored_snapshot_is_read_and_written_back_with_the_same_bytes() {
     let mut run = Run::new(FIXTURE_SEED);
     for step in 0..FIXTURE_STEP {
         run.step(step);
     }
-    assert!(run.snapshot() == FIXTURE, "the same events bring the stored snapshot");
+    assert!(run.snapshot() == FIXTURE, "the same events cause the stored snapshot");
     let snapshot = AdmissionSnapshot::decode(FIXTURE).unwrap();
     let resumed = AdmissionController::resume(Recorder::new(), deployment(FIXTURE_SEED), snapshot);
-    assert!(resumed.unwrap().snapshot().encode_to_vec() == FIXTURE, "what was read is written back");
+    assert!(resumed.unwrap().snapshot().encode_to_vec() == FIXTURE, "the snapshot is written back unchanged");
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! `.ci/test` with a stand-in for cargo: which runs pass, and which don't, by what `KNOWN-RED.txt` says.
+//! Tests of `.ci/test` with a fake cargo: the verdict on a test run follows from its output and from the known failures
+//! that `KNOWN-RED.txt` lists.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,7 +13,8 @@
 const TWO: &str = "   Doc-tests one\n";
 const END: &str = "test result: over\n";
 
-/// Whether the script passes where the tests print that and end so, and what it prints.
+/// Runs the script with a cargo that prints `prints` and exits with `status`. Returns whether the script passes, and
+/// its output.
 fn played(known: Option<&str>, prints: &str, status: i32) -> (bool, String) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -20,7 +22,7 @@
     fs::create_dir_all(root.join("bin")).unwrap();
     fs::write(root.join("printed"), prints).unwrap();
     let cargo = root.join("bin/cargo");
-    // Its words come first, so that it is seen what was asked for.
+    // The fake cargo prints its arguments first, so that a test can check them.
     fs::write(&cargo, format!("#!/bin/sh\necho \"asked: $*\"\ncat printed\nexit {status}\n")).unwrap();
     fs::set_permissions(&cargo, fs::Permissions::from_mode(0o755)).unwrap();
     if let Some(known) = known {
@@ -60,7 +62,7 @@
         printed.contains("--no-fail-fast") && printed.ends_with(&format!("Known to fail:\n{LINE}")),
         "{printed}"
     );
-    // Two of three tests, in any order, with an issue's mark.
+    // Two of three tests are listed, in any order, one of them with a `#` before the number of the issue.
     let two = format!("other|why|#29\n{LINE}");
     assert!(played(Some(&two), &tests(&[OTHER, GOOD, BAD]), 101).0);
 }
@@ -88,7 +90,7 @@
     }
 }
 
-/// A test program that was killed, or does not compile, is no listed failure.
+/// A test program that was killed or does not compile does not count as a listed failure.
 #[test]
 fn a_program_that_does_not_end_by_itself_fails() {
     for prints in
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,25 +1,26 @@
-//! Memory while a long file is read, counted by the allocator. This program has one test only, as all threads count.
+//! The memory that reading a long file takes, measured by the allocator. This test program has a single test, because
+//! the allocator counts the allocations of all threads.
 
 use ochrewalk::deployment::Placement;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The system's allocator, with the bytes in use and the most of them.
-struct Counting;
+/// The system's allocator, with counts of the bytes in use and of their peak.
+struct CountingAllocator;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
 static PEAK: AtomicUsize = AtomicUsize::new(0);
 
-fn taken(bytes: usize) {
+fn count_allocation(bytes: usize) {
     let in_use = IN_USE.fetch_add(bytes, Ordering::Relaxed) + bytes;
     PEAK.fetch_max(in_use, Ordering::Relaxed);
 }
 
-// SAFETY: all is left to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every request is passed on to the system's allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        taken(layout.size());
+        count_allocation(layout.size());
         unsafe { System.alloc(layout) }
     }
 
@@ -30,15 +31,15 @@
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const TENANTS: usize = 100_000;
 const METHODS: usize = 10_000;
-/// The most in use while the file is read, over what stays. Lists grow by doubling: while one moves, both places are
-/// in use.
-const MOST_OVER_RESULT: f64 = 2.5;
-/// The most in use while what lasts of the file is written, its longest element being of some hundred bytes.
-const MOST_TO_WRITE: usize = 16 * 1024;
+/// The maximum ratio of the peak memory while the file is read to the memory of the result. Lists grow by doubling:
+/// while a list moves, its old and its new memory are both in use.
+const MAX_PEAK_OVER_RESULT: f64 = 2.5;
+/// The maximum memory in use while the restart-only settings are written. The longest element has a few hundred bytes.
+const MAX_PEAK_TO_WRITE: usize = 16 * 1024;
 
 fn file() -> String {
     let mut text = String::from(
@@ -65,27 +66,27 @@
     text
 }
 
-/// What is done, and the bytes in use during and after it, over those before.
-fn counted<T>(work: impl FnOnce() -> T) -> (T, usize, usize) {
+/// Returns the result of `work`, and the increase of the bytes in use at the peak and at the end.
+fn measure_memory<T>(work: impl FnOnce() -> T) -> (T, usize, usize) {
     let before = IN_USE.load(Ordering::Relaxed);
     PEAK.store(before, Ordering::Relaxed);
-    let done = work();
+    let result = work();
     let (peak, after) = (PEAK.load(Ordering::Relaxed), IN_USE.load(Ordering::Relaxed));
-    (done, peak - before, after - before)
+    (result, peak - before, after - before)
 }
 
 #[test]
 fn a_file_of_100_000_tenants_is_read_in_little_more_than_its_result() {
     let text = file();
-    let (placement, peak, result) = counted(|| Placement::read(text.as_bytes()).unwrap());
+    let (placement, peak, result_bytes) = measure_memory(|| Placement::read(text.as_bytes()).unwrap());
     assert!(placement.deployment.tenant("tenant-099999").is_some());
     assert_eq!(placement.deployment.method("method-9999"), Some(9_999));
-    println!("{} bytes of text, {result} of result, {peak} at most", text.len());
-    assert!(peak as f64 <= MOST_OVER_RESULT * result as f64, "{peak} at most, for {result}");
-    assert!(result < text.len(), "{result}");
+    println!("{} bytes of text, {result_bytes} of result, {peak} at most", text.len());
+    assert!(peak as f64 <= MAX_PEAK_OVER_RESULT * result_bytes as f64, "{peak} at most, for {result_bytes}");
+    assert!(result_bytes < text.len(), "{result_bytes}");
 
     let (written, peak, _) =
-        counted(|| Placement::write_restart_only_settings(text.as_bytes(), &mut std::io::sink()));
+        measure_memory(|| Placement::write_restart_only_settings(text.as_bytes(), &mut std::io::sink()));
     written.unwrap();
-    assert!(peak <= MOST_TO_WRITE, "{peak} at most");
+    assert!(peak <= MAX_PEAK_TO_WRITE, "{peak} at most");
 }
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names and positions lead to one another, as a walk over the list would.
+//! Look-ups of names and positions give the same results as a linear search of the list.
 
 use ochrewalk::names::Names;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn lists_are_equal_where_each_name_is() {
+fn indexes_are_equal_if_and_only_if_all_names_are() {
     let of = |list: &[&str]| list.iter().copied().collect::<Names>();
     assert_eq!(of(&["ab", "c", ""]), of(&["ab", "c", ""]));
     for other in [&["a", "bc", ""] as &[&str], &["c", "ab", ""], &["ab", "c"], &["ab", "c", "", ""]] {
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Texts that are read in parts give what reading them whole gives.
+//! Reading JSON texts in parts gives the same results and errors as reading them completely.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 use serde_json::{json, Map, Value};
 
-/// What of a node's file cannot change while it runs, from a tree of the whole file.
+/// Returns the restart-only settings of a node's file, from a tree of the complete file.
 fn restart_only_of_tree(text: &str) -> String {
     let mut value: Value = serde_json::from_str(text).unwrap();
     if let Some(fields) = value.as_object_mut() {
@@ -46,15 +46,15 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_lasts_is_written_as_from_a_tree_of_the_whole(value in any_json()) {
+    fn restart_only_settings_are_written_as_from_a_tree_of_the_complete_file(value in any_json()) {
         for text in [value.to_string(), serde_json::to_string_pretty(&value).unwrap()] {
-            let lasting = Placement::restart_only_settings(text.as_bytes());
-            prop_assert_eq!(lasting.unwrap(), restart_only_of_tree(&text));
+            let settings = Placement::restart_only_settings(text.as_bytes());
+            prop_assert_eq!(settings.unwrap(), restart_only_of_tree(&text));
         }
     }
 
     #[test]
-    fn a_broken_text_is_refused_with_the_words_of_reading_it_whole(
+    fn invalid_json_is_rejected_with_the_error_of_reading_it_completely(
         value in any_json(),
         at in any::<prop::sample::Index>(),
         byte in any::<u8>(),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_lasts_does_not_depend_on_order_nor_on_what_comes_twice() {
+fn restart_only_settings_depend_neither_on_order_nor_on_duplicate_fields() {
     for (one, other) in [
         (
             r#"{"a":1,"b":{"c":[{"x":1,"y":2}],"d":null}}"#,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn numbers_and_texts_out_of_range_are_named_by_their_place() {
+fn errors_give_the_position_of_numbers_and_strings_out_of_range() {
     for bad in [r#""\ud800""#, "1e999", "[1,]", "tru", "\"\u{1}\""] {
         let text = format!("{{\"name\":\"n\",\n\"settings\":{{\"tenants\":[{{\"name\":{bad}}}]}}}}");
         let err = serde_json::from_str::<Value>(&text).unwrap_err();
@@ -106,10 +106,10 @@
 }
 
 #[test]
-fn the_first_error_of_an_element_ends_its_list() {
+fn the_first_error_of_an_element_ends_the_reading_of_its_list() {
     let list: &RawValue = serde_json::from_str("[1, 2, 3]").unwrap();
     let mut seen = Vec::new();
-    let taken = json::for_each(list, |element: u64| {
+    let result = json::for_each(list, |element: u64| {
         seen.push(element);
         if element == 2 {
             Err("two")
@@ -117,7 +117,7 @@
             Ok(())
         }
     });
-    assert_eq!((taken.unwrap(), seen), (Err("two"), vec![1, 2]));
+    assert_eq!((result.unwrap(), seen), (Err("two"), vec![1, 2]));
 }
 
 fn file(change: impl Fn(&mut Value)) -> Vec<u8> {
@@ -151,9 +151,9 @@
 }
 
 #[test]
-fn faults_in_lists_are_named_as_ever() {
-    let settings = |way: &'static str, value: Value| {
-        file(|file| *file["settings"].pointer_mut(way).unwrap() = value.clone())
+fn errors_in_lists_name_the_list_and_the_field() {
+    let settings = |pointer: &'static str, value: Value| {
+        file(|file| *file["settings"].pointer_mut(pointer).unwrap() = value.clone())
     };
     for (text, want) in [
         (settings("/tenants", json!({})), "config settings: field tenants is missing or not an array"),
