--- a/crates/ochrewalk-simulator-adapter/src/main.rs
+++ b/crates/ochrewalk-simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Speaks the simulator's wire on standard input and output, in front of one admission controller for each server. It
-//! decides nothing: what it reads becomes calls on a controller, and what that asks for becomes lines.
+//! Connects the simulator to admission controllers, one for each simulated server, over the simulator's protocol on
+//! standard input and output. The adapter makes no decision: each event that it reads becomes a call on a controller,
+//! and each action that the controller requests becomes part of an output line.
 
 #![warn(missing_docs)]
 
--- a/crates/ochrewalk-simulator-adapter/src/wire.rs
+++ b/crates/ochrewalk-simulator-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire itself: batches in, replies out.
+//! The simulator's protocol: reads batches of events and writes replies with actions.
 
 use ochrewalk::admission::AdmissionController;
 use ochrewalk::deployment::{Deployment, FieldError, Fields, Parts};
@@ -11,26 +11,26 @@
 
 const NS_PER_US: u64 = 1_000;
 
-/// Messages to an instance that is open.
+/// The messages to an open instance.
 const MESSAGES: [&str; 8] =
     ["SUBMIT", "HANGUP", "NEEDS", "CALL_RESULT", "SETTLED", "RETIRE_SOON", "REMINDER", "STOP"];
 
-/// What is wrong with a line: the message and the field.
+/// The reason why a line is invalid, with the message and the field.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A field is missing or out of range, or the text is no JSON.
+    /// A field is missing or out of range, or the text is not valid JSON.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The line is no JSON.
+    /// The line is not valid JSON.
     #[error("batch: not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The line is another JSON value.
+    /// The line is a JSON value other than an object.
     #[error("batch: not an object")]
     NotAnObject,
-    /// A message that the wire does not have.
+    /// A message that the protocol does not define.
     #[error("{0}: unknown message in field msg")]
     UnknownMessage(String),
-    /// A message to an instance that was not opened.
+    /// A message to an instance that is not open.
     #[error("{message}: field i names instance {instance}, which is not open")]
     NotOpen {
         /// The message.
@@ -40,39 +40,39 @@
     },
 }
 
-/// One server as the wire knows it: its controller, and the deployment it belongs to.
+/// A simulated server: its controller, and the deployment that it belongs to.
 struct Server {
     controller: AdmissionController<Output>,
     deployment: Deployment,
 }
 
-/// All servers that the simulator has opened, by their instance.
+/// All servers that the simulator has opened, by instance.
 #[derive(Default)]
 pub struct Servers {
     servers: HashMap<u64, Server>,
 }
 
 impl Servers {
-    /// Answers one line, and says what is wrong where it cannot.
+    /// Processes a line with a batch of events, and returns the reply.
     ///
     /// # Errors
-    /// The first message or field that is wrong.
+    /// Names the first message or field that is invalid.
     pub fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
         let text = json::check(line)?;
-        let whole: &RawValue = serde_json::from_str(text)?;
-        if !json::is_object(whole) {
+        let document: &RawValue = serde_json::from_str(text)?;
+        if !json::is_object(document) {
             return Err(WireError::NotAnObject);
         }
-        let parts = Parts::read("batch", whole, &["parts"])?;
+        let parts = Parts::read("batch", document, &["parts"])?;
         let batch = parts.fields();
         let now_us = batch.whole("wall-ns")? / NS_PER_US;
         let mut reply = format!("{{\"frame\":{},\"parts\":[", batch.whole("frame")?);
-        let mut first = true;
+        let mut is_first = true;
         parts.required("parts")?;
         parts.for_each("parts", |part: &RawValue| -> Result<(), WireError> {
             let Some((i, output)) = self.part(now_us, part)? else { return Ok(()) };
-            let comma = if first { "" } else { "," };
-            first = false;
+            let comma = if is_first { "" } else { "," };
+            is_first = false;
             let _ = write!(reply, "{comma}{{\"i\":{i},\"output\":[{output}]}}");
             Ok(())
         })?;
@@ -80,17 +80,18 @@
         Ok(reply)
     }
 
-    /// Reports one server's events to its controller. Gives what it asks for, where it asks for anything.
+    /// Reports one server's events to its controller. Returns the instance and the requested actions, or `None` if the
+    /// controller requests none.
     fn part(&mut self, now_us: u64, part: &RawValue) -> Result<Option<(u64, String)>, WireError> {
         let part = Parts::read("batch part", part, &["inbox"])?;
         let i = part.fields().whole("i")?;
-        let mut any = false;
+        let mut has_events = false;
         part.required("inbox")?;
         part.for_each("inbox", |event: &RawValue| {
-            any = true;
+            has_events = true;
             self.event(i, now_us, event)
         })?;
-        let Some(server) = self.servers.get_mut(&i).filter(|_| any) else { return Ok(None) };
+        let Some(server) = self.servers.get_mut(&i).filter(|_| has_events) else { return Ok(None) };
         server.controller.decide(now_us);
         let output = std::mem::take(&mut server.controller.host().0);
         Ok((!output.is_empty()).then_some((i, output)))
@@ -125,7 +126,7 @@
     }
 }
 
-/// Bit 0 of `bits`: the request's work is a hint.
+/// Bit 0 of `bits`: the request's work may be used as a hint.
 const HAS_WORK_HINT: u64 = 1;
 /// Bit 1 of `bits`: the request is a retry.
 const IS_RETRY: u64 = 2;
@@ -151,7 +152,7 @@
             _ => {
                 let token = fields.whole("token")?;
                 let row = fields.optional_list("health-info")?;
-                let gauges = self.deployment.gauges(|at| row.get(at)?.as_f64());
+                let gauges = self.deployment.gauges(|position| row.get(position)?.as_f64());
                 self.controller.timer_fired(now_us, token, gauges);
             }
         }
@@ -182,18 +183,18 @@
     }
 }
 
-/// Writes each action that the controller asks for, as it asks.
+/// A host that writes each action that the controller requests as JSON, in the order of the requests.
 #[derive(Default)]
 struct Output(String);
 
 impl Output {
-    fn action(&mut self, msg: &str, rest: std::fmt::Arguments) {
+    fn write_action(&mut self, msg: &str, rest: std::fmt::Arguments) {
         let comma = if self.0.is_empty() { "" } else { "," };
         let _ = write!(self.0, "{comma}{{\"msg\":\"{msg}\"{rest}}}");
     }
 
-    fn handle(&mut self, msg: &str, id: &str) {
-        self.action(msg, format_args!(",\"handle\":{}", quoted(id)));
+    fn write_action_with_handle(&mut self, msg: &str, id: &str) {
+        self.write_action(msg, format_args!(",\"handle\":{}", quoted(id)));
     }
 }
 
@@ -203,61 +204,62 @@
 
 impl Host for Output {
     fn start(&mut self, id: &str) {
-        self.handle("LAUNCH", id);
+        self.write_action_with_handle("LAUNCH", id);
     }
 
     fn stop(&mut self, id: &str) {
-        self.handle("TAKE_OFF", id);
+        self.write_action_with_handle("TAKE_OFF", id);
     }
 
     fn reject(&mut self, id: &str, rejection: Rejection) {
-        let last = rejection.retry == Retry::DoNotRetry;
-        let (id, stay_ns) = (quoted(id), rejection.retry_after_us * NS_PER_US);
-        let rest = format_args!(",\"handle\":{id},\"final\":{last},\"stay-away-ns\":{stay_ns}").to_string();
-        self.action("OVERLOAD_REPLY", format_args!("{rest}"));
+        let is_last = rejection.retry == Retry::DoNotRetry;
+        let (id, retry_after_ns) = (quoted(id), rejection.retry_after_us * NS_PER_US);
+        let rest = format_args!(",\"handle\":{id},\"final\":{is_last},\"stay-away-ns\":{retry_after_ns}")
+            .to_string();
+        self.write_action("OVERLOAD_REPLY", format_args!("{rest}"));
     }
 
     fn abort(&mut self, id: &str) {
-        self.handle("LOSE", id);
+        self.write_action_with_handle("LOSE", id);
     }
 
     fn place_call(&mut self, id: &str, until_us: u64) {
         let id = quoted(id);
-        self.action("GO_CALL", format_args!(",\"handle\":{id},\"until-ns\":{}", until_us * NS_PER_US));
+        self.write_action("GO_CALL", format_args!(",\"handle\":{id},\"until-ns\":{}", until_us * NS_PER_US));
     }
 
     fn skip_call(&mut self, id: &str) {
-        self.handle("GO_ON", id);
+        self.write_action_with_handle("GO_ON", id);
     }
 
     fn remember_key(&mut self, id: &str, ttl_us: u64) {
         let id = quoted(id);
-        self.action("RECORD_KEY", format_args!(",\"handle\":{id},\"ttl-ns\":{}", ttl_us * NS_PER_US));
+        self.write_action("RECORD_KEY", format_args!(",\"handle\":{id},\"ttl-ns\":{}", ttl_us * NS_PER_US));
     }
 
     fn forget_key(&mut self, id: &str) {
-        self.handle("DROP_KEY", id);
+        self.write_action_with_handle("DROP_KEY", id);
     }
 
     fn share_outcome(&mut self, id: &str) {
-        self.handle("SHARE", id);
+        self.write_action_with_handle("SHARE", id);
     }
 
     fn set_readiness(&mut self, readiness: Readiness) {
         // Health checks are answered without real work.
         let on = readiness == Readiness::Ready;
-        self.action("READINESS", format_args!(",\"on\":{on},\"cheap\":true"));
+        self.write_action("READINESS", format_args!(",\"on\":{on},\"cheap\":true"));
     }
 
     fn send_load_signal(&mut self, value: f64) {
-        self.action("SIGNAL", format_args!(",\"value\":{value}"));
+        self.write_action("SIGNAL", format_args!(",\"value\":{value}"));
     }
 
     fn close_idle_connections(&mut self, idle_us: u64) {
-        self.action("KEEPALIVE", format_args!(",\"ttl-ns\":{}", idle_us * NS_PER_US));
+        self.write_action("KEEPALIVE", format_args!(",\"ttl-ns\":{}", idle_us * NS_PER_US));
     }
 
     fn set_timer(&mut self, at_us: u64, token: u64) {
-        self.action("REMIND", format_args!(",\"moment-ns\":{},\"token\":{token}", at_us * NS_PER_US));
+        self.write_action("REMIND", format_args!(",\"moment-ns\":{},\"token\":{token}", at_us * NS_PER_US));
     }
 }
--- a/crates/ochrewalk-simulator-adapter/tests/wire.rs
+++ b/crates/ochrewalk-simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire in and out, on the real binary.
+//! The simulator's protocol end to end, with the real binary.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 use std::io::Write;
@@ -29,7 +29,7 @@
     format!(r#"{{"msg":"SUBMIT","handle":"{id}","bits":0,"size-kb":2.5,"from":1,"standing":0.5,{more}}}"#)
 }
 
-fn play(lines: &[String]) -> Output {
+fn run_binary(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ochrewalk-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -37,19 +37,19 @@
         .spawn()
         .unwrap();
     let text = lines.iter().map(|l| format!("{l}\n")).collect::<String>();
-    // The binary may have ended at an earlier line: then the rest has no reader.
+    // The binary may have exited at an earlier line, and does not read the rest then.
     let _ = child.stdin.take().unwrap().write_all(text.as_bytes());
     child.wait_with_output().unwrap()
 }
 
 fn replies(lines: &[String]) -> Vec<String> {
-    let output = play(lines);
+    let output = run_binary(lines);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout).unwrap().lines().map(String::from).collect()
 }
 
 #[test]
-fn each_batch_gets_one_reply_in_the_wire_s_words() {
+fn each_batch_gets_one_reply_with_its_actions() {
     let replies = replies(&[
         line(0, &[]),
         line(1, &[open(3)]),
@@ -69,7 +69,7 @@
         line(6, &[open(3), event(3, r#"{"msg":"SETTLED","handle":"x","state-code":100}"#)]),
         line(7, &[event(3, &submit("k", r#""kind":"b","expires-in-ns":0"#))]),
     ]);
-    let wanted = [
+    let expected_parts = [
         vec![r#"{"frame":0,"parts":[]}"#],
         vec![
             r#"{"frame":1,"parts":[{"i":3,"output":["#,
@@ -87,9 +87,9 @@
             r#"{"msg":"DROP_KEY","handle":"k"}"#,
         ],
     ];
-    assert_eq!(replies.len(), wanted.len());
-    for (reply, wanted) in replies.iter().zip(wanted) {
-        for part in wanted {
+    assert_eq!(replies.len(), expected_parts.len());
+    for (reply, expected) in replies.iter().zip(expected_parts) {
+        for part in expected {
             assert!(reply.contains(part), "{part} in {reply}");
         }
         assert!(serde_json::from_str::<serde_json::Value>(reply).is_ok());
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn malformed_input_is_named_in_one_plain_line() {
+fn malformed_input_is_reported_in_one_line_that_names_the_message_and_the_field() {
     for (bad, message, field) in [
         ("{".to_string(), "batch", "JSON"),
         ("[1]".into(), "batch", "object"),
@@ -127,18 +127,21 @@
         (line(2, &[open(3).replace(r#""cores":2"#, r#""cores":2.5"#)]), "OPEN_INSTANCE", "cores"),
         (line(2, &[open(3).replace("rules", "roles")]), "OPEN_INSTANCE", "rules"),
     ] {
-        let output = play(&[line(1, &[open(3)]), bad.clone(), line(3, &[])]);
-        let said = String::from_utf8(output.stderr).unwrap();
+        let output = run_binary(&[line(1, &[open(3)]), bad.clone(), line(3, &[])]);
+        let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success(), "{bad}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(message) && said.contains(field) && !said.contains("panic"), "{bad}: {said}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(
+            stderr.contains(message) && stderr.contains(field) && !stderr.contains("panic"),
+            "{bad}: {stderr}"
+        );
         assert_eq!(String::from_utf8(output.stdout).unwrap().lines().count(), 1, "no partial reply: {bad}");
     }
 }
 
 #[test]
-fn instances_act_alike_in_one_process_and_in_several() {
-    let day = |servers: &[u64]| -> Vec<String> {
+fn instances_act_the_same_in_one_process_and_in_separate_ones() {
+    let replies_of = |servers: &[u64]| -> Vec<String> {
         let mut lines = vec![line(1, &servers.iter().map(|i| open(*i)).collect::<Vec<_>>())];
         for frame in 2..30 {
             let parts = servers.iter().map(|i| {
@@ -148,11 +151,12 @@
         }
         replies(&lines)
     };
-    let (both, one, two) = (day(&[1, 2]), day(&[1]), day(&[2]));
+    let (both, one, two) = (replies_of(&[1, 2]), replies_of(&[1]), replies_of(&[2]));
     for ((both, one), two) in both.iter().zip(&one).zip(&two) {
-        let acts =
+        let parts_of =
             |reply: &str| reply.split_once("\"parts\":[").unwrap().1.strip_suffix("]}").unwrap().to_string();
-        let apart: Vec<String> = [acts(one), acts(two)].into_iter().filter(|a| !a.is_empty()).collect();
-        assert_eq!(acts(both), apart.join(","));
+        let separate: Vec<String> =
+            [parts_of(one), parts_of(two)].into_iter().filter(|a| !a.is_empty()).collect();
+        assert_eq!(parts_of(both), separate.join(","));
     }
 }
