--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -76,7 +76,7 @@
     Pending,
     /// The run was answered, or its caller has disconnected.
     Settled,
-    /// The run is settled, and the server was asked to take it off the cores.
+    /// The run is settled, and the server has been requested to take it off the cores.
     Stopping,
 }
 
--- a/src/admission/steps.rs
+++ b/src/admission/steps.rs
@@ -154,7 +154,7 @@
         self.forget_unstarted(sequence);
     }
 
-    /// Asks the host to take a settled run off the cores. The run is counted until the host reports its end.
+    /// Requests that the host take a settled run off the cores. The run is counted until the host reports its end.
     pub(super) fn stop_run(&mut self, sequence: u64) {
         let request = self.requests.get_mut(sequence);
         let RequestState::Started(run) = &mut request.state else { return };
--- a/src/deployment/restart_only.rs
+++ b/src/deployment/restart_only.rs
@@ -10,7 +10,7 @@
 
 /// The keys that may change: those that [`Placement::apply_reload`] applies, and the seed.
 const CHANGEABLE_KEYS: [&str; 4] = ["executor", "lookup", "stop_ms", "seed"];
-/// The key of which only the presence cannot change.
+/// The key whose value may change while its presence may not.
 const UPSTREAM_KEY: &str = "store";
 
 /// The reason why the text cannot be produced.
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -13,8 +13,8 @@
 const SURVIVABLE_LOAD: SurvivableLoad =
     SurvivableLoad { requests_per_core: 2.0, is_cold: false, min_cold_speed: 1.0, warm_within_us: 1 };
 
-fn statistics(seen: &[(f64, f64)]) -> Vec<CallStatistics> {
-    seen.iter().map(|(runs, calls)| CallStatistics { runs: *runs, calls: *calls }).collect()
+fn statistics(observed: &[(f64, f64)]) -> Vec<CallStatistics> {
+    observed.iter().map(|(runs, calls)| CallStatistics { runs: *runs, calls: *calls }).collect()
 }
 
 /// The parts of a controller that follow the gauges of the cores.
@@ -112,17 +112,17 @@
 
 #[test]
 fn methods_are_divided_by_their_observed_calls() {
-    for (seen, large) in [
+    for (observed, large) in [
         (vec![(10.0, 10.0), (10.0, 11.0)], vec![false, false]),
         (vec![(10.0, 0.0), (10.0, 10.0)], vec![false, true]),
         (vec![(10.0, 10.0), (10.0, 20.0), (10.0, 19.0)], vec![false, true, true]),
     ] {
-        let mut classes = SizeClasses::new(&statistics(&vec![(1.0, 1.0); seen.len()]));
-        classes.divide(&statistics(&seen));
+        let mut classes = SizeClasses::new(&statistics(&vec![(1.0, 1.0); observed.len()]));
+        classes.divide(&statistics(&observed));
         assert_eq!(
-            (0..seen.len()).map(|m| classes.class_of(m) == SizeClass::Large).collect::<Vec<_>>(),
+            (0..observed.len()).map(|m| classes.class_of(m) == SizeClass::Large).collect::<Vec<_>>(),
             large,
-            "{seen:?}"
+            "{observed:?}"
         );
     }
     let mut classes = SizeClasses::new(&statistics(&[(1.0, 1.0); 3]));
