--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decides on which connection each call below goes, after which proof, and whether a call may be written a second
 //! time. Which place it goes to is `ochrewalk-load-balancer`'s.
 //!
-//! No sockets and no clock: whoever carries the connections tells [`Places`] what happened, and it acts by [`Wire`].
+//! No sockets and no clock: whoever carries the connections tells [`ConnectionPool`] what happened, and it acts by [`Wire`].
 //! A call is one of two kinds. One that may happen `again` can be written a second time after a connection broke under
 //! it, within a budget. Any other is only ever written on a connection just made or just proven, and never a second
 //! time; of a call of which no byte was written it is certain that it never ran, so that any kind may be moved then.
@@ -110,7 +110,7 @@
     link: Option<LinkId>,
 }
 
-pub struct Places {
+pub struct ConnectionPool {
     bounds: Bounds,
     spread: LoadBalancer,
     links: BTreeMap<LinkId, Link>,
@@ -124,10 +124,10 @@
     next_link: LinkId,
 }
 
-impl Places {
-    /// None yet: [`Places::list`] names them.
-    pub fn new(bounds: Bounds, plan: BalancingConfig, repeats: f64, seed: u64) -> Places {
-        Places {
+impl ConnectionPool {
+    /// None yet: [`ConnectionPool::list`] names them.
+    pub fn new(bounds: Bounds, plan: BalancingConfig, repeats: f64, seed: u64) -> ConnectionPool {
+        ConnectionPool {
             bounds,
             spread: LoadBalancer::new(plan, seed),
             links: BTreeMap::new(),
--- a/crates/ochrewalk-connection-pool/tests/places.rs
+++ b/crates/ochrewalk-connection-pool/tests/places.rs
@@ -1,6 +1,6 @@
 //! Where calls go, by table and by long runs of random events under the rules that must always hold.
 
-use ochrewalk_connection_pool::{Bounds, Ended, Places, Said, Settled, Wire};
+use ochrewalk_connection_pool::{Bounds, ConnectionPool, Ended, Said, Settled, Wire};
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,23 +37,23 @@
 }
 
 /// The way that goes by what is fastest: which place comes next follows from what was told, not from a seed.
-fn places_of(count: u64, repeats: f64, seed: u64) -> Places {
+fn places_of(count: u64, repeats: f64, seed: u64) -> ConnectionPool {
     let plan = BalancingConfig {
         policy: BalancingPolicy::LeastLatency,
         subsetting: Subsetting::All,
         uses_learned_weights: false,
         ejection: EJECTION,
     };
-    let mut places = Places::new(BOUNDS, plan, repeats, seed);
+    let mut places = ConnectionPool::new(BOUNDS, plan, repeats, seed);
     places.list(0, &(0..count).map(Endpoint::new).collect::<Vec<_>>(), &mut Told::default());
     places
 }
 
-fn places(count: u64) -> (Places, Told) {
+fn places(count: u64) -> (ConnectionPool, Told) {
     (places_of(count, 0.5, 7), Told::default())
 }
 
-fn takes(places: &Places) -> Vec<bool> {
+fn takes(places: &ConnectionPool) -> Vec<bool> {
     places.spread().state().endpoints.iter().flatten().map(|held| held.health.accepts_calls()).collect()
 }
 
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -11,7 +11,7 @@
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
-use ochrewalk_connection_pool::{CallId, Ended, LinkId, Places, Said, Settled, Wire};
+use ochrewalk_connection_pool::{CallId, ConnectionPool, Ended, LinkId, Said, Settled, Wire};
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
 use ochrewalk_operator_config::{AjpUpstream, UpstreamEndpoint};
@@ -43,7 +43,7 @@
 }
 
 struct State {
-    places: Places,
+    places: ConnectionPool,
     hands: Hands,
     /// Calls that wait for the end of a hold; none where none is on.
     held: Option<Vec<HeldCall>>,
@@ -61,7 +61,7 @@
 /// What the connections carry, and what is asked of them.
 struct Hands {
     inner: std::sync::Weak<Inner>,
-    /// Where each place is, by the number that `Places` knows it by.
+    /// Where each place is, by the number that `ConnectionPool` knows it by.
     places: Vec<SocketAddr>,
     links: HashMap<LinkId, Link>,
     calls: HashMap<CallId, Call>,
@@ -95,7 +95,7 @@
             trust_us: settings.ping_after_idle_us,
             keep_us: settings.max_idle_us,
         };
-        let mut places = Places::new(bounds, settings.balancing, settings.retry_budget, seed);
+        let mut places = ConnectionPool::new(bounds, settings.balancing, settings.retry_budget, seed);
         AjpBelow(Arc::new_cyclic(|inner| {
             let mut hands = Hands {
                 inner: inner.clone(),
@@ -199,7 +199,7 @@
     print.finish()
 }
 
-fn list(places: &mut Places, hands: &mut Hands, endpoints: &[UpstreamEndpoint]) {
+fn list(places: &mut ConnectionPool, hands: &mut Hands, endpoints: &[UpstreamEndpoint]) {
     let listed = |endpoint: &UpstreamEndpoint| Endpoint {
         key: key(&endpoint.address),
         weight: endpoint.weight,
@@ -283,7 +283,7 @@
         });
     }
 
-    fn with<T>(&self, what: impl FnOnce(&mut Places, &mut Hands) -> T) -> T {
+    fn with<T>(&self, what: impl FnOnce(&mut ConnectionPool, &mut Hands) -> T) -> T {
         let mut state = self.lock();
         let State { places, hands, .. } = &mut *state;
         hands.now_us = self.clock.now_us();
