--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -16,19 +16,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Numbers that the carrier knows connections and calls by; never used twice.
-pub type LinkId = u64;
+pub type ConnectionId = u64;
 pub type CallId = u64;
 
 /// What is asked of whoever carries the connections.
 pub trait Wire {
     /// Makes a connection to that place.
-    fn connect(&mut self, link: LinkId, place: usize);
+    fn connect(&mut self, link: ConnectionId, place: usize);
     /// Writes the call there, after a ping was answered where it is to be proven.
-    fn write(&mut self, link: LinkId, call: CallId, prove: bool);
+    fn write(&mut self, link: ConnectionId, call: CallId, prove: bool);
     /// The call's end: what became of it goes to whoever placed it, once.
     fn settle(&mut self, call: CallId, end: Settled);
     /// Lets a connection go.
-    fn close(&mut self, link: LinkId);
+    fn close(&mut self, link: ConnectionId);
 }
 
 /// How a call ended.
@@ -107,21 +107,21 @@
     avoid: Option<usize>,
     /// It goes on a new connection only, as a kept one failed it.
     fresh: bool,
-    link: Option<LinkId>,
+    link: Option<ConnectionId>,
 }
 
 pub struct ConnectionPool {
     bounds: Bounds,
     spread: LoadBalancer,
-    links: BTreeMap<LinkId, Link>,
+    links: BTreeMap<ConnectionId, Link>,
     /// Connections that are made and carry nothing, by when they were used: all of them, and by place.
-    idle: BTreeSet<(u64, LinkId)>,
-    idle_at: Vec<BTreeSet<(u64, LinkId)>>,
+    idle: BTreeSet<(u64, ConnectionId)>,
+    idle_at: Vec<BTreeSet<(u64, ConnectionId)>>,
     calls: BTreeMap<CallId, Call>,
     /// Calls that wait for a connection, oldest first.
     waiting: VecDeque<CallId>,
     budget: Budget,
-    next_link: LinkId,
+    next_link: ConnectionId,
 }
 
 impl ConnectionPool {
@@ -148,8 +148,8 @@
             self.idle_at.resize(most, BTreeSet::new());
         }
         // A number may stand for another place once nothing is under way there, so that no connection may outlive that.
-        let unused = |(_, of): &(&LinkId, &Link)| of.call.is_none() && !slots.contains(&of.place);
-        let unused: Vec<LinkId> = self.links.iter().filter(unused).map(|(link, _)| *link).collect();
+        let unused = |(_, of): &(&ConnectionId, &Link)| of.call.is_none() && !slots.contains(&of.place);
+        let unused: Vec<ConnectionId> = self.links.iter().filter(unused).map(|(link, _)| *link).collect();
         unused.into_iter().for_each(|link| self.let_go(link, wire));
         self.serve_waiting(now_us, wire);
         slots
@@ -196,7 +196,7 @@
     }
 
     /// A connection is there.
-    pub fn made(&mut self, now_us: u64, link: LinkId, wire: &mut impl Wire) {
+    pub fn made(&mut self, now_us: u64, link: ConnectionId, wire: &mut impl Wire) {
         let Some(of) = self.links.get_mut(&link) else { return wire.close(link) };
         (of.made, of.used_us) = (true, now_us);
         match of.call {
@@ -209,7 +209,14 @@
     }
 
     /// A whole answer to the call on it came. `reuse`: the connection may carry another.
-    pub fn replied(&mut self, now_us: u64, link: LinkId, said: Said, reuse: bool, wire: &mut impl Wire) {
+    pub fn replied(
+        &mut self,
+        now_us: u64,
+        link: ConnectionId,
+        said: Said,
+        reuse: bool,
+        wire: &mut impl Wire,
+    ) {
         let Some(of) = self.links.get_mut(&link) else { return };
         let (place, call) = (of.place, of.call.take());
         of.used_us = now_us;
@@ -229,7 +236,7 @@
     }
 
     /// A connection ended, and with it whatever was on it.
-    pub fn ended(&mut self, now_us: u64, link: LinkId, how: Ended, wire: &mut impl Wire) {
+    pub fn ended(&mut self, now_us: u64, link: ConnectionId, how: Ended, wire: &mut impl Wire) {
         let Some(Link { place, call, made, used_us }) = self.links.remove(&link) else { return };
         self.busy(place, used_us, link);
         let news = match how {
@@ -342,7 +349,7 @@
     }
 
     /// A connection that is made carries nothing now; it is kept unless its place leaves.
-    fn rest(&mut self, link: LinkId, wire: &mut impl Wire) {
+    fn rest(&mut self, link: ConnectionId, wire: &mut impl Wire) {
         let Link { place, used_us, .. } = self.links[&link];
         if self.spread.is_listed(place) {
             self.idle.insert((used_us, link));
@@ -353,12 +360,12 @@
         }
     }
 
-    fn busy(&mut self, place: usize, used_us: u64, link: LinkId) {
+    fn busy(&mut self, place: usize, used_us: u64, link: ConnectionId) {
         self.idle.remove(&(used_us, link));
         self.idle_at[place].remove(&(used_us, link));
     }
 
-    fn let_go(&mut self, link: LinkId, wire: &mut impl Wire) {
+    fn let_go(&mut self, link: ConnectionId, wire: &mut impl Wire) {
         if let Some(Link { place, used_us, .. }) = self.links.remove(&link) {
             self.busy(place, used_us, link);
             wire.close(link);
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -11,7 +11,7 @@
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
-use ochrewalk_connection_pool::{CallId, ConnectionPool, Ended, LinkId, Said, Settled, Wire};
+use ochrewalk_connection_pool::{CallId, ConnectionId, ConnectionPool, Ended, Said, Settled, Wire};
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
 use ochrewalk_operator_config::{AjpUpstream, UpstreamEndpoint};
@@ -63,7 +63,7 @@
     inner: std::sync::Weak<Inner>,
     /// Where each place is, by the number that `ConnectionPool` knows it by.
     places: Vec<SocketAddr>,
-    links: HashMap<LinkId, Link>,
+    links: HashMap<ConnectionId, Link>,
     calls: HashMap<CallId, Call>,
     ids: HashMap<RpcId, CallId>,
     next_call: CallId,
@@ -295,7 +295,7 @@
     }
 
     /// Carries one connection from its making to its end.
-    fn keep(&self, link: LinkId, at: SocketAddr, outbox: &Outbox) {
+    fn keep(&self, link: ConnectionId, at: SocketAddr, outbox: &Outbox) {
         let ending = match connect(&at, Duration::from_micros(self.settings.connect_timeout_us)) {
             Ok(stream) => {
                 let now_us = self.clock.now_us();
@@ -339,7 +339,7 @@
     }
 
     /// A connection ended that was not let go by us.
-    fn end(&self, link: LinkId, ending: &Ending) {
+    fn end(&self, link: ConnectionId, ending: &Ending) {
         self.with(|places, hands| {
             let Some(of) = hands.links.remove(&link) else { return };
             let how = match (of.life.wrote(), ending) {
@@ -396,7 +396,7 @@
 }
 
 impl Wire for Hands {
-    fn connect(&mut self, link: LinkId, place: usize) {
+    fn connect(&mut self, link: ConnectionId, place: usize) {
         let Some(inner) = self.inner.upgrade() else { return };
         let outbox = Arc::new(Outbox::default());
         let life = inner.life(self.now_us);
@@ -405,7 +405,7 @@
         may::go!(move || inner.keep(link, at, &outbox));
     }
 
-    fn write(&mut self, link: LinkId, call: CallId, prove: bool) {
+    fn write(&mut self, link: ConnectionId, call: CallId, prove: bool) {
         let (Some(inner), Some(of)) = (self.inner.upgrade(), self.links.get_mut(&link)) else { return };
         (of.call, of.sent) = (Some(call), 0);
         let mut wanted = Wanted::default();
@@ -427,7 +427,7 @@
         post.send(Next::CallEnded(end));
     }
 
-    fn close(&mut self, link: LinkId) {
+    fn close(&mut self, link: ConnectionId) {
         if let Some(of) = self.links.remove(&link) {
             of.outbox.finish(Finish::Faulty);
         }
@@ -436,7 +436,7 @@
 
 impl Hands {
     /// Writes what a life asked for.
-    fn put(&mut self, inner: &Inner, link: LinkId, wanted: &Wanted) {
+    fn put(&mut self, inner: &Inner, link: ConnectionId, wanted: &Wanted) {
         let Some(of) = self.links.get_mut(&link) else { return };
         let call = of.call.and_then(|call| self.calls.get(&call));
         let mut out = Vec::new();
@@ -509,7 +509,7 @@
 struct Replies<'a> {
     inner: &'a Inner,
     outbox: &'a Outbox,
-    link: LinkId,
+    link: ConnectionId,
 }
 
 impl Replies<'_> {
