--- a/crates/ochrewalk-connection-pool/benches/choice.rs
+++ b/crates/ochrewalk-connection-pool/benches/choice.rs
@@ -1,7 +1,7 @@
 //! What a choice costs, alone and with the connection's part, by the number of places and of connections kept.
 //! `cargo bench -p ochrewalk-connection-pool`
 
-use ochrewalk_connection_pool::{Bounds, ConnectionPool, Said, Settled, Wire};
+use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Said, Transport};
 use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
 };
@@ -13,14 +13,14 @@
     writes: Vec<u64>,
 }
 
-impl Wire for Last {
+impl Transport for Last {
     fn connect(&mut self, link: u64, _place: usize) {
         self.connects.push(link);
     }
     fn write(&mut self, link: u64, _call: u64, _prove: bool) {
         self.writes.push(link);
     }
-    fn settle(&mut self, _call: u64, _end: Settled) {}
+    fn complete(&mut self, _call: u64, _end: CallResult) {}
     fn close(&mut self, _link: u64) {}
 }
 
--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decides on which connection each call below goes, after which proof, and whether a call may be written a second
 //! time. Which place it goes to is `ochrewalk-load-balancer`'s.
 //!
-//! No sockets and no clock: whoever carries the connections tells [`ConnectionPool`] what happened, and it acts by [`Wire`].
+//! No sockets and no clock: whoever carries the connections tells [`ConnectionPool`] what happened, and it acts by [`Transport`].
 //! A call is one of two kinds. One that may happen `again` can be written a second time after a connection broke under
 //! it, within a budget. Any other is only ever written on a connection just made or just proven, and never a second
 //! time; of a call of which no byte was written it is certain that it never ran, so that any kind may be moved then.
@@ -20,20 +20,20 @@
 pub type CallId = u64;
 
 /// What is asked of whoever carries the connections.
-pub trait Wire {
+pub trait Transport {
     /// Makes a connection to that place.
     fn connect(&mut self, link: ConnectionId, place: usize);
     /// Writes the call there, after a ping was answered where it is to be proven.
     fn write(&mut self, link: ConnectionId, call: CallId, prove: bool);
     /// The call's end: what became of it goes to whoever placed it, once.
-    fn settle(&mut self, call: CallId, end: Settled);
+    fn complete(&mut self, call: CallId, end: CallResult);
     /// Lets a connection go.
     fn close(&mut self, link: ConnectionId);
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum CallResult {
     /// The answer that was just read is its own.
     Replied,
     /// No byte of it was written.
@@ -141,7 +141,7 @@
     }
 
     /// The places there are from now on; gives the number that each is known by. What is under way at others ends there.
-    pub fn list(&mut self, now_us: u64, listed: &[Endpoint], wire: &mut impl Wire) -> Vec<usize> {
+    pub fn list(&mut self, now_us: u64, listed: &[Endpoint], wire: &mut impl Transport) -> Vec<usize> {
         let slots = self.spread.set_endpoints(now_us, listed);
         let most = slots.iter().max().map_or(0, |slot| slot + 1);
         if self.idle_at.len() < most {
@@ -161,7 +161,7 @@
     }
 
     /// A call is to be placed, and is of use until then.
-    pub fn call(&mut self, now_us: u64, call: CallId, again: bool, until_us: u64, wire: &mut impl Wire) {
+    pub fn call(&mut self, now_us: u64, call: CallId, again: bool, until_us: u64, wire: &mut impl Transport) {
         self.budget.earn();
         let new = Call { again, until_us, tries: 0, avoid: None, fresh: false, link: None };
         self.calls.insert(call, new);
@@ -169,7 +169,7 @@
     }
 
     /// Nobody waits for the call any more. Nothing is settled; an answer still to come is nobody's.
-    pub fn give_up(&mut self, now_us: u64, call: CallId, wire: &mut impl Wire) {
+    pub fn give_up(&mut self, now_us: u64, call: CallId, wire: &mut impl Transport) {
         let Some(gone) = self.calls.remove(&call) else { return };
         self.waiting.retain(|waits| *waits != call);
         let Some(link) = gone.link else { return };
@@ -196,7 +196,7 @@
     }
 
     /// A connection is there.
-    pub fn made(&mut self, now_us: u64, link: ConnectionId, wire: &mut impl Wire) {
+    pub fn made(&mut self, now_us: u64, link: ConnectionId, wire: &mut impl Transport) {
         let Some(of) = self.links.get_mut(&link) else { return wire.close(link) };
         (of.made, of.used_us) = (true, now_us);
         match of.call {
@@ -215,7 +215,7 @@
         link: ConnectionId,
         said: Said,
         reuse: bool,
-        wire: &mut impl Wire,
+        wire: &mut impl Transport,
     ) {
         let Some(of) = self.links.get_mut(&link) else { return };
         let (place, call) = (of.place, of.call.take());
@@ -230,13 +230,13 @@
             wire.close(link);
         }
         if let Some(call) = call.filter(|call| self.calls.remove(call).is_some()) {
-            wire.settle(call, Settled::Replied);
+            wire.complete(call, CallResult::Replied);
         }
         self.serve_waiting(now_us, wire);
     }
 
     /// A connection ended, and with it whatever was on it.
-    pub fn ended(&mut self, now_us: u64, link: ConnectionId, how: Ended, wire: &mut impl Wire) {
+    pub fn ended(&mut self, now_us: u64, link: ConnectionId, how: Ended, wire: &mut impl Transport) {
         let Some(Link { place, call, made, used_us }) = self.links.remove(&link) else { return };
         self.busy(place, used_us, link);
         let news = match how {
@@ -271,17 +271,17 @@
             self.place(now_us, call, wire);
         } else {
             self.calls.remove(&call);
-            wire.settle(call, if written { Settled::Broken } else { Settled::Unsent });
+            wire.complete(call, if written { CallResult::Broken } else { CallResult::Unsent });
         }
         self.serve_waiting(now_us, wire);
     }
 
     /// Time has passed: calls that waited too long end, and so do connections that carry nothing.
-    pub fn tick(&mut self, now_us: u64, wire: &mut impl Wire) {
+    pub fn tick(&mut self, now_us: u64, wire: &mut impl Transport) {
         while let Some(at) = self.waiting.iter().position(|call| self.calls[call].until_us <= now_us) {
             let call = self.waiting.remove(at).expect("just seen");
             self.calls.remove(&call);
-            wire.settle(call, Settled::Unsent);
+            wire.complete(call, CallResult::Unsent);
         }
         while let Some((used_us, link)) = self.idle.first().copied() {
             if now_us < used_us + self.bounds.keep_us {
@@ -306,13 +306,13 @@
     }
 
     /// Gives a call a connection, lets it wait for one, or ends it where no place takes it.
-    fn place(&mut self, now_us: u64, call: CallId, wire: &mut impl Wire) {
+    fn place(&mut self, now_us: u64, call: CallId, wire: &mut impl Transport) {
         let of = &self.calls[&call];
         let (again, fresh, avoid) = (of.again, of.fresh, of.avoid);
         let idempotency = if again { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
         let Some(place) = self.spread.pick(now_us, idempotency, avoid) else {
             self.calls.remove(&call);
-            return wire.settle(call, Settled::Unsent);
+            return wire.complete(call, CallResult::Unsent);
         };
         // The one used last first, so that the others go as idle.
         let newest = self.idle_at[place].last().map(|(_, link)| *link).filter(|_| !fresh);
@@ -349,7 +349,7 @@
     }
 
     /// A connection that is made carries nothing now; it is kept unless its place leaves.
-    fn rest(&mut self, link: ConnectionId, wire: &mut impl Wire) {
+    fn rest(&mut self, link: ConnectionId, wire: &mut impl Transport) {
         let Link { place, used_us, .. } = self.links[&link];
         if self.spread.is_listed(place) {
             self.idle.insert((used_us, link));
@@ -365,14 +365,14 @@
         self.idle_at[place].remove(&(used_us, link));
     }
 
-    fn let_go(&mut self, link: ConnectionId, wire: &mut impl Wire) {
+    fn let_go(&mut self, link: ConnectionId, wire: &mut impl Transport) {
         if let Some(Link { place, used_us, .. }) = self.links.remove(&link) {
             self.busy(place, used_us, link);
             wire.close(link);
         }
     }
 
-    fn serve_waiting(&mut self, now_us: u64, wire: &mut impl Wire) {
+    fn serve_waiting(&mut self, now_us: u64, wire: &mut impl Transport) {
         while self.has_room() {
             let Some(call) = self.waiting.pop_front() else { return };
             self.place(now_us, call, wire);
--- a/crates/ochrewalk-connection-pool/tests/places.rs
+++ b/crates/ochrewalk-connection-pool/tests/places.rs
@@ -1,6 +1,6 @@
 //! Where calls go, by table and by long runs of random events under the rules that must always hold.
 
-use ochrewalk_connection_pool::{Bounds, ConnectionPool, Ended, Said, Settled, Wire};
+use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Ended, Said, Transport};
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,14 +21,14 @@
     }
 }
 
-impl Wire for Told {
+impl Transport for Told {
     fn connect(&mut self, link: u64, place: usize) {
         self.0.push(format!("connect {link} to {place}"));
     }
     fn write(&mut self, link: u64, call: u64, prove: bool) {
         self.0.push(format!("{} {call} on {link}", if prove { "prove" } else { "write" }));
     }
-    fn settle(&mut self, call: u64, end: Settled) {
+    fn complete(&mut self, call: u64, end: CallResult) {
         self.0.push(format!("{call} {end:?}"));
     }
     fn close(&mut self, link: u64) {
@@ -215,7 +215,7 @@
     wrong: Vec<String>,
 }
 
-impl Wire for Book {
+impl Transport for Book {
     fn connect(&mut self, link: u64, _place: usize) {
         self.making.insert(link);
     }
@@ -227,7 +227,7 @@
             self.note_written(call);
         }
     }
-    fn settle(&mut self, call: u64, _end: Settled) {
+    fn complete(&mut self, call: u64, _end: CallResult) {
         if !self.settled.insert(call) || self.given_up.contains(&call) {
             self.wrong.push(format!("{call} settled again"));
         }
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -11,7 +11,7 @@
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
-use ochrewalk_connection_pool::{CallId, ConnectionId, ConnectionPool, Ended, Said, Settled, Wire};
+use ochrewalk_connection_pool::{CallId, CallResult, ConnectionId, ConnectionPool, Ended, Said, Transport};
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
 use ochrewalk_operator_config::{AjpUpstream, UpstreamEndpoint};
@@ -395,7 +395,7 @@
     }
 }
 
-impl Wire for Hands {
+impl Transport for Hands {
     fn connect(&mut self, link: ConnectionId, place: usize) {
         let Some(inner) = self.inner.upgrade() else { return };
         let outbox = Arc::new(Outbox::default());
@@ -413,13 +413,13 @@
         self.put(&inner, link, &wanted);
     }
 
-    fn settle(&mut self, call: CallId, end: Settled) {
+    fn complete(&mut self, call: CallId, end: CallResult) {
         let Some(Call { id, post, .. }) = self.calls.remove(&call) else { return };
         self.ids.remove(&id);
         let end = match end {
-            Settled::Unsent => CallEnd::Unsent,
-            Settled::Broken => CallEnd::Link(self.why.clone().unwrap_or(Ending::Closed)),
-            Settled::Replied => match self.reply.take() {
+            CallResult::Unsent => CallEnd::Unsent,
+            CallResult::Broken => CallEnd::Link(self.why.clone().unwrap_or(Ending::Closed)),
+            CallResult::Replied => match self.reply.take() {
                 Some(reply) => CallEnd::of_status(reply.status, reply.never_ran, reply.body),
                 None => CallEnd::Failed,
             },
