--- a/crates/ochrewalk-connection-pool/benches/choice.rs
+++ b/crates/ochrewalk-connection-pool/benches/choice.rs
@@ -1,7 +1,7 @@
 //! What a choice costs, alone and with the connection's part, by the number of places and of connections kept.
 //! `cargo bench -p ochrewalk-connection-pool`
 
-use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Said, Transport};
+use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, ReplyOutcome, Transport};
 use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
 };
@@ -63,7 +63,7 @@
     (0..links).for_each(|call| all.call(0, call, true, 1 << 40, &mut wire));
     for link in std::mem::take(&mut wire.connects) {
         all.made(1, link, &mut wire);
-        all.replied(2, link, Said::Well, true, &mut wire);
+        all.replied(2, link, ReplyOutcome::Succeeded, true, &mut wire);
     }
     wire.writes.clear();
     let from = Instant::now();
@@ -74,7 +74,7 @@
             all.made(now_us, link, &mut wire);
         }
         let link = wire.writes.pop().expect("written");
-        all.replied(now_us + 50, link, Said::Well, true, &mut wire);
+        all.replied(now_us + 50, link, ReplyOutcome::Succeeded, true, &mut wire);
     }
     from.elapsed().as_nanos() as f64 / ROUNDS as f64
 }
--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -44,24 +44,24 @@
 
 /// What a whole answer said of its place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ReplyOutcome {
     /// The place did its work.
-    Well,
+    Succeeded,
     /// It had no room for it.
-    NoRoom,
+    Rejected,
     /// It could not do it.
     Failed,
     /// It could not do it in time.
-    Late,
+    TimedOut,
 }
 
-impl Said {
-    fn news(self) -> CallOutcome {
+impl ReplyOutcome {
+    fn call_outcome(self) -> CallOutcome {
         match self {
-            Said::Well => CallOutcome::Succeeded,
-            Said::NoRoom => CallOutcome::Rejected,
-            Said::Failed => CallOutcome::Failed,
-            Said::Late => CallOutcome::TimedOut,
+            ReplyOutcome::Succeeded => CallOutcome::Succeeded,
+            ReplyOutcome::Rejected => CallOutcome::Rejected,
+            ReplyOutcome::Failed => CallOutcome::Failed,
+            ReplyOutcome::TimedOut => CallOutcome::TimedOut,
         }
     }
 }
@@ -213,7 +213,7 @@
         &mut self,
         now_us: u64,
         link: ConnectionId,
-        said: Said,
+        said: ReplyOutcome,
         reuse: bool,
         wire: &mut impl Transport,
     ) {
@@ -221,7 +221,7 @@
         let (place, call) = (of.place, of.call.take());
         of.used_us = now_us;
         if let Some(call) = call {
-            self.spread.call_ended(now_us, place, call, said.news());
+            self.spread.call_ended(now_us, place, call, said.call_outcome());
         }
         if reuse {
             self.rest(link, wire);
--- a/crates/ochrewalk-connection-pool/tests/places.rs
+++ b/crates/ochrewalk-connection-pool/tests/places.rs
@@ -1,6 +1,6 @@
 //! Where calls go, by table and by long runs of random events under the rules that must always hold.
 
-use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Ended, Said, Transport};
+use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Ended, ReplyOutcome, Transport};
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -67,7 +67,7 @@
         assert_eq!(told.take(), "connect 1 to 0");
         places.made(5, 1, &mut told);
         assert_eq!(told.take(), "write 1 on 1", "just made is proof enough");
-        places.replied(10, 1, Said::Well, true, &mut told);
+        places.replied(10, 1, ReplyOutcome::Succeeded, true, &mut told);
         assert_eq!(told.take(), "1 Replied");
         places.call(10 + idle_us, 2, again, 9_999, &mut told);
         assert_eq!(told.take(), wanted);
@@ -75,7 +75,7 @@
         places.ended(10 + idle_us, 1, Ended::Unwritten, &mut told);
         assert_eq!(told.take(), "connect 2 to 0");
         places.made(70, 2, &mut told);
-        places.replied(80, 2, Said::Well, false, &mut told);
+        places.replied(80, 2, ReplyOutcome::Succeeded, false, &mut told);
         assert_eq!(told.take(), "write 2 on 2, close 2, 2 Replied");
         assert_eq!((places.links(), places.open_calls()), (0, 0));
     }
@@ -123,7 +123,7 @@
     all.ended(0, 1, Ended::NotMade, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, connect 2 to 1");
     all.made(0, 2, &mut told);
-    all.replied(1, 2, Said::Well, true, &mut told);
+    all.replied(1, 2, ReplyOutcome::Succeeded, true, &mut told);
     told.take();
     all.call(2, 101, false, 500, &mut told);
     assert_eq!(told.take(), "prove 101 on 2", "the faster one");
@@ -139,7 +139,7 @@
     assert_eq!(told.take(), "connect 5 to 1");
     all.made(3, 4, &mut told);
     all.made(3, 5, &mut told);
-    [2, 4, 5].iter().for_each(|link| all.replied(4, *link, Said::Well, true, &mut told));
+    [2, 4, 5].iter().for_each(|link| all.replied(4, *link, ReplyOutcome::Succeeded, true, &mut told));
     told.take();
     // Due: of harmless calls a tenth of what the endpoint would get is its probe. The one other takes all, so that this is
     // one call in ten, from a point on that this seed draws.
@@ -154,7 +154,7 @@
         }
         let link = what.rsplit(' ').next().unwrap().parse().unwrap();
         assert!(what.ends_with(&format!(" {probe} on {link}")), "on a kept connection: {what}");
-        all.replied(1_300, link, Said::Well, true, &mut told);
+        all.replied(1_300, link, ReplyOutcome::Succeeded, true, &mut told);
         assert_eq!(told.take(), format!("{probe} Replied"));
         probe += 1;
     }
@@ -164,12 +164,18 @@
         all.call(1_300, call, true, 9_999, &mut told);
         let what = told.take();
         assert!(what.contains(&format!(" {call} on ")), "one trial at a time: {what}");
-        all.replied(1_300, what.rsplit(' ').next().unwrap().parse().unwrap(), Said::Well, true, &mut told);
+        all.replied(
+            1_300,
+            what.rsplit(' ').next().unwrap().parse().unwrap(),
+            ReplyOutcome::Succeeded,
+            true,
+            &mut told,
+        );
         told.take();
     }
     assert_eq!(takes(&all), [false, true]);
     all.made(1_301, 6, &mut told);
-    all.replied(1_302, 6, Said::Well, true, &mut told);
+    all.replied(1_302, 6, ReplyOutcome::Succeeded, true, &mut told);
     assert_eq!(takes(&all), [true, true]);
 }
 
@@ -184,7 +190,7 @@
     assert_eq!(told.take(), "connect 1 to 0, connect 2 to 0, connect 3 to 0");
     (1..=3).for_each(|link| all.made(1, link, &mut told));
     told.take();
-    all.replied(2, 2, Said::Well, true, &mut told);
+    all.replied(2, 2, ReplyOutcome::Succeeded, true, &mut told);
     assert_eq!(told.take(), "2 Replied, write 4 on 2", "oldest first");
     all.tick(90, &mut told);
     assert_eq!(told.take(), "5 Unsent");
@@ -193,7 +199,7 @@
     all.give_up(92, 1, &mut told);
     assert_eq!(told.take(), "close 1, connect 4 to 0");
     // What carries nothing for long goes.
-    all.replied(95, 3, Said::Well, true, &mut told);
+    all.replied(95, 3, ReplyOutcome::Succeeded, true, &mut told);
     told.take();
     all.tick(1_094, &mut told);
     assert_eq!(told.take(), "");
@@ -288,7 +294,8 @@
                         if reuse {
                             book.idle.insert(link);
                         }
-                        let said = if rng.u32(0..5) == 0 { Said::Late } else { Said::Well };
+                        let said =
+                            if rng.u32(0..5) == 0 { ReplyOutcome::TimedOut } else { ReplyOutcome::Succeeded };
                         places.replied(now, link, said, reuse, &mut book);
                     }
                 }
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -11,7 +11,9 @@
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
-use ochrewalk_connection_pool::{CallId, CallResult, ConnectionId, ConnectionPool, Ended, Said, Transport};
+use ochrewalk_connection_pool::{
+    CallId, CallResult, ConnectionId, ConnectionPool, Ended, ReplyOutcome, Transport,
+};
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
 use ochrewalk_operator_config::{AjpUpstream, UpstreamEndpoint};
@@ -529,10 +531,10 @@
                     of.call = None;
                 }
                 let said = match CallEnd::of_status(reply.status, reply.never_ran, Vec::new()) {
-                    CallEnd::Good(_) => Said::Well,
-                    CallEnd::PushedBack => Said::NoRoom,
-                    CallEnd::OutOfTime => Said::Late,
-                    _ => Said::Failed,
+                    CallEnd::Good(_) => ReplyOutcome::Succeeded,
+                    CallEnd::PushedBack => ReplyOutcome::Rejected,
+                    CallEnd::OutOfTime => ReplyOutcome::TimedOut,
+                    _ => ReplyOutcome::Failed,
                 };
                 hands.reply = Some(reply);
                 places.replied(now_us, link, said, !spent, hands);
