--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -68,16 +68,16 @@
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Disconnect {
     /// It was never made.
-    NotMade,
+    ConnectFailed,
     /// It was made, and no byte of a call was written on it that was not answered. Kept connections end so in the
     /// ordinary run of things.
-    Unwritten,
+    BeforeWrite,
     /// A ping on it was not answered in time.
-    Silent,
+    PingTimedOut,
     /// A byte of a call may have been written.
-    Written,
+    AfterWrite,
 }
 
 /// How many connections there may be and how long they stand.
@@ -236,14 +236,14 @@
     }
 
     /// A connection ended, and with it whatever was on it.
-    pub fn ended(&mut self, now_us: u64, link: ConnectionId, how: Ended, wire: &mut impl Transport) {
+    pub fn ended(&mut self, now_us: u64, link: ConnectionId, how: Disconnect, wire: &mut impl Transport) {
         let Some(Link { place, call, made, used_us }) = self.links.remove(&link) else { return };
         self.busy(place, used_us, link);
         let news = match how {
-            Ended::NotMade => CallOutcome::ConnectFailed,
+            Disconnect::ConnectFailed => CallOutcome::ConnectFailed,
             // A kept connection that was forgotten tells nothing of its place.
-            Ended::Unwritten => CallOutcome::Inconclusive,
-            Ended::Silent | Ended::Written => CallOutcome::ConnectionBroken,
+            Disconnect::BeforeWrite => CallOutcome::Inconclusive,
+            Disconnect::PingTimedOut | Disconnect::AfterWrite => CallOutcome::ConnectionBroken,
         };
         match (call, news) {
             (Some(call), news) => self.spread.call_ended(now_us, place, call, news),
@@ -259,7 +259,7 @@
         of.tries += 1;
         of.avoid = (news != CallOutcome::Inconclusive).then_some(place);
         of.fresh = made;
-        let written = how == Ended::Written;
+        let written = how == Disconnect::AfterWrite;
         let in_time = now_us < of.until_us && of.tries < MOST_TRIES;
         let goes_again = if written {
             // The one place that decides on a second writing.
--- a/crates/ochrewalk-connection-pool/tests/places.rs
+++ b/crates/ochrewalk-connection-pool/tests/places.rs
@@ -1,6 +1,6 @@
 //! Where calls go, by table and by long runs of random events under the rules that must always hold.
 
-use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Ended, ReplyOutcome, Transport};
+use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Disconnect, ReplyOutcome, Transport};
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,7 +72,7 @@
         places.call(10 + idle_us, 2, again, 9_999, &mut told);
         assert_eq!(told.take(), wanted);
         // One that was forgotten at the other side: no byte was written, so that any call goes on a new one.
-        places.ended(10 + idle_us, 1, Ended::Unwritten, &mut told);
+        places.ended(10 + idle_us, 1, Disconnect::BeforeWrite, &mut told);
         assert_eq!(told.take(), "connect 2 to 0");
         places.made(70, 2, &mut told);
         places.replied(80, 2, ReplyOutcome::Succeeded, false, &mut told);
@@ -86,28 +86,28 @@
     let (mut all, mut told) = places(2);
     all.call(0, 1, false, 9_999, &mut told);
     all.made(0, 1, &mut told);
-    all.ended(1, 1, Ended::Written, &mut told);
+    all.ended(1, 1, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, write 1 on 1, 1 Broken");
     all.call(2, 2, true, 9_999, &mut told);
     told.take();
     all.made(2, 2, &mut told);
-    all.ended(3, 2, Ended::Written, &mut told);
+    all.ended(3, 2, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "write 2 on 2, connect 3 to 1", "elsewhere");
     // Past its time it does not go again.
     all.made(4, 3, &mut told);
-    all.ended(10_000, 3, Ended::Written, &mut told);
+    all.ended(10_000, 3, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "write 2 on 3, 2 Broken");
     // Nothing saved: nothing repeated.
     let mut poor = places_of(2, 0.0, 7);
     poor.call(0, 1, true, 9_999, &mut told);
     poor.made(0, 1, &mut told);
-    poor.ended(1, 1, Ended::Written, &mut told);
+    poor.ended(1, 1, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, write 1 on 1, 1 Broken");
     // What was never written moves without any of that, but not for ever.
     poor.call(2, 2, false, 9_999, &mut told);
     assert_eq!(told.take(), "connect 2 to 0");
     for (link, next) in [(2, "connect 3 to 1"), (3, "connect 4 to 1"), (4, "2 Unsent")] {
-        poor.ended(3, link, Ended::NotMade, &mut told);
+        poor.ended(3, link, Disconnect::ConnectFailed, &mut told);
         assert_eq!(told.take(), next);
     }
 }
@@ -120,7 +120,7 @@
     let (mut all, mut told) = places(2);
     // The first place cannot be reached, twice in a row; the second one answers.
     all.call(0, 100, false, 500, &mut told);
-    all.ended(0, 1, Ended::NotMade, &mut told);
+    all.ended(0, 1, Disconnect::ConnectFailed, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, connect 2 to 1");
     all.made(0, 2, &mut told);
     all.replied(1, 2, ReplyOutcome::Succeeded, true, &mut told);
@@ -129,7 +129,7 @@
     assert_eq!(told.take(), "prove 101 on 2", "the faster one");
     all.call(2, 102, false, 500, &mut told);
     assert_eq!(told.take(), "connect 3 to 0", "the one with less in hand");
-    all.ended(2, 3, Ended::NotMade, &mut told);
+    all.ended(2, 3, Disconnect::ConnectFailed, &mut told);
     assert_eq!(told.take(), "connect 4 to 1");
     assert_eq!(takes(&all), [false, true]);
     let until = all.spread().next_probe_us().unwrap();
@@ -279,7 +279,7 @@
                             book.idle.insert(link);
                             places.made(now, link, &mut book);
                         } else {
-                            places.ended(now, link, Ended::NotMade, &mut book);
+                            places.ended(now, link, Disconnect::ConnectFailed, &mut book);
                         }
                     }
                 }
@@ -303,8 +303,11 @@
                     if let Some(link) = any(&mut rng, busy) {
                         let call = book.busy.remove(&link).unwrap();
                         // A call that was only to be proven has not been written.
-                        let how =
-                            if book.written.contains_key(&call) { Ended::Written } else { Ended::Silent };
+                        let how = if book.written.contains_key(&call) {
+                            Disconnect::AfterWrite
+                        } else {
+                            Disconnect::PingTimedOut
+                        };
                         places.ended(now, link, how, &mut book);
                     }
                 }
@@ -327,10 +330,10 @@
         for _ in 0..40 {
             now += 500;
             for link in std::mem::take(&mut book.making) {
-                places.ended(now, link, Ended::NotMade, &mut book);
+                places.ended(now, link, Disconnect::ConnectFailed, &mut book);
             }
             for link in std::mem::take(&mut book.busy).into_keys() {
-                places.ended(now, link, Ended::Written, &mut book);
+                places.ended(now, link, Disconnect::AfterWrite, &mut book);
             }
             places.tick(now, &mut book);
         }
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -12,7 +12,7 @@
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
 use ochrewalk_connection_pool::{
-    CallId, CallResult, ConnectionId, ConnectionPool, Ended, ReplyOutcome, Transport,
+    CallId, CallResult, ConnectionId, ConnectionPool, Disconnect, ReplyOutcome, Transport,
 };
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
@@ -329,7 +329,7 @@
                 self.with(|places, hands| {
                     hands.links.remove(&link);
                     hands.why = Some(ending.clone());
-                    places.ended(self.clock.now_us(), link, Ended::NotMade, hands);
+                    places.ended(self.clock.now_us(), link, Disconnect::ConnectFailed, hands);
                 });
                 ending
             }
@@ -345,9 +345,9 @@
         self.with(|places, hands| {
             let Some(of) = hands.links.remove(&link) else { return };
             let how = match (of.life.wrote(), ending) {
-                (true, _) => Ended::Written,
-                (false, Ending::Silent) => Ended::Silent,
-                (false, _) => Ended::Unwritten,
+                (true, _) => Disconnect::AfterWrite,
+                (false, Ending::Silent) => Disconnect::PingTimedOut,
+                (false, _) => Disconnect::BeforeWrite,
             };
             hands.why = Some(ending.clone());
             places.ended(self.clock.now_us(), link, how, hands);
@@ -544,9 +544,9 @@
             let why = ending(why);
             if hands.links.remove(&link).is_some() {
                 let how = match (wrote, &why) {
-                    (true, _) => Ended::Written,
-                    (false, Ending::Silent) => Ended::Silent,
-                    (false, _) => Ended::Unwritten,
+                    (true, _) => Disconnect::AfterWrite,
+                    (false, Ending::Silent) => Disconnect::PingTimedOut,
+                    (false, _) => Disconnect::BeforeWrite,
                 };
                 hands.why = Some(why.clone());
                 places.ended(now_us, link, how, hands);
