--- a/crates/ochrewalk-connection-pool/benches/choice.rs
+++ b/crates/ochrewalk-connection-pool/benches/choice.rs
@@ -1,7 +1,7 @@
 //! What a choice costs, alone and with the connection's part, by the number of places and of connections kept.
 //! `cargo bench -p ochrewalk-connection-pool`
 
-use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, ReplyOutcome, Transport};
+use ochrewalk_connection_pool::{CallResult, ConnectionPool, PoolConfig, ReplyOutcome, Transport};
 use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
 };
@@ -56,7 +56,8 @@
 
 /// A call from its placing to its answer's end, with so many connections kept.
 fn whole(places: u64, links: u64) -> f64 {
-    let bounds = Bounds { most_links: links as usize, trust_us: 1 << 40, keep_us: 1 << 40 };
+    let bounds =
+        PoolConfig { max_connections: links as usize, ping_after_idle_us: 1 << 40, max_idle_us: 1 << 40 };
     let (mut all, mut wire) =
         (ConnectionPool::new(bounds, BalancingConfig::default(), 0.1, 7), Last::default());
     all.list(0, &listed(places), &mut wire);
--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -82,12 +82,12 @@
 
 /// How many connections there may be and how long they stand.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
-    pub most_links: usize,
+pub struct PoolConfig {
+    pub max_connections: usize,
     /// A connection used within this time needs no proof for a call that may happen again.
-    pub trust_us: u64,
+    pub ping_after_idle_us: u64,
     /// A connection that carries nothing is let go after this time.
-    pub keep_us: u64,
+    pub max_idle_us: u64,
 }
 
 /// How often one call may be placed anew, whatever the budget: guards against one that goes round for ever.
@@ -111,7 +111,7 @@
 }
 
 pub struct ConnectionPool {
-    bounds: Bounds,
+    bounds: PoolConfig,
     spread: LoadBalancer,
     links: BTreeMap<ConnectionId, Link>,
     /// Connections that are made and carry nothing, by when they were used: all of them, and by place.
@@ -126,7 +126,7 @@
 
 impl ConnectionPool {
     /// None yet: [`ConnectionPool::list`] names them.
-    pub fn new(bounds: Bounds, plan: BalancingConfig, repeats: f64, seed: u64) -> ConnectionPool {
+    pub fn new(bounds: PoolConfig, plan: BalancingConfig, repeats: f64, seed: u64) -> ConnectionPool {
         ConnectionPool {
             bounds,
             spread: LoadBalancer::new(plan, seed),
@@ -284,7 +284,7 @@
             wire.complete(call, CallResult::Unsent);
         }
         while let Some((used_us, link)) = self.idle.first().copied() {
-            if now_us < used_us + self.bounds.keep_us {
+            if now_us < used_us + self.bounds.max_idle_us {
                 break;
             }
             self.let_go(link, wire);
@@ -319,7 +319,7 @@
         let link = match newest {
             Some(link) => link,
             None if self.has_room() => {
-                if self.links.len() >= self.bounds.most_links {
+                if self.links.len() >= self.bounds.max_connections {
                     let (_, oldest) = *self.idle.first().expect("room was seen");
                     self.let_go(oldest, wire);
                 }
@@ -337,7 +337,7 @@
             return wire.connect(link, place);
         }
         // Guards against a connection that was forgotten at the other side.
-        let prove = !again || now_us >= of.used_us + self.bounds.trust_us;
+        let prove = !again || now_us >= of.used_us + self.bounds.ping_after_idle_us;
         let used_us = std::mem::replace(&mut of.used_us, now_us);
         self.busy(place, used_us, link);
         wire.write(link, call, prove);
@@ -345,7 +345,7 @@
 
     /// Whether one more connection may be made, if need be in the place of one that carries nothing.
     fn has_room(&self) -> bool {
-        self.links.len() < self.bounds.most_links || !self.idle.is_empty()
+        self.links.len() < self.bounds.max_connections || !self.idle.is_empty()
     }
 
     /// A connection that is made carries nothing now; it is kept unless its place leaves.
--- a/crates/ochrewalk-connection-pool/tests/places.rs
+++ b/crates/ochrewalk-connection-pool/tests/places.rs
@@ -1,10 +1,12 @@
 //! Where calls go, by table and by long runs of random events under the rules that must always hold.
 
-use ochrewalk_connection_pool::{Bounds, CallResult, ConnectionPool, Disconnect, ReplyOutcome, Transport};
+use ochrewalk_connection_pool::{
+    CallResult, ConnectionPool, Disconnect, PoolConfig, ReplyOutcome, Transport,
+};
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Endpoint, OutlierEjection, Subsetting};
 use std::collections::{BTreeMap, BTreeSet};
 
-const BOUNDS: Bounds = Bounds { most_links: 3, trust_us: 50, keep_us: 1_000 };
+const BOUNDS: PoolConfig = PoolConfig { max_connections: 3, ping_after_idle_us: 50, max_idle_us: 1_000 };
 const EJECTION: OutlierEjection = OutlierEjection {
     consecutive_failures: 2,
     base_ejection_us: 1_000,
@@ -321,7 +323,7 @@
                 }
                 _ => places.tick(now, &mut book),
             }
-            if places.links() > BOUNDS.most_links {
+            if places.links() > BOUNDS.max_connections {
                 book.wrong.push(format!("{} connections", places.links()));
             }
             assert!(book.wrong.is_empty(), "seed {seed}: {:?}", book.wrong);
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -92,10 +92,10 @@
 
 impl AjpBelow {
     pub fn new(settings: AjpUpstream, clock: Clock, seed: u64) -> AjpBelow {
-        let bounds = ochrewalk_connection_pool::Bounds {
-            most_links: settings.max_connections,
-            trust_us: settings.ping_after_idle_us,
-            keep_us: settings.max_idle_us,
+        let bounds = ochrewalk_connection_pool::PoolConfig {
+            max_connections: settings.max_connections,
+            ping_after_idle_us: settings.ping_after_idle_us,
+            max_idle_us: settings.max_idle_us,
         };
         let mut places = ConnectionPool::new(bounds, settings.balancing, settings.retry_budget, seed);
         AjpBelow(Arc::new_cyclic(|inner| {
