--- a/crates/ochrewalk-connection-pool/src/budget.rs
+++ b/crates/ochrewalk-connection-pool/src/budget.rs
@@ -5,22 +5,22 @@
 const SAVED: f64 = 10.0;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
     level: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// ```
-    /// use ochrewalk_connection_pool::Budget;
-    /// let mut budget = Budget::new(0.5);
+    /// use ochrewalk_connection_pool::RetryBudget;
+    /// let mut budget = RetryBudget::new(0.5);
     /// assert_eq!((0..12).filter(|_| budget.spend()).count(), 10);
     /// (0..4).for_each(|_| budget.earn());
     /// assert_eq!((0..12).filter(|_| budget.spend()).count(), 2);
-    /// assert!(!Budget::new(0.0).spend());
+    /// assert!(!RetryBudget::new(0.0).spend());
     /// ```
-    pub fn new(share: f64) -> Budget {
-        Budget { share, level: if share > 0.0 { SAVED } else { 0.0 } }
+    pub fn new(share: f64) -> RetryBudget {
+        RetryBudget { share, level: if share > 0.0 { SAVED } else { 0.0 } }
     }
 
     /// A first call was made.
--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -8,7 +8,7 @@
 
 mod budget;
 
-pub use budget::Budget;
+pub use budget::RetryBudget;
 
 use ochrewalk_load_balancer::{
     BalancingConfig, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
@@ -120,7 +120,7 @@
     calls: BTreeMap<CallId, Call>,
     /// Calls that wait for a connection, oldest first.
     waiting: VecDeque<CallId>,
-    budget: Budget,
+    budget: RetryBudget,
     next_link: ConnectionId,
 }
 
@@ -135,7 +135,7 @@
             idle_at: Vec::new(),
             calls: BTreeMap::new(),
             waiting: VecDeque::new(),
-            budget: Budget::new(repeats),
+            budget: RetryBudget::new(repeats),
             next_link: 0,
         }
     }
