--- a/crates/ochrewalk-connection-pool/benches/choice.rs
+++ b/crates/ochrewalk-connection-pool/benches/choice.rs
@@ -60,19 +60,19 @@
         PoolConfig { max_connections: links as usize, ping_after_idle_us: 1 << 40, max_idle_us: 1 << 40 };
     let (mut all, mut wire) =
         (ConnectionPool::new(bounds, BalancingConfig::default(), 0.1, 7), Last::default());
-    all.list(0, &listed(places), &mut wire);
-    (0..links).for_each(|call| all.call(0, call, true, 1 << 40, &mut wire));
+    all.set_endpoints(0, &listed(places), &mut wire);
+    (0..links).for_each(|call| all.start_call(0, call, true, 1 << 40, &mut wire));
     for link in std::mem::take(&mut wire.connects) {
-        all.made(1, link, &mut wire);
+        all.connected(1, link, &mut wire);
         all.replied(2, link, ReplyOutcome::Succeeded, true, &mut wire);
     }
     wire.writes.clear();
     let from = Instant::now();
     for call in links..links + ROUNDS {
         let now_us = 100 * call;
-        all.call(now_us, call, true, 1 << 40, &mut wire);
+        all.start_call(now_us, call, true, 1 << 40, &mut wire);
         while let Some(link) = wire.connects.pop() {
-            all.made(now_us, link, &mut wire);
+            all.connected(now_us, link, &mut wire);
         }
         let link = wire.writes.pop().expect("written");
         all.replied(now_us + 50, link, ReplyOutcome::Succeeded, true, &mut wire);
--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -125,7 +125,7 @@
 }
 
 impl ConnectionPool {
-    /// None yet: [`ConnectionPool::list`] names them.
+    /// None yet: [`ConnectionPool::set_endpoints`] names them.
     pub fn new(bounds: PoolConfig, plan: BalancingConfig, repeats: f64, seed: u64) -> ConnectionPool {
         ConnectionPool {
             bounds,
@@ -141,7 +141,12 @@
     }
 
     /// The places there are from now on; gives the number that each is known by. What is under way at others ends there.
-    pub fn list(&mut self, now_us: u64, listed: &[Endpoint], wire: &mut impl Transport) -> Vec<usize> {
+    pub fn set_endpoints(
+        &mut self,
+        now_us: u64,
+        listed: &[Endpoint],
+        wire: &mut impl Transport,
+    ) -> Vec<usize> {
         let slots = self.spread.set_endpoints(now_us, listed);
         let most = slots.iter().max().map_or(0, |slot| slot + 1);
         if self.idle_at.len() < most {
@@ -156,12 +161,19 @@
     }
 
     /// How long no place is expected to take a call, where none does now.
-    pub fn closed_us(&mut self, now_us: u64) -> Option<u64> {
+    pub fn unavailable_for_us(&mut self, now_us: u64) -> Option<u64> {
         self.spread.unavailable_for_us(now_us)
     }
 
     /// A call is to be placed, and is of use until then.
-    pub fn call(&mut self, now_us: u64, call: CallId, again: bool, until_us: u64, wire: &mut impl Transport) {
+    pub fn start_call(
+        &mut self,
+        now_us: u64,
+        call: CallId,
+        again: bool,
+        until_us: u64,
+        wire: &mut impl Transport,
+    ) {
         self.budget.earn();
         let new = Call { again, until_us, tries: 0, avoid: None, fresh: false, link: None };
         self.calls.insert(call, new);
@@ -169,7 +181,7 @@
     }
 
     /// Nobody waits for the call any more. Nothing is settled; an answer still to come is nobody's.
-    pub fn give_up(&mut self, now_us: u64, call: CallId, wire: &mut impl Transport) {
+    pub fn cancel(&mut self, now_us: u64, call: CallId, wire: &mut impl Transport) {
         let Some(gone) = self.calls.remove(&call) else { return };
         self.waiting.retain(|waits| *waits != call);
         let Some(link) = gone.link else { return };
@@ -196,7 +208,7 @@
     }
 
     /// A connection is there.
-    pub fn made(&mut self, now_us: u64, link: ConnectionId, wire: &mut impl Transport) {
+    pub fn connected(&mut self, now_us: u64, link: ConnectionId, wire: &mut impl Transport) {
         let Some(of) = self.links.get_mut(&link) else { return wire.close(link) };
         (of.made, of.used_us) = (true, now_us);
         match of.call {
@@ -236,7 +248,13 @@
     }
 
     /// A connection ended, and with it whatever was on it.
-    pub fn ended(&mut self, now_us: u64, link: ConnectionId, how: Disconnect, wire: &mut impl Transport) {
+    pub fn disconnected(
+        &mut self,
+        now_us: u64,
+        link: ConnectionId,
+        how: Disconnect,
+        wire: &mut impl Transport,
+    ) {
         let Some(Link { place, call, made, used_us }) = self.links.remove(&link) else { return };
         self.busy(place, used_us, link);
         let news = match how {
@@ -293,11 +311,11 @@
     }
 
     /// Which place each call goes to, and how each place stands, for operators.
-    pub fn spread(&self) -> &LoadBalancer {
+    pub fn load_balancer(&self) -> &LoadBalancer {
         &self.spread
     }
 
-    pub fn links(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.links.len()
     }
 
--- a/crates/ochrewalk-connection-pool/tests/places.rs
+++ b/crates/ochrewalk-connection-pool/tests/places.rs
@@ -47,7 +47,7 @@
         ejection: EJECTION,
     };
     let mut places = ConnectionPool::new(BOUNDS, plan, repeats, seed);
-    places.list(0, &(0..count).map(Endpoint::new).collect::<Vec<_>>(), &mut Told::default());
+    places.set_endpoints(0, &(0..count).map(Endpoint::new).collect::<Vec<_>>(), &mut Told::default());
     places
 }
 
@@ -56,7 +56,14 @@
 }
 
 fn takes(places: &ConnectionPool) -> Vec<bool> {
-    places.spread().state().endpoints.iter().flatten().map(|held| held.health.accepts_calls()).collect()
+    places
+        .load_balancer()
+        .state()
+        .endpoints
+        .iter()
+        .flatten()
+        .map(|held| held.health.accepts_calls())
+        .collect()
 }
 
 #[test]
@@ -65,51 +72,51 @@
         [(true, 10, "write 2 on 1"), (true, 50, "prove 2 on 1"), (false, 0, "prove 2 on 1")]
     {
         let (mut places, mut told) = places(1);
-        places.call(0, 1, again, 9_999, &mut told);
+        places.start_call(0, 1, again, 9_999, &mut told);
         assert_eq!(told.take(), "connect 1 to 0");
-        places.made(5, 1, &mut told);
+        places.connected(5, 1, &mut told);
         assert_eq!(told.take(), "write 1 on 1", "just made is proof enough");
         places.replied(10, 1, ReplyOutcome::Succeeded, true, &mut told);
         assert_eq!(told.take(), "1 Replied");
-        places.call(10 + idle_us, 2, again, 9_999, &mut told);
+        places.start_call(10 + idle_us, 2, again, 9_999, &mut told);
         assert_eq!(told.take(), wanted);
         // One that was forgotten at the other side: no byte was written, so that any call goes on a new one.
-        places.ended(10 + idle_us, 1, Disconnect::BeforeWrite, &mut told);
+        places.disconnected(10 + idle_us, 1, Disconnect::BeforeWrite, &mut told);
         assert_eq!(told.take(), "connect 2 to 0");
-        places.made(70, 2, &mut told);
+        places.connected(70, 2, &mut told);
         places.replied(80, 2, ReplyOutcome::Succeeded, false, &mut told);
         assert_eq!(told.take(), "write 2 on 2, close 2, 2 Replied");
-        assert_eq!((places.links(), places.open_calls()), (0, 0));
+        assert_eq!((places.connection_count(), places.open_calls()), (0, 0));
     }
 }
 
 #[test]
 fn what_was_written_goes_again_only_where_that_is_harmless_and_within_the_budget() {
     let (mut all, mut told) = places(2);
-    all.call(0, 1, false, 9_999, &mut told);
-    all.made(0, 1, &mut told);
-    all.ended(1, 1, Disconnect::AfterWrite, &mut told);
+    all.start_call(0, 1, false, 9_999, &mut told);
+    all.connected(0, 1, &mut told);
+    all.disconnected(1, 1, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, write 1 on 1, 1 Broken");
-    all.call(2, 2, true, 9_999, &mut told);
+    all.start_call(2, 2, true, 9_999, &mut told);
     told.take();
-    all.made(2, 2, &mut told);
-    all.ended(3, 2, Disconnect::AfterWrite, &mut told);
+    all.connected(2, 2, &mut told);
+    all.disconnected(3, 2, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "write 2 on 2, connect 3 to 1", "elsewhere");
     // Past its time it does not go again.
-    all.made(4, 3, &mut told);
-    all.ended(10_000, 3, Disconnect::AfterWrite, &mut told);
+    all.connected(4, 3, &mut told);
+    all.disconnected(10_000, 3, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "write 2 on 3, 2 Broken");
     // Nothing saved: nothing repeated.
     let mut poor = places_of(2, 0.0, 7);
-    poor.call(0, 1, true, 9_999, &mut told);
-    poor.made(0, 1, &mut told);
-    poor.ended(1, 1, Disconnect::AfterWrite, &mut told);
+    poor.start_call(0, 1, true, 9_999, &mut told);
+    poor.connected(0, 1, &mut told);
+    poor.disconnected(1, 1, Disconnect::AfterWrite, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, write 1 on 1, 1 Broken");
     // What was never written moves without any of that, but not for ever.
-    poor.call(2, 2, false, 9_999, &mut told);
+    poor.start_call(2, 2, false, 9_999, &mut told);
     assert_eq!(told.take(), "connect 2 to 0");
     for (link, next) in [(2, "connect 3 to 1"), (3, "connect 4 to 1"), (4, "2 Unsent")] {
-        poor.ended(3, link, Disconnect::ConnectFailed, &mut told);
+        poor.disconnected(3, link, Disconnect::ConnectFailed, &mut told);
         assert_eq!(told.take(), next);
     }
 }
@@ -121,35 +128,35 @@
 fn an_endpoint_is_left_out_and_probed_by_one_earned_call_at_a_time() {
     let (mut all, mut told) = places(2);
     // The first place cannot be reached, twice in a row; the second one answers.
-    all.call(0, 100, false, 500, &mut told);
-    all.ended(0, 1, Disconnect::ConnectFailed, &mut told);
+    all.start_call(0, 100, false, 500, &mut told);
+    all.disconnected(0, 1, Disconnect::ConnectFailed, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, connect 2 to 1");
-    all.made(0, 2, &mut told);
+    all.connected(0, 2, &mut told);
     all.replied(1, 2, ReplyOutcome::Succeeded, true, &mut told);
     told.take();
-    all.call(2, 101, false, 500, &mut told);
+    all.start_call(2, 101, false, 500, &mut told);
     assert_eq!(told.take(), "prove 101 on 2", "the faster one");
-    all.call(2, 102, false, 500, &mut told);
+    all.start_call(2, 102, false, 500, &mut told);
     assert_eq!(told.take(), "connect 3 to 0", "the one with less in hand");
-    all.ended(2, 3, Disconnect::ConnectFailed, &mut told);
+    all.disconnected(2, 3, Disconnect::ConnectFailed, &mut told);
     assert_eq!(told.take(), "connect 4 to 1");
     assert_eq!(takes(&all), [false, true]);
-    let until = all.spread().next_probe_us().unwrap();
+    let until = all.load_balancer().next_probe_us().unwrap();
     assert!((752..=1_252).contains(&until), "a quarter either way: {until}");
     // While it is left out nothing goes there, however busy the other is.
-    all.call(3, 103, true, 500, &mut told);
+    all.start_call(3, 103, true, 500, &mut told);
     assert_eq!(told.take(), "connect 5 to 1");
-    all.made(3, 4, &mut told);
-    all.made(3, 5, &mut told);
+    all.connected(3, 4, &mut told);
+    all.connected(3, 5, &mut told);
     [2, 4, 5].iter().for_each(|link| all.replied(4, *link, ReplyOutcome::Succeeded, true, &mut told));
     told.take();
     // Due: of harmless calls a tenth of what the endpoint would get is its probe. The one other takes all, so that this is
     // one call in ten, from a point on that this seed draws.
-    all.call(1_300, 104, false, 9_999, &mut told);
+    all.start_call(1_300, 104, false, 9_999, &mut told);
     assert!(told.take().starts_with("prove 104"), "not one that may not happen twice, while others take it");
     let mut probe = 105;
     loop {
-        all.call(1_300, probe, true, 9_999, &mut told);
+        all.start_call(1_300, probe, true, 9_999, &mut told);
         let what = told.take();
         if what == "close 2, connect 6 to 0" {
             break;
@@ -163,7 +170,7 @@
     assert_eq!(probe - 104, CALLS_UNTIL_PROBE, "in the place of what carries nothing");
     // One probe at a time, however many calls come.
     for call in 200..200 + 3 * 10 {
-        all.call(1_300, call, true, 9_999, &mut told);
+        all.start_call(1_300, call, true, 9_999, &mut told);
         let what = told.take();
         assert!(what.contains(&format!(" {call} on ")), "one trial at a time: {what}");
         all.replied(
@@ -176,7 +183,7 @@
         told.take();
     }
     assert_eq!(takes(&all), [false, true]);
-    all.made(1_301, 6, &mut told);
+    all.connected(1_301, 6, &mut told);
     all.replied(1_302, 6, ReplyOutcome::Succeeded, true, &mut told);
     assert_eq!(takes(&all), [true, true]);
 }
@@ -185,20 +192,20 @@
 fn calls_wait_for_room_and_end_unsent_when_their_time_is_over() {
     let (mut all, mut told) = places(1);
     for call in 1..=3 {
-        all.call(0, call, true, 100, &mut told);
+        all.start_call(0, call, true, 100, &mut told);
     }
-    all.call(0, 4, true, 100, &mut told);
-    all.call(0, 5, true, 90, &mut told);
+    all.start_call(0, 4, true, 100, &mut told);
+    all.start_call(0, 5, true, 90, &mut told);
     assert_eq!(told.take(), "connect 1 to 0, connect 2 to 0, connect 3 to 0");
-    (1..=3).for_each(|link| all.made(1, link, &mut told));
+    (1..=3).for_each(|link| all.connected(1, link, &mut told));
     told.take();
     all.replied(2, 2, ReplyOutcome::Succeeded, true, &mut told);
     assert_eq!(told.take(), "2 Replied, write 4 on 2", "oldest first");
     all.tick(90, &mut told);
     assert_eq!(told.take(), "5 Unsent");
     // One that is given up makes room; its connection goes, as its answer may still come.
-    all.call(91, 6, true, 200, &mut told);
-    all.give_up(92, 1, &mut told);
+    all.start_call(91, 6, true, 200, &mut told);
+    all.cancel(92, 1, &mut told);
     assert_eq!(told.take(), "close 1, connect 4 to 0");
     // What carries nothing for long goes.
     all.replied(95, 3, ReplyOutcome::Succeeded, true, &mut told);
@@ -272,16 +279,16 @@
                     calls += 1;
                     let again = rng.bool();
                     book.again.insert(calls, again);
-                    places.call(now, calls, again, now + rng.u64(1..400), &mut book);
+                    places.start_call(now, calls, again, now + rng.u64(1..400), &mut book);
                 }
                 4 => {
                     if let Some(link) = any(&mut rng, book.making.iter().copied().collect()) {
                         book.making.remove(&link);
                         if rng.bool() {
                             book.idle.insert(link);
-                            places.made(now, link, &mut book);
+                            places.connected(now, link, &mut book);
                         } else {
-                            places.ended(now, link, Disconnect::ConnectFailed, &mut book);
+                            places.disconnected(now, link, Disconnect::ConnectFailed, &mut book);
                         }
                     }
                 }
@@ -310,21 +317,21 @@
                         } else {
                             Disconnect::PingTimedOut
                         };
-                        places.ended(now, link, how, &mut book);
+                        places.disconnected(now, link, how, &mut book);
                     }
                 }
                 8 => {
                     let open: Vec<u64> = (1..=calls).filter(|c| !book.settled.contains(c)).collect();
                     if let Some(call) = any(&mut rng, open) {
                         if book.given_up.insert(call) {
-                            places.give_up(now, call, &mut book);
+                            places.cancel(now, call, &mut book);
                         }
                     }
                 }
                 _ => places.tick(now, &mut book),
             }
-            if places.links() > BOUNDS.max_connections {
-                book.wrong.push(format!("{} connections", places.links()));
+            if places.connection_count() > BOUNDS.max_connections {
+                book.wrong.push(format!("{} connections", places.connection_count()));
             }
             assert!(book.wrong.is_empty(), "seed {seed}: {:?}", book.wrong);
         }
@@ -332,16 +339,16 @@
         for _ in 0..40 {
             now += 500;
             for link in std::mem::take(&mut book.making) {
-                places.ended(now, link, Disconnect::ConnectFailed, &mut book);
+                places.disconnected(now, link, Disconnect::ConnectFailed, &mut book);
             }
             for link in std::mem::take(&mut book.busy).into_keys() {
-                places.ended(now, link, Disconnect::AfterWrite, &mut book);
+                places.disconnected(now, link, Disconnect::AfterWrite, &mut book);
             }
             places.tick(now, &mut book);
         }
         assert_eq!(places.open_calls(), 0, "seed {seed}");
         assert!(
-            places.spread().state().endpoints.iter().flatten().all(|held| held.in_flight() == 0),
+            places.load_balancer().state().endpoints.iter().flatten().all(|held| held.in_flight() == 0),
             "seed {seed}"
         );
         assert_eq!(book.settled.len() + book.given_up.len(), calls as usize, "seed {seed}: {:?}", book.wrong);
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -139,7 +139,7 @@
                         link.outbox.nudge();
                     }
                 }
-                let spread = places.spread();
+                let spread = places.load_balancer();
                 words.resize(spread.state().endpoints.len(), "in");
                 for (slot, before) in words.iter_mut().enumerate() {
                     let word = spread.status(slot, now_us).name();
@@ -165,7 +165,7 @@
     pub fn table(&self) -> String {
         let now_us = self.0.clock.now_us();
         self.0.with(|places, hands| {
-            let view = places.spread().state();
+            let view = places.load_balancer().state();
             let all: f64 = view.subset.iter().map(|slot| view.share(*slot, now_us)).sum();
             let mut text = format!(
                 "{:<22} {:<8} {:>9} {:>7} {:>7} {:>9} {:>9}  {}\n",
@@ -180,7 +180,7 @@
                     text,
                     "{:<22} {:<8} {:>9.1} {:>7.3} {:>7} {:>9.1} {:>9}  {}",
                     hands.places[slot].to_string(),
-                    places.spread().status(slot, now_us).name(),
+                    places.load_balancer().status(slot, now_us).name(),
                     now_us.saturating_sub(held.health.since_us()) as f64 / 1e6,
                     share,
                     held.in_flight(),
@@ -208,7 +208,7 @@
         is_local_zone: endpoint.is_in_local_zone,
     };
     let listed: Vec<Endpoint> = endpoints.iter().map(listed).collect();
-    let slots = places.list(hands.now_us, &listed, hands);
+    let slots = places.set_endpoints(hands.now_us, &listed, hands);
     for (slot, endpoint) in slots.into_iter().zip(endpoints) {
         if hands.places.len() <= slot {
             hands.places.resize(slot + 1, endpoint.address);
@@ -230,7 +230,7 @@
     }
 
     fn closed_us(&self) -> Option<u64> {
-        self.0.with(|places, hands| places.closed_us(hands.now_us))
+        self.0.with(|places, hands| places.unavailable_for_us(hands.now_us))
     }
 
     /// Connections by AJP do not move: a call is under way on each that carries one.
@@ -268,7 +268,7 @@
         self.0.with(|places, hands| {
             let Some(call) = hands.ids.remove(id) else { return };
             hands.calls.remove(&call);
-            places.give_up(self.0.clock.now_us(), call, hands);
+            places.cancel(self.0.clock.now_us(), call, hands);
         });
     }
 }
@@ -281,7 +281,7 @@
             let call = hands.next_call;
             hands.ids.insert(id.clone(), call);
             hands.calls.insert(call, Call { id, body, until_us, post });
-            places.call(hands.now_us, call, again, until_us, hands);
+            places.start_call(hands.now_us, call, again, until_us, hands);
         });
     }
 
@@ -306,7 +306,7 @@
                         // Its bounds count from here.
                         of.life = self.life(now_us);
                     }
-                    places.made(now_us, link, hands);
+                    places.connected(now_us, link, hands);
                 });
                 let ending = carry(
                     &stream,
@@ -329,7 +329,7 @@
                 self.with(|places, hands| {
                     hands.links.remove(&link);
                     hands.why = Some(ending.clone());
-                    places.ended(self.clock.now_us(), link, Disconnect::ConnectFailed, hands);
+                    places.disconnected(self.clock.now_us(), link, Disconnect::ConnectFailed, hands);
                 });
                 ending
             }
@@ -350,7 +350,7 @@
                 (false, _) => Disconnect::BeforeWrite,
             };
             hands.why = Some(ending.clone());
-            places.ended(self.clock.now_us(), link, how, hands);
+            places.disconnected(self.clock.now_us(), link, how, hands);
         });
     }
 
@@ -549,7 +549,7 @@
                     (false, _) => Disconnect::BeforeWrite,
                 };
                 hands.why = Some(why.clone());
-                places.ended(now_us, link, how, hands);
+                places.disconnected(now_us, link, how, hands);
             }
             Err(why)
         })
