--- a/crates/ochrewalk-connection-pool/src/budget.rs
+++ b/crates/ochrewalk-connection-pool/src/budget.rs
@@ -1,16 +1,19 @@
-//! Decides how many calls may be written a second time: a share of the first ones, saved up to a few. Guards against
-//! repeats that feed an overload below.
+//! Decides how many calls may be written a second time: a share of the first attempts, accumulated up to a small maximum.
+//! Keeps retries from adding to an upstream overload.
 
-/// So many repeats are there at the start, and can be saved at most.
-const SAVED: f64 = 10.0;
+/// The number of retries that are available at the start, and the most that can be accumulated.
+const MAX_RETRIES: f64 = 10.0;
 
+/// A retry budget: each first attempt adds a share of a retry, and each retry takes a whole one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     share: f64,
-    level: f64,
+    available: f64,
 }
 
 impl RetryBudget {
+    /// Creates a budget to which each first attempt adds `share` retries; with a share of 0 no call is retried.
+    ///
     /// ```
     /// use ochrewalk_connection_pool::RetryBudget;
     /// let mut budget = RetryBudget::new(0.5);
@@ -20,18 +23,18 @@
     /// assert!(!RetryBudget::new(0.0).spend());
     /// ```
     pub fn new(share: f64) -> RetryBudget {
-        RetryBudget { share, level: if share > 0.0 { SAVED } else { 0.0 } }
+        RetryBudget { share, available: if share > 0.0 { MAX_RETRIES } else { 0.0 } }
     }
 
-    /// A first call was made.
+    /// Adds the share of one first attempt.
     pub fn earn(&mut self) {
-        self.level = (self.level + self.share).min(SAVED);
+        self.available = (self.available + self.share).min(MAX_RETRIES);
     }
 
-    /// Takes one repeat, if there is one.
+    /// Takes one retry if one is available, and returns whether it was.
     pub fn spend(&mut self) -> bool {
-        let there = self.level >= 1.0;
-        self.level -= f64::from(u8::from(there));
-        there
+        let is_available = self.available >= 1.0;
+        self.available -= f64::from(u8::from(is_available));
+        is_available
     }
 }
