--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decides on which connection each call below goes, after which proof, and whether a call may be written a second
-//! time. Which place it goes to is `ochrewalk-load-balancer`'s.
+//! Decides on which connection each upstream call is written, whether that connection is pinged first, and whether a call
+//! may be written a second time. `ochrewalk-load-balancer` decides which endpoint a call goes to.
 //!
-//! No sockets and no clock: whoever carries the connections tells [`ConnectionPool`] what happened, and it acts by [`Transport`].
-//! A call is one of two kinds. One that may happen `again` can be written a second time after a connection broke under
-//! it, within a budget. Any other is only ever written on a connection just made or just proven, and never a second
-//! time; of a call of which no byte was written it is certain that it never ran, so that any kind may be moved then.
+//! The crate opens no sockets and reads no clock: the caller reports connection events to [`ConnectionPool`], which acts
+//! through [`Transport`]. An idempotent call may be written a second time after its connection broke, within a retry
+//! budget. Any other call is written only on a connection that has just been made or has just answered a ping, and never
+//! a second time. A call of which no byte was written is certain not to have run, so that a call of either kind may then
+//! be moved to another connection.
 
 mod budget;
 
@@ -15,43 +16,44 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Numbers that the carrier knows connections and calls by; never used twice.
+/// The number that identifies a connection; the pool never uses one twice.
 pub type ConnectionId = u64;
+/// The number that identifies a call; the caller never uses one twice.
 pub type CallId = u64;
 
-/// What is asked of whoever carries the connections.
+/// Performs the pool's decisions: opens, writes to and closes connections, and reports the results of calls.
 pub trait Transport {
-    /// Makes a connection to that place.
-    fn connect(&mut self, link: ConnectionId, place: usize);
-    /// Writes the call there, after a ping was answered where it is to be proven.
-    fn write(&mut self, link: ConnectionId, call: CallId, prove: bool);
-    /// The call's end: what became of it goes to whoever placed it, once.
-    fn complete(&mut self, call: CallId, end: CallResult);
-    /// Lets a connection go.
-    fn close(&mut self, link: ConnectionId);
+    /// Opens a connection to the endpoint in that slot.
+    fn connect(&mut self, connection: ConnectionId, slot: usize);
+    /// Writes the call on the connection; with `ping_first` only after the peer has answered a ping.
+    fn write(&mut self, connection: ConnectionId, call: CallId, ping_first: bool);
+    /// Reports the call's result to its requester, exactly once.
+    fn complete(&mut self, call: CallId, result: CallResult);
+    /// Closes the connection.
+    fn close(&mut self, connection: ConnectionId);
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// The answer that was just read is its own.
+    /// The peer replied; the reply is the one that was just read.
     Replied,
-    /// No byte of it was written.
+    /// No byte of the call was written.
     Unsent,
-    /// Its connection ended after it was written, for the reason just told.
+    /// The connection ended after the call was written, for the reason that was just reported.
     Broken,
 }
 
-/// What a whole answer said of its place.
+/// The outcome of a call, as a complete reply states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyOutcome {
-    /// The place did its work.
+    /// The endpoint served the call.
     Succeeded,
-    /// It had no room for it.
+    /// The endpoint had no capacity for the call.
     Rejected,
-    /// It could not do it.
+    /// The endpoint could not serve the call.
     Failed,
-    /// It could not do it in time.
+    /// The endpoint could not serve the call in time.
     TimedOut,
 }
 
@@ -66,338 +68,371 @@
     }
 }
 
-/// How a connection ended.
+/// The way in which a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnect {
-    /// It was never made.
+    /// The connection was never established.
     ConnectFailed,
-    /// It was made, and no byte of a call was written on it that was not answered. Kept connections end so in the
-    /// ordinary run of things.
+    /// The connection was established, and no byte of an unanswered call was written on it. Idle connections end in this
+    /// way in normal operation.
     BeforeWrite,
-    /// A ping on it was not answered in time.
+    /// The peer did not answer a ping in time.
     PingTimedOut,
-    /// A byte of a call may have been written.
+    /// A byte of an unanswered call may have been written.
     AfterWrite,
 }
 
-/// How many connections there may be and how long they stand.
+/// The limits on the number of connections and on the time for which they stay idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolConfig {
+    /// The largest number of connections, over all endpoints.
     pub max_connections: usize,
-    /// A connection used within this time needs no proof for a call that may happen again.
+    /// An idempotent call is written without a ping on a connection that was used within this time, in microseconds.
     pub ping_after_idle_us: u64,
-    /// A connection that carries nothing is let go after this time.
+    /// An idle connection is closed after this time, in microseconds.
     pub max_idle_us: u64,
 }
 
-/// How often one call may be placed anew, whatever the budget: guards against one that goes round for ever.
-const MOST_TRIES: u32 = 4;
-struct Link {
-    place: usize,
-    made: bool,
+/// The number of times that one call may be given a connection, whatever the retry budget: stops a call that would
+/// otherwise move from one failing connection to the next without end.
+const MAX_ATTEMPTS: u32 = 4;
+struct Connection {
+    slot: usize,
+    is_connected: bool,
     call: Option<CallId>,
-    used_us: u64,
+    last_used_us: u64,
 }
 
 struct Call {
-    again: bool,
-    until_us: u64,
-    tries: u32,
-    /// Where it failed last: elsewhere is better.
+    is_idempotent: bool,
+    deadline_us: u64,
+    failed_attempts: u32,
+    /// The slot of the endpoint at which the last attempt failed; another endpoint is preferred.
     avoid: Option<usize>,
-    /// It goes on a new connection only, as a kept one failed it.
-    fresh: bool,
-    link: Option<ConnectionId>,
+    /// Whether the call needs a new connection, because an established one ended before the reply.
+    needs_new_connection: bool,
+    connection: Option<ConnectionId>,
 }
 
+/// The connections of one upstream, the calls on them, and the calls that wait for one.
 pub struct ConnectionPool {
-    bounds: PoolConfig,
-    spread: LoadBalancer,
-    links: BTreeMap<ConnectionId, Link>,
-    /// Connections that are made and carry nothing, by when they were used: all of them, and by place.
+    config: PoolConfig,
+    load_balancer: LoadBalancer,
+    connections: BTreeMap<ConnectionId, Connection>,
+    /// All idle connections, ordered by the time of their last use.
     idle: BTreeSet<(u64, ConnectionId)>,
-    idle_at: Vec<BTreeSet<(u64, ConnectionId)>>,
+    /// The same connections by slot, ordered by the time of their last use.
+    idle_by_slot: Vec<BTreeSet<(u64, ConnectionId)>>,
     calls: BTreeMap<CallId, Call>,
-    /// Calls that wait for a connection, oldest first.
+    /// The calls that wait for a connection, oldest first.
     waiting: VecDeque<CallId>,
-    budget: RetryBudget,
-    next_link: ConnectionId,
+    retry_budget: RetryBudget,
+    last_connection_id: ConnectionId,
 }
 
 impl ConnectionPool {
-    /// None yet: [`ConnectionPool::set_endpoints`] names them.
-    pub fn new(bounds: PoolConfig, plan: BalancingConfig, repeats: f64, seed: u64) -> ConnectionPool {
+    /// Creates a pool without endpoints; [`ConnectionPool::set_endpoints`] sets them.
+    pub fn new(
+        config: PoolConfig,
+        balancing: BalancingConfig,
+        retry_share: f64,
+        seed: u64,
+    ) -> ConnectionPool {
         ConnectionPool {
-            bounds,
-            spread: LoadBalancer::new(plan, seed),
-            links: BTreeMap::new(),
+            config,
+            load_balancer: LoadBalancer::new(balancing, seed),
+            connections: BTreeMap::new(),
             idle: BTreeSet::new(),
-            idle_at: Vec::new(),
+            idle_by_slot: Vec::new(),
             calls: BTreeMap::new(),
             waiting: VecDeque::new(),
-            budget: RetryBudget::new(repeats),
-            next_link: 0,
+            retry_budget: RetryBudget::new(retry_share),
+            last_connection_id: 0,
         }
     }
 
-    /// The places there are from now on; gives the number that each is known by. What is under way at others ends there.
+    /// Replaces the list of endpoints and returns the slot of each. Calls in flight at removed endpoints end there.
     pub fn set_endpoints(
         &mut self,
         now_us: u64,
-        listed: &[Endpoint],
-        wire: &mut impl Transport,
+        endpoints: &[Endpoint],
+        transport: &mut impl Transport,
     ) -> Vec<usize> {
-        let slots = self.spread.set_endpoints(now_us, listed);
-        let most = slots.iter().max().map_or(0, |slot| slot + 1);
-        if self.idle_at.len() < most {
-            self.idle_at.resize(most, BTreeSet::new());
+        let slots = self.load_balancer.set_endpoints(now_us, endpoints);
+        let slot_count = slots.iter().max().map_or(0, |slot| slot + 1);
+        if self.idle_by_slot.len() < slot_count {
+            self.idle_by_slot.resize(slot_count, BTreeSet::new());
         }
-        // A number may stand for another place once nothing is under way there, so that no connection may outlive that.
-        let unused = |(_, of): &(&ConnectionId, &Link)| of.call.is_none() && !slots.contains(&of.place);
-        let unused: Vec<ConnectionId> = self.links.iter().filter(unused).map(|(link, _)| *link).collect();
-        unused.into_iter().for_each(|link| self.let_go(link, wire));
-        self.serve_waiting(now_us, wire);
+        // A slot may be given to another endpoint once no call is in flight there, so that no connection to the old one
+        // may remain after that.
+        let is_unused = |(_, connection): &(&ConnectionId, &Connection)| {
+            connection.call.is_none() && !slots.contains(&connection.slot)
+        };
+        let unused: Vec<ConnectionId> =
+            self.connections.iter().filter(is_unused).map(|(id, _)| *id).collect();
+        unused.into_iter().for_each(|id| self.close(id, transport));
+        self.assign_waiting(now_us, transport);
         slots
     }
 
-    /// How long no place is expected to take a call, where none does now.
+    /// The time, in microseconds, for which no endpoint is expected to accept calls; none if one accepts them now.
     pub fn unavailable_for_us(&mut self, now_us: u64) -> Option<u64> {
-        self.spread.unavailable_for_us(now_us)
+        self.load_balancer.unavailable_for_us(now_us)
     }
 
-    /// A call is to be placed, and is of use until then.
+    /// Starts a call, whose result is of use until `deadline_us`.
     pub fn start_call(
         &mut self,
         now_us: u64,
-        call: CallId,
-        again: bool,
-        until_us: u64,
-        wire: &mut impl Transport,
+        call_id: CallId,
+        is_idempotent: bool,
+        deadline_us: u64,
+        transport: &mut impl Transport,
     ) {
-        self.budget.earn();
-        let new = Call { again, until_us, tries: 0, avoid: None, fresh: false, link: None };
-        self.calls.insert(call, new);
-        self.place(now_us, call, wire);
+        self.retry_budget.earn();
+        let call = Call {
+            is_idempotent,
+            deadline_us,
+            failed_attempts: 0,
+            avoid: None,
+            needs_new_connection: false,
+            connection: None,
+        };
+        self.calls.insert(call_id, call);
+        self.assign(now_us, call_id, transport);
     }
 
-    /// Nobody waits for the call any more. Nothing is settled; an answer still to come is nobody's.
-    pub fn cancel(&mut self, now_us: u64, call: CallId, wire: &mut impl Transport) {
-        let Some(gone) = self.calls.remove(&call) else { return };
-        self.waiting.retain(|waits| *waits != call);
-        let Some(link) = gone.link else { return };
-        if let Some(Link { place, made, .. }) = self.links.get(&link) {
-            let (place, made) = (*place, *made);
-            // It waited all its time there: that tells of the place as an answer would.
-            let late = made && now_us >= gone.until_us;
-            self.spread.call_ended(
+    /// Cancels a call whose requester no longer waits for it. The call is not completed, and a reply that still arrives is
+    /// discarded.
+    pub fn cancel(&mut self, now_us: u64, call_id: CallId, transport: &mut impl Transport) {
+        let Some(cancelled) = self.calls.remove(&call_id) else { return };
+        self.waiting.retain(|waiting| *waiting != call_id);
+        let Some(id) = cancelled.connection else { return };
+        if let Some(Connection { slot, is_connected, .. }) = self.connections.get(&id) {
+            let (slot, is_connected) = (*slot, *is_connected);
+            // A call that used all its time on this connection counts against the endpoint as a late reply would.
+            let is_late = is_connected && now_us >= cancelled.deadline_us;
+            self.load_balancer.call_ended(
                 now_us,
-                place,
-                call,
-                if late { CallOutcome::TimedOut } else { CallOutcome::Inconclusive },
+                slot,
+                call_id,
+                if is_late { CallOutcome::TimedOut } else { CallOutcome::Inconclusive },
             );
-            if made || !self.spread.is_listed(place) {
-                // Whether a byte of it was written only the carrier knows; whatever comes there now is not to be
-                // taken for another call's.
-                self.links.remove(&link);
-                wire.close(link);
-            } else if let Some(link) = self.links.get_mut(&link) {
-                link.call = None;
+            if is_connected || !self.load_balancer.is_listed(slot) {
+                // Only the transport knows whether a byte of the call was written, and a reply that still arrives here
+                // must not be taken for that to another call.
+                self.connections.remove(&id);
+                transport.close(id);
+            } else if let Some(connection) = self.connections.get_mut(&id) {
+                connection.call = None;
             }
         }
-        self.serve_waiting(now_us, wire);
+        self.assign_waiting(now_us, transport);
     }
 
-    /// A connection is there.
-    pub fn connected(&mut self, now_us: u64, link: ConnectionId, wire: &mut impl Transport) {
-        let Some(of) = self.links.get_mut(&link) else { return wire.close(link) };
-        (of.made, of.used_us) = (true, now_us);
-        match of.call {
-            Some(call) => wire.write(link, call, false),
+    /// Records that a connection was established.
+    pub fn connected(&mut self, now_us: u64, id: ConnectionId, transport: &mut impl Transport) {
+        let Some(connection) = self.connections.get_mut(&id) else { return transport.close(id) };
+        (connection.is_connected, connection.last_used_us) = (true, now_us);
+        match connection.call {
+            Some(call_id) => transport.write(id, call_id, false),
             None => {
-                self.rest(link, wire);
-                self.serve_waiting(now_us, wire);
+                self.release(id, transport);
+                self.assign_waiting(now_us, transport);
             }
         }
     }
 
-    /// A whole answer to the call on it came. `reuse`: the connection may carry another.
+    /// Records a complete reply to the call on a connection. With `is_reusable` the connection may carry another call.
     pub fn replied(
         &mut self,
         now_us: u64,
-        link: ConnectionId,
-        said: ReplyOutcome,
-        reuse: bool,
-        wire: &mut impl Transport,
+        id: ConnectionId,
+        outcome: ReplyOutcome,
+        is_reusable: bool,
+        transport: &mut impl Transport,
     ) {
-        let Some(of) = self.links.get_mut(&link) else { return };
-        let (place, call) = (of.place, of.call.take());
-        of.used_us = now_us;
-        if let Some(call) = call {
-            self.spread.call_ended(now_us, place, call, said.call_outcome());
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let (slot, call_id) = (connection.slot, connection.call.take());
+        connection.last_used_us = now_us;
+        if let Some(call_id) = call_id {
+            self.load_balancer.call_ended(now_us, slot, call_id, outcome.call_outcome());
         }
-        if reuse {
-            self.rest(link, wire);
+        if is_reusable {
+            self.release(id, transport);
         } else {
-            self.links.remove(&link);
-            wire.close(link);
+            self.connections.remove(&id);
+            transport.close(id);
         }
-        if let Some(call) = call.filter(|call| self.calls.remove(call).is_some()) {
-            wire.complete(call, CallResult::Replied);
+        if let Some(call_id) = call_id.filter(|call_id| self.calls.remove(call_id).is_some()) {
+            transport.complete(call_id, CallResult::Replied);
         }
-        self.serve_waiting(now_us, wire);
+        self.assign_waiting(now_us, transport);
     }
 
-    /// A connection ended, and with it whatever was on it.
+    /// Records that a connection ended. The call on it is retried or completed.
     pub fn disconnected(
         &mut self,
         now_us: u64,
-        link: ConnectionId,
-        how: Disconnect,
-        wire: &mut impl Transport,
+        id: ConnectionId,
+        disconnect: Disconnect,
+        transport: &mut impl Transport,
     ) {
-        let Some(Link { place, call, made, used_us }) = self.links.remove(&link) else { return };
-        self.busy(place, used_us, link);
-        let news = match how {
+        let Some(Connection { slot, call, is_connected, last_used_us }) = self.connections.remove(&id) else {
+            return;
+        };
+        self.remove_idle(slot, last_used_us, id);
+        let outcome = match disconnect {
             Disconnect::ConnectFailed => CallOutcome::ConnectFailed,
-            // A kept connection that was forgotten tells nothing of its place.
+            // The peer may close an idle connection at any time: its end says nothing about the endpoint.
             Disconnect::BeforeWrite => CallOutcome::Inconclusive,
             Disconnect::PingTimedOut | Disconnect::AfterWrite => CallOutcome::ConnectionBroken,
         };
-        match (call, news) {
-            (Some(call), news) => self.spread.call_ended(now_us, place, call, news),
+        match (call, outcome) {
+            (Some(call_id), outcome) => self.load_balancer.call_ended(now_us, slot, call_id, outcome),
             (None, CallOutcome::ConnectFailed) => {
-                self.spread.record_failure(now_us, place, EjectionCause::ConnectFailed)
+                self.load_balancer.record_failure(now_us, slot, EjectionCause::ConnectFailed)
             }
             (None, CallOutcome::Inconclusive) => {}
-            (None, _) => self.spread.record_failure(now_us, place, EjectionCause::CallsFailed),
+            (None, _) => self.load_balancer.record_failure(now_us, slot, EjectionCause::CallsFailed),
         }
-        let Some(call) = call else { return self.serve_waiting(now_us, wire) };
-        let Some(of) = self.calls.get_mut(&call) else { return };
-        of.link = None;
-        of.tries += 1;
-        of.avoid = (news != CallOutcome::Inconclusive).then_some(place);
-        of.fresh = made;
-        let written = how == Disconnect::AfterWrite;
-        let in_time = now_us < of.until_us && of.tries < MOST_TRIES;
-        let goes_again = if written {
-            // The one place that decides on a second writing.
-            of.again && in_time && self.budget.spend()
+        let Some(call_id) = call else { return self.assign_waiting(now_us, transport) };
+        let Some(call) = self.calls.get_mut(&call_id) else { return };
+        call.connection = None;
+        call.failed_attempts += 1;
+        call.avoid = (outcome != CallOutcome::Inconclusive).then_some(slot);
+        call.needs_new_connection = is_connected;
+        let was_written = disconnect == Disconnect::AfterWrite;
+        let may_retry = now_us < call.deadline_us && call.failed_attempts < MAX_ATTEMPTS;
+        let is_retried = if was_written {
+            // A call is written a second time only by this decision.
+            call.is_idempotent && may_retry && self.retry_budget.spend()
         } else {
-            in_time
+            may_retry
         };
-        if goes_again {
-            self.place(now_us, call, wire);
+        if is_retried {
+            self.assign(now_us, call_id, transport);
         } else {
-            self.calls.remove(&call);
-            wire.complete(call, if written { CallResult::Broken } else { CallResult::Unsent });
+            self.calls.remove(&call_id);
+            transport.complete(call_id, if was_written { CallResult::Broken } else { CallResult::Unsent });
         }
-        self.serve_waiting(now_us, wire);
+        self.assign_waiting(now_us, transport);
     }
 
-    /// Time has passed: calls that waited too long end, and so do connections that carry nothing.
-    pub fn tick(&mut self, now_us: u64, wire: &mut impl Transport) {
-        while let Some(at) = self.waiting.iter().position(|call| self.calls[call].until_us <= now_us) {
-            let call = self.waiting.remove(at).expect("just seen");
-            self.calls.remove(&call);
-            wire.complete(call, CallResult::Unsent);
+    /// Completes waiting calls whose deadline has passed, closes connections that have been idle for too long, and assigns
+    /// waiting calls.
+    pub fn tick(&mut self, now_us: u64, transport: &mut impl Transport) {
+        while let Some(index) =
+            self.waiting.iter().position(|call_id| self.calls[call_id].deadline_us <= now_us)
+        {
+            let call_id = self.waiting.remove(index).expect("the index was just found");
+            self.calls.remove(&call_id);
+            transport.complete(call_id, CallResult::Unsent);
         }
-        while let Some((used_us, link)) = self.idle.first().copied() {
-            if now_us < used_us + self.bounds.max_idle_us {
+        while let Some((last_used_us, id)) = self.idle.first().copied() {
+            if now_us < last_used_us + self.config.max_idle_us {
                 break;
             }
-            self.let_go(link, wire);
+            self.close(id, transport);
         }
-        self.serve_waiting(now_us, wire);
+        self.assign_waiting(now_us, transport);
     }
 
-    /// Which place each call goes to, and how each place stands, for operators.
+    /// The load balancer, from which operators read the state of each endpoint.
     pub fn load_balancer(&self) -> &LoadBalancer {
-        &self.spread
+        &self.load_balancer
     }
 
+    /// The number of connections, those that are being established included.
     pub fn connection_count(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
+    /// The number of calls that have not been completed or cancelled.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Gives a call a connection, lets it wait for one, or ends it where no place takes it.
-    fn place(&mut self, now_us: u64, call: CallId, wire: &mut impl Transport) {
-        let of = &self.calls[&call];
-        let (again, fresh, avoid) = (of.again, of.fresh, of.avoid);
-        let idempotency = if again { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
-        let Some(place) = self.spread.pick(now_us, idempotency, avoid) else {
-            self.calls.remove(&call);
-            return wire.complete(call, CallResult::Unsent);
+    /// Assigns a connection to a call, queues the call until one is free, or completes it if no endpoint accepts it.
+    fn assign(&mut self, now_us: u64, call_id: CallId, transport: &mut impl Transport) {
+        let call = &self.calls[&call_id];
+        let (is_idempotent, needs_new_connection, avoid) =
+            (call.is_idempotent, call.needs_new_connection, call.avoid);
+        let idempotency = if is_idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
+        let Some(slot) = self.load_balancer.pick(now_us, idempotency, avoid) else {
+            self.calls.remove(&call_id);
+            return transport.complete(call_id, CallResult::Unsent);
         };
-        // The one used last first, so that the others go as idle.
-        let newest = self.idle_at[place].last().map(|(_, link)| *link).filter(|_| !fresh);
-        let link = match newest {
-            Some(link) => link,
-            None if self.has_room() => {
-                if self.links.len() >= self.bounds.max_connections {
-                    let (_, oldest) = *self.idle.first().expect("room was seen");
-                    self.let_go(oldest, wire);
+        // The most recently used connection is taken first, so that the others reach their idle timeout.
+        let newest = self.idle_by_slot[slot].last().map(|(_, id)| *id).filter(|_| !needs_new_connection);
+        let id = match newest {
+            Some(id) => id,
+            None if self.has_capacity() => {
+                if self.connections.len() >= self.config.max_connections {
+                    let (_, oldest) =
+                        *self.idle.first().expect("a full pool with capacity has an idle connection");
+                    self.close(oldest, transport);
                 }
-                self.next_link += 1;
-                self.links.insert(self.next_link, Link { place, made: false, call: None, used_us: now_us });
-                self.next_link
+                self.last_connection_id += 1;
+                self.connections.insert(
+                    self.last_connection_id,
+                    Connection { slot, is_connected: false, call: None, last_used_us: now_us },
+                );
+                self.last_connection_id
             }
-            None => return self.waiting.push_back(call),
+            None => return self.waiting.push_back(call_id),
         };
-        self.spread.call_started(now_us, place, call);
-        self.calls.get_mut(&call).expect("placed").link = Some(link);
-        let of = self.links.get_mut(&link).expect("chosen");
-        of.call = Some(call);
-        if !of.made {
-            return wire.connect(link, place);
+        self.load_balancer.call_started(now_us, slot, call_id);
+        self.calls.get_mut(&call_id).expect("the call is in the map").connection = Some(id);
+        let connection = self.connections.get_mut(&id).expect("the connection was just selected");
+        connection.call = Some(call_id);
+        if !connection.is_connected {
+            return transport.connect(id, slot);
         }
-        // Guards against a connection that was forgotten at the other side.
-        let prove = !again || now_us >= of.used_us + self.bounds.ping_after_idle_us;
-        let used_us = std::mem::replace(&mut of.used_us, now_us);
-        self.busy(place, used_us, link);
-        wire.write(link, call, prove);
+        // Detects a connection that the peer has already dropped.
+        let ping_first = !is_idempotent || now_us >= connection.last_used_us + self.config.ping_after_idle_us;
+        let last_used_us = std::mem::replace(&mut connection.last_used_us, now_us);
+        self.remove_idle(slot, last_used_us, id);
+        transport.write(id, call_id, ping_first);
     }
 
-    /// Whether one more connection may be made, if need be in the place of one that carries nothing.
-    fn has_room(&self) -> bool {
-        self.links.len() < self.bounds.max_connections || !self.idle.is_empty()
+    /// Whether a connection may be opened, if necessary after an idle one is closed.
+    fn has_capacity(&self) -> bool {
+        self.connections.len() < self.config.max_connections || !self.idle.is_empty()
     }
 
-    /// A connection that is made carries nothing now; it is kept unless its place leaves.
-    fn rest(&mut self, link: ConnectionId, wire: &mut impl Transport) {
-        let Link { place, used_us, .. } = self.links[&link];
-        if self.spread.is_listed(place) {
-            self.idle.insert((used_us, link));
-            self.idle_at[place].insert((used_us, link));
+    /// Marks an established connection as idle, or closes it if its endpoint was removed.
+    fn release(&mut self, id: ConnectionId, transport: &mut impl Transport) {
+        let Connection { slot, last_used_us, .. } = self.connections[&id];
+        if self.load_balancer.is_listed(slot) {
+            self.idle.insert((last_used_us, id));
+            self.idle_by_slot[slot].insert((last_used_us, id));
         } else {
-            self.links.remove(&link);
-            wire.close(link);
+            self.connections.remove(&id);
+            transport.close(id);
         }
     }
 
-    fn busy(&mut self, place: usize, used_us: u64, link: ConnectionId) {
-        self.idle.remove(&(used_us, link));
-        self.idle_at[place].remove(&(used_us, link));
+    fn remove_idle(&mut self, slot: usize, last_used_us: u64, id: ConnectionId) {
+        self.idle.remove(&(last_used_us, id));
+        self.idle_by_slot[slot].remove(&(last_used_us, id));
     }
 
-    fn let_go(&mut self, link: ConnectionId, wire: &mut impl Transport) {
-        if let Some(Link { place, used_us, .. }) = self.links.remove(&link) {
-            self.busy(place, used_us, link);
-            wire.close(link);
+    fn close(&mut self, id: ConnectionId, transport: &mut impl Transport) {
+        if let Some(Connection { slot, last_used_us, .. }) = self.connections.remove(&id) {
+            self.remove_idle(slot, last_used_us, id);
+            transport.close(id);
         }
     }
 
-    fn serve_waiting(&mut self, now_us: u64, wire: &mut impl Transport) {
-        while self.has_room() {
-            let Some(call) = self.waiting.pop_front() else { return };
-            self.place(now_us, call, wire);
-            // It waits again, behind the others: nothing more can be done now.
-            if self.waiting.back() == Some(&call) {
-                let call = self.waiting.pop_back().expect("just seen");
-                return self.waiting.push_front(call);
+    fn assign_waiting(&mut self, now_us: u64, transport: &mut impl Transport) {
+        while self.has_capacity() {
+            let Some(call_id) = self.waiting.pop_front() else { return };
+            self.assign(now_us, call_id, transport);
+            // The call was queued again, behind the others: it returns to the front, and no other call is tried now.
+            if self.waiting.back() == Some(&call_id) {
+                let call_id = self.waiting.pop_back().expect("the last call was just seen");
+                return self.waiting.push_front(call_id);
             }
         }
     }
