--- a/crates/ochrewalk-connection-pool/benches/choice.rs
+++ b/crates/ochrewalk-connection-pool/benches/choice.rs
@@ -1,5 +1,5 @@
-//! What a choice costs, alone and with the connection's part, by the number of places and of connections kept.
-//! `cargo bench -p ochrewalk-connection-pool`
+//! Measures the cost of choosing an endpoint, alone and as part of a complete call, by the number of endpoints and of
+//! idle connections. Run with `cargo bench -p ochrewalk-connection-pool`.
 
 use ochrewalk_connection_pool::{CallResult, ConnectionPool, PoolConfig, ReplyOutcome, Transport};
 use ochrewalk_load_balancer::{
@@ -8,93 +8,98 @@
 use std::time::Instant;
 
 #[derive(Default)]
-struct Last {
+struct RecordingTransport {
     connects: Vec<u64>,
     writes: Vec<u64>,
 }
 
-impl Transport for Last {
-    fn connect(&mut self, link: u64, _place: usize) {
-        self.connects.push(link);
+impl Transport for RecordingTransport {
+    fn connect(&mut self, connection: u64, _slot: usize) {
+        self.connects.push(connection);
     }
-    fn write(&mut self, link: u64, _call: u64, _prove: bool) {
-        self.writes.push(link);
+    fn write(&mut self, connection: u64, _call: u64, _ping_first: bool) {
+        self.writes.push(connection);
     }
-    fn complete(&mut self, _call: u64, _end: CallResult) {}
-    fn close(&mut self, _link: u64) {}
+    fn complete(&mut self, _call: u64, _result: CallResult) {}
+    fn close(&mut self, _connection: u64) {}
 }
 
-const ROUNDS: u64 = 200_000;
+const CALLS: u64 = 200_000;
 
-fn listed(places: u64) -> Vec<Endpoint> {
-    (0..places).map(Endpoint::new).collect()
+fn endpoints(count: u64) -> Vec<Endpoint> {
+    (0..count).map(Endpoint::new).collect()
 }
 
-/// The mean cost of a choice while the first `out` endpoints are out; their probes fail.
-fn choice(policy: BalancingPolicy, places: u64, out: usize) -> f64 {
-    let mut spread = LoadBalancer::new(BalancingConfig { policy, ..BalancingConfig::default() }, 7);
-    spread.set_endpoints(0, &listed(places));
-    for slot in 0..out {
-        (0..3).for_each(|_| spread.record_failure(0, slot, EjectionCause::ConnectFailed));
+/// Returns the mean cost of a choice, in nanoseconds, while the first `ejected` endpoints are ejected; their probes fail.
+fn choice(policy: BalancingPolicy, endpoint_count: u64, ejected: usize) -> f64 {
+    let mut load_balancer = LoadBalancer::new(BalancingConfig { policy, ..BalancingConfig::default() }, 7);
+    load_balancer.set_endpoints(0, &endpoints(endpoint_count));
+    for slot in 0..ejected {
+        (0..3).for_each(|_| load_balancer.record_failure(0, slot, EjectionCause::ConnectFailed));
     }
-    let (mut now_us, mut spent) = (0, 0.0);
-    for call in 0..ROUNDS {
+    let (mut now_us, mut spent_ns) = (0, 0.0);
+    for call in 0..CALLS {
         now_us += 100;
-        let from = Instant::now();
-        let slot = spread.pick(now_us, Idempotency::Idempotent, None).expect("all take");
-        spent += from.elapsed().as_nanos() as f64;
-        spread.call_started(now_us, slot, call);
-        spread.call_ended(
+        let started = Instant::now();
+        let slot =
+            load_balancer.pick(now_us, Idempotency::Idempotent, None).expect("some endpoint accepts calls");
+        spent_ns += started.elapsed().as_nanos() as f64;
+        load_balancer.call_started(now_us, slot, call);
+        load_balancer.call_ended(
             now_us + 50,
             slot,
             call,
-            if slot < out { CallOutcome::ConnectFailed } else { CallOutcome::Succeeded },
+            if slot < ejected { CallOutcome::ConnectFailed } else { CallOutcome::Succeeded },
         );
     }
-    spent / ROUNDS as f64
+    spent_ns / CALLS as f64
 }
 
-/// A call from its placing to its answer's end, with so many connections kept.
-fn whole(places: u64, links: u64) -> f64 {
-    let bounds =
-        PoolConfig { max_connections: links as usize, ping_after_idle_us: 1 << 40, max_idle_us: 1 << 40 };
-    let (mut all, mut wire) =
-        (ConnectionPool::new(bounds, BalancingConfig::default(), 0.1, 7), Last::default());
-    all.set_endpoints(0, &listed(places), &mut wire);
-    (0..links).for_each(|call| all.start_call(0, call, true, 1 << 40, &mut wire));
-    for link in std::mem::take(&mut wire.connects) {
-        all.connected(1, link, &mut wire);
-        all.replied(2, link, ReplyOutcome::Succeeded, true, &mut wire);
+/// Returns the mean cost of a call from its start to its reply, in nanoseconds, with that many idle connections.
+fn complete_call(endpoint_count: u64, connection_count: u64) -> f64 {
+    let config = PoolConfig {
+        max_connections: connection_count as usize,
+        ping_after_idle_us: 1 << 40,
+        max_idle_us: 1 << 40,
+    };
+    let (mut pool, mut transport) =
+        (ConnectionPool::new(config, BalancingConfig::default(), 0.1, 7), RecordingTransport::default());
+    pool.set_endpoints(0, &endpoints(endpoint_count), &mut transport);
+    (0..connection_count).for_each(|call| pool.start_call(0, call, true, 1 << 40, &mut transport));
+    for connection in std::mem::take(&mut transport.connects) {
+        pool.connected(1, connection, &mut transport);
+        pool.replied(2, connection, ReplyOutcome::Succeeded, true, &mut transport);
     }
-    wire.writes.clear();
-    let from = Instant::now();
-    for call in links..links + ROUNDS {
+    transport.writes.clear();
+    let started = Instant::now();
+    for call in connection_count..connection_count + CALLS {
         let now_us = 100 * call;
-        all.start_call(now_us, call, true, 1 << 40, &mut wire);
-        while let Some(link) = wire.connects.pop() {
-            all.connected(now_us, link, &mut wire);
+        pool.start_call(now_us, call, true, 1 << 40, &mut transport);
+        while let Some(connection) = transport.connects.pop() {
+            pool.connected(now_us, connection, &mut transport);
         }
-        let link = wire.writes.pop().expect("written");
-        all.replied(now_us + 50, link, ReplyOutcome::Succeeded, true, &mut wire);
+        let connection = transport.writes.pop().expect("the call was written");
+        pool.replied(now_us + 50, connection, ReplyOutcome::Succeeded, true, &mut transport);
     }
-    from.elapsed().as_nanos() as f64 / ROUNDS as f64
+    started.elapsed().as_nanos() as f64 / CALLS as f64
 }
 
 fn main() {
     println!(
-        "{:>8}{:>14}{:>14}{:>16}{:>16}{:>26}",
-        "places", "rounds ns", "fastest ns", "one out ns", "tenth out ns", "whole call ns at links"
+        "{:>10}{:>14}{:>14}{:>16}{:>16}{:>30}",
+        "endpoints", "rounds ns", "fastest ns", "1 ejected ns", "10 % ejected ns", "call ns at connections"
     );
-    for (places, links) in [(10, 100), (100, 1_000), (1_000, 10_000)] {
-        let (ours, before) = (
-            choice(BalancingPolicy::LatencyAwareRoundRobin, places, 0),
-            choice(BalancingPolicy::LeastLatency, places, 0),
+    for (endpoints, connections) in [(10, 100), (100, 1_000), (1_000, 10_000)] {
+        let (round_robin, least_latency) = (
+            choice(BalancingPolicy::LatencyAwareRoundRobin, endpoints, 0),
+            choice(BalancingPolicy::LeastLatency, endpoints, 0),
         );
-        let one_out = choice(BalancingPolicy::LatencyAwareRoundRobin, places, 1);
-        let tenth_out = choice(BalancingPolicy::LatencyAwareRoundRobin, places, places as usize / 10);
+        let one_ejected = choice(BalancingPolicy::LatencyAwareRoundRobin, endpoints, 1);
+        let tenth_ejected =
+            choice(BalancingPolicy::LatencyAwareRoundRobin, endpoints, endpoints as usize / 10);
         println!(
-            "{places:>8}{ours:>14.0}{before:>14.0}{one_out:>16.0}{tenth_out:>16.0}{:>18.0} {links:>7}",
-            whole(places, links)
+            "{endpoints:>10}{round_robin:>14.0}{least_latency:>14.0}{one_ejected:>16.0}{tenth_ejected:>16.0}{:>22.0} {connections:>7}",
+            complete_call(endpoints, connections)
         );
     }
 }
