--- a/crates/ochrewalk-load-balancer/src/call.rs
+++ b/crates/ochrewalk-load-balancer/src/call.rs
@@ -1,29 +1,29 @@
-//! What a caller says of a call: before it, whether it may be repeated; after it, what its end says of the endpoint.
+//! The properties of a call that the caller reports: its idempotency before it starts, and its outcome when it ends.
 
 /// Whether a call may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may: the call can be used as a probe.
+    /// The call may take effect more than once, and can therefore be used as a probe.
     Idempotent,
-    /// It must not.
+    /// The call must not take effect more than once.
     NotIdempotent,
 }
 
-/// What a call's end says of its endpoint.
+/// The outcome of a call, as evidence about its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was answered, and did its work.
+    /// The endpoint replied and served the call.
     Succeeded,
-    /// The endpoint rejected it: the endpoint works, and has no capacity.
+    /// The endpoint rejected the call: the endpoint works, and has no capacity.
     Rejected,
-    /// It was answered, and did not do its work.
+    /// The endpoint replied, and did not serve the call.
     Failed,
-    /// It was not answered in time.
+    /// The endpoint did not reply in time.
     TimedOut,
     /// The connection broke during the call.
     ConnectionBroken,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
-    /// Nothing that says anything of the endpoint.
+    /// The call ended for a reason that is no evidence about the endpoint.
     Inconclusive,
 }
--- a/crates/ochrewalk-load-balancer/src/config.rs
+++ b/crates/ochrewalk-load-balancer/src/config.rs
@@ -1,37 +1,37 @@
-//! What operators set of load balancing, and the endpoints that they list.
+//! The operators' load-balancing settings, and the endpoints that they list.
 
 use crate::health::OutlierEjection;
 use crate::policy::BalancingPolicy;
 use crate::subset::Subsetting;
 
-/// One endpoint of a list.
+/// An endpoint of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// A hash of its address, the same in every process.
+    /// A hash of the endpoint's address, the same in every process.
     pub key: u64,
-    /// Its capacity relative to the others; above 0.
+    /// The endpoint's capacity relative to that of the others; above 0.
     pub weight: f64,
-    /// Whether it is in this node's zone; true for all where zones are not set.
+    /// Whether the endpoint is in this node's zone; true for all endpoints if zones are not configured.
     pub is_local_zone: bool,
 }
 
 impl Endpoint {
-    /// An endpoint of weight 1 in this node's zone.
+    /// Creates an endpoint of weight 1 in this node's zone.
     pub fn new(key: u64) -> Endpoint {
         Endpoint { key, weight: 1.0, is_local_zone: true }
     }
 }
 
-/// How calls are balanced.
+/// The load-balancing settings of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BalancingConfig {
-    /// How one endpoint of the subset is chosen.
+    /// The policy that chooses an endpoint of the subset for each call.
     pub policy: BalancingPolicy,
-    /// Which of the endpoints the node calls.
+    /// The selection of the endpoints that the node calls.
     pub subsetting: Subsetting,
-    /// Whether shares follow the endpoints' latencies and failures.
+    /// Whether shares are adapted to the endpoints' latencies and failures.
     pub uses_learned_weights: bool,
-    /// Ejection and slow start.
+    /// The settings of ejection and slow start.
     pub ejection: OutlierEjection,
 }
 
--- a/crates/ochrewalk-load-balancer/src/lib.rs
+++ b/crates/ochrewalk-load-balancer/src/lib.rs
@@ -1,38 +1,37 @@
-//! Load balancing for hundreds of processes that each see little of the load and exchange nothing: which endpoint an
-//! upstream call goes to.
+//! Load balancing of upstream calls over many endpoints, for hundreds of processes that each see a small part of the load
+//! and do not communicate with one another.
 //!
-//! The crate does no I/O and reads no clock. Its caller makes the calls and reports how each ended; [`LoadBalancer`] says
-//! where the next one goes. The same seed and the same sequence of events bring the same choices.
+//! The crate does no I/O and reads no clock. Its caller makes the calls and reports the outcome of each; [`LoadBalancer`]
+//! chooses the endpoint of the next one. The same seed and the same sequence of events produce the same choices.
 //!
 //! # Guarantees
 //!
-//! * A call goes to a listed endpoint only, and to one that accepts calls, unless it is the probe of an ejected one.
-//! * With [`Subsetting::Deterministic`] each endpoint is in the subsets of as many nodes as any other, to fractions.
-//! * The probes of all nodes together stay at about a tenth of an endpoint's normal load (at most 0.175 of it where nodes have
-//!   few calls), and are at most one in five calls of a node. Only idempotent calls are probes as long as any endpoint accepts
-//!   calls.
-//! * An endpoint keeps its slot as long as it is listed or a call is under way there.
+//! * A call goes only to a listed endpoint that accepts calls, unless the call is the probe of an ejected endpoint.
+//! * With [`Subsetting::Deterministic`] all endpoints are in the subsets of equally many nodes, fractions included.
+//! * The probes of all nodes together amount to about a tenth of an endpoint's normal load (at most 0.175 of it if nodes
+//!   make few calls), and to at most one in five calls of a node. Only idempotent calls are used as probes while any
+//!   endpoint accepts calls.
+//! * An endpoint keeps its slot as long as it is listed or a call is in flight there.
 //!
 //! # States of an endpoint
 //!
-//! | state | in the operators' table | gets | ends with |
+//! | state | name in the operators' table | calls | ends with |
 //! | --- | --- | --- | --- |
-//! | accepting | `in` | its full share | failures in a row, or removal |
-//! | accepting, in slow start | `joining` when new, `back` after an ejection | from a tenth of its share up to all of it | the end of slow start, failures in a row, or removal |
-//! | suspect | `suspect` | with the default policy no calls while others accept them | the end of the unanswered call |
-//! | ejected | `out` | no calls until its ejection time ends; then probes | a probe, an answer to an earlier call, or removal |
-//! | probing | `trying` | no call but the one probe | the end of the probe, or removal |
-//! | removed | `leaving` | no calls | the end of its last call, or being listed again |
+//! | accepting | `in` | full share | consecutive failures, or removal |
+//! | accepting, in slow start | `joining` when new, `back` after an ejection | from a tenth of its share up to its full share | the end of slow start, consecutive failures, or removal |
+//! | suspect | `suspect` | with the default policy none while others accept calls | the end of the unanswered call |
+//! | ejected | `out` | none until its ejection time ends; then probes | a probe, a reply to an earlier call, or removal |
+//! | probing | `trying` | only the one probe | the end of the probe, or removal |
+//! | removed | `leaving` | none | the end of its last call, or its return to the list |
 //!
-//! [`EndpointHealth`] lists the transitions. If less than half of a subset accepts calls, the
-//! load balancer is in panic mode: endpoints that were ejected for failed calls are used all the same, those that could not
-//! be connected to are not.
+//! [`EndpointHealth`] lists the transitions. If less than half of a subset accepts calls, the load balancer is in panic
+//! mode: endpoints that were ejected because calls failed are used nevertheless, those to which connections failed are not.
 //!
-//! # Left to the caller
+//! # Responsibilities of the caller
 //!
-//! * Connections, time-outs and retries; a retry names the endpoint to avoid.
-//! * Reporting each call that starts and its end, once each.
-//! * Telling which calls are idempotent.
+//! * Connections, timeouts and retries; a retry passes the endpoint to avoid.
+//! * Reporting the start and the end of each call, exactly once each.
+//! * Stating whether a call is idempotent.
 //!
 //! ```
 //! use ochrewalk_load_balancer::{BalancingConfig, Endpoint, Idempotency, LoadBalancer};
@@ -41,7 +40,7 @@
 //! let mut round: Vec<usize> =
 //!     (0..3).map(|_| balancer.pick(0, Idempotency::Idempotent, None).unwrap()).collect();
 //! round.sort();
-//! assert_eq!(round, [0, 1, 2], "each once, in an order drawn from the seed");
+//! assert_eq!(round, [0, 1, 2], "each endpoint once, in an order that follows from the seed");
 //! ```
 
 #![warn(missing_docs)]
--- a/crates/ochrewalk-load-balancer/src/state.rs
+++ b/crates/ochrewalk-load-balancer/src/state.rs
@@ -1,5 +1,5 @@
-//! What a node knows of its endpoints, as policies read it: which slots are in use, which of them are in the subset, what
-//! share of the calls each gets, and how long a call would wait there.
+//! The state that a node keeps for all endpoints, as policies read it: the slots in use, those in the subset, the share of
+//! calls of each endpoint, and the expected wait of a call there.
 
 use crate::endpoint_state::EndpointState;
 use crate::health::{EjectionCause, EndpointHealth};
@@ -8,39 +8,39 @@
 
 /// A call that is unanswered for this many times the 95th percentile makes its endpoint suspect.
 const SUSPECT_P95_FACTOR: f64 = 3.0;
-/// Bounds of that time, in microseconds. The lower one tolerates a clock that woke late, the upper one limits how long calls
-/// still go to an endpoint that has stopped.
+/// The bounds of that time, in microseconds. The lower one tolerates a timer that fires late, the upper one limits the time
+/// for which calls still go to an endpoint that has stopped.
 const MIN_SUSPECT_US: f64 = 30_000.0;
 const MAX_SUSPECT_US: f64 = 2_000_000.0;
-/// That time while too few answers have come to know the 95th percentile.
+/// The same time, in microseconds, while there are too few replies for a 95th percentile.
 const UNKNOWN_SUSPECT_US: f64 = 1_000_000.0;
-/// A long answer shows a queue that lasts for about as long again. Its weight halves after this many times its own latency,
-/// so that nobody acts on a queue that has gone.
+/// The half-life of a latency in the expected wait, as a multiple of that latency. A high latency indicates a queue that
+/// lasts for about as long again; the decay keeps a node from acting on a queue that no longer exists.
 const LATENCY_HALF_LIFE: f64 = 0.5;
 
-/// What a node knows of all endpoints.
+/// The state that a node keeps for all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct BalancerState {
-    /// By slot; none where a slot is free.
+    /// The endpoints by slot; `None` if a slot is free.
     pub endpoints: Vec<Option<EndpointState>>,
-    /// The slots that calls go to: the node's own and those that stand in for ejected ones.
+    /// The slots that calls go to: those assigned to the node, and spares that replace ejected ones.
     pub subset: Vec<usize>,
     pub(crate) latencies: LatencyHistogram,
     pub(crate) averages: EndpointAverages,
-    /// Which part of a local endpoint's share a remote one gets, from 0 to 1.
+    /// The share of a remote endpoint relative to that of a local one, from 0 to 1.
     pub overflow_share: f64,
-    /// Most of the subset is ejected, which is more likely this node's fault than theirs: endpoints that were ejected for
-    /// failed calls are used all the same.
+    /// Whether more than half of the subset is ejected. A fault of this node is then more likely than a fault of all those
+    /// endpoints, so that endpoints that were ejected because calls failed are used nevertheless.
     pub is_in_panic_mode: bool,
-    /// Shares follow the endpoints' latencies and failures.
+    /// Whether shares are adapted to the endpoints' latencies and failures.
     pub uses_learned_weights: bool,
 }
 
 impl BalancerState {
-    /// The endpoint in that slot.
+    /// Returns the endpoint in that slot.
     ///
     /// # Panics
-    /// If the slot is free; those of the subset never are.
+    /// Panics if the slot is free; a slot of the subset never is.
     pub fn endpoint(&self, slot: usize) -> &EndpointState {
         self.endpoints[slot].as_ref().expect("slots of the subset are in use")
     }
@@ -49,7 +49,7 @@
         self.endpoints[slot].as_mut().expect("slots of the subset and of ejected endpoints are in use")
     }
 
-    /// How long a call may be unanswered before its endpoint is suspect, in microseconds.
+    /// The time for which a call may be unanswered before its endpoint is suspect, in microseconds.
     pub fn suspect_us(&self) -> f64 {
         let p95_us = self.latencies.p95_us();
         if p95_us == f64::MAX {
@@ -58,21 +58,21 @@
         (p95_us * SUSPECT_P95_FACTOR).clamp(MIN_SUSPECT_US, MAX_SUSPECT_US)
     }
 
-    /// Whether a call has been unanswered there for too long. That call serves as a probe: no others follow while other
-    /// endpoints accept them.
+    /// Whether a call to the endpoint has been unanswered for too long. That call serves as a probe: the endpoint gets no
+    /// further calls while other endpoints accept them.
     pub fn is_suspect(&self, slot: usize, now_us: u64) -> bool {
         self.endpoint(slot).unanswered_us(now_us) as f64 > self.suspect_us()
     }
 
-    /// Whether calls may go to the endpoint, with regard to panic mode.
+    /// Whether calls may go to the endpoint, panic mode taken into account.
     pub fn accepts_calls(&self, slot: usize) -> bool {
         let health = &self.endpoint(slot).health;
         let is_used_in_panic = health.ejection_cause() == Some(EjectionCause::CallsFailed);
         health.accepts_calls() || self.is_in_panic_mode && is_used_in_panic
     }
 
-    /// The endpoint's share, from 0 to 1: 1 is what the heaviest endpoint gets if it is local, healthy, past its slow start
-    /// and wholly in the subset.
+    /// The endpoint's share of calls, from 0 to 1. The share is 1 for the endpoint of the largest weight if it is local,
+    /// healthy, past its slow start and completely assigned to this node.
     pub fn share(&self, slot: usize, now_us: u64) -> f64 {
         let endpoint = self.endpoint(slot);
         let zone_factor = if endpoint.is_local_zone { 1.0 } else { self.overflow_share };
@@ -85,8 +85,8 @@
         endpoint.weight * endpoint.subset_fraction * zone_factor * learned_factor * slow_start_factor
     }
 
-    /// How long a call would wait there, in microseconds: by the oldest unanswered call, by the last answer as long as it
-    /// is recent, and by the calls in flight.
+    /// The expected wait of a call at the endpoint, in microseconds, estimated from the oldest unanswered call, from the
+    /// last latency while it is recent, and from the number of calls in flight.
     pub fn expected_wait_us(&self, slot: usize, now_us: u64) -> f64 {
         let endpoint = self.endpoint(slot);
         let age_us = now_us.saturating_sub(endpoint.last_answered_us) as f64;
@@ -102,7 +102,7 @@
         self.endpoints.iter().flatten().next().is_none()
     }
 
-    /// The slot of the endpoint with that key; if there is none, a free slot that it gets with this health.
+    /// Returns the slot of the endpoint with that key. A new endpoint gets a free slot and the given health.
     pub(crate) fn slot_of(&mut self, key: u64, new_health: EndpointHealth) -> usize {
         let is_same = |slot: &Option<EndpointState>| slot.as_ref().is_some_and(|known| known.key == key);
         if let Some(slot) = self.endpoints.iter().position(is_same) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Frees the slot if its endpoint is removed and no call is under way there.
+    /// Frees the slot if its endpoint is removed and no call is in flight there.
     pub(crate) fn free_if_done(&mut self, slot: usize) {
         let is_done = |known: &EndpointState| known.health.is_removed() && known.calls.is_empty();
         if self.endpoints[slot].as_ref().is_some_and(is_done) {
