--- a/crates/ochrewalk-load-balancer/src/load_balancer.rs
+++ b/crates/ochrewalk-load-balancer/src/load_balancer.rs
@@ -1,4 +1,5 @@
-//! The load balancer of one node: takes the list of endpoints and what became of calls, and chooses the endpoint of each call.
+//! The load balancer of one node: receives the list of endpoints and the outcomes of calls, and chooses the endpoint of
+//! each call.
 
 use crate::call::{CallOutcome, Idempotency};
 use crate::config::{BalancingConfig, Endpoint};
@@ -14,18 +15,18 @@
 use crate::zone_overflow::ZoneOverflow;
 use std::collections::BTreeSet;
 
-/// While the average success rate is at least this, a call that fails counts against its endpoint.
+/// The average success rate from which on a failed call counts against its endpoint.
 const HEALTHY_SUCCESS_RATE: f64 = 0.8;
 
 /// Chooses the endpoint of each call of one node.
 ///
-/// Callers name endpoints by slot, and calls by numbers of their own. Times are in microseconds of any clock that does not
-/// go back.
+/// Endpoints are identified by slot, and calls by numbers that the caller assigns. Times are in microseconds of any monotonic
+/// clock.
 pub struct LoadBalancer {
     config: BalancingConfig,
     state: BalancerState,
     policy: Box<dyn Policy + Send>,
-    /// One for each zone: the local one, and all others together.
+    /// The subsets by zone: that of the local zone, and that of all others together.
     assignments: Vec<SubsetAssignment>,
     probes: ProbeSchedule,
     zone_overflow: ZoneOverflow,
@@ -35,7 +36,7 @@
 }
 
 impl LoadBalancer {
-    /// A load balancer without endpoints. Nodes need different seeds, or they all begin with the same endpoints.
+    /// Creates a load balancer without endpoints. Nodes need different seeds: otherwise all begin with the same endpoints.
     pub fn new(config: BalancingConfig, seed: u64) -> LoadBalancer {
         let uses_learned_weights = config.uses_learned_weights;
         LoadBalancer {
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Replaces the list of endpoints; each may be in it once. Returns the slot of each. An endpoint keeps its slot until
-    /// it is no longer listed and no call is under way there.
+    /// Replaces the list of endpoints, which must not contain duplicates, and returns the slot of each. An endpoint keeps its
+    /// slot until it is no longer listed and no call is in flight there.
     pub fn set_endpoints(&mut self, now_us: u64, endpoints: &[Endpoint]) -> Vec<usize> {
         self.remove_unlisted(now_us, endpoints);
         let slots = self.add_listed(now_us, endpoints);
         self.assign_subsets(endpoints, &slots);
-        self.probes.forget_removed(&self.state);
+        self.probes.remove_unlisted(&self.state);
         (0..self.state.endpoints.len()).for_each(|slot| self.state.free_if_done(slot));
         self.rebuild_subset();
         slots
@@ -104,9 +105,9 @@
         }
     }
 
-    /// The slot of the endpoint for a call; another than `avoid` where there is one. An idempotent call may be sent as the
-    /// probe of an ejected endpoint. None if no endpoint accepts calls: [`LoadBalancer::next_probe_us`] says when the first
-    /// may be probed.
+    /// Chooses the slot of the endpoint for a call, if possible another than `avoid`. An idempotent call may be used as the
+    /// probe of an ejected endpoint. Returns `None` if no endpoint accepts calls; [`LoadBalancer::next_probe_us`] is the time
+    /// from which the first may then be probed.
     pub fn pick(&mut self, now_us: u64, idempotency: Idempotency, avoid: Option<usize>) -> Option<usize> {
         self.probes.earn(&mut self.state, now_us);
         if idempotency == Idempotency::Idempotent {
@@ -119,9 +120,9 @@
         chosen.or_else(|| self.probes.probeable(now_us).find(|slot| Some(*slot) != avoid))
     }
 
-    /// For how long callers had better not come back, in microseconds; none if an endpoint accepts calls or none is
-    /// ejected. It lasts until the first endpoint may be probed, and up to half as long again at random, so that callers do
-    /// not all come back at that moment.
+    /// The time after which callers should retry, in microseconds; `None` if an endpoint accepts calls or none is ejected. The
+    /// time lasts until the first endpoint may be probed, and up to 50 % longer at random, so that callers do not all retry at
+    /// the same time.
     pub fn unavailable_for_us(&mut self, now_us: u64) -> Option<u64> {
         if self.state.subset.iter().any(|slot| self.state.accepts_calls(*slot)) {
             return None;
@@ -131,12 +132,12 @@
         Some(wait_us + self.rng.u64(0..=wait_us / 2))
     }
 
-    /// When the first ejected endpoint may be probed, in microseconds; none if none is ejected.
+    /// The time from which the first ejected endpoint may be probed, in microseconds; `None` if no endpoint is ejected.
     pub fn next_probe_us(&self) -> Option<u64> {
         self.probes.next_probe_us()
     }
 
-    /// A call starts at the endpoint in that slot.
+    /// Records the start of a call at the endpoint in that slot.
     pub fn call_started(&mut self, now_us: u64, slot: usize, call: u64) {
         let Some(endpoint) = self.state.endpoints[slot].as_mut() else { return };
         endpoint.calls.insert(call, now_us);
@@ -149,12 +150,12 @@
         self.update_health(slot, |health, _| health.call_started(call, now_us));
     }
 
-    /// A call that started there has ended.
+    /// Records the end of a call at the endpoint in that slot.
     pub fn call_ended(&mut self, now_us: u64, slot: usize, call: u64, outcome: CallOutcome) {
         let Some(endpoint) = self.state.endpoints[slot].as_mut() else { return };
         let Some(started_us) = endpoint.calls.remove(&call) else { return };
         self.subset_multiplier.call_ended(now_us);
-        // Where calls fail everywhere, no single endpoint is at fault.
+        // If calls fail at all endpoints, the fault is not that of a single one.
         let counts_failures = self.state.averages.success_rate >= HEALTHY_SUCCESS_RATE;
         self.record_outcome(now_us, slot, now_us.saturating_sub(started_us), outcome);
         self.record_zone(now_us, slot, outcome);
@@ -173,7 +174,7 @@
         self.state.free_if_done(slot);
     }
 
-    /// Learns latencies and success rates from a call's end.
+    /// Updates latencies and success rates with the outcome of a call.
     fn record_outcome(&mut self, now_us: u64, slot: usize, took_us: u64, outcome: CallOutcome) {
         let Some(endpoint) = self.state.endpoints[slot].as_mut() else { return };
         match outcome {
@@ -184,7 +185,7 @@
                 endpoint.learned_weight.succeeded(now_us, took_us, median_us);
                 endpoint.record_answer(now_us, took_us);
             }
-            // An endpoint without capacity gets fewer calls, unless none has capacity.
+            // An endpoint without capacity gets fewer calls, unless no endpoint has capacity.
             CallOutcome::Rejected | CallOutcome::Failed | CallOutcome::ConnectionBroken => {
                 self.state.averages.record_failure();
                 endpoint.learned_weight.failed(now_us);
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Learns from a local endpoint's call whether the zone has capacity.
+    /// Updates the overflow to other zones with the outcome of a call, if its endpoint is local.
     fn record_zone(&mut self, now_us: u64, slot: usize, outcome: CallOutcome) {
         if !self.state.endpoint(slot).is_local_zone {
             return;
@@ -215,7 +216,7 @@
         self.state.overflow_share = self.zone_overflow.share();
     }
 
-    /// An endpoint failed outside of any call, for example at a ping.
+    /// Records a failure of an endpoint outside of a call, for example an unanswered ping.
     pub fn record_failure(&mut self, now_us: u64, slot: usize, cause: EjectionCause) {
         self.update_health(slot, |health, rng| health.failed(now_us, cause, rng));
     }
@@ -226,15 +227,15 @@
         endpoint.is_some_and(|endpoint| !endpoint.health.is_removed())
     }
 
-    /// What the node knows of its endpoints.
+    /// The state that the node keeps for its endpoints.
     pub fn state(&self) -> &BalancerState {
         &self.state
     }
 
-    /// The endpoint's state as operators see it.
+    /// Returns the endpoint's state as shown to operators.
     pub fn status(&self, slot: usize, now_us: u64) -> EndpointStatus {
         let Some(endpoint) = self.state.endpoints.get(slot).and_then(Option::as_ref) else {
-            return EndpointStatus::Gone;
+            return EndpointStatus::SlotFree;
         };
         match endpoint.health.status(now_us) {
             EndpointStatus::Accepting if self.state.is_suspect(slot, now_us) => EndpointStatus::Suspect,
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Applies an event to an endpoint's state machine, and does what the transition asks for.
+    /// Applies an event to an endpoint's state machine, and updates the probe schedule and the subset after a transition.
     fn update_health(&mut self, slot: usize, apply: impl FnOnce(&mut EndpointHealth, &mut fastrand::Rng)) {
         let Some(endpoint) = self.state.endpoints[slot].as_mut() else { return };
         let before = endpoint.health;
@@ -261,17 +262,17 @@
             return;
         }
         if after.accepts_calls() {
-            endpoint.health.backdate_slow_start(endpoint.probe.back_before_us());
+            endpoint.health.backdate_slow_start(endpoint.probe.recovered_before_us());
         } else {
             endpoint.probe = ProbeProgress::random(&mut self.rng);
         }
-        // What was learned before an ejection says nothing of the endpoint after it.
+        // Samples from before an ejection are no evidence about the endpoint after it.
         endpoint.learned_weight = LearnedWeight::default();
         self.rebuild_subset();
     }
 
-    /// Computes the subset: the node's own endpoints, a spare for each own one that accepts no calls, and more spares
-    /// where the node has many calls in flight.
+    /// Computes the subset: the assigned endpoints, a spare for each of them that accepts no calls, and additional spares if
+    /// the node has many calls in flight.
     fn rebuild_subset(&mut self) {
         let mut subset = Vec::new();
         for assignment in &self.assignments {
--- a/crates/ochrewalk-load-balancer/src/probe_schedule.rs
+++ b/crates/ochrewalk-load-balancer/src/probe_schedule.rs
@@ -1,18 +1,19 @@
-//! When the node probes which ejected endpoint: in the order in which their ejection times end, each once it has earned its
-//! probe, and one call in five at most.
+//! The schedule of a node's probes: ejected endpoints are probed in the order in which their ejection times end, each after
+//! it has earned its probe, with at most one call in five.
 
 use crate::probe::AcceptingWeight;
 use crate::state::BalancerState;
 use std::collections::BTreeSet;
 
-/// At most one in so many calls is a probe, so that a quiet node with many ejected endpoints still has calls answered.
+/// The minimum number of calls per probe, so that most calls of a node with little traffic and many ejected endpoints are
+/// still served.
 const CALLS_PER_PROBE: f64 = 5.0;
 
-/// The ejected endpoints of a node, and when each is probed.
+/// The ejected endpoints of a node, and the times from which they may be probed.
 pub(crate) struct ProbeSchedule {
-    /// By when the ejection time ends, in microseconds, and by slot.
+    /// The end of each ejection time, in microseconds, and the slot of the endpoint.
     ejected: BTreeSet<(u64, usize)>,
-    /// How much of the next probe the node's calls allow, up to 1.
+    /// The part of the next probe that the node's calls allow, up to 1.
     allowance: f64,
     accepting_weight: AcceptingWeight,
     last_call_us: u64,
@@ -30,7 +31,7 @@
 }
 
 impl ProbeSchedule {
-    /// When the first ejection time ends, in microseconds; none if no endpoint is ejected.
+    /// The time at which the first ejection time ends, in microseconds; `None` if no endpoint is ejected.
     pub fn next_probe_us(&self) -> Option<u64> {
         self.ejected.first().map(|(until_us, _)| *until_us)
     }
@@ -43,20 +44,20 @@
         self.ejected.remove(&(until_us, slot));
     }
 
-    /// Forgets endpoints that are no longer listed.
-    pub fn forget_removed(&mut self, state: &BalancerState) {
+    /// Removes endpoints that are no longer listed.
+    pub fn remove_unlisted(&mut self, state: &BalancerState) {
         let is_listed = |slot: usize| {
             state.endpoints[slot].as_ref().is_some_and(|endpoint| !endpoint.health.is_removed())
         };
         self.ejected.retain(|(_, slot)| is_listed(*slot));
     }
 
-    /// The endpoints that accept calls have changed.
+    /// Sets the total weight after the endpoints that accept calls have changed.
     pub fn set_accepting_weight(&mut self, weight: AcceptingWeight) {
         self.accepting_weight = weight;
     }
 
-    /// The node makes one more call: each ejected endpoint earns its part of a probe.
+    /// Records another call of the node: each ejected endpoint earns its part of a probe.
     pub fn earn(&mut self, state: &mut BalancerState, now_us: u64) {
         self.allowance = (self.allowance + 1.0 / CALLS_PER_PROBE).min(1.0);
         let last_call_us = std::mem::replace(&mut self.last_call_us, now_us);
@@ -75,7 +76,8 @@
         }
     }
 
-    /// The endpoint that this call probes, if one has earned it and the node's calls allow it.
+    /// Returns the slot of the endpoint that this call probes, if an endpoint has earned a probe and the node's calls allow
+    /// one.
     pub fn take_probe(
         &mut self,
         state: &mut BalancerState,
@@ -92,7 +94,7 @@
         Some(slot)
     }
 
-    /// Endpoints whose ejection time is over, the one whose time ended first before the others.
+    /// The slots of endpoints whose ejection time is over, in the order in which those times ended.
     pub fn probeable(&self, now_us: u64) -> impl Iterator<Item = usize> + '_ {
         self.ejected.iter().take_while(move |(until_us, _)| now_us >= *until_us).map(|(_, slot)| *slot)
     }
--- a/crates/ochrewalk-load-balancer/src/status.rs
+++ b/crates/ochrewalk-load-balancer/src/status.rs
@@ -1,30 +1,30 @@
-//! An endpoint's state as operators see it.
+//! The state of an endpoint as shown to operators.
 
 use std::fmt;
 
-/// An endpoint's state as operators see it.
+/// The state of an endpoint as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointStatus {
-    /// It gets its full share.
+    /// The endpoint gets its full share of calls.
     Accepting,
-    /// It is new, and in slow start.
+    /// The endpoint is new, and in slow start.
     Added,
-    /// It was readmitted after an ejection, and is in slow start.
+    /// The endpoint was readmitted after an ejection, and is in slow start.
     Readmitted,
-    /// A call there has had no answer for far longer than usual.
+    /// A call to the endpoint has been unanswered for far longer than usual.
     Suspect,
-    /// It gets no calls.
+    /// The endpoint gets no calls.
     Ejected,
-    /// One call is under way that decides whether it is readmitted.
+    /// The probe that decides whether the endpoint is readmitted is in flight.
     Probing,
-    /// It is no longer listed; calls are still under way there.
+    /// The endpoint is no longer listed, and calls are still in flight there.
     Removed,
-    /// The slot is free.
-    Gone,
+    /// No endpoint is in the slot.
+    SlotFree,
 }
 
 impl EndpointStatus {
-    /// The state's name in the operators' table.
+    /// Returns the state's name in the operators' table.
     pub fn name(self) -> &'static str {
         match self {
             EndpointStatus::Accepting => "in",
@@ -34,7 +34,7 @@
             EndpointStatus::Ejected => "out",
             EndpointStatus::Probing => "trying",
             EndpointStatus::Removed => "leaving",
-            EndpointStatus::Gone => "gone",
+            EndpointStatus::SlotFree => "gone",
         }
     }
 }
