--- a/crates/ochrewalk-load-balancer/src/health.rs
+++ b/crates/ochrewalk-load-balancer/src/health.rs
@@ -1,33 +1,34 @@
-//! Ejection and slow start of one endpoint. An endpoint that fails is ejected for a time that doubles with each ejection
-//! and varies by a quarter either way, then probed by one call at a time. One that was added or readmitted starts slowly. An
-//! endpoint that keeps failing after each readmission keeps its long ejection times: only staying up resets them.
+//! Ejection and slow start of one endpoint. A failing endpoint is ejected for a time that doubles with each ejection, with
+//! a jitter of 25 % in either direction, and is then probed by one call at a time. An endpoint that was added or readmitted
+//! goes through slow start. An endpoint that fails again after each readmission keeps its long ejection times: only
+//! accepting calls for the maximum ejection time resets them.
 
 use crate::status::EndpointStatus;
 
-/// When an endpoint is ejected, and for how long. All times in microseconds.
+/// The conditions and the duration of ejections. All times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutlierEjection {
-    /// How many failures in a row eject an endpoint; at least 1.
+    /// The number of consecutive failures that eject an endpoint; at least 1.
     pub consecutive_failures: u32,
-    /// How long the first ejection lasts, before its random variation.
+    /// The duration of the first ejection, before jitter.
     pub base_ejection_us: u64,
-    /// The longest that an ejection lasts, before its random variation.
+    /// The maximum duration of an ejection, before jitter.
     pub max_ejection_us: u64,
-    /// How long a new or readmitted endpoint takes to its full share.
+    /// The duration of slow start, after which a new or readmitted endpoint gets its full share.
     pub slow_start_us: u64,
 }
 
-/// Why an endpoint is ejected.
+/// The reason for an ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionCause {
-    /// No connection could be made: proof that nothing serves there.
+    /// No connection could be established: proof that nothing serves at the address.
     ConnectFailed,
-    /// Calls failed or were not answered in time: the fault may be this node's, or a link's.
+    /// Calls failed or were not answered in time: the fault may be in the endpoint, in this node or in the network.
     CallsFailed,
 }
 
 impl EjectionCause {
-    /// The cause as logs and the operators' table have it.
+    /// Returns the cause as logs and the operators' table show it.
     pub fn description(self) -> &'static str {
         match self {
             EjectionCause::ConnectFailed => "could not be reached",
@@ -45,12 +46,12 @@
         until_us: u64,
         cause: EjectionCause,
     },
-    /// One call is under way that decides whether the endpoint is readmitted.
+    /// The probe that decides whether the endpoint is readmitted is in flight.
     Probing {
         call: u64,
         cause: EjectionCause,
     },
-    /// The endpoint is no longer listed; calls that are under way there end.
+    /// The endpoint is no longer listed; calls in flight there still end.
     Removed,
 }
 
@@ -58,15 +59,15 @@
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
-/// | accepting | a failure that is the last of [`OutlierEjection::consecutive_failures`] in a row | ejected |
-/// | accepting | any other failure, or an answer | accepting |
+/// | accepting | the last of [`OutlierEjection::consecutive_failures`] consecutive failures | ejected |
+/// | accepting | any other failure, or a reply | accepting |
 /// | ejected | a call starts after the ejection time | probing |
-/// | ejected | an answer to an earlier call | accepting, with slow start |
-/// | ejected | a failure before the ejection time ends | ejected, as before |
-/// | ejected | a failure after the ejection time | ejected, for longer |
-/// | probing | an answer to the probe or to an earlier call | accepting, with slow start |
-/// | probing | the probe or an earlier call fails | ejected, for longer |
-/// | probing | the probe ends inconclusively | ejected, and to be probed at once |
+/// | ejected | a reply to an earlier call | accepting, with slow start |
+/// | ejected | a failure before the ejection time ends | ejected, unchanged |
+/// | ejected | a failure after the ejection time | ejected, for a longer time |
+/// | probing | a reply to the probe or to an earlier call | accepting, with slow start |
+/// | probing | the probe or an earlier call fails | ejected, for a longer time |
+/// | probing | the probe ends inconclusively | ejected, and may be probed immediately |
 /// | any | the endpoint is no longer listed | removed |
 /// | removed | the endpoint is listed again | accepting, with slow start |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,13 +80,14 @@
     next_ejection_us: u64,
 }
 
-/// How far an ejection time varies, as a share of it, from its shortest to its longest.
+/// The width of the jitter, from the shortest to the longest ejection time, as a share of the time before jitter.
 const JITTER: f64 = 0.5;
-/// The slow start factor at the start: enough calls to learn from, harmless to a cold endpoint.
-const INITIAL_FACTOR: f64 = 0.1;
+/// The factor at the beginning of slow start: enough calls to learn from, and few enough not to harm a cold endpoint.
+const INITIAL_SLOW_START_FACTOR: f64 = 0.1;
 
 impl EndpointHealth {
-    /// An endpoint of the first list: without slow start, as no other endpoint could take the load meanwhile.
+    /// Creates the state of an endpoint of the first list: without slow start, as no other endpoint could take the load in
+    /// that time.
     pub fn initial(settings: OutlierEjection, now_us: u64) -> EndpointHealth {
         EndpointHealth {
             settings,
@@ -97,27 +99,28 @@
         }
     }
 
-    /// An endpoint that was added to a list with others: with slow start.
+    /// Creates the state of an endpoint that was added to a list with others: with slow start.
     pub fn added(settings: OutlierEjection, now_us: u64) -> EndpointHealth {
         let slow_start_ends_us = now_us + settings.slow_start_us;
         EndpointHealth { slow_start_ends_us, ..EndpointHealth::initial(settings, now_us) }
     }
 
-    /// Whether the endpoint gets calls, as far as its own state goes.
+    /// Whether the endpoint accepts calls, panic mode not taken into account.
     pub fn accepts_calls(&self) -> bool {
         matches!(self.state, State::Accepting { .. })
     }
 
-    /// Which part of its full share the endpoint gets now: from 0.1 at the beginning of a slow start to 1.
+    /// The part of its full share that the endpoint gets now, from 0.1 at the beginning of slow start to 1.
     pub fn slow_start_factor(&self, now_us: u64) -> f64 {
         let left_us = self.slow_start_ends_us.saturating_sub(now_us);
         if left_us == 0 {
             return 1.0;
         }
-        INITIAL_FACTOR + (1.0 - INITIAL_FACTOR) * (1.0 - left_us as f64 / self.settings.slow_start_us as f64)
+        INITIAL_SLOW_START_FACTOR
+            + (1.0 - INITIAL_SLOW_START_FACTOR) * (1.0 - left_us as f64 / self.settings.slow_start_us as f64)
     }
 
-    /// When an ejected endpoint may be probed; none in any other state.
+    /// The time from which an ejected endpoint may be probed, in microseconds; `None` in any other state.
     pub fn ejected_until_us(&self) -> Option<u64> {
         match self.state {
             State::Ejected { until_us, .. } => Some(until_us),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Why the endpoint is ejected or probed; none in any other state.
+    /// The reason for which the endpoint is ejected or probed; `None` in any other state.
     pub fn ejection_cause(&self) -> Option<EjectionCause> {
         match self.state {
             State::Ejected { cause, .. } | State::Probing { cause, .. } => Some(cause),
@@ -138,7 +141,7 @@
         self.state == State::Removed
     }
 
-    /// A call starts at the endpoint. If the endpoint is ejected and its ejection time is over, the call is its probe.
+    /// Records the start of a call. If the endpoint is ejected and its ejection time is over, the call is its probe.
     pub fn call_started(&mut self, call: u64, now_us: u64) {
         if let State::Ejected { until_us, cause } = self.state {
             if now_us >= until_us {
@@ -147,12 +150,12 @@
         }
     }
 
-    /// The endpoint answered.
+    /// Records a reply from the endpoint.
     pub fn succeeded(&mut self, now_us: u64) {
         match self.state {
             State::Accepting { .. } => {
                 self.state = State::Accepting { failures: 0 };
-                // It has stayed up for as long as it could have been ejected.
+                // The endpoint has accepted calls for at least the maximum ejection time.
                 if now_us >= self.since_us + self.settings.max_ejection_us {
                     self.next_ejection_us = self.settings.base_ejection_us;
                 }
@@ -166,12 +169,14 @@
         }
     }
 
-    /// The endpoint served again that many microseconds before its probe was answered: its slow start began then.
+    /// Moves the beginning of slow start back by that many microseconds: the estimated time for which the endpoint had
+    /// already recovered when its probe was answered.
     pub fn backdate_slow_start(&mut self, by_us: u64) {
         self.slow_start_ends_us = self.slow_start_ends_us.saturating_sub(by_us);
     }
 
-    /// A call ended. If it was the probe, and nothing else is known of its outcome, the endpoint may be probed again at once.
+    /// Records the end of a call. If the call was the probe, the endpoint may be probed again immediately, unless an outcome is
+    /// recorded next.
     pub fn probe_ended(&mut self, call: u64, now_us: u64) {
         if let State::Probing { call: probe, cause } = self.state {
             if probe == call {
@@ -180,14 +185,14 @@
         }
     }
 
-    /// A connection to the endpoint could not be made, or a call failed.
+    /// Records a failed connection or a failed call.
     pub fn failed(&mut self, now_us: u64, cause: EjectionCause, rng: &mut fastrand::Rng) {
         match self.state {
             State::Removed => return,
             State::Accepting { failures } if failures + 1 < self.settings.consecutive_failures => {
                 return self.state = State::Accepting { failures: failures + 1 };
             }
-            // The end of a call that was under way at the ejection says nothing new.
+            // A call that was in flight at the ejection gives no new evidence when it fails.
             State::Ejected { until_us, .. } if now_us < until_us => return,
             State::Accepting { .. } | State::Ejected { .. } | State::Probing { .. } => {}
         }
@@ -196,14 +201,15 @@
         self.enter(State::Ejected { until_us: now_us + ejection_us as u64, cause }, now_us);
     }
 
-    /// The endpoint is no longer listed.
+    /// Records that the endpoint is no longer listed.
     pub fn remove(&mut self, now_us: u64) {
         if !self.is_removed() {
             self.enter(State::Removed, now_us);
         }
     }
 
-    /// The endpoint is listed: if it was removed, it starts again, slowly and with the ejection times that it had reached.
+    /// Records that the endpoint is listed. A removed endpoint starts again, with slow start and with the ejection time that it
+    /// had reached.
     pub fn added_again(&mut self, now_us: u64) {
         if self.is_removed() {
             let next_ejection_us = self.next_ejection_us;
@@ -211,7 +217,7 @@
         }
     }
 
-    /// The state as operators see it.
+    /// Returns the state as shown to operators.
     pub fn status(&self, now_us: u64) -> EndpointStatus {
         match self.state {
             State::Accepting { .. } if now_us >= self.slow_start_ends_us => EndpointStatus::Accepting,
@@ -223,7 +229,7 @@
         }
     }
 
-    /// When the endpoint entered its state, in microseconds.
+    /// The time at which the endpoint entered its state, in microseconds.
     pub fn since_us(&self) -> u64 {
         self.since_us
     }
--- a/crates/ochrewalk-load-balancer/src/latency_histogram.rs
+++ b/crates/ochrewalk-load-balancer/src/latency_histogram.rs
@@ -1,16 +1,17 @@
-//! The distribution of recent latencies as a coarse histogram. All counts are halved when it is full, so that old
-//! latencies count less and less.
+//! The distribution of recent latencies as a coarse histogram. All counts are halved when a maximum total is reached, so
+//! that old latencies decay.
 
-/// How many buckets each doubling of the latency has.
+/// The number of buckets for each doubling of the latency.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
 const BUCKETS: usize = 160;
-/// At this total all counts are halved.
+/// The total at which all counts are halved.
 const HALVING_TOTAL: u32 = 512;
-/// Fewer latencies than this say nothing of the 95th percentile.
+/// The minimum number of latencies for an estimate of the 95th percentile.
 const MIN_SAMPLES: u32 = 24;
-/// Once there are enough latencies, quantiles are computed at each so-manyth one, as they change little from one to the next.
+/// The number of latencies after which quantiles are computed again, once there are enough: a single latency changes them
+/// little.
 const QUANTILES_EVERY: u32 = 8;
-/// The median before any latency was recorded.
+/// The median before any latency has been recorded.
 const INITIAL_MEDIAN_US: f64 = 1_000.0;
 
 /// The distribution of recent latencies.
@@ -18,7 +19,7 @@
 pub struct LatencyHistogram {
     counts: [u32; BUCKETS],
     total: u32,
-    /// Cached, as each choice of an endpoint reads both.
+    /// The quantiles, cached because each choice of an endpoint reads both.
     median_us: f64,
     p95_us: f64,
 }
@@ -54,12 +55,12 @@
         }
     }
 
-    /// The median in microseconds; 1,000 before any latency was recorded.
+    /// The median in microseconds; 1,000 before any latency has been recorded.
     pub fn median_us(&self) -> f64 {
         self.median_us
     }
 
-    /// The 95th percentile in microseconds; `f64::MAX` while too few latencies are known.
+    /// The 95th percentile in microseconds; `f64::MAX` while too few latencies have been recorded.
     pub fn p95_us(&self) -> f64 {
         self.p95_us
     }
--- a/crates/ochrewalk-load-balancer/src/learned_weight.rs
+++ b/crates/ochrewalk-load-balancer/src/learned_weight.rs
@@ -1,33 +1,37 @@
-//! What a node's own few samples say of an endpoint, as a factor of its weight. An endpoint counts as an ordinary one until
-//! many answers say otherwise, and old answers count less and less, so that one that was slow gets calls again.
+//! A factor of an endpoint's weight that a node learns from its own few samples of latency and success. An endpoint counts
+//! as average until many replies indicate otherwise, and old replies decay, so that an endpoint that was slow gets calls
+//! again.
 
-/// So many answers of an average latency are added to those of an endpoint: a few slow ones do not outweigh chance.
+/// The number of replies of average latency that are added to those of an endpoint as a prior, so that a few slow replies,
+/// which may be due to chance, change little.
 const PRIOR_LATENCIES: f64 = 4.0;
-/// So many calls of the average success rate are added. Fewer than for latencies, as a failure is not a matter of queueing.
+/// The number of calls of average success rate that are added as a prior. The number is lower than for latencies because
+/// queueing does not cause failures.
 const PRIOR_OUTCOMES: f64 = 2.0;
-/// What was learned counts half after this time.
+/// The half-life of learned samples, in microseconds.
 const HALF_LIFE_US: f64 = 15_000_000.0;
-/// Up to this many times the median, a latency is ordinary: a queue causes that, and it has gone before a node could react.
+/// The largest latency, as a multiple of the median, that counts as ordinary: a queue causes such latencies, and has drained
+/// before a node could react.
 const ORDINARY_RATIO: f64 = 1.5;
-/// Below this success rate, over the average of all endpoints, an endpoint is at fault.
-const MIN_SUCCESS: f64 = 0.8;
-/// One answer counts as this many times the median at most, so that it does not outweigh all others.
+/// The success rate, relative to the average of all endpoints, below which an endpoint counts as faulty.
+const MIN_RELATIVE_SUCCESS: f64 = 0.8;
+/// The maximum of a recorded latency, as a multiple of the median, so that a single reply does not outweigh all others.
 const MAX_RATIO: f64 = 20.0;
-/// Which part of what counts against an endpoint one ordinary answer takes away.
-const FORGIVENESS: f64 = 0.3;
-/// No endpoint gets less for what was learned, or its recovery would never be seen.
+/// The part of an endpoint's excess latency and failures that one ordinary reply removes.
+const RECOVERY_RATE: f64 = 0.3;
+/// The minimum factor. With a lower one an endpoint could get too few calls for its recovery to be noticed.
 const MIN_FACTOR: f64 = 0.02;
-/// How far one call moves the averages of all endpoints.
-const AVERAGES_STEP: f64 = 1.0 / 128.0;
-/// Bounds the division by the average success rate.
+/// The smoothing factor of the averages over all endpoints, by call.
+const AVERAGES_SMOOTHING: f64 = 1.0 / 128.0;
+/// The lower bound of the average success rate as a divisor.
 const MIN_AVERAGE_SUCCESS: f64 = 0.01;
 
-/// Moving averages over the calls to all endpoints.
+/// The moving averages over the calls to all endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointAverages {
     /// The share of calls that succeed.
     pub success_rate: f64,
-    /// Latencies over their median; at least 1, and more where some calls take very long.
+    /// The average of latencies divided by their median; at least 1, and more if some calls take very long.
     pub latency_ratio: f64,
 }
 
@@ -39,13 +43,13 @@
 
 impl EndpointAverages {
     pub fn record_success(&mut self, took_us: u64, median_us: f64) {
-        self.success_rate += (1.0 - self.success_rate) * AVERAGES_STEP;
-        let step = (latency_ratio(took_us, median_us) - self.latency_ratio) * AVERAGES_STEP;
+        self.success_rate += (1.0 - self.success_rate) * AVERAGES_SMOOTHING;
+        let step = (latency_ratio(took_us, median_us) - self.latency_ratio) * AVERAGES_SMOOTHING;
         self.latency_ratio = (self.latency_ratio + step).max(1.0);
     }
 
     pub fn record_failure(&mut self) {
-        self.success_rate += (0.0 - self.success_rate) * AVERAGES_STEP;
+        self.success_rate += (0.0 - self.success_rate) * AVERAGES_SMOOTHING;
     }
 }
 
@@ -53,13 +57,14 @@
     (took_us as f64 / median_us.max(1.0)).min(MAX_RATIO)
 }
 
-/// What was learned of one endpoint: sums over its calls that decay with time.
+/// The samples of one endpoint, as sums over its calls that decay with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LearnedWeight {
     calls: f64,
     successes: f64,
-    /// Calls with a latency, and the sum of those over the median.
+    /// The number of calls with a latency.
     timed_calls: f64,
+    /// The sum of those latencies, each divided by the median.
     latency_ratio_sum: f64,
     updated_us: u64,
 }
@@ -74,7 +79,7 @@
         self.latency_ratio_sum *= decay;
     }
 
-    /// A call succeeded after `took_us`, where `median_us` is the median over all endpoints.
+    /// Records a call that succeeded after `took_us`, where `median_us` is the median over all endpoints.
     pub fn succeeded(&mut self, now_us: u64, took_us: u64, median_us: f64) {
         self.decay(now_us);
         self.calls += 1.0;
@@ -82,39 +87,40 @@
         self.timed_calls += 1.0;
         let ratio = latency_ratio(took_us, median_us);
         self.latency_ratio_sum += ratio;
-        // A good answer outweighs earlier bad ones, so that an endpoint gets its share soon after it has recovered.
+        // An ordinary reply outweighs earlier slow ones and failures, so that an endpoint gets its share soon after it has
+        // recovered.
         if ratio <= ORDINARY_RATIO {
-            self.latency_ratio_sum -= (self.latency_ratio_sum - self.timed_calls).max(0.0) * FORGIVENESS;
-            self.calls -= (self.calls - self.successes) * FORGIVENESS;
+            self.latency_ratio_sum -= (self.latency_ratio_sum - self.timed_calls).max(0.0) * RECOVERY_RATE;
+            self.calls -= (self.calls - self.successes) * RECOVERY_RATE;
         }
     }
 
-    /// A call failed. Its latency does not count: an endpoint that fails at once is not a fast one.
+    /// Records a failed call. Its latency does not count: an endpoint that fails immediately is not a fast one.
     pub fn failed(&mut self, now_us: u64) {
         self.decay(now_us);
         self.calls += 1.0;
     }
 
-    /// A call timed out: a failure, and as slow as can be recorded.
+    /// Records a call that timed out: a failure, with the maximum latency that can be recorded.
     pub fn timed_out(&mut self, now_us: u64) {
         self.failed(now_us);
         self.timed_calls += 1.0;
         self.latency_ratio_sum += MAX_RATIO;
     }
 
-    /// The factor of the endpoint's weight, from `MIN_FACTOR` to 1. Where all endpoints are equally slow, or fail equally
-    /// often, none gets less.
+    /// The factor of the endpoint's weight, from `MIN_FACTOR` to 1. If all endpoints are equally slow, or fail equally often,
+    /// none is reduced.
     pub fn factor(&self, now_us: u64, averages: &EndpointAverages) -> f64 {
-        let mut now = *self;
-        now.decay(now_us);
-        let ratio = (now.latency_ratio_sum + PRIOR_LATENCIES * averages.latency_ratio)
-            / (now.timed_calls + PRIOR_LATENCIES)
+        let mut current = *self;
+        current.decay(now_us);
+        let ratio = (current.latency_ratio_sum + PRIOR_LATENCIES * averages.latency_ratio)
+            / (current.timed_calls + PRIOR_LATENCIES)
             / averages.latency_ratio;
         let speed = (ORDINARY_RATIO / ratio).min(1.0);
         let success_rate =
-            (now.successes + PRIOR_OUTCOMES * averages.success_rate) / (now.calls + PRIOR_OUTCOMES);
+            (current.successes + PRIOR_OUTCOMES * averages.success_rate) / (current.calls + PRIOR_OUTCOMES);
         let relative_success = success_rate / averages.success_rate.max(MIN_AVERAGE_SUCCESS);
-        let reliability = (relative_success / MIN_SUCCESS).min(1.0);
+        let reliability = (relative_success / MIN_RELATIVE_SUCCESS).min(1.0);
         (speed * speed * reliability * reliability * reliability).max(MIN_FACTOR)
     }
 }
