--- a/crates/ochrewalk-load-balancer/src/policy/least.rs
+++ b/crates/ochrewalk-load-balancer/src/policy/least.rs
@@ -1,4 +1,5 @@
-//! The endpoint with the least of something: calls in flight, or those times its mean latency.
+//! The policies that choose the endpoint with the fewest calls in flight, or with the smallest product of calls in flight and
+//! mean latency.
 
 use super::{Pick, Policy};
 
@@ -8,9 +9,9 @@
     fn choose(&mut self, pick: &Pick<'_>, rng: &mut fastrand::Rng) -> Option<usize> {
         let candidates = pick.candidates();
         let fewest = candidates.iter().map(|slot| pick.in_flight(*slot)).min()?;
-        let equals: Vec<usize> =
+        let least_loaded: Vec<usize> =
             candidates.into_iter().filter(|slot| pick.in_flight(*slot) == fewest).collect();
-        pick.weighted_random(&equals, rng)
+        pick.weighted_random(&least_loaded, rng)
     }
 }
 
--- a/crates/ochrewalk-load-balancer/src/policy/mod.rs
+++ b/crates/ochrewalk-load-balancer/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! Balancing policies: how one endpoint of the node's subset is chosen for a call. All stand behind one trait;
-//! [`BalancingPolicy::LatencyAwareRoundRobin`] is the default, the others are there to compare it with.
+//! Balancing policies, which choose an endpoint of the node's subset for each call. All implement the same trait;
+//! [`BalancingPolicy::LatencyAwareRoundRobin`] is the default, the others serve for comparison.
 
 mod least;
 mod power_of_two;
@@ -12,7 +12,7 @@
 use random::Random;
 use round_robin::{RoundRobin, LOOKAHEAD};
 
-/// What a policy chooses by: the endpoints as the node sees them now, and what is asked of the choice.
+/// The input of a choice: the current state of the endpoints, and the endpoint to avoid.
 pub(crate) struct Pick<'a> {
     pub state: &'a BalancerState,
     pub now_us: u64,
@@ -21,7 +21,7 @@
 }
 
 impl Pick<'_> {
-    /// Slots of the subset that accept calls, without the one to avoid unless it is the only one.
+    /// Returns the slots of the subset that accept calls, without the one to avoid unless it is the only one.
     fn candidates(&self) -> Vec<usize> {
         let all: Vec<usize> =
             self.state.subset.iter().copied().filter(|slot| self.state.accepts_calls(*slot)).collect();
@@ -33,7 +33,7 @@
         }
     }
 
-    /// One of these slots, each as likely as its share.
+    /// Chooses one of these slots at random, with probabilities proportional to their shares.
     fn weighted_random(&self, among: &[usize], rng: &mut fastrand::Rng) -> Option<usize> {
         let total: f64 = among.iter().map(|slot| self.share(*slot)).sum();
         let mut remaining = rng.f64() * total;
@@ -41,7 +41,7 @@
             remaining -= self.share(**slot);
             remaining < 0.0
         });
-        // Rounding may leave a little after the last one.
+        // Rounding errors may leave a small remainder after the last slot.
         chosen.or(among.last()).copied()
     }
 
@@ -54,34 +54,34 @@
     }
 }
 
-/// A way to choose among the endpoints of the subset.
+/// A policy that chooses among the endpoints of the subset.
 pub(crate) trait Policy {
-    /// The slot for a call, another than `avoid` where there is one. None if no endpoint accepts calls.
+    /// Chooses the slot for a call, if possible another than the one to avoid. Returns `None` if no endpoint accepts calls.
     fn choose(&mut self, pick: &Pick<'_>, rng: &mut fastrand::Rng) -> Option<usize>;
 
-    /// The subset has changed since the last choice.
+    /// Notifies the policy that the subset has changed since the last choice.
     fn subset_changed(&mut self) {}
 }
 
-/// How one endpoint of the subset is chosen for a call.
+/// The policy that chooses an endpoint of the subset for each call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BalancingPolicy {
-    /// Weighted round robin that looks a few turns ahead and takes the endpoint with the shortest expected wait first.
+    /// Weighted round robin that looks a few turns ahead and calls the endpoint with the shortest expected wait first.
     LatencyAwareRoundRobin,
-    /// Weighted round robin in a random order, whatever the endpoints' latencies.
+    /// Weighted round robin in a random order, independent of the endpoints' latencies.
     RoundRobin,
     /// A weighted random choice.
     Random,
-    /// Of two weighted random choices the endpoint with fewer calls in flight.
+    /// The endpoint with fewer calls in flight, out of two weighted random choices.
     PowerOfTwoChoices,
     /// The endpoint with the fewest calls in flight; a weighted random choice among equals.
     LeastRequests,
-    /// The endpoint with the least product of mean latency and calls in flight, the new call included.
+    /// The endpoint with the smallest product of mean latency and calls in flight, the new call included.
     LeastLatency,
 }
 
 impl BalancingPolicy {
-    /// All policies, in the order in which they are shown.
+    /// All policies, in the order in which they are displayed.
     pub const ALL: [BalancingPolicy; 6] = [
         BalancingPolicy::LatencyAwareRoundRobin,
         BalancingPolicy::RoundRobin,
@@ -91,7 +91,7 @@
         BalancingPolicy::LeastLatency,
     ];
 
-    /// The name by which operators and the laboratory select the policy.
+    /// Returns the name by which operators and the test lab select the policy.
     pub fn name(self) -> &'static str {
         match self {
             BalancingPolicy::LatencyAwareRoundRobin => "rounds",
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The policy of that name, if there is one.
+    /// Returns the policy with that name, if any.
     pub fn from_name(name: &str) -> Option<BalancingPolicy> {
         BalancingPolicy::ALL.into_iter().find(|policy| policy.name() == name)
     }
--- a/crates/ochrewalk-load-balancer/src/policy/power_of_two.rs
+++ b/crates/ochrewalk-load-balancer/src/policy/power_of_two.rs
@@ -1,4 +1,4 @@
-//! The power of two choices: of two random endpoints the one with fewer calls in flight.
+//! Power of two choices: the endpoint with fewer calls in flight, out of two random ones.
 
 use super::{Pick, Policy};
 
--- a/crates/ochrewalk-load-balancer/src/policy/random.rs
+++ b/crates/ochrewalk-load-balancer/src/policy/random.rs
@@ -1,4 +1,4 @@
-//! A weighted random choice.
+//! The weighted random policy.
 
 use super::{Pick, Policy};
 
--- a/crates/ochrewalk-load-balancer/src/policy/round_robin.rs
+++ b/crates/ochrewalk-load-balancer/src/policy/round_robin.rs
@@ -1,30 +1,30 @@
-//! Weighted round robin: each endpoint once a round, as far as its share goes. What an endpoint's share falls short of a
-//! whole call is credited to it for the next round.
+//! Weighted round robin: each endpoint gets at most one call per round, in proportion to its share. A fraction of a call is
+//! credited to the endpoint for later rounds.
 //!
-//! With a lookahead of several turns, the endpoint with the shortest expected wait among them goes first. Latencies thus
-//! move only the order within a round and not the number of calls, so that nodes that see the same latencies do not all
-//! move to the same endpoint at once.
+//! With a lookahead of several turns, the endpoint with the shortest expected wait among them is called first. Latencies
+//! thus change only the order within a round and not the number of calls, so that nodes that see the same latencies do not
+//! all move to the same endpoint at the same time.
 
 use super::{Pick, Policy};
 
-/// How many turns ahead the latency-aware policy looks.
+/// The number of turns that the latency-aware policy considers.
 pub(super) const LOOKAHEAD: usize = 4;
-/// An endpoint whose expected wait exceeds this many median latencies is postponed to the next round, once.
+/// The expected wait, in median latencies, above which an endpoint is postponed to the next round, at most once.
 const POSTPONE_FACTOR: f64 = 6.0;
-/// How often a choice tries again after it has started a round.
-const MAX_ATTEMPTS: usize = 3;
-/// Bounds the division where all shares are next to nothing.
+/// The maximum number of passes of a choice over the remaining turns; a round may start between them.
+const MAX_PASSES: usize = 3;
+/// The lower bound of the largest share as a divisor, for the case that all shares are close to 0.
 const MIN_LARGEST_SHARE: f64 = 1e-6;
 
 /// An endpoint's turn in the current round.
 #[derive(Clone, Copy, Debug)]
 struct Turn {
     slot: usize,
-    /// It was left over from an earlier round: it is not postponed again.
+    /// Whether the turn remains from an earlier round; it is then not postponed again.
     is_postponed: bool,
 }
 
-/// The turn that is the best so far.
+/// The best turn found so far.
 #[derive(Clone, Copy, Debug)]
 struct BestTurn {
     index: usize,
@@ -34,16 +34,16 @@
 #[derive(Debug, Default)]
 pub(super) struct RoundRobin {
     lookahead: usize,
-    /// The turns that are left of the round; the last one comes next.
+    /// The remaining turns of the round; the last element comes next.
     turns: Vec<Turn>,
-    /// The subset in the order of rounds, shuffled once per subset: the same from round to round, so that each endpoint's
-    /// calls are as far apart as they can be.
+    /// The order of the subset in each round, shuffled once per subset. The order is the same in all rounds, so that the calls
+    /// of an endpoint are as far apart as possible.
     order: Vec<usize>,
-    /// By slot: the part of a call that the endpoint's share has left over from earlier rounds.
+    /// The fraction of a call that remains from the endpoint's share in earlier rounds, by slot.
     credit: Vec<f64>,
-    /// How many more suspect endpoints may lose their turn in this round: half of them at first. If more seem suspect, the
-    /// likely cause is on this node (its clock woke late, or its own link failed), and the remaining endpoints must not
-    /// be overloaded.
+    /// The number of further turns that suspect endpoints may lose in this round, at first half of all its turns. If more
+    /// endpoints seem suspect, the cause is probably on this node (a timer fired late, or its network link failed), and the
+    /// remaining endpoints must not be overloaded.
     skips_left: usize,
 }
 
@@ -52,17 +52,17 @@
         RoundRobin { lookahead, ..RoundRobin::default() }
     }
 
-    /// Starts the next round. Turns that are left over come last in it.
+    /// Starts the next round; the remaining turns of the current one come last in it.
     fn start_round(&mut self, pick: &Pick<'_>, rng: &mut fastrand::Rng) {
         while self.credit.len() < pick.state.endpoints.len() {
-            // A random start, else all nodes would begin with the same endpoints.
+            // A random start: otherwise all nodes would begin with the same endpoints.
             self.credit.push(rng.f64());
         }
         if self.order.is_empty() {
             self.order.clone_from(&pick.state.subset);
             rng.shuffle(&mut self.order);
         }
-        // The largest share counts as a whole call, else rounds would be empty where all shares are small.
+        // The largest share counts as a complete call: otherwise rounds would be empty if all shares are small.
         let shares = pick.state.subset.iter().map(|slot| pick.share(*slot));
         let largest = shares.fold(0.0, f64::max).max(MIN_LARGEST_SHARE);
         // In reverse, as turns are taken from the end.
@@ -77,8 +77,8 @@
         self.skips_left = self.turns.len() / 2;
     }
 
-    /// Whether the next round may start before this one is over: near its end only, so that no endpoint is postponed for
-    /// long.
+    /// Whether the next round may start before this one ends: only near its end, so that no endpoint is postponed for a long
+    /// time.
     fn may_start_next_round(&self) -> bool {
         self.turns.len() * 2 < self.order.len()
     }
@@ -87,8 +87,8 @@
         self.lookahead > 1
     }
 
-    /// The turn with the shortest expected wait among the next few. Endpoints that accept no calls, and suspect ones, lose
-    /// their turn.
+    /// Returns the turn with the shortest expected wait among the next few. Endpoints that accept no calls and suspect
+    /// endpoints lose their turn.
     fn best_turn(&mut self, pick: &Pick<'_>) -> Option<BestTurn> {
         let mut best: Option<BestTurn> = None;
         let (mut index, mut considered) = (self.turns.len(), 0);
@@ -97,7 +97,7 @@
             let slot = self.turns[index].slot;
             if self.loses_turn(pick, slot) {
                 self.turns.remove(index);
-                // What was found so far stands behind the removed turn.
+                // The best turn so far has a higher index than the removed one, and moves down by 1.
                 best = best.map(|best| BestTurn { index: best.index - 1, ..best });
             } else if Some(slot) != pick.avoid {
                 considered += 1;
@@ -124,9 +124,9 @@
 impl Policy for RoundRobin {
     fn choose(&mut self, pick: &Pick<'_>, rng: &mut fastrand::Rng) -> Option<usize> {
         let postpone_above_us = POSTPONE_FACTOR * pick.state.latencies.median_us();
-        for _ in 0..MAX_ATTEMPTS {
+        for _ in 0..MAX_PASSES {
             match self.best_turn(pick) {
-                // All turns that are left would wait long: the next round starts, once.
+                // All turns considered have a long expected wait: the next round starts, once.
                 Some(best)
                     if best.wait_us > postpone_above_us
                         && !self.turns[best.index].is_postponed
--- a/crates/ochrewalk-load-balancer/src/subset.rs
+++ b/crates/ochrewalk-load-balancer/src/subset.rs
@@ -1,36 +1,36 @@
-//! Subsetting: which endpoints a node calls at all. Few enough to keep connections to, enough to lose some of them, and each
-//! endpoint called by as many nodes as any other.
+//! Subsetting: selects the endpoints that a node calls. A subset is small enough to hold connections to all its endpoints and
+//! large enough to tolerate the loss of some, and all endpoints are called by equally many nodes.
 //!
-//! Deterministic subsetting (*Site Reliability Engineering*, chapter 20) groups nodes so that the nodes of a group have all
-//! endpoints between them. Each group orders the endpoints on a ring of its own, and its nodes share the ring out in arcs
-//! of equal weight, to fractions of an endpoint. All endpoints are thus loaded exactly alike, also by the last group, which
-//! may have fewer nodes with longer arcs. The order is by hashes, so that one endpoint more or less moves each arc's ends
-//! a little and causes little churn. A node without a number draws a random subset by the same hashes; the load then
-//! varies by chance.
+//! Deterministic subsetting (*Site Reliability Engineering*, chapter 20) divides the nodes into groups that each cover all
+//! endpoints. Each group orders the endpoints on a ring of its own, and its nodes divide the ring into arcs of equal weight,
+//! fractions of an endpoint included. All endpoints therefore get exactly the same load, even from the last group, which may
+//! have fewer nodes with longer arcs. The order follows from hashes, so that an added or removed endpoint moves the ends of
+//! each arc only slightly and causes little churn. A node without a number selects a random subset by the same hashes; the
+//! load then varies at random.
 
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// Smaller fractions of an endpoint are rounding errors.
+/// The fraction of an endpoint up to which an overlap counts as a rounding error.
 const MIN_FRACTION: f64 = 1e-9;
 
-/// Which of the endpoints a node calls.
+/// The selection of the endpoints that a node calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subsetting {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// An arc of a ring that the node's group shares.
+    /// The endpoints of an arc of the ring that the node's group divides.
     Deterministic {
-        /// How many endpoints at least; up to twice as many.
+        /// The minimum number of endpoints; a subset has up to twice as many.
         size: usize,
         /// The node's number, from 0.
         node: usize,
-        /// How many nodes there are.
+        /// The number of nodes.
         node_count: usize,
     },
-    /// A random choice.
+    /// A random selection of the endpoints.
     Random {
-        /// How many endpoints.
+        /// The number of endpoints.
         size: usize,
     },
 }
@@ -38,46 +38,46 @@
 /// An endpoint that may be assigned to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// The hash of its address.
+    /// The hash of the endpoint's address.
     pub key: u64,
-    /// Its capacity relative to the others; above 0.
+    /// The endpoint's capacity relative to that of the others; above 0.
     pub weight: f64,
-    /// The slot that it is known by.
+    /// The endpoint's slot.
     pub slot: usize,
 }
 
 /// An endpoint that is assigned to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AssignedEndpoint {
-    /// The slot that it is known by.
+    /// The endpoint's slot.
     pub slot: usize,
-    /// Which fraction of it is the node's; above 0, up to 1.
+    /// The fraction of the endpoint that is assigned to the node; above 0, up to 1.
     pub fraction: f64,
 }
 
-/// All endpoints in one node's order.
+/// The division of all endpoints into a node's subset and its spares.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SubsetAssignment {
     /// The endpoints of the node's subset.
     pub own: Vec<AssignedEndpoint>,
-    /// The slots of all others, in the order in which they stand in for own ones that are ejected.
+    /// The slots of all other endpoints, in the order in which they replace ejected endpoints of the subset.
     pub spare: Vec<usize>,
 }
 
 impl SubsetAssignment {
     fn all(candidates: &[Candidate]) -> SubsetAssignment {
-        SubsetAssignment { own: candidates.iter().map(whole).collect(), spare: Vec::new() }
+        SubsetAssignment { own: candidates.iter().map(fully_assigned).collect(), spare: Vec::new() }
     }
 
     fn first(size: usize, order: &[Candidate]) -> SubsetAssignment {
         let (own, spare) = order.split_at(size);
         SubsetAssignment {
-            own: own.iter().map(whole).collect(),
+            own: own.iter().map(fully_assigned).collect(),
             spare: spare.iter().map(|candidate| candidate.slot).collect(),
         }
     }
 
-    /// One of `arcs` arcs of equal weight; the spares are all other endpoints, from the arc's end on.
+    /// Assigns one of `arcs` arcs of equal weight; the spares are all other endpoints, from the end of the arc on.
     fn arc(order: &[Candidate], arc: usize, arcs: usize) -> SubsetAssignment {
         let total: f64 = order.iter().map(|candidate| candidate.weight).sum();
         let start = arc as f64 * total / arcs as f64;
@@ -102,11 +102,11 @@
     }
 }
 
-fn whole(candidate: &Candidate) -> AssignedEndpoint {
+fn fully_assigned(candidate: &Candidate) -> AssignedEndpoint {
     AssignedEndpoint { slot: candidate.slot, fraction: 1.0 }
 }
 
-/// Assigns a node its subset of the candidates. The seed decides a random subset and nothing else.
+/// Assigns a node its subset of the candidates. The seed affects a random subset only.
 pub fn assign_subset(subsetting: Subsetting, candidates: &[Candidate], seed: u64) -> SubsetAssignment {
     let count = candidates.len();
     match subsetting {
@@ -114,12 +114,12 @@
             SubsetAssignment::first(size, &ordered(candidates, seed))
         }
         Subsetting::Deterministic { size, node, node_count } if count >= 2 * size.max(1) => {
-            // A power of two, so that a list that grows a little keeps its arcs.
+            // A power of two, so that the arcs stay when the list grows slightly.
             let group_size = 1 << (count / size.max(1)).ilog2();
             let group = node / group_size;
-            let nodes_from_group_on = node_count.max(node + 1) - group * group_size;
+            let nodes_from_group_start = node_count.max(node + 1) - group * group_size;
             let order = ordered(candidates, group as u64);
-            SubsetAssignment::arc(&order, node % group_size, group_size.min(nodes_from_group_on))
+            SubsetAssignment::arc(&order, node % group_size, group_size.min(nodes_from_group_start))
         }
         Subsetting::All | Subsetting::Random { .. } | Subsetting::Deterministic { .. } => {
             SubsetAssignment::all(candidates)
@@ -127,7 +127,7 @@
     }
 }
 
-/// The candidates in the order of their hashes with that salt.
+/// Returns the candidates in the order of their hashes with that salt.
 fn ordered(candidates: &[Candidate], salt: u64) -> Vec<Candidate> {
     let mut order: Vec<(u64, Candidate)> =
         candidates.iter().map(|candidate| (salted_hash(candidate.key, salt), *candidate)).collect();
--- a/crates/ochrewalk-load-balancer/src/subset_multiplier.rs
+++ b/crates/ochrewalk-load-balancer/src/subset_multiplier.rs
@@ -1,21 +1,21 @@
-//! How many times its own subset a node uses: once, unless it has so many calls in flight that it would overload those
-//! endpoints, as a node does that has far more traffic than the others. Doubles soon, halves late.
+//! Enlarges the subset of a node with far more traffic than the others, whose calls in flight would otherwise overload its
+//! endpoints. The multiplier is 1 for other nodes; it doubles quickly and halves slowly.
 
-/// How often the multiplier is computed.
+/// The interval at which the multiplier is computed, in microseconds.
 const UPDATE_US: u64 = 1_000_000;
-/// How many updates in a row have to need less before the multiplier is halved.
+/// The number of consecutive updates that must need at most half the multiplier before it is halved.
 const UPDATES_BEFORE_HALVING: u32 = 10;
-/// Mean calls in flight that a node may have at one endpoint.
+/// The mean number of calls in flight that a node may have at one endpoint.
 const CALLS_PER_ENDPOINT: f64 = 0.5;
 
-/// How many times its own subset a node uses.
+/// The factor by which a node enlarges its subset.
 #[derive(Clone, Copy, Debug)]
 pub struct SubsetMultiplier {
     multiplier: usize,
     in_flight: usize,
-    /// Calls in flight times microseconds since the last update.
+    /// The integral of the calls in flight over the time since the last update, in microseconds.
     in_flight_us: f64,
-    /// Until when `in_flight_us` is summed.
+    /// The time up to which `in_flight_us` is summed.
     summed_until_us: u64,
     updated_us: u64,
     updates_below: u32,
@@ -35,18 +35,18 @@
 }
 
 impl SubsetMultiplier {
-    /// How many times its own subset the node uses now; at least 1.
+    /// The current multiplier; at least 1.
     pub fn multiplier(&self) -> usize {
         self.multiplier
     }
 
-    /// A call started, at any endpoint.
+    /// Records the start of a call at any endpoint.
     pub fn call_started(&mut self, now_us: u64) {
         self.advance(now_us);
         self.in_flight += 1;
     }
 
-    /// A call ended.
+    /// Records the end of a call.
     pub fn call_ended(&mut self, now_us: u64) {
         self.advance(now_us);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -57,7 +57,8 @@
         self.summed_until_us = self.summed_until_us.max(now_us);
     }
 
-    /// Computes the multiplier once a second, for a node with that many endpoints of its own. Returns whether it changed.
+    /// Computes the multiplier once a second, for a node to which `subset_size` endpoints are assigned. Returns whether the
+    /// multiplier changed.
     pub fn update(&mut self, now_us: u64, subset_size: usize) -> bool {
         let passed_us = now_us.saturating_sub(self.updated_us);
         if passed_us < UPDATE_US || subset_size == 0 {
--- a/crates/ochrewalk-load-balancer/src/zone_overflow.rs
+++ b/crates/ochrewalk-load-balancer/src/zone_overflow.rs
@@ -1,16 +1,16 @@
-//! How many calls go to other zones: none while the local zone serves them, then as many as it rejects, the same to each
-//! remote endpoint. Once a second an integral controller compares the share of local calls that were not served with a
-//! small tolerated one.
+//! Controls how many calls go to other zones: none while the local zone serves its calls, then as many as it rejects, spread
+//! evenly over the remote endpoints. Once a second an integral controller compares the share of local calls that were not
+//! served with a small tolerated share.
 
 const PERIOD_US: u64 = 1_000_000;
-/// Up to this share of unserved local calls, no calls go to other zones.
+/// The share of unserved local calls up to which no calls go to other zones.
 const TOLERATED_SHARE: f64 = 0.02;
 /// The integral gain.
 const GAIN: f64 = 0.5;
-/// A period with fewer calls goes on until it has as many.
+/// The minimum number of calls of a period; a period with fewer is extended.
 const MIN_CALLS: u32 = 5;
 
-/// How many calls go to other zones.
+/// The controller of the calls that go to other zones.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ZoneOverflow {
     share: f64,
@@ -20,13 +20,13 @@
 }
 
 impl ZoneOverflow {
-    /// A local endpoint served a call.
+    /// Records a call that a local endpoint served.
     pub fn record_served(&mut self, now_us: u64) {
         self.calls += 1;
         self.end_period_if_over(now_us);
     }
 
-    /// A local endpoint did not serve a call.
+    /// Records a call that a local endpoint did not serve.
     pub fn record_unserved(&mut self, now_us: u64) {
         self.calls += 1;
         self.unserved += 1;
@@ -37,13 +37,13 @@
         if now_us < self.period_ends_us || self.calls < MIN_CALLS {
             return;
         }
-        // The clamp keeps the integral from winding up; the error bounds each step.
+        // The clamp prevents integral windup; the error bounds each step.
         let error = f64::from(self.unserved) / f64::from(self.calls) - TOLERATED_SHARE;
         self.share = (self.share + GAIN * error).clamp(0.0, 1.0);
         (self.calls, self.unserved, self.period_ends_us) = (0, 0, now_us + PERIOD_US);
     }
 
-    /// Which part of a local endpoint's share a remote one gets, from 0 to 1.
+    /// The share of a remote endpoint relative to that of a local one, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
