--- a/crates/ochrewalk-load-balancer/tests/choice_trace.rs
+++ b/crates/ochrewalk-load-balancer/tests/choice_trace.rs
@@ -1,5 +1,5 @@
-//! The same seeded events bring the choices and the states that are written down here, for each policy, each subset and
-//! each outcome of a call. A change that is meant to change no choice keeps the digest; it is never taken anew to get a pass.
+//! Seeded events produce the recorded choices and states, for each policy, each subset and each outcome of a call. A change
+//! that is to preserve all choices keeps the digest; the digest is never recorded again in order to make the test pass.
 
 use ochrewalk_load_balancer::{
     BalancingConfig, BalancingPolicy, CallOutcome, EjectionCause, Endpoint, Idempotency, LoadBalancer,
@@ -10,14 +10,14 @@
 const SEEDS: u64 = 144;
 const STEPS: usize = 700;
 const STATE_EVERY: usize = 10;
-/// Of all choices of all seeds, and of the state of each endpoint every ten steps.
+/// The digest of all choices of all seeds, and of the state of each endpoint every ten steps.
 const DIGEST: u64 = 12_733_739_435_654_508_422;
 const CHOICES: u64 = 48_651;
-/// All names of states that operators see: each comes up, or the trace says less than it seems to.
+/// All names of states that operators see. Each must occur: otherwise the trace covers less than it claims to.
 const STATES: [&str; 8] = ["back", "gone", "in", "joining", "leaving", "out", "suspect", "trying"];
 const MS: u64 = 1_000;
 
-/// FNV-1a, 64 bits: small, and the same everywhere.
+/// A 64-bit FNV-1a hash, which is simple and the same on all platforms.
 struct Digest(u64);
 
 impl Digest {
@@ -32,7 +32,7 @@
     }
 }
 
-/// One load balancer, and the events that a seed draws for it.
+/// A load balancer and its random events, both determined by a seed.
 struct Run {
     balancer: LoadBalancer,
     rng: fastrand::Rng,
@@ -45,7 +45,7 @@
     states: BTreeSet<&'static str>,
 }
 
-/// The settings of a seed: together the seeds cover every policy with every subset, with and without learned shares.
+/// Returns the settings of a seed. Together the seeds cover every policy with every subset, with and without learned weights.
 fn settings(seed: u64) -> BalancingConfig {
     let ejection = OutlierEjection {
         consecutive_failures: 2,
@@ -79,19 +79,19 @@
             choices: 0,
             states: BTreeSet::new(),
         };
-        run.relist();
+        run.set_endpoints();
         run
     }
 
-    fn relist(&mut self) {
-        let (count, zones) = (self.rng.u64(4..16), self.rng.bool());
+    fn set_endpoints(&mut self) {
+        let (count, has_zones) = (self.rng.u64(4..16), self.rng.bool());
         let keys: BTreeSet<u64> = (0..count).map(|_| self.rng.u64(0..24)).collect();
         let listed: Vec<Endpoint> = keys
             .into_iter()
             .map(|key| Endpoint {
                 key,
                 weight: 1.0 + (key % 3) as f64,
-                is_local_zone: !zones || !key.is_multiple_of(4),
+                is_local_zone: !has_zones || !key.is_multiple_of(4),
             })
             .collect();
         let slots = self.balancer.set_endpoints(self.now_us, &listed);
@@ -116,9 +116,13 @@
         if self.in_flight.is_empty() {
             return;
         }
-        let at = self.rng.usize(0..self.in_flight.len());
-        let (call, slot) =
-            self.in_flight.iter().nth(at).map(|(call, slot)| (*call, *slot)).expect("in flight");
+        let index = self.rng.usize(0..self.in_flight.len());
+        let (call, slot) = self
+            .in_flight
+            .iter()
+            .nth(index)
+            .map(|(call, slot)| (*call, *slot))
+            .expect("the index is below the number of calls in flight");
         self.in_flight.remove(&call);
         let is_failing = self.failing.contains(&self.balancer.state().endpoint(slot).key);
         let outcome = match (is_failing, self.rng.u32(0..24)) {
@@ -140,13 +144,13 @@
     }
 
     fn step(&mut self, step: usize) {
-        // Bursts of calls, then time enough for pauses and slow starts to end.
+        // Bursts of calls, then enough time for ejections and slow starts to end.
         self.now_us += self.rng.u64(0..if (step / 60).is_multiple_of(2) { 5 * MS } else { 150 * MS });
         if step.is_multiple_of(120) {
             self.failing = (0..self.rng.u64(0..12)).map(|_| self.rng.u64(0..24)).collect();
         }
         match self.rng.u32(0..200) {
-            0 | 1 => self.relist(),
+            0 | 1 => self.set_endpoints(),
             2..=4 => self.fail_outside_of_calls(),
             5..=7 => {
                 let (unavailable_for_us, next_us) =
@@ -171,10 +175,10 @@
             let Some(endpoint) = endpoint else { continue };
             let cause = endpoint.health.ejection_cause().map(EjectionCause::description);
             let (since_us, until_us) = (endpoint.health.since_us(), endpoint.health.ejected_until_us());
-            let (share, warmth) =
+            let (share, slow_start_factor) =
                 (state.share(slot, self.now_us), endpoint.health.slow_start_factor(self.now_us));
             lines.push(format!(
-                "{slot} {} {status} {cause:?} {since_us} {until_us:?} {share:.9} {warmth:.9} {} {} {:.6}",
+                "{slot} {} {status} {cause:?} {since_us} {until_us:?} {share:.9} {slow_start_factor:.9} {} {} {:.6}",
                 endpoint.key,
                 endpoint.in_flight(),
                 endpoint.calls_started,
@@ -186,7 +190,7 @@
 }
 
 #[test]
-fn seeded_events_bring_the_choices_and_states_that_are_written_down() {
+fn seeded_events_produce_the_recorded_choices_and_states() {
     let (mut digest, mut choices, mut states) = (Digest::new(), 0, BTreeSet::new());
     for seed in 0..SEEDS {
         let mut run = Run::new(seed);
