--- a/crates/ochrewalk-concurrency-limits/src/concurrency_limits.rs
+++ b/crates/ochrewalk-concurrency-limits/src/concurrency_limits.rs
@@ -1,18 +1,18 @@
-//! The limits of all pools: admits calls, counts what became of them, and moves the limits once a period.
+//! The limits of all pools: admits calls, counts their outcomes, and adjusts the limits once per period.
 
 use crate::adaptive_limit::PeriodSample;
 use crate::config::{LimitsConfig, PoolConfig};
 use crate::pool::Pool;
 use crate::shared_capacity::{PoolUsage, SharedCapacity};
 
-/// How often limits move, in microseconds.
+/// The period after which limits are adjusted, in microseconds.
 pub const PERIOD_US: u64 = 1_000_000;
-/// By how many periods the windows of two neighbouring pools are apart.
+/// The offset between the baseline windows of two consecutive pools, in periods.
 const PHASE_BETWEEN_POOLS: u32 = 4;
-/// A limit is reported again once its logarithm has moved this far since it was last reported.
+/// The change in the logarithm of a limit, since it was last reported, above which the limit is reported again.
 const REPORTED_CHANGE: f64 = 0.2;
 
-/// A limit that has moved, for the log.
+/// A change of a limit, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
     /// The pool's index.
@@ -21,7 +21,7 @@
     pub from: f64,
     /// The limit now.
     pub to: f64,
-    /// What the last period showed.
+    /// The sample of the last period.
     pub sample: PeriodSample,
 }
 
@@ -34,13 +34,13 @@
 }
 
 impl ConcurrencyLimits {
-    /// Limits whose baselines are measured in phase with those of every other node.
+    /// Creates limits whose baselines are measured at the same time as those of all other nodes.
     pub fn new(now_us: u64, config: &LimitsConfig) -> ConcurrencyLimits {
         ConcurrencyLimits::with_phase(now_us, config, 0)
     }
 
-    /// Limits whose baselines are measured that many periods earlier: different from node to node, so that not all measure
-    /// at once.
+    /// Creates limits whose baselines are measured `phase` periods earlier. Nodes use different phases, so that they do not all
+    /// measure at the same time.
     pub fn with_phase(now_us: u64, config: &LimitsConfig, phase: u32) -> ConcurrencyLimits {
         let pool = |(index, pool): (usize, &PoolConfig)| {
             Pool::new(config.algorithm, pool, phase + PHASE_BETWEEN_POOLS * index as u32)
@@ -57,7 +57,7 @@
         ConcurrencyLimits { pools, capacity, period_ends_us: now_us + PERIOD_US }
     }
 
-    /// Whether the pool may start a call now; the call then counts as in flight.
+    /// Whether the pool may start a call now. An admitted call counts as in flight.
     pub fn try_acquire(&mut self, now_us: u64, pool: usize) -> bool {
         let is_admitted = self.capacity.try_acquire(now_us, pool);
         let in_flight = self.capacity.pools[pool].in_flight;
@@ -66,25 +66,25 @@
         is_admitted
     }
 
-    /// A call succeeded after that many microseconds.
+    /// Records a call that succeeded after `took_us` microseconds.
     pub fn call_succeeded(&mut self, pool: usize, took_us: u64) {
         self.capacity.release(pool);
         self.pools[pool].call_succeeded(took_us);
     }
 
-    /// A call was rejected upstream, or timed out.
+    /// Records a call that the upstream rejected, or that timed out.
     pub fn call_rejected(&mut self, pool: usize) {
         self.capacity.release(pool);
         self.pools[pool].call_rejected();
     }
 
-    /// A call ended in a way that says nothing of what lies upstream.
+    /// Records a call whose end is no evidence about the upstream.
     pub fn call_ignored(&mut self, pool: usize) {
         self.capacity.release(pool);
     }
 
-    /// Moves the limits if a period has ended. Returns those that have moved far enough to be logged. A clock that woke late
-    /// makes one long period, not many.
+    /// Adjusts the limits if a period has ended. Returns those that have changed enough to be logged. A timer that fires late
+    /// causes a single long period and not several.
     pub fn tick(&mut self, now_us: u64) -> Vec<LimitChange> {
         if now_us < self.period_ends_us {
             return Vec::new();
@@ -104,17 +104,17 @@
         changes
     }
 
-    /// The pool's limit.
+    /// The current limit of the pool.
     pub fn limit(&self, pool: usize) -> f64 {
         self.pools[pool].limit.value()
     }
 
-    /// The pool's baseline latency in microseconds; none before a call has succeeded.
+    /// The baseline latency of the pool in microseconds; `None` before a call has succeeded.
     pub fn baseline_us(&self, pool: usize) -> Option<f64> {
         self.pools[pool].baseline.us()
     }
 
-    /// What the pools use.
+    /// The capacity that the pools share, and their usage of it.
     pub fn capacity(&self) -> &SharedCapacity {
         &self.capacity
     }
--- a/crates/ochrewalk-concurrency-limits/src/config.rs
+++ b/crates/ochrewalk-concurrency-limits/src/config.rs
@@ -1,27 +1,27 @@
-//! What operators set of concurrency limits.
+//! The operators' settings of concurrency limits.
 
 use crate::adaptive_limit::LimitAlgorithm;
 
-/// One pool.
+/// The settings of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolConfig {
-    /// Its limit at the start.
+    /// The initial limit.
     pub initial: u32,
-    /// The least that its limit falls to; at least 1.
+    /// The minimum of the limit; at least 1.
     pub min: u32,
-    /// The most that its limit rises to.
+    /// The maximum of the limit.
     pub max: u32,
-    /// Whether it may use the reserve; its limit then falls only once all others have.
+    /// Whether the pool may use the reserve; its limit then falls only after those of all other pools have fallen.
     pub uses_reserve: bool,
 }
 
-/// All pools.
+/// The settings of all pools.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitsConfig {
-    /// How limits follow what the periods show.
+    /// The algorithm that adjusts the limits after each period.
     pub algorithm: LimitAlgorithm,
-    /// The pools; from here on each is known by its index.
+    /// The pools; each is identified by its index in this list.
     pub pools: Vec<PoolConfig>,
-    /// How many calls are kept free for the pools that may use the reserve.
+    /// The number of calls that are reserved for the pools that may use the reserve.
     pub reserve: u32,
 }
--- a/crates/ochrewalk-concurrency-limits/src/lib.rs
+++ b/crates/ochrewalk-concurrency-limits/src/lib.rs
@@ -1,31 +1,31 @@
-//! Concurrency limits for upstream calls, by pool of methods: limits that follow what lies upstream as it slows and
-//! recovers, capacity that is lent while it is idle, and a reserve that keeps the calls of some pools going.
+//! Concurrency limits for upstream calls, by pool of methods: limits that adapt as the upstream slows down and recovers, idle
+//! capacity that is lent to other pools, and a reserve that guarantees some calls to selected pools.
 //!
-//! The crate does no I/O and reads no clock. Whoever makes the calls asks [`ConcurrencyLimits::try_acquire`] before each, and
-//! reports how each ended. The same events bring the same decisions.
+//! The crate does no I/O and reads no clock. The caller calls [`ConcurrencyLimits::try_acquire`] before each upstream call, and
+//! reports the outcome of each. The same sequence of events produces the same decisions.
 //!
 //! # Guarantees
 //!
 //! * A pool is never refused a call within its own limit, nor one within the reserve if it may use that.
 //! * The reserve is never lent to other pools.
-//! * A pool without a call in flight gets one a second, however full all pools are.
+//! * A pool without a call in flight may start one call per second, however full all pools are.
 //! * A limit stays within the bounds of its [`PoolConfig`].
 //!
-//! # Which calls are admitted
+//! # Admission
 //!
-//! | a call | is admitted |
+//! | call | admitted |
 //! | --- | --- |
 //! | within the pool's own limit | always |
 //! | within the unused reserve | if the pool may use the reserve |
-//! | beyond both | if all pools together stay within their limits less the unused reserve, and no other pool was refused within the last 200 ms |
-//! | the pool's first for a second, with none in flight | always |
+//! | beyond both | if all pools together stay within the sum of their limits less the unused reserve, and no other pool was refused within the last 200 ms |
+//! | the pool's first within a second, with none in flight | always |
 //!
-//! Limits move once in [`PERIOD_US`], by the [`LimitAlgorithm`].
+//! Limits are adjusted once per [`PERIOD_US`] by the [`LimitAlgorithm`].
 //!
-//! # Left to the caller
+//! # Responsibilities of the caller
 //!
-//! * Reporting the end of each call that was admitted, once.
-//! * Calling [`ConcurrencyLimits::tick`] at least once a period.
+//! * Reporting the end of each admitted call, exactly once.
+//! * Calling [`ConcurrencyLimits::tick`] at least once per period.
 //!
 //! ```
 //! use ochrewalk_concurrency_limits::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
@@ -33,7 +33,7 @@
 //! let pools = vec![pool(2, true), pool(4, false)];
 //! let config = LimitsConfig { algorithm: LimitAlgorithm::Integral, pools, reserve: 2 };
 //! let mut limits = ConcurrencyLimits::new(0, &config);
-//! // The second pool has its own four; the reserve is never lent.
+//! // The second pool has its own limit of four; the reserve is never lent.
 //! assert_eq!((0..9).filter(|_| limits.try_acquire(0, 1)).count(), 4);
 //! assert!(limits.try_acquire(0, 0) && limits.try_acquire(0, 0));
 //! ```
--- a/crates/ochrewalk-concurrency-limits/src/pool.rs
+++ b/crates/ochrewalk-concurrency-limits/src/pool.rs
@@ -1,15 +1,15 @@
-//! One pool: its limit, its baseline, and what the current period has shown so far.
+//! A pool: its limit, its baseline latency, and the samples of the current period.
 
 use crate::adaptive_limit::{AdaptiveLimit, LimitAlgorithm, PeriodSample};
 use crate::baseline_latency::BaselineLatency;
 use crate::config::PoolConfig;
 
-/// Latencies that are stored of a period; more would say nothing new.
+/// The maximum number of latencies that are stored per period; more would hardly change the median.
 const MAX_LATENCIES: usize = 512;
-/// How far a period with enough calls moves the smoothed latency. Without smoothing, the baseline would be the least of many
-/// medians of a few calls each, far below the usual latency.
+/// The smoothing factor of the latency, for a period with enough calls. Without smoothing, the baseline would be the minimum
+/// of many medians of few calls each, which is far below the usual latency.
 const SMOOTHING: f64 = 0.3;
-/// A period with fewer calls moves it proportionally less.
+/// The number of calls in a period below which the smoothing factor is reduced proportionally.
 const FULL_WEIGHT_CALLS: f64 = 20.0;
 
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
     pub limit: AdaptiveLimit,
     pub baseline: BaselineLatency,
     pub max_in_flight: u32,
-    /// The limit when a change of it was last returned.
+    /// The limit when a change was last reported.
     pub reported_limit: f64,
     smoothed_latency_us: Option<f64>,
     latencies_us: Vec<u64>,
@@ -52,7 +52,7 @@
         self.rejected += 1;
     }
 
-    /// Ends a period in which `allowed` calls were allowed in flight, and moves the limit by it.
+    /// Ends a period in which `allowed` calls were allowed in flight, and adjusts the limit by its sample.
     pub fn end_period(&mut self, allowed: f64) -> PeriodSample {
         let latency_us = self.smooth_latency();
         self.baseline.end_period(latency_us);
@@ -67,7 +67,7 @@
         sample
     }
 
-    /// Moves the smoothed latency towards the period's median; none if no call succeeded in it.
+    /// Moves the smoothed latency towards the period's median and returns it; `None` if no call succeeded in the period.
     fn smooth_latency(&mut self) -> Option<f64> {
         self.latencies_us.sort_unstable();
         let count = self.latencies_us.len();
