--- a/crates/ochrewalk-concurrency-limits/src/adaptive_limit.rs
+++ b/crates/ochrewalk-concurrency-limits/src/adaptive_limit.rs
@@ -1,42 +1,42 @@
-//! A concurrency limit that moves once a period, by one of several algorithms: an integral controller, which is the default,
-//! and those that it is compared with.
+//! A concurrency limit that is adjusted once per period by one of several algorithms: an integral controller, which is the
+//! default, and others for comparison.
 //!
-//! The integral controller is that of admission (docs/design.md), counted per period: u(k) = u(k-1) + K_I e(k). Here u is the
-//! logarithm of the limit, and the error e is how far the period is from the target: latencies over their baseline, and the
-//! share of rejected calls.
+//! The integral controller is that of admission (docs/design.md), applied once per period: u(k) = u(k-1) + K_I e(k). Here u is
+//! the logarithm of the limit, and the error e is the distance of the period from the target, computed from latencies relative
+//! to their baseline and from the share of rejected calls.
 
-/// What a period showed of a pool's calls.
+/// The sample of a pool's calls in one period.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeriodSample {
-    /// Calls that ended.
+    /// The number of calls that ended.
     pub ended: u32,
-    /// Those of them that were rejected or timed out.
+    /// The number of these calls that were rejected or timed out.
     pub rejected: u32,
-    /// The smoothed latency of the others over its baseline; none if there were no others.
+    /// The smoothed latency of the other calls, divided by its baseline; `None` without other calls.
     pub latency_ratio: Option<f64>,
-    /// The most calls in flight at once over what was allowed.
+    /// The maximum number of calls in flight, divided by the number allowed.
     pub utilization: f64,
 }
 
-/// How a limit follows its samples.
+/// The algorithm that adjusts a limit after each period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitAlgorithm {
-    /// An integral step on the error, of the limit's logarithm.
+    /// An integral controller of the limit's logarithm.
     Integral,
-    /// Additive increase, multiplicative decrease: one more each period; half if a call was rejected or took twice as long.
+    /// Additive increase, multiplicative decrease: plus 1 per period, or half if a call was rejected or latencies doubled.
     Aimd,
-    /// The limit times baseline over latency, and some more.
+    /// The limit times the baseline divided by the latency, plus its square root.
     Gradient,
-    /// The initial limit.
+    /// No adjustment: the initial limit stays.
     Fixed,
 }
 
 impl LimitAlgorithm {
-    /// All algorithms, in the order in which they are shown.
+    /// All algorithms, in the order in which they are displayed.
     pub const ALL: [LimitAlgorithm; 4] =
         [LimitAlgorithm::Integral, LimitAlgorithm::Aimd, LimitAlgorithm::Gradient, LimitAlgorithm::Fixed];
 
-    /// The name by which the laboratory shows the algorithm.
+    /// Returns the name by which the test lab displays the algorithm.
     pub fn name(self) -> &'static str {
         match self {
             LimitAlgorithm::Integral => "integral",
@@ -47,30 +47,31 @@
     }
 }
 
-/// The latency ratio of a pool that uses the reserve: it gives way only once all others have.
+/// The target latency ratio of a pool that uses the reserve: its limit falls only after those of all other pools.
 const PRIORITY_TARGET_RATIO: f64 = 2.0;
-/// The share of rejected calls counts this many times as much as the latency ratio.
+/// The weight of the share of rejected calls in the error, relative to that of the latency ratio.
 const REJECTION_WEIGHT: f64 = 4.0;
-/// The integral gain, and the most that one period moves the limit's logarithm: down faster than up, as what lies upstream
-/// is shared.
+/// The integral gain.
 const INTEGRAL_GAIN: f64 = 0.25;
+/// The maximum changes of the limit's logarithm in one period. Decreases are faster than increases because the upstream is
+/// shared.
 const MAX_DECREASE: f64 = 0.35;
 const MAX_INCREASE: f64 = 0.08;
-/// A smaller error moves nothing, so that the limit comes to rest.
+/// The error below which the limit stays, so that it settles.
 const DEAD_BAND: f64 = 0.08;
-/// A limit rises only if at least this part of it was used: an anti-windup, as concurrency that was never used says nothing
-/// of what lies upstream.
+/// The utilization below which a limit does not rise. An anti-windup: unused concurrency gives no evidence about the
+/// upstream.
 const MIN_UTILIZATION: f64 = 0.75;
-/// The error of a period with fewer calls counts proportionally less.
+/// The number of calls in a period below which the error is reduced proportionally.
 const FULL_WEIGHT_CALLS: f64 = 8.0;
-/// AIMD halves the limit above this latency ratio.
+/// The latency ratio above which AIMD halves the limit.
 const AIMD_MAX_RATIO: f64 = 2.0;
-/// The least that one period's gradient leaves of the limit.
+/// The minimum gradient of one period.
 const MIN_GRADIENT: f64 = 0.5;
-/// How far one period moves the limit towards the gradient's.
+/// The smoothing factor with which one period moves the limit towards the target of the gradient.
 const GRADIENT_SMOOTHING: f64 = 0.2;
 
-/// A concurrency limit.
+/// An adaptive concurrency limit.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     algorithm: LimitAlgorithm,
@@ -81,10 +82,10 @@
 }
 
 impl AdaptiveLimit {
-    /// The latency ratio that the integral controller aims at: below it what lies upstream idles now and then.
+    /// The target latency ratio of the integral controller: with a lower one the upstream is idle at times.
     pub const TARGET_RATIO: f64 = 1.3;
 
-    /// A limit with its initial value and its bounds, which are at least 1.
+    /// Creates a limit with an initial value and bounds, which are at least 1.
     pub fn new(algorithm: LimitAlgorithm, initial: u32, min: u32, max: u32) -> AdaptiveLimit {
         let min = f64::from(min.max(1));
         let max = f64::from(max.max(1)).max(min);
@@ -92,24 +93,24 @@
         AdaptiveLimit { algorithm, value, min, max, target_ratio: AdaptiveLimit::TARGET_RATIO }
     }
 
-    /// The same limit with priority: it falls only once all others have.
+    /// Returns the limit with priority: the limit falls only after all those without priority.
     pub fn with_priority(self) -> AdaptiveLimit {
         AdaptiveLimit { target_ratio: PRIORITY_TARGET_RATIO, ..self }
     }
 
-    /// How many calls may be in flight at once.
+    /// The number of calls that may be in flight at the same time.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Replaces the bounds. What was learned stays as far as they allow.
+    /// Replaces the bounds. The current value is kept as far as they allow.
     pub fn set_bounds(&mut self, min: u32, max: u32) {
         let bounds = AdaptiveLimit::new(self.algorithm, 0, min, max);
         (self.min, self.max) = (bounds.min, bounds.max);
         self.value = self.value.clamp(self.min, self.max);
     }
 
-    /// A period has ended. Without a call the limit stays.
+    /// Adjusts the limit at the end of a period. Without a call the limit stays.
     pub fn end_period(&mut self, sample: &PeriodSample) {
         if sample.ended == 0 {
             return;
@@ -160,7 +161,7 @@
 }
 
 impl PeriodSample {
-    /// The latency ratio; that of the baseline if no call succeeded.
+    /// The latency ratio, or 1 (that of the baseline) if no call succeeded.
     fn ratio_or_baseline(&self) -> f64 {
         self.latency_ratio.unwrap_or(1.0)
     }
