--- a/crates/ochrewalk-concurrency-limits/tests/baseline_latency.rs
+++ b/crates/ochrewalk-concurrency-limits/tests/baseline_latency.rs
@@ -1,11 +1,11 @@
-//! What counts as the latency of a pool's calls where nothing queues upstream.
+//! The baseline latency of a pool: the window over which the minimum is taken, and the periods with fewer calls.
 
 use ochrewalk_concurrency_limits::BaselineLatency;
 
 const HALF_WINDOW: u32 = BaselineLatency::HALF_WINDOW_PERIODS;
 
 #[test]
-fn a_single_low_latency_is_forgotten_and_a_lower_one_counts_at_once() {
+fn a_single_low_latency_expires_and_a_lower_one_counts_immediately() {
     let mut baseline = BaselineLatency::new(0);
     assert_eq!(baseline.us(), None);
     baseline.end_period(Some(10.0));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn remeasuring_is_short_repeats_and_differs_by_phase() {
+fn remeasuring_is_short_and_periodic_and_depends_on_the_phase() {
     let remeasured = |phase: u32| -> Vec<u32> {
         let mut baseline = BaselineLatency::new(phase);
         let mut periods = Vec::new();
--- a/crates/ochrewalk-concurrency-limits/tests/limit_trace.rs
+++ b/crates/ochrewalk-concurrency-limits/tests/limit_trace.rs
@@ -1,15 +1,15 @@
-//! The same seeded events bring the admissions and the limits that are written down here, for each algorithm. A change that
-//! is meant to change no decision keeps the digest; it is never taken anew to get a pass.
+//! Seeded events produce the recorded admissions and limits, for each algorithm. A change that is to preserve all decisions
+//! keeps the digest; the digest is never recorded again in order to make the test pass.
 
 use ochrewalk_concurrency_limits::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 
 const SEEDS: u64 = 48;
 const STEPS: usize = 4_000;
-/// Of all admissions, limits and changes of all seeds.
+/// The digest of all admissions, limits and changes of all seeds.
 const DIGEST: u64 = 13_285_809_103_065_807_640;
 const ADMITTED: u64 = 71_928;
 
-/// FNV-1a, 64 bits: small, and the same everywhere.
+/// A 64-bit FNV-1a hash, which is simple and the same on all platforms.
 struct Digest(u64);
 
 impl Digest {
@@ -30,8 +30,8 @@
     LimitsConfig { algorithm: LimitAlgorithm::ALL[seed as usize % 4], pools, reserve: (seed % 3) as u32 }
 }
 
-/// Digest of a seed's run, and how many calls were admitted.
-fn play(seed: u64) -> (u64, u64) {
+/// Runs the events of a seed and returns the digest of the run and the number of admitted calls.
+fn run(seed: u64) -> (u64, u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut limits = ConcurrencyLimits::with_phase(0, &settings(seed), seed as u32);
     let (mut digest, mut admitted, mut now_us) = (Digest::new(), 0, 0);
@@ -39,17 +39,18 @@
         now_us += rng.u64(0..40_000);
         let pool = rng.usize(0..3);
         let in_flight = limits.capacity().pools[pool].in_flight;
-        // Slow for a while, then quick again: limits fall and recover.
-        let (slowest_us, rejects) = if (step / 500).is_multiple_of(2) { (3_000, 40) } else { (40_000, 5) };
+        // Slow calls for a time, then fast ones again: limits fall and recover.
+        let (max_latency_us, calls_per_rejection) =
+            if (step / 500).is_multiple_of(2) { (3_000, 40) } else { (40_000, 5) };
         match rng.u32(0..20) {
             0..=10 => {
-                let admits = limits.try_acquire(now_us, pool);
-                admitted += u64::from(admits);
-                digest.add(&format!("{pool} {admits}"));
+                let is_admitted = limits.try_acquire(now_us, pool);
+                admitted += u64::from(is_admitted);
+                digest.add(&format!("{pool} {is_admitted}"));
             }
             11 if in_flight > 0 => limits.call_ignored(pool),
-            _ if in_flight > 0 && rng.u32(0..rejects) == 0 => limits.call_rejected(pool),
-            _ if in_flight > 0 => limits.call_succeeded(pool, 1_000 + rng.u64(0..slowest_us)),
+            _ if in_flight > 0 && rng.u32(0..calls_per_rejection) == 0 => limits.call_rejected(pool),
+            _ if in_flight > 0 => limits.call_succeeded(pool, 1_000 + rng.u64(0..max_latency_us)),
             _ => {}
         }
         for change in limits.tick(now_us) {
@@ -63,11 +64,11 @@
 }
 
 #[test]
-fn seeded_events_bring_the_admissions_and_limits_that_are_written_down() {
+fn seeded_events_produce_the_recorded_admissions_and_limits() {
     let (mut digest, mut admitted) = (Digest::new(), 0);
     for seed in 0..SEEDS {
-        let (of_seed, count) = play(seed);
-        digest.add(&of_seed.to_string());
+        let (seed_digest, count) = run(seed);
+        digest.add(&seed_digest.to_string());
         admitted += count;
     }
     assert_eq!((digest.0, admitted), (DIGEST, ADMITTED));
