--- a/crates/ochrewalk-concurrency-limits/src/concurrency_limits.rs
+++ b/crates/ochrewalk-concurrency-limits/src/concurrency_limits.rs
@@ -39,8 +39,8 @@
         ConcurrencyLimits::with_phase(now_us, config, 0)
     }
 
-    /// Creates limits whose baselines are measured `phase` periods earlier. Nodes use different phases, so that they do not all
-    /// measure at the same time.
+    /// Creates limits whose baselines are measured `phase` periods earlier. Nodes use different phases, so that they do not
+    /// all measure at the same time.
     pub fn with_phase(now_us: u64, config: &LimitsConfig, phase: u32) -> ConcurrencyLimits {
         let pool = |(index, pool): (usize, &PoolConfig)| {
             Pool::new(config.algorithm, pool, phase + PHASE_BETWEEN_POOLS * index as u32)
--- a/crates/ochrewalk-concurrency-limits/src/lib.rs
+++ b/crates/ochrewalk-concurrency-limits/src/lib.rs
@@ -1,8 +1,8 @@
 //! Concurrency limits for upstream calls, by pool of methods: limits that adapt as the upstream slows down and recovers, idle
 //! capacity that is lent to other pools, and a reserve that guarantees some calls to selected pools.
 //!
-//! The crate does no I/O and reads no clock. The caller calls [`ConcurrencyLimits::try_acquire`] before each upstream call, and
-//! reports the outcome of each. The same sequence of events produces the same decisions.
+//! The crate does no I/O and reads no clock. The caller invokes [`ConcurrencyLimits::try_acquire`] before each upstream call
+//! and reports the outcome of each. The same sequence of events produces the same decisions.
 //!
 //! # Guarantees
 //!
--- a/crates/ochrewalk-concurrency-limits/tests/limit_trace.rs
+++ b/crates/ochrewalk-concurrency-limits/tests/limit_trace.rs
@@ -39,8 +39,8 @@
         now_us += rng.u64(0..40_000);
         let pool = rng.usize(0..3);
         let in_flight = limits.capacity().pools[pool].in_flight;
-        // Slow calls for a time, then fast ones again: limits fall and recover.
-        let (max_latency_us, calls_per_rejection) =
+        // Fast and slow calls alternate every 500 steps: limits fall and recover.
+        let (latency_range_us, calls_per_rejection) =
             if (step / 500).is_multiple_of(2) { (3_000, 40) } else { (40_000, 5) };
         match rng.u32(0..20) {
             0..=10 => {
@@ -50,7 +50,7 @@
             }
             11 if in_flight > 0 => limits.call_ignored(pool),
             _ if in_flight > 0 && rng.u32(0..calls_per_rejection) == 0 => limits.call_rejected(pool),
-            _ if in_flight > 0 => limits.call_succeeded(pool, 1_000 + rng.u64(0..max_latency_us)),
+            _ if in_flight > 0 => limits.call_succeeded(pool, 1_000 + rng.u64(0..latency_range_us)),
             _ => {}
         }
         for change in limits.tick(now_us) {
--- a/crates/ochrewalk-connection-pool/src/budget.rs
+++ b/crates/ochrewalk-connection-pool/src/budget.rs
@@ -4,7 +4,7 @@
 /// The number of retries that are available at the start, and the most that can be accumulated.
 const MAX_RETRIES: f64 = 10.0;
 
-/// A retry budget: each first attempt adds a share of a retry, and each retry takes a whole one.
+/// A retry budget: each first attempt adds a share of a retry, and each retry takes a full one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     share: f64,
--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -93,9 +93,10 @@
     pub max_idle_us: u64,
 }
 
-/// The number of times that one call may be given a connection, whatever the retry budget: stops a call that would
+/// The number of times that one call may be assigned to a connection, whatever the retry budget: stops a call that would
 /// otherwise move from one failing connection to the next without end.
 const MAX_ATTEMPTS: u32 = 4;
+
 struct Connection {
     slot: usize,
     is_connected: bool,
@@ -163,8 +164,8 @@
         if self.idle_by_slot.len() < slot_count {
             self.idle_by_slot.resize(slot_count, BTreeSet::new());
         }
-        // A slot may be given to another endpoint once no call is in flight there, so that no connection to the old one
-        // may remain after that.
+        // A slot may be assigned to another endpoint once no call is in flight there: no connection to the previous endpoint
+        // may outlast that.
         let is_unused = |(_, connection): &(&ConnectionId, &Connection)| {
             connection.call.is_none() && !slots.contains(&connection.slot)
         };
@@ -175,7 +176,7 @@
         slots
     }
 
-    /// The time, in microseconds, for which no endpoint is expected to accept calls; none if one accepts them now.
+    /// The time, in microseconds, for which no endpoint is expected to accept calls; `None` if an endpoint accepts them now.
     pub fn unavailable_for_us(&mut self, now_us: u64) -> Option<u64> {
         self.load_balancer.unavailable_for_us(now_us)
     }
--- a/crates/ochrewalk-load-balancer/src/health.rs
+++ b/crates/ochrewalk-load-balancer/src/health.rs
@@ -175,8 +175,8 @@
         self.slow_start_ends_us = self.slow_start_ends_us.saturating_sub(by_us);
     }
 
-    /// Records the end of a call. If the call was the probe, the endpoint may be probed again immediately, unless an outcome is
-    /// recorded next.
+    /// Records the end of a call. If the call was the probe, the endpoint may be probed again immediately, unless an outcome
+    /// is recorded next.
     pub fn probe_ended(&mut self, call: u64, now_us: u64) {
         if let State::Probing { call: probe, cause } = self.state {
             if probe == call {
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Records that the endpoint is listed. A removed endpoint starts again, with slow start and with the ejection time that it
-    /// had reached.
+    /// Records that the endpoint is listed. A removed endpoint starts again, with slow start and with the ejection time that
+    /// it had reached.
     pub fn added_again(&mut self, now_us: u64) {
         if self.is_removed() {
             let next_ejection_us = self.next_ejection_us;
--- a/crates/ochrewalk-load-balancer/src/probe.rs
+++ b/crates/ochrewalk-load-balancer/src/probe.rs
@@ -35,8 +35,8 @@
 }
 
 impl ProbeProgress {
-    /// Creates a progress with a random start, so that nodes that saw the endpoint fail at the same time do not probe it at the
-    /// same time.
+    /// Creates a progress with a random start, so that nodes that saw the endpoint fail at the same time do not probe it at
+    /// the same time.
     pub fn random(rng: &mut fastrand::Rng) -> ProbeProgress {
         ProbeProgress { earned: rng.f64(), waited_us: 0 }
     }
--- a/crates/ochrewalk-load-balancer/tests/balancing.rs
+++ b/crates/ochrewalk-load-balancer/tests/balancing.rs
@@ -23,8 +23,8 @@
     balancer
 }
 
-/// Makes calls one after the other, each with the latency and the outcome that `reply` returns for its slot. Returns the number
-/// of calls of each endpoint.
+/// Makes calls one after the other, each with the latency and the outcome that `reply` returns for its slot. Returns the
+/// number of calls of each endpoint.
 fn calls(
     balancer: &mut LoadBalancer,
     now_us: &mut u64,
@@ -276,8 +276,8 @@
 
 #[test]
 fn after_a_long_wait_for_a_probe_slow_start_begins_in_the_middle_of_the_wait() {
-    // Slow start takes 2 s. After the ejection time a call starts every `step_ms` milliseconds. The first probe fails, so that a
-    // complete probe is earned before the second, which is answered.
+    // Slow start takes 2 s. After the ejection time a call starts every `step_ms` milliseconds. The first probe fails, so
+    // that a complete probe is earned before the second, which is answered.
     for (step_ms, expected_status) in [(10, "back"), (200, "in")] {
         let mut balancer = balancer(10);
         let mut now = 0;
--- a/crates/ochrewalk-load-balancer/tests/fleet.rs
+++ b/crates/ochrewalk-load-balancer/tests/fleet.rs
@@ -12,8 +12,8 @@
     }
 }
 
-/// A fleet with the load that operators measured: 200 nodes with 3 calls per second each, 100 endpoints of one core, and 100 ms
-/// of work per call, which is a load of 60 %.
+/// Returns a fleet with the load that operators measured: 200 nodes with 3 calls per second each, 100 endpoints of one core,
+/// and 100 ms of work per call, which is a load of 60 %.
 fn measured_load(policy: BalancingPolicy, seed: u64) -> Fleet {
     Fleet::plain(200, 100, config(policy), seed)
 }
