--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -11,7 +11,9 @@
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
-use ochrewalk_connection_pool::{CallId, Ended, LinkId, Places, Said, Settled, Wire};
+use ochrewalk_connection_pool::{
+    CallId, CallResult, ConnectionId, ConnectionPool, Disconnect, ReplyOutcome, Transport,
+};
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
 use ochrewalk_operator_config::{AjpUpstream, UpstreamEndpoint};
@@ -43,7 +45,7 @@
 }
 
 struct State {
-    places: Places,
+    places: ConnectionPool,
     hands: Hands,
     /// Calls that wait for the end of a hold; none where none is on.
     held: Option<Vec<HeldCall>>,
@@ -61,9 +63,9 @@
 /// What the connections carry, and what is asked of them.
 struct Hands {
     inner: std::sync::Weak<Inner>,
-    /// Where each place is, by the number that `Places` knows it by.
+    /// Where each place is, by the number that `ConnectionPool` knows it by.
     places: Vec<SocketAddr>,
-    links: HashMap<LinkId, Link>,
+    links: HashMap<ConnectionId, Link>,
     calls: HashMap<CallId, Call>,
     ids: HashMap<RpcId, CallId>,
     next_call: CallId,
@@ -90,12 +92,12 @@
 
 impl AjpBelow {
     pub fn new(settings: AjpUpstream, clock: Clock, seed: u64) -> AjpBelow {
-        let bounds = ochrewalk_connection_pool::Bounds {
-            most_links: settings.max_connections,
-            trust_us: settings.ping_after_idle_us,
-            keep_us: settings.max_idle_us,
+        let bounds = ochrewalk_connection_pool::PoolConfig {
+            max_connections: settings.max_connections,
+            ping_after_idle_us: settings.ping_after_idle_us,
+            max_idle_us: settings.max_idle_us,
         };
-        let mut places = Places::new(bounds, settings.balancing, settings.retry_budget, seed);
+        let mut places = ConnectionPool::new(bounds, settings.balancing, settings.retry_budget, seed);
         AjpBelow(Arc::new_cyclic(|inner| {
             let mut hands = Hands {
                 inner: inner.clone(),
@@ -137,7 +139,7 @@
                         link.outbox.nudge();
                     }
                 }
-                let spread = places.spread();
+                let spread = places.load_balancer();
                 words.resize(spread.state().endpoints.len(), "in");
                 for (slot, before) in words.iter_mut().enumerate() {
                     let word = spread.status(slot, now_us).name();
@@ -163,7 +165,7 @@
     pub fn table(&self) -> String {
         let now_us = self.0.clock.now_us();
         self.0.with(|places, hands| {
-            let view = places.spread().state();
+            let view = places.load_balancer().state();
             let all: f64 = view.subset.iter().map(|slot| view.share(*slot, now_us)).sum();
             let mut text = format!(
                 "{:<22} {:<8} {:>9} {:>7} {:>7} {:>9} {:>9}  {}\n",
@@ -178,7 +180,7 @@
                     text,
                     "{:<22} {:<8} {:>9.1} {:>7.3} {:>7} {:>9.1} {:>9}  {}",
                     hands.places[slot].to_string(),
-                    places.spread().status(slot, now_us).name(),
+                    places.load_balancer().status(slot, now_us).name(),
                     now_us.saturating_sub(held.health.since_us()) as f64 / 1e6,
                     share,
                     held.in_flight(),
@@ -199,14 +201,14 @@
     print.finish()
 }
 
-fn list(places: &mut Places, hands: &mut Hands, endpoints: &[UpstreamEndpoint]) {
+fn list(places: &mut ConnectionPool, hands: &mut Hands, endpoints: &[UpstreamEndpoint]) {
     let listed = |endpoint: &UpstreamEndpoint| Endpoint {
         key: key(&endpoint.address),
         weight: endpoint.weight,
         is_local_zone: endpoint.is_in_local_zone,
     };
     let listed: Vec<Endpoint> = endpoints.iter().map(listed).collect();
-    let slots = places.list(hands.now_us, &listed, hands);
+    let slots = places.set_endpoints(hands.now_us, &listed, hands);
     for (slot, endpoint) in slots.into_iter().zip(endpoints) {
         if hands.places.len() <= slot {
             hands.places.resize(slot + 1, endpoint.address);
@@ -228,7 +230,7 @@
     }
 
     fn closed_us(&self) -> Option<u64> {
-        self.0.with(|places, hands| places.closed_us(hands.now_us))
+        self.0.with(|places, hands| places.unavailable_for_us(hands.now_us))
     }
 
     /// Connections by AJP do not move: a call is under way on each that carries one.
@@ -266,7 +268,7 @@
         self.0.with(|places, hands| {
             let Some(call) = hands.ids.remove(id) else { return };
             hands.calls.remove(&call);
-            places.give_up(self.0.clock.now_us(), call, hands);
+            places.cancel(self.0.clock.now_us(), call, hands);
         });
     }
 }
@@ -279,11 +281,11 @@
             let call = hands.next_call;
             hands.ids.insert(id.clone(), call);
             hands.calls.insert(call, Call { id, body, until_us, post });
-            places.call(hands.now_us, call, again, until_us, hands);
+            places.start_call(hands.now_us, call, again, until_us, hands);
         });
     }
 
-    fn with<T>(&self, what: impl FnOnce(&mut Places, &mut Hands) -> T) -> T {
+    fn with<T>(&self, what: impl FnOnce(&mut ConnectionPool, &mut Hands) -> T) -> T {
         let mut state = self.lock();
         let State { places, hands, .. } = &mut *state;
         hands.now_us = self.clock.now_us();
@@ -295,7 +297,7 @@
     }
 
     /// Carries one connection from its making to its end.
-    fn keep(&self, link: LinkId, at: SocketAddr, outbox: &Outbox) {
+    fn keep(&self, link: ConnectionId, at: SocketAddr, outbox: &Outbox) {
         let ending = match connect(&at, Duration::from_micros(self.settings.connect_timeout_us)) {
             Ok(stream) => {
                 let now_us = self.clock.now_us();
@@ -304,7 +306,7 @@
                         // Its bounds count from here.
                         of.life = self.life(now_us);
                     }
-                    places.made(now_us, link, hands);
+                    places.connected(now_us, link, hands);
                 });
                 let ending = carry(
                     &stream,
@@ -327,7 +329,7 @@
                 self.with(|places, hands| {
                     hands.links.remove(&link);
                     hands.why = Some(ending.clone());
-                    places.ended(self.clock.now_us(), link, Ended::NotMade, hands);
+                    places.disconnected(self.clock.now_us(), link, Disconnect::ConnectFailed, hands);
                 });
                 ending
             }
@@ -339,16 +341,16 @@
     }
 
     /// A connection ended that was not let go by us.
-    fn end(&self, link: LinkId, ending: &Ending) {
+    fn end(&self, link: ConnectionId, ending: &Ending) {
         self.with(|places, hands| {
             let Some(of) = hands.links.remove(&link) else { return };
             let how = match (of.life.wrote(), ending) {
-                (true, _) => Ended::Written,
-                (false, Ending::Silent) => Ended::Silent,
-                (false, _) => Ended::Unwritten,
+                (true, _) => Disconnect::AfterWrite,
+                (false, Ending::Silent) => Disconnect::PingTimedOut,
+                (false, _) => Disconnect::BeforeWrite,
             };
             hands.why = Some(ending.clone());
-            places.ended(self.clock.now_us(), link, how, hands);
+            places.disconnected(self.clock.now_us(), link, how, hands);
         });
     }
 
@@ -395,8 +397,8 @@
     }
 }
 
-impl Wire for Hands {
-    fn connect(&mut self, link: LinkId, place: usize) {
+impl Transport for Hands {
+    fn connect(&mut self, link: ConnectionId, place: usize) {
         let Some(inner) = self.inner.upgrade() else { return };
         let outbox = Arc::new(Outbox::default());
         let life = inner.life(self.now_us);
@@ -405,7 +407,7 @@
         may::go!(move || inner.keep(link, at, &outbox));
     }
 
-    fn write(&mut self, link: LinkId, call: CallId, prove: bool) {
+    fn write(&mut self, link: ConnectionId, call: CallId, prove: bool) {
         let (Some(inner), Some(of)) = (self.inner.upgrade(), self.links.get_mut(&link)) else { return };
         (of.call, of.sent) = (Some(call), 0);
         let mut wanted = Wanted::default();
@@ -413,13 +415,13 @@
         self.put(&inner, link, &wanted);
     }
 
-    fn settle(&mut self, call: CallId, end: Settled) {
+    fn complete(&mut self, call: CallId, end: CallResult) {
         let Some(Call { id, post, .. }) = self.calls.remove(&call) else { return };
         self.ids.remove(&id);
         let end = match end {
-            Settled::Unsent => CallEnd::Unsent,
-            Settled::Broken => CallEnd::Link(self.why.clone().unwrap_or(Ending::Closed)),
-            Settled::Replied => match self.reply.take() {
+            CallResult::Unsent => CallEnd::Unsent,
+            CallResult::Broken => CallEnd::Link(self.why.clone().unwrap_or(Ending::Closed)),
+            CallResult::Replied => match self.reply.take() {
                 Some(reply) => CallEnd::of_status(reply.status, reply.never_ran, reply.body),
                 None => CallEnd::Failed,
             },
@@ -427,7 +429,7 @@
         post.send(Next::CallEnded(end));
     }
 
-    fn close(&mut self, link: LinkId) {
+    fn close(&mut self, link: ConnectionId) {
         if let Some(of) = self.links.remove(&link) {
             of.outbox.finish(Finish::Faulty);
         }
@@ -436,7 +438,7 @@
 
 impl Hands {
     /// Writes what a life asked for.
-    fn put(&mut self, inner: &Inner, link: LinkId, wanted: &Wanted) {
+    fn put(&mut self, inner: &Inner, link: ConnectionId, wanted: &Wanted) {
         let Some(of) = self.links.get_mut(&link) else { return };
         let call = of.call.and_then(|call| self.calls.get(&call));
         let mut out = Vec::new();
@@ -509,7 +511,7 @@
 struct Replies<'a> {
     inner: &'a Inner,
     outbox: &'a Outbox,
-    link: LinkId,
+    link: ConnectionId,
 }
 
 impl Replies<'_> {
@@ -529,10 +531,10 @@
                     of.call = None;
                 }
                 let said = match CallEnd::of_status(reply.status, reply.never_ran, Vec::new()) {
-                    CallEnd::Good(_) => Said::Well,
-                    CallEnd::PushedBack => Said::NoRoom,
-                    CallEnd::OutOfTime => Said::Late,
-                    _ => Said::Failed,
+                    CallEnd::Good(_) => ReplyOutcome::Succeeded,
+                    CallEnd::PushedBack => ReplyOutcome::Rejected,
+                    CallEnd::OutOfTime => ReplyOutcome::TimedOut,
+                    _ => ReplyOutcome::Failed,
                 };
                 hands.reply = Some(reply);
                 places.replied(now_us, link, said, !spent, hands);
@@ -542,12 +544,12 @@
             let why = ending(why);
             if hands.links.remove(&link).is_some() {
                 let how = match (wrote, &why) {
-                    (true, _) => Ended::Written,
-                    (false, Ending::Silent) => Ended::Silent,
-                    (false, _) => Ended::Unwritten,
+                    (true, _) => Disconnect::AfterWrite,
+                    (false, Ending::Silent) => Disconnect::PingTimedOut,
+                    (false, _) => Disconnect::BeforeWrite,
                 };
                 hands.why = Some(why.clone());
-                places.ended(now_us, link, how, hands);
+                places.disconnected(now_us, link, how, hands);
             }
             Err(why)
         })
