--- a/crates/ochrewalk-lab/src/judged.rs
+++ b/crates/ochrewalk-lab/src/judged.rs
@@ -77,7 +77,7 @@
                 ..NodeSample::default()
             });
         }
-        Sample { nodes, changed: self.changed, others: self.nodes - self.changed }
+        Sample { nodes, changed: self.changed, unchanged: self.nodes - self.changed }
     }
 
     /// Seconds until the judge says something else than to wait, and what.
--- a/crates/ochrewalk-node/src/rollout/readiness.rs
+++ b/crates/ochrewalk-node/src/rollout/readiness.rs
@@ -14,7 +14,7 @@
 pub fn check(plan: &RolloutPlan) -> Result<String, RolloutError> {
     let fingerprints = PlanFingerprints::of(plan)?;
     let changes = settings_changes(plan)?;
-    let polled = poll_all(plan, ControllerNumber::ONLOOKER);
+    let polled = poll_all(plan, ControllerNumber::OBSERVER);
     let faults: Vec<NodeFault> = polled
         .into_iter()
         .enumerate()
--- a/crates/ochrewalk-node/src/rollout/sampling.rs
+++ b/crates/ochrewalk-node/src/rollout/sampling.rs
@@ -44,7 +44,7 @@
     pub(super) fn sample(&mut self, states: &[NodeState], polled: &[Polled], methods: &[String]) -> Sample {
         let count = |version| states.iter().filter(|state| state.version == Some(version)).count();
         let mut sample =
-            Sample { changed: count(Version::New), others: count(Version::Old), nodes: Vec::new() };
+            Sample { changed: count(Version::New), unchanged: count(Version::Old), nodes: Vec::new() };
         for (node, status) in polled.iter().enumerate() {
             let Ok(status) = status else { continue };
             sample.nodes.extend(self.node_sample(node, &states[node], status, methods));
--- a/crates/ochrewalk-node/src/rollout/status.rs
+++ b/crates/ochrewalk-node/src/rollout/status.rs
@@ -13,7 +13,7 @@
     let mut text =
         send_to_controller(plan, ControllerCommand::Status).unwrap_or_else(|_| "no controller runs\n".into());
     for (index, (node, polled)) in
-        plan.nodes.iter().zip(poll_all(plan, ControllerNumber::ONLOOKER)).enumerate()
+        plan.nodes.iter().zip(poll_all(plan, ControllerNumber::OBSERVER)).enumerate()
     {
         let state = node_state(index, &polled, fingerprints.as_ref());
         text += &format!("{:<16} {:<10} {state}\n", node.name, node.zone);
--- a/crates/ochrewalk-node/tests/rollout_agent.rs
+++ b/crates/ochrewalk-node/tests/rollout_agent.rs
@@ -59,7 +59,7 @@
 
 fn status(agent: &mut RolloutAgent, child: &ServingChild) -> NodeStatus {
     match reply(agent.handle_request(
-        &Request::status(ControllerNumber::ONLOOKER),
+        &Request::status(ControllerNumber::OBSERVER),
         Some(child),
         Replacement::Idle,
     )) {
@@ -87,7 +87,7 @@
     assert_eq!(reported.fingerprint, fingerprint_of_file(&std::env::current_exe().unwrap()).unwrap());
     assert_eq!((reported.counters, reported.incarnation), (Some(counters(5, 7)), silent.incarnation));
     let busy = reply(agent.handle_request(
-        &Request::status(ControllerNumber::ONLOOKER),
+        &Request::status(ControllerNumber::OBSERVER),
         Some(&child),
         Replacement::InProgress,
     ));
@@ -98,14 +98,14 @@
     let sums = status(&mut agent, &next).counters.unwrap();
     assert_eq!((sums.methods[0].calls, sums.methods[0].missed, sums.methods[0].failed), (8, 4, 2));
     let none =
-        reply(agent.handle_request(&Request::status(ControllerNumber::ONLOOKER), None, Replacement::Idle));
+        reply(agent.handle_request(&Request::status(ControllerNumber::OBSERVER), None, Replacement::Idle));
     assert_eq!(none, Reply::Rejected("no program serves".into()));
 }
 
 #[test]
 fn requests_of_another_protocol_version_are_rejected_with_ones_own() {
     let request =
-        Request { protocol_version: PROTOCOL_VERSION + 1, ..Request::status(ControllerNumber::ONLOOKER) };
+        Request { protocol_version: PROTOCOL_VERSION + 1, ..Request::status(ControllerNumber::OBSERVER) };
     let reply = reply(RolloutAgent::default().handle_request(&request, Some(&child()), Replacement::Idle));
     assert_eq!(reply, Reply::Rejected("messages of version 2 are known here".into()));
 }
--- a/crates/ochrewalk-node/tests/rollout_files.rs
+++ b/crates/ochrewalk-node/tests/rollout_files.rs
@@ -47,7 +47,7 @@
         unchanged(3, 30, vec![counts(6, 2, 1), counts(1, 1, 1)]),
         NodeSample { is_changed: true, ..unchanged(1, 20, vec![counts(9, 0, 0)]) },
     ];
-    Sample { nodes, changed: 1, others: 3 }
+    Sample { nodes, changed: 1, unchanged: 3 }
 }
 
 #[test]
--- a/crates/ochrewalk-rollout/src/canary_analysis/method_comparison.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/method_comparison.rs
@@ -205,8 +205,8 @@
         let Some(counts) = node.methods.get(method) else { continue };
         let (calls, failed) = (f64::from(counts.calls), f64::from(failures(counts)));
         if !node.is_changed {
-            table.others += calls;
-            table.others_failed += failed;
+            table.unchanged += calls;
+            table.unchanged_failed += failed;
         } else if node.is_warming_up == (warmth == Warmth::WarmingUp) {
             table.changed += calls;
             table.changed_failed += failed;
--- a/crates/ochrewalk-rollout/src/canary_analysis/mod.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/mod.rs
@@ -108,7 +108,7 @@
         if self.stage_samples < self.settings.min_samples {
             return Verdict::Pending;
         }
-        if sample.others == 0 {
+        if sample.unchanged == 0 {
             // All nodes are changed: none is left to compare with. Silence, restarts and memory still stop the rollout.
             return Verdict::Pass;
         }
--- a/crates/ochrewalk-rollout/src/canary_analysis/node_checks.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/node_checks.rs
@@ -64,7 +64,7 @@
             expected.saturating_sub(sample.side(side).count()) as f64 / expected.max(1) as f64
         };
         // Where as many unchanged nodes are silent, it is the controller that does not hear them.
-        if silent_share(Side::Changed, sample.changed) <= silent_share(Side::Unchanged, sample.others) {
+        if silent_share(Side::Changed, sample.changed) <= silent_share(Side::Unchanged, sample.unchanged) {
             return None;
         }
         let is_silent =
@@ -98,7 +98,7 @@
             let count = if before.is_changed { &mut self.of_changed } else { &mut self.of_unchanged };
             *count += node.restarts.saturating_sub(before.restarts);
         }
-        let expected = f64::from(self.of_unchanged) * sample.changed as f64 / sample.others.max(1) as f64;
+        let expected = f64::from(self.of_unchanged) * sample.changed as f64 / sample.unchanged.max(1) as f64;
         let is_harm = f64::from(self.of_changed) >= MIN_RESTARTS + RESTART_FACTOR * expected;
         is_harm.then(|| format!("{} starts of changed nodes that nobody asked for", self.of_changed))
     }
--- a/crates/ochrewalk-rollout/src/canary_analysis/sample.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/sample.rs
@@ -38,7 +38,7 @@
     /// How many changed nodes should have reported.
     pub changed: usize,
     /// How many unchanged nodes should have reported.
-    pub others: usize,
+    pub unchanged: usize,
 }
 
 impl Sample {
--- a/crates/ochrewalk-rollout/src/fence.rs
+++ b/crates/ochrewalk-rollout/src/fence.rs
@@ -8,7 +8,7 @@
 
 impl ControllerNumber {
     /// What stands for the number of one who only asks for the status, and is no controller.
-    pub const ONLOOKER: ControllerNumber = ControllerNumber(0);
+    pub const OBSERVER: ControllerNumber = ControllerNumber(0);
 
     /// The next higher number.
     pub fn next(self) -> ControllerNumber {
--- a/crates/ochrewalk-rollout/src/sequential_test.rs
+++ b/crates/ochrewalk-rollout/src/sequential_test.rs
@@ -20,9 +20,9 @@
     /// Of those, the ones that failed.
     pub changed_failed: f64,
     /// Calls of unchanged nodes.
-    pub others: f64,
+    pub unchanged: f64,
     /// Of those, the ones that failed.
-    pub others_failed: f64,
+    pub unchanged_failed: f64,
 }
 
 /// What is known from one sample on.
@@ -39,18 +39,18 @@
 impl SequentialTest {
     /// Adds a table. `overdispersion` is by how much nodes differ among themselves beyond chance: 1 where they do not.
     pub fn add(&mut self, table: &ContingencyTable, overdispersion: f64) {
-        let ContingencyTable { changed, changed_failed, others, others_failed } = *table;
-        let all = changed + others;
-        if changed <= 0.0 || others <= 0.0 {
+        let ContingencyTable { changed, changed_failed, unchanged, unchanged_failed } = *table;
+        let all = changed + unchanged;
+        if changed <= 0.0 || unchanged <= 0.0 {
             return;
         }
-        let failed = changed_failed + others_failed;
+        let failed = changed_failed + unchanged_failed;
         self.excess_failures += changed_failed - changed * failed / all;
         if all > 1.0 {
-            let variance = changed * others * failed * (all - failed) / (all * all * (all - 1.0));
+            let variance = changed * unchanged * failed * (all - failed) / (all * all * (all - 1.0));
             self.variance += variance * overdispersion.max(1.0);
         }
-        self.effective_calls += changed * others / all;
+        self.effective_calls += changed * unchanged / all;
     }
 
     /// The natural logarithm of how much likelier the excess is under harm than without. Without harm it is over ln(1/a) at any
--- a/crates/ochrewalk-rollout/tests/exploration/main.rs
+++ b/crates/ochrewalk-rollout/tests/exploration/main.rs
@@ -50,7 +50,7 @@
     fn poll(&self, world: &mut World, at: usize, node: usize) {
         let number = world.controllers[at]
             .as_ref()
-            .map_or(ControllerNumber::ONLOOKER, |controller| controller.record().controller);
+            .map_or(ControllerNumber::OBSERVER, |controller| controller.record().controller);
         if world.nodes[node].is_healthy && !self.no_fence {
             world.nodes[node].fence.observe_controller(number);
         }
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -186,7 +186,7 @@
         Request::command(CommandMessage::new(&command, target, 30_000))
     };
     vec![
-        ("request-status-of-an-onlooker", Request::status(ControllerNumber::ONLOOKER)),
+        ("request-status-of-an-onlooker", Request::status(ControllerNumber::OBSERVER)),
         ("request-status-of-a-controller", Request::status(ControllerNumber(CONTROLLER))),
         ("request-program-commit-confirmed", command(Version::New, ChangeMethod::CommitConfirmed, program())),
         ("request-program-hand-over", command(Version::New, ChangeMethod::HandOver, program())),
