--- a/crates/ochrewalk-handover/src/predecessor.rs
+++ b/crates/ochrewalk-handover/src/predecessor.rs
@@ -66,11 +66,11 @@
     /// ```
     /// use ochrewalk_handover::predecessor::Limits;
     /// let limits = Limits { prepare_us: 5_000_000, pause_us: 2_000_000, start_us: 1_000_000 };
-    /// assert_eq!(limits.for_reading(1_000), limits, "small files change nothing");
-    /// assert_eq!(limits.for_reading(1_500_000), Limits { prepare_us: 12_000_000, ..limits });
-    /// assert_eq!(limits.for_reading(60_000_000), Limits { prepare_us: 30_000_000, ..limits });
+    /// assert_eq!(limits.with_reading_time(1_000), limits, "small files change nothing");
+    /// assert_eq!(limits.with_reading_time(1_500_000), Limits { prepare_us: 12_000_000, ..limits });
+    /// assert_eq!(limits.with_reading_time(60_000_000), Limits { prepare_us: 30_000_000, ..limits });
     /// ```
-    pub fn for_reading(self, reading_us: u64) -> Limits {
+    pub fn with_reading_time(self, reading_us: u64) -> Limits {
         let reading_us = reading_us.saturating_mul(READING_FACTOR).min(MAX_READING_US);
         Limits { prepare_us: self.prepare_us.max(reading_us), ..self }
     }
@@ -103,7 +103,7 @@
     /// The sections that are sent in the pause.
     pub sections: Vec<Section>,
     /// The sections that are sent before the pause, to successors that know how to receive them.
-    pub ahead: Vec<Section>,
+    pub ahead_sections: Vec<Section>,
     /// Resident memory of this process, in bytes.
     pub bytes: u64,
     /// Open descriptors of this process.
@@ -298,10 +298,10 @@
                 return self.end(&refused.into(), actions);
             }
         };
-        let StateSummary { mut sections, ahead, bytes, descriptors, .. } = self.summary.clone();
-        self.transfers_ahead = version >= FIRST_VERSION_WITH_AHEAD && !ahead.is_empty();
+        let StateSummary { mut sections, ahead_sections, bytes, descriptors, .. } = self.summary.clone();
+        self.transfers_ahead = version >= FIRST_VERSION_WITH_AHEAD && !ahead_sections.is_empty();
         if self.transfers_ahead {
-            sections.extend(ahead);
+            sections.extend(ahead_sections);
         }
         actions.send(Message::Offer(Offer { version, sections, bytes, descriptors }));
         self.state = State::Offered;
--- a/crates/ochrewalk-handover/tests/explore.rs
+++ b/crates/ochrewalk-handover/tests/explore.rs
@@ -129,7 +129,14 @@
 const SUCCESSOR: successor::Limits = successor::Limits { answer_us: 0, pause_us: 0 };
 
 fn summary() -> StateSummary {
-    StateSummary { digest: 7, sections: vec![], ahead: vec![], bytes: 0, descriptors: 0, shortage: None }
+    StateSummary {
+        digest: 7,
+        sections: vec![],
+        ahead_sections: vec![],
+        bytes: 0,
+        descriptors: 0,
+        shortage: None,
+    }
 }
 
 fn attempt(world: &mut World) {
--- a/crates/ochrewalk-handover/tests/steps.rs
+++ b/crates/ochrewalk-handover/tests/steps.rs
@@ -92,7 +92,7 @@
     let summary = StateSummary {
         digest: 7,
         sections: vec![section("rpcs", 1)],
-        ahead: vec![section("tokens", 1)],
+        ahead_sections: vec![section("tokens", 1)],
         bytes: 50,
         descriptors: 5,
         shortage,
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -53,7 +53,7 @@
 pub fn hand_over(node: &Arc<Node>, control: &HandOverControl, link: &SupervisorLink, stream: HandOverStream) {
     let interruptions = control.begin();
     let clock = node.core.clock;
-    let limits = LIMITS.for_reading(node.reading_us.load(Ordering::Relaxed));
+    let limits = LIMITS.with_reading_time(node.reading_us.load(Ordering::Relaxed));
     let mut predecessor = Predecessor::new(clock.now_us(), limits, state_summary(node));
     let mut actions =
         ProcessActions { node, control, link, stream, keys_went_ahead: false, pause_error: None };
@@ -92,11 +92,11 @@
     } else {
         None
     };
-    let (sections, ahead) = records::sections();
+    let (sections, ahead_sections) = records::sections();
     StateSummary {
         digest: node.digest,
         sections,
-        ahead,
+        ahead_sections,
         bytes: resident_bytes,
         descriptors: open_descriptors as u32,
         shortage,
