--- a/crates/ochrewalk-rollout-report/src/lib.rs
+++ b/crates/ochrewalk-rollout-report/src/lib.rs
@@ -1,16 +1,17 @@
-//! How a rolling change went, as one page: read from the record that its conductor left, also where that stops in the
-//! middle of a line, was written by several conductors, or holds what a newer program has added.
+//! Creates an HTML page that shows the course of a rollout, from the log that its controllers have written.
+//! The log may end in the middle of a line, be written by several controllers, or have lines that a newer
+//! program has added.
 //!
 //! ```
-//! use ochrewalk_rollout_report::{page, Story};
-//! let story = Story::read(r#"{"ms":1000,"what":{"end":"Done"}}"#);
-//! assert_eq!(story.end.as_deref(), Some("Done"));
-//! assert!(page(&story, "change-7").contains("<h1>change-7</h1>"));
+//! use ochrewalk_rollout_report::{page, RolloutHistory};
+//! let history = RolloutHistory::read(r#"{"ms":1000,"what":{"end":"Done"}}"#);
+//! assert_eq!(history.outcome.as_deref(), Some("Done"));
+//! assert!(page(&history, "change-7").contains("<h1>change-7</h1>"));
 //! ```
 
+mod history;
 mod page;
 mod plot;
-mod story;
 
+pub use history::{Command, PhaseChange, Point, RolloutHistory, Sample, Side};
 pub use page::page;
-pub use story::{Change, Moment, Point, Side, Stage, Story};
--- a/crates/ochrewalk-rollout-report/src/main.rs
+++ b/crates/ochrewalk-rollout-report/src/main.rs
@@ -1,4 +1,4 @@
-//! The page of a rolling change, from the record that its conductor left.
+//! Writes the page of a rollout, from the log that its controllers have written.
 
 use clap::Parser;
 use std::path::PathBuf;
@@ -8,20 +8,20 @@
 #[command(
     name = "ochrewalk-rollout-report",
     version,
-    about = "A page of how a rolling change went, to standard output"
+    about = "Writes an HTML page that shows the course of a rollout to standard output"
 )]
-struct Line {
-    /// The conductor's record, RECORD.log
+struct Options {
+    /// The log of the rollout, RECORD.log
     record: PathBuf,
 }
 
 fn main() -> ExitCode {
-    let Line { record } = Line::parse();
+    let Options { record } = Options::parse();
     match std::fs::read(&record) {
         Ok(bytes) => {
-            let story = ochrewalk_rollout_report::Story::read(&String::from_utf8_lossy(&bytes));
+            let history = ochrewalk_rollout_report::RolloutHistory::read(&String::from_utf8_lossy(&bytes));
             let name = record.file_stem().map_or_else(Default::default, |name| name.to_string_lossy());
-            println!("{}", ochrewalk_rollout_report::page(&story, &name));
+            println!("{}", ochrewalk_rollout_report::page(&history, &name));
             ExitCode::SUCCESS
         }
         Err(err) => {
--- a/crates/ochrewalk-rollout-report/src/plot.rs
+++ b/crates/ochrewalk-rollout-report/src/plot.rs
@@ -1,19 +1,20 @@
-//! Curves over time, as SVG.
+//! Plots curves over time, as SVG.
 
-use crate::story::Point;
+use crate::history::Point;
 use plotters::prelude::*;
 
-/// What one plot shows.
+/// The content of one plot.
 pub struct Plot<'a> {
     pub name: String,
-    /// From 0 to 1, or to the largest share where that is less.
+    /// Curves with their names and colours. The vertical axis extends to the largest share of all curves, at
+    /// most 1.
     pub curves: Vec<(&'a str, RGBColor, Vec<Point>)>,
-    /// Moments that are marked, in seconds.
-    pub marks: &'a [f64],
-    pub seconds: f64,
+    /// The times of vertical lines, in seconds.
+    pub marks_s: &'a [f64],
+    pub duration_s: f64,
 }
 
-/// The plot as text. An error says what the drawing library could not do.
+/// Returns the plot as SVG text. An error contains the message of the drawing library.
 pub fn svg(plot: &Plot) -> Result<String, String> {
     let mut text = String::new();
     draw(plot, &mut text).map_err(|err| err.to_string())?;
@@ -25,15 +26,15 @@
     area.fill(&WHITE)?;
     let highest =
         plot.curves.iter().flat_map(|(_, _, points)| points).map(|(_, share)| *share).fold(0.05, f64::max);
-    let seconds = plot.seconds.max(1.0);
+    let duration_s = plot.duration_s.max(1.0);
     let mut chart = ChartBuilder::on(&area)
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(40)
         .caption(&plot.name, ("sans-serif", 14))
-        .build_cartesian_2d(0.0..seconds, 0.0..highest * 1.05)?;
+        .build_cartesian_2d(0.0..duration_s, 0.0..highest * 1.05)?;
     chart.configure_mesh().light_line_style(WHITE).x_desc("s").draw()?;
-    for mark in plot.marks {
+    for mark in plot.marks_s {
         let line = [(*mark, 0.0), (*mark, highest * 1.05)];
         chart.draw_series(LineSeries::new(line, BLACK.mix(0.3)))?;
     }
