--- a/crates/ochrewalk-node/tests/rollout.rs
+++ b/crates/ochrewalk-node/tests/rollout.rs
@@ -87,7 +87,7 @@
         ("crash-at-start", 0.0, "the new program ended"),
         ("crash-on-hand-over", 0.0, "the new program ended"),
         ("hang-on-hand-over", 0.0, "took too long"),
-        ("crash-later", 0.25, "nobody asked for"),
+        ("crash-later", 0.25, "restarts of changed nodes without a command"),
         // Its worker thread is blocked for good: it can neither hand over nor answer, and is restarted.
         ("deaf", 0.25, "hardly any calls"),
     ] {
--- a/crates/ochrewalk-rollout/src/canary_analysis/fleet_health.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/fleet_health.rs
@@ -1,24 +1,26 @@
-//! Decides whether the whole fleet is unhealthy, so that a sample says nothing about the change.
+//! Decides whether the whole fleet is unhealthy, so that a sample is no evidence about the change.
 
 use super::sample::{Sample, Side};
 
-/// Where unchanged nodes miss the target by so much more than they usually do, the fleet is unhealthy.
-const MAX_EXCESS_MISSED: f64 = 0.15;
-/// Unchanged nodes have to have made so many calls in a sample for it to say anything.
+/// The fleet is unhealthy if the share of calls on unchanged nodes that miss the latency target exceeds the
+/// usual share by this much.
+const MAX_EXCESS_MISSED_SHARE: f64 = 0.15;
+/// The number of calls on unchanged nodes below which a sample is not evaluated.
 const MIN_CALLS: f64 = 20.0;
-/// How far one sample moves the usual share of misses.
+/// The weight of one sample in the usual share of missed calls.
 const SMOOTHING: f64 = 0.05;
-/// The same while the fleet is unhealthy: a fleet that stays so becomes the usual state only slowly.
+/// The weight of one sample while the fleet is unhealthy, so that a persistent fault becomes the usual state
+/// only slowly.
 const SMOOTHING_WHILE_UNHEALTHY: f64 = SMOOTHING / 10.0;
 
-/// What unchanged nodes usually miss.
+/// The usual share of calls on unchanged nodes that miss the latency target.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetHealth {
-    usual_missed: Option<f64>,
+    usual_missed_share: Option<f64>,
 }
 
 impl FleetHealth {
-    /// Takes the next sample; whether unchanged nodes miss far more in it than usual.
+    /// Adds a sample, and returns whether unchanged nodes miss the target far more often in it than usual.
     pub(super) fn is_unhealthy_in(&mut self, sample: &Sample) -> bool {
         let counts = sample.side(Side::Unchanged).flat_map(|node| &node.methods);
         let (calls, missed) = counts.fold((0.0, 0.0), |(calls, missed), counts| {
@@ -27,11 +29,11 @@
         if calls < MIN_CALLS {
             return false;
         }
-        let share = missed / calls;
-        let usual = *self.usual_missed.get_or_insert(share);
-        let is_unhealthy = share > usual + MAX_EXCESS_MISSED;
+        let missed_share = missed / calls;
+        let usual = *self.usual_missed_share.get_or_insert(missed_share);
+        let is_unhealthy = missed_share > usual + MAX_EXCESS_MISSED_SHARE;
         let smoothing = if is_unhealthy { SMOOTHING_WHILE_UNHEALTHY } else { SMOOTHING };
-        self.usual_missed = Some(usual + (share - usual) * smoothing);
+        self.usual_missed_share = Some(usual + (missed_share - usual) * smoothing);
         is_unhealthy
     }
 }
--- a/crates/ochrewalk-rollout/src/canary_analysis/mod.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/mod.rs
@@ -1,7 +1,8 @@
 //! Decides whether changed nodes do worse than unchanged ones over the same samples, by zone and method.
 //!
-//! A fault that strikes both sides alike is no harm; a node that does not report is no good news; too little traffic gives no
-//! verdict; harm that comes late is found, as all changed nodes stay under analysis until the rollout has ended.
+//! A fault that affects both sides alike is not harm. A node that does not report is never taken as a sign of
+//! health. Too little traffic gives no verdict. Harm that appears late is found, because all changed nodes
+//! stay under analysis until the rollout has ended.
 
 mod fleet_health;
 mod method_comparison;
@@ -16,17 +17,19 @@
 /// The thresholds of the analysis.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnalysisSettings {
-    /// Harm that has to be found: this share of a method's calls more miss the latency target on changed nodes.
+    /// The harm that has to be found: the increase, on changed nodes, of the share of a method's calls that
+    /// miss the latency target.
     pub harm: f64,
-    /// The chance that a rollout without harm is stopped, over all its stages.
+    /// The probability that a rollout without harm is stopped, over all its stages.
     pub false_alarm_rate: f64,
-    /// The chance that a stage with `harm` passes.
+    /// The probability that a stage with `harm` passes.
     pub miss_rate: f64,
-    /// Samples that a stage lasts at least.
+    /// The minimum number of samples in a stage.
     pub min_samples: u32,
-    /// Samples after which an operator is asked, where the analysis still cannot tell.
+    /// The number of samples after which a stage without a verdict is left to an operator.
     pub max_samples: u32,
-    /// A changed node that does not report for so many samples, while others do, is harm.
+    /// The number of samples without a report after which the silence of a changed node is harm, while others
+    /// report.
     pub max_silent_samples: u32,
 }
 
@@ -46,22 +49,23 @@
 /// The result of the analysis after a sample.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Not enough is known yet.
+    /// The samples do not suffice for a verdict yet.
     Pending,
-    /// Both sides do badly: this sample says nothing about the change.
+    /// Both sides do badly, so this sample is no evidence about the change.
     FleetUnhealthy,
     /// The stage passes.
     Pass,
-    /// Changed nodes do worse; what is worse, in plain words.
+    /// Changed nodes do worse. Contains a description of the harm, as text for operators.
     Harm(String),
-    /// Too few calls in all the time that a stage may last; an operator has to decide. Why, in plain words.
+    /// The stage had too few calls in its maximum number of samples, so that an operator has to decide.
+    /// Contains the cause, as text for operators.
     Inconclusive(String),
 }
 
 /// Compares changed and unchanged nodes over a whole rollout, stage by stage.
 ///
-/// It has to be given each sample once, in order, from before the first node is changed: what a node usually does is learned
-/// then. Neither sockets nor clocks are used here.
+/// Each sample has to be added once, in order, starting before the first node is changed: the usual behaviour
+/// of each node is learned from those samples. The analysis uses neither sockets nor clocks.
 #[derive(Clone, Debug)]
 pub struct CanaryAnalysis {
     settings: AnalysisSettings,
@@ -72,7 +76,7 @@
 }
 
 impl CanaryAnalysis {
-    /// `methods` names the methods in the order in which samples count them.
+    /// Creates an analysis. `methods` names the methods in the order in which samples count them.
     pub fn new(settings: AnalysisSettings, methods: Vec<String>) -> CanaryAnalysis {
         CanaryAnalysis {
             settings,
@@ -83,13 +87,14 @@
         }
     }
 
-    /// The next stage begins. Earlier samples still count as evidence of harm, but not towards passing this stage.
+    /// Begins the next stage. Earlier samples still count as evidence of harm, but not towards passing this
+    /// stage.
     pub fn begin_stage(&mut self) {
         self.methods.begin_stage();
         self.stage_samples = 0;
     }
 
-    /// Takes one more sample, and says what is known after it.
+    /// Adds a sample, and returns the verdict after it.
     pub fn add_sample(&mut self, sample: &Sample) -> Verdict {
         self.methods.count_sample();
         self.stage_samples += 1;
@@ -97,7 +102,7 @@
             return Verdict::Harm(reason);
         }
         if self.fleet_health.is_unhealthy_in(sample) {
-            // The stage lasts longer by as many samples.
+            // Samples of an unhealthy fleet do not count towards the length of the stage.
             self.stage_samples -= 1;
             return Verdict::FleetUnhealthy;
         }
@@ -109,7 +114,8 @@
             return Verdict::Pending;
         }
         if sample.unchanged == 0 {
-            // All nodes are changed: none is left to compare with. Silence, restarts and memory still stop the rollout.
+            // With all nodes changed, no node is left to compare with. Silence, restarts and memory still
+            // stop the rollout.
             return Verdict::Pass;
         }
         self.stage_verdict()
@@ -120,7 +126,7 @@
             StageEvidence::HarmRuledOut => Verdict::Pass,
             _ if self.stage_samples < self.settings.max_samples => Verdict::Pending,
             StageEvidence::TooFewCalls(method) => {
-                Verdict::Inconclusive(format!("too few calls of {method} to tell"))
+                Verdict::Inconclusive(format!("too few calls of {method} for a verdict"))
             }
             StageEvidence::NoCalls => Verdict::Inconclusive("no calls on both sides".into()),
         }
--- a/crates/ochrewalk-rollout/src/canary_analysis/node_checks.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/node_checks.rs
@@ -1,22 +1,23 @@
-//! Finds harm that counts of calls do not show: changed nodes that are silent, restart, get no calls, or need far more memory.
+//! Finds harm that call counts do not show: changed nodes that stop reporting, restart, receive no calls, or
+//! need far more memory.
 
 use super::sample::{NodeSample, Sample, Side};
 use super::AnalysisSettings;
 use std::collections::BTreeMap;
 
-/// A changed node gets no traffic where it should have answered at least this many calls...
+/// A changed node is found to receive no traffic if it should have answered at least this many calls...
 const MIN_EXPECTED_CALLS: f64 = 30.0;
-/// ...and answered less than this share of them.
+/// ...and has answered less than this share of them.
 const MIN_ANSWERED_SHARE: f64 = 0.25;
-/// What was expected and answered decays by this factor with each sample.
+/// The factor by which expected and answered calls decay with each sample.
 const CALL_SHARE_DECAY: f64 = 0.97;
-/// Memory is harm where it is over the unchanged nodes' by this factor...
+/// Memory use is harm if it exceeds that of the unchanged nodes by this factor...
 const MEMORY_FACTOR: f64 = 1.5;
-/// ...and by this much.
+/// ...and by this amount.
 const MEMORY_MARGIN_KB: u64 = 32 * 1024;
-/// Restarts of changed nodes are harm from this number on, where unchanged nodes have none...
+/// Restarts of changed nodes are harm from this number on if unchanged nodes have not restarted...
 const MIN_RESTARTS: f64 = 2.0;
-/// ...and beyond this multiple of the unchanged nodes' restarts, where they have some.
+/// ...and beyond this multiple of the unchanged nodes' restarts if they have.
 const RESTART_FACTOR: f64 = 3.0;
 
 /// Checks of single nodes, over all samples of a rollout.
@@ -30,7 +31,7 @@
 }
 
 impl NodeChecks {
-    /// Takes the next sample; the first harm found, in plain words.
+    /// Adds a sample, and returns a description of the first harm found, as text for operators.
     pub(super) fn add(&mut self, sample: &Sample, settings: &AnalysisSettings) -> Option<String> {
         self.samples += 1;
         self.silence
@@ -41,14 +42,14 @@
     }
 }
 
-/// When a node reported last.
+/// The last sample in which a node reported, and its version then.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     sample: u32,
     is_changed: bool,
 }
 
-/// Finds a changed node that does not report while others do.
+/// Finds a changed node that stops reporting while others report.
 #[derive(Clone, Debug, Default)]
 struct SilenceCheck {
     last_reports: BTreeMap<usize, LastReport>,
@@ -63,30 +64,31 @@
         let silent_share = |side: Side, expected: usize| {
             expected.saturating_sub(sample.side(side).count()) as f64 / expected.max(1) as f64
         };
-        // Where as many unchanged nodes are silent, it is the controller that does not hear them.
+        // If at least as large a share of the unchanged nodes is silent, the controller cannot receive the
+        // reports.
         if silent_share(Side::Changed, sample.changed) <= silent_share(Side::Unchanged, sample.unchanged) {
             return None;
         }
         let is_silent =
             |report: &LastReport| report.is_changed && number - report.sample >= max_silent_samples;
         let (node, _) = self.last_reports.iter().find(|(_, report)| is_silent(report))?;
-        Some(format!("node {node} has said nothing for {max_silent_samples} moments"))
+        Some(format!("node {node} has not reported for {max_silent_samples} samples"))
     }
 }
 
-/// What a node ran in the sample before, and its restarts until then.
+/// The version that a node ran in the previous sample, and its restarts until then.
 #[derive(Clone, Copy, Debug)]
 struct LastStart {
     is_changed: bool,
     restarts: u32,
 }
 
-/// Finds changed nodes that restart without a command, where unchanged ones do not as often.
+/// Finds changed nodes that restart without a command more often than unchanged ones do.
 #[derive(Clone, Debug, Default)]
 struct RestartCheck {
     last_starts: BTreeMap<usize, LastStart>,
-    of_changed: u32,
-    of_unchanged: u32,
+    changed_restarts: u32,
+    unchanged_restarts: u32,
 }
 
 impl RestartCheck {
@@ -94,29 +96,34 @@
         for node in &sample.nodes {
             let now = LastStart { is_changed: node.is_changed, restarts: node.restarts };
             let before = self.last_starts.insert(node.node, now).unwrap_or(now);
-            // The version that ended is to blame: the node may have come back with the other one.
-            let count = if before.is_changed { &mut self.of_changed } else { &mut self.of_unchanged };
+            // A restart counts against the version that ended, because the node may have started with the
+            // other one.
+            let count =
+                if before.is_changed { &mut self.changed_restarts } else { &mut self.unchanged_restarts };
             *count += node.restarts.saturating_sub(before.restarts);
         }
-        let expected = f64::from(self.of_unchanged) * sample.changed as f64 / sample.unchanged.max(1) as f64;
-        let is_harm = f64::from(self.of_changed) >= MIN_RESTARTS + RESTART_FACTOR * expected;
-        is_harm.then(|| format!("{} starts of changed nodes that nobody asked for", self.of_changed))
+        let expected =
+            f64::from(self.unchanged_restarts) * sample.changed as f64 / sample.unchanged.max(1) as f64;
+        let is_harm = f64::from(self.changed_restarts) >= MIN_RESTARTS + RESTART_FACTOR * expected;
+        is_harm.then(|| format!("{} restarts of changed nodes without a command", self.changed_restarts))
     }
 }
 
-/// The calls that a node answers, beside the mean of the unchanged nodes. Sums over many samples, as nodes report their counts
-/// at times of their own: a node may seem to have none in one sample, and twice as many in the next.
+/// The calls that a node answers, relative to the mean of the unchanged nodes. The sums cover many samples,
+/// because nodes report their counts at different times: a node may seem to have no calls in one sample, and
+/// twice as many in the next.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallShare {
-    /// Calls of the node, and the mean of all unchanged nodes, while it was unchanged itself.
-    while_unchanged: f64,
-    mean_while_unchanged: f64,
-    /// What it should have answered since it was changed, and what it did.
+    /// Calls of the node, and the mean calls of all unchanged nodes, while the node was unchanged.
+    calls_while_unchanged: f64,
+    mean_calls_while_unchanged: f64,
+    /// Calls that the node should have answered since it was changed, and those that it has answered.
     expected: f64,
     answered: f64,
 }
 
-/// Finds a changed node that says it is healthy and answers hardly any calls, where it had its part of them before.
+/// Finds a changed node that reports itself healthy and answers hardly any calls, although it had its share
+/// of them before.
 #[derive(Clone, Debug, Default)]
 struct CallShareCheck {
     shares: BTreeMap<usize, CallShare>,
@@ -124,17 +131,17 @@
 
 impl CallShareCheck {
     fn add(&mut self, sample: &Sample) -> Option<String> {
-        let others: Vec<f64> = sample.side(Side::Unchanged).map(calls_of).collect();
-        if others.is_empty() {
+        let unchanged: Vec<f64> = sample.side(Side::Unchanged).map(total_calls).collect();
+        if unchanged.is_empty() {
             return None;
         }
-        let mean = others.iter().sum::<f64>() / others.len() as f64;
+        let mean = unchanged.iter().sum::<f64>() / unchanged.len() as f64;
         for node in &sample.nodes {
             let share = self.shares.entry(node.node).or_default();
             if !node.is_changed {
-                share.add_unchanged(calls_of(node), mean);
-            } else if share.mean_while_unchanged > 0.0 && !node.is_warming_up {
-                share.add_changed(calls_of(node), mean);
+                share.add_unchanged(total_calls(node), mean);
+            } else if share.mean_calls_while_unchanged > 0.0 && !node.is_warming_up {
+                share.add_changed(total_calls(node), mean);
                 if share.is_too_small() {
                     return Some(format!("node {} answers hardly any calls", node.node));
                 }
@@ -144,19 +151,19 @@
     }
 }
 
-fn calls_of(node: &NodeSample) -> f64 {
+fn total_calls(node: &NodeSample) -> f64 {
     node.methods.iter().map(|counts| f64::from(counts.calls)).sum()
 }
 
 impl CallShare {
     fn add_unchanged(&mut self, calls: f64, mean: f64) {
-        self.while_unchanged = self.while_unchanged * CALL_SHARE_DECAY + calls;
-        self.mean_while_unchanged = self.mean_while_unchanged * CALL_SHARE_DECAY + mean;
+        self.calls_while_unchanged = self.calls_while_unchanged * CALL_SHARE_DECAY + calls;
+        self.mean_calls_while_unchanged = self.mean_calls_while_unchanged * CALL_SHARE_DECAY + mean;
         (self.expected, self.answered) = (0.0, 0.0);
     }
 
     fn add_changed(&mut self, calls: f64, mean: f64) {
-        let usual = self.while_unchanged / self.mean_while_unchanged;
+        let usual = self.calls_while_unchanged / self.mean_calls_while_unchanged;
         self.expected = self.expected * CALL_SHARE_DECAY + usual * mean;
         self.answered = self.answered * CALL_SHARE_DECAY + calls;
     }
@@ -166,7 +173,7 @@
     }
 }
 
-/// Finds memory of changed nodes that stays far over the unchanged ones'.
+/// Finds memory use of changed nodes that stays far above that of unchanged ones.
 #[derive(Clone, Debug, Default)]
 struct MemoryCheck {
     samples_in_excess: u32,
@@ -176,18 +183,19 @@
     fn add(&mut self, sample: &Sample, min_samples: u32) -> Option<String> {
         let is_in_excess =
             match (median_memory(sample, Side::Changed), median_memory(sample, Side::Unchanged)) {
-                (Some(changed), Some(others)) => {
-                    changed as f64 > others as f64 * MEMORY_FACTOR && changed > others + MEMORY_MARGIN_KB
+                (Some(changed), Some(unchanged)) => {
+                    changed as f64 > unchanged as f64 * MEMORY_FACTOR
+                        && changed > unchanged + MEMORY_MARGIN_KB
                 }
                 _ => false,
             };
         self.samples_in_excess = if is_in_excess { self.samples_in_excess + 1 } else { 0 };
         (self.samples_in_excess >= min_samples)
-            .then(|| "memory of changed nodes is far over the others'".into())
+            .then(|| "memory use of changed nodes is far above that of unchanged nodes".into())
     }
 }
 
-/// The median over nodes that are not warming up.
+/// Returns the median over nodes that are not warming up.
 fn median_memory(sample: &Sample, side: Side) -> Option<u64> {
     let warm = sample.side(side).filter(|node| !node.is_warming_up);
     let mut all: Vec<u64> = warm.map(|node| node.memory_kb).collect();
