--- a/crates/ochrewalk-rollout/src/command.rs
+++ b/crates/ochrewalk-rollout/src/command.rs
@@ -1,38 +1,40 @@
-//! Commands to nodes, and what comes back on them.
+//! Commands to nodes, and the replies to them.
 
 use crate::fence::{FencingToken, Outcome};
 use crate::version::Version;
 
-/// How a node comes to run what it is told to.
+/// The method by which a node changes to the commanded version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ChangeMethod {
-    /// The running process hands over to one of the wanted version, which stays only for as long as the node hears of its
-    /// controller, or until the change is confirmed.
+    /// The running process hands over to one of the commanded version. The change is reverted unless the node
+    /// keeps receiving requests from its controller, until it is confirmed.
     CommitConfirmed,
-    /// The running process hands over for good; where it is of the wanted version already, that is confirmed.
+    /// The running process hands over permanently. If it has the commanded version already, the change is
+    /// confirmed.
     HandOver,
-    /// The running process drains and ends, or is killed where it does not, and one of the wanted version is started.
+    /// The running process drains and exits, or is killed if it does not, and one of the commanded version is
+    /// started.
     Restart,
 }
 
-/// Tells one node which version to run.
+/// A command to one node to run a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Command {
-    /// Its place among all commands of all controllers.
+    /// The fencing token, which gives the position of the command among those of all controllers.
     pub token: FencingToken,
     /// The version to run.
     pub version: Version,
-    /// How the node comes to run it.
+    /// The method by which the node changes to the version.
     pub method: ChangeMethod,
 }
 
-/// What came back on a command.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum CommandReply {
-    /// The node has carried it out, or could not.
+    /// The node has executed the command, or has failed to.
     Finished(Outcome),
-    /// The node knows this higher token, of another controller.
+    /// The node has seen this higher token, which another controller issued.
     Stale(FencingToken),
-    /// No reply in time: the command may have been carried out, or may be later.
+    /// No reply arrived in time: the command may have been executed, or may still be.
     NoReply,
 }
--- a/crates/ochrewalk-rollout/src/controller/mod.rs
+++ b/crates/ochrewalk-rollout/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of a whole rollout: stages, analysis, rollback, and waiting for an operator.
+//! The state machine of a rollout: stages, analysis, rollback, and waiting for an operator.
 
 mod node;
 mod steps;
@@ -12,44 +12,45 @@
 use crate::version::Version;
 use node::Node;
 
-/// A node's status as the controller uses it.
+/// The part of a node's status that the controller uses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeReport {
     /// The version that the node runs.
     pub version: Version,
-    /// Whether the node serves, and no hand-over is under way.
+    /// Whether the node is serving and no hand-over is in progress.
     pub is_healthy: bool,
     /// The highest token that the node has seen.
     pub highest: FencingToken,
 }
 
-/// What a plan allows.
+/// The options of a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutPolicy {
-    /// Changed nodes revert by themselves unless they hear of their controller, until the whole rollout is done.
+    /// Whether changed nodes revert automatically unless they keep receiving requests from their controller,
+    /// until the whole rollout is done.
     pub commit_confirmed: bool,
-    /// A node that cannot hand over to the old version is restarted with it.
+    /// Whether a node that cannot hand over to the old version is restarted with it.
     pub restart_stuck_nodes: bool,
 }
 
-/// What the controller asks of its surroundings, in the order of the calls.
+/// The actions that the controller requests, in the order of the calls.
 pub trait ControllerActions {
-    /// Persists the record where it outlives the controller, before anything else is done. Where that fails, no later
-    /// command may be sent.
+    /// Persists the record where it outlives the controller, before any further action. If that fails, no
+    /// later command may be sent.
     fn persist(&mut self, record: &RolloutRecord);
-    /// Sends a command to a node; its reply goes to [`RolloutController::command_answered`].
+    /// Sends a command to a node; the reply is passed to [`RolloutController::command_answered`].
     fn send_command(&mut self, node: usize, command: Command);
-    /// Begins the analysis of a stage; its verdicts go to [`RolloutController::analysis_concluded`].
+    /// Begins the analysis of a stage; its verdicts are passed to [`RolloutController::analysis_concluded`].
     fn begin_analysis(&mut self, stage: usize);
 }
 
-/// A command that was sent so often without a reply is given up.
+/// The number of times that a command without a reply is sent before the controller gives up.
 const MAX_ATTEMPTS: u8 = 3;
 
-/// Leads one rollout from its first stage to its end, or back.
+/// Leads one rollout from its first stage to completion or rollback.
 ///
-/// Each step is persisted before it is taken. A controller may therefore be killed at any time: the next one is given the
-/// record and a higher number, polls all nodes, and goes on.
+/// Each step is persisted before it is taken. A controller may therefore be killed at any time: the next one
+/// receives the record and a higher number, polls all nodes, and continues.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RolloutController {
     stage_plan: StagePlan,
@@ -61,8 +62,9 @@
 }
 
 impl RolloutController {
-    /// Begins a rollout, or goes on with the one that `record` is of. `number` has to be higher than the record's, and no
-    /// other controller may ever have the same; where nodes know a higher one still, the controller takes the next.
+    /// Begins a rollout, or continues the one that `record` belongs to. `number` must be higher than the
+    /// record's, and no other controller may ever have it. If nodes report a higher number during the first
+    /// poll, the controller takes the next number above it.
     pub fn new(
         stage_plan: StagePlan,
         policy: RolloutPolicy,
@@ -74,32 +76,32 @@
         RolloutController { stage_plan, policy, record, phase: Phase::Polling, nodes, next_command: 0 }
     }
 
-    /// Where the rollout is.
+    /// Returns the phase of the rollout.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// What was persisted last, or will be with the next step.
+    /// Returns the record that was persisted last, or that the next step will persist.
     pub fn record(&self) -> &RolloutRecord {
         &self.record
     }
 
-    /// Whether nothing happens any more unless an operator, or another controller, acts.
+    /// Whether the rollout stays in its phase until an operator or another controller acts.
     pub fn has_stopped(&self) -> bool {
         matches!(self.phase, Phase::Done | Phase::RolledBack { .. } | Phase::Waiting(_) | Phase::Replaced)
     }
 
-    /// What is known of each node, in the order of the plan.
+    /// Returns the observed state of each node, in the order of the plan.
     pub fn node_states(&self) -> Vec<NodeState> {
         self.nodes.iter().map(|node| node.state).collect()
     }
 
-    /// Commands without a reply, with the index of their node.
+    /// Returns the commands without a reply, with the index of their node.
     pub fn pending_commands(&self) -> impl Iterator<Item = (usize, Command)> + '_ {
         self.nodes.iter().enumerate().filter_map(|(node, state)| Some((node, state.command?)))
     }
 
-    /// A node was polled; `report` is none where it did not answer.
+    /// Handles the result of polling a node; `report` is `None` if the node did not answer.
     pub fn node_reported(
         &mut self,
         node: usize,
@@ -126,7 +128,8 @@
         self.advance(actions);
     }
 
-    /// Whether a node obeys a controller with a higher number. While nothing was sent yet, a still higher number is taken.
+    /// Whether a node knows a controller with a higher number. While nothing was sent yet, this controller
+    /// takes the next number above it instead of being replaced.
     fn is_replaced_by(&mut self, controller: ControllerNumber) -> bool {
         if controller <= self.record.controller {
             return false;
@@ -138,7 +141,7 @@
         true
     }
 
-    /// Where the record says that the rollout goes on, once all nodes were polled.
+    /// Returns the phase that follows from the record once all nodes have been polled.
     fn first_phase(&self) -> Phase {
         match (&self.record.rollback_reason, self.record.is_finished) {
             (None, true) => Phase::Done,
@@ -155,7 +158,8 @@
         }
     }
 
-    /// What came back on a command. A reply to a command that is not pending, such as a late one, does nothing.
+    /// Handles the reply to a command. A reply to a command that is not pending, such as a late one, is
+    /// ignored.
     pub fn command_answered(
         &mut self,
         node: usize,
@@ -181,12 +185,12 @@
         let state = &mut self.nodes[node];
         if state.retries + 1 < MAX_ATTEMPTS {
             state.retries += 1;
-            // The same token, so that the node acts on it once.
+            // The token stays the same, so that the node executes the command once.
             return actions.send_command(node, command);
         }
         state.command_unanswered();
         if self.phase == Phase::Confirming {
-            let reason = "it was not told that what it runs is for good".into();
+            let reason = "it did not answer the command to confirm its version".into();
             self.phase = Phase::Waiting(WaitReason::NodeStuck { node, reason });
         } else {
             self.begin_rollback(format!("node {node} has not answered"), actions);
@@ -212,8 +216,9 @@
         }
     }
 
-    /// The verdict of the analysis on the stage, or on all changed nodes while more are changed or confirmed. Harm is acted on
-    /// at any time before the end; other verdicts only while a stage is analysed.
+    /// Handles a verdict of the analysis on the stage, or on all changed nodes while more are changed or
+    /// confirmed. Harm starts a rollback at any time before the end; other verdicts count only while a stage
+    /// is analysed.
     pub fn analysis_concluded(&mut self, verdict: Verdict, actions: &mut impl ControllerActions) {
         match (&self.phase, verdict) {
             (
@@ -231,14 +236,14 @@
     fn stage_passed(&mut self, stage: usize, actions: &mut impl ControllerActions) {
         self.record.stage = stage + 1;
         let is_last = self.record.stage == self.stage_plan.stage_count();
-        // Changes that were never commit-confirmed are for good already.
+        // Changes that were not commit-confirmed are permanent already.
         self.record.is_finished = is_last && !self.policy.commit_confirmed;
         actions.persist(&self.record);
         self.phase = if self.record.is_finished { Phase::Done } else { self.next_phase_forward() };
         self.advance(actions);
     }
 
-    /// An operator stops the rollout where it is. Commands that were sent are still carried out.
+    /// Pauses the rollout at an operator's request. Commands that were sent are still executed.
     pub fn pause(&mut self) {
         if let Phase::Advancing { .. }
         | Phase::Analyzing { .. }
@@ -249,7 +254,8 @@
         }
     }
 
-    /// An operator lets the rollout go on from where it waits. A stage whose analysis was inconclusive passes.
+    /// Resumes the rollout in the phase in which it waits, at an operator's request. A stage whose analysis
+    /// was inconclusive passes.
     pub fn resume(&mut self, actions: &mut impl ControllerActions) {
         let Phase::Waiting(reason) = &self.phase else { return };
         if let WaitReason::Inconclusive(_) = reason {
@@ -262,7 +268,7 @@
         self.advance(actions);
     }
 
-    /// An operator has all changed nodes reverted, also after the rollout was done.
+    /// Reverts all changed nodes at an operator's request, also after the rollout was done.
     pub fn roll_back(&mut self, actions: &mut impl ControllerActions) {
         if !matches!(self.phase, Phase::Polling | Phase::RolledBack { .. } | Phase::Replaced) {
             self.record.is_finished = false;
@@ -270,13 +276,14 @@
         }
     }
 
-    /// Nothing has changed for longer than the plan allows: the rollout waits for an operator, and says for what.
+    /// Makes the rollout wait for an operator, with a reason, because nothing has changed for longer than the
+    /// plan allows.
     pub fn no_progress(&mut self) {
         if !matches!(self.phase, Phase::Advancing { .. } | Phase::RollingBack { .. } | Phase::Confirming) {
             return;
         }
         let needs_every_node = self.record.rollback_reason.is_some() || self.phase == Phase::Confirming;
-        let reason = match self.nodes.iter().position(Node::is_out_and_may_be_changed) {
+        let reason = match self.nodes.iter().position(Node::is_unavailable_and_may_be_changed) {
             Some(node) if needs_every_node => {
                 WaitReason::NodeStuck { node, reason: "it does not answer".into() }
             }
@@ -286,7 +293,7 @@
     }
 
     fn begin_rollback(&mut self, reason: String, actions: &mut impl ControllerActions) {
-        // The first reason is the one that counts.
+        // A rollback that has begun retains its first reason.
         let reason = self.record.rollback_reason.get_or_insert(reason).clone();
         actions.persist(&self.record);
         self.phase = Phase::RollingBack { reason };
--- a/crates/ochrewalk-rollout/src/controller/node.rs
+++ b/crates/ochrewalk-rollout/src/controller/node.rs
@@ -1,4 +1,4 @@
-//! What the controller knows of one node.
+//! The state that the controller tracks for one node.
 
 use super::NodeReport;
 use crate::command::{ChangeMethod, Command};
@@ -10,11 +10,11 @@
 pub(super) struct Node {
     pub(super) state: NodeState,
     pub(super) command: Option<Command>,
-    /// How often the command was sent again.
+    /// The number of times that the command was sent again.
     pub(super) retries: u8,
-    /// It has reported, or was polled in vain, since this controller began.
+    /// Whether the node has reported or failed to answer a poll since this controller began.
     pub(super) is_polled: bool,
-    /// It has said that it keeps what it runs for good.
+    /// Whether the node has confirmed that it runs its version permanently.
     pub(super) is_confirmed: bool,
 }
 
@@ -30,8 +30,8 @@
         Node { state, command: None, retries: 0, is_polled: false, is_confirmed: false }
     }
 
-    /// The node was polled; `report` is none where it did not answer. What it runs is not taken from a report while a command
-    /// is under way, which the report may be older than.
+    /// Handles the result of polling the node; `report` is `None` if the node did not answer. While a command
+    /// is pending the reported version is ignored, because the report may be older than the command's effect.
     pub(super) fn reported(&mut self, report: Option<&NodeReport>) {
         self.is_polled = true;
         self.state.responds = report.is_some();
@@ -54,12 +54,14 @@
         self.is_confirmed = command.method != ChangeMethod::CommitConfirmed;
     }
 
-    /// Nothing is changed on the node: the caller knows what it runs.
+    /// Records that the command has failed, so that the node is unchanged. The caller knows the version that
+    /// it runs.
     pub(super) fn command_failed(&mut self) {
         self.command_ended();
     }
 
-    /// What the node runs is unknown: it counts as out of service until it reports.
+    /// Records that the command was given up. The version that the node runs is unknown, and the node counts
+    /// as out of service until it reports.
     pub(super) fn command_unanswered(&mut self) {
         self.command_ended();
         self.state.version = None;
@@ -72,19 +74,19 @@
         self.state.is_command_pending = false;
     }
 
-    /// Whether the node runs that version and nothing is under way that could change it.
+    /// Whether the node runs that version and no command is pending that could change it.
     pub(super) fn is_settled_on(&self, version: Version) -> bool {
         self.state.version == Some(version) && !self.state.is_command_pending
     }
 
-    /// Whether no command of an earlier controller can still be under way on the node: it reports itself healthy, has
-    /// confirmed what it runs, or was never changed.
-    pub(super) fn is_certain(&self) -> bool {
+    /// Whether no command of an earlier controller can still be in progress on the node, because the node
+    /// reports itself healthy, has confirmed its version, or was never changed.
+    pub(super) fn is_version_certain(&self) -> bool {
         self.state.is_healthy || self.is_confirmed || self.state.change_number == 0
     }
 
-    /// Whether the node is out of service, and runs the new version for all that is known.
-    pub(super) fn is_out_and_may_be_changed(&self) -> bool {
+    /// Whether the node is out of service and may run the new version.
+    pub(super) fn is_unavailable_and_may_be_changed(&self) -> bool {
         let is_old = self.state.version == Some(Version::Old);
         let may_be_changed = !is_old || self.state.change_number > 0 && !self.is_confirmed;
         !self.state.is_healthy && may_be_changed
--- a/crates/ochrewalk-rollout/src/controller/steps.rs
+++ b/crates/ochrewalk-rollout/src/controller/steps.rs
@@ -1,4 +1,4 @@
-//! Decides the next steps of a rollout: which command may be sent now, and whether a phase has come to its end.
+//! Decides the next steps of a rollout: which command may be sent now, and whether a phase is complete.
 
 use super::{ControllerActions, RolloutController};
 use crate::command::{ChangeMethod, Command};
@@ -7,26 +7,26 @@
 use crate::stage_plan::NodeState;
 use crate::version::Version;
 
-/// What the controller does next.
+/// The next step of the controller.
 enum Step {
-    /// Tells a node to run a version.
+    /// Commands a node to run a version.
     Command { node: usize, version: Version, method: ChangeMethod },
-    /// The stage is reached: it is analysed from now on.
+    /// Begins the analysis of a stage whose target number of nodes is changed.
     BeginAnalysis { stage: usize },
-    /// The rollout, or its rollback, has come to its end.
+    /// Completes the rollout or its rollback.
     Finish(Phase),
-    /// Nothing may be done until a node reports, a command is answered or the analysis concludes.
+    /// Waits until a node reports, a command is answered or the analysis concludes.
     Wait,
 }
 
 impl RolloutController {
-    /// Sends all commands that may be sent now, or leaves a phase that has come to its end.
+    /// Sends all commands that may be sent now, or leaves a phase that is complete.
     pub(super) fn advance(&mut self, actions: &mut impl ControllerActions) {
         loop {
             match self.next_step() {
                 Step::Wait => return,
                 Step::Command { node, version, method } => {
-                    self.remember_change(node, version, actions);
+                    self.persist_change(node, version, actions);
                     self.send_command(node, version, method, actions);
                 }
                 Step::BeginAnalysis { stage } => {
@@ -47,14 +47,14 @@
     fn next_step(&self) -> Step {
         let states = self.node_states();
         match &self.phase {
-            Phase::Advancing { stage } => self.next_step_forward(&states, *stage),
-            Phase::Confirming => self.next_step_of_confirming(&states),
-            Phase::RollingBack { reason } => self.next_step_back(&states, reason),
+            Phase::Advancing { stage } => self.next_advancing_step(&states, *stage),
+            Phase::Confirming => self.next_confirming_step(&states),
+            Phase::RollingBack { reason } => self.next_rollback_step(&states, reason),
             _ => Step::Wait,
         }
     }
 
-    fn next_step_forward(&self, states: &[NodeState], stage: usize) -> Step {
+    fn next_advancing_step(&self, states: &[NodeState], stage: usize) -> Step {
         if self.stage_plan.is_reached(states, stage) {
             return Step::BeginAnalysis { stage };
         }
@@ -63,26 +63,28 @@
         command(self.stage_plan.next_to_change(states, stage), Version::New, method)
     }
 
-    fn next_step_of_confirming(&self, states: &[NodeState]) -> Step {
+    fn next_confirming_step(&self, states: &[NodeState]) -> Step {
         if self.nodes.iter().all(|node| node.is_confirmed && node.is_settled_on(Version::New)) {
             return Step::Finish(Phase::Done);
         }
-        // A node that was restarted since it confirmed, and runs the old version, is told again.
+        // A node that was restarted after it had confirmed, and runs the old version, receives the command
+        // again.
         let is_confirmed =
             |node: usize| self.nodes[node].is_confirmed && states[node].version == Some(Version::New);
         command(self.stage_plan.next_to_confirm(states, is_confirmed), Version::New, ChangeMethod::HandOver)
     }
 
-    fn next_step_back(&self, states: &[NodeState], reason: &str) -> Step {
-        // A changed node may be in the middle of a command of an earlier controller.
-        if self.nodes.iter().all(|node| node.is_settled_on(Version::Old) && node.is_certain()) {
+    fn next_rollback_step(&self, states: &[NodeState], reason: &str) -> Step {
+        // A changed node may still be executing a command of an earlier controller.
+        if self.nodes.iter().all(|node| node.is_settled_on(Version::Old) && node.is_version_certain()) {
             return Step::Finish(Phase::RolledBack { reason: reason.into() });
         }
         command(self.stage_plan.next_to_revert(states), Version::Old, ChangeMethod::HandOver)
     }
 
-    /// Persists that the node may be changed before it is told to: whoever goes on from the record has to know.
-    fn remember_change(&mut self, node: usize, version: Version, actions: &mut impl ControllerActions) {
+    /// Persists that the node may be changed before the command is sent, so that a controller that continues
+    /// from the record knows of the change.
+    fn persist_change(&mut self, node: usize, version: Version, actions: &mut impl ControllerActions) {
         if version == Version::New && !self.record.changed_nodes.contains(&node) {
             self.record.changed_nodes.push(node);
             actions.persist(&self.record);
--- a/crates/ochrewalk-rollout/src/record.rs
+++ b/crates/ochrewalk-rollout/src/record.rs
@@ -1,63 +1,64 @@
-//! What a controller persists of a rollout before each step, and its form on disk: one protobuf message.
+//! The state that a controller persists before each step of a rollout, and its format on disk: one protobuf
+//! message.
 
 use crate::fence::ControllerNumber;
 use prost::Message as _;
 
-/// The version of the form on disk.
+/// The version of the format on disk.
 const FORMAT_VERSION: u32 = 1;
 
-/// All that has to outlive a controller, so that the next one can go on.
+/// The state of a rollout that has to outlive a controller, so that the next one can continue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RolloutRecord {
     /// The controller's number: the first part of its fencing tokens.
     pub controller: ControllerNumber,
-    /// How many stages have passed their analysis.
+    /// The number of stages that have passed their analysis.
     pub stage: usize,
-    /// Why the rollout is rolled back, if it is.
+    /// The reason for the rollback; `None` if the rollout is not rolled back.
     pub rollback_reason: Option<String>,
-    /// Nodes in the order in which they were changed, or were about to be.
+    /// Nodes in the order in which they were changed, including one that was about to be.
     pub changed_nodes: Vec<usize>,
-    /// Whether the rollout, or its rollback, has come to its end.
+    /// Whether the rollout or its rollback is complete.
     pub is_finished: bool,
 }
 
-/// Why bytes are no record that can be used.
+/// The reason for which bytes cannot be used as a record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The bytes are no record, or not all of one.
-    #[error("no record of a rollout: {0}")]
+    /// The bytes are not a record, or are truncated.
+    #[error("not a rollout record: {0}")]
     Malformed(#[from] prost::DecodeError),
     /// Another version of the program wrote the record.
-    #[error("a record of version {found}, {FORMAT_VERSION} is known here")]
+    #[error("rollout record has format version {found}, but this program reads version {FORMAT_VERSION}")]
     UnknownVersion {
-        /// The version of the form that the record has.
+        /// The format version that was found in the record.
         found: u32,
     },
 }
 
 impl RolloutRecord {
-    /// The record as bytes for the disk.
+    /// Returns the record in its format on disk.
     pub fn encode(&self) -> Vec<u8> {
         RolloutRecordMessage::from(self).encode_to_vec()
     }
 
-    /// The record that these bytes hold.
+    /// Decodes a record from its format on disk.
     ///
     /// # Errors
     ///
-    /// Where the bytes are torn, are no record, or were written in a form of another version.
+    /// Returns an error if the bytes are truncated, are not a record, or have another format version.
     pub fn decode(bytes: &[u8]) -> Result<RolloutRecord, RecordError> {
         RolloutRecordMessage::decode(bytes)?.try_into()
     }
 
-    /// When the node was changed among the others, counted from 1; 0 where it was not.
+    /// Returns the node's position in the order of changes, counted from 1; 0 if the node was not changed.
     pub(crate) fn change_number(&self, node: usize) -> u32 {
         let position = self.changed_nodes.iter().position(|changed| *changed == node);
         position.map_or(0, |position| position as u32 + 1)
     }
 }
 
-/// The form on disk.
+/// The format on disk.
 #[derive(Clone, PartialEq, prost::Message)]
 struct RolloutRecordMessage {
     #[prost(uint32, tag = "1")]
--- a/crates/ochrewalk-rollout/src/stage_plan.rs
+++ b/crates/ochrewalk-rollout/src/stage_plan.rs
@@ -1,48 +1,50 @@
-//! Decides which node is changed next: up to the stage's number, spread over zones, with never more nodes out of service at once
-//! than the plan allows, those that are out for reasons of their own included; and reverts newest first, under the same bound.
+//! Decides which node is changed next. Nodes are changed up to the stage's target number, spread over zones;
+//! reverts start with the node changed last. In both directions the number of nodes out of service never
+//! exceeds the plan's limit, and nodes that are out of service for unrelated causes count towards it.
 
 use crate::version::Version;
 use std::collections::BTreeMap;
 
-/// What the controller has observed of a node.
+/// The state of a node as the controller has observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NodeState {
-    /// What the node runs; none where that is not known.
+    /// The version that the node runs; `None` if it is unknown.
     pub version: Option<Version>,
-    /// The node responds, and serves.
+    /// Whether the node responds and is serving.
     pub is_healthy: bool,
-    /// The node answers when it is polled.
+    /// Whether the node answers polls.
     pub responds: bool,
-    /// A command is on its way, or being carried out.
+    /// Whether a command was sent to the node and has not been answered.
     pub is_command_pending: bool,
-    /// When the node was changed among the others, counted from 1; 0 where it was not.
+    /// The node's position in the order of changes, counted from 1; 0 if the node was not changed.
     pub change_number: u32,
 }
 
-/// Why a plan cannot be carried out.
+/// The reason for which a plan is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StagePlanError {
     /// The plan has no nodes.
     #[error("it has no nodes")]
     NoNodes,
-    /// No stage, one that is not larger than the one before, or a last one that is not all nodes.
-    #[error("its stages do not rise up to all nodes")]
+    /// The plan has no stages, a stage is not larger than the one before, or the last one does not include
+    /// all nodes.
+    #[error("its stages do not increase up to the number of all nodes")]
     Stages,
-    /// No node may be out of service, or all may be.
-    #[error("no node may be out of service, or all may be")]
+    /// The limit allows no node to be out of service, or allows all.
+    #[error("it allows no node to be out of service, or all nodes")]
     MaxUnavailable,
 }
 
-/// Which nodes each stage changes, and how many may be out of service at once.
+/// The number of nodes that each stage changes, and the number that may be out of service at once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StagePlan {
     zones: Vec<u32>,
-    /// How many nodes are changed at the end of each stage.
+    /// The number of changed nodes at the end of each stage.
     stages: Vec<usize>,
     max_unavailable: usize,
 }
 
-/// How far a zone is changed.
+/// The number of changed nodes in a zone.
 #[derive(Clone, Copy, Default)]
 struct ZoneProgress {
     changed: usize,
@@ -50,20 +52,23 @@
 }
 
 impl ZoneProgress {
-    /// The zone with the lowest rank is next: the least changed, in thousandths; of zones that are as far, the larger one, as it
-    /// loses the smaller part by one node more.
+    /// Returns the sort key of the zone; the zone with the lowest key is next. Zones are ordered by their
+    /// changed share, in thousandths. Among zones with the same share the larger one is first, because one
+    /// more node out of service is a smaller part of its capacity.
     fn rank(self) -> (usize, usize) {
         (self.changed * 1_000 / self.nodes, usize::MAX - self.nodes)
     }
 }
 
 impl StagePlan {
-    /// `zones` has the zone of each node; `stages`, how many nodes are changed at the end of each stage; `max_unavailable`,
-    /// how many may be out of service at once. A fleet of one node may have that one out.
+    /// Creates a plan. `zones` has the zone of each node; `stages` has the number of changed nodes at the end
+    /// of each stage; `max_unavailable` is the number of nodes that may be out of service at once. In a fleet
+    /// of one node, that node may be out of service.
     ///
     /// # Errors
     ///
-    /// Where there are no nodes, the stages do not rise up to all nodes, or the bound allows no node to be out, or all.
+    /// Returns an error if there are no nodes, if the stages do not increase up to the number of all nodes,
+    /// or if the limit allows no node to be out of service, or all.
     pub fn new(
         zones: Vec<u32>,
         stages: Vec<usize>,
@@ -72,9 +77,9 @@
         if zones.is_empty() {
             return Err(StagePlanError::NoNodes);
         }
-        let rises = stages.first().is_some_and(|first| *first > 0)
-            && stages.windows(2).all(|neighbours| neighbours[0] < neighbours[1]);
-        if !rises || stages.last() != Some(&zones.len()) {
+        let is_ascending =
+            stages.first().is_some_and(|first| *first > 0) && stages.windows(2).all(|pair| pair[0] < pair[1]);
+        if !is_ascending || stages.last() != Some(&zones.len()) {
             return Err(StagePlanError::Stages);
         }
         if max_unavailable == 0 || max_unavailable >= zones.len().max(2) {
@@ -83,33 +88,34 @@
         Ok(StagePlan { zones, stages, max_unavailable })
     }
 
-    /// How many nodes the plan has.
+    /// Returns the number of nodes in the plan.
     pub fn node_count(&self) -> usize {
         self.zones.len()
     }
 
-    /// The zone of a node.
+    /// Returns the zone of a node.
     pub fn zone(&self, node: usize) -> u32 {
         self.zones[node]
     }
 
-    /// How many stages the plan has.
+    /// Returns the number of stages in the plan.
     pub fn stage_count(&self) -> usize {
         self.stages.len()
     }
 
-    /// How many nodes are changed at the end of that stage; beyond the last stage, all.
+    /// Returns the number of changed nodes at the end of a stage; beyond the last stage, the number of all
+    /// nodes.
     pub fn target_count(&self, stage: usize) -> usize {
         self.stages[stage.min(self.stages.len() - 1)]
     }
 
-    /// How many more nodes may be taken out of service.
+    /// Returns the number of further nodes that may be taken out of service.
     fn remaining_unavailable(&self, states: &[NodeState]) -> usize {
-        let out = states.iter().filter(|node| !node.is_healthy || node.is_command_pending).count();
-        self.max_unavailable.saturating_sub(out)
+        let unavailable = states.iter().filter(|node| !node.is_healthy || node.is_command_pending).count();
+        self.max_unavailable.saturating_sub(unavailable)
     }
 
-    /// The next node to change in that stage, if one may be changed now.
+    /// Returns the next node to change in a stage, or `None` if no node may be changed now.
     pub fn next_to_change(&self, states: &[NodeState], stage: usize) -> Option<usize> {
         let changed = states.iter().filter(|node| counts_as_changed(node)).count();
         if self.remaining_unavailable(states) == 0 || changed >= self.target_count(stage) {
@@ -135,8 +141,9 @@
         zones
     }
 
-    /// The next node to revert, if one may be now. A node that responds and is unhealthy goes first: it is out of service
-    /// already, and may be so by what it runs. A node that does not respond is waited for.
+    /// Returns the next node to revert, or `None` if no node may be reverted now. A node that responds and is
+    /// unhealthy is first, because it is out of service already and the new version may be the cause. A node
+    /// that does not respond is not selected until it responds.
     pub fn next_to_revert(&self, states: &[NodeState]) -> Option<usize> {
         let newest = |is_healthy: bool| {
             let may_be_reverted = |node: &usize| {
@@ -153,25 +160,26 @@
         unhealthy.or_else(|| newest(true).filter(|_| self.remaining_unavailable(states) > 0))
     }
 
-    /// The next node to be told to keep its change for good, of those that have not confirmed it.
+    /// Returns the next node whose change has to be made permanent, among those that have not confirmed it.
     pub fn next_to_confirm(
         &self,
         states: &[NodeState],
         is_confirmed: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let may_be_told = |node: &usize| {
+        let may_be_confirmed = |node: &usize| {
             states[*node].is_healthy && !states[*node].is_command_pending && !is_confirmed(*node)
         };
-        (0..states.len()).find(may_be_told).filter(|_| self.remaining_unavailable(states) > 0)
+        (0..states.len()).find(may_be_confirmed).filter(|_| self.remaining_unavailable(states) > 0)
     }
 
-    /// Whether fewer nodes are changed than the stage asks for: some have reverted by themselves, or were restarted.
+    /// Whether fewer nodes than the stage's target are changed, because some have reverted automatically or
+    /// were restarted.
     pub fn is_below_target(&self, states: &[NodeState], stage: usize) -> bool {
         let is_old = |node: &&NodeState| node.version == Some(Version::Old) && node.is_healthy;
         self.zones.len() - states.iter().filter(is_old).count() < self.target_count(stage)
     }
 
-    /// Whether as many nodes as the stage asks for are changed and healthy.
+    /// Whether the stage's target number of nodes is changed and healthy.
     pub fn is_reached(&self, states: &[NodeState], stage: usize) -> bool {
         let is_changed = |node: &&NodeState| {
             node.version == Some(Version::New) && node.is_healthy && !node.is_command_pending
@@ -180,7 +188,8 @@
     }
 }
 
-/// A node with a pending command counts as changed: the reply may be lost.
+/// Whether a node counts as changed. A node with a pending command does, because its reply may have been
+/// lost.
 fn counts_as_changed(node: &NodeState) -> bool {
     node.version == Some(Version::New) || node.is_command_pending
 }
--- a/crates/ochrewalk-rollout/tests/controller.rs
+++ b/crates/ochrewalk-rollout/tests/controller.rs
@@ -1,4 +1,4 @@
-//! The course of a whole rollout, event by event.
+//! Tests the course of a whole rollout, event by event.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::{
@@ -53,7 +53,7 @@
 const HAND_OVER: RolloutPolicy = RolloutPolicy { commit_confirmed: false, restart_stuck_nodes: false };
 const COMMIT_CONFIRMED: RolloutPolicy = RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: false };
 
-/// All nodes have reported that they run the old version.
+/// Creates a controller to which all nodes have reported that they run the old version.
 fn polled(record: Option<RolloutRecord>) -> (RolloutController, RecordedActions) {
     polled_with(HAND_OVER, record)
 }
@@ -69,7 +69,7 @@
     (controller, actions)
 }
 
-/// The oldest command without a reply is answered.
+/// Answers the oldest command without a reply.
 fn answer(controller: &mut RolloutController, actions: &mut RecordedActions, reply: CommandReply) {
     let (node, command) = actions.commands.remove(0);
     controller.command_answered(node, command.token, reply, actions);
@@ -90,7 +90,7 @@
     assert_eq!(
         actions.take(),
         "persist, persist, 2 New, persist, 1 New",
-        "two at once, the other zone first"
+        "two nodes at once, the other zone first"
     );
     answer(&mut controller, &mut actions, done());
     answer(&mut controller, &mut actions, done());
@@ -102,17 +102,17 @@
 }
 
 #[test]
-fn harm_reverts_all_newest_first_also_while_more_are_changed() {
+fn harm_reverts_all_nodes_newest_first_even_while_more_are_being_changed() {
     let (mut controller, mut actions) = polled(None);
     answer(&mut controller, &mut actions, done());
     controller.analysis_concluded(Verdict::Pass, &mut actions);
     answer(&mut controller, &mut actions, done());
     actions.take();
-    // Two are still being changed: one command has to end before any node can be reverted.
+    // Two nodes are still being changed: one command has to finish before any node can be reverted.
     controller.analysis_concluded(Verdict::Harm("slow".into()), &mut actions);
     assert_eq!(actions.take(), "persist");
     answer(&mut controller, &mut actions, done());
-    assert_eq!(actions.take(), "1 Old", "the newest of those that are changed");
+    assert_eq!(actions.take(), "1 Old", "the changed node that was changed last");
     while !actions.commands.is_empty() {
         answer(&mut controller, &mut actions, done());
     }
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_version_that_does_not_start_goes_no_further() {
+fn a_version_that_does_not_start_is_rolled_back_and_a_node_that_cannot_revert_waits_for_the_operator() {
     let (mut controller, mut actions) = polled(None);
     answer(
         &mut controller,
@@ -130,30 +130,30 @@
         CommandReply::Finished(Outcome::Failed("the new program ended".into())),
     );
     assert_eq!(controller.phase(), &Phase::RolledBack { reason: "node 0: the new program ended".into() });
-    // One that cannot go back is the operator's.
+    // A node that cannot be reverted is left to the operator.
     let (mut controller, mut actions) = polled(None);
     answer(&mut controller, &mut actions, done());
     controller.analysis_concluded(Verdict::Harm("slow".into()), &mut actions);
     answer(&mut controller, &mut actions, CommandReply::Finished(Outcome::Failed("no such file".into())));
-    let left = WaitReason::NodeStuck { node: 0, reason: "no such file".into() };
-    assert_eq!(controller.phase(), &Phase::Waiting(left));
+    let stuck = WaitReason::NodeStuck { node: 0, reason: "no such file".into() };
+    assert_eq!(controller.phase(), &Phase::Waiting(stuck));
     controller.resume(&mut actions);
     answer(&mut controller, &mut actions, done());
     assert_eq!(controller.phase(), &Phase::RolledBack { reason: "slow".into() });
 }
 
 #[test]
-fn a_command_without_a_reply_is_sent_again_and_then_its_node_counts_as_out() {
+fn a_command_without_a_reply_is_sent_three_times_and_then_its_node_counts_as_out_of_service() {
     let (mut controller, mut actions) = polled(None);
     actions.take();
     let first = actions.commands[0];
-    for again in 0..2 {
+    for retry in 0..2 {
         answer(&mut controller, &mut actions, CommandReply::NoReply);
-        assert_eq!(actions.commands, [first], "{again}: the same, so that it acts once");
+        assert_eq!(actions.commands, [first], "retry {retry}: the same token, so that it is executed once");
     }
     answer(&mut controller, &mut actions, CommandReply::NoReply);
     assert_eq!(controller.phase(), &Phase::RollingBack { reason: "node 0 has not answered".into() });
-    // A late reply does nothing; what the node reports counts.
+    // A late reply is ignored; the node's report is used instead.
     controller.command_answered(0, first.1.token, done(), &mut actions);
     controller.node_reported(0, None, &mut actions);
     assert!(actions.commands.is_empty());
@@ -187,13 +187,13 @@
         later.node_reported(node, Some(&report(Version::Old, highest)), &mut actions);
     }
     assert_eq!(actions.commands[0].1.token, FencingToken { controller: ControllerNumber(8), command: 1 });
-    // And learns of a higher one later.
+    // The controller is replaced when a node reports a higher number later.
     later.node_reported(3, Some(&report(Version::Old, 9)), &mut actions);
     assert_eq!(later.phase(), &Phase::Replaced);
 }
 
 #[test]
-fn the_controller_after_one_that_was_killed_goes_on_from_the_record() {
+fn the_controller_after_one_that_was_killed_continues_from_the_record() {
     let (mut controller, mut actions) = polled(None);
     answer(&mut controller, &mut actions, done());
     controller.analysis_concluded(Verdict::Pass, &mut actions);
@@ -203,12 +203,12 @@
         RolloutController::new(stage_plan(), HAND_OVER, Some(record), ControllerNumber(2)),
         RecordedActions::default(),
     );
-    // One of the two commands was carried out.
+    // One of the two pending commands was executed.
     for (node, version) in [Version::New, Version::Old, Version::New, Version::Old].into_iter().enumerate() {
         next.node_reported(node, Some(&report(version, 1)), &mut actions);
     }
     assert_eq!(actions.take(), "persist, 1 New, persist, 3 New");
-    // During a rollback, too; and a rollout that is finished stays so.
+    // The same holds during a rollback, and a finished rollout stays finished.
     next.analysis_concluded(Verdict::Harm("slow".into()), &mut actions);
     let record = actions.record.clone().unwrap();
     let (mut next, mut actions) = (
@@ -219,23 +219,23 @@
         next.node_reported(node, Some(&report([Version::Old, Version::New][node % 2], 2)), &mut actions);
     }
     assert_eq!(actions.take(), "persist, 3 Old, 1 Old");
-    let over = RolloutRecord { is_finished: true, ..RolloutRecord::default() };
-    assert_eq!(polled(Some(over.clone())).0.phase(), &Phase::Done);
-    let back = RolloutRecord { rollback_reason: Some("slow".into()), ..over };
-    assert_eq!(polled(Some(back)).0.phase(), &Phase::RolledBack { reason: "slow".into() });
+    let finished = RolloutRecord { is_finished: true, ..RolloutRecord::default() };
+    assert_eq!(polled(Some(finished.clone())).0.phase(), &Phase::Done);
+    let rolled_back = RolloutRecord { rollback_reason: Some("slow".into()), ..finished };
+    assert_eq!(polled(Some(rolled_back)).0.phase(), &Phase::RolledBack { reason: "slow".into() });
 }
 
 #[test]
-fn an_unhealthy_fleet_makes_it_wait_and_an_operator_pauses_resumes_and_rolls_back() {
+fn an_unhealthy_fleet_makes_the_rollout_wait_and_an_operator_pauses_resumes_and_rolls_back() {
     let (mut controller, mut actions) = (
         RolloutController::new(stage_plan(), HAND_OVER, None, ControllerNumber(1)),
         RecordedActions::default(),
     );
     for node in 0..4 {
-        let well = NodeReport { is_healthy: node > 1, ..report(Version::Old, 0) };
-        controller.node_reported(node, Some(&well), &mut actions);
+        let status = NodeReport { is_healthy: node > 1, ..report(Version::Old, 0) };
+        controller.node_reported(node, Some(&status), &mut actions);
     }
-    assert_eq!(actions.take(), "persist", "two are out for reasons of their own");
+    assert_eq!(actions.take(), "persist", "two nodes are out of service for unrelated causes");
     controller.no_progress();
     assert_eq!(controller.phase(), &Phase::Waiting(WaitReason::FleetUnhealthy));
     controller.resume(&mut actions);
@@ -249,13 +249,13 @@
     controller.analysis_concluded(Verdict::Inconclusive("few calls".into()), &mut actions);
     assert_eq!(controller.phase(), &Phase::Waiting(WaitReason::Inconclusive("few calls".into())));
     controller.resume(&mut actions);
-    assert_eq!(controller.phase(), &Phase::Advancing { stage: 1 }, "the operator takes it for good");
+    assert_eq!(controller.phase(), &Phase::Advancing { stage: 1 }, "the operator accepts the stage");
     controller.roll_back(&mut actions);
     assert!(matches!(controller.phase(), Phase::RollingBack { .. }));
 }
 
-/// A commit-confirmed rollout that has passed all its stages.
-fn passed_unconfirmed() -> (RolloutController, RecordedActions) {
+/// Creates a commit-confirmed rollout that has passed all its stages.
+fn passed_and_unconfirmed() -> (RolloutController, RecordedActions) {
     let (mut controller, mut actions) = polled_with(COMMIT_CONFIRMED, None);
     answer(&mut controller, &mut actions, done());
     controller.analysis_concluded(Verdict::Pass, &mut actions);
@@ -271,18 +271,20 @@
 fn a_commit_confirmed_rollout_is_done_only_once_every_node_has_confirmed() {
     let (mut controller, mut actions) = polled_with(COMMIT_CONFIRMED, None);
     assert_eq!(actions.take(), "persist, persist, 0 New unconfirmed");
-    // A node that reverts by itself while its stage is analysed is changed again.
+    // A node that reverts automatically while its stage is analysed is changed again.
     answer(&mut controller, &mut actions, done());
     assert_eq!(actions.take(), "analyze 0");
     controller.node_reported(0, Some(&report(Version::Old, 1)), &mut actions);
     assert_eq!(actions.take(), "0 New unconfirmed");
     answer(&mut controller, &mut actions, done());
     assert_eq!(actions.take(), "analyze 0");
-    // All stages have passed: two nodes at once are told, no more than may be out.
-    let (mut controller, mut actions) = passed_unconfirmed();
+    // After all stages have passed, two nodes at once are commanded to confirm, the maximum that may be out
+    // of service.
+    let (mut controller, mut actions) = passed_and_unconfirmed();
     assert_eq!((actions.take().as_str(), controller.phase()), ("persist, 0 New, 1 New", &Phase::Confirming));
     answer(&mut controller, &mut actions, done());
-    // A node that has reverted by itself, or was restarted since it confirmed, is told again.
+    // A node that has reverted automatically, or was restarted after it had confirmed, receives the command
+    // again.
     controller.node_reported(0, Some(&report(Version::Old, 1)), &mut actions);
     assert_eq!(actions.take(), "2 New");
     while !actions.commands.is_empty() {
@@ -293,13 +295,13 @@
 }
 
 #[test]
-fn a_node_that_does_not_confirm_is_left_to_the_operator_and_the_next_controller_goes_on_confirming() {
-    let (mut controller, mut actions) = passed_unconfirmed();
+fn a_node_that_does_not_confirm_is_left_to_the_operator_and_the_next_controller_continues_to_confirm() {
+    let (mut controller, mut actions) = passed_and_unconfirmed();
     answer(&mut controller, &mut actions, CommandReply::Finished(Outcome::Failed("busy".into())));
     assert_eq!(controller.phase(), &Phase::Waiting(WaitReason::NodeStuck { node: 0, reason: "busy".into() }));
-    let (mut controller, mut actions) = passed_unconfirmed();
+    let (mut controller, mut actions) = passed_and_unconfirmed();
     for _ in 0..3 {
-        // The command to the first of the two is sent again each time; the other one's turn comes between.
+        // Each time, the command to node 0 is sent again; the command to the other node is still pending.
         let (node, command) = actions.commands.iter().copied().find(|(node, _)| *node == 0).unwrap();
         actions.commands.retain(|(node, _)| *node != 0);
         controller.command_answered(node, command.token, CommandReply::NoReply, &mut actions);
@@ -309,7 +311,7 @@
     assert_eq!((record.stage, record.is_finished, &record.rollback_reason), (2, false, &None));
     controller.resume(&mut actions);
     assert_eq!(controller.phase(), &Phase::Confirming);
-    // The controller after one that was killed there neither analyses nor changes again.
+    // The successor of a controller that was killed in this phase neither analyses nor changes nodes again.
     let (mut next, mut actions) = (
         RolloutController::new(stage_plan(), COMMIT_CONFIRMED, Some(record), ControllerNumber(2)),
         RecordedActions::default(),
@@ -318,7 +320,7 @@
         next.node_reported(node, Some(&report(Version::New, 1)), &mut actions);
     }
     assert_eq!((actions.take().as_str(), next.phase()), ("persist, 0 New, 1 New", &Phase::Confirming));
-    // A node that does not answer any more is named.
+    // A node that stopped answering is named in the reason.
     for node in 0..4 {
         next.node_reported(node, None, &mut actions);
     }
@@ -326,8 +328,8 @@
     answer(&mut next, &mut actions, done());
     next.no_progress();
     assert!(matches!(next.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
-    // Late harm reverts all, those that have confirmed as well.
-    let (mut controller, mut actions) = passed_unconfirmed();
+    // Harm that is found late reverts all nodes, including those that have confirmed.
+    let (mut controller, mut actions) = passed_and_unconfirmed();
     answer(&mut controller, &mut actions, done());
     controller.analysis_concluded(Verdict::Harm("late".into()), &mut actions);
     while !actions.commands.is_empty() {
@@ -337,7 +339,7 @@
 }
 
 #[test]
-fn a_node_that_cannot_hand_over_back_is_restarted_where_the_plan_allows_it_and_once_only() {
+fn a_node_that_cannot_hand_over_to_the_old_version_is_restarted_once_if_the_plan_allows_it() {
     let (mut controller, mut actions) =
         polled_with(RolloutPolicy { restart_stuck_nodes: true, commit_confirmed: false }, None);
     answer(&mut controller, &mut actions, done());
@@ -360,7 +362,7 @@
         &mut actions,
     );
     assert!(matches!(other.phase(), Phase::Waiting(WaitReason::NodeStuck { node: 0, .. })));
-    // A new version that does not come up is no reason to end the old one.
+    // A new version that does not start is no reason to restart the old one.
     let (mut controller, mut actions) =
         polled_with(RolloutPolicy { restart_stuck_nodes: true, commit_confirmed: false }, None);
     actions.take();
--- a/crates/ochrewalk-rollout/tests/stage_plan.rs
+++ b/crates/ochrewalk-rollout/tests/stage_plan.rs
@@ -1,4 +1,4 @@
-//! Which node is changed next: by table, and in any state of a fleet.
+//! Tests which node is changed next, in given states and in random states of a fleet.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::{NodeState, StagePlan, StagePlanError, Version};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_plan_that_cannot_be_carried_out_is_rejected() {
+fn an_invalid_plan_is_rejected() {
     for (zones, stages, max_unavailable, error) in [
         (vec![], vec![1], 1, StagePlanError::NoNodes),
         (vec![0; 4], vec![], 1, StagePlanError::Stages),
@@ -36,8 +36,8 @@
     ] {
         assert_eq!(StagePlan::new(zones, stages, max_unavailable), Err(error));
     }
-    assert!(StagePlan::new(vec![0], vec![1], 1).is_ok(), "a fleet of one");
-    assert!(StagePlan::new(vec![0, 0], vec![1, 2], 1).is_ok(), "of two");
+    assert!(StagePlan::new(vec![0], vec![1], 1).is_ok(), "a fleet of one node");
+    assert!(StagePlan::new(vec![0, 0], vec![1, 2], 1).is_ok(), "a fleet of two nodes");
 }
 
 #[test]
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nodes_that_are_out_for_reasons_of_their_own_count() {
+fn nodes_out_of_service_for_unrelated_causes_count_towards_the_limit() {
     let stage_plan = stage_plan(&[0; 4], &[2, 4], 2);
     let unhealthy_old = NodeState { is_healthy: false, ..OLD };
     let pending = NodeState { is_command_pending: true, ..OLD };
@@ -82,7 +82,8 @@
     ] {
         assert_eq!(stage_plan.next_to_change(&states, 0), next, "{states:?}");
     }
-    // Of nodes to revert, one that responds and is unhealthy goes first, as it is out already; a silent one is waited for.
+    // Among nodes to revert, one that responds and is unhealthy is first, because it is out of service
+    // already; a node that does not respond is not selected.
     let silent = |changed| NodeState { is_healthy: false, responds: false, ..new(changed) };
     let unhealthy = |changed| NodeState { is_healthy: false, ..new(changed) };
     for (states, next) in [
@@ -114,7 +115,7 @@
     })]
 
     #[test]
-    fn no_step_takes_more_out_than_the_plan_allows(
+    fn no_step_takes_more_nodes_out_of_service_than_the_plan_allows(
         states in prop::collection::vec((any_state(), 0u32..3), 2..12),
         max_unavailable in 1usize..4,
         stage in 0usize..2,
@@ -123,12 +124,12 @@
         let count = states.len();
         let max_unavailable = max_unavailable.min(count - 1);
         let stage_plan = stage_plan(&zones, &[1, count], max_unavailable);
-        let out = states.iter().filter(|s| !s.is_healthy || s.is_command_pending).count();
+        let unavailable = states.iter().filter(|s| !s.is_healthy || s.is_command_pending).count();
         let new = states.iter().filter(|s| s.version == Some(Version::New) || s.is_command_pending).count();
         for (next, from) in [(stage_plan.next_to_change(&states, stage), Version::Old), (stage_plan.next_to_revert(&states), Version::New)] {
             if let Some(node) = next {
-                // A node that is out already is not taken out by the step.
-                prop_assert!(out < max_unavailable || from == Version::New && !states[node].is_healthy);
+                // A node that is out of service already is not taken out by the step.
+                prop_assert!(unavailable < max_unavailable || from == Version::New && !states[node].is_healthy);
                 prop_assert!(states[node].responds && !states[node].is_command_pending);
                 prop_assert!(states.iter().filter(|s| s.is_command_pending).count() < max_unavailable);
                 prop_assert_eq!(states[node].version, Some(from));
