--- a/crates/ochrewalk-rollout/src/commit_confirm.rs
+++ b/crates/ochrewalk-rollout/src/commit_confirm.rs
@@ -1,17 +1,18 @@
-//! Decides, at a node, how long an unconfirmed change stays: as long as the node hears of the controller, and no longer, unless
-//! the change is confirmed. A node that is cut off from its controller reverts by itself, so that it is never left with a
-//! change that nobody watches.
+//! Decides, at a node, how long an unconfirmed change stays: as long as the node receives requests from the
+//! controller, unless the change is confirmed. A node that is disconnected from its controller reverts
+//! automatically, so that no node retains a change that no controller monitors.
 
 use crate::fence::ControllerNumber;
 
-/// What an unconfirmed change needs now.
+/// The action that an unconfirmed change requires now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RevertAction {
-    /// Nothing.
+    /// No action.
     None,
-    /// What runs has to hand over to what ran before.
+    /// The running process has to hand over to a process of the previous version.
     HandOver,
-    /// The hand-over has failed too often: what runs is ended, and what ran before is started.
+    /// The hand-over has failed too often: the running process is ended, and one of the previous version is
+    /// started.
     Restart,
 }
 
@@ -23,30 +24,30 @@
         lease_us: u64,
         deadline_us: u64,
     },
-    /// The node reverts; the next attempt is then, unless one is under way.
+    /// The node reverts. `next_us` is the time of the next attempt, `None` while an attempt is in progress.
     Reverting {
         attempts: u32,
         next_us: Option<u64>,
     },
 }
 
-/// So many attempts to hand over are made before the node is restarted.
+/// The number of hand-over attempts before the node is restarted.
 const MAX_HAND_OVER_ATTEMPTS: u32 = 3;
 /// The time between two attempts.
 const RETRY_INTERVAL_US: u64 = 1_000_000;
 
-/// A node's commit-confirmed change, if it has one. Times are microseconds of a monotonic clock: a step of the calendar neither
-/// shortens the lease nor makes it endless.
+/// A node's commit-confirmed change, if it has one. Times are microseconds of a monotonic clock, so that a
+/// step of the system's calendar clock neither shortens the lease nor makes it endless.
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
 /// | confirmed | `start` | unconfirmed, until the lease has passed |
 /// | unconfirmed | `renew` by the current controller | unconfirmed, for another lease |
 /// | unconfirmed | `confirm` | confirmed |
-/// | unconfirmed | `next_action` after the deadline: hand over | reverting |
-/// | reverting | `revert_succeeded` | confirmed, with what ran before |
-/// | reverting | `revert_failed` | reverting; a second later `next_action` says what to do, from the fourth time on a restart |
-/// | reverting | `start`, `confirm` | as above: the later command counts |
+/// | unconfirmed | `next_action` after the deadline returns a hand-over | reverting |
+/// | reverting | `revert_succeeded` | confirmed, with the previous version |
+/// | reverting | `revert_failed` | reverting; a second later `next_action` returns the next attempt, from the fourth attempt on a restart |
+/// | reverting | `start`, `confirm` | as above: the later command takes precedence |
 ///
 /// ```
 /// use ochrewalk_rollout::{CommitConfirm, ControllerNumber, RevertAction};
@@ -64,18 +65,20 @@
 }
 
 impl CommitConfirm {
-    /// What the node runs now is unconfirmed: it stays for `lease_us` after each time that the controller is heard.
+    /// Marks the version that the node runs now as unconfirmed. The version stays for `lease_us` after each
+    /// request of the controller.
     pub fn start(&mut self, now_us: u64, lease_us: u64) {
         self.state = State::Unconfirmed { lease_us, deadline_us: now_us + lease_us };
     }
 
-    /// What the node runs now stays for good.
+    /// Makes the version that the node runs now permanent.
     pub fn confirm(&mut self) {
         self.state = State::Confirmed;
     }
 
-    /// A controller has polled the node. One with a lower number than the highest known has been replaced and renews nothing;
-    /// a node that reverts already goes on doing so.
+    /// Renews the lease, because a controller has polled the node. A controller whose number is below the
+    /// highest known one has been replaced and does not renew it. A node that is already reverting continues
+    /// to revert.
     pub fn renew(&mut self, now_us: u64, controller: ControllerNumber, highest: ControllerNumber) {
         if let (State::Unconfirmed { lease_us, deadline_us }, true) = (&mut self.state, controller >= highest)
         {
@@ -83,8 +86,8 @@
         }
     }
 
-    /// What has to be done at this time. An action is under way from then on, until [`CommitConfirm::revert_succeeded`] or
-    /// [`CommitConfirm::revert_failed`].
+    /// Returns the action that is due at this time. The action is in progress from then until
+    /// [`CommitConfirm::revert_succeeded`] or [`CommitConfirm::revert_failed`] is called.
     pub fn next_action(&mut self, now_us: u64) -> RevertAction {
         let attempts = match self.state {
             State::Unconfirmed { deadline_us, .. } if now_us >= deadline_us => 0,
@@ -99,21 +102,21 @@
         }
     }
 
-    /// The action that was due is done: the node runs again what it ran before.
+    /// Records that the action has succeeded: the node runs the previous version again.
     pub fn revert_succeeded(&mut self) {
         if let State::Reverting { .. } = self.state {
             self.state = State::Confirmed;
         }
     }
 
-    /// The action that was due failed, or could not be begun.
+    /// Records that the action has failed, or could not be started.
     pub fn revert_failed(&mut self, now_us: u64) {
         if let State::Reverting { attempts, .. } = self.state {
             self.state = State::Reverting { attempts, next_us: Some(now_us + RETRY_INTERVAL_US) };
         }
     }
 
-    /// Until when nothing has to be done; none where nothing will be until the next event.
+    /// Returns the time until which no action is due; `None` if no action is due before the next event.
     pub fn next_us(&self) -> Option<u64> {
         match self.state {
             State::Unconfirmed { deadline_us, .. } => Some(deadline_us),
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Whether the node runs an unconfirmed change, also while it reverts.
+    /// Whether the node runs an unconfirmed change, including while it reverts.
     pub fn is_pending(&self) -> bool {
         self.state != State::Confirmed
     }
--- a/crates/ochrewalk-rollout/src/fence.rs
+++ b/crates/ochrewalk-rollout/src/fence.rs
@@ -1,58 +1,60 @@
-//! Decides, at a node, whose commands are obeyed. Each controller has a number that no other has, higher than any before it, and
-//! numbers its commands in rising order. A node remembers the highest token and rejects what is lower: so of two
-//! controllers only the later one acts, a late command does nothing, and a command that arrives twice acts once.
+//! Decides, at a node, which controller's commands are executed. Each controller has a unique number, higher
+//! than that of any controller before it, and numbers its commands in ascending order. A node stores the
+//! highest token and rejects lower ones: of two controllers only the later one acts, a late command has no
+//! effect, and a command that arrives twice is executed once.
 
-/// The number of a controller. The higher one replaces the lower.
+/// The number of a controller. A controller replaces those with lower numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ControllerNumber(pub u64);
 
 impl ControllerNumber {
-    /// What stands for the number of one who only asks for the status, and is no controller.
+    /// The number in requests of a client that only requests the status and is not a controller.
     pub const OBSERVER: ControllerNumber = ControllerNumber(0);
 
-    /// The next higher number.
+    /// Returns the next higher number.
     pub fn next(self) -> ControllerNumber {
         ControllerNumber(self.0 + 1)
     }
 }
 
-/// A command's place among all: compared by the controller's number first, then by the command's.
+/// The position of a command in the order of all commands. Tokens are compared by controller number first,
+/// then by command number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FencingToken {
     /// The controller's number.
     pub controller: ControllerNumber,
-    /// The command's number among the controller's, counted from 1.
+    /// The command's number among the commands of its controller, counted from 1.
     pub command: u64,
 }
 
-/// What came of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The node runs what it was told to.
+    /// The node runs the commanded version.
     Done,
-    /// Why not, in plain words; the node runs what it ran before.
+    /// The command failed and the node runs its previous version. Contains the reason, as text for operators.
     Failed(String),
 }
 
-/// What a node is to do with a command.
+/// The decision of a node on a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Admission {
-    /// Carry it out.
+    /// The command is executed.
     Execute,
-    /// Nothing: it is being carried out.
+    /// The command is being executed already.
     InProgress,
-    /// Nothing: it was carried out before, with this outcome.
+    /// The command was executed before, with this outcome.
     Repeated(Outcome),
-    /// Nothing: this higher token was seen.
+    /// The command is not executed, because the node has seen this higher token.
     Stale(FencingToken),
 }
 
-/// What a node remembers of commands.
+/// The highest token that a node has seen, and the outcome of its command.
 ///
 /// | state | command with a lower token | the same token | a higher token |
 /// | --- | --- | --- | --- |
-/// | no outcome yet | `Stale` | `InProgress` | `Execute`, the outcome is forgotten |
-/// | outcome known | `Stale` | `Repeated` | `Execute`, the outcome is forgotten |
+/// | no outcome yet | `Stale` | `InProgress` | `Execute`, the outcome is discarded |
+/// | outcome known | `Stale` | `Repeated` | `Execute`, the outcome is discarded |
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     highest: FencingToken,
@@ -60,7 +62,7 @@
 }
 
 impl Fence {
-    /// Decides on a command that has arrived, and remembers its token.
+    /// Decides on a command that has arrived, and stores its token.
     ///
     /// ```
     /// use ochrewalk_rollout::{Admission, ControllerNumber, Fence, FencingToken, Outcome};
@@ -87,7 +89,8 @@
         }
     }
 
-    /// A controller has polled the node: commands of earlier controllers that are still on their way come too late.
+    /// Records that a controller has polled the node, so that commands of earlier controllers that are still
+    /// in transit are rejected.
     ///
     /// ```
     /// use ochrewalk_rollout::{Admission, ControllerNumber, Fence, FencingToken};
@@ -103,15 +106,15 @@
         }
     }
 
-    /// A command that was admitted has been carried out, or could not be. Where a later one was admitted meanwhile, nothing is
-    /// remembered of it.
+    /// Records the outcome of an admitted command. The outcome is discarded if a later command was admitted
+    /// in the meantime.
     pub fn command_finished(&mut self, token: FencingToken, outcome: Outcome) {
         if token == self.highest {
             self.outcome = Some(outcome);
         }
     }
 
-    /// The highest token seen.
+    /// Returns the highest token that was seen.
     pub fn highest(&self) -> FencingToken {
         self.highest
     }
--- a/crates/ochrewalk-rollout/src/framing.rs
+++ b/crates/ochrewalk-rollout/src/framing.rs
@@ -1,28 +1,29 @@
-//! Messages on a stream: the length of each in bytes as a big-endian `u32`, then the message in protobuf.
+//! Framing of messages on a stream: the length of each in bytes as a big-endian `u32`, then the message in
+//! protobuf.
 
 use std::io::Read;
 
-/// The longest message that is read, in bytes.
+/// The maximum length of a message that is read, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Why no message could be read from a stream.
+/// The reason for which no message could be read from a stream.
 #[derive(Debug, thiserror::Error)]
 pub enum FramingError {
-    /// The stream failed, or ended in the middle of a message.
+    /// The stream failed, or ended inside a message.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The length announced is over [`MAX_MESSAGE_BYTES`].
-    #[error("a message of {length} bytes; {MAX_MESSAGE_BYTES} are the most")]
+    /// The announced length exceeds [`MAX_MESSAGE_BYTES`].
+    #[error("message of {length} bytes exceeds the maximum of {MAX_MESSAGE_BYTES} bytes")]
     TooLong {
-        /// The length announced, in bytes.
+        /// The announced length, in bytes.
         length: usize,
     },
-    /// The bytes are no message of the expected type.
-    #[error("bytes that are no message: {0}")]
+    /// The bytes are not a message of the expected type.
+    #[error("malformed message: {0}")]
     Malformed(#[from] prost::DecodeError),
 }
 
-/// The message as it goes over a stream.
+/// Returns the message with its length prefix.
 pub fn write_message(message: &impl prost::Message) -> Vec<u8> {
     let length = u32::try_from(message.encoded_len()).expect("a message is far shorter than 4 GB");
     let mut bytes = length.to_be_bytes().to_vec();
@@ -30,11 +31,12 @@
     bytes
 }
 
-/// Reads one complete message, and nothing beyond it.
+/// Reads one complete message, and no bytes after it.
 ///
 /// # Errors
 ///
-/// Where the stream fails or ends first, the message is too long, or its bytes cannot be decoded.
+/// Returns an error if the stream fails or ends first, if the message is too long, or if its bytes cannot be
+/// decoded.
 pub fn read_message<M: prost::Message + Default>(stream: &mut impl Read) -> Result<M, FramingError> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
--- a/crates/ochrewalk-rollout/src/lib.rs
+++ b/crates/ochrewalk-rollout/src/lib.rs
@@ -1,48 +1,55 @@
-//! Decides a rollout: a change of the program or of the settings of a fleet, node by node in stages, rolled back where changed
-//! nodes do worse. No sockets, no clocks, no files: the caller does what is decided here, and says what came of it.
+//! Decides the course of a rollout: a fleet's program or settings are changed node by node, in stages, and
+//! the change is rolled back if changed nodes do worse. This crate uses no sockets, clocks or files: the
+//! caller performs the actions that are decided here and reports their results.
 //!
 //! # Parts
 //!
-//! * [`RolloutController`] leads one rollout through its stages, or back, and waits for an operator where it has to.
-//! * [`StagePlan`] says which node is changed, reverted or confirmed next.
+//! * [`RolloutController`] leads one rollout through its stages or its rollback, and waits for an operator
+//!   when it cannot decide.
+//! * [`StagePlan`] selects the node that is changed, reverted or confirmed next.
 //! * [`CanaryAnalysis`] compares changed with unchanged nodes over the same samples.
-//! * [`Fence`], at each node, says whose commands are obeyed.
-//! * [`CommitConfirm`], at each node, says when an unconfirmed change is reverted.
-//! * [`RolloutRecord`] is what a controller persists; [`messages`] and [`framing`] are what goes over a control socket.
+//! * [`Fence`], at each node, decides which controller's commands are executed.
+//! * [`CommitConfirm`], at each node, decides when an unconfirmed change is reverted.
+//! * [`RolloutRecord`] is the state that a controller persists; [`messages`] and [`framing`] define the
+//!   protocol of the control socket.
 //!
-//! # What is guaranteed
+//! # Guarantees
 //!
-//! * Of two controllers only the one with the higher number acts, and no command acts after a later one has.
+//! * Of two controllers only the one with the higher number acts, and no command takes effect after a later
+//!   one has.
 //! * A controller never has more nodes out of service at once than the plan allows.
-//! * A controller may be killed at any step; the next one goes on from the record.
-//! * A rollout that is done has changed every node for good; one that is rolled back has left none changed.
-//! * A rollout without harm is stopped with at most the chance that [`AnalysisSettings`] says.
+//! * A controller may be killed at any step; the next one continues from the record.
+//! * A completed rollout has changed every node permanently; a rolled-back one has left no node changed.
+//! * The probability that a harmless rollout is stopped is at most [`AnalysisSettings::false_alarm_rate`].
 //!
-//! `tests/exploration/` checks all but the last in every state that can be reached in some twenty steps, with a kill, a loss, an
-//! outage and a failure at any of them; `tests/canary_analysis.rs` measures the last.
+//! `tests/exploration/` checks all guarantees except the last in every state that is reachable in about
+//! twenty steps, with a controller killed, a message lost, a node out of service and a change failed at any
+//! of them; `tests/canary_analysis.rs` measures the last.
 //!
 //! # Phases of a rollout
 //!
 //! | phase | event | next phase |
 //! | --- | --- | --- |
-//! | `Polling` | all nodes were polled | where the record says |
+//! | `Polling` | all nodes have been polled | the phase that follows from the record |
 //! | `Advancing` | the stage's number of nodes is changed and healthy | `Analyzing` |
 //! | `Analyzing` | the analysis passes the stage | `Advancing` the next stage; after the last one `Confirming`, or `Done` |
-//! | `Analyzing` | nodes reverted by themselves, or were restarted | `Advancing` the same stage |
-//! | `Analyzing` | the analysis cannot tell | `Waiting` |
+//! | `Analyzing` | nodes have reverted automatically or were restarted | `Advancing` the same stage |
+//! | `Analyzing` | the analysis is inconclusive | `Waiting` |
 //! | `Confirming` | all nodes have confirmed | `Done` |
-//! | `Advancing`, `Analyzing`, `Confirming` | harm, or a change that fails | `RollingBack` |
-//! | any but `Polling`, `RolledBack` and `Replaced` | an operator has it rolled back | `RollingBack` |
+//! | `Advancing`, `Analyzing`, `Confirming` | harm is found, or a change fails | `RollingBack` |
+//! | any but `Polling`, `RolledBack` and `Replaced` | an operator requests a rollback | `RollingBack` |
 //! | `RollingBack` | all nodes run the old version | `RolledBack` |
-//! | `Advancing`, `Analyzing`, `Confirming`, `RollingBack` | an operator pauses, a node is stuck, or nothing moves for too long | `Waiting` |
-//! | `Waiting` | an operator resumes | where the record says; a stage whose analysis was inconclusive passes |
-//! | any but `Polling` and the ends | a node knows a higher controller number | `Replaced` |
+//! | `Advancing`, `Analyzing`, `Confirming`, `RollingBack` | an operator pauses, a node is stuck, or no progress is made for too long | `Waiting` |
+//! | `Waiting` | an operator resumes | the phase that follows from the record; a stage whose analysis was inconclusive passes |
+//! | any but `Polling` and the final phases | a node reports a higher controller number | `Replaced` |
 //!
-//! # What is left to the caller
+//! # Responsibilities of the caller
 //!
-//! To persist the record before anything else is done, and to stop where that fails; a controller number that no other
-//! controller ever has; to poll all nodes in every sampling interval; to call [`RolloutController::no_progress`]
-//! where nothing has moved for too long; and monotonic time.
+//! * Persist the record before any further action, and stop if that fails.
+//! * Give each controller a number that no other controller ever has.
+//! * Poll all nodes in every sampling interval.
+//! * Call [`RolloutController::no_progress`] if nothing has changed for longer than the plan allows.
+//! * Use a monotonic clock.
 
 #![warn(missing_docs)]
 
--- a/crates/ochrewalk-rollout/src/log_text.rs
+++ b/crates/ochrewalk-rollout/src/log_text.rs
@@ -1,5 +1,6 @@
-//! The texts of phases, reasons, methods, replies and verdicts in a rollout's log and in the status line for operators. Logs that
-//! other versions wrote are read by `ochrewalk-rollout-report`: these texts stay, whatever the types here are called.
+//! The texts of phases, reasons, methods, replies and verdicts in a rollout's log and in the status line for
+//! operators. `ochrewalk-rollout-report` reads logs that other versions have written, so these texts must not
+//! change when types are renamed.
 
 use crate::{ChangeMethod, CommandReply, Outcome, Phase, Verdict, WaitReason};
 use std::fmt::{Display, Formatter, Result};
--- a/crates/ochrewalk-rollout/src/messages.rs
+++ b/crates/ochrewalk-rollout/src/messages.rs
@@ -1,15 +1,16 @@
-//! The messages between controllers and nodes, in protobuf. [`crate::framing`] puts them on a stream.
+//! The messages between controllers and nodes, in protobuf. [`crate::framing`] writes them to a stream.
 //!
-//! A node rejects a request of a protocol version that it does not know, and its response carries its own version. Numbers and
-//! types of fields stay for good: nodes and controllers of several versions meet during every rollout.
+//! A node rejects a request whose protocol version it does not know, and its response carries its own
+//! version. Numbers and types of fields never change, because nodes and controllers of several versions
+//! communicate during every rollout.
 
 use crate::{CallCounts, ChangeMethod, Command, ControllerNumber, FencingToken, Outcome};
 use prost::Oneof;
 
-/// The protocol version spoken here. Version 1 knew neither commit-confirmed changes nor settings.
+/// The protocol version of this program. Version 1 had neither commit-confirmed changes nor settings.
 pub const PROTOCOL_VERSION: u32 = 2;
 
-/// What stands for the reason of a failure that has none.
+/// The reason that is sent for a failure without a reason.
 const UNNAMED_FAILURE: &str = "for no reason that it names";
 
 /// A request to a node.
@@ -18,21 +19,22 @@
     /// The sender's protocol version.
     #[prost(uint32, tag = "1")]
     pub protocol_version: u32,
-    /// The command to carry out; none where only the status is asked for.
+    /// The command to execute; `None` if only the status is requested.
     #[prost(message, optional, tag = "2")]
     pub command: Option<CommandMessage>,
-    /// The number of the controller that asks, which renews an unconfirmed change; 0 for an onlooker, who does not.
+    /// The number of the requesting controller. A request with it renews an unconfirmed change; 0 identifies
+    /// an observer, whose requests do not.
     #[prost(uint64, tag = "3")]
     pub controller: u64,
 }
 
 impl Request {
-    /// A request for the node's status, by the controller of that number.
+    /// Creates a request for the node's status, sent by the controller with that number.
     pub fn status(controller: ControllerNumber) -> Request {
         Request { protocol_version: PROTOCOL_VERSION, command: None, controller: controller.0 }
     }
 
-    /// A request to carry out a command.
+    /// Creates a request to execute a command.
     pub fn command(command: CommandMessage) -> Request {
         Request { protocol_version: PROTOCOL_VERSION, controller: command.controller, command: Some(command) }
     }
@@ -41,33 +43,34 @@
 /// A [`Command`] on the wire.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CommandMessage {
-    /// The first part of the fencing token: the controller's number.
+    /// The controller's number: the first part of the fencing token.
     #[prost(uint64, tag = "1")]
     pub controller: u64,
-    /// The second part of the fencing token: the command's number.
+    /// The command's number: the second part of the fencing token.
     #[prost(uint64, tag = "2")]
     pub command: u64,
-    /// What to run; a command without it fails.
+    /// The version to run. A command without a target fails.
     #[prost(message, optional, tag = "3")]
     pub target: Option<Target>,
-    /// How long the change stays after each time that the controller is heard, in milliseconds; 0 for good.
+    /// The time in milliseconds for which the change stays after each request of the controller; 0 makes it
+    /// permanent.
     #[prost(uint64, tag = "4")]
     pub lease_ms: u64,
-    /// Whether the running process is to end before the next one is started, in place of a hand-over.
+    /// Whether the running process exits before the next one is started, instead of handing over to it.
     #[prost(bool, tag = "5")]
     pub restart: bool,
 }
 
-/// A program to run with the settings that the node has, or a file of settings for the program that runs.
+/// A program to run with the node's current settings, or a settings file for the program that is running.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Target {
-    /// Whether the file holds settings; else it is a program.
+    /// Whether the file holds settings; otherwise it is a program.
     #[prost(bool, tag = "1")]
     pub is_settings: bool,
-    /// The file's path on the node's machine.
+    /// The path of the file on the node's machine.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// The fingerprint that the file has to have.
+    /// The fingerprint that the file must have.
     #[prost(uint64, tag = "3")]
     pub fingerprint: u64,
 }
@@ -78,7 +81,7 @@
     /// The node's protocol version.
     #[prost(uint32, tag = "1")]
     pub protocol_version: u32,
-    /// What it says; none where the node is of a version whose replies are not known here.
+    /// The reply; `None` if the node's protocol version has replies that this program does not know.
     #[prost(oneof = "Reply", tags = "2, 3, 4, 5, 6")]
     pub reply: Option<Reply>,
 }
@@ -89,16 +92,17 @@
     /// The node's status.
     #[prost(message, tag = "2")]
     Status(NodeStatus),
-    /// The command has been carried out, or could not be.
+    /// The command has been executed, or has failed.
     #[prost(message, tag = "3")]
     Finished(CommandOutcome),
-    /// The node knows this higher token.
+    /// The node has seen this higher token.
     #[prost(message, tag = "4")]
     Stale(FencingTokenMessage),
-    /// Why nothing was done, in plain words.
+    /// The request was not executed. Contains the reason, as text for operators.
     #[prost(string, tag = "5")]
     Rejected(String),
-    /// Another change, or this command itself, is being carried out: send the command again later. What is, in plain words.
+    /// Another change, or this command itself, is in progress, so the command has to be sent again later.
+    /// Contains a description of the change, as text for operators.
     #[prost(string, tag = "6")]
     Busy(String),
 }
@@ -117,7 +121,7 @@
 /// An [`Outcome`] on the wire.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CommandOutcome {
-    /// Why the command failed, in plain words; empty where it did not.
+    /// The reason for which the command failed, as text for operators; empty if it succeeded.
     #[prost(string, tag = "1")]
     pub failure: String,
 }
@@ -125,49 +129,50 @@
 /// A node's reply to a status request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NodeStatus {
-    /// The fingerprint of the program that serves.
+    /// The fingerprint of the program that is serving.
     #[prost(uint64, tag = "1")]
     pub fingerprint: u64,
-    /// The path of the program that serves.
+    /// The path of the program that is serving.
     #[prost(string, tag = "2")]
     pub path: String,
     /// The highest fencing token that the node has seen.
     #[prost(message, optional, tag = "3")]
     pub highest: Option<FencingTokenMessage>,
-    /// Whether the node serves, and no hand-over is under way.
+    /// Whether the node is serving and no hand-over is in progress.
     #[prost(bool, tag = "4")]
     pub is_healthy: bool,
-    /// Another number after each start of the node's supervisor.
+    /// A number that changes with each start of the node's supervisor.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
-    /// What the program that serves has counted; none where it has not reported yet.
+    /// The counters of the program that is serving; `None` if it has not reported yet.
     #[prost(message, optional, tag = "6")]
     pub counters: Option<ServingCounters>,
-    /// Whether the node reverts by itself what it runs unless it hears of its controller.
+    /// Whether the node reverts its current version unless it keeps receiving requests from its controller.
     #[prost(bool, tag = "7")]
     pub is_unconfirmed: bool,
 }
 
 impl NodeStatus {
-    /// The fingerprint of the operators' file that the program uses; 0 where it has none, or has not reported yet.
+    /// Returns the fingerprint of the operators' file that the program uses; 0 if it has none or has not
+    /// reported yet.
     pub fn settings_fingerprint(&self) -> u64 {
         self.counters.as_ref().map_or(0, |counters| counters.settings_fingerprint)
     }
 }
 
-/// What the serving program has counted since the node's start.
+/// The counters of the serving program since the node's start.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServingCounters {
-    /// Whether the program finds itself healthy.
+    /// Whether the program reports itself as healthy.
     #[prost(bool, tag = "1")]
     pub is_healthy: bool,
-    /// Its resident memory, in KB.
+    /// The program's resident memory, in KB.
     #[prost(uint64, tag = "2")]
     pub memory_kb: u64,
     /// Counters by method.
     #[prost(message, repeated, tag = "3")]
     pub methods: Vec<MethodCounters>,
-    /// The fingerprint of the operators' file that the program uses; 0 where it has none.
+    /// The fingerprint of the operators' file that the program uses; 0 if it has none.
     #[prost(uint64, tag = "4")]
     pub settings_fingerprint: u64,
 }
@@ -178,20 +183,20 @@
     /// The method's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Calls that were answered, in whatever way.
+    /// Calls that were answered, whatever the answer.
     #[prost(uint64, tag = "2")]
     pub calls: u64,
-    /// Of those, calls without a served answer within the latency target.
+    /// The number of those calls without a served answer within the latency target.
     #[prost(uint64, tag = "3")]
     pub missed: u64,
-    /// Of those, calls without any served answer.
+    /// The number of those calls without any served answer.
     #[prost(uint64, tag = "4")]
     pub failed: u64,
 }
 
 impl MethodCounters {
-    /// What was counted since `earlier`, which is none where the method was not known. A counter that went down began again at
-    /// nothing.
+    /// Returns the counts since `earlier`, which is `None` if the method was not known then. A counter that
+    /// has decreased was reset to 0 in between.
     pub fn since(&self, earlier: Option<&MethodCounters>) -> CallCounts {
         let none = MethodCounters::default();
         let earlier = earlier.unwrap_or(&none);
@@ -221,8 +226,8 @@
 }
 
 impl CommandMessage {
-    /// The command on the wire. `target` is the file of the command's version; `lease_ms`, how long a commit-confirmed change stays
-    /// without hearing of the controller, in milliseconds.
+    /// Creates the wire form of a command. `target` is the file of the command's version; `lease_ms` is the
+    /// time in milliseconds for which a commit-confirmed change stays without a request of the controller.
     pub fn new(command: &Command, target: Target, lease_ms: u64) -> CommandMessage {
         CommandMessage {
             controller: command.token.controller.0,
@@ -233,7 +238,7 @@
         }
     }
 
-    /// The command's fencing token.
+    /// Returns the command's fencing token.
     pub fn token(&self) -> FencingToken {
         FencingToken { controller: ControllerNumber(self.controller), command: self.command }
     }
@@ -243,7 +248,7 @@
     fn from(outcome: Outcome) -> CommandOutcome {
         let failure = match outcome {
             Outcome::Done => String::new(),
-            // An empty reason would mean success.
+            // An empty reason means success on the wire.
             Outcome::Failed(reason) if reason.is_empty() => UNNAMED_FAILURE.into(),
             Outcome::Failed(reason) => reason,
         };
--- a/crates/ochrewalk-rollout/src/version.rs
+++ b/crates/ochrewalk-rollout/src/version.rs
@@ -1,25 +1,25 @@
-//! Which of a rollout's two versions a node runs.
+//! The two versions of a rollout, and their fingerprints.
 
-/// Which of the two programs, or of the two files of settings, that a rollout is about.
+/// One of the two programs, or of the two settings files, that a rollout replaces or introduces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Version {
-    /// What nodes run before the rollout.
+    /// The version that nodes run before the rollout.
     Old,
-    /// What nodes are to run after it.
+    /// The version that nodes run after a completed rollout.
     New,
 }
 
-/// The fingerprints by which a node's version is recognised.
+/// The fingerprints that identify the version a node runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionFingerprints {
-    /// The fingerprint of the old program or file of settings.
+    /// The fingerprint of the old program or settings file.
     pub old: u64,
-    /// The fingerprint of the new one.
+    /// The fingerprint of the new program or settings file.
     pub new: u64,
 }
 
 impl VersionFingerprints {
-    /// The version that has this fingerprint; none where it is neither of the two.
+    /// Returns the version that has this fingerprint, or `None` if neither has.
     pub fn version_of(&self, fingerprint: u64) -> Option<Version> {
         match fingerprint {
             _ if fingerprint == self.new => Some(Version::New),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The fingerprint of that version.
+    /// Returns the fingerprint of a version.
     pub fn of(&self, version: Version) -> u64 {
         match version {
             Version::Old => self.old,
--- a/crates/ochrewalk-rollout/tests/commit_confirm.rs
+++ b/crates/ochrewalk-rollout/tests/commit_confirm.rs
@@ -1,4 +1,4 @@
-//! How long an unconfirmed change stays, and how it is reverted.
+//! Tests how long an unconfirmed change stays, and how it is reverted.
 
 use ochrewalk_rollout::{CommitConfirm, ControllerNumber, RevertAction};
 
@@ -17,13 +17,13 @@
     {
         let mut change = unconfirmed();
         change.renew(4_000_000, ControllerNumber(controller), ControllerNumber(highest));
-        assert_eq!(change.next_us(), Some(deadline_us), "{controller} where {highest} is known");
+        assert_eq!(change.next_us(), Some(deadline_us), "controller {controller}, highest known {highest}");
     }
     let mut change = unconfirmed();
     assert_eq!(change.next_action(LEASE), RevertAction::HandOver);
     change.renew(LEASE + 1, ControllerNumber(7), ControllerNumber(7));
     assert!(change.is_pending() && change.next_us().is_none());
-    // A process that was stopped for an hour reverts at once when it is continued.
+    // A process that was suspended for an hour reverts immediately when it is resumed.
     assert_eq!(unconfirmed().next_action(3_600_000_000), RevertAction::HandOver);
 }
 
@@ -41,7 +41,7 @@
         assert_eq!(change.next_action(now_us), expected);
         assert_eq!(change.next_action(now_us + 60_000_000), RevertAction::None, "one attempt at a time");
         change.revert_failed(now_us);
-        assert_eq!(change.next_action(now_us), RevertAction::None, "not at once");
+        assert_eq!(change.next_action(now_us), RevertAction::None, "not immediately");
         now_us = change.next_us().unwrap();
     }
     assert_eq!(change.next_action(now_us), RevertAction::Restart);
@@ -50,13 +50,14 @@
 }
 
 #[test]
-fn a_confirmed_change_stays_and_a_late_end_of_its_revert_means_nothing() {
+fn a_confirmed_change_stays_and_a_late_outcome_of_its_revert_is_ignored() {
     let mut change = unconfirmed();
     change.confirm();
     assert_eq!((change.next_action(u64::MAX), change.next_us()), (RevertAction::None, None));
     change.revert_failed(1);
     assert!(!change.is_pending());
-    // Another unconfirmed change while the node reverts: the later command counts.
+    // A command for another unconfirmed change arrives while the node reverts: the later command takes
+    // precedence.
     let mut change = unconfirmed();
     change.next_action(LEASE);
     change.start(LEASE + 1, LEASE);
--- a/crates/ochrewalk-rollout/tests/log_text.rs
+++ b/crates/ochrewalk-rollout/tests/log_text.rs
@@ -1,5 +1,6 @@
-//! The words of a rollout's log and of the operator's status line. `ochrewalk-rollout-report` reads logs that other versions wrote, and
-//! `docs/operators/rollout.md` names these words: they stay, whatever the code calls these things.
+//! Tests the texts of a rollout's log and of the status line for operators. `ochrewalk-rollout-report` reads
+//! logs that other versions have written, and `docs/operators/rollout.md` documents these texts, so they must
+//! not change when types are renamed.
 
 use ochrewalk_rollout::{
     ChangeMethod, CommandReply, ControllerNumber, FencingToken, Outcome, Phase, Verdict, WaitReason,
@@ -7,7 +8,7 @@
 
 #[test]
 fn phases_and_reasons_to_wait_have_these_texts() {
-    let left_behind = WaitReason::NodeStuck { node: 3, reason: "it \"ended\"".into() };
+    let node_stuck = WaitReason::NodeStuck { node: 3, reason: "it \"ended\"".into() };
     for (phase, text) in [
         (Phase::Polling, "Asking"),
         (Phase::Advancing { stage: 0 }, "Forward { stage: 0 }"),
@@ -16,7 +17,7 @@
         (Phase::RollingBack { reason: "slow \"sale\"".into() }, r#"Back { why: "slow \"sale\"" }"#),
         (Phase::Waiting(WaitReason::Paused), "Waiting(Paused)"),
         (Phase::Waiting(WaitReason::Inconclusive("few calls".into())), r#"Waiting(Unclear("few calls"))"#),
-        (Phase::Waiting(left_behind), r#"Waiting(LeftBehind { node: 3, why: "it \"ended\"" })"#),
+        (Phase::Waiting(node_stuck), r#"Waiting(LeftBehind { node: 3, why: "it \"ended\"" })"#),
         (Phase::Waiting(WaitReason::FleetUnhealthy), "Waiting(Ill)"),
         (Phase::Done, "Done"),
         (Phase::RolledBack { reason: "slow".into() }, r#"IsBack { why: "slow" }"#),
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes of what is stored and of what goes over a control socket: each file in `fixtures/` was written by the first
-//! version of these formats. Every later version has to read it as the content named here, and to write the same bytes.
+//! Tests the formats of stored data and of the control socket. The first version of these formats wrote the
+//! files in `fixtures/`; every later version has to decode them to the contents listed here, and to encode
+//! the same bytes.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_rollout::framing::{read_message, write_message};
@@ -25,13 +26,13 @@
     std::fs::read(&file).unwrap_or_else(|err| panic!("{}: {err}", file.display()))
 }
 
-/// Records, by the name of their fixture: one for each phase in which a record is written.
+/// Returns records with the names of their fixtures: one for each phase in which a record is persisted.
 fn records() -> Vec<(&'static str, RolloutRecord)> {
-    let record = |stage, back: Option<&str>, changed: &[usize], is_finished| RolloutRecord {
+    let record = |stage, rollback_reason: Option<&str>, changed_nodes: &[usize], is_finished| RolloutRecord {
         controller: ControllerNumber(CONTROLLER),
         stage,
-        rollback_reason: back.map(String::from),
-        changed_nodes: changed.to_vec(),
+        rollback_reason: rollback_reason.map(String::from),
+        changed_nodes: changed_nodes.to_vec(),
         is_finished,
     };
     let harm = "0.120 more of sale miss the target";
@@ -60,7 +61,7 @@
     }
 }
 
-/// Writes down what is persisted, and the commands that are sent.
+/// Stores the persisted records and the commands that are sent.
 #[derive(Default)]
 struct Persisted {
     records: Vec<Vec<u8>>,
@@ -78,23 +79,23 @@
 }
 
 impl Persisted {
-    /// Answers all commands that were sent, also those sent meanwhile, until none is left.
-    fn carry_out_all(&mut self, controller: &mut RolloutController) {
+    /// Answers all commands, including those that are sent in the meantime, until none is left.
+    fn execute_all(&mut self, controller: &mut RolloutController) {
         while !self.commands.is_empty() {
             let (node, command) = self.commands.remove(0);
             controller.command_answered(node, command.token, CommandReply::Finished(Outcome::Done), self);
         }
     }
 
-    /// Whether the records persisted so far, each once, are these fixtures in this order.
-    fn assert_are(&mut self, names: &[&str]) {
+    /// Asserts that the records persisted so far, without repetitions, are these fixtures in this order.
+    fn assert_records(&mut self, names: &[&str]) {
         self.records.dedup();
         let fixtures: Vec<Vec<u8>> = names.iter().map(|name| fixture(name)).collect();
         assert_eq!(self.records, fixtures, "{names:?}");
     }
 }
 
-fn begun(policy: RolloutPolicy) -> (RolloutController, Persisted) {
+fn started_rollout(policy: RolloutPolicy) -> (RolloutController, Persisted) {
     let stage_plan = StagePlan::new(vec![0, 0, 1, 1], vec![1, 4], 2).unwrap();
     let mut controller = RolloutController::new(stage_plan, policy, None, ControllerNumber(CONTROLLER));
     let mut persisted = Persisted::default();
@@ -106,17 +107,17 @@
 }
 
 #[test]
-fn a_rollout_to_its_end_persists_these_records_in_this_order() {
+fn a_completed_rollout_persists_these_records_in_this_order() {
     let (mut controller, mut persisted) =
-        begun(RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: false });
-    persisted.carry_out_all(&mut controller);
+        started_rollout(RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: false });
+    persisted.execute_all(&mut controller);
     controller.analysis_concluded(Verdict::Pass, &mut persisted);
-    persisted.carry_out_all(&mut controller);
+    persisted.execute_all(&mut controller);
     controller.analysis_concluded(Verdict::Pass, &mut persisted);
     assert_eq!(controller.phase(), &Phase::Confirming);
-    persisted.carry_out_all(&mut controller);
+    persisted.execute_all(&mut controller);
     assert_eq!(controller.phase(), &Phase::Done);
-    persisted.assert_are(&[
+    persisted.assert_records(&[
         "record-polling",
         "record-advancing-first-stage",
         "record-first-stage-passed",
@@ -137,26 +138,31 @@
         "record-advancing-second-stage-one-more",
         "record-advancing-second-stage-two-more",
     ];
-    let (mut controller, mut persisted) = begun(RolloutPolicy::default());
-    persisted.carry_out_all(&mut controller);
+    let (mut controller, mut persisted) = started_rollout(RolloutPolicy::default());
+    persisted.execute_all(&mut controller);
     controller.analysis_concluded(Verdict::Pass, &mut persisted);
     let mut by_operator =
         (controller.clone(), Persisted { records: persisted.records.clone(), commands: vec![] });
     controller.analysis_concluded(Verdict::Harm("0.120 more of sale miss the target".into()), &mut persisted);
-    persisted.carry_out_all(&mut controller);
+    persisted.execute_all(&mut controller);
     assert!(matches!(controller.phase(), Phase::RolledBack { .. }));
-    persisted
-        .assert_are(&[&to_second_stage[..], &["record-rolling-back-by-harm", "record-rolled-back"]].concat());
+    persisted.assert_records(
+        &[&to_second_stage[..], &["record-rolling-back-by-harm", "record-rolled-back"]].concat(),
+    );
 
     by_operator.0.roll_back(&mut by_operator.1);
-    by_operator.1.assert_are(&[&to_second_stage[..], &["record-rolling-back-by-operator"]].concat());
+    by_operator.1.assert_records(&[&to_second_stage[..], &["record-rolling-back-by-operator"]].concat());
 
-    let (mut controller, mut persisted) = begun(RolloutPolicy::default());
+    let (mut controller, mut persisted) = started_rollout(RolloutPolicy::default());
     let (node, command) = persisted.commands.remove(0);
     let failed = CommandReply::Finished(Outcome::Failed("the new program ended".into()));
     controller.command_answered(node, command.token, failed, &mut persisted);
     persisted.records.truncate(3);
-    persisted.assert_are(&["record-polling", "record-advancing-first-stage", "record-rolling-back-by-node"]);
+    persisted.assert_records(&[
+        "record-polling",
+        "record-advancing-first-stage",
+        "record-rolling-back-by-node",
+    ]);
 }
 
 fn program() -> Target {
@@ -175,7 +181,7 @@
     }
 }
 
-/// Requests, by the name of their fixture.
+/// Returns requests with the names of their fixtures.
 fn requests() -> Vec<(&'static str, Request)> {
     let command = |version, method, target| {
         let command = Command {
@@ -215,7 +221,7 @@
     }
 }
 
-/// Replies, by the name of their fixture.
+/// Returns responses with the names of their fixtures.
 fn responses() -> Vec<(&'static str, Response)> {
     let response = |reply| Response { protocol_version: PROTOCOL_VERSION, reply: Some(reply) };
     let highest = FencingTokenMessage { controller: CONTROLLER, command: 300 };
@@ -245,7 +251,7 @@
     ]
 }
 
-/// One message from a stream that holds nothing else, and the same bytes when it is written again.
+/// Asserts that the fixture holds exactly this message, and that the message is encoded to the same bytes.
 fn assert_framed_as<M>(name: &str, message: &M)
 where
     M: prost::Message + Default + PartialEq + std::fmt::Debug,
@@ -274,7 +280,7 @@
 }
 
 #[test]
-fn what_the_fields_of_a_request_and_a_reply_mean_is_what_the_bytes_said() {
+fn the_fields_of_requests_and_replies_have_the_meaning_of_their_bytes() {
     let request: Request = read_message(&mut &fixture("request-settings-commit-confirmed")[..]).unwrap();
     let command = request.command.unwrap();
     assert_eq!((request.protocol_version, request.controller), (2, CONTROLLER));
@@ -283,17 +289,20 @@
     let restart: Request = read_message(&mut &fixture("request-program-restart")[..]).unwrap();
     let command = restart.command.unwrap();
     assert_eq!((command.lease_ms, command.restart, command.target), (0, true, Some(program())));
-    let ended = |name: &str| match read_message::<Response>(&mut &fixture(name)[..]).unwrap().reply {
-        Some(Reply::Finished(ended)) => Outcome::from(ended),
+    let outcome = |name: &str| match read_message::<Response>(&mut &fixture(name)[..]).unwrap().reply {
+        Some(Reply::Finished(finished)) => Outcome::from(finished),
         other => panic!("{name}: {other:?}"),
     };
-    assert_eq!(ended("reply-finished-done"), Outcome::Done);
-    assert_eq!(ended("reply-finished-failed"), Outcome::Failed("the new program ended".into()));
+    assert_eq!(outcome("reply-finished-done"), Outcome::Done);
+    assert_eq!(outcome("reply-finished-failed"), Outcome::Failed("the new program ended".into()));
     assert_eq!(
         CommandOutcome { failure: "for no reason that it names".into() },
         Outcome::Failed(String::new()).into()
     );
-    assert_eq!(ended("reply-finished-failed-unnamed"), Outcome::Failed("for no reason that it names".into()));
+    assert_eq!(
+        outcome("reply-finished-failed-unnamed"),
+        Outcome::Failed("for no reason that it names".into())
+    );
 }
 
 #[test]
