--- a/crates/ochrewalk-rollout/tests/exploration/main.rs
+++ b/crates/ochrewalk-rollout/tests/exploration/main.rs
@@ -1,5 +1,5 @@
-//! A controller, a later one and three nodes, explored exhaustively: controllers killed and restarted, commands and replies late
-//! without bound or lost, nodes that stop answering and come back.
+//! Explores the states of controllers and three nodes exhaustively: controllers are killed and restarted,
+//! commands and replies arrive late without bound or are lost, and nodes stop answering and recover.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod world;
@@ -13,29 +13,29 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Begins(usize),
-    Killed(usize),
-    Polls(usize),
+    ControllerStarts(usize),
+    ControllerKilled(usize),
+    ControllerPolls(usize),
     CommandArrives(usize),
     CommandIsLost(usize),
-    CommandEnds {
+    CommandFinishes {
         node: usize,
         succeeds: bool,
     },
     ReplyArrives(usize),
     ReplyIsLost(usize),
-    NodeOut(usize),
-    NodeBack(usize),
-    /// A node with an unconfirmed change has not heard of its controller for too long, and reverts.
+    NodeFails(usize),
+    NodeRecovers(usize),
+    /// A node with an unconfirmed change received no request of its controller during the lease, and reverts.
     LeaseExpires(usize),
-    Pass(usize),
-    Harm(usize),
+    StagePasses(usize),
+    HarmFound(usize),
     NoProgress(usize),
 }
 
-/// How much may go wrong, and whether the fence is left out on purpose.
+/// The maximum number of each kind of fault, and whether the fence is omitted on purpose.
 #[derive(Clone, Copy)]
-struct Explored {
+struct RolloutModel {
     controllers: usize,
     kills: u8,
     outages: u8,
@@ -43,15 +43,15 @@
     failures: u8,
     expirations: u8,
     policy: RolloutPolicy,
-    no_fence: bool,
+    without_fence: bool,
 }
 
-impl Explored {
+impl RolloutModel {
     fn poll(&self, world: &mut World, at: usize, node: usize) {
         let number = world.controllers[at]
             .as_ref()
             .map_or(ControllerNumber::OBSERVER, |controller| controller.record().controller);
-        if world.nodes[node].is_healthy && !self.no_fence {
+        if world.nodes[node].is_healthy && !self.without_fence {
             world.nodes[node].fence.observe_controller(number);
         }
         let report = world.node_report(node);
@@ -65,11 +65,11 @@
         if !state.is_healthy {
             return world.replies.push((from, node, token, CommandReply::NoReply));
         }
-        let admission = if self.no_fence { Admission::Execute } else { state.fence.admit(token) };
+        let admission = if self.without_fence { Admission::Execute } else { state.fence.admit(token) };
         let reply = match admission {
             Admission::Execute if state.executing.is_none() => {
-                world.acted_late |= token < world.last_acted[node];
-                world.last_acted[node] = token;
+                world.executed_late_command |= token < world.last_executed[node];
+                world.last_executed[node] = token;
                 state.executing = Some(command);
                 return;
             }
@@ -85,10 +85,10 @@
         world.replies.push((from, node, token, reply));
     }
 
-    fn command_ends(&self, world: &mut World, node: usize, succeeds: bool) {
+    fn command_finishes(&self, world: &mut World, node: usize, succeeds: bool) {
         world.failures += u8::from(!succeeds);
         let state = &mut world.nodes[node];
-        let command = state.executing.take().expect("only a command that is carried out ends");
+        let command = state.executing.take().expect("only a command in progress finishes");
         let outcome = if succeeds { Outcome::Done } else { Outcome::Failed("it ended".into()) };
         if succeeds {
             state.version = command.version;
@@ -101,7 +101,7 @@
     }
 }
 
-impl Model for Explored {
+impl Model for RolloutModel {
     type State = World;
     type Action = Action;
 
@@ -126,26 +126,30 @@
             expirations: 0,
             harms: 0,
             stucks: 0,
-            began: 0,
-            acted_late: false,
-            last_acted: vec![FencingToken::default(); NODES],
-            too_many_out: false,
+            controllers_started: 0,
+            executed_late_command: false,
+            last_executed: vec![FencingToken::default(); NODES],
+            too_many_unavailable: false,
         }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         for at in 0..self.controllers {
             match &world.controllers[at] {
-                None if usize::from(world.began) < self.controllers + usize::from(self.kills) => {
-                    actions.push(Action::Begins(at))
+                None if usize::from(world.controllers_started)
+                    < self.controllers + usize::from(self.kills) =>
+                {
+                    actions.push(Action::ControllerStarts(at))
                 }
                 None => {}
                 Some(controller) => {
                     if world.kills < self.kills {
-                        actions.push(Action::Killed(at));
+                        actions.push(Action::ControllerKilled(at));
                     }
                     match controller.phase() {
-                        Phase::Analyzing { .. } => actions.extend([Action::Pass(at), Action::Harm(at)]),
+                        Phase::Analyzing { .. } => {
+                            actions.extend([Action::StagePasses(at), Action::HarmFound(at)])
+                        }
                         Phase::Advancing { .. } | Phase::RollingBack { .. }
                             if controller.pending_commands().next().is_none() =>
                         {
@@ -153,7 +157,7 @@
                         }
                         _ => {}
                     }
-                    actions.push(Action::Polls(at));
+                    actions.push(Action::ControllerPolls(at));
                 }
             }
         }
@@ -169,20 +173,20 @@
                 actions.push(Action::ReplyIsLost(at));
             }
         }
-        for (node, of) in world.nodes.iter().enumerate() {
-            if of.executing.is_some() && of.is_healthy {
-                actions.push(Action::CommandEnds { node, succeeds: true });
+        for (node, state) in world.nodes.iter().enumerate() {
+            if state.executing.is_some() && state.is_healthy {
+                actions.push(Action::CommandFinishes { node, succeeds: true });
                 if world.failures < self.failures {
-                    actions.push(Action::CommandEnds { node, succeeds: false });
+                    actions.push(Action::CommandFinishes { node, succeeds: false });
                 }
             }
-            if of.is_healthy && world.outages < self.outages {
-                actions.push(Action::NodeOut(node));
+            if state.is_healthy && world.outages < self.outages {
+                actions.push(Action::NodeFails(node));
             }
-            if !of.is_healthy {
-                actions.push(Action::NodeBack(node));
+            if !state.is_healthy {
+                actions.push(Action::NodeRecovers(node));
             }
-            if of.is_unconfirmed && of.executing.is_none() && world.expirations < self.expirations {
+            if state.is_unconfirmed && state.executing.is_none() && world.expirations < self.expirations {
                 actions.push(Action::LeaseExpires(node));
             }
         }
@@ -191,19 +195,19 @@
     fn next_state(&self, last: &World, action: Action) -> Option<World> {
         let mut world = last.clone();
         match action {
-            Action::Begins(at) => world.controller_begins(at, self.policy),
-            Action::Killed(at) => {
+            Action::ControllerStarts(at) => world.controller_begins(at, self.policy),
+            Action::ControllerKilled(at) => {
                 world.kills += 1;
                 world.controllers[at] = None;
             }
-            Action::Polls(at) => (0..NODES).for_each(|node| self.poll(&mut world, at, node)),
+            Action::ControllerPolls(at) => (0..NODES).for_each(|node| self.poll(&mut world, at, node)),
             Action::CommandArrives(at) => self.command_arrives(&mut world, at),
             Action::CommandIsLost(at) => {
                 world.losses += 1;
                 let (from, node, command) = world.commands.remove(at);
                 world.replies.push((from, node, command.token, CommandReply::NoReply));
             }
-            Action::CommandEnds { node, succeeds } => self.command_ends(&mut world, node, succeeds),
+            Action::CommandFinishes { node, succeeds } => self.command_finishes(&mut world, node, succeeds),
             Action::ReplyArrives(at) => {
                 let (to, node, token, reply) = world.replies.remove(at);
                 world
@@ -213,28 +217,28 @@
                 world.losses += 1;
                 world.replies[at].3 = CommandReply::NoReply;
             }
-            Action::NodeOut(node) => {
+            Action::NodeFails(node) => {
                 world.outages += 1;
                 world.nodes[node].is_healthy = false;
             }
-            Action::NodeBack(node) => world.nodes[node].is_healthy = true,
+            Action::NodeRecovers(node) => world.nodes[node].is_healthy = true,
             Action::LeaseExpires(node) => {
                 world.expirations += 1;
                 (world.nodes[node].version, world.nodes[node].is_unconfirmed) = (Version::Old, false);
             }
-            Action::Pass(at) => world.conclude(at, Verdict::Pass),
-            Action::Harm(at) => world.conclude(at, Verdict::Harm("worse".into())),
+            Action::StagePasses(at) => world.conclude(at, Verdict::Pass),
+            Action::HarmFound(at) => world.conclude(at, Verdict::Harm("worse".into())),
             Action::NoProgress(at) => world.with(at, |controller, _| controller.no_progress()),
         }
-        world.drop_replies_to_nobody();
+        world.drop_undeliverable_replies();
         (world != *last).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(UNAVAILABLE, |_, w: &World| !w.too_many_out),
-            Property::always(LATE, |_, w: &World| !w.acted_late),
-            Property::always(KNOWN, |_, w: &World| {
+            Property::always(MAX_UNAVAILABLE, |_, w: &World| !w.too_many_unavailable),
+            Property::always(NO_LATE_COMMAND, |_, w: &World| !w.executed_late_command),
+            Property::always(FINAL_PHASE_AS_OBSERVED, |_, w: &World| {
                 w.controllers.iter().flatten().all(|controller| {
                     let all =
                         |version| controller.node_states().iter().all(|state| state.version == Some(version));
@@ -247,7 +251,7 @@
                     }
                 })
             }),
-            Property::always(EVERYWHERE, |_, w: &World| {
+            Property::always(FINAL_PHASE_ON_EVERY_NODE, |_, w: &World| {
                 let is_all = |version| {
                     let runs = |node: &Node| {
                         node.executing.map_or(node.version, |command| command.version) == version
@@ -275,24 +279,25 @@
     }
 }
 
-/// By one thread: with several, a state that is first reached by a longer way round may lie beyond the bound on depth, and
-/// what follows it is not explored.
-fn explore(model: Explored, depth: usize) -> impl Checker<Explored> {
+/// Explores with one thread. With several threads, a state that is first reached on a longer path may be
+/// beyond the depth limit, so that the states after it are not explored.
+fn explore(model: RolloutModel, depth: usize) -> impl Checker<RolloutModel> {
     model.checker().target_max_depth(depth).threads(1).spawn_bfs().join()
 }
 
-/// What holds in every state, by the names of the properties.
-const UNAVAILABLE: &str = "no more out of service by one controller than the plan allows";
-const LATE: &str = "no command acts after a later one";
-const KNOWN: &str = "done is all changed, rolled back is none changed";
-const EVERYWHERE: &str = "done or rolled back is so at every node, and unconfirmed nowhere";
+/// The names of the properties that hold in every state.
+const MAX_UNAVAILABLE: &str = "one controller never takes more nodes out of service than the plan allows";
+const NO_LATE_COMMAND: &str = "no command is executed after a later one";
+const FINAL_PHASE_AS_OBSERVED: &str =
+    "a final phase agrees with the versions that the controller has observed";
+const FINAL_PHASE_ON_EVERY_NODE: &str = "in a final phase every node runs the final version, confirmed";
 
-fn assert_always(checker: &impl Checker<Explored>, states: usize, names: &[&'static str]) {
+fn assert_always(checker: &impl Checker<RolloutModel>, states: usize, names: &[&'static str]) {
     assert_eq!(checker.unique_state_count(), states, "distinct states");
     names.iter().for_each(|name| checker.assert_no_discovery(name));
 }
 
-const ONE: Explored = Explored {
+const ONE_CONTROLLER: RolloutModel = RolloutModel {
     controllers: 1,
     kills: 1,
     outages: 1,
@@ -300,41 +305,54 @@
     failures: 1,
     expirations: 0,
     policy: RolloutPolicy { commit_confirmed: false, restart_stuck_nodes: true },
-    no_fence: false,
+    without_fence: false,
 };
 
 #[test]
-fn one_controller_killed_at_any_step_with_a_reply_lost_a_node_out_and_a_change_that_fails() {
-    let checker = explore(ONE, 22);
-    assert_always(&checker, 101_924, &[UNAVAILABLE, LATE, KNOWN, EVERYWHERE]);
+fn one_controller_is_killed_at_any_step_with_a_lost_message_a_node_out_of_service_and_a_failed_change() {
+    let checker = explore(ONE_CONTROLLER, 22);
+    assert_always(
+        &checker,
+        101_924,
+        &[MAX_UNAVAILABLE, NO_LATE_COMMAND, FINAL_PHASE_AS_OBSERVED, FINAL_PHASE_ON_EVERY_NODE],
+    );
     checker.assert_any_discovery("a rollout is done");
     checker.assert_any_discovery("a rollout is rolled back");
 }
 
 #[test]
-fn unconfirmed_nodes_that_revert_by_themselves_at_any_step_with_a_controller_killed_and_a_reply_lost() {
+fn unconfirmed_nodes_revert_automatically_at_any_step_with_a_controller_killed_and_a_lost_message() {
     let policy = RolloutPolicy { commit_confirmed: true, restart_stuck_nodes: true };
-    let model = Explored { outages: 0, failures: 0, expirations: 1, policy, ..ONE };
+    let model = RolloutModel { outages: 0, failures: 0, expirations: 1, policy, ..ONE_CONTROLLER };
     let checker = explore(model, 26);
-    assert_always(&checker, 48_736, &[UNAVAILABLE, LATE, EVERYWHERE]);
+    assert_always(&checker, 48_736, &[MAX_UNAVAILABLE, NO_LATE_COMMAND, FINAL_PHASE_ON_EVERY_NODE]);
     checker.assert_any_discovery("a rollout is done");
     checker.assert_any_discovery("a rollout is rolled back");
 }
 
 #[test]
-fn two_controllers_at_once_with_replies_late_without_bound() {
-    let model = Explored { controllers: 2, kills: 0, outages: 0, losses: 0, failures: 0, ..ONE };
+fn two_controllers_run_at_once_with_replies_delayed_without_bound() {
+    let model =
+        RolloutModel { controllers: 2, kills: 0, outages: 0, losses: 0, failures: 0, ..ONE_CONTROLLER };
     let checker = explore(model, 20);
-    assert_always(&checker, 82_545, &[UNAVAILABLE, LATE, KNOWN]);
+    assert_always(&checker, 82_545, &[MAX_UNAVAILABLE, NO_LATE_COMMAND, FINAL_PHASE_AS_OBSERVED]);
     checker.assert_any_discovery("a controller is replaced");
 }
 
 #[test]
-fn without_the_fence_a_late_command_acts_and_the_trace_is_short() {
-    let model =
-        Explored { controllers: 2, kills: 0, outages: 0, losses: 0, failures: 0, no_fence: true, ..ONE };
+fn without_the_fence_a_late_command_is_executed_and_the_trace_is_short() {
+    let model = RolloutModel {
+        controllers: 2,
+        kills: 0,
+        outages: 0,
+        losses: 0,
+        failures: 0,
+        without_fence: true,
+        ..ONE_CONTROLLER
+    };
     let checker = explore(model, 20);
-    let trace = checker.discovery(LATE).expect("a late command acts within the depth");
+    let trace =
+        checker.discovery(NO_LATE_COMMAND).expect("a late command is executed within the depth limit");
     assert_eq!(trace.into_actions().len(), 18, "steps of the shortest trace");
     assert_eq!(checker.unique_state_count(), 337_615, "distinct states");
 }
--- a/crates/ochrewalk-rollout/tests/exploration/world.rs
+++ b/crates/ochrewalk-rollout/tests/exploration/world.rs
@@ -1,4 +1,4 @@
-//! The state that is explored: nodes, controllers, the record, and what is on its way between them.
+//! The explored state: nodes, controllers, the record, and messages in transit between them.
 
 use ochrewalk_rollout::{
     Command, CommandReply, ControllerActions, ControllerNumber, Fence, FencingToken, NodeReport,
@@ -10,10 +10,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     pub version: Version,
-    /// What it runs reverts by itself unless it is confirmed.
+    /// Whether the node's version reverts automatically unless it is confirmed.
     pub is_unconfirmed: bool,
     pub fence: Fence,
-    /// The command that is being carried out.
+    /// The command that the node is executing.
     pub executing: Option<Command>,
     pub is_healthy: bool,
 }
@@ -21,11 +21,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     pub nodes: Vec<Node>,
-    /// By controller; none where it does not run.
+    /// The controllers; `None` for one that is not running.
     pub controllers: Vec<Option<RolloutController>>,
-    /// The file that controllers persist.
+    /// The file in which controllers persist the record.
     pub record: Option<RolloutRecord>,
-    /// Commands on their way, with the controller that sent them and their node.
+    /// Commands in transit, with the index of the sending controller and of the node.
     pub commands: Vec<(usize, usize, Command)>,
     pub replies: Vec<(usize, usize, FencingToken, CommandReply)>,
     pub kills: u8,
@@ -35,14 +35,14 @@
     pub expirations: u8,
     pub harms: u8,
     pub stucks: u8,
-    pub began: u8,
-    /// Two tokens of different controllers were acted on out of their order.
-    pub acted_late: bool,
-    pub last_acted: Vec<FencingToken>,
-    pub too_many_out: bool,
+    pub controllers_started: u8,
+    /// Whether two tokens of different controllers were executed out of order.
+    pub executed_late_command: bool,
+    pub last_executed: Vec<FencingToken>,
+    pub too_many_unavailable: bool,
 }
 
-/// What a controller asks for while it handles one event.
+/// The actions that a controller requests while it handles one event.
 pub struct Effects<'a> {
     record: &'a mut Option<RolloutRecord>,
     commands: Vec<(usize, Command)>,
@@ -63,13 +63,14 @@
 }
 
 impl World {
-    pub fn with(&mut self, at: usize, what: impl FnOnce(&mut RolloutController, &mut Effects)) {
+    pub fn with(&mut self, at: usize, event: impl FnOnce(&mut RolloutController, &mut Effects)) {
         let Some(mut controller) = self.controllers[at].take() else { return };
         let mut record = self.record.clone();
         let mut effects = Effects { record: &mut record, commands: Vec::new() };
-        what(&mut controller, &mut effects);
+        event(&mut controller, &mut effects);
         let commands = effects.commands;
-        // One file: a controller that no longer has the highest number may not write it.
+        // All controllers share one file: a controller that no longer has the highest number may not write
+        // it.
         if controller.record().controller
             >= self.record.as_ref().map_or(ControllerNumber::default(), |record| record.controller)
         {
@@ -79,16 +80,16 @@
             self.commands.push((at, node, command));
         }
         self.commands.sort_by_key(|(at, node, command)| (*at, *node, command.token));
-        let out = controller.pending_commands().count();
-        self.too_many_out |= out > 1;
+        let pending = controller.pending_commands().count();
+        self.too_many_unavailable |= pending > 1;
         self.controllers[at] = Some(controller);
     }
 
     pub fn controller_begins(&mut self, at: usize, policy: RolloutPolicy) {
-        self.began += 1;
-        // No number is ever taken twice: in the program it is the time, in microseconds.
+        self.controllers_started += 1;
+        // A number is never used twice; the program uses the time in microseconds.
         let persisted = self.record.as_ref().map_or(ControllerNumber::default(), |record| record.controller);
-        let number = persisted.max(ControllerNumber(u64::from(self.began) - 1)).next();
+        let number = persisted.max(ControllerNumber(u64::from(self.controllers_started) - 1)).next();
         self.controllers[at] =
             Some(RolloutController::new(stage_plan(), policy, self.record.clone(), number));
     }
@@ -97,8 +98,8 @@
         self.with(at, |controller, effects| controller.analysis_concluded(verdict, effects));
     }
 
-    /// A reply to a controller that does not run is heard by nobody.
-    pub fn drop_replies_to_nobody(&mut self) {
+    /// Drops replies to controllers that are not running.
+    pub fn drop_undeliverable_replies(&mut self) {
         self.replies.sort_by_key(|reply| (reply.0, reply.1, reply.2));
         self.replies.dedup();
         let runs: Vec<bool> = self.controllers.iter().map(Option::is_some).collect();
@@ -106,11 +107,11 @@
     }
 
     pub fn node_report(&self, node: usize) -> Option<NodeReport> {
-        let of = &self.nodes[node];
-        of.is_healthy.then(|| NodeReport {
-            version: of.version,
-            is_healthy: of.executing.is_none(),
-            highest: of.fence.highest(),
+        let state = &self.nodes[node];
+        state.is_healthy.then(|| NodeReport {
+            version: state.version,
+            is_healthy: state.executing.is_none(),
+            highest: state.fence.highest(),
         })
     }
 }
