--- a/crates/ochrewalk-handover/src/messages.rs
+++ b/crates/ochrewalk-handover/src/messages.rs
@@ -1,12 +1,13 @@
-//! The messages, in protobuf. A field that a newer program adds to a message is skipped by an older one; a section that
-//! has to be understood is named in the offer, so that a successor that does not know it refuses.
+//! The messages, in protobuf. An older program skips a field that a newer one has added to a message. A
+//! section that must be understood is named in the offer, so that a successor that does not know it refuses.
 
 use prost::Oneof;
 
-/// Descriptors that go with one message: the operating system passes no more at once.
+/// The maximum number of descriptors that are sent with one message, which the operating system limits.
 pub const MAX_DESCRIPTORS: usize = 250;
 
-/// What stands on the stream: one message, or none where a newer program sends one that is not known here.
+/// The content of a frame: one message, or none if a newer program sent a message that this program does not
+/// know.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
     /// The message.
@@ -14,68 +15,68 @@
     pub message: Option<Message>,
 }
 
-/// All messages. [The crate's page](crate) has the order in which they pass.
+/// All messages. [The crate's documentation](crate) has their order.
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
 pub enum Message {
-    /// From the successor: it has read its files and can take over.
+    /// The successor has read its files and can take over.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// From the predecessor: what there is to take over.
+    /// The predecessor lists the state that it will transfer.
     #[prost(message, tag = "2")]
     Offer(Offer),
-    /// From either: the hand-over is declined, before any state was sent.
+    /// Either side declines the hand-over, before any state was sent.
     #[prost(message, tag = "3")]
     Refuse(Refusal),
-    /// From the successor: it accepts the offer.
+    /// The successor accepts the offer.
     #[prost(message, tag = "4")]
     Prepare(Prepare),
-    /// From the predecessor: a piece of a section.
+    /// The predecessor sends a part of a section.
     #[prost(message, tag = "5")]
     Chunk(Chunk),
-    /// From the predecessor: all chunks before the pause have been sent.
+    /// The predecessor has sent all chunks that are transferred ahead of the pause.
     #[prost(message, tag = "6")]
     AheadComplete(ChunkCount),
-    /// From the successor: it has all that was sent ahead.
+    /// The successor has received all chunks that were sent ahead.
     #[prost(message, tag = "7")]
     Ready(Empty),
-    /// From the predecessor: all chunks of the pause have been sent.
+    /// The predecessor has sent all chunks of the pause.
     #[prost(message, tag = "8")]
     TransferComplete(ChunkCount),
-    /// From the successor: it has restored all of the state, without acting on it.
+    /// The successor has restored the complete state, without acting on it.
     #[prost(message, tag = "9")]
     Loaded(Empty),
-    /// From the predecessor: it gives up its right to act.
+    /// The predecessor gives up its right to act.
     #[prost(message, tag = "10")]
     Release(Empty),
-    /// From the successor: it serves from here on.
+    /// The successor is serving from now on.
     #[prost(message, tag = "11")]
     Started(Empty),
-    /// From either: the attempt has ended.
+    /// Either side has ended the attempt.
     #[prost(message, tag = "12")]
     Abort(Refusal),
 }
 
-/// What the successor says first.
+/// The first message of the successor.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Hello {
-    /// The oldest version of the protocol that it speaks.
+    /// The oldest version of the protocol that the successor speaks.
     #[prost(uint32, tag = "1")]
     pub oldest: u32,
-    /// The newest version of the protocol that it speaks.
+    /// The newest version of the protocol that the successor speaks.
     #[prost(uint32, tag = "2")]
     pub newest: u32,
-    /// The version of its program, for the log.
+    /// The version of the successor's program, for the log.
     #[prost(string, tag = "3")]
     pub program: String,
-    /// A digest of the settings that only a start can change: it has to be the same on both sides.
+    /// A digest of the settings that only a restart can change. It must be the same on both sides.
     #[prost(uint64, tag = "4")]
     pub digest: u64,
 }
 
-/// What there is to take over.
+/// The state that the predecessor will transfer.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Offer {
-    /// The version of the protocol that both sides go on with.
+    /// The version of the protocol that both sides use from now on.
     #[prost(uint32, tag = "1")]
     pub version: u32,
     /// All sections that will be sent.
@@ -92,18 +93,18 @@
 /// A kind of state, and the version of its format.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Section {
-    /// Its name.
+    /// The name of the section.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The version of its format.
+    /// The version of the section's format.
     #[prost(uint32, tag = "2")]
     pub version: u32,
 }
 
-/// Why a hand-over does not come about.
+/// A message that declines a hand-over or ends an attempt.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Refusal {
-    /// The reason as text, for the log and for whoever asked for the upgrade.
+    /// The reason as text, for the log and for the requester of the upgrade.
     #[prost(string, tag = "1")]
     pub reason: String,
 }
@@ -112,28 +113,28 @@
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Prepare {}
 
-/// The body of a message that is said by its kind alone.
+/// The empty body of a message whose type is its whole content.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Empty {}
 
-/// A piece of a section.
+/// A part of a section.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Chunk {
     /// The section's name.
     #[prost(string, tag = "1")]
     pub section: String,
-    /// The bytes that follow on those of the section's chunk before.
+    /// The bytes that follow those of the section's previous chunk.
     #[prost(bytes = "vec", tag = "2")]
     pub bytes: Vec<u8>,
-    /// How many descriptors go with the message.
+    /// The number of descriptors that are sent with the message.
     #[prost(uint32, tag = "3")]
     pub descriptors: u32,
 }
 
-/// How many chunks went before, so that a lost one is noticed.
+/// The number of chunks that were sent, so that a lost one is detected.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct ChunkCount {
-    /// Chunks since the last count.
+    /// The number of chunks since the last count.
     #[prost(uint64, tag = "1")]
     pub chunks: u64,
 }
--- a/crates/ochrewalk-handover/src/predecessor.rs
+++ b/crates/ochrewalk-handover/src/predecessor.rs
@@ -1,67 +1,72 @@
-//! The side that serves: whether it makes an offer, when it pauses, when it releases its state, and when it resumes.
+//! The serving side of a hand-over: whether it makes an offer, when it pauses, when it releases its state,
+//! and when it resumes.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | `AwaitingHello` | `Hello` that fits | `Offered` |
-//! | `Offered` | `Prepare`; it transfers ahead | `Preparing` |
-//! | `Preparing` | `Ready`; it pauses and transfers the rest | `Paused` |
+//! | `AwaitingHello` | `Hello` that is compatible | `Offered` |
+//! | `Offered` | `Prepare`; it transfers sections ahead of the pause | `Preparing` |
+//! | `Preparing` | `Ready`; it pauses and transfers the other sections | `Paused` |
 //! | `Paused` | `Loaded`; it sends `Release` | `Released` |
 //! | `Released` | `Started` | `Retired` |
 //! | `Released` | the successor has ended; it resumes | `Ended` |
-//! | `Released` | the deadline passes; it has the successor killed | `Released` |
+//! | `Released` | the deadline passes; it requests that the successor is killed | `Released` |
 //! | any before `Released` | a refusal, an unexpected message, an interruption, the successor's end, the deadline | `Ended` |
 
 use crate::messages::{ChunkCount, Empty, Hello, Message, Offer, Refusal, Section};
-use crate::{FIRST_VERSION_WITH_AHEAD, NEWEST_VERSION, OLDEST_VERSION};
+use crate::{FIRST_VERSION_WITH_TRANSFER_AHEAD, NEWEST_VERSION, OLDEST_VERSION};
 use thiserror::Error;
 
-/// What a [`Predecessor`] has its process do.
+/// The actions that a [`Predecessor`] requests from its process.
 pub trait Actions {
-    /// Sends a message. One that cannot be written is ignored: the stream's end is reported as an event of its own.
+    /// Sends a message. A message that cannot be written is ignored, because the end of the stream is
+    /// reported as a separate event.
     fn send(&mut self, message: Message);
-    /// Sends the sections that seldom change, in chunks. The process serves meanwhile, however long it takes.
+    /// Sends the sections that seldom change, in chunks. The process continues to serve in the meantime,
+    /// however long the transfer takes.
     fn transfer_ahead(&mut self, now_us: u64) -> TransferredAhead;
-    /// Pauses and sends all other sections in chunks; gives their number. From here on nothing is read, started,
-    /// answered or called.
+    /// Pauses, sends all other sections in chunks, and returns the number of chunks. From now on the process
+    /// does not read, start, answer or call anything.
     fn pause_and_transfer(&mut self) -> u64;
-    /// Goes on as if no hand-over had been tried.
+    /// Continues as if no hand-over had been attempted.
     fn resume(&mut self);
-    /// Has the successor's process killed, so that its end is reported.
+    /// Requests that the successor's process is killed, so that its end is reported.
     fn kill_peer(&mut self);
-    /// Ends this process: all of its state is the successor's.
+    /// Ends this process, because the successor has the complete state.
     fn retire(&mut self);
-    /// Reports how the attempt ended to whoever asked for it.
+    /// Reports the outcome of the attempt to its requester.
     fn report_outcome(&mut self, outcome: Result<(), &AttemptError>);
 }
 
-/// What was sent before the pause.
+/// The result of the transfer ahead of the pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferredAhead {
-    /// How many chunks were sent.
+    /// The number of chunks that were sent.
     pub chunks: u64,
-    /// The time at which the last one was sent, in microseconds.
+    /// The time at which the last chunk was sent, in microseconds.
     pub finished_us: u64,
 }
 
-/// How long each step may take, in microseconds.
+/// The maximum duration of each step, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// From the successor's start to its `Ready`.
+    /// The time from the successor's start to its `Ready`.
     pub prepare_us: u64,
-    /// From the pause to `Loaded`: this long nobody is answered.
+    /// The time from the pause to `Loaded`, in which no request is answered.
     pub pause_us: u64,
-    /// From `Release` to `Started`.
+    /// The time from `Release` to `Started`.
     pub start_us: u64,
 }
 
-/// A successor may take this many times as long to read its files as this program took: it reads them beside a program
-/// that serves, on a machine that may be busier than at this program's start.
+/// The factor by which a successor may take longer to read its files than this program took. The successor
+/// reads them while this program is serving, on a machine that may be busier than at this program's start.
 const READING_FACTOR: u64 = 8;
-/// The most that reading files may prolong the preparation: whoever asked for the upgrade waits for twice that.
+/// The maximum to which the reading time can extend the preparation. The requester of the upgrade waits for
+/// twice this time.
 const MAX_READING_US: u64 = 30_000_000;
 
 impl Limits {
-    /// The same with time for a successor to read files that took this program `reading_us`.
+    /// Returns these limits with enough time for a successor to read files that took this program
+    /// `reading_us`.
     ///
     /// ```
     /// use ochrewalk_handover::predecessor::Limits;
@@ -76,39 +81,39 @@
     }
 }
 
-/// How far an attempt has come on this side.
+/// The progress of an attempt on this side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// The stream is up; the successor has sent nothing yet.
+    /// The stream is open; the successor has sent nothing yet.
     AwaitingHello,
-    /// The offer is out.
+    /// The offer has been sent.
     Offered,
-    /// The sections that seldom change are out.
+    /// The sections that seldom change have been sent.
     Preparing,
-    /// Nothing is read, started, answered or called; the rest of the state is out.
+    /// The process does not read, start, answer or call anything; the rest of the state has been sent.
     Paused,
-    /// `Release` is out: this side acts again only if the successor's process has ended.
+    /// `Release` has been sent: this side acts again only if the successor's process has ended.
     Released,
-    /// The successor serves.
+    /// The successor is serving.
     Retired,
-    /// The attempt came to nothing, and this process goes on.
+    /// The attempt has failed, and this process continues to serve.
     Ended,
 }
 
-/// What the offer says of the state, and what it is checked against.
+/// The content of the offer, and the values that are checked before it is made.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StateSummary {
-    /// The digest that the successor's settings have to have.
+    /// The digest that the successor's settings must have.
     pub digest: u64,
-    /// The sections that are sent in the pause.
+    /// The sections that are sent during the pause.
     pub sections: Vec<Section>,
-    /// The sections that are sent before the pause, to successors that know how to receive them.
+    /// The sections that are sent before the pause, to successors that can receive them.
     pub ahead_sections: Vec<Section>,
     /// Resident memory of this process, in bytes.
     pub bytes: u64,
     /// Open descriptors of this process.
     pub descriptors: u32,
-    /// What there is too little of for two processes at once, if anything.
+    /// The resource that does not suffice for two processes at once, if any.
     pub shortage: Option<Shortage>,
 }
 
@@ -120,23 +125,23 @@
     Memory {
         /// Resident memory of this process.
         in_use_mb: u64,
-        /// What the deployment allows.
+        /// The memory that the deployment allows.
         allowed_mb: u64,
     },
-    /// Descriptors.
+    /// File descriptors.
     #[error("{in_use} descriptors in use, twice that is more than the {allowed} allowed")]
     Descriptors {
         /// Open descriptors of this process.
         in_use: usize,
-        /// What the deployment allows.
+        /// The number of descriptors that the deployment allows.
         allowed: usize,
     },
 }
 
-/// Why this side makes no offer.
+/// The reason for which this side makes no offer.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RefuseError {
-    /// No version of the protocol is known to both sides.
+    /// The two sides have no protocol version in common.
     #[error("it speaks versions {oldest} to {newest}, this program {OLDEST_VERSION} to {NEWEST_VERSION}")]
     NoCommonVersion {
         /// The oldest version that the successor speaks.
@@ -144,15 +149,16 @@
         /// The newest version that the successor speaks.
         newest: u32,
     },
-    /// The digests of the two sides differ.
+    /// The digests of the two sides' settings differ.
     #[error("its files set what only a start can change")]
     SettingsDiffer,
-    /// Two processes do not fit the limits.
+    /// The deployment's limits do not allow two processes.
     #[error(transparent)]
     Shortage(#[from] Shortage),
 }
 
-/// Why an attempt came to nothing. The text goes to the successor, the log and whoever asked for the upgrade.
+/// The reason for which an attempt failed. The text is sent to the successor, the log and the requester of
+/// the upgrade.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum AttemptError {
     /// This side made no offer.
@@ -164,13 +170,13 @@
         /// The successor's reason.
         reason: String,
     },
-    /// A message came that has no place in this state.
+    /// A message arrived that is not valid in this state.
     #[error("a message out of turn")]
     UnexpectedMessage,
-    /// The successor's process ended before this side had released its state.
+    /// The successor's process ended before this side released its state.
     #[error("the new program ended")]
     SuccessorEnded,
-    /// The successor's process ended after the release and before it had started.
+    /// The successor's process ended after the release and before it started.
     #[error("the new program ended before it began")]
     SuccessorEndedBeforeStart,
     /// A deadline passed before the release.
@@ -191,12 +197,12 @@
     deadline_us: Option<u64>,
     limits: Limits,
     summary: StateSummary,
-    /// Whether the successor can receive sections before the pause.
+    /// Whether the successor can receive sections ahead of the pause.
     transfers_ahead: bool,
 }
 
 impl Predecessor {
-    /// An attempt whose successor was started at `now_us`.
+    /// Creates an attempt whose successor was started at `now_us`.
     pub fn new(now_us: u64, limits: Limits, summary: StateSummary) -> Predecessor {
         Predecessor {
             state: State::AwaitingHello,
@@ -207,7 +213,7 @@
         }
     }
 
-    /// How far the attempt has come.
+    /// Returns the progress of the attempt.
     pub fn state(&self) -> State {
         self.state
     }
@@ -217,17 +223,18 @@
         !matches!(self.state, State::Paused | State::Released | State::Retired)
     }
 
-    /// Whether the attempt came to nothing, so that another one may begin.
+    /// Whether the attempt has failed, so that another one may begin.
     pub fn is_ended(&self) -> bool {
         self.state == State::Ended
     }
 
-    /// The time in microseconds by which something has to come; none once the attempt has ended.
+    /// Returns the time in microseconds by which the next message has to arrive, or `None` once the attempt
+    /// is over.
     pub fn deadline_us(&self) -> Option<u64> {
         self.deadline_us
     }
 
-    /// A message has come from the successor.
+    /// Handles a message from the successor.
     pub fn message(&mut self, now_us: u64, message: &Message, actions: &mut impl Actions) {
         match (self.state, message) {
             (State::Ended | State::Retired, _) => {}
@@ -239,7 +246,7 @@
                 actions.send(Message::TransferComplete(ChunkCount { chunks }));
             }
             (State::Paused, Message::Loaded(_)) => {
-                // From here on this side acts only once the successor is known to have ended.
+                // From now on this side acts only after the successor is known to have ended.
                 self.enter(State::Released, now_us + self.limits.start_us);
                 actions.send(Message::Release(Empty {}));
             }
@@ -248,7 +255,7 @@
                 actions.report_outcome(Ok(()));
                 actions.retire();
             }
-            // After the release the successor may not change its mind; only its end counts.
+            // After the release the successor cannot refuse any more; only the end of its process counts.
             (State::Released, _) => {}
             (_, Message::Refuse(refusal) | Message::Abort(refusal)) => {
                 let reason = refusal.reason.clone();
@@ -258,23 +265,24 @@
         }
     }
 
-    /// The stream has ended, and with it the successor's process.
+    /// Handles the end of the stream, which means that the successor's process has ended.
     pub fn peer_ended(&mut self, actions: &mut impl Actions) {
         match self.state {
             State::Ended | State::Retired => {}
-            // It had not started: nothing was done with the state that it had.
+            // The successor had not started, so it has not acted on the state.
             State::Released => self.end(&AttemptError::SuccessorEndedBeforeStart, actions),
             _ => self.end(&AttemptError::SuccessorEnded, actions),
         }
     }
 
-    /// Time has passed.
+    /// Handles the passing of time.
     pub fn tick(&mut self, now_us: u64, actions: &mut impl Actions) {
         if self.deadline_us.is_none_or(|deadline_us| now_us < deadline_us) {
             return;
         }
         if self.state == State::Released {
-            // The successor may have all of the state and wake at any moment: its process has to end first.
+            // The successor may have the complete state and start at any time, so its process has to end
+            // before this one resumes.
             actions.kill_peer();
             self.deadline_us = Some(now_us + self.limits.start_us);
         } else {
@@ -282,8 +290,8 @@
         }
     }
 
-    /// The attempt is to end, as this process is to drain, or what was offered is out of date. Ignored from the release
-    /// on.
+    /// Ends the attempt, because this process has to drain or the offered state is out of date. Ignored after
+    /// the release.
     pub fn interrupt(&mut self, reason: &str, actions: &mut impl Actions) {
         if !matches!(self.state, State::Released | State::Retired | State::Ended) {
             self.abort(&AttemptError::Interrupted { reason: reason.into() }, actions);
@@ -299,7 +307,7 @@
             }
         };
         let StateSummary { mut sections, ahead_sections, bytes, descriptors, .. } = self.summary.clone();
-        self.transfers_ahead = version >= FIRST_VERSION_WITH_AHEAD && !ahead_sections.is_empty();
+        self.transfers_ahead = version >= FIRST_VERSION_WITH_TRANSFER_AHEAD && !ahead_sections.is_empty();
         if self.transfers_ahead {
             sections.extend(ahead_sections);
         }
@@ -313,13 +321,14 @@
         } else {
             TransferredAhead { chunks: 0, finished_us: now_us }
         };
-        // The successor reads what is still on its way before it answers: its time counts from here.
+        // The successor reads the chunks that are still in transit before it answers, so its time limit
+        // starts here.
         let deadline_us = finished_us + self.limits.prepare_us;
         self.enter(State::Preparing, deadline_us.max(self.deadline_us.unwrap_or(0)));
         actions.send(Message::AheadComplete(ChunkCount { chunks }));
     }
 
-    /// The version of the protocol to go on with.
+    /// Returns the protocol version to use.
     fn check(&self, hello: &Hello) -> Result<u32, RefuseError> {
         let Hello { oldest, newest, digest, .. } = *hello;
         if newest < OLDEST_VERSION || oldest > NEWEST_VERSION {
--- a/crates/ochrewalk-handover/src/successor.rs
+++ b/crates/ochrewalk-handover/src/successor.rs
@@ -1,91 +1,94 @@
-//! The side that is to take over: whether it accepts what is offered, when it starts, and when it exits instead.
+//! The side that takes over in a hand-over: whether it accepts an offer, when it starts, and when it exits
+//! instead.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | `HelloSent` | `Offer` that fits; it sends `Prepare` | `Receiving` |
+//! | `HelloSent` | `Offer` that is acceptable; it sends `Prepare` | `Receiving` |
 //! | `Receiving` | `Chunk`; it is stored | `Receiving` |
 //! | `Receiving` | `AheadComplete`; it sends `Ready` | `Ready` |
 //! | `Ready` | `Chunk`; it is stored | `Ready` |
 //! | `Ready` | `TransferComplete`; it loads the state and sends `Loaded` | `Loaded` |
 //! | `Loaded` | `Release`, or the predecessor has ended; it starts with the state | `Serving` |
-//! | `Loaded` | the deadline passes; it has the predecessor killed | `Loaded` |
-//! | any before `Loaded` | the predecessor has ended; it starts fresh | `Serving` |
+//! | `Loaded` | the deadline passes; it requests that the predecessor is killed | `Loaded` |
+//! | any before `Loaded` | the predecessor has ended; it starts without the state | `Serving` |
 //! | any before `Loaded` | a refusal, a lost chunk, an unexpected message, the deadline | `Ended` |
 
 use crate::messages::{Empty, Hello, Message, Offer, Prepare, Refusal, Section};
 use crate::{NEWEST_VERSION, OLDEST_VERSION};
 use thiserror::Error;
 
-/// What a [`Successor`] has its process do.
+/// The actions that a [`Successor`] requests from its process.
 pub trait Actions {
-    /// Why the state cannot be restored.
+    /// The reason for which the state cannot be restored.
     type LoadError: std::error::Error;
 
-    /// Sends a message. One that cannot be written is ignored: the stream's end is reported as an event of its own.
+    /// Sends a message. A message that cannot be written is ignored, because the end of the stream is
+    /// reported as a separate event.
     fn send(&mut self, message: Message);
-    /// Stores a chunk of a section, and the descriptors that came with it.
+    /// Stores a chunk of a section, and the descriptors that were sent with it.
     fn store(&mut self, section: &str, bytes: &[u8], descriptors: u32);
-    /// Restores the state from all stored chunks, without acting on any of it.
+    /// Restores the state from all stored chunks, without acting on it.
     ///
     /// # Errors
     ///
-    /// The chunks do not make up a state that this program can go on with.
+    /// Returns an error if this program cannot restore its state from the chunks.
     fn load(&mut self) -> Result<(), Self::LoadError>;
-    /// Serves from here on, with the state that was loaded.
+    /// Starts serving, with the state that was loaded.
     fn start(&mut self);
-    /// Serves from here on as after any start: the predecessor ended before it had sent all of its state.
+    /// Starts serving without the predecessor's state, because the predecessor ended before it had sent all
+    /// of it.
     fn start_fresh(&mut self);
-    /// Has the predecessor's process killed, so that its end is reported.
+    /// Requests that the predecessor's process is killed, so that its end is reported.
     fn kill_peer(&mut self);
-    /// Ends this process, as nothing is to be taken over.
+    /// Ends this process, because it does not take over.
     fn exit(&mut self, error: &SuccessorError);
 }
 
-/// How long each step may take, in microseconds.
+/// The maximum time to wait for the predecessor, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// For the predecessor's next message before it pauses.
+    /// The time for the predecessor's next message before it pauses.
     pub answer_us: u64,
-    /// For its next message once it has paused.
+    /// The time for the predecessor's next message after it has paused.
     pub pause_us: u64,
 }
 
-/// How far a hand-over has come on this side.
+/// The progress of a hand-over on this side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// `Hello` is out.
+    /// `Hello` has been sent.
     HelloSent,
-    /// The offer is accepted; chunks may come before the pause.
+    /// The offer is accepted; chunks may arrive ahead of the pause.
     Receiving,
-    /// All that was sent ahead is here; the predecessor has paused, or will.
+    /// All chunks that were sent ahead have arrived; the predecessor has paused or is about to.
     Ready,
-    /// All of the state is here and restored; this side waits for the release.
+    /// The complete state has been received and restored; this side waits for the release.
     Loaded,
-    /// This process serves.
+    /// This process is serving.
     Serving,
-    /// Nothing is taken over.
+    /// This process does not take over.
     Ended,
 }
 
-/// What this program can take over.
+/// The state that this program can take over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Capabilities {
-    /// The digest of the settings that only a start can change.
+    /// The digest of the settings that only a restart can change.
     pub digest: u64,
     /// The program's version.
     pub program: String,
-    /// The newest version of each section that it knows.
+    /// The newest version that the program supports of each section.
     pub known_sections: Vec<Section>,
-    /// The most memory that the predecessor's state may take, in bytes.
+    /// The maximum memory of the predecessor, in bytes.
     pub bytes: u64,
-    /// The most descriptors that the predecessor may have open.
+    /// The maximum number of descriptors that the predecessor may have open.
     pub descriptors: u32,
 }
 
-/// Why an offer is not accepted.
+/// The reason for which an offer is not accepted.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum OfferError {
-    /// A section is unknown, or its format is newer than the known one.
+    /// A section is unknown, or its format is newer than the supported one.
     #[error("it does not know {name} of version {version}")]
     UnknownSection {
         /// The section's name.
@@ -93,7 +96,7 @@
         /// The offered version of its format.
         version: u32,
     },
-    /// The predecessor has more memory than this process may take.
+    /// The predecessor uses more memory than this process may take.
     #[error("{offered} bytes of state, room for {allowed}")]
     TooManyBytes {
         /// Bytes of the predecessor.
@@ -101,7 +104,7 @@
         /// Bytes that this process may take.
         allowed: u64,
     },
-    /// The predecessor has more descriptors than this process may open.
+    /// The predecessor has more open descriptors than this process may open.
     #[error("{offered} descriptors, room for {allowed}")]
     TooManyDescriptors {
         /// Descriptors of the predecessor.
@@ -111,19 +114,19 @@
     },
 }
 
-/// Why nothing is taken over. The text goes to the predecessor and the log.
+/// The reason for which this process does not take over. The text is sent to the predecessor and the log.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SuccessorError {
-    /// The offer does not fit.
+    /// The offer is not acceptable.
     #[error(transparent)]
     Offer(#[from] OfferError),
     /// The state cannot be restored.
     #[error("{reason}")]
     Load {
-        /// The text of the error that [`Actions::load`] gave.
+        /// The text of the error that [`Actions::load`] returned.
         reason: String,
     },
-    /// A message came that has no place in this state, or a chunk was lost.
+    /// A message arrived that is not valid in this state, or a chunk was lost.
     #[error("a message out of turn")]
     UnexpectedMessage,
     /// A deadline passed.
@@ -132,7 +135,7 @@
     /// [`Successor::drain`] was called.
     #[error("told to leave")]
     DrainRequested,
-    /// The predecessor declined or gave up.
+    /// The predecessor declined the hand-over or ended the attempt.
     #[error("{reason}")]
     EndedByPredecessor {
         /// The predecessor's reason.
@@ -140,19 +143,19 @@
     },
 }
 
-/// One hand-over, on the side of the process that is to take over.
+/// One hand-over, on the side of the process that takes over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
     state: State,
     deadline_us: Option<u64>,
     limits: Limits,
     capabilities: Capabilities,
-    /// Chunks since the last count.
+    /// The number of chunks since the last count.
     chunks: u64,
 }
 
 impl Successor {
-    /// Begins: this process has read its files, and `Hello` goes out.
+    /// Begins a hand-over and sends `Hello`; the process has read its files.
     pub fn new(
         now_us: u64,
         limits: Limits,
@@ -175,7 +178,7 @@
         }
     }
 
-    /// How far the hand-over has come.
+    /// Returns the progress of the hand-over.
     pub fn state(&self) -> State {
         self.state
     }
@@ -185,12 +188,13 @@
         self.state == State::Serving
     }
 
-    /// The time in microseconds by which something has to come; none once the hand-over is over.
+    /// Returns the time in microseconds by which the next message has to arrive, or `None` once the hand-over
+    /// is over.
     pub fn deadline_us(&self) -> Option<u64> {
         self.deadline_us
     }
 
-    /// A message has come from the predecessor.
+    /// Handles a message from the predecessor.
     pub fn message(&mut self, now_us: u64, message: &Message, actions: &mut impl Actions) {
         match (self.state, message) {
             (State::Serving | State::Ended, _) => {}
@@ -203,7 +207,7 @@
             },
             (State::Receiving | State::Ready, Message::Chunk(chunk)) => {
                 self.chunks += 1;
-                // The transfer ahead may take long as a whole; the predecessor serves meanwhile.
+                // The transfer ahead may take long in total, because the predecessor continues to serve.
                 if self.state == State::Receiving {
                     let deadline_us = now_us + self.limits.answer_us;
                     self.deadline_us = self.deadline_us.max(Some(deadline_us));
@@ -227,11 +231,12 @@
         }
     }
 
-    /// The stream has ended, and with it the predecessor's process: nobody serves.
+    /// Handles the end of the stream, which means that the predecessor's process has ended and no process is
+    /// serving.
     pub fn peer_ended(&mut self, actions: &mut impl Actions) {
         match self.state {
             State::Serving | State::Ended => {}
-            // The predecessor was paused when it ended, and all of its state is here.
+            // The predecessor was paused when it ended, and its complete state has arrived.
             State::Loaded => self.serve(actions),
             State::HelloSent | State::Receiving | State::Ready => {
                 (self.state, self.deadline_us) = (State::Serving, None);
@@ -240,13 +245,14 @@
         }
     }
 
-    /// Time has passed.
+    /// Handles the passing of time.
     pub fn tick(&mut self, now_us: u64, actions: &mut impl Actions) {
         if self.deadline_us.is_none_or(|deadline_us| now_us < deadline_us) {
             return;
         }
         if self.state == State::Loaded {
-            // The predecessor is paused or has released its state: if it does not answer it hangs, and is killed.
+            // The predecessor is paused or has released its state. If it does not answer it hangs, and is
+            // killed.
             actions.kill_peer();
             self.deadline_us = Some(now_us + self.limits.pause_us);
         } else {
@@ -254,8 +260,8 @@
         }
     }
 
-    /// This process is to drain. Ignored once all of the state is loaded, as this process may be the last one alive:
-    /// then the caller lets it start first, and drains it afterwards.
+    /// Drains this process. Ignored once the complete state is loaded, because this process may then be the
+    /// last one running: the caller lets it start first, and drains it afterwards.
     pub fn drain(&mut self, actions: &mut impl Actions) {
         if matches!(self.state, State::HelloSent | State::Receiving | State::Ready) {
             self.abort(&SuccessorError::DrainRequested, actions);
@@ -287,7 +293,7 @@
         self.enter(State::Loaded, now_us + self.limits.pause_us);
     }
 
-    /// `Started` goes out before the first act: a predecessor that has not received it may resume.
+    /// Sends `Started` before the first action, because a predecessor that has not received it may resume.
     fn serve(&mut self, actions: &mut impl Actions) {
         (self.state, self.deadline_us) = (State::Serving, None);
         actions.send(Message::Started(Empty {}));
