--- a/crates/ochrewalk-handover/tests/explore.rs
+++ b/crates/ochrewalk-handover/tests/explore.rs
@@ -1,35 +1,35 @@
-//! Both sides explored exhaustively: crashes, requests to leave, new files and time-outs at every step, messages as late
-//! as they like, one attempt after another.
+//! Explores both sides exhaustively: crashes, requests to drain, interruptions and time-outs at every step,
+//! messages with arbitrary delay, and two consecutive attempts.
 
 use ochrewalk_handover::messages::{Chunk, Message};
 use ochrewalk_handover::predecessor::{self, AttemptError, Predecessor, StateSummary, TransferredAhead};
 use ochrewalk_handover::successor::{self, Capabilities, Successor, SuccessorError};
 use stateright::{Checker, Model, Property};
 
-/// A process and what it has written that the other has not read.
+/// Both processes, and the messages in transit between them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[allow(
     clippy::struct_excessive_bools,
-    reason = "each says whether one event has happened; they are independent"
+    reason = "each field records whether one event has happened; they are independent"
 )]
 struct World {
     predecessor: Option<Predecessor>,
     successor: Option<Successor>,
     to_successor: Vec<Message>,
     to_predecessor: Vec<Message>,
-    /// The stream's end was heard.
-    successor_heard_end: bool,
-    predecessor_heard_end: bool,
-    /// Whoever started both ends one of them at the most in one attempt, and only while neither acts: each asks
-    /// before it begins or goes on.
-    killed_one: bool,
+    /// Whether the end of the stream was observed.
+    successor_observed_end: bool,
+    predecessor_observed_end: bool,
+    /// The supervisor kills at most one of the two processes in an attempt, and only while neither acts: each
+    /// side requests its permission before it starts or resumes.
+    has_killed: bool,
     successor_acted: bool,
-    from_the_dead: bool,
-    taken_back: bool,
+    started_after_predecessor_ended: bool,
+    resumed_after_release: bool,
     crashes: u8,
-    leave_requests: u8,
+    drain_requests: u8,
     attempts: u8,
-    /// Time-outs while nobody could act and nothing was on its way to whoever timed out.
+    /// Time-outs while neither side could act and no message to the side that timed out was in transit.
     idle_ticks: u8,
 }
 
@@ -37,21 +37,21 @@
 enum Action {
     PredecessorReads,
     SuccessorReads { loads: bool },
-    PredecessorHearsEnd,
-    SuccessorHearsEnd,
+    PredecessorObservesEnd,
+    SuccessorObservesEnd,
     PredecessorCrashes,
     SuccessorCrashes,
     PredecessorTimesOut,
     SuccessorTimesOut,
     PredecessorInterrupted,
-    SuccessorToldToLeave,
+    SuccessorDrains,
     AnotherAttempt,
 }
 
 #[derive(Default)]
 #[allow(
     clippy::struct_excessive_bools,
-    reason = "each says whether one action was taken; they are independent"
+    reason = "each field records whether one action was taken; they are independent"
 )]
 struct RecordedActions {
     sent: Vec<Message>,
@@ -112,16 +112,16 @@
 
 /// The rule that is broken on purpose, if any.
 #[derive(Clone, Copy, PartialEq)]
-enum Broken {
-    Nothing,
-    /// The predecessor resumes after a time-out, without knowing that the other has ended.
-    PredecessorImpatient,
-    /// The successor begins as soon as it has everything, without waiting for the release.
-    SuccessorImpatient,
+enum BrokenRule {
+    None,
+    /// The predecessor resumes after a time-out, without knowing that the successor has ended.
+    ResumeOnTimeOut,
+    /// The successor starts as soon as it has the complete state, without waiting for the release.
+    StartBeforeRelease,
 }
 
 struct HandOver {
-    broken: Broken,
+    broken_rule: BrokenRule,
     crashes: u8,
 }
 
@@ -139,14 +139,14 @@
     }
 }
 
-fn attempt(world: &mut World) {
+fn start_attempt(world: &mut World) {
     let mut actions = RecordedActions::default();
     let capabilities =
         Capabilities { digest: 7, program: String::new(), known_sections: vec![], bytes: 0, descriptors: 0 };
     world.predecessor = Some(Predecessor::new(0, PREDECESSOR, summary()));
     world.successor = Some(Successor::new(0, SUCCESSOR, capabilities, &mut actions));
     (world.to_predecessor, world.to_successor) = (actions.sent, vec![]);
-    (world.successor_heard_end, world.predecessor_heard_end, world.killed_one) = (false, false, false);
+    (world.successor_observed_end, world.predecessor_observed_end, world.has_killed) = (false, false, false);
     world.attempts += 1;
 }
 
@@ -161,51 +161,51 @@
 
     fn act_as_predecessor(&mut self, step: impl FnOnce(&mut Predecessor, &mut RecordedActions)) {
         let mut actions = RecordedActions::default();
-        let nobody_acts = !self.predecessor_acts() && !self.successor_acts();
+        let neither_acts = !self.predecessor_acts() && !self.successor_acts();
         let Some(predecessor) = &mut self.predecessor else { return };
         let released = predecessor.state() == predecessor::State::Released;
         step(predecessor, &mut actions);
         self.to_successor.extend(actions.sent);
-        self.taken_back |= actions.resumed && released;
+        self.resumed_after_release |= actions.resumed && released;
         if actions.exited {
             self.predecessor = None;
         }
-        if actions.killed_peer && !self.killed_one && nobody_acts {
-            (self.successor, self.killed_one) = (None, true);
+        if actions.killed_peer && !self.has_killed && neither_acts {
+            (self.successor, self.has_killed) = (None, true);
         }
     }
 
     fn act_as_successor(&mut self, loads: bool, step: impl FnOnce(&mut Successor, &mut RecordedActions)) {
         let mut actions = RecordedActions { loads, ..RecordedActions::default() };
-        let nobody_acts = !self.predecessor_acts() && !self.successor_acts();
+        let neither_acts = !self.predecessor_acts() && !self.successor_acts();
         let Some(successor) = &mut self.successor else { return };
         step(successor, &mut actions);
         self.to_predecessor.extend(actions.sent);
         self.successor_acted |= actions.started;
-        self.from_the_dead |= actions.started && self.predecessor.is_none();
+        self.started_after_predecessor_ended |= actions.started && self.predecessor.is_none();
         if actions.exited {
             self.successor = None;
         }
-        if actions.killed_peer && !self.killed_one && nobody_acts {
-            (self.predecessor, self.killed_one) = (None, true);
+        if actions.killed_peer && !self.has_killed && neither_acts {
+            (self.predecessor, self.has_killed) = (None, true);
         }
     }
 
-    /// What goes on without anybody's doing.
+    /// Returns the events that can occur without a fault or an external request.
     fn next_events(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(predecessor) = &self.predecessor {
             match self.to_predecessor.is_empty() {
                 false => actions.push(Action::PredecessorReads),
-                true if self.successor.is_none() && !self.predecessor_heard_end => {
-                    actions.push(Action::PredecessorHearsEnd)
+                true if self.successor.is_none() && !self.predecessor_observed_end => {
+                    actions.push(Action::PredecessorObservesEnd)
                 }
                 true => {}
             }
-            // What has come is read before time is judged.
-            let end_waits =
-                self.successor.is_none() && self.to_predecessor.is_empty() && !self.predecessor_heard_end;
-            if predecessor.deadline_us().is_some() && !end_waits {
+            // Messages that have arrived are read before a time-out is handled.
+            let is_end_unobserved =
+                self.successor.is_none() && self.to_predecessor.is_empty() && !self.predecessor_observed_end;
+            if predecessor.deadline_us().is_some() && !is_end_unobserved {
                 actions.push(Action::PredecessorTimesOut);
             }
         }
@@ -215,14 +215,14 @@
                     Action::SuccessorReads { loads: true },
                     Action::SuccessorReads { loads: false },
                 ]),
-                true if self.predecessor.is_none() && !self.successor_heard_end => {
-                    actions.push(Action::SuccessorHearsEnd)
+                true if self.predecessor.is_none() && !self.successor_observed_end => {
+                    actions.push(Action::SuccessorObservesEnd)
                 }
                 true => {}
             }
-            let end_waits =
-                self.predecessor.is_none() && self.to_successor.is_empty() && !self.successor_heard_end;
-            if successor.deadline_us().is_some() && !end_waits {
+            let is_end_unobserved =
+                self.predecessor.is_none() && self.to_successor.is_empty() && !self.successor_observed_end;
+            if successor.deadline_us().is_some() && !is_end_unobserved {
                 actions.push(Action::SuccessorTimesOut);
             }
         }
@@ -240,18 +240,18 @@
             successor: None,
             to_successor: vec![],
             to_predecessor: vec![],
-            successor_heard_end: false,
-            predecessor_heard_end: false,
-            killed_one: false,
+            successor_observed_end: false,
+            predecessor_observed_end: false,
+            has_killed: false,
             successor_acted: false,
-            from_the_dead: false,
-            taken_back: false,
+            started_after_predecessor_ended: false,
+            resumed_after_release: false,
             crashes: 0,
-            leave_requests: 0,
+            drain_requests: 0,
             attempts: 0,
             idle_ticks: 0,
         };
-        attempt(&mut world);
+        start_attempt(&mut world);
         vec![world]
     }
 
@@ -261,20 +261,21 @@
             actions.extend(world.predecessor.is_some().then_some(Action::PredecessorCrashes));
             actions.extend(world.successor.is_some().then_some(Action::SuccessorCrashes));
         }
-        if world.leave_requests < 2 {
+        if world.drain_requests < 2 {
             actions.extend(world.predecessor.is_some().then_some(Action::PredecessorInterrupted));
-            actions.extend(world.successor.is_some().then_some(Action::SuccessorToldToLeave));
+            actions.extend(world.successor.is_some().then_some(Action::SuccessorDrains));
         }
-        // One at a time: while one goes on, another is not begun.
-        let free = world.predecessor.as_ref().is_some_and(Predecessor::is_ended) && world.successor.is_none();
-        if free && world.attempts < 2 {
+        // The next attempt begins only after the previous one has ended.
+        let may_start_attempt =
+            world.predecessor.as_ref().is_some_and(Predecessor::is_ended) && world.successor.is_none();
+        if may_start_attempt && world.attempts < 2 {
             actions.push(Action::AnotherAttempt);
         }
     }
 
     fn next_state(&self, world: &World, action: Action) -> Option<World> {
         let mut next = world.clone();
-        let nobody = !world.predecessor_acts() && !world.successor_acts();
+        let neither_acts = !world.predecessor_acts() && !world.successor_acts();
         match action {
             Action::PredecessorReads => {
                 let message = next.to_predecessor.remove(0);
@@ -284,17 +285,17 @@
                 let message = next.to_successor.remove(0);
                 next.act_as_successor(loads, |successor, actions| successor.message(0, &message, actions));
                 let state = next.successor.as_ref().map(Successor::state);
-                let has_all = state == Some(successor::State::Loaded);
-                if self.broken == Broken::SuccessorImpatient && has_all {
+                let is_loaded = state == Some(successor::State::Loaded);
+                if self.broken_rule == BrokenRule::StartBeforeRelease && is_loaded {
                     next.act_as_successor(true, |successor, actions| successor.peer_ended(actions));
                 }
             }
-            Action::PredecessorHearsEnd => {
-                next.predecessor_heard_end = true;
+            Action::PredecessorObservesEnd => {
+                next.predecessor_observed_end = true;
                 next.act_as_predecessor(|predecessor, actions| predecessor.peer_ended(actions));
             }
-            Action::SuccessorHearsEnd => {
-                next.successor_heard_end = true;
+            Action::SuccessorObservesEnd => {
+                next.successor_observed_end = true;
                 next.act_as_successor(true, |successor, actions| successor.peer_ended(actions));
             }
             Action::PredecessorCrashes => {
@@ -307,90 +308,101 @@
             }
             Action::PredecessorTimesOut => {
                 let released = next.predecessor.as_ref()?.state() == predecessor::State::Released;
-                if self.broken == Broken::PredecessorImpatient && released {
+                if self.broken_rule == BrokenRule::ResumeOnTimeOut && released {
                     next.act_as_predecessor(|predecessor, actions| predecessor.peer_ended(actions));
                 } else {
                     next.act_as_predecessor(|predecessor, actions| predecessor.tick(0, actions));
                 }
-                next.idle_ticks += u8::from(nobody && world.to_predecessor.is_empty() && next.idle_ticks < 9);
+                next.idle_ticks +=
+                    u8::from(neither_acts && world.to_predecessor.is_empty() && next.idle_ticks < 9);
             }
             Action::SuccessorTimesOut => {
                 next.act_as_successor(true, |successor, actions| successor.tick(0, actions));
-                next.idle_ticks += u8::from(nobody && world.to_successor.is_empty() && next.idle_ticks < 9);
+                next.idle_ticks +=
+                    u8::from(neither_acts && world.to_successor.is_empty() && next.idle_ticks < 9);
             }
             Action::PredecessorInterrupted => {
-                next.leave_requests += 1;
+                next.drain_requests += 1;
                 next.act_as_predecessor(|predecessor, actions| {
                     predecessor.interrupt("told to leave", actions)
                 });
             }
-            Action::SuccessorToldToLeave => {
-                next.leave_requests += 1;
+            Action::SuccessorDrains => {
+                next.drain_requests += 1;
                 next.act_as_successor(true, |successor, actions| successor.drain(actions));
             }
-            Action::AnotherAttempt => attempt(&mut next),
+            Action::AnotherAttempt => start_attempt(&mut next),
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two act", |_, world: &World| {
+            Property::always("both sides never act at once", |_, world: &World| {
                 !(world.predecessor_acts() && world.successor_acts())
             }),
-            Property::always("what was given and begun is never taken up again", |_, world: &World| {
-                !(world.successor_acted && world.predecessor_acts())
-            }),
             Property::always(
-                "while one lives, somebody acts or something is on its way",
+                "the predecessor never acts after the successor has started",
+                |_, world: &World| !(world.successor_acted && world.predecessor_acts()),
+            ),
+            Property::always(
+                "while a process is running, one side acts or an event is pending",
                 |_, world: &World| {
-                    let lives = world.predecessor.is_some() || world.successor.is_some();
-                    !lives
+                    let is_running = world.predecessor.is_some() || world.successor.is_some();
+                    !is_running
                         || world.predecessor_acts()
                         || world.successor_acts()
                         || !world.next_events().is_empty()
                 },
             ),
-            Property::always("nobody acts for three limits at the most", |_, world: &World| {
+            Property::always("neither side acts for at most three time limits", |_, world: &World| {
                 world.idle_ticks <= 3
             }),
-            Property::always("without a crash one of them lives", |_, world: &World| {
+            Property::always("without a crash one process is running", |_, world: &World| {
                 world.crashes > 0 || world.predecessor.is_some() || world.successor.is_some()
             }),
-            Property::sometimes("it is handed over", |_, world: &World| {
+            Property::sometimes("a hand-over succeeds", |_, world: &World| {
                 world.successor_acts() && world.crashes == 0
             }),
             Property::sometimes("the second attempt succeeds", |_, world: &World| {
                 world.successor_acts() && world.attempts == 2
             }),
-            Property::sometimes("a dead one is succeeded", |_, world: &World| {
-                world.from_the_dead && world.crashes > 0
-            }),
-            Property::sometimes("what was given is taken back from a dead one", |_, world: &World| {
-                world.taken_back
+            Property::sometimes(
+                "the successor starts after a crash of the predecessor",
+                |_, world: &World| world.started_after_predecessor_ended && world.crashes > 0,
+            ),
+            Property::sometimes("the predecessor resumes after the release", |_, world: &World| {
+                world.resumed_after_release
             }),
         ]
     }
 }
 
 #[test]
-fn no_run_of_events_brings_two_owners_or_none() {
-    let checker = HandOver { broken: Broken::Nothing, crashes: 2 }.checker().spawn_bfs().join();
+fn no_order_of_events_leads_to_two_acting_sides_or_none() {
+    let checker = HandOver { broken_rule: BrokenRule::None, crashes: 2 }.checker().spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
-    assert_eq!(checker.unique_state_count(), 6_323, "another protocol than the one that was explored before");
+    assert_eq!(
+        checker.unique_state_count(),
+        6_323,
+        "the protocol differs from the one that was explored before"
+    );
 }
 
 #[test]
-fn a_rule_broken_on_purpose_gives_a_short_trace() {
-    for (broken, rule) in [
-        (Broken::PredecessorImpatient, "what was given and begun is never taken up again"),
-        (Broken::SuccessorImpatient, "never two act"),
+fn a_rule_that_is_broken_on_purpose_has_a_short_trace() {
+    for (broken_rule, property) in [
+        (BrokenRule::ResumeOnTimeOut, "the predecessor never acts after the successor has started"),
+        (BrokenRule::StartBeforeRelease, "both sides never act at once"),
     ] {
-        let checker = HandOver { broken, crashes: 0 }.checker().target_max_depth(13).spawn_bfs().join();
-        let found = checker.discovery(rule).or_else(|| checker.discovery("never two act")).expect("a trace");
+        let checker = HandOver { broken_rule, crashes: 0 }.checker().target_max_depth(13).spawn_bfs().join();
+        let found = checker
+            .discovery(property)
+            .or_else(|| checker.discovery("both sides never act at once"))
+            .expect("a property is violated");
         let trace = found.into_actions();
         assert!(trace.len() <= 14, "{trace:?}");
-        println!("{rule}: {trace:?}");
+        println!("{property}: {trace:?}");
     }
 }
--- a/crates/ochrewalk-handover/tests/framing.rs
+++ b/crates/ochrewalk-handover/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Messages over any split of the stream, and what cannot be read.
+//! Tests that messages are decoded whatever the split of the stream, and that invalid input is rejected.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn messages_are_read_back_over_any_split_and_new_ones_are_passed_over() {
+fn messages_are_decoded_at_any_split_and_unknown_ones_can_be_skipped() {
     for message in messages() {
         let bytes = encode(message.clone());
         for cut in 0..bytes.len() {
@@ -25,7 +25,7 @@
         }
         assert_eq!(decode(&bytes), Ok(Decoded::Message { message, length: bytes.len() }));
     }
-    // Field 99, a message of a newer program: read, and passed over.
+    // Field 99 stands for a message of a newer program: it is decoded as unknown and can be skipped.
     let newer = [0, 0, 0, 4, 0x9a, 0x06, 0x01, 0x00];
     assert_eq!(decode(&newer), Ok(Decoded::Unknown { length: 8 }));
     assert_eq!(decode(&[0x7f, 0, 0, 0]), Err(DecodeError::TooLong { length: 0x7f00_0000 }));
--- a/crates/ochrewalk-handover/tests/steps.rs
+++ b/crates/ochrewalk-handover/tests/steps.rs
@@ -1,4 +1,4 @@
-//! Each step of both sides with what may go wrong in it.
+//! Tests each step of both sides, with the faults that can occur in it.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -110,7 +110,7 @@
 const STARTED: Message = Message::Started(Empty {});
 const PREPARE: Message = Message::Prepare(Prepare {});
 
-/// Each message of a hand-over that succeeds, and what the predecessor does on it.
+/// Returns each message of a successful hand-over, with the actions of the predecessor on it.
 fn predecessor_steps() -> [(Message, &'static str); 5] {
     [
         (hello(1, 9, 7), "offer 2"),
@@ -121,17 +121,17 @@
     ]
 }
 
-/// A predecessor after so many of its steps.
+/// Creates a predecessor that has done this number of its steps.
 fn predecessor_after(steps_done: usize) -> (Predecessor, RecordedActions) {
     let (mut predecessor, mut actions) = (predecessor(None), RecordedActions::default());
-    for (message, wanted) in &predecessor_steps()[..steps_done] {
+    for (message, expected) in &predecessor_steps()[..steps_done] {
         predecessor.message(5, message, &mut actions);
-        assert_eq!(actions.take(), *wanted);
+        assert_eq!(actions.take(), *expected);
     }
     (predecessor, actions)
 }
 
-/// What a predecessor does first where an attempt fails after so many steps.
+/// Returns the first action of a predecessor whose attempt fails after this number of steps.
 fn resumes_after(steps_done: usize) -> &'static str {
     if steps_done == 3 {
         "resumed, "
@@ -141,21 +141,21 @@
 }
 
 #[test]
-fn the_predecessor_goes_step_by_step_and_goes_on_whatever_fails() {
+fn the_predecessor_continues_to_serve_whichever_step_fails() {
     for steps_done in 0..=predecessor_steps().len() {
         assert_eq!(predecessor_after(steps_done).0.may_act(), steps_done < 3, "{steps_done}");
         let resumes = resumes_after(steps_done);
         // The successor ends.
         let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.peer_ended(&mut actions);
-        let wanted = match steps_done {
+        let expected = match steps_done {
             0..=3 => format!("{resumes}outcome: the new program ended"),
             4 => "resumed, outcome: the new program ended before it began".into(),
             _ => String::new(),
         };
-        assert_eq!(actions.take(), wanted, "{steps_done}");
+        assert_eq!(actions.take(), expected, "{steps_done}");
         assert_eq!(predecessor.may_act(), steps_done < 5);
-        // It takes too long.
+        // The deadline passes.
         let (mut predecessor, mut actions) = predecessor_after(steps_done);
         let deadline = predecessor.deadline_us();
         assert_eq!(deadline.is_none(), steps_done == 5);
@@ -163,46 +163,46 @@
             predecessor.tick(deadline - 1, &mut actions);
             assert_eq!(actions.take(), "");
             predecessor.tick(deadline, &mut actions);
-            let why = "the new program took too long";
-            let wanted = match steps_done {
+            let reason = "the new program took too long";
+            let expected = match steps_done {
                 4 => "kill peer".into(),
-                _ => format!("abort: {why}, {resumes}outcome: {why}"),
+                _ => format!("abort: {reason}, {resumes}outcome: {reason}"),
             };
-            assert_eq!(actions.take(), wanted, "{steps_done}");
+            assert_eq!(actions.take(), expected, "{steps_done}");
         }
     }
 }
 
 #[test]
-fn until_the_release_the_predecessor_ends_on_interruptions_refusals_and_unexpected_messages() {
+fn before_the_release_the_predecessor_ends_on_interruptions_refusals_and_unexpected_messages() {
     for steps_done in 0..=predecessor_steps().len() {
         let resumes = resumes_after(steps_done);
-        let until_release = |wanted: String| if steps_done < 4 { wanted } else { String::new() };
+        let before_release = |expected: String| if steps_done < 4 { expected } else { String::new() };
         let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.interrupt("told to leave", &mut actions);
-        let wanted = until_release(format!("abort: told to leave, {resumes}outcome: told to leave"));
-        assert_eq!(actions.take(), wanted, "{steps_done}");
+        let expected = before_release(format!("abort: told to leave, {resumes}outcome: told to leave"));
+        assert_eq!(actions.take(), expected, "{steps_done}");
         let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.message(6, &RELEASE, &mut actions);
-        let why = "a message out of turn";
-        let wanted = until_release(format!("abort: {why}, {resumes}outcome: {why}"));
-        assert_eq!(actions.take(), wanted, "{steps_done}");
+        let reason = "a message out of turn";
+        let expected = before_release(format!("abort: {reason}, {resumes}outcome: {reason}"));
+        assert_eq!(actions.take(), expected, "{steps_done}");
         let (mut predecessor, mut actions) = predecessor_after(steps_done);
         predecessor.message(6, &Message::Abort(Refusal { reason: "x".into() }), &mut actions);
-        let wanted = until_release(format!("{resumes}outcome: the new program refused: x"));
-        assert_eq!(actions.take(), wanted, "{steps_done}");
+        let expected = before_release(format!("{resumes}outcome: the new program refused: x"));
+        assert_eq!(actions.take(), expected, "{steps_done}");
         assert_eq!(predecessor.is_ended(), steps_done < 4);
     }
 }
 
 #[test]
-fn what_goes_ahead_is_offered_to_successors_that_know_how_and_to_no_others() {
+fn sections_sent_ahead_are_offered_only_to_successors_that_can_receive_them() {
     for (newest, sections) in [(1, 1), (2, 2)] {
         let (mut predecessor, mut actions) = (predecessor(None), Offers::default());
         predecessor.message(0, &hello(1, newest, 7), &mut actions);
         predecessor.message(1, &PREPARE, &mut actions);
         assert_eq!((actions.sections, actions.ahead), (sections, newest == 2));
-        // The successor has its time once all is sent, and no longer.
+        // The successor's time limit starts once all chunks have been sent.
         let sent_us = if newest == 2 { 1_001 } else { 1 };
         predecessor.tick(sent_us + 99, &mut actions);
         assert!(!predecessor.is_ended());
@@ -211,7 +211,7 @@
     }
 }
 
-/// What is offered, and whether anything was sent ahead.
+/// Records the offered sections, and whether any were sent ahead.
 #[derive(Default)]
 struct Offers {
     sections: usize,
@@ -224,7 +224,7 @@
             self.sections = offer.sections.len();
         }
     }
-    /// Sending takes ten times as long as any other step may.
+    /// Simulates a transfer that takes ten times as long as any other step may.
     fn transfer_ahead(&mut self, now_us: u64) -> TransferredAhead {
         self.ahead = true;
         TransferredAhead { chunks: 0, finished_us: now_us + 1_000 }
@@ -239,8 +239,8 @@
 }
 
 #[test]
-fn what_cannot_be_taken_is_refused_before_anything_stops() {
-    for (message, shortage, why) in [
+fn a_hand_over_that_cannot_succeed_is_refused_before_the_pause() {
+    for (message, shortage, reason) in [
         (hello(3, 4, 7), None, "it speaks versions 3 to 4, this program 1 to 2"),
         (hello(0, 0, 7), None, "it speaks versions 0 to 0, this program 1 to 2"),
         (hello(1, 1, 8), None, "its files set what only a start can change"),
@@ -257,16 +257,16 @@
     ] {
         let (mut predecessor, mut actions) = (predecessor(shortage), RecordedActions::default());
         predecessor.message(0, &message, &mut actions);
-        assert_eq!(actions.take(), format!("refuse: {why}, outcome: {why}"));
+        assert_eq!(actions.take(), format!("refuse: {reason}, outcome: {reason}"));
         assert!(predecessor.may_act() && predecessor.is_ended());
     }
 }
 
 fn successor(actions: &mut RecordedActions) -> Successor {
     let limits = successor::Limits { answer_us: 100, pause_us: 10 };
-    let knows = vec![section("rpcs", 2), section("tokens", 1)];
+    let known_sections = vec![section("rpcs", 2), section("tokens", 1)];
     let capabilities =
-        Capabilities { digest: 7, program: "2".into(), known_sections: knows, bytes: 100, descriptors: 10 };
+        Capabilities { digest: 7, program: "2".into(), known_sections, bytes: 100, descriptors: 10 };
     Successor::new(0, limits, capabilities, actions)
 }
 
@@ -274,7 +274,7 @@
     Message::Offer(Offer { version: 1, sections, bytes, descriptors })
 }
 
-fn part(section: &str) -> Message {
+fn chunk(section: &str) -> Message {
     Message::Chunk(Chunk { section: section.into(), bytes: vec![1, 2], descriptors: 1 })
 }
 
@@ -282,9 +282,9 @@
 fn the_successor_starts_only_on_the_release_or_once_the_predecessor_has_ended() {
     let steps = [
         (offer(vec![section("rpcs", 1)], 50, 5), "prepare"),
-        (part("tokens"), "store tokens 2 1"),
+        (chunk("tokens"), "store tokens 2 1"),
         (Message::AheadComplete(ChunkCount { chunks: 1 }), "ready"),
-        (part("rpcs"), "store rpcs 2 1"),
+        (chunk("rpcs"), "store rpcs 2 1"),
         (Message::TransferComplete(ChunkCount { chunks: 1 }), "loaded"),
         (RELEASE, "started, serving"),
     ];
@@ -293,9 +293,9 @@
             let mut actions = RecordedActions::default();
             let mut successor = successor(&mut actions);
             assert_eq!(actions.take(), "hello");
-            for (message, wanted) in &steps[..steps_done] {
+            for (message, expected) in &steps[..steps_done] {
                 successor.message(5, message, &mut actions);
-                assert_eq!(actions.take(), *wanted);
+                assert_eq!(actions.take(), *expected);
             }
             (successor, actions)
         };
@@ -316,13 +316,13 @@
         );
         assert!(successor.may_act());
         let (mut successor, mut actions) = after_steps();
-        if let Some(due) = successor.deadline_us() {
-            successor.tick(due - 1, &mut actions);
-            successor.tick(due, &mut actions);
-            let why = "the running program took too long";
-            let wanted =
-                if steps_done == 5 { "kill peer".into() } else { format!("abort: {why}, exit: {why}") };
-            assert_eq!(actions.take(), wanted, "{steps_done}");
+        if let Some(deadline) = successor.deadline_us() {
+            successor.tick(deadline - 1, &mut actions);
+            successor.tick(deadline, &mut actions);
+            let reason = "the running program took too long";
+            let expected =
+                if steps_done == 5 { "kill peer".into() } else { format!("abort: {reason}, exit: {reason}") };
+            assert_eq!(actions.take(), expected, "{steps_done}");
         }
         let (mut successor, mut actions) = after_steps();
         successor.drain(&mut actions);
@@ -337,8 +337,8 @@
 }
 
 #[test]
-fn the_successor_refuses_what_it_does_not_know_or_has_no_room_for() {
-    for (message, why) in [
+fn the_successor_refuses_unknown_sections_and_state_beyond_its_limits() {
+    for (message, reason) in [
         (offer(vec![section("rpcs", 3)], 1, 1), "it does not know rpcs of version 3"),
         (offer(vec![section("pools", 1)], 1, 1), "it does not know pools of version 1"),
         (offer(vec![], 101, 1), "101 bytes of state, room for 100"),
@@ -349,18 +349,19 @@
         let mut successor = successor(&mut actions);
         actions.take();
         successor.message(0, &message, &mut actions);
-        assert_eq!(actions.take(), format!("abort: {why}, exit: {why}"));
+        assert_eq!(actions.take(), format!("abort: {reason}, exit: {reason}"));
     }
-    // A part that got lost, and one that cannot be put together.
-    for (section, chunks, why) in [("rpcs", 2, "a message out of turn"), ("spoilt", 1, "a spoilt section")] {
+    // One chunk is lost, and one section cannot be restored.
+    for (section, chunks, reason) in [("rpcs", 2, "a message out of turn"), ("spoilt", 1, "a spoilt section")]
+    {
         let mut actions = RecordedActions::default();
         let mut successor = successor(&mut actions);
         for message in [offer(vec![], 1, 1), Message::AheadComplete(ChunkCount { chunks: 0 })] {
             successor.message(0, &message, &mut actions);
         }
         actions.take();
-        successor.message(0, &part(section), &mut actions);
+        successor.message(0, &chunk(section), &mut actions);
         successor.message(0, &Message::TransferComplete(ChunkCount { chunks }), &mut actions);
-        assert!(actions.take().ends_with(&format!("abort: {why}, exit: {why}")));
+        assert!(actions.take().ends_with(&format!("abort: {reason}, exit: {reason}")));
     }
 }
--- a/crates/ochrewalk-handover/tests/wire_format.rs
+++ b/crates/ochrewalk-handover/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Each message of the protocol as programs of earlier versions write it: read from a committed file, compared field by
-//! field, and written back to the same bytes.
+//! Tests the format of each message against a committed file that an earlier version wrote: the file is
+//! decoded, compared field by field, and encoded to the same bytes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,7 +14,7 @@
     std::fs::read(&path).unwrap_or_else(|err| panic!("{}: {err}", path.display()))
 }
 
-/// Reads the one message of a file, and demands that it is written to the same bytes.
+/// Asserts that the file holds exactly this message, and that the message is encoded to the same bytes.
 fn assert_wire_format(name: &str, expected: Message) {
     let bytes = fixture(name);
     let read = Decoded::Message { message: expected.clone(), length: bytes.len() };
@@ -35,14 +35,14 @@
 
 #[test]
 fn the_messages_that_carry_state_keep_their_wire_format() {
-    let part = Chunk { section: "json".into(), bytes: vec![0, 1, 2, 0xfe, 0xff], descriptors: 250 };
-    assert_wire_format("part.bin", Message::Chunk(part));
+    let chunk = Chunk { section: "json".into(), bytes: vec![0, 1, 2, 0xfe, 0xff], descriptors: 250 };
+    assert_wire_format("part.bin", Message::Chunk(chunk));
     assert_wire_format("ahead.bin", Message::AheadComplete(ChunkCount { chunks: 1_000 }));
     assert_wire_format("last.bin", Message::TransferComplete(ChunkCount { chunks: 7 }));
 }
 
 #[test]
-fn the_messages_that_pass_ownership_keep_their_wire_format() {
+fn the_messages_that_transfer_the_right_to_act_keep_their_wire_format() {
     assert_wire_format("ready.bin", Message::Ready(Empty {}));
     assert_wire_format("commit.bin", Message::Loaded(Empty {}));
     assert_wire_format("go.bin", Message::Release(Empty {}));
@@ -51,15 +51,15 @@
 
 #[test]
 fn the_messages_that_end_an_attempt_keep_their_wire_format() {
-    let refuse = Refusal { reason: "its files set what only a start can change".into() };
-    assert_wire_format("refuse.bin", Message::Refuse(refuse));
+    let refusal = Refusal { reason: "its files set what only a start can change".into() };
+    assert_wire_format("refuse.bin", Message::Refuse(refusal));
     let abort = Refusal { reason: "101 bytes of state, room for 100".into() };
     assert_wire_format("abort.bin", Message::Abort(abort));
 }
 
-/// The limits that both programs have to agree on.
+/// Tests the limits that both programs have to agree on.
 #[test]
-fn the_limits_of_a_message_are_those_of_earlier_programs() {
+fn the_limits_of_a_message_are_those_of_earlier_versions() {
     assert_eq!(
         (framing::LENGTH_PREFIX_BYTES, framing::MAX_MESSAGE_BYTES, messages::MAX_DESCRIPTORS),
         (4, 1_048_576, 250)
