--- a/crates/ochrewalk-rollout-report/src/history.rs
+++ b/crates/ochrewalk-rollout-report/src/history.rs
@@ -167,7 +167,7 @@
         })
     }
 
-    /// Returns the share of nodes that run the new version, at each change of the phase.
+    /// Returns the share of nodes that run the new version, at each line with a phase.
     pub fn changed_shares(&self) -> Vec<Point> {
         let point = |change: &PhaseChange| {
             let node_count = change.nodes.iter().sum::<u64>().max(1);
