--- a/crates/ochrewalk-node/src/handover/rollout_socket.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_socket.rs
@@ -1,6 +1,6 @@
 //! Requests and replies of a rollout on a supervisor's control socket.
 
-use ochrewalk_rollout::framing::{read_message, write_message, FramingError};
+use ochrewalk_rollout::framing::{encode_message, read_message, FramingError};
 use ochrewalk_rollout::messages::{Reply, Request, Response, PROTOCOL_VERSION};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -13,7 +13,7 @@
 /// Replies to a request. A controller that does not wait any more hears nothing, and asks again.
 pub fn send_reply(stream: &mut UnixStream, reply: Reply) {
     let response = Response { protocol_version: PROTOCOL_VERSION, reply: Some(reply) };
-    let _ = stream.write_all(&write_message(&response));
+    let _ = stream.write_all(&encode_message(&response));
 }
 
 /// Sends a request to a node, and waits for its response. `timeout` bounds each read and write.
@@ -25,6 +25,6 @@
     stream.set_read_timeout(Some(timeout))?;
     stream.set_write_timeout(Some(timeout))?;
     stream.write_all(format!("{REQUEST_LINE}\n").as_bytes())?;
-    stream.write_all(&write_message(request))?;
+    stream.write_all(&encode_message(request))?;
     read_message(&mut stream)
 }
--- a/crates/ochrewalk-rollout/src/canary_analysis/method_comparison.rs
+++ b/crates/ochrewalk-rollout/src/canary_analysis/method_comparison.rs
@@ -106,7 +106,7 @@
         let is_undecided = |method: &&MethodTests| {
             let test = &method.missed_in_stage;
             test.effective_calls() > 0.0
-                && test.log_ratio_against(settings.harm * RULED_OUT_HARM_SHARE) < boundary
+                && test.log_likelihood_ratio_of_no_harm(settings.harm * RULED_OUT_HARM_SHARE) < boundary
         };
         if let Some(method) = self.methods.iter().find(is_undecided) {
             return StageEvidence::TooFewCalls(method.name.clone());
@@ -179,7 +179,10 @@
 
     fn proven_harm(&self, boundary: f64) -> Option<String> {
         let proof = |tests: &[SequentialTest]| {
-            tests.iter().find(|test| test.log_ratio_of_harm() > boundary).map(SequentialTest::estimated_harm)
+            tests
+                .iter()
+                .find(|test| test.log_likelihood_ratio_of_harm() > boundary)
+                .map(SequentialTest::estimated_harm)
         };
         let failing = proof(&self.failed).map(|harm| {
             format!("share of {} calls that fail is {harm:.3} higher on changed nodes", self.name)
@@ -197,7 +200,7 @@
 
     fn harm_while_warming_up(&self, boundary: f64) -> Option<String> {
         let test = &self.failed_while_warming_up;
-        let is_proven = test.log_ratio_of_harm() > boundary;
+        let is_proven = test.log_likelihood_ratio_of_harm() > boundary;
         is_proven.then(|| {
             format!(
                 "share of {} calls that fail is {:.3} higher on nodes that are warming up after their change",
--- a/crates/ochrewalk-rollout/src/controller/steps.rs
+++ b/crates/ochrewalk-rollout/src/controller/steps.rs
@@ -55,7 +55,7 @@
     }
 
     fn next_advancing_step(&self, states: &[NodeState], stage: usize) -> Step {
-        if self.stage_plan.is_reached(states, stage) {
+        if self.stage_plan.has_reached_target(states, stage) {
             return Step::BeginAnalysis { stage };
         }
         let method =
--- a/crates/ochrewalk-rollout/src/framing.rs
+++ b/crates/ochrewalk-rollout/src/framing.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the message with its length prefix.
-pub fn write_message(message: &impl prost::Message) -> Vec<u8> {
+pub fn encode_message(message: &impl prost::Message) -> Vec<u8> {
     let length = u32::try_from(message.encoded_len()).expect("a message is far shorter than 4 GB");
     let mut bytes = length.to_be_bytes().to_vec();
     message.encode(&mut bytes).expect("a vector grows as needed");
--- a/crates/ochrewalk-rollout/src/sequential_test.rs
+++ b/crates/ochrewalk-rollout/src/sequential_test.rs
@@ -57,13 +57,13 @@
 
     /// Returns the natural logarithm of the likelihood ratio of harm to no harm. Without harm it ever exceeds
     /// ln(1/a) in a share of at most a of all tests.
-    pub fn log_ratio_of_harm(&self) -> f64 {
+    pub fn log_likelihood_ratio_of_harm(&self) -> f64 {
         log_mixture_ratio(self.excess_failures, self.variance)
     }
 
     /// Returns the natural logarithm of the likelihood ratio for the absence of harm of that size, a share of
     /// calls.
-    pub fn log_ratio_against(&self, harm: f64) -> f64 {
+    pub fn log_likelihood_ratio_of_no_harm(&self, harm: f64) -> f64 {
         let expected = harm * self.effective_calls;
         // Harmed calls would have added their binomial variance.
         log_mixture_ratio(expected - self.excess_failures, self.variance + expected * (1.0 - harm))
--- a/crates/ochrewalk-rollout/src/stage_plan.rs
+++ b/crates/ochrewalk-rollout/src/stage_plan.rs
@@ -180,7 +180,7 @@
     }
 
     /// Whether the stage's target number of nodes is changed and healthy.
-    pub fn is_reached(&self, states: &[NodeState], stage: usize) -> bool {
+    pub fn has_reached_target(&self, states: &[NodeState], stage: usize) -> bool {
         let is_changed = |node: &&NodeState| {
             node.version == Some(Version::New) && node.is_healthy && !node.is_command_pending
         };
--- a/crates/ochrewalk-rollout/tests/messages.rs
+++ b/crates/ochrewalk-rollout/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Tests the counters of a node over time, and the framing of messages on a stream.
 
-use ochrewalk_rollout::framing::{read_message, write_message};
+use ochrewalk_rollout::framing::{encode_message, read_message};
 use ochrewalk_rollout::messages::{CommandMessage, MethodCounters, Request, Target};
 use ochrewalk_rollout::CallCounts;
 
@@ -17,7 +17,7 @@
 fn a_stream_yields_complete_messages_or_an_error() {
     let target = Target { is_settings: true, path: "/a".into(), fingerprint: 7 };
     let request = Request::command(CommandMessage { target: Some(target), ..CommandMessage::default() });
-    let bytes = write_message(&request);
+    let bytes = encode_message(&request);
     assert_eq!(read_message::<Request>(&mut &bytes[..]).unwrap(), request);
     assert!(read_message::<Request>(&mut &bytes[..bytes.len() - 1]).is_err());
     assert!(read_message::<Request>(&mut &[0xff; 8][..]).is_err(), "longer than the maximum");
--- a/crates/ochrewalk-rollout/tests/stage_plan.rs
+++ b/crates/ochrewalk-rollout/tests/stage_plan.rs
@@ -50,7 +50,7 @@
             order.push(node);
             states[node] = new(order.len() as u32);
         }
-        assert!(stage_plan.is_reached(&states, stage));
+        assert!(stage_plan.has_reached_target(&states, stage));
         assert_eq!(order.len(), stage_plan.target_count(stage));
     }
     assert_eq!(order[..3], [0, 3, 5], "one of each zone first, the largest zone before the others");
--- a/crates/ochrewalk-rollout/tests/wire_format.rs
+++ b/crates/ochrewalk-rollout/tests/wire_format.rs
@@ -3,7 +3,7 @@
 //! the same bytes.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use ochrewalk_rollout::framing::{read_message, write_message};
+use ochrewalk_rollout::framing::{encode_message, read_message};
 use ochrewalk_rollout::messages::{
     CommandMessage, CommandOutcome, FencingTokenMessage, MethodCounters, NodeStatus, Reply, Request,
     Response, ServingCounters, Target, PROTOCOL_VERSION,
@@ -260,7 +260,7 @@
     let mut stream = &bytes[..];
     assert_eq!(&read_message::<M>(&mut stream).unwrap(), message, "{name}");
     assert!(stream.is_empty(), "{name}: {} bytes are left", stream.len());
-    assert_eq!(write_message(message), bytes, "{name}");
+    assert_eq!(encode_message(message), bytes, "{name}");
 }
 
 #[test]
