--- a/crates/ochrewalk-handover/src/predecessor.rs
+++ b/crates/ochrewalk-handover/src/predecessor.rs
@@ -190,7 +190,7 @@
     },
 }
 
-/// One attempt to hand over, on the side of the process that serves.
+/// An attempt to hand over, on the side of the process that is serving.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     state: State,
--- a/crates/ochrewalk-handover/src/successor.rs
+++ b/crates/ochrewalk-handover/src/successor.rs
@@ -143,7 +143,7 @@
     },
 }
 
-/// One hand-over, on the side of the process that takes over.
+/// A hand-over, on the side of the process that takes over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
     state: State,
--- a/crates/ochrewalk-handover/tests/steps.rs
+++ b/crates/ochrewalk-handover/tests/steps.rs
@@ -351,7 +351,7 @@
         successor.message(0, &message, &mut actions);
         assert_eq!(actions.take(), format!("abort: {reason}, exit: {reason}"));
     }
-    // One chunk is lost, and one section cannot be restored.
+    // A chunk is lost, or a section cannot be restored.
     for (section, chunks, reason) in [("rpcs", 2, "a message out of turn"), ("spoilt", 1, "a spoilt section")]
     {
         let mut actions = RecordedActions::default();
--- a/crates/ochrewalk-rollout-report/src/history.rs
+++ b/crates/ochrewalk-rollout-report/src/history.rs
@@ -16,7 +16,7 @@
     pub memory_kb: Option<u64>,
 }
 
-/// One sample of the analysis, unchanged nodes first.
+/// A sample of the analysis; the side of the unchanged nodes is first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
     pub at_ms: u64,
--- a/crates/ochrewalk-rollout/src/controller/mod.rs
+++ b/crates/ochrewalk-rollout/src/controller/mod.rs
@@ -254,8 +254,7 @@
         }
     }
 
-    /// Resumes the rollout in the phase in which it waits, at an operator's request. A stage whose analysis
-    /// was inconclusive passes.
+    /// Resumes a waiting rollout at an operator's request. A stage whose analysis was inconclusive passes.
     pub fn resume(&mut self, actions: &mut impl ControllerActions) {
         let Phase::Waiting(reason) = &self.phase else { return };
         if let WaitReason::Inconclusive(_) = reason {
--- a/crates/ochrewalk-rollout/src/version.rs
+++ b/crates/ochrewalk-rollout/src/version.rs
@@ -1,6 +1,6 @@
 //! The two versions of a rollout, and their fingerprints.
 
-/// One of the two programs, or of the two settings files, that a rollout replaces or introduces.
+/// The old or the new one of the two programs, or of the two settings files, of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Version {
     /// The version that nodes run before the rollout.
--- a/crates/ochrewalk-rollout/tests/canary_analysis.rs
+++ b/crates/ochrewalk-rollout/tests/canary_analysis.rs
@@ -96,7 +96,7 @@
         matches!(&verdict, Verdict::Inconclusive(reason) if reason.contains("too few calls")),
         "{verdict:?}"
     );
-    // There are no calls at all.
+    // Without any calls the reason differs.
     let mut analysis = self::analysis();
     let mut world = World { rates: vec![0.0, 0.0], ..World::new(4, 1, 1.0, 3) };
     assert_eq!(world.judged(&mut analysis, 2_000).1, Verdict::Inconclusive("no calls on both sides".into()));
--- a/crates/ochrewalk-rollout/tests/controller.rs
+++ b/crates/ochrewalk-rollout/tests/controller.rs
@@ -203,7 +203,7 @@
         RolloutController::new(stage_plan(), HAND_OVER, Some(record), ControllerNumber(2)),
         RecordedActions::default(),
     );
-    // One of the two pending commands was executed.
+    // The command to node 2 was executed, the one to node 1 was not.
     for (node, version) in [Version::New, Version::Old, Version::New, Version::Old].into_iter().enumerate() {
         next.node_reported(node, Some(&report(version, 1)), &mut actions);
     }
