--- a/crates/ochrewalk-node/src/configuration/activation.rs
+++ b/crates/ochrewalk-node/src/configuration/activation.rs
@@ -3,8 +3,8 @@
 use super::agent::{PrepareError, PreparedAgent};
 use super::file_configuration::FileConfiguration;
 use super::node_configuration::{ConfigurationInForce, MethodsByName, NodeConfiguration};
-use crate::net::ajp_below::AjpBelow;
-use crate::net::ajp_front::{AjpFront, Open};
+use crate::net::ajp_ingress::{AjpIngress, ReloadableConfig};
+use crate::net::ajp_upstream::AjpUpstreamClient;
 use ochrewalk::deployment::{Deployment, Placement};
 use ochrewalk::host::Effect;
 use ochrewalk_operator_config::resources::RouteTarget;
@@ -13,19 +13,19 @@
 
 /// The parts of a running node that distributed configuration reaches.
 struct ActivationTarget {
-    listener: Option<Arc<AjpFront>>,
-    upstream: Option<AjpBelow>,
+    listener: Option<Arc<AjpIngress>>,
+    upstream: Option<AjpUpstreamClient>,
     /// The endpoints that `upstream` has.
     endpoints: Mutex<Option<Vec<UpstreamEndpoint>>>,
     /// Rules and quotas that are no longer in force, while requests still use them.
-    retired: Mutex<Vec<Arc<Open>>>,
+    retired: Mutex<Vec<Arc<ReloadableConfig>>>,
 }
 
 impl ActivationTarget {
     fn activate(&self, in_force: ConfigurationInForce) {
         let ConfigurationInForce { allowed_peers, rules, quotas, endpoints } = in_force;
         if let Some(listener) = &self.listener {
-            let replaced = listener.change(Open { allowed_peers, rules, quotas });
+            let replaced = listener.replace_config(ReloadableConfig { allowed_peers, rules, quotas });
             self.retire(replaced);
         }
         self.replace_endpoints(endpoints);
@@ -33,17 +33,17 @@
 
     /// Frees what no request uses any more. It is freed here, by the agent's thread, as that takes a while where there are
     /// many routes.
-    fn retire(&self, replaced: Arc<Open>) {
+    fn retire(&self, replaced: Arc<ReloadableConfig>) {
         let mut retired = self.retired.lock().unwrap_or_else(PoisonError::into_inner);
         retired.push(replaced);
-        retired.retain(|open| Arc::strong_count(open) > 1);
+        retired.retain(|config| Arc::strong_count(config) > 1);
     }
 
     fn replace_endpoints(&self, newer: Option<Vec<UpstreamEndpoint>>) {
         let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
         if let (Some(upstream), Some(newer)) = (&self.upstream, &newer) {
             if endpoints.as_ref() != Some(newer) {
-                upstream.relist(newer);
+                upstream.set_endpoints(newer);
             }
         }
         *endpoints = newer;
@@ -59,8 +59,8 @@
 pub(crate) fn prepare_configuration(
     placement: &Placement,
     operators: &OperatorConfig,
-    listener: Option<&Arc<AjpFront>>,
-    upstream: Option<&AjpBelow>,
+    listener: Option<&Arc<AjpIngress>>,
+    upstream: Option<&AjpUpstreamClient>,
 ) -> Result<Option<PreparedAgent>, PrepareError> {
     let Some(config) = &operators.config_agent else { return Ok(None) };
     let deployment = &placement.deployment;
@@ -76,7 +76,7 @@
     let activate = Box::new(move |in_force| target.activate(in_force));
     let agent = PreparedAgent::new(&placement.name, config, state, placement.seed, activate)?;
     if let Some(listener) = listener {
-        listener.fetch_quotas_by(agent.handle().clone());
+        listener.set_configuration(agent.handle().clone());
     }
     Ok(Some(agent))
 }
--- a/crates/ochrewalk-node/src/configuration/mod.rs
+++ b/crates/ochrewalk-node/src/configuration/mod.rs
@@ -42,10 +42,10 @@
 //! 1. The agent of `ochrewalk-control-plane` calls `sink.rs` with the complete update.
 //! 2. [`node_configuration`] stages it (routes there, quotas in [`cached_quotas`]) and applies it, or returns an
 //!    [`update_error`], whose text that agent reports to the relay.
-//! 3. [`activation`] replaces rules and quotas in `net/ajp_front/`, then the endpoints in `net/ajp_below.rs`.
+//! 3. [`activation`] replaces rules and quotas in `net/ajp_ingress/`, then the endpoints in `net/ajp_upstream.rs`.
 //! 4. `persistence.rs` adds the update to the state file.
 //!
-//! When an RPC names a tenant: `net/ajp_front/` looks it up in the quotas in force and sends the name through the [`handle`].
+//! When an RPC names a tenant: `net/ajp_ingress/` looks it up in the quotas in force and sends the name through the [`handle`].
 //! The agent's thread requests a quota that is not cached, and forgets the one that was used least recently where there are too
 //! many.
 //!
@@ -58,8 +58,8 @@
 //! | state, in [`handle`] | over a change, its activation and its record in the state file | the agent's thread; a reload, without the record |
 //! | activation function, in [`handle`] | over an activation, under the state's lock | the same |
 //! | retired rules, then endpoints, in [`activation`] | within an activation, one after the other | the same |
-//! | rules and quotas, in `net/ajp_front/` | for an exchange of a pointer | an activation; each request, to copy the pointer |
-//! | table of endpoints, in `net/ajp_below.rs` | while endpoints are replaced | an activation; each upstream call |
+//! | rules and quotas, in `net/ajp_ingress/` | for an exchange of a pointer | an activation; each request, to copy the pointer |
+//! | table of endpoints, in `net/ajp_upstream.rs` | while endpoints are replaced | an activation; each upstream call |
 //!
 //! The first two are taken in this order. Requests take only the last two, so that none waits for a check or for the disk.
 
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -51,10 +51,10 @@
         below.hold(false);
         below.nudge();
     }
-    node.core.executor.nudge();
-    node.dispatchers.nudge();
+    node.core.executor.wake_connection();
+    node.dispatchers.wake_connections();
     if let Some(front) = &node.ajp {
-        front.nudge();
+        front.wake_connections();
     }
 }
 
@@ -107,9 +107,9 @@
 
 /// All sections; none while something that was read is still being dealt with, or a connection is coming or going.
 fn sections_at_rest(node: &Node, keys_went_ahead: bool) -> Option<Vec<SectionState>> {
-    let json = node.dispatchers.keep()?;
+    let json = node.dispatchers.snapshot()?;
     let ajp = match &node.ajp {
-        Some(front) => Some(front.keep()?),
+        Some(front) => Some(front.snapshot()?),
         None => None,
     };
     node.core.gate.is_at_rest().then(|| sections(node, keys_went_ahead, json, ajp))
@@ -124,9 +124,12 @@
     let core = &node.core;
     let node_record = node_record(node, keys_went_ahead);
     let rpcs = RpcRecords { rpcs: core.living().values().map(|rpc| rpc_record(rpc)).collect() };
-    let (executor, link) = core.executor.keep();
+    let (executor, link) = core.executor.snapshot();
     let (below, links) = core.below.as_ref().map(|below| below.keep()).unwrap_or_default();
-    let listeners = [node.dispatchers.listener(), node.ajp.as_ref().and_then(|front| front.listener())];
+    let listeners = [
+        node.dispatchers.listener_descriptor(),
+        node.ajp.as_ref().and_then(|front| front.listener_descriptor()),
+    ];
     let listeners = listeners.into_iter().flatten().collect();
     let mut sections = vec![
         SectionState::new("node", &node_record, Vec::new()),
--- a/crates/ochrewalk-node/src/live.rs
+++ b/crates/ochrewalk-node/src/live.rs
@@ -123,7 +123,7 @@
     }
 
     fn give_back(&mut self, reply: &[u8]) {
-        self.core.executor.give_back(&self.living.rpc.id, reply);
+        self.core.executor.return_reply(&self.living.rpc.id, reply);
     }
 
     fn answer(&mut self, answer: Answer) {
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -164,7 +164,7 @@
             Err(error) => Err(error.to_string()),
         },
         Command::Places { control } => {
-            ochrewalk_node::net::status::ask(&control).map(|table| print!("{table}"))
+            ochrewalk_node::net::status::query(&control).map(|table| print!("{table}"))
         }
         Command::Config { words } => Err(become_config(&words)),
         Command::Check { config, operators, against } => {
--- a/crates/ochrewalk-node/src/net/ajp_front/answers.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/answers.rs
@@ -1,6 +1,6 @@
 //! Answers as AJP packets: results, refusals and the node's health.
 
-use super::AjpFront;
+use super::AjpIngress;
 use crate::seam::Answer;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::Refusal;
@@ -12,7 +12,7 @@
 const LAST: &str = "x-ochrewalk-last";
 const SIGNAL: &str = "x-ochrewalk-signal";
 
-impl AjpFront {
+impl AjpIngress {
     /// The answer as packets.
     pub(super) fn packets(&self, answer: Answer, signal: Option<f64>, reuse: bool) -> Vec<u8> {
         let mut headers: Vec<(&[u8], String)> = Vec::new();
--- a/crates/ochrewalk-node/src/net/ajp_front/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -1,8 +1,8 @@
 //! Connections as they are written down for a successor, and taken up from a predecessor.
 
-use super::{AjpFront, Caller, Carried, Connection, PendingRequest};
+use super::{AjpIngress, Caller, Carried, Connection, PendingRequest};
 use crate::handover::records::{AjpConnectionRecord, AjpConnectionRecords, AjpRequestRecord, ClientAddress};
-use crate::net::link::{adopt, Outbox};
+use crate::net::buffered_connection::{stream_from_descriptor, SendQueue};
 use crate::seam::Asker;
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::answerer::{Life, State};
@@ -12,19 +12,19 @@
 use std::os::fd::{AsRawFd, OwnedFd, RawFd};
 use std::sync::{Arc, Mutex};
 
-impl AjpFront {
+impl AjpIngress {
     /// The listener's descriptor.
-    pub fn listener(&self) -> Option<RawFd> {
+    pub fn listener_descriptor(&self) -> Option<RawFd> {
         self.lock().listener.as_ref().map(|listener| listener.as_raw_fd())
     }
 
     /// Every connection with its descriptor, for another process to go on with. None where one is only just coming
     /// or going.
-    pub fn keep(&self) -> Option<(AjpConnectionRecords, Vec<RawFd>)> {
+    pub fn snapshot(&self) -> Option<(AjpConnectionRecords, Vec<RawFd>)> {
         let table = self.lock();
         let (mut connections, mut descriptors) = (Vec::new(), Vec::new());
         for (number, connection) in table.of.iter().filter(|(_, connection)| !connection.lock().over) {
-            let (fd, stream) = connection.outbox.keep()?;
+            let (fd, stream) = connection.send_queue.snapshot()?;
             let state = connection.lock();
             let (life, spoke, faults) = state.life.keep();
             let (kind, since_us, got, stated, flag) = match life {
@@ -97,19 +97,24 @@
                 going: false,
                 over: false,
             };
-            let outbox = Outbox::resume(kept.stream, false);
-            let connection = Arc::new(Connection { number: kept.number, outbox, state: Mutex::new(state) });
+            let send_queue = SendQueue::resume(kept.stream, false);
+            let connection =
+                Arc::new(Connection { number: kept.number, send_queue, state: Mutex::new(state) });
             table.of.insert(kept.number, connection.clone());
             resumed.push((connection, descriptor));
         }
         resumed
     }
 
-    /// Carries connections that [`AjpFront::resume`] gave.
-    pub fn go_on(self: &Arc<Self>, resumed: Vec<(Arc<Connection>, OwnedFd)>) {
+    /// Carries connections that [`AjpIngress::resume`] gave.
+    pub fn serve_resumed(self: &Arc<Self>, resumed: Vec<(Arc<Connection>, OwnedFd)>) {
         for (connection, descriptor) in resumed {
             let front = self.clone();
-            may::go!(move || front.serve(&adopt(descriptor), connection.number, &connection));
+            may::go!(move || front.serve(
+                &stream_from_descriptor(descriptor),
+                connection.number,
+                &connection
+            ));
         }
     }
 
--- a/crates/ochrewalk-node/src/net/ajp_front/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -1,9 +1,9 @@
 //! What comes on a connection: packets are put together to requests, and what the connection's state machine asks for is done.
 
-use super::{AjpFront, Caller, Carried, Connection, PendingRequest};
+use super::{AjpIngress, Caller, Carried, Connection, PendingRequest};
 use crate::core::Asked;
 use crate::ending::Ending;
-use crate::net::link::{Finish, Reader};
+use crate::net::buffered_connection::{CloseRequest, MessageHandler};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::{Acts, End, Plain, Refusal};
 use ochrewalk_ajp::reply;
@@ -47,12 +47,12 @@
 }
 
 pub(super) struct Inbound<'a> {
-    pub(super) front: &'a Arc<AjpFront>,
+    pub(super) front: &'a Arc<AjpIngress>,
     pub(super) connection: &'a Arc<Connection>,
 }
 
-impl Reader for Inbound<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for Inbound<'_> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         let (mut wanted, mut allow) = (Wanted::default(), Vec::new());
         let taken = {
             let mut state = self.connection.lock();
@@ -85,15 +85,15 @@
         Ok(taken)
     }
 
-    fn ready(&self) -> bool {
+    fn may_read(&self) -> bool {
         self.connection.lock().life.reads()
     }
 
-    fn may_end(&self, how: Finish) -> bool {
-        how != Finish::Leaving || !self.connection.lock().life.owes()
+    fn may_close(&self, request: CloseRequest) -> bool {
+        request != CloseRequest::Leaving || !self.connection.lock().life.owes()
     }
 
-    fn drained(&mut self, written: bool) {
+    fn on_drained(&mut self, written: bool) {
         let mut wanted = Wanted::default();
         let closing = {
             let mut state = self.connection.lock();
@@ -110,7 +110,7 @@
         if closing && wanted.end.is_none() {
             // The last answer is out. Its end is told by closing our side: closing all of it on what still comes
             // would reset the answer.
-            self.connection.outbox.finish_once(Finish::Leaving);
+            self.connection.send_queue.request_close_once(CloseRequest::Leaving);
         }
         self.act(wanted, &[]);
     }
@@ -184,7 +184,7 @@
     }
 
     fn act(&self, wanted: Wanted, allow: &[String]) {
-        let outbox = &self.connection.outbox;
+        let send_queue = &self.connection.send_queue;
         let mut out = Vec::new();
         if wanted.pong {
             reply::Message::CPong.write(&mut out, self.front.packet).expect("fits");
@@ -197,18 +197,18 @@
             out.extend(self.front.refusal(refusal, allow, reuse));
         }
         if !out.is_empty() {
-            outbox.push(out);
+            send_queue.push(out);
         }
         if wanted.start {
             self.start();
         }
         match wanted.end {
             None => {}
-            Some(End::Idle | End::Leaving) => outbox.finish(Finish::Idle),
-            Some(End::Silent | End::Unclosed) => outbox.finish(Finish::Silent),
+            Some(End::Idle | End::Leaving) => send_queue.request_close(CloseRequest::Idle),
+            Some(End::Silent | End::Unclosed) => send_queue.request_close(CloseRequest::Silent),
             Some(End::Broken(why)) => {
                 tracing::warn!(part = "ajp", "{why}");
-                outbox.finish(Finish::Faulty);
+                send_queue.request_close(CloseRequest::Faulty);
             }
         }
     }
@@ -226,7 +226,7 @@
             Asks::Method(method) => method,
             Asks::Health => {
                 if let Some(reuse) = self.answered(false) {
-                    self.connection.outbox.push(front.health(reuse));
+                    self.connection.send_queue.push(front.health(reuse));
                 }
                 return;
             }
@@ -254,7 +254,7 @@
             }
             Err(why) => {
                 if let Some(reuse) = self.answered(true) {
-                    self.connection.outbox.push(front.refusal(Refusal { status: 400, why }, &[], reuse));
+                    self.connection.send_queue.push(front.refusal(Refusal { status: 400, why }, &[], reuse));
                 }
             }
         }
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -7,8 +7,8 @@
 
 pub use answers::NEVER_RAN;
 
-use super::front::{Front, ENDING};
-use super::link::{carry, let_go, Finish, Outbox};
+use super::buffered_connection::{close_gracefully, drive_connection, CloseRequest, SendQueue};
+use super::listener::{ConnectionListener, MAX_CLOSING};
 use crate::configuration::cached_quotas::CachedQuotas;
 use crate::configuration::handle::ConfigurationHandle;
 use crate::core::Core;
@@ -35,19 +35,19 @@
 const SWEEP: Duration = Duration::from_millis(100);
 
 /// What may change while the node serves.
-pub struct Open {
+pub struct ReloadableConfig {
     pub allowed_peers: AllowedPeers,
     pub rules: Rules,
     /// Tenants whose quotas came from the control plane.
     pub quotas: Arc<CachedQuotas>,
 }
 
-pub struct AjpFront {
+pub struct AjpIngress {
     core: Arc<Core>,
     packet: usize,
     most: usize,
     idle_us: u64,
-    open: Mutex<Arc<Open>>,
+    open: Mutex<Arc<ReloadableConfig>>,
     ids: Mutex<fastrand::Rng>,
     table: Mutex<Table>,
     /// Whom to ask for the quotas of tenants, where there is a control plane.
@@ -64,7 +64,7 @@
 
 pub struct Connection {
     number: u64,
-    outbox: Outbox,
+    send_queue: SendQueue,
     state: Mutex<Carried>,
 }
 
@@ -92,30 +92,30 @@
     tenant: Option<Tenant>,
 }
 
-impl AjpFront {
+impl AjpIngress {
     /// `most` connections at a time, with packets of `packet` bytes at most.
     pub fn new(
         core: Arc<Core>,
-        open: Open,
+        open: ReloadableConfig,
         packet: usize,
         most: usize,
         idle_us: u64,
         seed: u64,
-    ) -> Arc<AjpFront> {
+    ) -> Arc<AjpIngress> {
         let ids = Mutex::new(fastrand::Rng::with_seed(seed ^ 0x616a_7031_332f_6964));
         let (open, table) = (Mutex::new(Arc::new(open)), Mutex::default());
         let configuration = OnceLock::new();
-        Arc::new(AjpFront { core, packet, most, idle_us, open, ids, table, configuration })
+        Arc::new(AjpIngress { core, packet, most, idle_us, open, ids, table, configuration })
     }
 
     /// Quotas of tenants are asked for here from now on.
-    pub fn fetch_quotas_by(&self, configuration: ConfigurationHandle) {
+    pub fn set_configuration(&self, configuration: ConfigurationHandle) {
         let _ = self.configuration.set(configuration);
     }
 
     /// The quota that an RPC of this tenant counts against: as distributed, else as the node's file says. A tenant whose
     /// quota is only being fetched counts as within it.
-    fn quota(&self, open: &Open, tenant: &str) -> Option<Tenant> {
+    fn quota(&self, open: &ReloadableConfig, tenant: &str) -> Option<Tenant> {
         let Some(configuration) = self.configuration.get() else {
             return self.core.deployment.tenant(tenant);
         };
@@ -129,7 +129,7 @@
 
     /// Who may connect and what requests stand for, from now on. What held until now is given back: a request that
     /// still goes by it is not to be the one that frees it, as that takes a while where there are many routes.
-    pub fn change(&self, open: Open) -> Arc<Open> {
+    pub fn replace_config(&self, open: ReloadableConfig) -> Arc<ReloadableConfig> {
         let open = Arc::new(open);
         std::mem::replace(&mut *self.open.lock().unwrap_or_else(|broken| broken.into_inner()), open)
     }
@@ -141,21 +141,21 @@
             let now_us = self.core.clock.now_us();
             for connection in self.all() {
                 if connection.lock().life.due_us().is_some_and(|due_us| now_us >= due_us) {
-                    connection.outbox.nudge();
+                    connection.send_queue.wake();
                 }
             }
         }
     }
 
     /// This server leaves: what comes is answered, and each answer is its connection's last.
-    pub fn leave(&self) {
+    pub fn drain(&self) {
         self.lock().leaving = true;
         self.all().iter().for_each(|connection| connection.lock().life.leave());
     }
 
     /// Nothing more is written once what waits is written.
-    pub fn finish(&self) {
-        self.all().iter().for_each(|connection| connection.outbox.finish(Finish::Leaving));
+    pub fn request_close(&self) {
+        self.all().iter().for_each(|connection| connection.send_queue.request_close(CloseRequest::Leaving));
     }
 
     pub fn count(&self) -> usize {
@@ -166,7 +166,7 @@
         self.lock().of.values().cloned().collect()
     }
 
-    fn rules(&self) -> Arc<Open> {
+    fn rules(&self) -> Arc<ReloadableConfig> {
         self.open.lock().unwrap_or_else(|broken| broken.into_inner()).clone()
     }
 
@@ -187,8 +187,8 @@
     }
 
     /// Has every connection looked at again, as a pause is over.
-    pub fn nudge(&self) {
-        self.all().iter().for_each(|connection| connection.outbox.nudge());
+    pub fn wake_connections(&self) {
+        self.all().iter().for_each(|connection| connection.send_queue.wake());
     }
 
     fn enter(&self) -> (u64, Arc<Connection>) {
@@ -211,7 +211,8 @@
         };
         table.next += 1;
         let number = table.next;
-        let connection = Arc::new(Connection { number, outbox: Outbox::default(), state: Mutex::new(state) });
+        let connection =
+            Arc::new(Connection { number, send_queue: SendQueue::default(), state: Mutex::new(state) });
         table.of.insert(number, connection.clone());
         (number, connection)
     }
@@ -219,7 +220,7 @@
     fn serve(self: &Arc<Self>, stream: &TcpStream, number: u64, connection: &Arc<Connection>) {
         let mut reader = Inbound { front: self, connection };
         let ending = match stream.set_nodelay(true) {
-            Ok(()) => carry(stream, &connection.outbox, None, self.packet, &mut reader),
+            Ok(()) => drive_connection(stream, &connection.send_queue, None, self.packet, &mut reader),
             Err(err) => Ending::of_use(&err),
         };
         let mut wanted = Wanted::default();
@@ -236,15 +237,15 @@
         if let Some(id) = rpc.filter(|_| wanted.gone) {
             self.core.gate.gone(&id);
         }
-        let_go(stream, &ending, || self.count() >= self.most);
+        close_gracefully(stream, &ending, || self.count() >= self.most);
         self.lock().of.remove(&number);
     }
 }
 
-impl Front for AjpFront {
+impl ConnectionListener for AjpIngress {
     const PART: &'static str = "ajp";
 
-    fn keep_listener(&self, listener: std::net::TcpListener) {
+    fn store_listener(&self, listener: std::net::TcpListener) {
         self.lock().listener = Some(listener);
     }
 
@@ -252,11 +253,11 @@
         self.lock().listener.take()
     }
 
-    fn is_shut(&self) -> bool {
+    fn is_closed(&self) -> bool {
         self.lock().listener.is_none()
     }
 
-    fn most(&self) -> usize {
+    fn max_connections(&self) -> usize {
         self.most
     }
 
@@ -265,7 +266,7 @@
     }
 
     /// Guards against a table full of those that say nothing, or asked once and stay, which would keep callers out.
-    fn make_room(&self) -> bool {
+    fn ensure_capacity(&self) -> bool {
         let table = self.lock();
         if table.of.len() < self.most {
             return true;
@@ -277,7 +278,7 @@
             Standing { number: *number, going: state.going || state.over, worth }
         };
         let all: Vec<Standing> = table.of.iter().map(standing).collect();
-        let (number, room) = match connection_budget::look(self.most, ENDING, &all) {
+        let (number, room) = match connection_budget::look(self.most, MAX_CLOSING, &all) {
             Verdict::Room => return true,
             Verdict::Full => return false,
             Verdict::RoomFor(number) => (number, true),
@@ -286,11 +287,11 @@
         let goes = table.of[&number].clone();
         drop(table);
         goes.lock().going = true;
-        goes.outbox.nudge();
+        goes.send_queue.wake();
         room
     }
 
-    fn welcome(self: &Arc<Self>, stream: TcpStream) {
+    fn serve_connection(self: &Arc<Self>, stream: TcpStream) {
         let (number, connection) = self.enter();
         let front = self.clone();
         may::go!(move || front.serve(&stream, number, &connection));
@@ -305,7 +306,7 @@
 
 /// Who asked, by AJP.
 struct Caller {
-    front: Arc<AjpFront>,
+    front: Arc<AjpIngress>,
     connection: Arc<Connection>,
     serial: u64,
 }
@@ -326,7 +327,7 @@
             (state.rpc, state.used_us) = (None, self.front.core.clock.now_us());
             reuse
         };
-        self.connection.outbox.push(self.front.packets(answer, signal, reuse));
+        self.connection.send_queue.push(self.front.packets(answer, signal, reuse));
     }
 
     fn address(&self) -> ClientAddress {
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -1,7 +1,9 @@
 //! Calls below by AJP: connections made, written and read as `ochrewalk-connection-pool` decides, each with the life of an
 //! asker's connection. One lock guards both; nothing is read or written while it is held.
 
-use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
+use super::buffered_connection::{
+    close_gracefully, connect, drive_connection, CloseRequest, MessageHandler, SendQueue,
+};
 use crate::clock::Clock;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Next, Post};
@@ -31,7 +33,7 @@
 const MOST_REPLY: usize = 64 * 1024;
 
 #[derive(Clone)]
-pub struct AjpBelow(Arc<Inner>);
+pub struct AjpUpstreamClient(Arc<Inner>);
 
 struct Inner {
     clock: Clock,
@@ -74,7 +76,7 @@
 }
 
 struct Link {
-    outbox: Arc<Outbox>,
+    send_queue: Arc<SendQueue>,
     life: Life,
     call: Option<CallId>,
     /// How much of the call's body went already.
@@ -88,15 +90,15 @@
     post: Post,
 }
 
-impl AjpBelow {
-    pub fn new(settings: AjpUpstream, clock: Clock, seed: u64) -> AjpBelow {
+impl AjpUpstreamClient {
+    pub fn new(settings: AjpUpstream, clock: Clock, seed: u64) -> AjpUpstreamClient {
         let bounds = ochrewalk_connection_pool::Bounds {
             most_links: settings.max_connections,
             trust_us: settings.ping_after_idle_us,
             keep_us: settings.max_idle_us,
         };
         let mut places = Places::new(bounds, settings.balancing, settings.retry_budget, seed);
-        AjpBelow(Arc::new_cyclic(|inner| {
+        AjpUpstreamClient(Arc::new_cyclic(|inner| {
             let mut hands = Hands {
                 inner: inner.clone(),
                 places: Vec::new(),
@@ -120,12 +122,12 @@
     }
 
     /// The operators' file names other places: calls to those that it names no more end where they are.
-    pub fn relist(&self, endpoints: &[UpstreamEndpoint]) {
+    pub fn set_endpoints(&self, endpoints: &[UpstreamEndpoint]) {
         self.0.with(|places, hands| list(places, hands, endpoints));
     }
 
     /// Looks after time, for ever.
-    pub fn watch(&self) {
+    pub fn maintain(&self) {
         let mut words: Vec<&str> = Vec::new();
         loop {
             may::coroutine::sleep(SWEEP);
@@ -134,7 +136,7 @@
                 places.tick(now_us, hands);
                 for link in hands.links.values() {
                     if link.life.due_us().is_some_and(|due_us| now_us >= due_us) {
-                        link.outbox.nudge();
+                        link.send_queue.wake();
                     }
                 }
                 let spread = places.spread();
@@ -160,7 +162,7 @@
     }
 
     /// How each place stands, one line each, for operators.
-    pub fn table(&self) -> String {
+    pub fn endpoint_table(&self) -> String {
         let now_us = self.0.clock.now_us();
         self.0.with(|places, hands| {
             let view = places.spread().state();
@@ -215,7 +217,7 @@
     }
 }
 
-impl Beneath for AjpBelow {
+impl Beneath for AjpUpstreamClient {
     fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
         // A second call of an RPC stands in the place of the first.
         self.give_up(id);
@@ -256,7 +258,7 @@
     }
 
     fn nudge(&self) {
-        self.0.lock().hands.links.values().for_each(|link| link.outbox.nudge());
+        self.0.lock().hands.links.values().for_each(|link| link.send_queue.wake());
     }
 
     fn give_up(&self, id: &str) {
@@ -295,7 +297,7 @@
     }
 
     /// Carries one connection from its making to its end.
-    fn keep(&self, link: LinkId, at: SocketAddr, outbox: &Outbox) {
+    fn keep(&self, link: LinkId, at: SocketAddr, send_queue: &SendQueue) {
         let ending = match connect(&at, Duration::from_micros(self.settings.connect_timeout_us)) {
             Ok(stream) => {
                 let now_us = self.clock.now_us();
@@ -306,12 +308,12 @@
                     }
                     places.made(now_us, link, hands);
                 });
-                let ending = carry(
+                let ending = drive_connection(
                     &stream,
-                    outbox,
+                    send_queue,
                     None,
                     self.settings.max_packet_bytes,
-                    &mut Replies { inner: self, outbox, link },
+                    &mut Replies { inner: self, send_queue, link },
                 );
                 self.end(link, &ending);
                 self.ending.fetch_add(1, Ordering::Relaxed);
@@ -319,7 +321,7 @@
                     self.lock().hands.links.len() + self.ending.load(Ordering::Relaxed)
                         > self.settings.max_connections
                 };
-                let_go(&stream, &ending, crowded);
+                close_gracefully(&stream, &ending, crowded);
                 self.ending.fetch_sub(1, Ordering::Relaxed);
                 ending
             }
@@ -358,7 +360,7 @@
             reply_us: self.settings.reply_timeout_us,
             most_reply: MOST_REPLY,
         };
-        Life::new(now_us, bounds, super::ajp_front::NEVER_RAN)
+        Life::new(now_us, bounds, super::ajp_ingress::NEVER_RAN)
     }
 
     /// The call's packets: its head and the first piece of its body, and how much of the body that is.
@@ -398,11 +400,11 @@
 impl Wire for Hands {
     fn connect(&mut self, link: LinkId, place: usize) {
         let Some(inner) = self.inner.upgrade() else { return };
-        let outbox = Arc::new(Outbox::default());
+        let send_queue = Arc::new(SendQueue::default());
         let life = inner.life(self.now_us);
-        self.links.insert(link, Link { outbox: outbox.clone(), life, call: None, sent: 0 });
+        self.links.insert(link, Link { send_queue: send_queue.clone(), life, call: None, sent: 0 });
         let at = self.places[place];
-        may::go!(move || inner.keep(link, at, &outbox));
+        may::go!(move || inner.keep(link, at, &send_queue));
     }
 
     fn write(&mut self, link: LinkId, call: CallId, prove: bool) {
@@ -429,7 +431,7 @@
 
     fn close(&mut self, link: LinkId) {
         if let Some(of) = self.links.remove(&link) {
-            of.outbox.finish(Finish::Faulty);
+            of.send_queue.request_close(CloseRequest::Faulty);
         }
     }
 }
@@ -450,7 +452,7 @@
                     of.sent = sent;
                 }
                 // Nothing of it is written: the other side ends what it waits for in vain.
-                None => of.outbox.finish(Finish::Faulty),
+                None => of.send_queue.request_close(CloseRequest::Faulty),
             }
         }
         if let (Some(most), Some(call)) = (wanted.piece, call) {
@@ -460,7 +462,7 @@
             request::write_piece(&mut out, inner.settings.max_packet_bytes, piece).expect("fits");
         }
         if !out.is_empty() {
-            of.outbox.push(out);
+            of.send_queue.push(out);
         }
     }
 }
@@ -508,7 +510,7 @@
 
 struct Replies<'a> {
     inner: &'a Inner,
-    outbox: &'a Outbox,
+    send_queue: &'a SendQueue,
     link: LinkId,
 }
 
@@ -554,8 +556,8 @@
     }
 }
 
-impl Reader for Replies<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for Replies<'_> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         match reply::read(input, self.inner.settings.max_packet_bytes) {
             Ok(Some((message, taken))) => {
                 self.life(|life, now_us, wanted| life.message(now_us, &message, wanted))?;
@@ -572,10 +574,10 @@
         }
     }
 
-    fn drained(&mut self, _written: bool) {
+    fn on_drained(&mut self, _written: bool) {
         if self.life(|life, now_us, wanted| life.empty(now_us, wanted)).is_err() {
             // It has ended for the module; the stream follows.
-            self.outbox.finish_once(Finish::Faulty);
+            self.send_queue.request_close_once(CloseRequest::Faulty);
         }
     }
 }
--- /dev/null
+++ b/crates/ochrewalk-node/src/net/buffered_connection.rs
@@ -0,0 +1,559 @@
+//! Buffered connections: one coroutine and one descriptor carry both directions of a stream.
+//!
+//! `may` lets only one coroutine wait on a stream, and a clone of the stream would use a second descriptor. A
+//! single coroutine therefore waits until the stream is readable, the stream is writable, or a line is queued.
+
+use crate::ending::Ending;
+use crate::handover::pause::is_paused;
+use crate::handover::records::StreamRecord;
+use crate::panics::contain;
+use may::io::{WaitIo, WaitIoWaker};
+use may::net::{TcpListener, TcpStream};
+use std::collections::VecDeque;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr};
+use std::os::fd::{AsRawFd, FromRawFd, IntoRawFd, OwnedFd, RawFd};
+use std::sync::{Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+/// The number of bytes that one read requests.
+const READ_BYTES: usize = 8 * 1024;
+/// The number of reads after which the coroutine yields to others.
+const READS_BEFORE_YIELD: usize = 16;
+/// The time without any progress of a write after which a connection that is to be closed is closed without
+/// flushing the queue.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The time for which a connection that this side has closed is still read.
+const LINGER: Duration = Duration::from_millis(250);
+/// The number of bytes that are discarded during that time.
+const LINGER_BYTES: usize = 1024 * 1024;
+/// The interval between two reads during that time.
+const LINGER_INTERVAL: Duration = Duration::from_millis(5);
+/// The interval at which [`accept`] polls for the end of a pause.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// The maximum number of written lines that are retained until they are confirmed.
+const MAX_UNCONFIRMED_LINES: usize = 4_096;
+
+/// The queue of lines to one peer, and the state of the current stream. Lines that were not written completely
+/// when a stream closed are written to the next stream.
+#[derive(Default)]
+pub struct SendQueue {
+    queue: Mutex<Queue>,
+    /// The current stream, locked during reads and writes. Where both locks are held, this one is taken first.
+    stream: Mutex<StreamState>,
+}
+
+/// The state of a stream between two reads or writes.
+#[derive(Default)]
+struct StreamState {
+    /// `None` while no stream is open.
+    fd: Option<RawFd>,
+    /// Received bytes that do not form a complete message yet.
+    input: Vec<u8>,
+    writing: WriteState,
+    /// Whether the stream was taken over from another process.
+    is_resumed: bool,
+}
+
+#[derive(Default)]
+struct Queue {
+    lines: VecDeque<Vec<u8>>,
+    bytes: usize,
+    /// Wakes the coroutine of the current stream.
+    waker: Option<WaitIoWaker>,
+    close_request: Option<CloseRequest>,
+    /// Lines that were written to this stream or an earlier one and are not confirmed, where they are retained.
+    unconfirmed: Option<VecDeque<Vec<u8>>>,
+}
+
+/// The reason for which a stream is to be closed once the queue is written. The first three close it only where no
+/// complete message is unread and [`MessageHandler::may_close`] still agrees, so that a node that is slow to read
+/// does not attribute its own delay to the peer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CloseRequest {
+    /// The stream is idle.
+    Idle,
+    /// The peer sends malformed input.
+    Faulty,
+    /// The peer has exceeded a time limit.
+    Silent,
+    /// The peer has a new address. The stream closes once all received input is read; lines that are not partly
+    /// written are left for the next stream.
+    Moved,
+    /// The node drains. The write side is shut once all that was read is answered; later input is read and discarded,
+    /// as closing on unread input would reset the connection before the peer has received the answers.
+    Leaving,
+}
+
+impl CloseRequest {
+    const ALL: [CloseRequest; 5] = [
+        CloseRequest::Idle,
+        CloseRequest::Faulty,
+        CloseRequest::Silent,
+        CloseRequest::Moved,
+        CloseRequest::Leaving,
+    ];
+}
+
+impl SendQueue {
+    /// Returns a queue that retains written lines until a call of [`SendQueue::confirm_through`],
+    /// [`SendQueue::confirm_matching`] or [`SendQueue::take_unconfirmed`].
+    pub fn retaining_unconfirmed() -> SendQueue {
+        let queue = Queue { unconfirmed: Some(VecDeque::new()), ..Queue::default() };
+        SendQueue { queue: Mutex::new(queue), stream: Mutex::default() }
+    }
+
+    /// Returns the descriptor and the state of the current stream, for another process to resume. `None` while no
+    /// stream is open.
+    pub fn snapshot(&self) -> Option<(RawFd, StreamRecord)> {
+        let state = self.lock_stream();
+        let queue = self.lock();
+        let mut lines: Vec<Vec<u8>> = queue.lines.iter().cloned().collect();
+        let WriteState { line, sent, is_half_closed, .. } = &state.writing;
+        if *sent < line.len() {
+            lines.insert(0, line.clone());
+        }
+        let close_request = queue
+            .close_request
+            .map_or(0, |request| 1 + CloseRequest::ALL.iter().position(|r| *r == request).unwrap_or(0));
+        let record = StreamRecord {
+            input: state.input.clone(),
+            unsent: lines,
+            sent: if *sent < line.len() { *sent as u64 } else { 0 },
+            half_closed: *is_half_closed,
+            close_reason: close_request as u32,
+            unconfirmed: queue.unconfirmed.iter().flatten().cloned().collect(),
+        };
+        Some((state.fd?, record))
+    }
+
+    /// Returns the lines that are queued, which the next stream writes where none is open.
+    pub fn queued_lines(&self) -> Vec<Vec<u8>> {
+        self.lock().lines.iter().cloned().collect()
+    }
+
+    /// Restores the queue of a stream that another process carried. `retain_unconfirmed` has the effect that
+    /// [`SendQueue::retaining_unconfirmed`] describes.
+    pub fn resume(record: StreamRecord, retain_unconfirmed: bool) -> SendQueue {
+        let mut lines: VecDeque<Vec<u8>> = record.unsent.into();
+        let mut writing = WriteState { is_half_closed: record.half_closed, ..WriteState::default() };
+        if record.sent > 0 {
+            (writing.line, writing.sent) = (lines.pop_front().unwrap_or_default(), record.sent as usize);
+        }
+        let queue = Queue {
+            bytes: lines.iter().map(Vec::len).sum(),
+            lines,
+            waker: None,
+            close_request: (record.close_reason as usize)
+                .checked_sub(1)
+                .and_then(|at| CloseRequest::ALL.get(at).copied()),
+            unconfirmed: retain_unconfirmed.then(|| record.unconfirmed.into()),
+        };
+        let stream = StreamState { fd: None, input: record.input, writing, is_resumed: true };
+        SendQueue { queue: Mutex::new(queue), stream: Mutex::new(stream) }
+    }
+
+    fn lock_stream(&self) -> MutexGuard<'_, StreamState> {
+        self.stream.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
+    /// Queues a line and wakes the stream.
+    pub fn push(&self, line: Vec<u8>) {
+        self.update(|queue| {
+            // Withdraws a request to close the stream as idle, so that the line is not written to a closing stream.
+            queue.close_request = queue.close_request.filter(|request| *request != CloseRequest::Idle);
+            queue.bytes += line.len();
+            queue.lines.push_back(line);
+        });
+    }
+
+    /// Returns the number of queued bytes, without the line that is being written.
+    pub fn queued_bytes(&self) -> usize {
+        self.lock().bytes
+    }
+
+    /// Requests that the stream is closed once the queue is written.
+    pub fn request_close(&self, request: CloseRequest) {
+        // A draining stream is not closed as idle, because later input on it is still read.
+        self.update(|queue| {
+            let keeps_draining =
+                queue.close_request == Some(CloseRequest::Leaving) && request == CloseRequest::Idle;
+            queue.close_request = if keeps_draining { queue.close_request } else { Some(request) };
+        });
+    }
+
+    /// Requests the close as [`SendQueue::request_close`] does, and has no effect where the same request is pending.
+    pub fn request_close_once(&self, request: CloseRequest) {
+        let pending = self.lock().close_request;
+        if pending != Some(request) {
+            self.request_close(request);
+        }
+    }
+
+    /// Wakes the coroutine of the stream, which evaluates its time limits again.
+    pub fn wake(&self) {
+        self.update(|_| ());
+    }
+
+    /// Withdraws any pending close request, before a new stream begins.
+    pub fn clear_close_request(&self) {
+        self.update(|queue| queue.close_request = None);
+    }
+
+    /// Removes and returns the lines that were not written.
+    pub fn take_unwritten(&self) -> VecDeque<Vec<u8>> {
+        self.update(|queue| {
+            queue.bytes = 0;
+            std::mem::take(&mut queue.lines)
+        })
+    }
+
+    /// Confirms that the peer has read this line, and therefore each line written before it.
+    pub fn confirm_through(&self, line: &[u8]) {
+        self.update(|queue| {
+            let unconfirmed = queue.unconfirmed.as_mut();
+            let at = unconfirmed.as_ref().and_then(|unconfirmed| unconfirmed.iter().position(|l| l == line));
+            if let (Some(unconfirmed), Some(at)) = (unconfirmed, at) {
+                unconfirmed.drain(..=at);
+            }
+        });
+    }
+
+    /// Confirms that the peer has read the written lines that satisfy `is_read`.
+    pub fn confirm_matching(&self, is_read: impl Fn(&[u8]) -> bool) {
+        if let Some(unconfirmed) = &mut self.lock().unconfirmed {
+            unconfirmed.retain(|line| !is_read(line));
+        }
+    }
+
+    /// Removes and returns the lines that were written and not confirmed.
+    pub fn take_unconfirmed(&self) -> VecDeque<Vec<u8>> {
+        self.update(|queue| queue.unconfirmed.as_mut().map(std::mem::take).unwrap_or_default())
+    }
+
+    fn update<T>(&self, change: impl FnOnce(&mut Queue) -> T) -> T {
+        let mut queue = self.lock();
+        let result = change(&mut queue);
+        if let Some(waker) = &queue.waker {
+            waker.wakeup();
+        }
+        result
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Queue> {
+        self.queue.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+}
+
+/// The protocol on a connection: handles the messages that are received.
+pub trait MessageHandler {
+    /// Handles the first complete message in `input` and returns the number of bytes that it takes, or 0 where no
+    /// message is complete.
+    ///
+    /// # Errors
+    ///
+    /// The connection must be closed for the returned reason.
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending>;
+
+    /// Whether more may be read now. The connection calls this again after each write and after each queued line.
+    fn may_read(&self) -> bool {
+        true
+    }
+
+    /// Responds to the state in which all received input is read, or no more of it may be read. `_is_flushed` states
+    /// whether the queue is written as well.
+    fn on_drained(&mut self, _is_flushed: bool) {}
+
+    /// Whether the stream may still be closed as requested, now that all received input is read, or no more of it may
+    /// be read.
+    fn may_close(&self, _request: CloseRequest) -> bool {
+        true
+    }
+
+    /// Responds to a message that exceeds the size limit, after which the start of the next message is unknown. An
+    /// implementation with pending answers still sends them, and reads nothing more.
+    ///
+    /// # Errors
+    ///
+    /// The connection must be closed at once for the returned reason.
+    fn on_oversized_message(&mut self) -> Result<(), Ending> {
+        Err(Ending::TooLong)
+    }
+}
+
+/// Accepts the next connection. While this process is paused, new connections remain in the system's accept queue.
+///
+/// # Errors
+///
+/// The system call has failed.
+pub fn accept(listener: &TcpListener) -> std::io::Result<(TcpStream, SocketAddr)> {
+    loop {
+        if is_paused() {
+            may::coroutine::sleep(PAUSE_POLL_INTERVAL);
+            continue;
+        }
+        match listener.inner().accept() {
+            // SAFETY: the descriptor was just created, and this is its only owner.
+            Ok((stream, from)) => return Ok((unsafe { TcpStream::from_raw_fd(stream.into_raw_fd()) }, from)),
+            Err(err) if err.kind() == ErrorKind::WouldBlock => {
+                listener.wait_io();
+            }
+            Err(err) => return Err(err),
+        }
+    }
+}
+
+/// Closes a stream for the given reason. Where this side closes it, the write side is shut first, and input is read and
+/// discarded until the peer closes, a bound is reached, or `is_crowded` returns true. Closing on bytes that arrive at
+/// that time would reset the connection and lose the data that is still on its way to the peer.
+pub fn close_gracefully(stream: &TcpStream, ending: &Ending, is_crowded: impl Fn() -> bool) {
+    if !ending.is_ours() || stream.shutdown(Shutdown::Write).is_err() {
+        return;
+    }
+    let until = Instant::now() + LINGER;
+    let (mut chunk, mut discarded) = (vec![0; READ_BYTES], 0);
+    while discarded < LINGER_BYTES {
+        match stream.inner().read(&mut chunk) {
+            Ok(0) => return,
+            Ok(got) => discarded += got,
+            Err(err) if err.kind() == ErrorKind::Interrupted => {}
+            Err(err) if err.kind() == ErrorKind::WouldBlock => {
+                if is_crowded() || Instant::now() >= until {
+                    return;
+                }
+                may::coroutine::sleep(LINGER_INTERVAL);
+            }
+            Err(_) => return,
+        }
+    }
+}
+
+/// Returns the stream of a descriptor that was received from another process.
+pub fn stream_from_descriptor(descriptor: OwnedFd) -> TcpStream {
+    // SAFETY: the caller owned the descriptor and has passed it on.
+    unsafe { TcpStream::from_raw_fd(descriptor.into_raw_fd()) }
+}
+
+/// Connects to `to` within the time limit.
+///
+/// # Errors
+///
+/// The connection could not be established, or its options could not be set.
+pub fn connect(to: &SocketAddr, timeout: Duration) -> Result<TcpStream, Ending> {
+    let stream = TcpStream::connect_timeout(to, timeout).map_err(|err| Ending::of_connect(&err))?;
+    stream.set_nodelay(true).map_err(|err| Ending::of_use(&err))?;
+    Ok(stream)
+}
+
+/// Drives a connection until it closes, and returns the reason. Writes `first` and then the queued lines, and passes
+/// received messages to `handler`. A message may have up to `max_message_bytes`.
+pub fn drive_connection(
+    stream: &TcpStream,
+    send_queue: &SendQueue,
+    first: Option<Vec<u8>>,
+    max_message_bytes: usize,
+    handler: &mut impl MessageHandler,
+) -> Ending {
+    send_queue.update(|queue| queue.waker = Some(stream.waker()));
+    {
+        let mut state = send_queue.lock_stream();
+        if !std::mem::take(&mut state.is_resumed) {
+            state.writing = WriteState {
+                line: first.unwrap_or_default(),
+                is_for_this_stream: true,
+                ..WriteState::default()
+            };
+            state.input = Vec::new();
+        }
+        state.fd = Some(stream.as_raw_fd());
+    }
+    let ending = loop {
+        let turn = if is_paused() {
+            Ok(false)
+        } else {
+            let broken = Err(Ending::Broken(ErrorKind::Other));
+            contain(|| {
+                let mut state = send_queue.lock_stream();
+                let StreamState { input, writing, .. } = &mut *state;
+                write_and_read(stream, send_queue, writing, input, max_message_bytes, handler)
+            })
+            .unwrap_or(broken)
+        };
+        match turn {
+            Ok(false) => {
+                stream.wait_io();
+            }
+            Ok(true) => may::coroutine::yield_now(),
+            Err(ending) => break ending,
+        }
+    };
+    let mut state = send_queue.lock_stream();
+    let WriteState { line, sent, is_for_this_stream, .. } = std::mem::take(&mut state.writing);
+    *state = StreamState::default();
+    send_queue.update(|queue| {
+        queue.waker = None;
+        if !is_for_this_stream && sent < line.len() {
+            queue.bytes += line.len();
+            queue.lines.push_front(line);
+        }
+    });
+    ending
+}
+
+#[derive(Default)]
+struct WriteState {
+    line: Vec<u8>,
+    sent: usize,
+    /// Whether the line belongs to this stream alone, and is not written to the next one.
+    is_for_this_stream: bool,
+    is_half_closed: bool,
+    /// The time since which writes have made no progress.
+    stalled_since: Option<Instant>,
+}
+
+/// Writes and reads without waiting. Returns true where more input may be available.
+fn write_and_read(
+    stream: &TcpStream,
+    send_queue: &SendQueue,
+    writing: &mut WriteState,
+    input: &mut Vec<u8>,
+    max_message_bytes: usize,
+    handler: &mut impl MessageHandler,
+) -> Result<bool, Ending> {
+    write(stream, send_queue, writing)?;
+    for _ in 0..READS_BEFORE_YIELD {
+        if !writing.is_half_closed && !handler.may_read() {
+            return close_if_requested(stream, send_queue, writing, handler);
+        }
+        let had = input.len();
+        input.resize(had + READ_BYTES, 0);
+        let got = stream.inner().read(&mut input[had..]);
+        input.truncate(had + *got.as_ref().unwrap_or(&0));
+        match got {
+            Ok(0) if writing.is_half_closed => return Err(Ending::Leaving),
+            Ok(0) => return Err(Ending::Closed),
+            Ok(_) => {}
+            Err(err) if err.kind() == ErrorKind::WouldBlock => {
+                if input.is_empty() {
+                    *input = Vec::new();
+                }
+                // The stream is closed only where no input is left unread. Unread input would cause a reset, which
+                // could lose commands that are on their way to the peer.
+                return close_if_requested(stream, send_queue, writing, handler);
+            }
+            Err(err) if err.kind() == ErrorKind::Interrupted => continue,
+            Err(err) => return Err(Ending::of_use(&err)),
+        }
+        // Input after the write side is shut is discarded, because an RPC from it could not be answered.
+        if writing.is_half_closed {
+            input.clear();
+            continue;
+        }
+        let mut at = 0;
+        while at < input.len() {
+            match handler.handle_message(&input[at..])? {
+                0 if input.len() - at > max_message_bytes => {
+                    handler.on_oversized_message()?;
+                    at = input.len();
+                }
+                0 => break,
+                taken => at += taken,
+            }
+        }
+        input.drain(..at);
+        write(stream, send_queue, writing)?;
+    }
+    Ok(true)
+}
+
+/// Closes the stream where a close is requested, the queue is written and the handler agrees. Withdraws the request
+/// where the handler does not agree.
+fn close_if_requested(
+    stream: &TcpStream,
+    send_queue: &SendQueue,
+    writing: &mut WriteState,
+    handler: &mut impl MessageHandler,
+) -> Result<bool, Ending> {
+    let is_line_sent = writing.sent == writing.line.len();
+    handler.on_drained(is_line_sent && send_queue.lock().lines.is_empty());
+    let requested = {
+        let queue = send_queue.lock();
+        // Where the peer has a new address, queued lines are left for the next stream and do not delay the close. In
+        // any other case the queue is written first, including lines that the handler has just queued, which wake this
+        // stream again.
+        let is_due = |request: &CloseRequest| {
+            is_line_sent && (queue.lines.is_empty() || *request == CloseRequest::Moved)
+        };
+        queue.close_request.filter(is_due)
+    };
+    let ending = match requested {
+        Some(CloseRequest::Leaving) => {
+            // The write side stays open while an answer is pending, so that the answer can still be written.
+            if !writing.is_half_closed && handler.may_close(CloseRequest::Leaving) {
+                writing.is_half_closed = true;
+                let _ = stream.shutdown(Shutdown::Write);
+            }
+            return Ok(false);
+        }
+        None => return Ok(false),
+        Some(_) if writing.is_half_closed => Ending::Leaving,
+        Some(CloseRequest::Idle) => Ending::Idle,
+        Some(CloseRequest::Faulty) => Ending::Malformed("too many faults".into()),
+        Some(CloseRequest::Silent) => Ending::Silent,
+        Some(CloseRequest::Moved) => return Err(Ending::Moved),
+    };
+    if requested.is_some_and(|request| handler.may_close(request)) {
+        return Err(ending);
+    }
+    let mut queue = send_queue.lock();
+    queue.close_request = queue.close_request.filter(|request| Some(*request) != requested);
+    Ok(false)
+}
+
+/// Writes queued lines until the queue is empty or the stream would block.
+fn write(stream: &TcpStream, send_queue: &SendQueue, writing: &mut WriteState) -> Result<(), Ending> {
+    loop {
+        if writing.sent == writing.line.len() {
+            let next = {
+                let mut queue = send_queue.lock();
+                let written = std::mem::take(&mut writing.line);
+                if let Some(unconfirmed) =
+                    queue.unconfirmed.as_mut().filter(|_| !writing.is_for_this_stream && !written.is_empty())
+                {
+                    unconfirmed.push_back(written);
+                    // Bounds the memory that a peer uses which confirms nothing.
+                    if unconfirmed.len() > MAX_UNCONFIRMED_LINES {
+                        unconfirmed.pop_front();
+                    }
+                }
+                let has_moved = queue.close_request == Some(CloseRequest::Moved);
+                let next = if has_moved { None } else { queue.lines.pop_front() };
+                queue.bytes -= next.as_ref().map_or(0, Vec::len);
+                next
+            };
+            (writing.sent, writing.is_for_this_stream) = (0, false);
+            writing.line = next.unwrap_or_default();
+            if writing.line.is_empty() {
+                return Ok(());
+            }
+        }
+        match stream.inner().write(&writing.line[writing.sent..]) {
+            Ok(0) => return Err(Ending::Closed),
+            Ok(wrote) => (writing.sent, writing.stalled_since) = (writing.sent + wrote, None),
+            // A connection that is to be closed does not wait for a peer that reads nothing.
+            Err(err) if err.kind() == ErrorKind::WouldBlock => {
+                let since = *writing.stalled_since.get_or_insert_with(Instant::now);
+                return match send_queue.lock().close_request {
+                    Some(CloseRequest::Idle | CloseRequest::Faulty | CloseRequest::Silent)
+                        if since.elapsed() >= WRITE_STALL_TIMEOUT =>
+                    {
+                        Err(Ending::Silent)
+                    }
+                    _ => Ok(()),
+                };
+            }
+            Err(err) if err.kind() == ErrorKind::Interrupted => {}
+            Err(err) => return Err(Ending::of_use(&err)),
+        }
+    }
+}
--- a/crates/ochrewalk-node/src/net/directory.rs
+++ b/crates/ochrewalk-node/src/net/directory.rs
@@ -1,7 +1,7 @@
-//! Reports to the directory, each second and whenever health changes. It may be slow or away: only this
-//! coroutine waits for it.
+//! Reports the node's health to the directory, each second and whenever the health changes. A directory that is slow
+//! or unreachable delays only this coroutine.
 
-use super::link::connect;
+use super::buffered_connection::connect;
 use crate::clock::whole_ms;
 use crate::ending::Ending;
 use crate::wire::reports;
@@ -12,38 +12,41 @@
 use std::sync::mpsc::RecvTimeoutError;
 use std::time::{Duration, Instant};
 
-const EVERY: Duration = Duration::from_secs(1);
-/// How long an answer is waited for. A report without one may count all the same, so that the next keeps its
-/// time, and a change of health does not wait for long.
-const WAIT: Duration = Duration::from_millis(300);
+/// The interval between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// The time limit for a connect, a write and a response. The directory may have processed a report even where its
+/// response is late, so the next report is not sent earlier than planned. The short limit keeps the delay of a health
+/// change small.
+const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Reports for ever, where there is health to report. `changed` gets a word whenever that may have changed.
-pub fn keep(
-    at: impl Fn() -> SocketAddr,
+/// Reports the health whenever it is known, until the senders of `changed` are dropped. A message on `changed` states
+/// that the health may have changed.
+pub fn report_periodically(
+    address: impl Fn() -> SocketAddr,
     name: &str,
-    healthy: impl Fn() -> Option<bool>,
+    health: impl Fn() -> Option<bool>,
     changed: &Receiver<()>,
 ) {
-    let (mut stream, mut before) = (None, at());
-    let mut failed = false;
+    let (mut stream, mut previous) = (None, address());
+    let mut has_failed = false;
     loop {
-        let at = at();
-        if at != before {
-            (stream, before) = (None, at);
+        let at = address();
+        if at != previous {
+            (stream, previous) = (None, at);
         }
         let from = Instant::now();
-        let report = healthy().map(|healthy| reports::report(name, &at.to_string(), healthy));
-        let told = report.map_or(Ok(()), |report| tell(&at, &mut stream, &report));
-        if let Err(ending) = &told {
+        let report = health().map(|is_healthy| reports::report(name, &at.to_string(), is_healthy));
+        let sent = report.map_or(Ok(()), |report| send_report(&at, &mut stream, &report));
+        if let Err(ending) = &sent {
             stream = None;
-            if !failed {
-                tracing::warn!(part = "directory", place = %at, "{ending}; reports go on");
+            if !has_failed {
+                tracing::warn!(part = "directory", place = %at, "report failed: {ending}; reports will continue");
             }
-        } else if failed {
-            tracing::info!(part = "directory", place = %at, "reports arrive again");
+        } else if has_failed {
+            tracing::info!(part = "directory", place = %at, "reports succeed again");
         }
-        failed = told.is_err();
-        let rest_us = EVERY.saturating_sub(from.elapsed()).as_micros() as u64;
+        has_failed = sent.is_err();
+        let rest_us = REPORT_INTERVAL.saturating_sub(from.elapsed()).as_micros() as u64;
         if changed.recv_timeout(whole_ms(rest_us)) == Err(RecvTimeoutError::Disconnected) {
             return;
         }
@@ -51,10 +54,10 @@
     }
 }
 
-fn tell(at: &SocketAddr, stream: &mut Option<TcpStream>, report: &[u8]) -> Result<(), Ending> {
-    // A kept connection may have been closed meanwhile; then a new one is tried at once.
-    if let Some(kept) = stream {
-        match exchange(kept, report) {
+fn send_report(at: &SocketAddr, stream: &mut Option<TcpStream>, report: &[u8]) -> Result<(), Ending> {
+    // The directory may have closed an open connection in the meantime; then a new one is tried at once.
+    if let Some(open) = stream {
+        match exchange(open, report) {
             Ok(true) => return Ok(()),
             Ok(false) => {
                 *stream = None;
@@ -64,19 +67,19 @@
             Err(ending) => return Err(ending),
         }
     }
-    let mut fresh = connect(at, WAIT)?;
-    if exchange(&mut fresh, report)? {
-        *stream = Some(fresh);
+    let mut new = connect(at, TIMEOUT)?;
+    if exchange(&mut new, report)? {
+        *stream = Some(new);
     }
     Ok(())
 }
 
-/// Writes a report and reads the answer; says whether the connection may carry another.
+/// Writes a report and reads the response. Returns whether the connection may carry another report.
 fn exchange(stream: &mut TcpStream, report: &[u8]) -> Result<bool, Ending> {
-    let limit = |stream: &TcpStream| {
-        stream.set_read_timeout(Some(WAIT)).and_then(|()| stream.set_write_timeout(Some(WAIT)))
+    let set_timeouts = |stream: &TcpStream| {
+        stream.set_read_timeout(Some(TIMEOUT)).and_then(|()| stream.set_write_timeout(Some(TIMEOUT)))
     };
-    limit(stream).and_then(|()| stream.write_all(report)).map_err(|err| Ending::of_use(&err))?;
+    set_timeouts(stream).and_then(|()| stream.write_all(report)).map_err(|err| Ending::of_use(&err))?;
     let mut input = Vec::new();
     loop {
         let had = input.len();
@@ -87,9 +90,9 @@
         }
         input.truncate(had + got);
         match reports::read(&input).map_err(Ending::Malformed)? {
-            Some(answer) if (200..300).contains(&answer.status) => return Ok(answer.keeps),
-            Some(answer) => return Err(Ending::Malformed(format!("status {}", answer.status))),
-            None if input.len() > reports::LONGEST => return Err(Ending::TooLong),
+            Some(response) if (200..300).contains(&response.status) => return Ok(response.is_reusable),
+            Some(response) => return Err(Ending::Malformed(format!("status {}", response.status))),
+            None if input.len() > reports::MAX_RESPONSE_BYTES => return Err(Ending::TooLong),
             None => {}
         }
     }
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -1,8 +1,10 @@
 //! Dispatchers' connections: accepted, read, answered and, when they carry nothing or this server leaves,
 //! asked to end.
 
-use super::front::{Front, ENDING};
-use super::link::{adopt, carry, let_go, Finish, Outbox, Reader};
+use super::buffered_connection::{
+    close_gracefully, drive_connection, stream_from_descriptor, CloseRequest, MessageHandler, SendQueue,
+};
+use super::listener::{ConnectionListener, MAX_CLOSING};
 use crate::core::{Asked, Core};
 use crate::ending::Ending;
 use crate::gate::Posture;
@@ -10,7 +12,7 @@
     ClientAddress, JsonRpcConnectionRecord, JsonRpcConnectionRecords, OpenRpcRecord,
 };
 use crate::seam::{Answer, Asker};
-use crate::wire::jsonrpc::{self, Message, Which};
+use crate::wire::jsonrpc::{self, Message, RevokeTarget};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
 use ochrewalk_ingress::connection_budget::{self, Standing, Verdict, Worth};
@@ -59,7 +61,7 @@
 /// What others need of a connection that one coroutine carries.
 pub struct Connection {
     number: u64,
-    pub outbox: Outbox,
+    pub send_queue: SendQueue,
     state: Mutex<Carried>,
 }
 
@@ -102,7 +104,7 @@
         let mut open = self.lock();
         open.next += 1;
         let number = open.next;
-        let connection = Arc::new(Connection { number, outbox: Outbox::default(), state });
+        let connection = Arc::new(Connection { number, send_queue: SendQueue::default(), state });
         open.of.insert(number, connection.clone());
         if open.leaving {
             connection.ask_to_end(now_us, TO_CLOSE_US);
@@ -135,15 +137,15 @@
     }
 
     /// This server leaves: no RPC comes on these connections any more.
-    pub fn leave(&self) {
+    pub fn drain(&self) {
         let now_us = self.core.clock.now_us();
         self.lock().leaving = true;
         self.all().iter().for_each(|connection| connection.ask_to_end(now_us, TO_CLOSE_US));
     }
 
     /// Nothing more is written once what waits is written.
-    pub fn finish(&self) {
-        self.all().iter().for_each(|connection| connection.outbox.finish(Finish::Leaving));
+    pub fn request_close(&self) {
+        self.all().iter().for_each(|connection| connection.send_queue.request_close(CloseRequest::Leaving));
     }
 
     pub fn count(&self) -> usize {
@@ -151,22 +153,22 @@
     }
 
     /// Has every connection looked at again, as a pause is over.
-    pub fn nudge(&self) {
-        self.all().iter().for_each(|connection| connection.outbox.nudge());
+    pub fn wake_connections(&self) {
+        self.all().iter().for_each(|connection| connection.send_queue.wake());
     }
 
     /// The listener's descriptor.
-    pub fn listener(&self) -> Option<RawFd> {
+    pub fn listener_descriptor(&self) -> Option<RawFd> {
         self.lock().listener.as_ref().map(|listener| listener.as_raw_fd())
     }
 
     /// Every connection with its descriptor, for another process to go on with. None where one is only just coming
     /// or going.
-    pub fn keep(&self) -> Option<(JsonRpcConnectionRecords, Vec<RawFd>)> {
+    pub fn snapshot(&self) -> Option<(JsonRpcConnectionRecords, Vec<RawFd>)> {
         let open = self.lock();
         let (mut connections, mut descriptors) = (Vec::new(), Vec::new());
         for (number, connection) in open.of.iter().filter(|(_, connection)| !connection.lock().over) {
-            let (fd, stream) = connection.outbox.keep()?;
+            let (fd, stream) = connection.send_queue.snapshot()?;
             let state = connection.lock();
             connections.push(JsonRpcConnectionRecord {
                 number: *number,
@@ -217,8 +219,9 @@
                 deaf: false,
                 over: false,
             };
-            let outbox = Outbox::resume(kept.stream, false);
-            let connection = Arc::new(Connection { number: kept.number, outbox, state: Mutex::new(state) });
+            let send_queue = SendQueue::resume(kept.stream, false);
+            let connection =
+                Arc::new(Connection { number: kept.number, send_queue, state: Mutex::new(state) });
             open.of.insert(kept.number, connection.clone());
             resumed.push((connection, descriptor));
         }
@@ -226,10 +229,10 @@
     }
 
     /// Carries connections that [`Dispatchers::resume`] gave.
-    pub fn go_on(self: &Arc<Self>, resumed: Vec<(Arc<Connection>, OwnedFd)>) {
+    pub fn serve_resumed(self: &Arc<Self>, resumed: Vec<(Arc<Connection>, OwnedFd)>) {
         for (connection, descriptor) in resumed {
             let all = self.clone();
-            may::go!(move || all.serve(&adopt(descriptor), connection.number, &connection));
+            may::go!(move || all.serve(&stream_from_descriptor(descriptor), connection.number, &connection));
         }
     }
 
@@ -248,10 +251,10 @@
     }
 }
 
-impl Front for Dispatchers {
+impl ConnectionListener for Dispatchers {
     const PART: &'static str = "json-rpc";
 
-    fn keep_listener(&self, listener: std::net::TcpListener) {
+    fn store_listener(&self, listener: std::net::TcpListener) {
         self.lock().listener = Some(listener);
     }
 
@@ -259,16 +262,16 @@
         self.lock().listener.take()
     }
 
-    fn is_shut(&self) -> bool {
+    fn is_closed(&self) -> bool {
         self.lock().listener.is_none()
     }
 
-    fn most(&self) -> usize {
+    fn max_connections(&self) -> usize {
         self.most
     }
 
     /// Guards against a table full of those that say nothing, or asked once and stay, which would keep callers out.
-    fn make_room(&self) -> bool {
+    fn ensure_capacity(&self) -> bool {
         let open = self.lock();
         let standing = |(number, connection): (&u64, &Arc<Connection>)| {
             let state = connection.lock();
@@ -281,7 +284,7 @@
             return true;
         }
         let all: Vec<Standing> = open.of.iter().map(standing).collect();
-        let (number, room) = match connection_budget::look(self.most, ENDING, &all) {
+        let (number, room) = match connection_budget::look(self.most, MAX_CLOSING, &all) {
             Verdict::Room => return true,
             Verdict::Full => return false,
             Verdict::RoomFor(number) => (number, true),
@@ -290,11 +293,11 @@
         let goes = open.of[&number].clone();
         drop(open);
         goes.lock().going = true;
-        goes.outbox.finish(Finish::Silent);
+        goes.send_queue.request_close(CloseRequest::Silent);
         room
     }
 
-    fn welcome(self: &Arc<Self>, stream: TcpStream) {
+    fn serve_connection(self: &Arc<Self>, stream: TcpStream) {
         let (number, connection) = self.enter();
         let front = self.clone();
         may::go!(move || front.serve(&stream, number, &connection));
@@ -318,13 +321,13 @@
         let line = match answer {
             Answer::Served(body) => jsonrpc::served(&self.id, body, signal),
             Answer::PushedBack { last, come_back_us } => {
-                jsonrpc::refused(&self.id, last, come_back_us.div_ceil(1_000), signal)
+                jsonrpc::rejected(&self.id, last, come_back_us.div_ceil(1_000), signal)
             }
             Answer::Aborted => jsonrpc::failed(&self.id, signal),
             Answer::Fault(why) => {
                 tracing::warn!(part = "json-rpc", "{why}");
                 self.connection.fault();
-                jsonrpc::error(&self.id, jsonrpc::BAD_PARAMS, why, "")
+                jsonrpc::error(&self.id, jsonrpc::INVALID_PARAMS, why, "")
             }
         };
         self.connection.answer(&self.id, self.core.clock.now_us(), line);
@@ -357,7 +360,7 @@
             state.open.remove(id).is_some()
         };
         if owed {
-            self.outbox.push(line);
+            self.send_queue.push(line);
         }
     }
 
@@ -368,14 +371,14 @@
         state.faults += 1;
         if state.faults >= MOST_FAULTS {
             drop(state);
-            self.outbox.finish(Finish::Faulty);
+            self.send_queue.request_close(CloseRequest::Faulty);
         }
     }
 
     /// It says what is no message at all: no other fault is waited for.
     fn spoilt(&self) {
         self.lock().faults = MOST_FAULTS;
-        self.outbox.finish(Finish::Faulty);
+        self.send_queue.request_close(CloseRequest::Faulty);
     }
 
     /// Whether its faults are too many for anything more to be taken from it.
@@ -391,11 +394,11 @@
         let ask = !state.going && state.end_by_us.is_none() && state.rpcs && unused_us >= idle_us;
         // Again and again: guards against a peer that takes no answers, and so never wakes its coroutine.
         let finish = if state.faults >= MOST_FAULTS {
-            Finish::Faulty
-        } else if state.may_end(Finish::Silent, now_us) {
-            Finish::Silent
-        } else if state.may_end(Finish::Idle, now_us) {
-            Finish::Idle
+            CloseRequest::Faulty
+        } else if state.may_close(CloseRequest::Silent, now_us) {
+            CloseRequest::Silent
+        } else if state.may_close(CloseRequest::Idle, now_us) {
+            CloseRequest::Idle
         } else {
             let quiet = state.open.is_empty();
             drop(state);
@@ -405,7 +408,7 @@
             return;
         };
         drop(state);
-        self.outbox.finish(finish);
+        self.send_queue.request_close(finish);
     }
 
     /// Since when it is owed no answer and has not been asked to end.
@@ -418,7 +421,7 @@
         let mut state = self.lock();
         if state.end_by_us.is_none() {
             state.end_by_us = Some(now_us + within_us);
-            self.outbox.push(jsonrpc::no_more());
+            self.send_queue.push(jsonrpc::no_more());
         }
     }
 
@@ -434,15 +437,15 @@
     }
 
     /// Whether it may end so. It never may while an answer is owed.
-    fn may_end(&self, how: Finish, now_us: u64) -> bool {
+    fn may_close(&self, request: CloseRequest, now_us: u64) -> bool {
         let unsaid = self.partial_us.is_some_and(|from_us| now_us >= from_us + LINE_US)
             || !self.spoke && now_us >= self.used_us + FIRST_LINE_US;
         self.open.is_empty()
-            && match how {
-                Finish::Faulty => self.faults >= MOST_FAULTS,
-                Finish::Silent => unsaid || self.going,
+            && match request {
+                CloseRequest::Faulty => self.faults >= MOST_FAULTS,
+                CloseRequest::Silent => unsaid || self.going,
                 // The rest of a line may still be on its way; the process's end does not wait for it.
-                Finish::Leaving => self.partial_us.is_none(),
+                CloseRequest::Leaving => self.partial_us.is_none(),
                 _ => self.partial_us.is_none() && self.end_by_us.is_some_and(|by_us| now_us >= by_us),
             }
     }
@@ -452,7 +455,9 @@
     fn serve(&self, stream: &TcpStream, number: u64, connection: &Arc<Connection>) {
         let mut reader = Inbound { core: &self.core, connection };
         let ending = match stream.set_nodelay(true) {
-            Ok(()) => carry(stream, &connection.outbox, None, jsonrpc::LONGEST, &mut reader),
+            Ok(()) => {
+                drive_connection(stream, &connection.send_queue, None, jsonrpc::MAX_LINE_BYTES, &mut reader)
+            }
             Err(err) => Ending::of_use(&err),
         };
         let open = {
@@ -466,7 +471,7 @@
         }
         // Nobody can be answered there any more.
         open.values().for_each(|id| self.core.gate.gone(id));
-        let_go(stream, &ending, || self.count() >= self.most);
+        close_gracefully(stream, &ending, || self.count() >= self.most);
         self.lock().of.remove(&number);
     }
 }
@@ -476,8 +481,8 @@
     connection: &'a Arc<Connection>,
 }
 
-impl Reader for Inbound<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for Inbound<'_> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         let Some((line, taken)) = crate::wire::line(input) else {
             let now_us = self.core.clock.now_us();
             self.connection.lock().partial_us.get_or_insert(now_us);
@@ -489,12 +494,12 @@
         Ok(taken)
     }
 
-    fn ready(&self) -> bool {
+    fn may_read(&self) -> bool {
         let state = self.connection.lock();
-        !state.deaf && state.after_faults < AFTER_FAULTS && self.connection.outbox.bytes() < UNREAD
+        !state.deaf && state.after_faults < AFTER_FAULTS && self.connection.send_queue.queued_bytes() < UNREAD
     }
 
-    fn too_long(&mut self) -> Result<(), Ending> {
+    fn on_oversized_message(&mut self) -> Result<(), Ending> {
         tracing::warn!(part = "json-rpc", "{}", Ending::TooLong);
         {
             let mut state = self.connection.lock();
@@ -504,9 +509,9 @@
         Ok(())
     }
 
-    fn may_end(&self, how: Finish) -> bool {
+    fn may_close(&self, request: CloseRequest) -> bool {
         let mut state = self.connection.lock();
-        let may = state.may_end(how, self.core.clock.now_us());
+        let may = state.may_close(request, self.core.clock.now_us());
         state.going &= may;
         may
     }
@@ -525,7 +530,7 @@
             if let Message::Rpc(rpc) = &message {
                 let owed = self.connection.lock().open.contains_key(rpc.id);
                 if !owed {
-                    self.connection.outbox.push(jsonrpc::refused(rpc.id, false, 0, None));
+                    self.connection.send_queue.push(jsonrpc::rejected(rpc.id, false, 0, None));
                 }
                 return Ok(());
             }
@@ -533,7 +538,7 @@
         match message {
             Message::Rpc(rpc) => {
                 let Some(method) = self.core.deployment.method(&rpc.method) else {
-                    return self.faulty(rpc.id, jsonrpc::NO_METHOD, "unknown method");
+                    return self.faulty(rpc.id, jsonrpc::METHOD_NOT_FOUND, "unknown method");
                 };
                 let asked = Asked {
                     id: &rpc.req,
@@ -547,13 +552,13 @@
                 };
                 let incoming = match self.core.check(&asked) {
                     Ok(incoming) => incoming,
-                    Err(why) => return self.faulty(rpc.id, jsonrpc::BAD_PARAMS, why),
+                    Err(why) => return self.faulty(rpc.id, jsonrpc::INVALID_PARAMS, why),
                 };
                 let open = {
                     let mut state = self.connection.lock();
                     if state.open.contains_key(rpc.id) {
                         drop(state);
-                        return self.faulty(rpc.id, jsonrpc::BAD_REQUEST, "an id that is open already");
+                        return self.faulty(rpc.id, jsonrpc::INVALID_REQUEST, "an id that is open already");
                     }
                     state.rpcs = true;
                     state.open.insert(rpc.id.into(), incoming.id.clone());
@@ -571,8 +576,8 @@
                 let gone = {
                     let mut state = self.connection.lock();
                     let id = match which {
-                        Which::Id(id) => Some(Box::from(id)),
-                        Which::Req(req) => {
+                        RevokeTarget::Id(id) => Some(Box::from(id)),
+                        RevokeTarget::Req(req) => {
                             state.open.iter().find(|(_, open)| ***open == *req).map(|(id, _)| id.clone())
                         }
                     };
@@ -580,16 +585,16 @@
                 };
                 if let Some((number, id)) = gone {
                     self.core.gate.gone(&id);
-                    self.connection.outbox.push(jsonrpc::revoked(&number));
+                    self.connection.send_queue.push(jsonrpc::revoked(&number));
                 }
             }
             Message::Heartbeat { id } => {
                 let Posture { healthy, signal, .. } = self.core.gate.posture();
                 let pass = healthy.unwrap_or(false);
-                self.connection.outbox.push(jsonrpc::heartbeat(id, pass, signal));
+                self.connection.send_queue.push(jsonrpc::heartbeat(id, pass, signal));
             }
-            Message::Faulty { id, code, why } => return self.faulty(id, code, why),
-            Message::NoRpc => {
+            Message::Invalid { id, code, reason } => return self.faulty(id, code, reason),
+            Message::Malformed => {
                 tracing::warn!(part = "json-rpc", "no JSON-RPC");
                 self.connection.spoilt();
             }
@@ -600,7 +605,7 @@
     /// Tells a sender what was wrong; the connection goes on for a while.
     fn faulty(&self, id: &str, code: i32, why: &'static str) -> Result<(), Ending> {
         tracing::warn!(part = "json-rpc", "{why}");
-        self.connection.outbox.push(jsonrpc::error(id, code, why, ""));
+        self.connection.send_queue.push(jsonrpc::error(id, code, why, ""));
         self.connection.fault();
         Ok(())
     }
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -9,7 +9,9 @@
 //! answered after that, with no notice of its end before them, prove that it stands still or never began. Then
 //! the start is written again, which means nothing to a run that is there, and the run is woken.
 
-use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
+use super::buffered_connection::{
+    close_gracefully, connect, drive_connection, CloseRequest, MessageHandler, SendQueue,
+};
 use crate::ending::Ending;
 use crate::gate::{Gate, Next, Post};
 use crate::handover::records::ExecutorRecord;
@@ -32,7 +34,7 @@
 pub struct Executor {
     /// `KILL` pauses runs here, and `WAKE` takes them up again.
     pauses: bool,
-    outbox: Outbox,
+    send_queue: SendQueue,
     state: Mutex<State>,
 }
 
@@ -71,7 +73,7 @@
             doubt_until: 0,
             paused: Vec::new(),
         };
-        Executor { pauses, outbox: Outbox::keeping(), state: Mutex::new(state) }
+        Executor { pauses, send_queue: SendQueue::retaining_unconfirmed(), state: Mutex::new(state) }
     }
 
     /// Goes on with the link and the runs of another process.
@@ -92,18 +94,18 @@
             state.paused = kept.paused.into_iter().map(RpcId::from).collect();
         }
         match kept.stream {
-            Some(stream) => executor.outbox = Outbox::resume(stream, true),
-            None => kept.waiting.into_iter().for_each(|line| executor.outbox.push(line)),
+            Some(stream) => executor.send_queue = SendQueue::resume(stream, true),
+            None => kept.waiting.into_iter().for_each(|line| executor.send_queue.push(line)),
         }
         executor
     }
 
     /// The link, where there is one with its descriptor, and what is known of the notices.
-    pub fn keep(&self) -> (ExecutorRecord, Option<RawFd>) {
-        let stream = self.outbox.keep();
+    pub fn snapshot(&self) -> (ExecutorRecord, Option<RawFd>) {
+        let stream = self.send_queue.snapshot();
         let state = self.lock();
         let kept = ExecutorRecord {
-            waiting: if stream.is_none() { self.outbox.waiting() } else { Vec::new() },
+            waiting: if stream.is_none() { self.send_queue.queued_lines() } else { Vec::new() },
             read: state.read,
             welcomed: state.welcomed,
             asked: state.asked,
@@ -118,15 +120,15 @@
         }
     }
 
-    pub fn nudge(&self) {
-        self.outbox.nudge();
+    pub fn wake_connection(&self) {
+        self.send_queue.wake();
     }
 
     /// It is found there from now on: the link is made anew, and goes on where it was left.
-    pub fn move_to(&self, at: SocketAddr) {
+    pub fn set_address(&self, at: SocketAddr) {
         let from = std::mem::replace(&mut self.lock().at, at);
         if from != at {
-            self.outbox.finish(Finish::Moved);
+            self.send_queue.request_close(CloseRequest::Moved);
         }
     }
 
@@ -134,11 +136,11 @@
     /// after a link that broke under it.
     pub fn run(&self, id: &RpcId, lane: &str, content: &str, again: bool, post: Post) {
         self.lock().runs.insert(id.clone(), Run { post, again });
-        self.outbox.push(notices::exec(id, lane, content));
+        self.send_queue.push(notices::exec(id, lane, content));
     }
 
     pub fn wake(&self, id: &str) {
-        self.outbox.push(notices::wake(id));
+        self.send_queue.push(notices::wake(id));
     }
 
     /// It is asked for again and again until the run has ended, so that it may get lost.
@@ -146,15 +148,15 @@
         if !self.lock().welcomed {
             return;
         }
-        self.outbox.push(notices::kill(id));
+        self.send_queue.push(notices::kill(id));
     }
 
-    pub fn give_back(&self, id: &str, reply: &[u8]) {
-        self.outbox.push(notices::give_back(id, &BASE64_STANDARD.encode(reply)));
+    pub fn return_reply(&self, id: &str, reply: &[u8]) {
+        self.send_queue.push(notices::return_reply(id, &BASE64_STANDARD.encode(reply)));
     }
 
     pub fn bypass(&self, id: &str, pos: u64) {
-        self.outbox.push(notices::bypass(id, pos));
+        self.send_queue.push(notices::bypass(id, pos));
     }
 
     /// The gauges, if they come within a moment.
@@ -168,7 +170,7 @@
             state.meters = Some(rows.0.clone());
             state.asked
         };
-        self.outbox.push(notices::meter(tag));
+        self.send_queue.push(notices::meter(tag));
         let row = rows.1.recv_timeout(METERS).ok();
         self.lock().meters = None;
         // It may have come between the two lines above.
@@ -176,34 +178,40 @@
     }
 
     /// Keeps the link up for ever, `adopted` first. `up` gets a word whenever the executor is known to be up.
-    pub fn keep_up(&self, gate: &Gate, up: &Sender<()>, adopted: Option<TcpStream>) {
+    pub fn maintain_connection(&self, gate: &Gate, up: &Sender<()>, adopted: Option<TcpStream>) {
         let mut adopted = adopted;
         loop {
             let from = Instant::now();
             let goes_on = adopted.take();
             // Before the address is read: guards against a new one that comes while this one is connected to.
             if goes_on.is_none() {
-                self.outbox.begin();
+                self.send_queue.clear_close_request();
             }
             let State { at, read, .. } = *self.lock();
             let first = goes_on.is_none().then(|| notices::join(read));
             let ending = match goes_on.map_or_else(|| connect(&at, CONNECT), Ok) {
                 Ok(stream) => {
                     let mut link = Link { executor: self, gate, up };
-                    let ending = carry(&stream, &self.outbox, first, notices::LONGEST, &mut link);
+                    let ending = drive_connection(
+                        &stream,
+                        &self.send_queue,
+                        first,
+                        notices::MAX_LINE_BYTES,
+                        &mut link,
+                    );
                     // The next link does not wait for it. What still comes on this one comes again on that.
                     let how = ending.clone();
-                    may::go!(move || let_go(&stream, &how, || false));
+                    may::go!(move || close_gracefully(&stream, &how, || false));
                     ending
                 }
                 Err(ending) => ending,
             };
             let was_up = std::mem::take(&mut self.lock().welcomed);
-            self.lock().doubtful.extend(self.outbox.take_written());
+            self.lock().doubtful.extend(self.send_queue.take_unconfirmed());
             if was_up || ending != Ending::Refused {
                 tracing::warn!(part = "executor", place = %at, "{ending}; joining again");
             }
-            may::coroutine::sleep(pause_after(from.elapsed()));
+            may::coroutine::sleep(reconnect_delay(from.elapsed()));
         }
     }
 
@@ -228,15 +236,18 @@
         let mut state = self.lock();
         state.doubt_until = state.asked;
         // Those are asked for again as long as they are wanted.
-        state.doubtful.retain(|line| notices::named(line).is_some_and(|(action, _)| action != "KILL"));
+        state
+            .doubtful
+            .retain(|line| notices::action_and_run(line).is_some_and(|(action, _)| action != "KILL"));
         if !self.pauses {
             return;
         }
         let State { doubtful, runs, paused, .. } = &mut *state;
-        let starts = doubtful.iter().filter_map(|line| notices::named(line).filter(|n| n.0 == "EXEC"));
+        let starts =
+            doubtful.iter().filter_map(|line| notices::action_and_run(line).filter(|n| n.0 == "EXEC"));
         for (id, run) in starts.filter_map(|(_, uid)| runs.get_key_value(uid)) {
             if !run.again {
-                self.outbox.push(notices::kill(id));
+                self.send_queue.push(notices::kill(id));
                 paused.push(id.clone());
             }
         }
@@ -248,16 +259,16 @@
         let mut state = self.lock();
         let State { doubtful, runs, paused, .. } = &mut *state;
         for line in doubtful.drain(..) {
-            let again = notices::named(&line).is_some_and(|(action, uid)| {
+            let again = notices::action_and_run(&line).is_some_and(|(action, uid)| {
                 let proven = action != "EXEC" || paused.iter().any(|id| **id == *uid);
                 runs.get(uid).is_some_and(|run| run.again || proven)
             });
             if again {
-                self.outbox.push(line);
+                self.send_queue.push(line);
             }
         }
         for id in paused.drain(..).filter(|id| runs.contains_key(id)) {
-            self.outbox.push(notices::wake(&id));
+            self.send_queue.push(notices::wake(&id));
         }
     }
 
@@ -271,16 +282,16 @@
 
     fn notice(&self, gate: &Gate, up: &Sender<()>, notice: Notice) -> Result<(), Ending> {
         match notice {
-            Notice::Welcome { cold, up_us } => {
+            Notice::Welcome { is_cold, uptime_us } => {
                 tracing::info!(
                     part = "executor",
                     "up for {} ms, {}",
-                    up_us / 1_000,
-                    if cold { "cold" } else { "warm" }
+                    uptime_us / 1_000,
+                    if is_cold { "cold" } else { "warm" }
                 );
                 self.lock().welcomed = true;
                 self.ask_for_proof();
-                gate.open(cold, up_us);
+                gate.open(is_cold, uptime_us);
                 let _ = up.send(());
             }
             Notice::Exit { pos, uid, end, content } if self.is_new(pos) => {
@@ -295,16 +306,18 @@
                 // Guards against a reply that goes to a later call of its run: the run has gone on, so that what was in
                 // doubt of it had been read, and so had what brought it here on the present link, should that break.
                 let brought_here = |line: &[u8]| {
-                    notices::named(line)
+                    notices::action_and_run(line)
                         .is_some_and(|(action, of)| of == uid && !["KILL", "WAKE"].contains(&action))
                 };
-                self.outbox.settle(brought_here);
-                self.lock().doubtful.retain(|line| notices::named(line).is_none_or(|(_, of)| of != uid));
+                self.send_queue.confirm_matching(brought_here);
+                self.lock()
+                    .doubtful
+                    .retain(|line| notices::action_and_run(line).is_none_or(|(_, of)| of != uid));
                 self.news(&uid, Next::NeedsCall { pos, body });
             }
             Notice::Meters { echo, meters } => {
                 let Ok(tag) = echo.parse() else { return Ok(()) };
-                self.outbox.confirm(&notices::meter(tag));
+                self.send_queue.confirm_through(&notices::meter(tag));
                 if tag > self.lock().doubt_until {
                     self.repeat_doubtful();
                 }
@@ -334,7 +347,7 @@
 
 /// How long after a link that lasted so long the next one is tried: at once, as each moment without a link is one
 /// in which nothing starts. Guards against a peer that nobody listens at, or that ends each link at once.
-pub fn pause_after(lasted: Duration) -> Duration {
+pub fn reconnect_delay(lasted: Duration) -> Duration {
     if lasted < PAUSE {
         PAUSE
     } else {
@@ -348,8 +361,8 @@
     up: &'a Sender<()>,
 }
 
-impl Reader for Link<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for Link<'_> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         let Some((line, taken)) = crate::wire::line(input) else { return Ok(0) };
         if !line.is_empty() {
             let notice = notices::read(line).map_err(Ending::Malformed)?;
@@ -360,6 +373,6 @@
 }
 
 /// A pair for [`Executor::gauges`].
-pub fn rows() -> (Sender<Vec<f64>>, Receiver<Vec<f64>>) {
+pub fn gauge_channel() -> (Sender<Vec<f64>>, Receiver<Vec<f64>>) {
     channel()
 }
--- a/crates/ochrewalk-node/src/net/below.rs
+++ b/crates/ochrewalk-node/src/net/line_upstream.rs
@@ -2,13 +2,16 @@
 //! one spoilt reply makes a connection useless for all calls on it. Connections are kept for a moment, for later
 //! calls that may be made again, and then closed by us before the other side would.
 
-use super::link::{adopt, carry, connect, let_go, Finish, Outbox, Reader};
+use super::buffered_connection::{
+    close_gracefully, connect, drive_connection, stream_from_descriptor, CloseRequest, MessageHandler,
+    SendQueue,
+};
 use crate::clock::Clock;
 use crate::ending::{CallEnd, Ending};
 use crate::gate::{Next, Post};
 use crate::handover::records::{UpstreamConnectionRecord, UpstreamRecord};
 use crate::seam::Beneath;
-use crate::wire::calls::{self, Word};
+use crate::wire::calls::{self, Status};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
 use std::collections::HashMap;
@@ -27,7 +30,7 @@
 const REPLY_US: u64 = 250_000;
 
 #[derive(Clone)]
-pub struct Below(Arc<Links>);
+pub struct LineUpstreamClient(Arc<Links>);
 
 struct Links {
     clock: Clock,
@@ -44,7 +47,7 @@
 /// One connection, from the call that wants it to its end.
 struct Link {
     at: SocketAddr,
-    outbox: Outbox,
+    send_queue: SendQueue,
     carried: Mutex<Carried>,
 }
 
@@ -57,19 +60,23 @@
     over: bool,
 }
 
-impl Below {
-    pub fn new(at: SocketAddr, clock: Clock, most_links: usize) -> Below {
-        Below(Arc::new(Links { clock, most_links, state: Mutex::new(State { at, links: Vec::new() }) }))
+impl LineUpstreamClient {
+    pub fn new(at: SocketAddr, clock: Clock, most_links: usize) -> LineUpstreamClient {
+        LineUpstreamClient(Arc::new(Links {
+            clock,
+            most_links,
+            state: Mutex::new(State { at, links: Vec::new() }),
+        }))
     }
 
     /// Calls go to this place from now on. The links to the one before end with their last reply.
-    pub fn move_to(&self, at: SocketAddr) {
+    pub fn set_address(&self, at: SocketAddr) {
         self.0.lock().at = at;
         self.0.close_idle();
     }
 
     /// Closes connections that have carried nothing for a while, for ever.
-    pub fn watch(&self) {
+    pub fn maintain(&self) {
         loop {
             may::coroutine::sleep(SWEEP);
             self.0.close_idle();
@@ -77,7 +84,7 @@
     }
 }
 
-impl Beneath for Below {
+impl Beneath for LineUpstreamClient {
     fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
         self.0.call(id, wait_ms, body, again, post);
     }
@@ -90,7 +97,9 @@
         let state = self.0.lock();
         let (mut links, mut descriptors) = (Vec::new(), Vec::new());
         // One that is only being made has written nothing: its calls are placed anew.
-        for (link, (fd, stream)) in state.links.iter().filter_map(|link| Some((link, link.outbox.keep()?))) {
+        for (link, (fd, stream)) in
+            state.links.iter().filter_map(|link| Some((link, link.send_queue.snapshot()?)))
+        {
             let carried = link.lock();
             links.push(UpstreamConnectionRecord {
                 endpoint: link.at.to_string(),
@@ -105,11 +114,11 @@
     }
 
     fn nudge(&self) {
-        self.0.lock().links.iter().for_each(|link| link.outbox.nudge());
+        self.0.lock().links.iter().for_each(|link| link.send_queue.wake());
     }
 }
 
-impl Below {
+impl LineUpstreamClient {
     /// Goes on with the connections of another process; the posts are those of the RPCs whose calls they carry.
     pub fn resume(&self, kept: UpstreamRecord, descriptors: Vec<OwnedFd>, posts: &HashMap<RpcId, Post>) {
         let mut state = self.0.lock();
@@ -119,11 +128,11 @@
             let calls = kept.calls.into_iter().filter_map(post).collect();
             let carried = Carried { calls, used_us: kept.used_us, partial_us: kept.partial_us, over: false };
             let at = kept.endpoint.parse().unwrap_or(state.at);
-            let outbox = Outbox::resume(kept.stream, false);
-            let link = Arc::new(Link { at, outbox, carried: Mutex::new(carried) });
+            let send_queue = SendQueue::resume(kept.stream, false);
+            let link = Arc::new(Link { at, send_queue, carried: Mutex::new(carried) });
             state.links.push(link.clone());
             let below = self.0.clone();
-            may::go!(move || below.keep(&link, Some(adopt(descriptor))));
+            may::go!(move || below.keep(&link, Some(stream_from_descriptor(descriptor))));
         }
     }
 }
@@ -151,7 +160,7 @@
             None => {
                 let (calls, used_us) = (HashMap::new(), now_us);
                 let carried = Mutex::new(Carried { calls, used_us, partial_us: None, over: false });
-                let link = Arc::new(Link { at: state.at, outbox: Outbox::default(), carried });
+                let link = Arc::new(Link { at: state.at, send_queue: SendQueue::default(), carried });
                 state.links.push(link.clone());
                 let (below, of) = (self.clone(), link.clone());
                 may::go!(move || below.keep(&of, None));
@@ -163,13 +172,13 @@
             carried.calls.insert(id.clone(), post);
             carried.used_us = now_us;
         }
-        link.outbox.push(calls::call(id, wait_ms, body));
+        link.send_queue.push(calls::call(id, wait_ms, body));
     }
 
     fn give_up(&self, id: &str) {
         let Some(link) = self.carrier(id) else { return };
         if link.lock().calls.remove(id).is_some() {
-            link.outbox.push(calls::give_up(id));
+            link.send_queue.push(calls::cancel(id));
         }
     }
 
@@ -180,9 +189,9 @@
             let now_us = self.clock.now_us();
             let idle_us = now_us.saturating_sub(carried.used_us);
             if carried.partial_us.is_some_and(|from_us| now_us >= from_us + REPLY_US) {
-                link.outbox.finish(Finish::Silent);
+                link.send_queue.request_close(CloseRequest::Silent);
             } else if carried.calls.is_empty() && (idle_us >= TRUSTED_US || link.at != state.at) {
-                link.outbox.finish(Finish::Idle);
+                link.send_queue.request_close(CloseRequest::Idle);
             }
         }
     }
@@ -191,9 +200,13 @@
     fn keep(&self, link: &Arc<Link>, adopted: Option<TcpStream>) {
         let stream = adopted.map_or_else(|| connect(&link.at, CONNECT), Ok);
         let ending = match &stream {
-            Ok(stream) => {
-                carry(stream, &link.outbox, None, calls::LONGEST, &mut Replies { below: self, link })
-            }
+            Ok(stream) => drive_connection(
+                stream,
+                &link.send_queue,
+                None,
+                calls::MAX_REPLY_BYTES,
+                &mut Replies { below: self, link },
+            ),
             Err(ending) => ending.clone(),
         };
         // From here on no call finds it. Guards against a call that comes while it closes as idle.
@@ -203,7 +216,7 @@
             carried.over = true;
             std::mem::take(&mut carried.calls)
         };
-        let unwritten = link.outbox.take_unwritten();
+        let unwritten = link.send_queue.take_unwritten();
         let never_written = |id: &str| {
             let start = format!("CALL {id} ");
             unwritten.iter().any(|line| line.starts_with(start.as_bytes()))
@@ -217,7 +230,7 @@
             post.send(Next::CallEnded(end));
         }
         if let Ok(stream) = stream {
-            let_go(&stream, &ending, || self.lock().links.len() >= self.most_links);
+            close_gracefully(&stream, &ending, || self.lock().links.len() >= self.most_links);
         }
         self.lock().links.retain(|other| !Arc::ptr_eq(other, link));
     }
@@ -242,8 +255,8 @@
     link: &'a Link,
 }
 
-impl Reader for Replies<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for Replies<'_> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         let now_us = self.below.clock.now_us();
         let Some((reply, taken)) = calls::read(input).map_err(Ending::Malformed)? else {
             self.link.lock().partial_us.get_or_insert(now_us);
@@ -256,22 +269,22 @@
         };
         // One that was given up may still be answered.
         if let Some(post) = post {
-            post.send(Next::CallEnded(match reply.word {
-                Word::Ok => CallEnd::Good(reply.body.to_vec()),
-                Word::Busy => CallEnd::PushedBack,
-                Word::Err => CallEnd::Failed,
-                Word::Late => CallEnd::OutOfTime,
-                Word::Void => CallEnd::Moot,
+            post.send(Next::CallEnded(match reply.status {
+                Status::Ok => CallEnd::Good(reply.body.to_vec()),
+                Status::Busy => CallEnd::PushedBack,
+                Status::Err => CallEnd::Failed,
+                Status::Late => CallEnd::OutOfTime,
+                Status::Void => CallEnd::Moot,
             }));
         }
         Ok(taken)
     }
 
-    fn may_end(&self, how: Finish) -> bool {
+    fn may_close(&self, request: CloseRequest) -> bool {
         let carried = self.link.lock();
         let now_us = self.below.clock.now_us();
-        match how {
-            Finish::Silent => carried.partial_us.is_some_and(|from_us| now_us >= from_us + REPLY_US),
+        match request {
+            CloseRequest::Silent => carried.partial_us.is_some_and(|from_us| now_us >= from_us + REPLY_US),
             _ => carried.calls.is_empty() && carried.partial_us.is_none(),
         }
     }
--- a/crates/ochrewalk-node/src/net/mod.rs
+++ b/crates/ochrewalk-node/src/net/mod.rs
@@ -1,11 +1,11 @@
-//! The sockets: who is connected to whom, and the bytes that pass.
+//! Network connections: to dispatchers, to AJP clients, to the executor, to the directory and to upstreams.
 
-pub mod ajp_below;
-pub mod ajp_front;
-pub mod below;
+pub mod ajp_ingress;
+pub mod ajp_upstream;
+pub mod buffered_connection;
 pub mod directory;
 pub mod dispatchers;
 pub mod executor;
-pub mod front;
-pub mod link;
+pub mod line_upstream;
+pub mod listener;
 pub mod status;
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -12,13 +12,13 @@
 use crate::keys::Keys;
 use crate::life::{Call, Life, Placed};
 use crate::live::Living;
-use crate::net::ajp_below::AjpBelow;
-use crate::net::ajp_front::{self, AjpFront, Open};
-use crate::net::below::Below;
+use crate::net::ajp_ingress::{self, AjpIngress, ReloadableConfig};
+use crate::net::ajp_upstream::AjpUpstreamClient;
 use crate::net::dispatchers::{self, Dispatchers};
-use crate::net::executor::{rows, Executor};
-use crate::net::front::accept_all;
-use crate::net::{directory, link::adopt, status};
+use crate::net::executor::{gauge_channel, Executor};
+use crate::net::line_upstream::LineUpstreamClient;
+use crate::net::listener::accept_connections;
+use crate::net::{buffered_connection::stream_from_descriptor, directory, status};
 use crate::seam::{Answer, Asker, Beneath};
 use may::net::TcpListener;
 use may::sync::mpsc::{channel, Sender};
@@ -69,7 +69,7 @@
 #[derive(Default)]
 pub(super) struct Resumed {
     json: Vec<(Arc<dispatchers::Connection>, OwnedFd)>,
-    ajp: Vec<(Arc<ajp_front::Connection>, OwnedFd)>,
+    ajp: Vec<(Arc<ajp_ingress::Connection>, OwnedFd)>,
     lives: Vec<(Arc<Living>, Ticket)>,
     /// News for lives whose calls did not come along.
     ends: Vec<(Post, CallEnd)>,
@@ -142,9 +142,14 @@
         None => (Executor::new(placement.executor, pauses), None),
     };
     let status = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.status_socket.clone());
-    let by_ajp =
-        operators.ajp_upstream.clone().map(|settings| AjpBelow::new(settings, clock, placement.seed));
-    let store = placement.upstream.filter(|_| by_ajp.is_none()).map(|at| Below::new(at, clock, most_links));
+    let by_ajp = operators
+        .ajp_upstream
+        .clone()
+        .map(|settings| AjpUpstreamClient::new(settings, clock, placement.seed));
+    let store = placement
+        .upstream
+        .filter(|_| by_ajp.is_none())
+        .map(|at| LineUpstreamClient::new(at, clock, most_links));
     let below: Option<Arc<dyn Beneath>> = match (&by_ajp, &store) {
         (Some(by_ajp), _) => Some(Arc::new(by_ajp.clone())),
         (None, Some(store)) => Some(Arc::new(store.clone())),
@@ -162,10 +167,13 @@
     let dispatchers = Arc::new(Dispatchers::new(core.clone(), most));
     let directory = Mutex::new(placement.directory);
     let ajp = operators.ajp_listener.clone().map(|settings| {
-        let open =
-            Open { allowed_peers: settings.allowed_peers, rules: settings.rules, quotas: Arc::default() };
+        let open = ReloadableConfig {
+            allowed_peers: settings.allowed_peers,
+            rules: settings.rules,
+            quotas: Arc::default(),
+        };
         let (packet, idle_us) = (settings.max_packet_bytes, settings.idle_timeout_us);
-        AjpFront::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
+        AjpIngress::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
     });
     let agent = prepare_configuration(placement, &operators, ajp.as_ref(), by_ajp.as_ref())
         .map_err(|error| error.to_string())?;
@@ -257,32 +265,32 @@
         tracing::info!(part = "ajp", "node {name} listens");
         let of = front.clone();
         may::go!(move || of.sweep());
-        may::go!(move || accept_all(&front, &listener));
+        may::go!(move || accept_connections(&front, &listener));
     }
     if let Some(by_ajp) = node.by_ajp.clone() {
         if let Some(status) = status {
             status::serve(&status, by_ajp.clone());
         }
-        may::go!(move || by_ajp.watch());
+        may::go!(move || by_ajp.maintain());
     }
     let core = node.core.clone();
     let (report_now, changed) = channel();
     let (of, report) = (core.clone(), report_now.clone());
-    let link = resumed.link.map(adopt);
-    may::go!(move || of.executor.keep_up(&of.gate, &report, link));
+    let link = resumed.link.map(stream_from_descriptor);
+    may::go!(move || of.executor.maintain_connection(&of.gate, &report, link));
     if let Some(store) = node.store.clone() {
         if let Some((kept, descriptors, posts)) = resumed.below {
             store.resume(kept, descriptors, &posts);
         }
-        may::go!(move || store.watch());
+        may::go!(move || store.maintain());
     }
     for (living, ticket) in resumed.lives {
         core.go_on(living, ticket);
     }
     resumed.ends.into_iter().for_each(|(post, end)| post.send(Next::CallEnded(end)));
-    node.dispatchers.go_on(resumed.json);
+    node.dispatchers.serve_resumed(resumed.json);
     if let Some(front) = &node.ajp {
-        front.go_on(resumed.ajp);
+        front.serve_resumed(resumed.ajp);
     }
     let of = core.clone();
     may::go!(move || loop {
@@ -290,7 +298,7 @@
     });
     let of = core;
     may::go!(move || {
-        let rows = rows();
+        let rows = gauge_channel();
         loop {
             of.gate.wait_due(&stirred.earlier);
             let row = of.executor.gauges(&rows).unwrap_or_default();
@@ -301,11 +309,11 @@
     may::go!(move || {
         let at = || *of.directory.lock().expect("never held over a panic");
         let healthy = || of.core.gate.posture().healthy;
-        directory::keep(at, &name, healthy, &changed);
+        directory::report_periodically(at, &name, healthy, &changed);
     });
     let of = node.dispatchers.clone();
     may::go!(move || of.sweep());
     let of = node.dispatchers.clone();
-    may::go!(move || accept_all(&of, &listener));
+    may::go!(move || accept_connections(&of, &listener));
     (node, report_now)
 }
--- a/crates/ochrewalk-node/src/node/leaving.rs
+++ b/crates/ochrewalk-node/src/node/leaving.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::core::Core;
-use crate::net::front::shut;
+use crate::net::listener::close_listener;
 use may::sync::mpsc::Sender;
 use std::time::Duration;
 
@@ -21,20 +21,20 @@
     };
     gate.leave(stop_ms.saturating_sub(FLUSH_MS) * 1_000);
     let _ = report_now.send(());
-    node.dispatchers.leave();
+    node.dispatchers.drain();
     if let Some(front) = &node.ajp {
-        front.leave();
+        front.drain();
     }
     at(stop_ms.saturating_sub(FLUSH_MS));
-    shut(&node.dispatchers);
+    close_listener(&node.dispatchers);
     if let Some(front) = &node.ajp {
-        shut(front);
+        close_listener(front);
     }
     // Who connected just before still writes, and gets an answer.
     at(stop_ms.saturating_sub(LAST_MS));
-    node.dispatchers.finish();
+    node.dispatchers.request_close();
     if let Some(front) = &node.ajp {
-        front.finish();
+        front.request_close();
     }
     let connections = || node.dispatchers.count() + node.ajp.as_ref().map_or(0, |front| front.count());
     // What is still on its way to us is read, so that no answer is reset.
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -18,10 +18,10 @@
 use crate::handover::supervisor_link::{supervised, Supervised, SupervisorLink};
 use crate::handover::supervisor_protocol::ChildLine;
 use crate::logger::Logs;
-use crate::net::ajp_below::AjpBelow;
-use crate::net::ajp_front::AjpFront;
-use crate::net::below::Below;
+use crate::net::ajp_ingress::AjpIngress;
+use crate::net::ajp_upstream::AjpUpstreamClient;
 use crate::net::dispatchers::Dispatchers;
+use crate::net::line_upstream::LineUpstreamClient;
 use crate::tally::ReportedCalls;
 use assembly::{begin, build};
 use leaving::{leave, END_MS};
@@ -53,9 +53,9 @@
 /// What signals and hand-overs act on.
 pub struct Node {
     pub core: Arc<Core>,
-    store: Option<Below>,
-    by_ajp: Option<AjpBelow>,
-    pub ajp: Option<Arc<AjpFront>>,
+    store: Option<LineUpstreamClient>,
+    by_ajp: Option<AjpUpstreamClient>,
+    pub ajp: Option<Arc<AjpIngress>>,
     /// Where the directory is.
     directory: Mutex<SocketAddr>,
     pub dispatchers: Arc<Dispatchers>,
--- a/crates/ochrewalk-node/src/node/reload.rs
+++ b/crates/ochrewalk-node/src/node/reload.rs
@@ -1,7 +1,7 @@
 //! What a node takes over from its files when it is told to read them again.
 
 use super::{Files, Node, READINGS};
-use crate::net::ajp_front::Open;
+use crate::net::ajp_ingress::ReloadableConfig;
 use may::sync::mpsc::Sender;
 use ochrewalk::deployment::Placement;
 use ochrewalk_operator_config::{changes, ChangeClass, OperatorConfig};
@@ -59,9 +59,9 @@
         }
         None => take_over_file(node, operators),
     }
-    node.core.executor.move_to(executor);
+    node.core.executor.set_address(executor);
     if let (Some(links), Some(at)) = (&node.store, below) {
-        links.move_to(at);
+        links.set_address(at);
     }
     *node.directory.lock().expect("never held over a panic") = directory;
     let _ = report_now.send(());
@@ -70,9 +70,13 @@
 
 fn take_over_file(node: &Node, operators: OperatorConfig) {
     if let (Some(front), Some(newer)) = (&node.ajp, operators.ajp_listener) {
-        front.change(Open { allowed_peers: newer.allowed_peers, rules: newer.rules, quotas: Arc::default() });
+        front.replace_config(ReloadableConfig {
+            allowed_peers: newer.allowed_peers,
+            rules: newer.rules,
+            quotas: Arc::default(),
+        });
     }
     if let (Some(by_ajp), Some(newer)) = (&node.by_ajp, &operators.ajp_upstream) {
-        by_ajp.relist(&newer.endpoints);
+        by_ajp.set_endpoints(&newer.endpoints);
     }
 }
--- a/crates/ochrewalk-node/src/wire/calls.rs
+++ b/crates/ochrewalk-node/src/wire/calls.rs
@@ -1,14 +1,16 @@
-//! The lines in which calls go below and replies come back. Bodies have their length stated and stay as they
-//! are.
+//! The line protocol for upstream calls and their replies. Bodies are length-prefixed and are passed through
+//! unchanged.
 
-/// The longest reply that is read.
-pub const LONGEST: usize = 64 * 1024;
+/// The maximum size of a reply, in bytes.
+pub const MAX_REPLY_BYTES: usize = 64 * 1024;
 
-/// The longest first line of a reply: an id, a word, a length. Guards against noise that never ends a line.
-const LONGEST_HEAD: usize = 128;
+/// The maximum size of a reply's first line, which holds an id, a status and a length. Rejects malformed input
+/// that never ends a line.
+const MAX_HEAD_BYTES: usize = 128;
 
+/// The status of a reply, under the name that the protocol gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Status {
     Ok,
     Busy,
     Err,
@@ -19,11 +21,11 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply<'a> {
     pub id: &'a str,
-    pub word: Word,
+    pub status: Status,
     pub body: &'a [u8],
 }
 
-/// `head` and the body are put in one piece, so that they are written together.
+/// Encodes a call. The first line and the body share one buffer, so that they are written together.
 pub fn call(id: &str, wait_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut line = format!("CALL {id} {wait_ms} {}\r\n", body.len()).into_bytes();
     line.extend_from_slice(body);
@@ -31,40 +33,54 @@
     line
 }
 
-pub fn give_up(id: &str) -> Vec<u8> {
+/// Encodes the cancellation of a call.
+pub fn cancel(id: &str) -> Vec<u8> {
     format!("DROP {id}\r\n").into_bytes()
 }
 
-/// The first whole reply of what was read, and how many bytes it takes.
+/// Parses the first complete reply in `input`, and returns it with the number of bytes that it takes.
+///
+/// Returns `None` until the reply has been received completely.
+///
+/// # Errors
+///
+/// The input is not a reply; the text states the reason.
 pub fn read(input: &[u8]) -> Result<Option<(Reply<'_>, usize)>, String> {
-    let Some((head, head_len)) = super::line(&input[..input.len().min(LONGEST_HEAD)]) else {
-        return if input.len() < LONGEST_HEAD { Ok(None) } else { Err("a reply without a line".into()) };
+    let Some((head, head_len)) = super::line(&input[..input.len().min(MAX_HEAD_BYTES)]) else {
+        return if input.len() < MAX_HEAD_BYTES {
+            Ok(None)
+        } else {
+            Err("the first line of a reply is too long".into())
+        };
     };
-    let head = std::str::from_utf8(head).map_err(|_| "a reply that is no text")?;
-    let mut words = head.split(' ');
-    let (id, word) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
-    let word = match word {
-        "OK" => Word::Ok,
-        "BUSY" => Word::Busy,
-        "ERR" => Word::Err,
-        "LATE" => Word::Late,
-        "VOID" => Word::Void,
-        _ => return Err(format!("unknown reply {word:.20}")),
+    let head = std::str::from_utf8(head).map_err(|_| "the first line of a reply is not UTF-8")?;
+    let mut fields = head.split(' ');
+    let (id, status) = (fields.next().unwrap_or(""), fields.next().unwrap_or(""));
+    let status = match status {
+        "OK" => Status::Ok,
+        "BUSY" => Status::Busy,
+        "ERR" => Status::Err,
+        "LATE" => Status::Late,
+        "VOID" => Status::Void,
+        _ => return Err(format!("unknown reply status {status:.20}")),
     };
-    let length = match words.next() {
-        Some(text) => {
-            Some(text.parse::<usize>().ok().filter(|n| *n < LONGEST).ok_or("a length out of range")?)
-        }
-        None if word == Word::Ok => return Err("OK without a length".into()),
+    let length = match fields.next() {
+        Some(text) => Some(
+            text.parse::<usize>()
+                .ok()
+                .filter(|n| *n < MAX_REPLY_BYTES)
+                .ok_or("the length of a reply is out of range")?,
+        ),
+        None if status == Status::Ok => return Err("an OK reply has no length".into()),
         None => None,
     };
-    let Some(length) = length else { return Ok(Some((Reply { id, word, body: &[] }, head_len))) };
-    let whole = head_len + length + 2;
-    if input.len() < whole {
+    let Some(length) = length else { return Ok(Some((Reply { id, status, body: &[] }, head_len))) };
+    let total = head_len + length + 2;
+    if input.len() < total {
         return Ok(None);
     }
-    if &input[head_len + length..whole] != b"\r\n" {
-        return Err("a reply longer than its length".into());
+    if &input[head_len + length..total] != b"\r\n" {
+        return Err("a reply is longer than its stated length".into());
     }
-    Ok(Some((Reply { id, word, body: &input[head_len..head_len + length] }, whole)))
+    Ok(Some((Reply { id, status, body: &input[head_len..head_len + length] }, total)))
 }
--- a/crates/ochrewalk-node/src/wire/mod.rs
+++ b/crates/ochrewalk-node/src/wire/mod.rs
@@ -1,14 +1,15 @@
-//! The four protocols as bytes: what is read is taken apart, what is written is put together. Nothing here
-//! touches a socket or a clock.
+//! Parsers and encoders for the four text protocols that the node speaks. The functions work on byte slices
+//! alone and touch neither a socket nor a clock.
 
 pub mod calls;
 pub mod jsonrpc;
 pub mod notices;
 pub mod reports;
 
-/// The first whole line of what was read, without its end, and how many bytes it takes.
+/// Returns the first complete line of `input` without its line ending, and the number of bytes that the line
+/// takes together with the ending.
 ///
-/// A line may end in LF or CR LF; what has no end yet is no line.
+/// A line may end in LF or CR LF. Returns `None` until the line ending has been received.
 pub fn line(input: &[u8]) -> Option<(&[u8], usize)> {
     let end = input.iter().position(|b| *b == b'\n')?;
     let line = &input[..end];
--- a/crates/ochrewalk-node/src/wire/notices.rs
+++ b/crates/ochrewalk-node/src/wire/notices.rs
@@ -1,28 +1,29 @@
-//! The executor's commands and notices, JSON objects of one line each. Contents stay the bytes that came.
+//! Commands to the executor and its notices, one JSON object per line. Contents are passed through as the bytes
+//! that were received.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 use std::fmt::Display;
 
-/// The longest line that is read: the largest result in base64 with room to spare.
-pub const LONGEST: usize = 64 * 1024;
+/// The maximum size of a line, in bytes: more than the largest result in base64.
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     Complete,
     Failed,
     Stopped,
-    /// Nothing was started.
+    /// The run was never started.
     NeverRan,
-    /// Nothing was started, as the executor knows of no such RPC: its sender made it up.
+    /// The run was never started, as the executor does not know the RPC: its sender made the id up.
     Unknown,
 }
 
 #[derive(Debug)]
 pub enum Notice<'a> {
-    Welcome { cold: bool, up_us: u64 },
+    Welcome { is_cold: bool, uptime_us: u64 },
     Exit { pos: u64, uid: Cow<'a, str>, end: RunEnd, content: Option<&'a RawValue> },
     Callout { pos: u64, uid: Cow<'a, str>, content: &'a RawValue },
     Meters { echo: Cow<'a, str>, meters: Vec<f64> },
@@ -47,22 +48,26 @@
     meters: Option<Vec<f64>>,
 }
 
-/// The error says in a word or two what is wrong.
+/// Parses one line.
+///
+/// # Errors
+///
+/// The line is not a notice; the text states the fault in a few words.
 pub fn read(line: &[u8]) -> Result<Notice<'_>, String> {
     if !line.starts_with(b"{") {
-        return Err("no object".into());
+        return Err("not a JSON object".into());
     }
-    let line: Line = serde_json::from_slice(line).map_err(|err| format!("no notice: {err}"))?;
-    let lacks = |field: &str| format!("{}: field {field} is missing or wrong", line.action);
+    let line: Line = serde_json::from_slice(line).map_err(|err| format!("not a notice: {err}"))?;
+    let invalid_field = |field: &str| format!("{}: field {field} is missing or wrong", line.action);
     let content = line.content.filter(|c| c.get().starts_with('"'));
     Ok(match &*line.action {
         "WELCOME" => Notice::Welcome {
-            cold: match line.code.as_deref() {
+            is_cold: match line.code.as_deref() {
                 Some("chilly") => true,
                 Some("hot") => false,
-                _ => return Err(lacks("code")),
+                _ => return Err(invalid_field("code")),
             },
-            up_us: (line.wall_ms.unwrap_or(0.0).max(0.0) * 1_000.0) as u64,
+            uptime_us: (line.wall_ms.unwrap_or(0.0).max(0.0) * 1_000.0) as u64,
         },
         "EXIT" => {
             let end = match line.code.as_deref() {
@@ -70,17 +75,17 @@
                 Some("error") => RunEnd::Failed,
                 Some("cancelled") => RunEnd::Stopped,
                 Some("unknown") => RunEnd::NeverRan,
-                _ => return Err(lacks("code")),
+                _ => return Err(invalid_field("code")),
             };
             if end == RunEnd::Complete && content.is_none() {
-                return Err(lacks("content"));
+                return Err(invalid_field("content"));
             }
-            let pos = line.pos.ok_or_else(|| lacks("pos"))?;
+            let pos = line.pos.ok_or_else(|| invalid_field("pos"))?;
             Notice::Exit { pos, uid: line.uid.ok_or("EXIT: field uid is missing")?, end, content }
         }
         "CALLOUT" => Notice::Callout {
-            pos: line.pos.ok_or_else(|| lacks("pos"))?,
-            content: content.ok_or_else(|| lacks("content"))?,
+            pos: line.pos.ok_or_else(|| invalid_field("pos"))?,
+            content: content.ok_or_else(|| invalid_field("content"))?,
             uid: line.uid.ok_or("CALLOUT: field uid is missing")?,
         },
         "METERS" => Notice::Meters {
@@ -93,28 +98,29 @@
     })
 }
 
-/// The action and the run that a command of ours names.
+/// Returns the action and the run id of an encoded command, or `None` for a command that names no run.
 ///
 /// ```
-/// use ochrewalk_node::wire::notices::{kill, meter, named};
-/// assert_eq!(named(&kill("ab")), Some(("KILL", "ab")));
-/// assert_eq!(named(&meter(7)), None);
+/// use ochrewalk_node::wire::notices::{action_and_run, kill, meter};
+/// assert_eq!(action_and_run(&kill("ab")), Some(("KILL", "ab")));
+/// assert_eq!(action_and_run(&meter(7)), None);
 /// ```
-pub fn named(command: &[u8]) -> Option<(&str, &str)> {
+pub fn action_and_run(command: &[u8]) -> Option<(&str, &str)> {
     let rest = std::str::from_utf8(command).ok()?.strip_prefix("{\"action\":\"")?;
     let (action, rest) = rest.split_once("\",\"uid\":\"")?;
     Some((action, rest.split_once('"')?.0))
 }
 
-pub fn join(read: u64) -> Vec<u8> {
-    format!("{{\"action\":\"JOIN\",\"pos\":{read}}}\n").into_bytes()
+/// Encodes the first command on a connection. `last_read` is the position of the last notice that was read.
+pub fn join(last_read: u64) -> Vec<u8> {
+    format!("{{\"action\":\"JOIN\",\"pos\":{last_read}}}\n").into_bytes()
 }
 
 fn command(action: &str, uid: &str, rest: impl Display) -> Vec<u8> {
     format!("{{\"action\":\"{action}\",\"uid\":\"{uid}\"{rest}}}\n").into_bytes()
 }
 
-/// `lane` and `content` are JSON strings.
+/// Encodes the start of a run. `lane` and `content` are JSON strings.
 pub fn exec(uid: &str, lane: &str, content: &str) -> Vec<u8> {
     command("EXEC", uid, format_args!(",\"lane\":{lane},\"content\":{content}"))
 }
@@ -127,7 +133,7 @@
     command("WAKE", uid, "")
 }
 
-pub fn give_back(uid: &str, base64: &str) -> Vec<u8> {
+pub fn return_reply(uid: &str, base64: &str) -> Vec<u8> {
     command("RETURN", uid, format_args!(",\"content\":\"{base64}\""))
 }
 
@@ -135,6 +141,7 @@
     command("BYPASS", uid, format_args!(",\"pos\":{pos}"))
 }
 
+/// Encodes a request for the gauges; the reply echoes `tag`.
 pub fn meter(tag: u64) -> Vec<u8> {
     format!("{{\"action\":\"METER\",\"echo\":\"{tag}\"}}\n").into_bytes()
 }
--- a/crates/ochrewalk-node/tests/crossings/listeners.rs
+++ b/crates/ochrewalk-node/tests/crossings/listeners.rs
@@ -1,7 +1,7 @@
 //! A listener that shuts while connections wait with the system.
 
 use may::net::TcpStream;
-use ochrewalk_node::net::front::{shut, Front};
+use ochrewalk_node::net::listener::{close_listener, ConnectionListener};
 use std::net::TcpListener;
 use std::sync::{Arc, Mutex};
 
@@ -11,10 +11,10 @@
     came: Mutex<Vec<TcpStream>>,
 }
 
-impl Front for Door {
+impl ConnectionListener for Door {
     const PART: &'static str = "door";
 
-    fn keep_listener(&self, listener: TcpListener) {
+    fn store_listener(&self, listener: TcpListener) {
         *self.listener.lock().unwrap() = Some(listener);
     }
 
@@ -22,19 +22,19 @@
         self.listener.lock().unwrap().take()
     }
 
-    fn is_shut(&self) -> bool {
+    fn is_closed(&self) -> bool {
         self.listener.lock().unwrap().is_none()
     }
 
-    fn most(&self) -> usize {
+    fn max_connections(&self) -> usize {
         5
     }
 
-    fn make_room(&self) -> bool {
+    fn ensure_capacity(&self) -> bool {
         true
     }
 
-    fn welcome(self: &Arc<Self>, stream: TcpStream) {
+    fn serve_connection(self: &Arc<Self>, stream: TcpStream) {
         self.came.lock().unwrap().push(stream);
     }
 }
@@ -45,10 +45,10 @@
     let (door, listener) = (Arc::new(Door::default()), TcpListener::bind("127.0.0.1:0").unwrap());
     let at = listener.local_addr().unwrap();
     listener.set_nonblocking(true).unwrap();
-    door.keep_listener(listener);
+    door.store_listener(listener);
     let waiting: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(at).unwrap()).collect();
-    shut(&door);
+    close_listener(&door);
     let came: Vec<_> = door.came.lock().unwrap().iter().map(|s| s.peer_addr().unwrap()).collect();
     assert_eq!(came, waiting.iter().map(|s| s.local_addr().unwrap()).collect::<Vec<_>>());
-    assert!(door.is_shut() && std::net::TcpStream::connect(at).is_err());
+    assert!(door.is_closed() && std::net::TcpStream::connect(at).is_err());
 }
--- a/crates/ochrewalk-node/tests/crossings/panics.rs
+++ b/crates/ochrewalk-node/tests/crossings/panics.rs
@@ -3,7 +3,9 @@
 use crate::helper::listener;
 use may::net::TcpStream;
 use ochrewalk_node::ending::Ending;
-use ochrewalk_node::net::link::{adopt, carry, Outbox, Reader};
+use ochrewalk_node::net::buffered_connection::{
+    drive_connection, stream_from_descriptor, MessageHandler, SendQueue,
+};
 use ochrewalk_node::panics::{end_on_others, STATUS};
 use std::io::{ErrorKind, Write};
 use std::process::{Command, Stdio};
@@ -13,8 +15,8 @@
 /// Panics at what it reads.
 struct Flawed;
 
-impl Reader for Flawed {
-    fn take(&mut self, _input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for Flawed {
+    fn handle_message(&mut self, _input: &[u8]) -> Result<usize, Ending> {
         panic!("a flaw that these bytes meet")
     }
 }
@@ -27,8 +29,8 @@
     stream.set_nonblocking(true).unwrap();
     peer.write_all(b"bytes").unwrap();
     let carried = may::go!(move || {
-        let stream: TcpStream = adopt(stream.into());
-        carry(&stream, &Outbox::default(), None, 64, &mut Flawed)
+        let stream: TcpStream = stream_from_descriptor(stream.into());
+        drive_connection(&stream, &SendQueue::default(), None, 64, &mut Flawed)
     });
     carried.join().unwrap()
 }
--- a/crates/ochrewalk-node/tests/crossings/streams.rs
+++ b/crates/ochrewalk-node/tests/crossings/streams.rs
@@ -2,7 +2,9 @@
 
 use may::net::TcpStream;
 use ochrewalk_node::ending::Ending;
-use ochrewalk_node::net::link::{adopt, carry, let_go, Finish, Outbox, Reader};
+use ochrewalk_node::net::buffered_connection::{
+    close_gracefully, drive_connection, stream_from_descriptor, CloseRequest, MessageHandler, SendQueue,
+};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -14,34 +16,34 @@
     late: &'static [u8],
     /// An answer that it owes before it may end.
     owes: Mutex<Option<&'static [u8]>>,
-    outbox: Arc<Outbox>,
+    send_queue: Arc<SendQueue>,
     deaf: bool,
 }
 
-impl Reader for Crossed {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for Crossed {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         let Some((line, taken)) = ochrewalk_node::wire::line(input) else { return Ok(0) };
         self.heard.lock().unwrap().push(String::from_utf8_lossy(line).into_owned());
         Ok(taken)
     }
 
-    fn ready(&self) -> bool {
+    fn may_read(&self) -> bool {
         !self.deaf
     }
 
-    fn may_end(&self, _how: Finish) -> bool {
+    fn may_close(&self, _request: CloseRequest) -> bool {
         // What is owed is given a moment after the end was asked for.
         if let Some(answer) = self.owes.lock().unwrap().take() {
-            self.outbox.push(answer.to_vec());
+            self.send_queue.push(answer.to_vec());
             return false;
         }
         (&self.peer).write_all(self.late).unwrap();
         true
     }
 
-    fn too_long(&mut self) -> Result<(), Ending> {
+    fn on_oversized_message(&mut self) -> Result<(), Ending> {
         self.deaf = true;
-        self.outbox.finish(Finish::Faulty);
+        self.send_queue.request_close(CloseRequest::Faulty);
         Ok(())
     }
 }
@@ -57,7 +59,7 @@
 /// A stream that has an answer to write, is asked to end so, and whose peer has sent `first` and sends `late` in the
 /// last instant. The peer reads once all of that has happened.
 fn crossing(
-    how: Option<Finish>,
+    how: Option<CloseRequest>,
     first: &'static [u8],
     late: &'static [u8],
     owes: Option<&'static [u8]>,
@@ -72,26 +74,26 @@
         std::thread::yield_now();
     }
     let heard = Arc::new(Mutex::new(Vec::new()));
-    let (outbox, of) = (Arc::new(Outbox::default()), heard.clone());
+    let (send_queue, of) = (Arc::new(SendQueue::default()), heard.clone());
     let (carried, ended) = std::sync::mpsc::channel();
-    let leaves = how == Some(Finish::Leaving);
+    let leaves = how == Some(CloseRequest::Leaving);
     let handle = may::go!(move || {
-        let stream: TcpStream = adopt(stream.into());
+        let stream: TcpStream = stream_from_descriptor(stream.into());
         let mut reader = Crossed {
             heard: of,
             peer: writer,
             late,
             owes: Mutex::new(owes),
-            outbox: outbox.clone(),
+            send_queue: send_queue.clone(),
             deaf: false,
         };
-        outbox.push(b"answer\n".to_vec());
+        send_queue.push(b"answer\n".to_vec());
         if let Some(how) = how {
-            outbox.finish(how);
+            send_queue.request_close(how);
         }
-        let ending = carry(&stream, &outbox, None, 64, &mut reader);
+        let ending = drive_connection(&stream, &send_queue, None, 64, &mut reader);
         carried.send(()).unwrap();
-        let_go(&stream, &ending, || false);
+        close_gracefully(&stream, &ending, || false);
         ending
     });
     // One that leaves ends with its peer.
@@ -116,9 +118,9 @@
 fn bytes_that_cross_a_close_take_no_answer_with_them() {
     for late in [b"half a li".as_slice(), b"whole\n", b"one\ntwo\nthr", b""] {
         for (how, ending) in [
-            (Finish::Idle, Ending::Idle),
-            (Finish::Silent, Ending::Silent),
-            (Finish::Faulty, Ending::Malformed("too many faults".into())),
+            (CloseRequest::Idle, Ending::Idle),
+            (CloseRequest::Silent, Ending::Silent),
+            (CloseRequest::Faulty, Ending::Malformed("too many faults".into())),
         ] {
             let crossed = crossing(Some(how), b"", late, None);
             assert!(crossed.in_order, "{how:?} was reset");
@@ -131,7 +133,7 @@
 /// Once our side is shut nothing is taken: it could never be answered.
 #[test]
 fn nothing_is_taken_from_a_stream_whose_write_side_is_shut() {
-    let crossed = crossing(Some(Finish::Leaving), b"", b"whole\nhalf", None);
+    let crossed = crossing(Some(CloseRequest::Leaving), b"", b"whole\nhalf", None);
     assert_eq!((crossed.ending, crossed.read), (Ending::Leaving, b"answer\n".to_vec()));
     assert_eq!(crossed.heard, Vec::<String>::new());
 }
@@ -139,7 +141,7 @@
 /// What was read before the end was asked for is answered before our side is shut.
 #[test]
 fn an_answer_that_is_given_after_the_end_was_asked_for_is_written() {
-    let crossed = crossing(Some(Finish::Leaving), b"one\n", b"", Some(b"owed\n"));
+    let crossed = crossing(Some(CloseRequest::Leaving), b"one\n", b"", Some(b"owed\n"));
     assert_eq!(String::from_utf8(crossed.read).unwrap(), "answer\nowed\n");
     assert_eq!((crossed.ending, crossed.in_order), (Ending::Leaving, true));
 }
--- a/crates/ochrewalk-node/tests/link.rs
+++ b/crates/ochrewalk-node/tests/link.rs
@@ -1,88 +1,103 @@
-//! One stream, carried to its end: what lies unread in it is read before it ends as silent, idle or faulty.
+//! Tests that a buffered connection reads the received input before it closes as idle, silent, faulty or moved.
 
 use may::net::{TcpListener, TcpStream};
 use ochrewalk_node::ending::Ending;
-use ochrewalk_node::net::link::{carry, Finish, Outbox, Reader};
+use ochrewalk_node::net::buffered_connection::{drive_connection, CloseRequest, MessageHandler, SendQueue};
 use std::io::{Read, Write};
 use std::time::Duration;
 
-/// Far longer than a stream takes to end that ends.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time limit for a read, far longer than a close takes.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Takes lines and lets the stream end where no line came.
-struct Lines {
-    heard: Vec<String>,
-    yields: bool,
+/// Records lines. Agrees to a close where no line was received, or always.
+struct LineRecorder {
+    received: Vec<String>,
+    always_agrees: bool,
 }
 
-impl Reader for Lines {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+impl MessageHandler for LineRecorder {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         let Some((line, taken)) = ochrewalk_node::wire::line(input) else { return Ok(0) };
-        self.heard.push(String::from_utf8_lossy(line).into_owned());
+        self.received.push(String::from_utf8_lossy(line).into_owned());
         Ok(taken)
     }
 
-    fn may_end(&self, _how: Finish) -> bool {
-        self.yields || self.heard.is_empty()
+    fn may_close(&self, _request: CloseRequest) -> bool {
+        self.always_agrees || self.received.is_empty()
     }
 }
 
-/// A node kept from reading: it is asked to end the stream before it looks at what lies there.
-fn asked_while_unread(how: Finish, yields: bool, sent: &'static str) -> (Vec<String>, Ending) {
+/// Requests a close before the connection has read the input, as on a node that is slow to read. Returns the lines that
+/// were received and the reason of the close.
+fn close_with_unread_input(
+    request: CloseRequest,
+    always_agrees: bool,
+    sent: &'static str,
+) -> (Vec<String>, Ending) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     peer.write_all(sent.as_bytes()).unwrap();
-    let carried = may::go!(move || {
+    let handle = may::go!(move || {
         let (stream, _): (TcpStream, _) = listener.accept().unwrap();
         while stream.inner().peek(&mut [0]).is_err() && !sent.is_empty() {
             may::coroutine::yield_now();
         }
-        let (outbox, mut lines) = (Outbox::default(), Lines { heard: Vec::new(), yields });
-        outbox.finish(how);
-        let ending = carry(&stream, &outbox, None, 64, &mut lines);
-        (lines.heard, ending)
+        let (send_queue, mut lines) =
+            (SendQueue::default(), LineRecorder { received: Vec::new(), always_agrees });
+        send_queue.request_close(request);
+        let ending = drive_connection(&stream, &send_queue, None, 64, &mut lines);
+        (lines.received, ending)
     });
-    // Where the stream goes on, its peer ends it.
-    if !yields && !sent.is_empty() {
+    // Where the stream stays open, the peer closes it.
+    if !always_agrees && !sent.is_empty() {
         peer.shutdown(std::net::Shutdown::Write).unwrap();
     }
-    carried.join().unwrap()
+    handle.join().unwrap()
 }
 
 #[test]
-fn what_lies_unread_is_read_before_a_stream_ends() {
+fn unread_input_is_read_before_a_connection_closes() {
     let two = "one\ntwo\n";
-    for (how, ending) in [
-        (Finish::Idle, Ending::Idle),
-        (Finish::Silent, Ending::Silent),
-        (Finish::Faulty, Ending::Malformed("too many faults".into())),
-        (Finish::Moved, Ending::Moved),
+    for (request, ending) in [
+        (CloseRequest::Idle, Ending::Idle),
+        (CloseRequest::Silent, Ending::Silent),
+        (CloseRequest::Faulty, Ending::Malformed("too many faults".into())),
+        (CloseRequest::Moved, Ending::Moved),
     ] {
-        assert_eq!(asked_while_unread(how, true, ""), (vec![], ending.clone()), "{how:?}, nothing there");
-        let heard = vec!["one".to_string(), "two".to_string()];
-        assert_eq!(asked_while_unread(how, true, two), (heard.clone(), ending), "{how:?}");
-        // The reader has come to know better: the stream ends only with its peer.
-        if how != Finish::Moved {
-            assert_eq!(asked_while_unread(how, false, two), (heard, Ending::Closed), "{how:?}, kept");
+        assert_eq!(
+            close_with_unread_input(request, true, ""),
+            (vec![], ending.clone()),
+            "{request:?}, no input"
+        );
+        let received = vec!["one".to_string(), "two".to_string()];
+        assert_eq!(close_with_unread_input(request, true, two), (received.clone(), ending), "{request:?}");
+        // The handler no longer agrees to the close, so the stream stays open until the peer closes it.
+        if request != CloseRequest::Moved {
+            assert_eq!(
+                close_with_unread_input(request, false, two),
+                (received, Ending::Closed),
+                "{request:?}, not agreed"
+            );
         }
     }
 }
 
-/// A line that is put into the outbox in the moment in which its peer moves is for the next stream. It once kept the stream
-/// from ending: the executor's link stayed at the old address, and nothing was written there any more.
+/// A line that is queued at the moment in which the peer's address changes belongs to the next stream. Guards against
+/// such a line preventing the close, which left the executor's connection at the old address with nothing written to it.
 #[test]
-fn a_line_that_waits_does_not_keep_a_stream_from_moving() {
+fn a_queued_line_does_not_delay_the_close_of_a_connection_whose_peer_moved() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    peer.set_read_timeout(Some(PATIENCE)).unwrap();
-    let carried = may::go!(move || {
+    peer.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let handle = may::go!(move || {
         let (stream, _): (TcpStream, _) = listener.accept().unwrap();
-        let (outbox, mut lines) = (Outbox::default(), Lines { heard: Vec::new(), yields: true });
-        outbox.finish(Finish::Moved);
-        outbox.push(b"later\n".to_vec());
-        let ending = carry(&stream, &outbox, None, 64, &mut lines);
-        (ending, outbox.waiting())
+        let (send_queue, mut lines) =
+            (SendQueue::default(), LineRecorder { received: Vec::new(), always_agrees: true });
+        send_queue.request_close(CloseRequest::Moved);
+        send_queue.push(b"later\n".to_vec());
+        let ending = drive_connection(&stream, &send_queue, None, 64, &mut lines);
+        (ending, send_queue.queued_lines())
     });
-    assert_eq!(peer.read(&mut [0; 16]).unwrap(), 0, "nothing is written, and it ends");
-    assert_eq!(carried.join().unwrap(), (Ending::Moved, vec![b"later\n".to_vec()]));
+    assert_eq!(peer.read(&mut [0; 16]).unwrap(), 0, "nothing is written, and the connection closes");
+    assert_eq!(handle.join().unwrap(), (Ending::Moved, vec![b"later\n".to_vec()]));
 }
--- a/crates/ochrewalk-node/tests/places.rs
+++ b/crates/ochrewalk-node/tests/places.rs
@@ -1,4 +1,4 @@
-//! Places below as operators change and see them: a new list while calls are under way, and the table.
+//! Tests that operators can replace the upstream endpoints while calls are in flight, and of the endpoint table.
 
 mod helper;
 
@@ -10,46 +10,46 @@
 
 const IDLE: Duration = Duration::from_secs(30);
 
-/// A ledger that does with each call what is said, once that is said.
-struct Told {
+/// An upstream that holds each call until its action is set, and then performs that action.
+struct ControlledUpstream {
     ledger: Ledger,
     act: Arc<(Mutex<Option<Act>>, Condvar)>,
 }
 
-impl Told {
-    fn start() -> Told {
+impl ControlledUpstream {
+    fn start() -> ControlledUpstream {
         let act: Arc<(Mutex<Option<Act>>, Condvar)> = Arc::default();
-        let of = act.clone();
+        let shared = act.clone();
         let ledger = Ledger::start("127.0.0.26:0".parse().unwrap(), IDLE, move |_| {
-            let mut act = of.0.lock().unwrap();
+            let mut act = shared.0.lock().unwrap();
             while act.is_none() {
-                act = of.1.wait(act).unwrap();
+                act = shared.1.wait(act).unwrap();
             }
             act.clone().unwrap()
         });
-        Told { ledger: ledger.unwrap(), act }
+        ControlledUpstream { ledger: ledger.unwrap(), act }
     }
 
-    fn say(&self, act: Act) {
+    fn set_action(&self, act: Act) {
         *self.act.0.lock().unwrap() = Some(act);
         self.act.1.notify_all();
     }
 }
 
-fn status() -> PathBuf {
+fn status_socket() -> PathBuf {
     file("").with_extension("sock")
 }
 
-fn operators(status: &Path, place: &Told) -> String {
+fn operators_file(status: &Path, upstream: &ControlledUpstream) -> String {
     format!(
         "below ajp {}\nbelow uri /a\nbelow reply 5s\nbelow status {}\n",
-        place.ledger.at,
+        upstream.ledger.at,
         status.display()
     )
 }
 
-/// The table, until a line of it has all of these words.
-fn table(status: &Path, words: &[&str]) -> String {
+/// Polls the endpoint table until one of its lines contains all of these words, and returns it.
+fn wait_for_table(status: &Path, words: &[&str]) -> String {
     let mut table = String::new();
     for _ in 0..1_000 {
         let output = program(&["places", "--control", status.to_str().unwrap()]).output().unwrap();
@@ -63,28 +63,29 @@
 }
 
 #[test]
-fn a_new_list_takes_new_calls_and_those_under_way_end_where_they_are() {
-    // The answer comes, or the connection ends without one: the call may have run, and is written nowhere else.
+fn new_endpoints_take_new_calls_and_calls_in_flight_finish_where_they_are() {
+    // The reply arrives, or the connection closes without one; then the call may have run, and is not repeated.
     for (act, code) in [(Act::good(b"A"), "RETURN"), (Act::Cut(0), "aborted")] {
-        let (before, after, status) = (Told::start(), Told::start(), status());
-        let (stand, mut executor, mut caller) = Stand::up_with(|_| (), &operators(&status, &before));
+        let (before, after, status) =
+            (ControlledUpstream::start(), ControlledUpstream::start(), status_socket());
+        let (stand, mut executor, mut caller) = Stand::up_with(|_| (), &operators_file(&status, &before));
         caller.say(&rpc(2, "once"));
         executor.hear_of(&exec(2, "once"));
         executor.say(&callout(1, 2));
         let (old, new) = (before.ledger.at.to_string(), after.ledger.at.to_string());
-        table(&status, &[&old, " in ", " 1 "]);
-        std::fs::write(&stand.operators, operators(&status, &after)).unwrap();
+        wait_for_table(&status, &[&old, " in ", " 1 "]);
+        std::fs::write(&stand.operators, operators_file(&status, &after)).unwrap();
         stand.signal("-HUP");
-        let shown = table(&status, &[&old, " leaving ", " 1 "]);
+        let shown = wait_for_table(&status, &[&old, " leaving ", " 1 "]);
         assert!(shown.contains(&new), "{shown}");
-        after.say(Act::good(b"B"));
+        after.set_action(Act::good(b"B"));
         caller.say(&rpc(3, "once"));
         executor.hear_of(&exec(3, "once"));
         executor.say(&callout(2, 3));
         executor.hear_of("RETURN");
         executor.say(&exit(3, 3, "complete"));
         assert!(caller.hear().contains(r#""id":3,"result""#));
-        before.say(act);
+        before.set_action(act);
         if code == "RETURN" {
             assert!(executor.hear_of("RETURN").contains(&req(2)));
             executor.say(&exit(4, 2, "complete"));
@@ -92,20 +93,22 @@
         } else {
             assert!(caller.hear().contains(r#""id":2,"error""#));
         }
-        let shown = table(&status, &[&new, " 1"]);
+        let shown = wait_for_table(&status, &[&new, " 1"]);
         assert!(!shown.contains(&old), "{shown}");
         assert_eq!((before.ledger.ran().len(), after.ledger.ran().len()), (1, 1), "{code}");
     }
 }
 
 #[test]
-fn the_table_says_which_place_is_out_and_why() {
-    let (here, status) = (Told::start(), status());
-    let nowhere = ochrewalk_lab::node::unused_address().unwrap();
-    let more =
-        format!("{}below ajp {nowhere}\nbelow leave-out 1\nbelow pause 1m 1m\n", operators(&status, &here));
+fn the_table_states_which_endpoint_is_ejected_and_why() {
+    let (reachable, status) = (ControlledUpstream::start(), status_socket());
+    let unreachable = ochrewalk_lab::node::unused_address().unwrap();
+    let more = format!(
+        "{}below ajp {unreachable}\nbelow leave-out 1\nbelow pause 1m 1m\n",
+        operators_file(&status, &reachable)
+    );
     let (_stand, mut executor, mut caller) = Stand::up_with(|_| (), &more);
-    here.say(Act::good(b"A"));
+    reachable.set_action(Act::good(b"A"));
     for number in 2..6 {
         caller.say(&rpc(number, "once"));
         executor.hear_of(&exec(number, "once"));
@@ -114,44 +117,45 @@
         executor.say(&exit(2 * number + 1, number, "complete"));
         assert!(caller.hear().contains(&format!(r#""id":{number},"result""#)));
     }
-    table(&status, &[&nowhere.to_string(), " out ", "could not be reached"]);
+    wait_for_table(&status, &[&unreachable.to_string(), " out ", "could not be reached"]);
     let output = program(&["places", "--control", "/nowhere/at/all"]).output().unwrap();
     assert!(!output.status.success());
-    // Nobody but the owner may even connect.
+    // Only the owner of the socket may connect.
     let mode = std::os::unix::fs::PermissionsExt::mode(&std::fs::metadata(&status).unwrap().permissions());
     assert_eq!(mode & 0o777, 0o600);
 }
 
 #[test]
-fn who_is_pushed_back_while_nothing_below_takes_calls_is_told_to_stay_away_for_longer() {
-    // The longest time that the deployment lets be told, as the only place is out for a minute.
-    for (nothing_there, told) in [(true, true), (false, false)] {
-        let here = Told::start();
-        let at = if nothing_there { ochrewalk_lab::node::unused_address().unwrap() } else { here.ledger.at };
-        let status = status();
+fn rejections_carry_a_longer_holdoff_while_no_endpoint_takes_calls() {
+    // The holdoff is the deployment's maximum, as the only endpoint is ejected for a minute.
+    for (is_unreachable, has_long_holdoff) in [(true, true), (false, false)] {
+        let upstream = ControlledUpstream::start();
+        let at =
+            if is_unreachable { ochrewalk_lab::node::unused_address().unwrap() } else { upstream.ledger.at };
+        let status = status_socket();
         let operators = format!(
             "below ajp {at}\nbelow leave-out 1\nbelow pause 1m 1m\nbelow status {}\n",
             status.display()
         );
-        let short = |config: &mut serde_json::Value| {
+        let short_deadlines = |config: &mut serde_json::Value| {
             for method in config["settings"]["categories"].as_array_mut().unwrap() {
                 method["on-time-ns"] = 700_000_000u64.into();
                 method["deadline-ns"] = 1_500_000_000u64.into();
             }
         };
-        let (_stand, mut executor, mut caller) = Stand::up_with(short, &operators);
-        // One finds that nobody is there; those that take both cores never end.
+        let (_stand, mut executor, mut caller) = Stand::up_with(short_deadlines, &operators);
+        // One call finds the endpoint unreachable; the runs that occupy both cores never end.
         caller.say(&rpc(2, "once"));
         executor.hear_of(&exec(2, "once"));
         executor.say(&callout(1, 2));
-        if nothing_there {
-            table(&status, &[&at.to_string(), " out "]);
+        if is_unreachable {
+            wait_for_table(&status, &[&at.to_string(), " out "]);
         }
         for number in 3..9 {
             caller.say(&rpc(number, "look"));
         }
         std::thread::spawn(move || executor.hear_out());
         let answer = caller.hear_of("-32011");
-        assert_eq!(answer.contains(r#""holdoff":1000"#), told, "{answer}");
+        assert_eq!(answer.contains(r#""holdoff":1000"#), has_long_holdoff, "{answer}");
     }
 }
--- a/crates/ochrewalk-node/tests/wire.rs
+++ b/crates/ochrewalk-node/tests/wire.rs
@@ -1,13 +1,13 @@
-//! What is read and written, byte for byte, and the pure state beside it.
+//! Tests of the wire protocols, byte for byte, and of the state that needs neither socket nor clock.
 
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::Outcome;
 use ochrewalk_node::clock::since_us;
 use ochrewalk_node::ending::{CallEnd, Ending};
 use ochrewalk_node::keys::{Keys, Known, State};
-use ochrewalk_node::net::executor::pause_after;
-use ochrewalk_node::wire::calls::{self, Word};
-use ochrewalk_node::wire::jsonrpc::{self, Message, Which};
+use ochrewalk_node::net::executor::reconnect_delay;
+use ochrewalk_node::wire::calls::{self, Status};
+use ochrewalk_node::wire::jsonrpc::{self, Message, RevokeTarget};
 use ochrewalk_node::wire::notices::{self, Notice};
 use ochrewalk_node::wire::reports;
 use std::io::{Error, ErrorKind};
@@ -16,7 +16,7 @@
 mod helper;
 
 #[test]
-fn an_rpc_is_read_with_its_body_as_it_came() {
+fn an_rpc_is_parsed_with_its_body_unchanged() {
     let line = r#"{"jsonrpc":"2.0","id":"a\u0041","method":"look","params":{"req":"9b1f03aa5c7e2d41","ts":17,"via":4,"need":24.5,"level":0.6,"opkey":"5c0f","subject":null,"more":[{}],"body":"QU\/D"}}"#;
     let Message::Rpc(rpc) = jsonrpc::read(line.as_bytes()) else { panic!("no RPC") };
     assert_eq!((rpc.id, &*rpc.method, &*rpc.req), (r#""a\u0041""#, "look", "9b1f03aa5c7e2d41"));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_no_proper_rpc_is_told_apart() {
+fn each_malformed_rpc_is_answered_with_its_error_code() {
     let good = helper::rpc(7, "look");
     for (line, wanted) in [
         ("not json".to_string(), "none"),
@@ -63,28 +63,31 @@
     ] {
         let read = match jsonrpc::read(line.as_bytes()) {
             Message::Rpc(_) => "rpc".into(),
-            Message::Revoke(Which::Id(id)) => format!("revoke {id}"),
-            Message::Revoke(Which::Req(req)) => format!("revoke {req}"),
+            Message::Revoke(RevokeTarget::Id(id)) => format!("revoke {id}"),
+            Message::Revoke(RevokeTarget::Req(req)) => format!("revoke {req}"),
             Message::Heartbeat { id } => format!("heartbeat {id}"),
-            Message::Faulty { code, .. } => code.to_string(),
-            Message::NoRpc => "none".into(),
+            Message::Invalid { code, .. } => code.to_string(),
+            Message::Malformed => "none".into(),
         };
         assert_eq!(read, wanted, "{line}");
     }
 }
 
 #[test]
-fn answers_carry_what_they_may_and_no_more() {
+fn responses_carry_only_the_fields_that_apply() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     for (answer, wanted) in [
         (jsonrpc::served("7", "\"QQ==\"", None), r#""id":7,"result":{"body":"QQ=="}}"#),
         (jsonrpc::served("7", "\"QQ==\"", Some(0.25)), r#""id":7,"result":{"body":"QQ==","signal":0.25}}"#),
         (jsonrpc::heartbeat("1", false, None), r#""id":1,"result":{"pass":false}}"#),
         (
-            jsonrpc::refused("2", true, 250, Some(1.0)),
+            jsonrpc::rejected("2", true, 250, Some(1.0)),
             r#""id":2,"error":{"code":-32011,"message":"pushed back","data":{"holdoff":250,"nomore":1,"signal":1}}}"#,
         ),
-        (jsonrpc::refused("2", false, 0, None), r#""id":2,"error":{"code":-32011,"message":"pushed back"}}"#),
+        (
+            jsonrpc::rejected("2", false, 0, None),
+            r#""id":2,"error":{"code":-32011,"message":"pushed back"}}"#,
+        ),
         (
             jsonrpc::failed("2", Some(0.5)),
             r#""id":2,"error":{"code":-32000,"message":"aborted","data":{"signal":0.5}}}"#,
@@ -95,7 +98,7 @@
 }
 
 #[test]
-fn notices_are_read_and_malformed_ones_named() {
+fn notices_are_parsed_and_errors_name_the_faulty_field() {
     for (line, wanted) in [
         (r#"{"action":"WELCOME","code":"chilly","wall_ms":1.5}"#, "cold 1500"),
         (r#"{"action":"WELCOME","code":"tepid"}"#, "code"),
@@ -116,11 +119,13 @@
         (r#"{"action":"BAD","code":"EXEC","uid":"a"}"#, "bad EXEC a"),
         (r#"{"action":"LOG","pos":6,"code":"hm"}"#, "log Some(6)"),
         (r#"{"action":"DANCE"}"#, "DANCE"),
-        (r#"["EXIT",1]"#, "no object"),
-        ("x", "no object"),
+        (r#"["EXIT",1]"#, "not a JSON object"),
+        ("x", "not a JSON object"),
     ] {
         let read = match notices::read(line.as_bytes()) {
-            Ok(Notice::Welcome { cold, up_us }) => format!("{} {up_us}", if cold { "cold" } else { "warm" }),
+            Ok(Notice::Welcome { is_cold, uptime_us }) => {
+                format!("{} {uptime_us}", if is_cold { "cold" } else { "warm" })
+            }
             Ok(Notice::Exit { pos, uid, end, content }) => {
                 format!("exit {pos} {uid} {end:?} {}", content.map_or("-", |c| c.get()))
             }
@@ -128,8 +133,8 @@
             Ok(Notice::Meters { echo, meters }) => format!("meters {echo} {meters:?}"),
             Ok(Notice::Bad { command, uid }) => format!("bad {command} {}", uid.unwrap_or_default()),
             Ok(Notice::Log { pos }) => format!("log {pos:?}"),
-            Err(why) => {
-                assert!(why.contains(wanted), "{line}: {why}");
+            Err(error) => {
+                assert!(error.contains(wanted), "{line}: {error}");
                 continue;
             }
         };
@@ -138,23 +143,23 @@
 }
 
 #[test]
-fn replies_are_read_whole_however_they_are_cut() {
+fn a_reply_is_parsed_only_once_it_is_complete() {
     let body = b"\r\na OK 3\r\n";
-    let whole = [b"a OK 10\r\n".as_slice(), body, b"\r\nb BUSY\r\n"].concat();
-    for cut in 0..whole.len() - 9 {
-        assert_eq!(calls::read(&whole[..cut.min(20)]).unwrap(), None, "cut at {cut}");
+    let input = [b"a OK 10\r\n".as_slice(), body, b"\r\nb BUSY\r\n"].concat();
+    for cut in 0..input.len() - 9 {
+        assert_eq!(calls::read(&input[..cut.min(20)]).unwrap(), None, "cut at {cut}");
     }
-    let (reply, taken) = calls::read(&whole).unwrap().unwrap();
-    assert_eq!((reply.id, reply.word, reply.body, taken), ("a", Word::Ok, body.as_slice(), 21));
-    for (line, word) in [
-        ("b BUSY\r\n", Word::Busy),
-        ("b ERR\r\n", Word::Err),
-        ("b LATE\r\n", Word::Late),
-        ("b VOID\r\n", Word::Void),
-        ("b OK 0\r\n\r\n", Word::Ok),
+    let (reply, taken) = calls::read(&input).unwrap().unwrap();
+    assert_eq!((reply.id, reply.status, reply.body, taken), ("a", Status::Ok, body.as_slice(), 21));
+    for (line, status) in [
+        ("b BUSY\r\n", Status::Busy),
+        ("b ERR\r\n", Status::Err),
+        ("b LATE\r\n", Status::Late),
+        ("b VOID\r\n", Status::Void),
+        ("b OK 0\r\n\r\n", Status::Ok),
     ] {
         let (reply, taken) = calls::read(line.as_bytes()).unwrap().unwrap();
-        assert_eq!((reply.word, taken), (word, line.len()));
+        assert_eq!((reply.status, taken), (status, line.len()));
     }
     for bad in
         ["b\r\n", "b WELL\r\n", "b OK\r\n", "b OK x\r\n", "b OK 999999\r\n", "b OK 1\r\nabc", "\u{1}\r\n"]
@@ -165,18 +170,18 @@
 }
 
 #[test]
-fn a_link_that_lasted_is_made_anew_at_once_and_one_that_did_not_after_a_pause() {
+fn a_connection_that_lasted_is_replaced_at_once_and_a_short_one_after_a_delay() {
     for (lasted_ms, wanted_ms) in [(0, 100), (99, 100), (100, 0), (60_000, 0)] {
-        assert_eq!(pause_after(Duration::from_millis(lasted_ms)).as_millis(), wanted_ms, "{lasted_ms}");
+        assert_eq!(reconnect_delay(Duration::from_millis(lasted_ms)).as_millis(), wanted_ms, "{lasted_ms}");
     }
 }
 
 #[test]
-fn the_directory_s_answers_say_whether_their_connection_goes_on() {
+fn directory_responses_state_whether_the_connection_is_reusable() {
     let report = String::from_utf8(reports::report("n3", "h:1", true)).unwrap();
     assert!(report.starts_with("PUT /dir/nodes/n3 HTTP/1.1\r\nHost: h:1\r\n"));
     assert!(report.ends_with("Content-Length: 15\r\n\r\n{\"mode\":\"open\"}"));
-    for (answer, wanted) in [
+    for (response, wanted) in [
         ("HTTP/1.1 204 No Content\r\n\r\n", Some((204, true))),
         ("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n", Some((204, false))),
         ("HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nno", Some((500, true))),
@@ -184,8 +189,8 @@
         ("HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\nn", None),
         ("HTTP/1.1 204 No Con", None),
     ] {
-        let read = reports::read(answer.as_bytes()).unwrap();
-        assert_eq!(read.map(|a| (a.status, a.keeps)), wanted, "{answer}");
+        let read = reports::read(response.as_bytes()).unwrap();
+        assert_eq!(read.map(|r| (r.status, r.is_reusable)), wanted, "{response}");
     }
     for bad in ["SPQR\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"] {
         assert!(reports::read(bad.as_bytes()).is_err(), "{bad}");
@@ -193,7 +198,7 @@
 }
 
 #[test]
-fn only_a_connection_never_made_proves_that_a_call_never_ran() {
+fn only_a_failed_connect_proves_that_a_call_never_ran() {
     let refused = Ending::of_connect(&Error::from(ErrorKind::ConnectionRefused));
     assert_eq!(refused, Ending::Refused);
     assert_eq!(Ending::of_connect(&Error::from_raw_os_error(24)), Ending::NoRoom);
@@ -226,7 +231,7 @@
 }
 
 #[test]
-fn a_token_is_known_for_its_window_and_waits_for_its_run() {
+fn an_idempotency_key_is_found_within_its_window_and_waits_for_its_run() {
     let mut keys = Keys::new(10);
     keys.remember("k".into(), 7, "a".into(), 1_000);
     let same = || Known::Same("a".into());
@@ -236,60 +241,63 @@
     assert_eq!(keys.find("other", 7, 0), Known::No);
     assert_eq!(keys.find("k", 8, 0), Known::Other { ran: false });
     assert_eq!(keys.share(&"k".into(), &"b".into()), State::Open);
-    assert!(keys.settle(&"k".into(), "not-a", State::Failed).is_empty(), "only the holder settles");
+    assert!(
+        keys.settle(&"k".into(), "not-a", State::Failed).is_empty(),
+        "only the holder may settle the key"
+    );
     assert_eq!(keys.settle(&"k".into(), "a", State::Served("12345678".into())), vec!["b".into()]);
     assert_eq!(keys.share(&"k".into(), &"c".into()), State::Served("12345678".into()));
     assert_eq!(keys.find("k", 8, 0), Known::Other { ran: true });
-    // Past the limit of bytes the oldest result goes, but not that it ran.
+    // Beyond the byte limit the oldest result is evicted; the fact that the RPC ran is retained.
     keys.remember("l".into(), 7, "d".into(), 2_000);
     keys.settle(&"l".into(), "d", State::Served("12345".into()));
     assert_eq!(keys.share(&"k".into(), &"e".into()), State::Failed);
     assert_eq!(keys.share(&"l".into(), &"f".into()), State::Served("12345".into()));
-    // Another holder, forgotten with those that wait for it.
+    // Only the holder's own id removes the key, together with the RPCs that wait for it.
     keys.remember("l".into(), 7, "g".into(), 3_000);
     keys.share(&"l".into(), &"h".into());
     assert!(keys.forget("l", "d").is_empty());
     assert_eq!(keys.forget("l", "g"), vec!["h".into()]);
     assert_eq!(keys.find("l", 7, 0), Known::No);
-    // What is open outlives its window, what is settled does not for long.
+    // A key whose run is open outlives its window; a settled key expires.
     keys.remember("m".into(), 7, "i".into(), 5_000);
     keys.sweep(1_000_000);
     assert_eq!((keys.find("k", 7, 0), keys.find("m", 7, 0)), (Known::No, Known::Same("i".into())));
 }
 
 #[test]
-fn tokens_that_go_ahead_and_what_changes_after_come_to_the_same_as_all_at_once() {
-    // Many runs of steps, with pieces sent ahead between them.
+fn keys_transferred_ahead_and_later_changes_equal_a_full_transfer() {
+    // Random operations, with chunks transferred between them.
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut keys, mut next, mut after) = (Keys::new(400), Keys::new(usize::MAX), None);
-        let mut is_ahead = false;
+        let mut has_begun = false;
         for step in 0..200u64 {
-            let token: std::sync::Arc<str> = format!("t{}", rng.u32(0..40)).into();
+            let key: std::sync::Arc<str> = format!("t{}", rng.u32(0..40)).into();
             let holder = format!("h{}", rng.u32(0..3));
             match rng.u32(0..6) {
-                0 | 1 => keys.remember(token, 7, holder.as_str().into(), rng.u64(0..50) * 1_000),
-                2 => drop(keys.forget(&token, &holder)),
-                3 => drop(keys.share(&token, &format!("r{step}").as_str().into())),
-                4 => drop(keys.settle(&token, &holder, State::Served("x".repeat(rng.usize(0..30)).into()))),
-                _ => drop(keys.settle(&token, &holder, State::Failed)),
+                0 | 1 => keys.remember(key, 7, holder.as_str().into(), rng.u64(0..50) * 1_000),
+                2 => drop(keys.forget(&key, &holder)),
+                3 => drop(keys.share(&key, &format!("r{step}").as_str().into())),
+                4 => drop(keys.settle(&key, &holder, State::Served("x".repeat(rng.usize(0..30)).into()))),
+                _ => drop(keys.settle(&key, &holder, State::Failed)),
             }
-            if step >= 100 && step % 5 == 0 && (after.is_some() || !is_ahead) {
-                is_ahead = true;
-                after = keys.keep_ahead(after.as_ref(), 3).map(|(piece, last)| {
-                    next.take(piece, &[]);
+            if step >= 100 && step % 5 == 0 && (after.is_some() || !has_begun) {
+                has_begun = true;
+                after = keys.keep_ahead(after.as_ref(), 3).map(|(chunk, last)| {
+                    next.take(chunk, &[]);
                     last
                 });
             }
         }
         while let Some(from) = after {
-            after = keys.keep_ahead(Some(&from), 3).map(|(piece, last)| {
-                next.take(piece, &[]);
+            after = keys.keep_ahead(Some(&from), 3).map(|(chunk, last)| {
+                next.take(chunk, &[]);
                 last
             });
         }
-        let (changed, gone) = keys.keep_changed();
-        next.take(changed, &gone);
+        let (changed, removed) = keys.keep_changed();
+        next.take(changed, &removed);
         next.limit(400);
         let sorted = |keys: &Keys| {
             let mut all = keys.keep();
@@ -297,7 +305,7 @@
             all
         };
         assert_eq!(sorted(&next), sorted(&keys), "{seed}");
-        // And both let go of the same.
+        // Both expire the same keys.
         keys.sweep(40_000);
         next.sweep(40_000);
         assert_eq!(sorted(&next), sorted(&keys), "{seed}");
@@ -314,7 +322,7 @@
 }
 
 #[test]
-fn a_faulty_file_is_named_by_its_key() {
+fn an_error_in_the_platform_file_names_the_key() {
     let good = serde_json::json!({
         "name": "n3", "listen": "127.0.0.1:7001", "executor": "127.0.0.1:6100", "lookup": "127.0.0.1:8761",
         "seed": "8c1f30d27a5be964", "stop_ms": 3200, "new-key": 1,
@@ -322,7 +330,7 @@
     });
     let placement = Placement::read(good.to_string().as_bytes()).unwrap();
     assert_eq!((placement.seed, placement.upstream), (0x8c1f30d27a5be964, None));
-    for (way, value, key) in [
+    for (pointer, value, key) in [
         ("/name", "a/b".into(), "name"),
         ("/listen", "7001".into(), "listen"),
         ("/executor", 5.into(), "executor"),
@@ -339,8 +347,8 @@
         ("/settings/categories/1/idempotency", "maybe".into(), "categories: field idempotency"),
     ] {
         let mut bad = good.clone();
-        *bad.pointer_mut(way).unwrap() = value;
-        let said = Placement::read(bad.to_string().as_bytes()).unwrap_err().to_string();
-        assert!(said.contains(key) && said.lines().count() == 1, "{way}: {said}");
+        *bad.pointer_mut(pointer).unwrap() = value;
+        let error = Placement::read(bad.to_string().as_bytes()).unwrap_err().to_string();
+        assert!(error.contains(key) && error.lines().count() == 1, "{pointer}: {error}");
     }
 }
