--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -1,13 +1,15 @@
-//! The link to the executor: one connection, kept open for as long as the node lives and made anew whenever
-//! it ends. Runs go on while there is none.
+//! The connection to the executor, which is kept open for the lifetime of the node and is replaced whenever it
+//! closes. Runs continue while no connection is open.
 //!
-//! Commands that were written when a link broke may or may not have been read. Gauges tell: they are asked for
-//! all the time, and who answers them has read all that was written before. What is not confirmed so is
-//! written again once the new link has brought the notices that were missed.
+//! After a connection breaks, it is unknown whether the executor has read the commands that were written last. The
+//! replies to gauge requests confirm them: gauges are requested continually, and a reply proves that the executor has
+//! read all that was written before the request. Unconfirmed commands are written again after the new connection has
+//! delivered the notices that were missed.
 //!
-//! A start that may not happen twice needs proof first. Where runs can be paused, the run is: gauges that are
-//! answered after that, with no notice of its end before them, prove that it stands still or never began. Then
-//! the start is written again, which means nothing to a run that is there, and the run is woken.
+//! The start of a run that must not happen twice is repeated only after a proof. Where runs can be paused, the node
+//! pauses the run. A gauge reply that follows the pause, with no notice of the run's end before the reply, proves that
+//! the run is paused or has never started. The start is then written again, which has no effect on an existing run, and
+//! the run is resumed.
 
 use super::buffered_connection::{
     close_gracefully, connect, drive_connection, CloseRequest, MessageHandler, SendQueue,
@@ -26,244 +28,260 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-const CONNECT: Duration = Duration::from_secs(1);
-const PAUSE: Duration = Duration::from_millis(100);
-/// How long gauges are waited for.
-const METERS: Duration = Duration::from_millis(15);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay before a new connection where the previous one lasted for a shorter time than this.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// The time limit for a gauge reply.
+const GAUGES_TIMEOUT: Duration = Duration::from_millis(15);
 
 pub struct Executor {
-    /// `KILL` pauses runs here, and `WAKE` takes them up again.
-    pauses: bool,
+    /// Whether `KILL` pauses a run, which `WAKE` then resumes.
+    can_pause: bool,
     send_queue: SendQueue,
     state: Mutex<State>,
 }
 
 struct State {
-    at: SocketAddr,
-    /// Where news of each run goes.
+    address: SocketAddr,
+    /// The runs, each with the recipient of its notices.
     runs: HashMap<RpcId, Run>,
-    /// The last notice that was read.
-    read: u64,
-    welcomed: bool,
-    /// The tag of the gauges that are waited for, and who waits.
-    asked: u64,
-    meters: Option<Sender<Vec<f64>>>,
-    /// Commands whose link broke before they were confirmed; they are settled by gauges asked for after this.
-    doubtful: Vec<Vec<u8>>,
-    doubt_until: u64,
-    /// Runs that were paused for proof.
+    /// The position of the last notice that was read.
+    last_read: u64,
+    /// Whether the executor has welcomed the node on the current connection.
+    is_welcomed: bool,
+    /// The tag of the latest gauge request.
+    gauge_tag: u64,
+    /// The recipient of its reply, while one waits.
+    gauge_sender: Option<Sender<Vec<f64>>>,
+    /// Commands whose connection broke before they were confirmed.
+    unconfirmed: Vec<Vec<u8>>,
+    /// The tag after which the reply to a gauge request settles the unconfirmed commands.
+    unconfirmed_until: u64,
+    /// Runs that were paused for a proof.
     paused: Vec<RpcId>,
 }
 
 struct Run {
     post: Post,
-    again: bool,
+    is_repeatable: bool,
 }
 
 impl Executor {
-    pub fn new(at: SocketAddr, pauses: bool) -> Executor {
+    /// Returns the client of the executor at `address`. `can_pause` states whether the executor can pause runs.
+    pub fn new(address: SocketAddr, can_pause: bool) -> Executor {
         let state = State {
-            at,
+            address,
             runs: HashMap::new(),
-            read: 0,
-            welcomed: false,
-            asked: 0,
-            meters: None,
-            doubtful: Vec::new(),
-            doubt_until: 0,
+            last_read: 0,
+            is_welcomed: false,
+            gauge_tag: 0,
+            gauge_sender: None,
+            unconfirmed: Vec::new(),
+            unconfirmed_until: 0,
             paused: Vec::new(),
         };
-        Executor { pauses, send_queue: SendQueue::retaining_unconfirmed(), state: Mutex::new(state) }
+        Executor { can_pause, send_queue: SendQueue::retaining_unconfirmed(), state: Mutex::new(state) }
     }
 
-    /// Goes on with the link and the runs of another process.
+    /// Restores the connection and the runs of another process. Each run comes with its id, whether its start may be
+    /// repeated, and the recipient of its notices.
     pub fn resume(
-        at: SocketAddr,
-        pauses: bool,
-        kept: ExecutorRecord,
+        address: SocketAddr,
+        can_pause: bool,
+        record: ExecutorRecord,
         runs: Vec<(RpcId, bool, Post)>,
     ) -> Executor {
-        let mut executor = Executor::new(at, pauses);
-        let run = |(id, again, post)| (id, Run { post, again });
+        let mut executor = Executor::new(address, can_pause);
+        let run = |(id, is_repeatable, post)| (id, Run { post, is_repeatable });
         {
             let mut state = executor.lock();
             state.runs = runs.into_iter().map(run).collect();
-            (state.read, state.asked, state.doubt_until) = (kept.read, kept.asked, kept.doubt_until);
-            state.welcomed = kept.welcomed && kept.stream.is_some();
-            state.doubtful = kept.doubtful;
-            state.paused = kept.paused.into_iter().map(RpcId::from).collect();
+            (state.last_read, state.gauge_tag, state.unconfirmed_until) =
+                (record.read, record.asked, record.doubt_until);
+            state.is_welcomed = record.welcomed && record.stream.is_some();
+            state.unconfirmed = record.doubtful;
+            state.paused = record.paused.into_iter().map(RpcId::from).collect();
         }
-        match kept.stream {
+        match record.stream {
             Some(stream) => executor.send_queue = SendQueue::resume(stream, true),
-            None => kept.waiting.into_iter().for_each(|line| executor.send_queue.push(line)),
+            None => record.waiting.into_iter().for_each(|line| executor.send_queue.push(line)),
         }
         executor
     }
 
-    /// The link, where there is one with its descriptor, and what is known of the notices.
+    /// Returns the connection, with its descriptor where one is open, and the position in the notices.
     pub fn snapshot(&self) -> (ExecutorRecord, Option<RawFd>) {
         let stream = self.send_queue.snapshot();
         let state = self.lock();
-        let kept = ExecutorRecord {
+        let record = ExecutorRecord {
             waiting: if stream.is_none() { self.send_queue.queued_lines() } else { Vec::new() },
-            read: state.read,
-            welcomed: state.welcomed,
-            asked: state.asked,
-            doubtful: state.doubtful.clone(),
-            doubt_until: state.doubt_until,
+            read: state.last_read,
+            welcomed: state.is_welcomed,
+            asked: state.gauge_tag,
+            doubtful: state.unconfirmed.clone(),
+            doubt_until: state.unconfirmed_until,
             paused: state.paused.iter().map(|id| id.to_string()).collect(),
             stream: None,
         };
         match stream {
-            Some((fd, stream)) => (ExecutorRecord { stream: Some(stream), ..kept }, Some(fd)),
-            None => (kept, None),
+            Some((fd, stream)) => (ExecutorRecord { stream: Some(stream), ..record }, Some(fd)),
+            None => (record, None),
         }
     }
 
+    /// Wakes the coroutine of the connection after a pause.
     pub fn wake_connection(&self) {
         self.send_queue.wake();
     }
 
-    /// It is found there from now on: the link is made anew, and goes on where it was left.
-    pub fn set_address(&self, at: SocketAddr) {
-        let from = std::mem::replace(&mut self.lock().at, at);
-        if from != at {
+    /// Sets the executor's address. Where it has changed, a new connection continues where the current one is closed.
+    pub fn set_address(&self, address: SocketAddr) {
+        let previous = std::mem::replace(&mut self.lock().address, address);
+        if previous != address {
             self.send_queue.request_close(CloseRequest::Moved);
         }
     }
 
-    /// Starts a run; what becomes of it goes to `post`. Where `again` is harmless the command is repeated
-    /// after a link that broke under it.
-    pub fn run(&self, id: &RpcId, lane: &str, content: &str, again: bool, post: Post) {
-        self.lock().runs.insert(id.clone(), Run { post, again });
+    /// Starts a run, whose notices are sent to `post`. Where the run `is_repeatable`, the command is repeated without a
+    /// proof after a connection broke.
+    pub fn run(&self, id: &RpcId, lane: &str, content: &str, is_repeatable: bool, post: Post) {
+        self.lock().runs.insert(id.clone(), Run { post, is_repeatable });
         self.send_queue.push(notices::exec(id, lane, content));
     }
 
+    /// Resumes a paused run.
     pub fn wake(&self, id: &str) {
         self.send_queue.push(notices::wake(id));
     }
 
-    /// It is asked for again and again until the run has ended, so that it may get lost.
+    /// Stops a run, or pauses it where the executor can. The caller repeats the command until the run has ended, so a
+    /// lost command does no harm.
     pub fn stop(&self, id: &str) {
-        if !self.lock().welcomed {
+        if !self.lock().is_welcomed {
             return;
         }
         self.send_queue.push(notices::kill(id));
     }
 
+    /// Sends the reply to an upstream call to its run.
     pub fn return_reply(&self, id: &str, reply: &[u8]) {
         self.send_queue.push(notices::return_reply(id, &BASE64_STANDARD.encode(reply)));
     }
 
+    /// Lets a run continue without its upstream call.
     pub fn bypass(&self, id: &str, pos: u64) {
         self.send_queue.push(notices::bypass(id, pos));
     }
 
-    /// The gauges, if they come within a moment.
-    pub fn gauges(&self, rows: &(Sender<Vec<f64>>, Receiver<Vec<f64>>)) -> Option<Vec<f64>> {
+    /// Requests the gauges and returns them, or `None` where no connection is open or no reply arrives in time.
+    pub fn gauges(&self, channel: &(Sender<Vec<f64>>, Receiver<Vec<f64>>)) -> Option<Vec<f64>> {
         let tag = {
             let mut state = self.lock();
-            if !state.welcomed {
+            if !state.is_welcomed {
                 return None;
             }
-            state.asked += 1;
-            state.meters = Some(rows.0.clone());
-            state.asked
+            state.gauge_tag += 1;
+            state.gauge_sender = Some(channel.0.clone());
+            state.gauge_tag
         };
         self.send_queue.push(notices::meter(tag));
-        let row = rows.1.recv_timeout(METERS).ok();
-        self.lock().meters = None;
-        // It may have come between the two lines above.
-        row.or_else(|| rows.1.try_recv().ok())
+        let gauges = channel.1.recv_timeout(GAUGES_TIMEOUT).ok();
+        self.lock().gauge_sender = None;
+        // The reply may have arrived between the two statements above.
+        gauges.or_else(|| channel.1.try_recv().ok())
     }
 
-    /// Keeps the link up for ever, `adopted` first. `up` gets a word whenever the executor is known to be up.
+    /// Maintains the connection forever, and starts with `adopted` where it is given. Sends a message on `up` whenever
+    /// the executor has welcomed the node.
     pub fn maintain_connection(&self, gate: &Gate, up: &Sender<()>, adopted: Option<TcpStream>) {
         let mut adopted = adopted;
         loop {
             let from = Instant::now();
-            let goes_on = adopted.take();
-            // Before the address is read: guards against a new one that comes while this one is connected to.
-            if goes_on.is_none() {
+            let resumed = adopted.take();
+            // Clears the close request before the address is read, so that a change of the address during the connect
+            // still closes the new connection.
+            if resumed.is_none() {
                 self.send_queue.clear_close_request();
             }
-            let State { at, read, .. } = *self.lock();
-            let first = goes_on.is_none().then(|| notices::join(read));
-            let ending = match goes_on.map_or_else(|| connect(&at, CONNECT), Ok) {
+            let State { address, last_read, .. } = *self.lock();
+            let first = resumed.is_none().then(|| notices::join(last_read));
+            let ending = match resumed.map_or_else(|| connect(&address, CONNECT_TIMEOUT), Ok) {
                 Ok(stream) => {
-                    let mut link = Link { executor: self, gate, up };
+                    let mut handler = NoticeHandler { executor: self, gate, up };
                     let ending = drive_connection(
                         &stream,
                         &self.send_queue,
                         first,
                         notices::MAX_LINE_BYTES,
-                        &mut link,
+                        &mut handler,
                     );
-                    // The next link does not wait for it. What still comes on this one comes again on that.
-                    let how = ending.clone();
-                    may::go!(move || close_gracefully(&stream, &how, || false));
+                    // The next connection is not delayed by the close. Notices that are discarded on this connection
+                    // are sent again on the next one.
+                    let reason = ending.clone();
+                    may::go!(move || close_gracefully(&stream, &reason, || false));
                     ending
                 }
                 Err(ending) => ending,
             };
-            let was_up = std::mem::take(&mut self.lock().welcomed);
-            self.lock().doubtful.extend(self.send_queue.take_unconfirmed());
+            let was_up = std::mem::take(&mut self.lock().is_welcomed);
+            self.lock().unconfirmed.extend(self.send_queue.take_unconfirmed());
             if was_up || ending != Ending::Refused {
-                tracing::warn!(part = "executor", place = %at, "{ending}; joining again");
+                tracing::warn!(part = "executor", place = %address, "connection lost: {ending}; reconnecting");
             }
             may::coroutine::sleep(reconnect_delay(from.elapsed()));
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn news(&self, id: &str, next: Next) {
+    fn notify(&self, id: &str, next: Next) {
         if let Some(run) = self.lock().runs.get(id) {
             run.post.send(next);
         }
     }
 
-    fn ended(&self, id: &str, end: RunEnd, content: Option<Arc<str>>) {
+    fn end_run(&self, id: &str, end: RunEnd, content: Option<Arc<str>>) {
         if let Some(run) = self.lock().runs.remove(id) {
             run.post.send(Next::RunEnded(end, content));
         }
     }
 
-    /// A new link is up. Pauses the runs whose start is in doubt and may not happen twice.
-    fn ask_for_proof(&self) {
+    /// Pauses, on a new connection, the runs whose start is unconfirmed and must not happen twice.
+    fn pause_unconfirmed_starts(&self) {
         let mut state = self.lock();
-        state.doubt_until = state.asked;
-        // Those are asked for again as long as they are wanted.
+        state.unconfirmed_until = state.gauge_tag;
+        // `KILL` is not repeated here, as its caller repeats it for as long as it is needed.
         state
-            .doubtful
+            .unconfirmed
             .retain(|line| notices::action_and_run(line).is_some_and(|(action, _)| action != "KILL"));
-        if !self.pauses {
+        if !self.can_pause {
             return;
         }
-        let State { doubtful, runs, paused, .. } = &mut *state;
+        let State { unconfirmed, runs, paused, .. } = &mut *state;
         let starts =
-            doubtful.iter().filter_map(|line| notices::action_and_run(line).filter(|n| n.0 == "EXEC"));
+            unconfirmed.iter().filter_map(|line| notices::action_and_run(line).filter(|n| n.0 == "EXEC"));
         for (id, run) in starts.filter_map(|(_, uid)| runs.get_key_value(uid)) {
-            if !run.again {
+            if !run.is_repeatable {
                 self.send_queue.push(notices::kill(id));
                 paused.push(id.clone());
             }
         }
     }
 
-    /// All notices up to now are read: what a broken link left in doubt goes out again, unless its run has
-    /// ended. Guards against a second effect: a run that may not happen twice is begun again only after proof.
-    fn repeat_doubtful(&self) {
+    /// Writes the unconfirmed commands of a broken connection again, except for runs that have ended. All notices up to
+    /// now are read. The start of a run that must not happen twice is repeated only after a proof, to prevent a second
+    /// effect.
+    fn repeat_unconfirmed(&self) {
         let mut state = self.lock();
-        let State { doubtful, runs, paused, .. } = &mut *state;
-        for line in doubtful.drain(..) {
-            let again = notices::action_and_run(&line).is_some_and(|(action, uid)| {
-                let proven = action != "EXEC" || paused.iter().any(|id| **id == *uid);
-                runs.get(uid).is_some_and(|run| run.again || proven)
+        let State { unconfirmed, runs, paused, .. } = &mut *state;
+        for line in unconfirmed.drain(..) {
+            let may_repeat = notices::action_and_run(&line).is_some_and(|(action, uid)| {
+                let is_proven = action != "EXEC" || paused.iter().any(|id| **id == *uid);
+                runs.get(uid).is_some_and(|run| run.is_repeatable || is_proven)
             });
-            if again {
+            if may_repeat {
                 self.send_queue.push(line);
             }
         }
@@ -272,15 +290,16 @@
         }
     }
 
-    /// Whether the notice of that number is new. Guards against handling one twice after a new JOIN.
+    /// Whether the notice at that position is new. Records the position, so that a notice that is sent again after a
+    /// `JOIN` is not handled twice.
     fn is_new(&self, pos: u64) -> bool {
         let mut state = self.lock();
-        let new = pos > state.read;
-        state.read = state.read.max(pos);
-        new
+        let is_new = pos > state.last_read;
+        state.last_read = state.last_read.max(pos);
+        is_new
     }
 
-    fn notice(&self, gate: &Gate, up: &Sender<()>, notice: Notice) -> Result<(), Ending> {
+    fn handle_notice(&self, gate: &Gate, up: &Sender<()>, notice: Notice) -> Result<(), Ending> {
         match notice {
             Notice::Welcome { is_cold, uptime_us } => {
                 tracing::info!(
@@ -289,13 +308,13 @@
                     uptime_us / 1_000,
                     if is_cold { "cold" } else { "warm" }
                 );
-                self.lock().welcomed = true;
-                self.ask_for_proof();
+                self.lock().is_welcomed = true;
+                self.pause_unconfirmed_starts();
                 gate.open(is_cold, uptime_us);
                 let _ = up.send(());
             }
             Notice::Exit { pos, uid, end, content } if self.is_new(pos) => {
-                self.ended(&uid, end, content.map(|c| c.get().into()));
+                self.end_run(&uid, end, content.map(|c| c.get().into()));
             }
             Notice::Callout { pos, uid, content } if self.is_new(pos) => {
                 let text: std::borrow::Cow<str> = serde_json::from_str(content.get())
@@ -303,36 +322,37 @@
                 let body = BASE64_STANDARD
                     .decode(text.as_bytes())
                     .map_err(|err| Ending::Malformed(format!("CALLOUT: {err}")))?;
-                // Guards against a reply that goes to a later call of its run: the run has gone on, so that what was in
-                // doubt of it had been read, and so had what brought it here on the present link, should that break.
-                let brought_here = |line: &[u8]| {
+                // The run has continued, so the executor has read its unconfirmed commands, and those on the current
+                // connection that let it continue. They are not repeated, even if this connection breaks: a repeated
+                // reply would reach a later call of the run.
+                let is_read = |line: &[u8]| {
                     notices::action_and_run(line)
-                        .is_some_and(|(action, of)| of == uid && !["KILL", "WAKE"].contains(&action))
+                        .is_some_and(|(action, run)| run == uid && !["KILL", "WAKE"].contains(&action))
                 };
-                self.send_queue.confirm_matching(brought_here);
+                self.send_queue.confirm_matching(is_read);
                 self.lock()
-                    .doubtful
-                    .retain(|line| notices::action_and_run(line).is_none_or(|(_, of)| of != uid));
-                self.news(&uid, Next::NeedsCall { pos, body });
+                    .unconfirmed
+                    .retain(|line| notices::action_and_run(line).is_none_or(|(_, run)| run != uid));
+                self.notify(&uid, Next::NeedsCall { pos, body });
             }
             Notice::Meters { echo, meters } => {
                 let Ok(tag) = echo.parse() else { return Ok(()) };
                 self.send_queue.confirm_through(&notices::meter(tag));
-                if tag > self.lock().doubt_until {
-                    self.repeat_doubtful();
+                if tag > self.lock().unconfirmed_until {
+                    self.repeat_unconfirmed();
                 }
                 let state = self.lock();
-                if let Some(rows) = state.meters.as_ref().filter(|_| tag == state.asked) {
-                    let _ = rows.send(meters);
+                if let Some(sender) = state.gauge_sender.as_ref().filter(|_| tag == state.gauge_tag) {
+                    let _ = sender.send(meters);
                 }
             }
             Notice::Bad { command, uid } => {
-                tracing::warn!(part = "executor", "{command} not carried out for {uid:?}");
+                tracing::warn!(part = "executor", "the executor rejected {command} for run {uid:?}");
                 let Some(uid) = uid else { return Ok(()) };
                 match &*command {
-                    // A run that was never begun is proof; for any other command it is none.
-                    "EXEC" => self.ended(&uid, RunEnd::Unknown, None),
-                    "RETURN" | "BYPASS" => self.ended(&uid, RunEnd::Failed, None),
+                    // A rejected start proves that the run never began; a rejection of any other command proves nothing.
+                    "EXEC" => self.end_run(&uid, RunEnd::Unknown, None),
+                    "RETURN" | "BYPASS" => self.end_run(&uid, RunEnd::Failed, None),
                     _ => {}
                 }
             }
@@ -345,34 +365,36 @@
     }
 }
 
-/// How long after a link that lasted so long the next one is tried: at once, as each moment without a link is one
-/// in which nothing starts. Guards against a peer that nobody listens at, or that ends each link at once.
+/// Returns the delay before the next connection attempt, from the time for which the previous connection lasted. The
+/// delay is zero after a connection that lasted, because no run can start without a connection. A delay follows a short
+/// one, to limit the attempts where no process listens or the peer closes each connection at once.
 pub fn reconnect_delay(lasted: Duration) -> Duration {
-    if lasted < PAUSE {
-        PAUSE
+    if lasted < RECONNECT_DELAY {
+        RECONNECT_DELAY
     } else {
         Duration::ZERO
     }
 }
 
-struct Link<'a> {
+/// The handler of the notices on one connection.
+struct NoticeHandler<'a> {
     executor: &'a Executor,
     gate: &'a Gate,
     up: &'a Sender<()>,
 }
 
-impl MessageHandler for Link<'_> {
+impl MessageHandler for NoticeHandler<'_> {
     fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
         let Some((line, taken)) = crate::wire::line(input) else { return Ok(0) };
         if !line.is_empty() {
             let notice = notices::read(line).map_err(Ending::Malformed)?;
-            self.executor.notice(self.gate, self.up, notice)?;
+            self.executor.handle_notice(self.gate, self.up, notice)?;
         }
         Ok(taken)
     }
 }
 
-/// A pair for [`Executor::gauges`].
+/// Returns a channel for [`Executor::gauges`].
 pub fn gauge_channel() -> (Sender<Vec<f64>>, Receiver<Vec<f64>>) {
     channel()
 }
