--- a/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -1,6 +1,6 @@
-//! Connections as they are written down for a successor, and taken up from a predecessor.
+//! Hand-over of AJP connections: records them for a successor and resumes those of a predecessor.
 
-use super::{AjpIngress, Caller, Carried, Connection, PendingRequest};
+use super::{AjpClient, AjpIngress, Connection, ConnectionState, PendingRequest};
 use crate::handover::records::{AjpConnectionRecord, AjpConnectionRecords, AjpRequestRecord, ClientAddress};
 use crate::net::buffered_connection::{stream_from_descriptor, SendQueue};
 use crate::seam::Asker;
@@ -13,17 +13,19 @@
 use std::sync::{Arc, Mutex};
 
 impl AjpIngress {
-    /// The listener's descriptor.
+    /// Returns the listener's descriptor, or `None` once the listener is closed.
     pub fn listener_descriptor(&self) -> Option<RawFd> {
         self.lock().listener.as_ref().map(|listener| listener.as_raw_fd())
     }
 
-    /// Every connection with its descriptor, for another process to go on with. None where one is only just coming
-    /// or going.
+    /// Returns each connection with its descriptor, for another process to resume. `None` while a connection is being
+    /// opened or closed.
     pub fn snapshot(&self) -> Option<(AjpConnectionRecords, Vec<RawFd>)> {
         let table = self.lock();
         let (mut connections, mut descriptors) = (Vec::new(), Vec::new());
-        for (number, connection) in table.of.iter().filter(|(_, connection)| !connection.lock().over) {
+        for (number, connection) in
+            table.connections.iter().filter(|(_, connection)| !connection.lock().is_closed)
+        {
             let (fd, stream) = connection.send_queue.snapshot()?;
             let state = connection.lock();
             let (life, spoke, faults) = state.life.keep();
@@ -49,68 +51,68 @@
                 flag,
                 spoke,
                 faults,
-                request: state.asks.as_ref().map(request_record),
+                request: state.request.as_ref().map(request_record),
                 body: state.body.clone(),
                 rpc: state.rpc.as_ref().map(|id| id.to_string()),
                 serial: state.serial,
                 used_us: state.used_us,
-                good: state.good,
+                good: state.is_proven,
             });
             descriptors.push(fd);
         }
-        Some((AjpConnectionRecords { connections, next_number: table.next }, descriptors))
+        Some((AjpConnectionRecords { connections, next_number: table.next_number }, descriptors))
     }
 
-    /// Goes on with connections of another process. `ids` are those of the RPCs that are open.
+    /// Restores the connections of another process. `ids` are those of the open RPCs.
     pub fn resume(
         &self,
-        kept: AjpConnectionRecords,
+        records: AjpConnectionRecords,
         descriptors: Vec<OwnedFd>,
         ids: &HashSet<RpcId>,
     ) -> Vec<(Arc<Connection>, OwnedFd)> {
         let mut table = self.lock();
-        table.next = kept.next_number;
+        table.next_number = records.next_number;
         let id = |rpc: String| ids.get(rpc.as_str()).cloned().unwrap_or_else(|| rpc.into());
         let mut resumed = Vec::new();
-        for (kept, descriptor) in kept.connections.into_iter().zip(descriptors) {
-            let (since_us, flag) = (kept.since_us, kept.flag);
-            let life = match kept.state {
+        for (record, descriptor) in records.connections.into_iter().zip(descriptors) {
+            let (since_us, flag) = (record.since_us, record.flag);
+            let life = match record.state {
                 0 => State::Idle { since_us },
                 1 => State::Head { since_us },
                 2 => {
-                    let of = kept.stated.map_or(BodyLength::Unstated, BodyLength::Stated);
-                    State::Body { since_us, got: kept.got, of }
+                    let of = record.stated.map_or(BodyLength::Unstated, BodyLength::Stated);
+                    State::Body { since_us, got: record.got, of }
                 }
                 3 => State::InHand { spoilt: flag },
                 4 => State::Answering { reuse: flag },
                 5 => State::Closing { since_us },
                 _ => State::Over,
             };
-            let state = Carried {
-                life: Life::resume(self.bounds(), life, kept.spoke, kept.faults),
-                asks: kept.request.map(pending_request),
-                body: kept.body,
-                rpc: kept.rpc.map(id),
-                serial: kept.serial,
-                used_us: kept.used_us,
-                good: kept.good,
-                going: false,
-                over: false,
+            let state = ConnectionState {
+                life: Life::resume(self.bounds(), life, record.spoke, record.faults),
+                request: record.request.map(pending_request),
+                body: record.body,
+                rpc: record.rpc.map(id),
+                serial: record.serial,
+                used_us: record.used_us,
+                is_proven: record.good,
+                is_evicted: false,
+                is_closed: false,
             };
-            let send_queue = SendQueue::resume(kept.stream, false);
+            let send_queue = SendQueue::resume(record.stream, false);
             let connection =
-                Arc::new(Connection { number: kept.number, send_queue, state: Mutex::new(state) });
-            table.of.insert(kept.number, connection.clone());
+                Arc::new(Connection { number: record.number, send_queue, state: Mutex::new(state) });
+            table.connections.insert(record.number, connection.clone());
             resumed.push((connection, descriptor));
         }
         resumed
     }
 
-    /// Carries connections that [`AjpIngress::resume`] gave.
+    /// Serves the connections that [`AjpIngress::resume`] has returned.
     pub fn serve_resumed(self: &Arc<Self>, resumed: Vec<(Arc<Connection>, OwnedFd)>) {
         for (connection, descriptor) in resumed {
-            let front = self.clone();
-            may::go!(move || front.serve(
+            let ingress = self.clone();
+            may::go!(move || ingress.serve(
                 &stream_from_descriptor(descriptor),
                 connection.number,
                 &connection
@@ -118,10 +120,10 @@
         }
     }
 
-    /// Who waits for an answer on a connection, as [`Asker::address`] said.
+    /// Returns the client that waits for an answer at the address that [`Asker::address`] gave.
     pub fn asker(self: &Arc<Self>, at: &ClientAddress) -> Option<Box<dyn Asker>> {
-        let connection = self.lock().of.get(&at.connection)?.clone();
-        Some(Box::new(Caller { front: self.clone(), connection, serial: at.serial }))
+        let connection = self.lock().connections.get(&at.connection)?.clone();
+        Some(Box::new(AjpClient { ingress: self.clone(), connection, serial: at.serial }))
     }
 }
 
@@ -142,9 +144,10 @@
     }
 }
 
-/// Its quota is not passed on: a request whose body crosses a hand-over counts as within it.
-fn pending_request(kept: AjpRequestRecord) -> PendingRequest {
-    let AjpRequestRecord { health, method, id, token, left_us, kb, ts_ms, tenant } = kept;
+/// Restores a pending request. The quota is not part of the record: a request whose body is received during a hand-over
+/// counts as within its quota.
+fn pending_request(record: AjpRequestRecord) -> PendingRequest {
+    let AjpRequestRecord { health, method, id, token, left_us, kb, ts_ms, tenant } = record;
     let asks = if health {
         Asks::Health
     } else {
--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -1,6 +1,7 @@
-//! What comes on a connection: packets are put together to requests, and what the connection's state machine asks for is done.
+//! Handles input on an AJP connection: assembles packets into requests and performs the actions that the connection's state
+//! machine requests.
 
-use super::{AjpIngress, Caller, Carried, Connection, PendingRequest};
+use super::{AjpClient, AjpIngress, Connection, ConnectionState, PendingRequest};
 use crate::core::Asked;
 use crate::ending::Ending;
 use crate::net::buffered_connection::{CloseRequest, MessageHandler};
@@ -11,32 +12,33 @@
 use ochrewalk_ingress::judge::{Asks, Method, No};
 use std::sync::Arc;
 
-/// The largest body that the protocols in front allow.
-pub(super) const MOST_BODY: u64 = 2 * 1024;
+/// The maximum size of a request's body that the ingress protocols allow, in bytes.
+pub(super) const MAX_BODY_BYTES: u64 = 2 * 1024;
 
-/// What a life asked for while its connection's lock was held; done once it is free.
+/// The actions that the state machine requested while the connection's lock was held. They are performed after it is
+/// released.
 #[derive(Default)]
-pub(super) struct Wanted {
+pub(super) struct RequestedActions {
     start: bool,
-    ask: Option<u64>,
+    body_request: Option<u64>,
     pong: bool,
-    refuse: Option<(Refusal, bool)>,
+    refusal: Option<(Refusal, bool)>,
     pub(super) gone: bool,
     end: Option<End>,
 }
 
-impl Acts for Wanted {
+impl Acts for RequestedActions {
     fn start(&mut self) {
         self.start = true;
     }
     fn ask_body(&mut self, most: u64) {
-        self.ask = Some(most);
+        self.body_request = Some(most);
     }
     fn pong(&mut self) {
         self.pong = true;
     }
     fn refuse(&mut self, refusal: Refusal, reuse: bool) {
-        self.refuse = Some((refusal, reuse));
+        self.refusal = Some((refusal, reuse));
     }
     fn gone(&mut self) {
         self.gone = true;
@@ -46,24 +48,24 @@
     }
 }
 
-pub(super) struct Inbound<'a> {
-    pub(super) front: &'a Arc<AjpIngress>,
+pub(super) struct RequestHandler<'a> {
+    pub(super) ingress: &'a Arc<AjpIngress>,
     pub(super) connection: &'a Arc<Connection>,
 }
 
-impl MessageHandler for Inbound<'_> {
+impl MessageHandler for RequestHandler<'_> {
     fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
-        let (mut wanted, mut allow) = (Wanted::default(), Vec::new());
+        let (mut actions, mut allow) = (RequestedActions::default(), Vec::new());
         let taken = {
             let mut state = self.connection.lock();
             if state.life.drops() || !state.life.reads() {
                 return Ok(input.len());
             }
-            let now_us = self.front.core.clock.now_us();
+            let now_us = self.ingress.core.clock.now_us();
             let taken = if state.life.awaits_piece() {
-                self.piece(&mut state, now_us, input, &mut wanted)
+                self.piece(&mut state, now_us, input, &mut actions)
             } else {
-                self.message(&mut state, now_us, input, &mut wanted, &mut allow)
+                self.message(&mut state, now_us, input, &mut actions, &mut allow)
             };
             match taken {
                 Ok(0) => {
@@ -74,14 +76,14 @@
                     state.used_us = now_us;
                     taken
                 }
-                // Where the next packet begins is not known any more; what is owed is still given.
-                Err(why) => {
-                    state.life.broken(why, &mut wanted);
+                // The start of the next packet is unknown; a pending answer is still sent.
+                Err(error) => {
+                    state.life.broken(error, &mut actions);
                     input.len()
                 }
             }
         };
-        self.act(wanted, &allow);
+        self.perform(actions, &allow);
         Ok(taken)
     }
 
@@ -93,83 +95,87 @@
         request != CloseRequest::Leaving || !self.connection.lock().life.owes()
     }
 
-    fn on_drained(&mut self, written: bool) {
-        let mut wanted = Wanted::default();
-        let closing = {
+    fn on_drained(&mut self, is_flushed: bool) {
+        let mut actions = RequestedActions::default();
+        let is_closing = {
             let mut state = self.connection.lock();
-            let now_us = self.front.core.clock.now_us();
-            if written {
+            let now_us = self.ingress.core.clock.now_us();
+            if is_flushed {
                 state.life.written(now_us);
             }
-            if std::mem::take(&mut state.going) {
-                state.life.make_room(&mut wanted);
+            if std::mem::take(&mut state.is_evicted) {
+                state.life.make_room(&mut actions);
             }
-            state.life.empty(now_us, &mut wanted);
-            written && state.life.drops()
+            state.life.empty(now_us, &mut actions);
+            is_flushed && state.life.drops()
         };
-        if closing && wanted.end.is_none() {
-            // The last answer is out. Its end is told by closing our side: closing all of it on what still comes
-            // would reset the answer.
+        if is_closing && actions.end.is_none() {
+            // The last answer is written. Only the write side is shut, because a full close on later input would reset
+            // the connection before the peer has received the answer.
             self.connection.send_queue.request_close_once(CloseRequest::Leaving);
         }
-        self.act(wanted, &[]);
+        self.perform(actions, &[]);
     }
 }
 
-impl Inbound<'_> {
+impl RequestHandler<'_> {
     fn piece(
         &self,
-        state: &mut Carried,
+        state: &mut ConnectionState,
         now_us: u64,
         input: &[u8],
-        wanted: &mut Wanted,
+        actions: &mut RequestedActions,
     ) -> Result<usize, ochrewalk_ajp::Broken> {
-        let Some((piece, taken)) = request::read_piece(input, self.front.packet)? else { return Ok(0) };
-        if state.body.len() + piece.len() <= MOST_BODY as usize {
+        let Some((piece, taken)) = request::read_piece(input, self.ingress.max_packet_bytes)? else {
+            return Ok(0);
+        };
+        if state.body.len() + piece.len() <= MAX_BODY_BYTES as usize {
             state.body.extend_from_slice(piece);
         }
-        state.life.piece(now_us, piece.len() as u64, wanted);
+        state.life.piece(now_us, piece.len() as u64, actions);
         Ok(taken)
     }
 
     fn message(
         &self,
-        state: &mut Carried,
+        state: &mut ConnectionState,
         now_us: u64,
         input: &[u8],
-        wanted: &mut Wanted,
+        actions: &mut RequestedActions,
         allow: &mut Vec<String>,
     ) -> Result<usize, ochrewalk_ajp::Broken> {
-        let Some((message, taken)) = request::read(input, self.front.packet)? else { return Ok(0) };
+        let Some((message, taken)) = request::read(input, self.ingress.max_packet_bytes)? else {
+            return Ok(0);
+        };
         let plain = match message {
             Message::Request(request) => {
-                // What is in force now holds for all of this request.
-                let open = self.front.rules();
-                let judged = open.rules.judge(&request);
+                // The configuration in force now applies to this request as a whole.
+                let config = self.ingress.config();
+                let judged = config.rules.judge(&request);
                 if !state.life.owes() {
                     state.body.clear();
-                    state.asks = None;
+                    state.request = None;
                 }
                 match judged {
                     Ok((asks, body)) if !state.life.owes() => {
                         let tenant = match &asks {
                             Asks::Method(Method { tenant: Some(tenant), .. }) => {
-                                self.front.quota(&open, tenant)
+                                self.ingress.quota(&config, tenant)
                             }
                             _ => None,
                         };
-                        let read_ms = self.front.core.clock.unix_ms();
-                        state.asks = Some(PendingRequest { asks, read_ms, tenant });
-                        state.life.request(now_us, Ok(body), wanted);
+                        let read_ms = self.ingress.core.clock.unix_ms();
+                        state.request = Some(PendingRequest { asks, read_ms, tenant });
+                        state.life.request(now_us, Ok(body), actions);
                     }
-                    Ok((_, body)) => state.life.request(now_us, Ok(body), wanted),
+                    Ok((_, body)) => state.life.request(now_us, Ok(body), actions),
                     Err(No { refusal, allow: of, last }) => {
                         *allow = of;
-                        let follows = request.body_length() != Some(BodyLength::None);
-                        if last || follows {
-                            state.life.request_with_body(now_us, refusal, wanted);
+                        let has_body = request.body_length() != Some(BodyLength::None);
+                        if last || has_body {
+                            state.life.request_with_body(now_us, refusal, actions);
                         } else {
-                            state.life.request(now_us, Err(refusal), wanted);
+                            state.life.request(now_us, Err(refusal), actions);
                         }
                     }
                 }
@@ -179,61 +185,61 @@
             Message::Login => Plain::Login,
             Message::Shutdown => Plain::Shutdown,
         };
-        state.life.plain(now_us, plain, wanted);
+        state.life.plain(now_us, plain, actions);
         Ok(taken)
     }
 
-    fn act(&self, wanted: Wanted, allow: &[String]) {
+    fn perform(&self, actions: RequestedActions, allow: &[String]) {
         let send_queue = &self.connection.send_queue;
         let mut out = Vec::new();
-        if wanted.pong {
-            reply::Message::CPong.write(&mut out, self.front.packet).expect("fits");
+        if actions.pong {
+            reply::Message::CPong.write(&mut out, self.ingress.max_packet_bytes).expect("fits");
         }
-        if let Some(most) = wanted.ask {
-            let most = most.min(request::longest_piece(self.front.packet) as u64) as u16;
-            reply::Message::GetBody(most).write(&mut out, self.front.packet).expect("fits");
+        if let Some(most) = actions.body_request {
+            let most = most.min(request::longest_piece(self.ingress.max_packet_bytes) as u64) as u16;
+            reply::Message::GetBody(most).write(&mut out, self.ingress.max_packet_bytes).expect("fits");
         }
-        if let Some((refusal, reuse)) = wanted.refuse {
-            out.extend(self.front.refusal(refusal, allow, reuse));
+        if let Some((refusal, may_reuse)) = actions.refusal {
+            out.extend(self.ingress.refusal(refusal, allow, may_reuse));
         }
         if !out.is_empty() {
             send_queue.push(out);
         }
-        if wanted.start {
+        if actions.start {
             self.start();
         }
-        match wanted.end {
+        match actions.end {
             None => {}
             Some(End::Idle | End::Leaving) => send_queue.request_close(CloseRequest::Idle),
             Some(End::Silent | End::Unclosed) => send_queue.request_close(CloseRequest::Silent),
-            Some(End::Broken(why)) => {
-                tracing::warn!(part = "ajp", "{why}");
+            Some(End::Broken(error)) => {
+                tracing::warn!(part = "ajp", "malformed packet: {error}");
                 send_queue.request_close(CloseRequest::Faulty);
             }
         }
     }
 
-    /// The request and its body are whole.
+    /// Starts the request, which has been received completely with its body.
     fn start(&self) {
-        let front = self.front;
+        let ingress = self.ingress;
         let (pending, body, serial) = {
             let mut state = self.connection.lock();
-            let Some(pending) = state.asks.take() else { return };
+            let Some(pending) = state.request.take() else { return };
             state.serial += 1;
             (pending, std::mem::take(&mut state.body), state.serial)
         };
         let method = match pending.asks {
             Asks::Method(method) => method,
             Asks::Health => {
-                if let Some(reuse) = self.answered(false) {
-                    self.connection.send_queue.push(front.health(reuse));
+                if let Some(may_reuse) = self.answered(false) {
+                    self.connection.send_queue.push(ingress.health(may_reuse));
                 }
                 return;
             }
         };
         let id = method.id.unwrap_or_else(|| {
-            let mut ids = front.ids.lock().unwrap_or_else(|broken| broken.into_inner());
-            format!("{:016x}", ids.u64(..))
+            let mut generator = ingress.id_generator.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            format!("{:016x}", generator.u64(..))
         });
         let body = format!("\"{}\"", BASE64_STANDARD.encode(&body));
         let asked = Asked {
@@ -246,21 +252,26 @@
             tenant: pending.tenant,
             body: &body,
         };
-        match front.core.check(&asked) {
+        match ingress.core.check(&asked) {
             Ok(incoming) => {
                 self.connection.lock().rpc = Some(incoming.id.clone());
-                let caller = Caller { front: front.clone(), connection: self.connection.clone(), serial };
-                front.core.begin(incoming, &body, caller);
+                let client =
+                    AjpClient { ingress: ingress.clone(), connection: self.connection.clone(), serial };
+                ingress.core.begin(incoming, &body, client);
             }
             Err(why) => {
-                if let Some(reuse) = self.answered(true) {
-                    self.connection.send_queue.push(front.refusal(Refusal { status: 400, why }, &[], reuse));
+                if let Some(may_reuse) = self.answered(true) {
+                    self.connection.send_queue.push(ingress.refusal(
+                        Refusal { status: 400, why },
+                        &[],
+                        may_reuse,
+                    ));
                 }
             }
         }
     }
 
-    fn answered(&self, fault: bool) -> Option<bool> {
-        self.connection.lock().life.answered(fault)
+    fn answered(&self, is_fault: bool) -> Option<bool> {
+        self.connection.lock().life.answered(is_fault)
     }
 }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -1,5 +1,6 @@
-//! Callers' connections by AJP: accepted, read, answered, ended. What may come when is the life's in `ochrewalk-ajp`,
-//! what a request stands for the judge's in `ochrewalk-ingress`; from there on an RPC is as any other.
+//! The AJP ingress: accepts client connections, reads requests, answers them and closes the connections. The state machine
+//! in `ochrewalk-ajp` defines the messages that are allowed in each state, and `ochrewalk-ingress` maps a request to an
+//! RPC. From there on the RPC is treated as one from any other protocol.
 
 mod answers;
 mod handover;
@@ -15,7 +16,7 @@
 use crate::ending::Ending;
 use crate::handover::records::ClientAddress;
 use crate::seam::{Answer, Asker};
-use inbound::{Inbound, Wanted, MOST_BODY};
+use inbound::{RequestHandler, RequestedActions, MAX_BODY_BYTES};
 use may::net::TcpStream;
 use ochrewalk::host::{RpcId, Tenant};
 use ochrewalk_ajp::answerer::{Bounds, Life};
@@ -27,117 +28,136 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::Duration;
 
-const FIRST_US: u64 = 5_000_000;
-const PACKET_US: u64 = 2_000_000;
-const BODY_US: u64 = 3_000_000;
-const CLOSE_US: u64 = 1_000_000;
-const MOST_FAULTS: u32 = 8;
-const SWEEP: Duration = Duration::from_millis(100);
-
-/// What may change while the node serves.
+/// The time limit for the first complete packet on a connection.
+const FIRST_PACKET_TIMEOUT_US: u64 = 5_000_000;
+/// The time limit for a packet, from its first byte to its last.
+const PACKET_TIMEOUT_US: u64 = 2_000_000;
+/// The time limit for a request's body, from the end of its head.
+const BODY_TIMEOUT_US: u64 = 3_000_000;
+/// The time within which the client must close the connection after the last answer.
+const CLOSE_TIMEOUT_US: u64 = 1_000_000;
+/// The number of consecutive refused requests after which a connection is closed.
+const MAX_FAULTS: u32 = 8;
+/// The interval at which the connections' time limits are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The configuration that may change while the node runs.
 pub struct ReloadableConfig {
     pub allowed_peers: AllowedPeers,
     pub rules: Rules,
-    /// Tenants whose quotas came from the control plane.
+    /// The tenants' quotas that the control plane has distributed.
     pub quotas: Arc<CachedQuotas>,
 }
 
 pub struct AjpIngress {
     core: Arc<Core>,
-    packet: usize,
-    most: usize,
-    idle_us: u64,
-    open: Mutex<Arc<ReloadableConfig>>,
-    ids: Mutex<fastrand::Rng>,
-    table: Mutex<Table>,
-    /// Whom to ask for the quotas of tenants, where there is a control plane.
+    max_packet_bytes: usize,
+    max_connections: usize,
+    idle_timeout_us: u64,
+    config: Mutex<Arc<ReloadableConfig>>,
+    /// Generates ids for requests without one.
+    id_generator: Mutex<fastrand::Rng>,
+    table: Mutex<ConnectionTable>,
+    /// The source of tenants' quotas, where a control plane is configured.
     configuration: OnceLock<ConfigurationHandle>,
 }
 
 #[derive(Default)]
-struct Table {
-    next: u64,
-    of: HashMap<u64, Arc<Connection>>,
-    leaving: bool,
+struct ConnectionTable {
+    next_number: u64,
+    connections: HashMap<u64, Arc<Connection>>,
+    is_draining: bool,
     listener: Option<std::net::TcpListener>,
 }
 
 pub struct Connection {
     number: u64,
     send_queue: SendQueue,
-    state: Mutex<Carried>,
+    state: Mutex<ConnectionState>,
 }
 
-struct Carried {
+struct ConnectionState {
     life: Life,
-    /// The request in hand, or the one whose body is coming.
-    asks: Option<PendingRequest>,
+    /// The current request, or the one whose body is being received.
+    request: Option<PendingRequest>,
     body: Vec<u8>,
-    /// The RPC that is owed an answer, and how many came before it here.
+    /// The RPC whose answer is pending.
     rpc: Option<RpcId>,
+    /// The number of requests that this connection has started.
     serial: u64,
     used_us: u64,
-    good: bool,
-    going: bool,
-    /// It has ended, and its peer has not seen that yet.
-    over: bool,
+    /// Whether an RPC from this connection has run.
+    is_proven: bool,
+    /// Whether the connection is to be closed to release its capacity.
+    is_evicted: bool,
+    /// Whether the connection is closed, although the peer may not have received the close yet.
+    is_closed: bool,
 }
 
-/// A request whose head was read.
+/// A request whose head has been read.
 struct PendingRequest {
     asks: Asks,
-    /// When its head was read, in Unix time.
+    /// The Unix time at which the head was read.
     read_ms: u64,
-    /// The quota that it counts against, as it was in force then.
+    /// The quota that the request counts against, as in force at that time.
     tenant: Option<Tenant>,
 }
 
 impl AjpIngress {
-    /// `most` connections at a time, with packets of `packet` bytes at most.
+    /// Returns an ingress for up to `max_connections`, with packets of up to `max_packet_bytes`.
     pub fn new(
         core: Arc<Core>,
-        open: ReloadableConfig,
-        packet: usize,
-        most: usize,
-        idle_us: u64,
+        config: ReloadableConfig,
+        max_packet_bytes: usize,
+        max_connections: usize,
+        idle_timeout_us: u64,
         seed: u64,
     ) -> Arc<AjpIngress> {
-        let ids = Mutex::new(fastrand::Rng::with_seed(seed ^ 0x616a_7031_332f_6964));
-        let (open, table) = (Mutex::new(Arc::new(open)), Mutex::default());
+        let id_generator = Mutex::new(fastrand::Rng::with_seed(seed ^ 0x616a_7031_332f_6964));
+        let (config, table) = (Mutex::new(Arc::new(config)), Mutex::default());
         let configuration = OnceLock::new();
-        Arc::new(AjpIngress { core, packet, most, idle_us, open, ids, table, configuration })
+        Arc::new(AjpIngress {
+            core,
+            max_packet_bytes,
+            max_connections,
+            idle_timeout_us,
+            config,
+            id_generator,
+            table,
+            configuration,
+        })
     }
 
-    /// Quotas of tenants are asked for here from now on.
+    /// Sets the source from which tenants' quotas are requested.
     pub fn set_configuration(&self, configuration: ConfigurationHandle) {
         let _ = self.configuration.set(configuration);
     }
 
-    /// The quota that an RPC of this tenant counts against: as distributed, else as the node's file says. A tenant whose
-    /// quota is only being fetched counts as within it.
-    fn quota(&self, open: &ReloadableConfig, tenant: &str) -> Option<Tenant> {
+    /// Returns the quota that an RPC of this tenant counts against: the distributed quota, or else the one in the node's
+    /// file. A tenant whose quota is still being fetched counts as within the quota.
+    fn quota(&self, config: &ReloadableConfig, tenant: &str) -> Option<Tenant> {
         let Some(configuration) = self.configuration.get() else {
             return self.core.deployment.tenant(tenant);
         };
-        if let Some((tenant, known)) = open.quotas.get_key_value(tenant) {
+        if let Some((tenant, cached)) = config.quotas.get_key_value(tenant) {
             configuration.record_quota_use(tenant.clone());
-            return known.quota();
+            return cached.quota();
         }
         configuration.request_quota(tenant.into());
         self.core.deployment.tenant(tenant)
     }
 
-    /// Who may connect and what requests stand for, from now on. What held until now is given back: a request that
-    /// still goes by it is not to be the one that frees it, as that takes a while where there are many routes.
-    pub fn replace_config(&self, open: ReloadableConfig) -> Arc<ReloadableConfig> {
-        let open = Arc::new(open);
-        std::mem::replace(&mut *self.open.lock().unwrap_or_else(|broken| broken.into_inner()), open)
+    /// Replaces the configuration and returns the previous one. The caller keeps it until no request uses it, because
+    /// freeing a configuration with many routes takes time, which must not delay a request.
+    pub fn replace_config(&self, config: ReloadableConfig) -> Arc<ReloadableConfig> {
+        let config = Arc::new(config);
+        std::mem::replace(&mut *self.config.lock().unwrap_or_else(|poisoned| poisoned.into_inner()), config)
     }
 
-    /// Has those looked at whose silence may mean something by now.
+    /// Wakes connections that have reached a time limit, forever.
     pub fn sweep(&self) {
         loop {
-            may::coroutine::sleep(SWEEP);
+            may::coroutine::sleep(CHECK_INTERVAL);
             let now_us = self.core.clock.now_us();
             for connection in self.all() {
                 if connection.lock().life.due_us().is_some_and(|due_us| now_us >= due_us) {
@@ -147,98 +167,108 @@
         }
     }
 
-    /// This server leaves: what comes is answered, and each answer is its connection's last.
+    /// Starts to drain: requests are still answered, and each connection is closed after its next answer.
     pub fn drain(&self) {
-        self.lock().leaving = true;
+        self.lock().is_draining = true;
         self.all().iter().for_each(|connection| connection.lock().life.leave());
     }
 
-    /// Nothing more is written once what waits is written.
+    /// Shuts the write side of each connection once its queue is written.
     pub fn request_close(&self) {
         self.all().iter().for_each(|connection| connection.send_queue.request_close(CloseRequest::Leaving));
     }
 
+    /// Returns the number of connections.
     pub fn count(&self) -> usize {
-        self.lock().of.len()
+        self.lock().connections.len()
     }
 
     fn all(&self) -> Vec<Arc<Connection>> {
-        self.lock().of.values().cloned().collect()
+        self.lock().connections.values().cloned().collect()
     }
 
-    fn rules(&self) -> Arc<ReloadableConfig> {
-        self.open.lock().unwrap_or_else(|broken| broken.into_inner()).clone()
+    fn config(&self) -> Arc<ReloadableConfig> {
+        self.config.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, ConnectionTable> {
+        self.table.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn bounds(&self) -> Bounds {
         Bounds {
-            first_us: FIRST_US,
-            packet_us: PACKET_US,
-            body_us: BODY_US,
-            idle_us: self.idle_us,
-            close_us: CLOSE_US,
-            most_body: MOST_BODY,
-            most_faults: MOST_FAULTS,
+            first_us: FIRST_PACKET_TIMEOUT_US,
+            packet_us: PACKET_TIMEOUT_US,
+            body_us: BODY_TIMEOUT_US,
+            idle_us: self.idle_timeout_us,
+            close_us: CLOSE_TIMEOUT_US,
+            most_body: MAX_BODY_BYTES,
+            most_faults: MAX_FAULTS,
         }
     }
 
-    /// Has every connection looked at again, as a pause is over.
+    /// Wakes every connection after a pause.
     pub fn wake_connections(&self) {
         self.all().iter().for_each(|connection| connection.send_queue.wake());
     }
 
-    fn enter(&self) -> (u64, Arc<Connection>) {
+    /// Adds a new connection to the table.
+    fn register(&self) -> (u64, Arc<Connection>) {
         let now_us = self.core.clock.now_us();
         let mut table = self.lock();
         let mut life = Life::new(now_us, self.bounds());
-        if table.leaving {
+        if table.is_draining {
             life.leave();
         }
-        let state = Carried {
+        let state = ConnectionState {
             life,
-            asks: None,
+            request: None,
             body: Vec::new(),
             rpc: None,
             serial: 0,
             used_us: now_us,
-            good: false,
-            going: false,
-            over: false,
+            is_proven: false,
+            is_evicted: false,
+            is_closed: false,
         };
-        table.next += 1;
-        let number = table.next;
+        table.next_number += 1;
+        let number = table.next_number;
         let connection =
             Arc::new(Connection { number, send_queue: SendQueue::default(), state: Mutex::new(state) });
-        table.of.insert(number, connection.clone());
+        table.connections.insert(number, connection.clone());
         (number, connection)
     }
 
     fn serve(self: &Arc<Self>, stream: &TcpStream, number: u64, connection: &Arc<Connection>) {
-        let mut reader = Inbound { front: self, connection };
+        let mut handler = RequestHandler { ingress: self, connection };
         let ending = match stream.set_nodelay(true) {
-            Ok(()) => drive_connection(stream, &connection.send_queue, None, self.packet, &mut reader),
+            Ok(()) => {
+                drive_connection(stream, &connection.send_queue, None, self.max_packet_bytes, &mut handler)
+            }
             Err(err) => Ending::of_use(&err),
         };
-        let mut wanted = Wanted::default();
+        let mut actions = RequestedActions::default();
         {
             let mut state = connection.lock();
-            state.over = true;
-            state.life.closed(&mut wanted);
+            state.is_closed = true;
+            state.life.closed(&mut actions);
         }
         match &ending {
-            Ending::Malformed(_) | Ending::TooLong => tracing::warn!(part = "ajp", "{ending}"),
-            _ => tracing::debug!(part = "ajp", "{ending}; {} RPCs open", u8::from(wanted.gone)),
+            Ending::Malformed(_) | Ending::TooLong => {
+                tracing::warn!(part = "ajp", "connection closed: {ending}")
+            }
+            _ => tracing::debug!(
+                part = "ajp",
+                "connection closed: {ending}; {} RPCs open",
+                u8::from(actions.gone)
+            ),
         }
         let rpc = connection.lock().rpc.take();
-        if let Some(id) = rpc.filter(|_| wanted.gone) {
+        if let Some(id) = rpc.filter(|_| actions.gone) {
             self.core.gate.gone(&id);
         }
-        close_gracefully(stream, &ending, || self.count() >= self.most);
-        self.lock().of.remove(&number);
+        close_gracefully(stream, &ending, || self.count() >= self.max_connections);
+        self.lock().connections.remove(&number);
     }
 }
 
@@ -258,76 +288,78 @@
     }
 
     fn max_connections(&self) -> usize {
-        self.most
+        self.max_connections
     }
 
     fn may_connect(&self, from: IpAddr) -> bool {
-        self.rules().allowed_peers.may_connect(from)
+        self.config().allowed_peers.may_connect(from)
     }
 
-    /// Guards against a table full of those that say nothing, or asked once and stay, which would keep callers out.
+    /// Closes an idle connection where the table is full. Without this, connections that send nothing, or one request, and
+    /// stay open would keep other clients out.
     fn ensure_capacity(&self) -> bool {
         let table = self.lock();
-        if table.of.len() < self.most {
+        if table.connections.len() < self.max_connections {
             return true;
         }
         let standing = |(number, connection): (&u64, &Arc<Connection>)| {
             let state = connection.lock();
-            let worth = Worth { good: state.good, used_us: state.used_us };
+            let worth = Worth { good: state.is_proven, used_us: state.used_us };
             let worth = state.life.idle_since_us().map(|_| worth);
-            Standing { number: *number, going: state.going || state.over, worth }
+            Standing { number: *number, going: state.is_evicted || state.is_closed, worth }
         };
-        let all: Vec<Standing> = table.of.iter().map(standing).collect();
-        let (number, room) = match connection_budget::look(self.most, MAX_CLOSING, &all) {
+        let all: Vec<Standing> = table.connections.iter().map(standing).collect();
+        let (number, has_capacity) = match connection_budget::look(self.max_connections, MAX_CLOSING, &all) {
             Verdict::Room => return true,
             Verdict::Full => return false,
             Verdict::RoomFor(number) => (number, true),
             Verdict::Ask(number) => (number, false),
         };
-        let goes = table.of[&number].clone();
+        let evicted = table.connections[&number].clone();
         drop(table);
-        goes.lock().going = true;
-        goes.send_queue.wake();
-        room
+        evicted.lock().is_evicted = true;
+        evicted.send_queue.wake();
+        has_capacity
     }
 
     fn serve_connection(self: &Arc<Self>, stream: TcpStream) {
-        let (number, connection) = self.enter();
-        let front = self.clone();
-        may::go!(move || front.serve(&stream, number, &connection));
+        let (number, connection) = self.register();
+        let ingress = self.clone();
+        may::go!(move || ingress.serve(&stream, number, &connection));
     }
 }
 
 impl Connection {
-    fn lock(&self) -> MutexGuard<'_, Carried> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, ConnectionState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// Who asked, by AJP.
-struct Caller {
-    front: Arc<AjpIngress>,
+/// The client that waits for the answer to one RPC, by AJP.
+struct AjpClient {
+    ingress: Arc<AjpIngress>,
     connection: Arc<Connection>,
+    /// The value of the connection's serial for the request.
     serial: u64,
 }
 
-impl Asker for Caller {
+impl Asker for AjpClient {
     fn is_owed(&self) -> bool {
         let state = self.connection.lock();
         state.serial == self.serial && state.life.owes()
     }
 
     fn answer(&self, answer: Answer, signal: Option<f64>) {
-        let reuse = {
+        let may_reuse = {
             let mut state = self.connection.lock();
             if state.serial != self.serial {
                 return;
             }
-            let Some(reuse) = state.life.answered(matches!(answer, Answer::Fault(_))) else { return };
-            (state.rpc, state.used_us) = (None, self.front.core.clock.now_us());
-            reuse
+            let Some(may_reuse) = state.life.answered(matches!(answer, Answer::Fault(_))) else { return };
+            (state.rpc, state.used_us) = (None, self.ingress.core.clock.now_us());
+            may_reuse
         };
-        self.connection.send_queue.push(self.front.packets(answer, signal, reuse));
+        self.connection.send_queue.push(self.ingress.packets(answer, signal, may_reuse));
     }
 
     fn address(&self) -> ClientAddress {
@@ -339,12 +371,12 @@
         }
     }
 
-    /// It counts once its answer says so: one RPC is in hand at a time.
+    /// Has no effect here: [`Asker::answer`] counts the fault, as a connection has one RPC in flight at a time.
     fn fault(&self) {}
 
     fn proven(&self) {
         let mut state = self.connection.lock();
         state.life.proven();
-        state.good = true;
+        state.is_proven = true;
     }
 }
--- a/crates/ochrewalk-node/src/net/line_upstream.rs
+++ b/crates/ochrewalk-node/src/net/line_upstream.rs
@@ -1,6 +1,7 @@
-//! Calls to what lies below. A connection carries one call at a time while there are descriptors for that, as
-//! one spoilt reply makes a connection useless for all calls on it. Connections are kept for a moment, for later
-//! calls that may be made again, and then closed by us before the other side would.
+//! The upstream that is called by the line protocol. A connection carries one call at a time while descriptors are
+//! available, because one corrupted reply makes a connection unusable for all calls on it. Idle connections are
+//! retained for a short time, for later calls that may be repeated, and are then closed before the peer would close
+//! them.
 
 use super::buffered_connection::{
     close_gracefully, connect, drive_connection, stream_from_descriptor, CloseRequest, MessageHandler,
@@ -20,65 +21,69 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-const CONNECT: Duration = Duration::from_millis(500);
-/// How long a connection that carries nothing is trusted. The other side may close it early, or forget it and
-/// reset it at the next call, and nothing tells that from a reset in a reply's place. A new one costs little.
-const TRUSTED_US: u64 = 50_000;
-const SWEEP: Duration = Duration::from_millis(100);
-/// How long a reply may take from its first byte to its last. Guards against a length that says more than comes:
-/// its call would wait all its time.
-const REPLY_US: u64 = 250_000;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time for which an idle connection may be used again. The peer may close the connection early, or drop its state
+/// and reset it at the next call, which cannot be distinguished from a reset that replaces a reply. A new connection
+/// costs little.
+const MAX_IDLE_US: u64 = 50_000;
+/// The interval at which idle connections and overdue replies are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The time limit for a reply, from its first byte to its last. Without the limit, a reply that is shorter than its
+/// stated length would delay its call until the call's own timeout.
+const REPLY_TIMEOUT_US: u64 = 250_000;
 
+/// The client of the upstream.
 #[derive(Clone)]
-pub struct LineUpstreamClient(Arc<Links>);
+pub struct LineUpstreamClient(Arc<Connections>);
 
-struct Links {
+struct Connections {
     clock: Clock,
-    most_links: usize,
+    max_connections: usize,
     state: Mutex<State>,
 }
 
 struct State {
-    /// Where new calls go. Links to a place before it only wait for the replies that are still due.
-    at: SocketAddr,
-    links: Vec<Arc<Link>>,
+    /// The address for new calls. Connections to an earlier address only wait for pending replies.
+    address: SocketAddr,
+    connections: Vec<Arc<Connection>>,
 }
 
-/// One connection, from the call that wants it to its end.
-struct Link {
-    at: SocketAddr,
+/// One connection, from the call that requests it until it is closed.
+struct Connection {
+    address: SocketAddr,
     send_queue: SendQueue,
-    carried: Mutex<Carried>,
+    state: Mutex<ConnectionState>,
 }
 
-struct Carried {
+struct ConnectionState {
     calls: HashMap<RpcId, Post>,
     used_us: u64,
-    /// Since when a reply is under way that has no end yet.
-    partial_us: Option<u64>,
-    /// It has ended, and its peer has not seen that yet.
-    over: bool,
+    /// The time since which a reply is incomplete.
+    partial_since_us: Option<u64>,
+    /// Whether the connection no longer takes calls, although the peer may not have received the close yet.
+    is_closed: bool,
 }
 
 impl LineUpstreamClient {
-    pub fn new(at: SocketAddr, clock: Clock, most_links: usize) -> LineUpstreamClient {
-        LineUpstreamClient(Arc::new(Links {
+    /// Returns the client of the upstream at `address`, with up to `max_connections`.
+    pub fn new(address: SocketAddr, clock: Clock, max_connections: usize) -> LineUpstreamClient {
+        LineUpstreamClient(Arc::new(Connections {
             clock,
-            most_links,
-            state: Mutex::new(State { at, links: Vec::new() }),
+            max_connections,
+            state: Mutex::new(State { address, connections: Vec::new() }),
         }))
     }
 
-    /// Calls go to this place from now on. The links to the one before end with their last reply.
-    pub fn set_address(&self, at: SocketAddr) {
-        self.0.lock().at = at;
+    /// Sets the address for new calls. Connections to the previous address are closed after their last reply.
+    pub fn set_address(&self, address: SocketAddr) {
+        self.0.lock().address = address;
         self.0.close_idle();
     }
 
-    /// Closes connections that have carried nothing for a while, for ever.
+    /// Closes idle connections periodically, forever.
     pub fn maintain(&self) {
         loop {
-            may::coroutine::sleep(SWEEP);
+            may::coroutine::sleep(CHECK_INTERVAL);
             self.0.close_idle();
         }
     }
@@ -95,179 +100,197 @@
 
     fn keep(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
-        let (mut links, mut descriptors) = (Vec::new(), Vec::new());
-        // One that is only being made has written nothing: its calls are placed anew.
-        for (link, (fd, stream)) in
-            state.links.iter().filter_map(|link| Some((link, link.send_queue.snapshot()?)))
+        let (mut connections, mut descriptors) = (Vec::new(), Vec::new());
+        // A connection that is not established yet has written nothing; its calls are started again.
+        for (connection, (fd, stream)) in state
+            .connections
+            .iter()
+            .filter_map(|connection| Some((connection, connection.send_queue.snapshot()?)))
         {
-            let carried = link.lock();
-            links.push(UpstreamConnectionRecord {
-                endpoint: link.at.to_string(),
+            let inner = connection.lock();
+            connections.push(UpstreamConnectionRecord {
+                endpoint: connection.address.to_string(),
                 stream,
-                calls: carried.calls.keys().map(|id| id.to_string()).collect(),
-                used_us: carried.used_us,
-                partial_us: carried.partial_us,
+                calls: inner.calls.keys().map(|id| id.to_string()).collect(),
+                used_us: inner.used_us,
+                partial_us: inner.partial_since_us,
             });
             descriptors.push(fd);
         }
-        (UpstreamRecord { links, lost: Vec::new() }, descriptors)
+        (UpstreamRecord { links: connections, lost: Vec::new() }, descriptors)
     }
 
     fn nudge(&self) {
-        self.0.lock().links.iter().for_each(|link| link.send_queue.wake());
+        self.0.lock().connections.iter().for_each(|connection| connection.send_queue.wake());
     }
 }
 
 impl LineUpstreamClient {
-    /// Goes on with the connections of another process; the posts are those of the RPCs whose calls they carry.
-    pub fn resume(&self, kept: UpstreamRecord, descriptors: Vec<OwnedFd>, posts: &HashMap<RpcId, Post>) {
+    /// Resumes the connections of another process. `posts` are those of the RPCs whose calls the connections carry.
+    pub fn resume(&self, record: UpstreamRecord, descriptors: Vec<OwnedFd>, posts: &HashMap<RpcId, Post>) {
         let mut state = self.0.lock();
-        for (kept, descriptor) in kept.links.into_iter().zip(descriptors) {
+        for (record, descriptor) in record.links.into_iter().zip(descriptors) {
             let post =
                 |id: String| posts.get_key_value(id.as_str()).map(|(id, post)| (id.clone(), post.clone()));
-            let calls = kept.calls.into_iter().filter_map(post).collect();
-            let carried = Carried { calls, used_us: kept.used_us, partial_us: kept.partial_us, over: false };
-            let at = kept.endpoint.parse().unwrap_or(state.at);
-            let send_queue = SendQueue::resume(kept.stream, false);
-            let link = Arc::new(Link { at, send_queue, carried: Mutex::new(carried) });
-            state.links.push(link.clone());
-            let below = self.0.clone();
-            may::go!(move || below.keep(&link, Some(stream_from_descriptor(descriptor))));
+            let calls = record.calls.into_iter().filter_map(post).collect();
+            let connection_state = ConnectionState {
+                calls,
+                used_us: record.used_us,
+                partial_since_us: record.partial_us,
+                is_closed: false,
+            };
+            let address = record.endpoint.parse().unwrap_or(state.address);
+            let send_queue = SendQueue::resume(record.stream, false);
+            let connection =
+                Arc::new(Connection { address, send_queue, state: Mutex::new(connection_state) });
+            state.connections.push(connection.clone());
+            let connections = self.0.clone();
+            may::go!(move || connections.drive(&connection, Some(stream_from_descriptor(descriptor))));
         }
     }
 }
 
-impl Links {
-    /// One that is not to be made `again` goes on a connection of its own: guards against one that was forgotten
-    /// below, which would leave it without proof.
-    fn call(self: &Arc<Self>, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
+impl Connections {
+    /// Starts a call. A call that is not `is_repeatable` gets a new connection, because the upstream may have dropped the
+    /// state of an idle one, which would leave it unknown whether the call ran.
+    fn call(self: &Arc<Self>, id: &RpcId, wait_ms: u64, body: &[u8], is_repeatable: bool, post: Post) {
         let mut state = self.lock();
         let now_us = self.clock.now_us();
-        let room = state.links.len() < self.most_links;
-        let trusted = |link: &Link| {
-            let carried = link.lock();
-            let unused = again && carried.calls.is_empty() && now_us < carried.used_us + TRUSTED_US;
-            !carried.over && (!room || unused)
+        let has_capacity = state.connections.len() < self.max_connections;
+        let is_usable = |connection: &Connection| {
+            let inner = connection.lock();
+            let may_reuse = is_repeatable && inner.calls.is_empty() && now_us < inner.used_us + MAX_IDLE_US;
+            !inner.is_closed && (!has_capacity || may_reuse)
         };
-        // The last one used is the first one used again, so that the others are closed as idle.
-        let least =
-            state.links.iter().filter(|link| link.at == state.at && trusted(link)).min_by_key(|link| {
-                let carried = link.lock();
-                (carried.calls.len(), u64::MAX - carried.used_us)
+        // The connection that was used last is used first, so that the others are closed as idle.
+        let least_used = state
+            .connections
+            .iter()
+            .filter(|connection| connection.address == state.address && is_usable(connection))
+            .min_by_key(|connection| {
+                let inner = connection.lock();
+                (inner.calls.len(), u64::MAX - inner.used_us)
             });
-        let link = match least.cloned() {
-            Some(link) => link,
+        let connection = match least_used.cloned() {
+            Some(connection) => connection,
             None => {
                 let (calls, used_us) = (HashMap::new(), now_us);
-                let carried = Mutex::new(Carried { calls, used_us, partial_us: None, over: false });
-                let link = Arc::new(Link { at: state.at, send_queue: SendQueue::default(), carried });
-                state.links.push(link.clone());
-                let (below, of) = (self.clone(), link.clone());
-                may::go!(move || below.keep(&of, None));
-                link
+                let connection_state =
+                    Mutex::new(ConnectionState { calls, used_us, partial_since_us: None, is_closed: false });
+                let connection = Arc::new(Connection {
+                    address: state.address,
+                    send_queue: SendQueue::default(),
+                    state: connection_state,
+                });
+                state.connections.push(connection.clone());
+                let (connections, new) = (self.clone(), connection.clone());
+                may::go!(move || connections.drive(&new, None));
+                connection
             }
         };
         {
-            let mut carried = link.lock();
-            carried.calls.insert(id.clone(), post);
-            carried.used_us = now_us;
+            let mut inner = connection.lock();
+            inner.calls.insert(id.clone(), post);
+            inner.used_us = now_us;
         }
-        link.send_queue.push(calls::call(id, wait_ms, body));
+        connection.send_queue.push(calls::call(id, wait_ms, body));
     }
 
     fn give_up(&self, id: &str) {
-        let Some(link) = self.carrier(id) else { return };
-        if link.lock().calls.remove(id).is_some() {
-            link.send_queue.push(calls::cancel(id));
+        let Some(connection) = self.connection_of(id) else { return };
+        if connection.lock().calls.remove(id).is_some() {
+            connection.send_queue.push(calls::cancel(id));
         }
     }
 
     fn close_idle(&self) {
         let state = self.lock();
-        for link in &state.links {
-            let carried = link.lock();
+        for connection in &state.connections {
+            let inner = connection.lock();
             let now_us = self.clock.now_us();
-            let idle_us = now_us.saturating_sub(carried.used_us);
-            if carried.partial_us.is_some_and(|from_us| now_us >= from_us + REPLY_US) {
-                link.send_queue.request_close(CloseRequest::Silent);
-            } else if carried.calls.is_empty() && (idle_us >= TRUSTED_US || link.at != state.at) {
-                link.send_queue.request_close(CloseRequest::Idle);
+            let idle_us = now_us.saturating_sub(inner.used_us);
+            if inner.partial_since_us.is_some_and(|from_us| now_us >= from_us + REPLY_TIMEOUT_US) {
+                connection.send_queue.request_close(CloseRequest::Silent);
+            } else if inner.calls.is_empty()
+                && (idle_us >= MAX_IDLE_US || connection.address != state.address)
+            {
+                connection.send_queue.request_close(CloseRequest::Idle);
             }
         }
     }
 
-    /// Carries one link to its end.
-    fn keep(&self, link: &Arc<Link>, adopted: Option<TcpStream>) {
-        let stream = adopted.map_or_else(|| connect(&link.at, CONNECT), Ok);
+    /// Drives one connection until it is closed, and reports the calls that it still carries.
+    fn drive(&self, connection: &Arc<Connection>, adopted: Option<TcpStream>) {
+        let stream = adopted.map_or_else(|| connect(&connection.address, CONNECT_TIMEOUT), Ok);
         let ending = match &stream {
             Ok(stream) => drive_connection(
                 stream,
-                &link.send_queue,
+                &connection.send_queue,
                 None,
                 calls::MAX_REPLY_BYTES,
-                &mut Replies { below: self, link },
+                &mut ReplyHandler { connections: self, connection },
             ),
             Err(ending) => ending.clone(),
         };
-        // From here on no call finds it. Guards against a call that comes while it closes as idle.
+        // From here on no call can select the connection, so that none is lost while it closes as idle.
         let calls = {
-            let _none_is_placed = self.lock();
-            let mut carried = link.lock();
-            carried.over = true;
-            std::mem::take(&mut carried.calls)
+            let _no_call_starts = self.lock();
+            let mut inner = connection.lock();
+            inner.is_closed = true;
+            std::mem::take(&mut inner.calls)
         };
-        let unwritten = link.send_queue.take_unwritten();
-        let never_written = |id: &str| {
+        let unwritten = connection.send_queue.take_unwritten();
+        let was_never_written = |id: &str| {
             let start = format!("CALL {id} ");
             unwritten.iter().any(|line| line.starts_with(start.as_bytes()))
         };
         if !calls.is_empty() {
-            tracing::warn!(part = "below", place = %link.at, "{ending}; {} calls under way", calls.len());
+            tracing::warn!(part = "below", place = %connection.address, "connection closed: {ending}; {} calls were in flight", calls.len());
         }
         for (id, post) in calls {
-            // What was never written whole never ran, however the connection ended.
-            let end = if never_written(&id) { CallEnd::Unsent } else { CallEnd::Link(ending.clone()) };
+            // A call that was not written completely never ran, for whatever reason the connection closed.
+            let end = if was_never_written(&id) { CallEnd::Unsent } else { CallEnd::Link(ending.clone()) };
             post.send(Next::CallEnded(end));
         }
         if let Ok(stream) = stream {
-            close_gracefully(&stream, &ending, || self.lock().links.len() >= self.most_links);
+            close_gracefully(&stream, &ending, || self.lock().connections.len() >= self.max_connections);
         }
-        self.lock().links.retain(|other| !Arc::ptr_eq(other, link));
+        self.lock().connections.retain(|other| !Arc::ptr_eq(other, connection));
     }
 
-    fn carrier(&self, id: &str) -> Option<Arc<Link>> {
-        self.lock().links.iter().find(|link| link.lock().calls.contains_key(id)).cloned()
+    fn connection_of(&self, id: &str) -> Option<Arc<Connection>> {
+        self.lock().connections.iter().find(|connection| connection.lock().calls.contains_key(id)).cloned()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-impl Link {
-    fn lock(&self) -> MutexGuard<'_, Carried> {
-        self.carried.lock().unwrap_or_else(|broken| broken.into_inner())
+impl Connection {
+    fn lock(&self) -> MutexGuard<'_, ConnectionState> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-struct Replies<'a> {
-    below: &'a Links,
-    link: &'a Link,
+struct ReplyHandler<'a> {
+    connections: &'a Connections,
+    connection: &'a Connection,
 }
 
-impl MessageHandler for Replies<'_> {
+impl MessageHandler for ReplyHandler<'_> {
     fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
-        let now_us = self.below.clock.now_us();
+        let now_us = self.connections.clock.now_us();
         let Some((reply, taken)) = calls::read(input).map_err(Ending::Malformed)? else {
-            self.link.lock().partial_us.get_or_insert(now_us);
+            self.connection.lock().partial_since_us.get_or_insert(now_us);
             return Ok(0);
         };
         let post = {
-            let mut carried = self.link.lock();
-            (carried.used_us, carried.partial_us) = (now_us, None);
-            carried.calls.remove(reply.id)
+            let mut inner = self.connection.lock();
+            (inner.used_us, inner.partial_since_us) = (now_us, None);
+            inner.calls.remove(reply.id)
         };
-        // One that was given up may still be answered.
+        // A call that was cancelled may still be answered.
         if let Some(post) = post {
             post.send(Next::CallEnded(match reply.status {
                 Status::Ok => CallEnd::Good(reply.body.to_vec()),
@@ -281,11 +304,13 @@
     }
 
     fn may_close(&self, request: CloseRequest) -> bool {
-        let carried = self.link.lock();
-        let now_us = self.below.clock.now_us();
+        let inner = self.connection.lock();
+        let now_us = self.connections.clock.now_us();
         match request {
-            CloseRequest::Silent => carried.partial_us.is_some_and(|from_us| now_us >= from_us + REPLY_US),
-            _ => carried.calls.is_empty() && carried.partial_us.is_none(),
+            CloseRequest::Silent => {
+                inner.partial_since_us.is_some_and(|from_us| now_us >= from_us + REPLY_TIMEOUT_US)
+            }
+            _ => inner.calls.is_empty() && inner.partial_since_us.is_none(),
         }
     }
 }
