--- a/crates/ochrewalk-node/src/gate.rs
+++ b/crates/ochrewalk-node/src/gate.rs
@@ -3,7 +3,7 @@
 //! module's events and actions. One lock guards it, and nothing is read or written while it is held.
 
 use crate::clock::{since_us, whole_ms, Clock};
-use crate::ending::CallEnd;
+use crate::close_reason::CallResult;
 use crate::handover::pause::is_paused;
 use crate::handover::records::{IdempotencyKeyRecord, NodeRecord};
 use crate::keys::{Keys, Known, Lapse, Served, State};
@@ -80,7 +80,7 @@
         pos: u64,
         body: Vec<u8>,
     },
-    CallEnded(CallEnd),
+    CallEnded(CallResult),
     /// Its run has ended, with a result (a JSON string) where it is complete.
     RunEnded(RunEnd, Option<Served>),
     /// Nothing has come within the time given.
--- a/crates/ochrewalk-node/src/lib.rs
+++ b/crates/ochrewalk-node/src/lib.rs
@@ -1,9 +1,9 @@
 //! The real node's parts, round the module. See docs/architecture.md.
 
 pub mod clock;
+pub mod close_reason;
 pub mod configuration;
 pub mod core;
-pub mod ending;
 pub mod gate;
 pub mod handover;
 pub mod keys;
--- a/crates/ochrewalk-node/src/life.rs
+++ b/crates/ochrewalk-node/src/life.rs
@@ -2,7 +2,7 @@
 //! its run: a value without I/O, fed with whatever happens and acting by a small trait. It can be written down between
 //! any two events, and goes on from there in another process.
 
-use crate::ending::CallEnd;
+use crate::close_reason::CallResult;
 use crate::gate::{Next, Report};
 use crate::seam::Answer;
 use crate::wire::notices::RunEnd;
@@ -114,7 +114,7 @@
             Next::Nothing => {
                 if self.late_us().is_some_and(|late_us| now_us >= late_us) {
                     acts.give_up_call();
-                    self.call_ended(now_us, CallEnd::Late, acts);
+                    self.call_ended(now_us, CallResult::TimedOut, acts);
                 }
             }
             Next::RunEnded(end, result) => {
@@ -135,15 +135,15 @@
         call.placed = Some(Placed { at_us: now_us, until_us });
         let wait_ms = until_us.saturating_sub(now_us).div_ceil(1_000).max(1);
         if !acts.call(wait_ms, &call.body) {
-            self.call_ended(now_us, CallEnd::Unsent, acts);
+            self.call_ended(now_us, CallResult::Unsent, acts);
         }
     }
 
     /// The reply goes on to the run as it came. A call that ended in any other way still waits for a word.
-    fn call_ended(&mut self, now_us: u64, end: CallEnd, acts: &mut impl Acts) {
+    fn call_ended(&mut self, now_us: u64, end: CallResult, acts: &mut impl Acts) {
         let Some(placed) = self.call.as_mut().and_then(|call| call.placed.take()) else { return };
         let (outcome, took_us) = (end.outcome(), now_us.saturating_sub(placed.at_us));
-        if let CallEnd::Good(body) = end {
+        if let CallResult::Succeeded(body) = end {
             self.call = None;
             acts.give_back(&body);
         }
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -3,7 +3,7 @@
 
 use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
 use crate::clock::Clock;
-use crate::ending::{CallEnd, Ending};
+use crate::close_reason::{CallResult, CloseReason};
 use crate::gate::{Next, Post};
 use crate::handover::records::UpstreamRecord;
 use crate::seam::Beneath;
@@ -69,7 +69,7 @@
     next_call: CallId,
     /// What the module's present word is about: a whole answer, or a connection's end.
     reply: Option<Reply>,
-    why: Option<Ending>,
+    why: Option<CloseReason>,
     now_us: u64,
 }
 
@@ -333,18 +333,18 @@
             }
         };
         match ending {
-            Ending::Idle => tracing::debug!(part = "below", place = %at, "{ending}"),
+            CloseReason::Idle => tracing::debug!(part = "below", place = %at, "{ending}"),
             _ => tracing::warn!(part = "below", place = %at, "{ending}"),
         }
     }
 
     /// A connection ended that was not let go by us.
-    fn end(&self, link: LinkId, ending: &Ending) {
+    fn end(&self, link: LinkId, ending: &CloseReason) {
         self.with(|places, hands| {
             let Some(of) = hands.links.remove(&link) else { return };
             let how = match (of.life.wrote(), ending) {
                 (true, _) => Ended::Written,
-                (false, Ending::Silent) => Ended::Silent,
+                (false, CloseReason::TimedOut) => Ended::Silent,
                 (false, _) => Ended::Unwritten,
             };
             hands.why = Some(ending.clone());
@@ -417,11 +417,13 @@
         let Some(Call { id, post, .. }) = self.calls.remove(&call) else { return };
         self.ids.remove(&id);
         let end = match end {
-            Settled::Unsent => CallEnd::Unsent,
-            Settled::Broken => CallEnd::Link(self.why.clone().unwrap_or(Ending::Closed)),
+            Settled::Unsent => CallResult::Unsent,
+            Settled::Broken => {
+                CallResult::ConnectionClosed(self.why.clone().unwrap_or(CloseReason::ClosedByPeer))
+            }
             Settled::Replied => match self.reply.take() {
-                Some(reply) => CallEnd::of_status(reply.status, reply.never_ran, reply.body),
-                None => CallEnd::Failed,
+                Some(reply) => CallResult::from_status(reply.status, reply.never_ran, reply.body),
+                None => CallResult::Failed,
             },
         };
         post.send(Next::CallEnded(end));
@@ -494,15 +496,15 @@
     }
 }
 
-fn ending(why: End) -> Ending {
+fn ending(why: End) -> CloseReason {
     match why {
-        End::Closed | End::Spent => Ending::Closed,
-        End::Failed => Ending::Broken(std::io::ErrorKind::Other),
-        End::Broken(why) => Ending::Malformed(why.to_string()),
-        End::TooLong => Ending::TooLong,
-        End::TooShort => Ending::Malformed("an answer shorter than it said".into()),
-        End::Silent => Ending::Silent,
-        End::Idle | End::GivenUp => Ending::Idle,
+        End::Closed | End::Spent => CloseReason::ClosedByPeer,
+        End::Failed => CloseReason::Broken(std::io::ErrorKind::Other),
+        End::Broken(why) => CloseReason::Malformed(why.to_string()),
+        End::TooLong => CloseReason::MessageTooLong,
+        End::TooShort => CloseReason::Malformed("an answer shorter than it said".into()),
+        End::Silent => CloseReason::TimedOut,
+        End::Idle | End::GivenUp => CloseReason::Idle,
     }
 }
 
@@ -514,12 +516,12 @@
 
 impl Replies<'_> {
     /// Lets the life act, and tells the module what came of it. An ending is the stream's.
-    fn life(&self, what: impl FnOnce(&mut Life, u64, &mut Wanted)) -> Result<(), Ending> {
+    fn life(&self, what: impl FnOnce(&mut Life, u64, &mut Wanted)) -> Result<(), CloseReason> {
         let (inner, link) = (self.inner, self.link);
         inner.with(|places, hands| {
             let now_us = hands.now_us;
             // It was let go: nothing that still comes is anybody's.
-            let Some(of) = hands.links.get_mut(&link) else { return Err(Ending::Idle) };
+            let Some(of) = hands.links.get_mut(&link) else { return Err(CloseReason::Idle) };
             let mut wanted = Wanted::default();
             what(&mut of.life, now_us, &mut wanted);
             hands.put(inner, link, &wanted);
@@ -528,10 +530,10 @@
                 if let Some(of) = hands.links.get_mut(&link) {
                     of.call = None;
                 }
-                let said = match CallEnd::of_status(reply.status, reply.never_ran, Vec::new()) {
-                    CallEnd::Good(_) => Said::Well,
-                    CallEnd::PushedBack => Said::NoRoom,
-                    CallEnd::OutOfTime => Said::Late,
+                let said = match CallResult::from_status(reply.status, reply.never_ran, Vec::new()) {
+                    CallResult::Succeeded(_) => Said::Well,
+                    CallResult::Rejected => Said::NoRoom,
+                    CallResult::DeadlineExceeded => Said::Late,
                     _ => Said::Failed,
                 };
                 hands.reply = Some(reply);
@@ -543,7 +545,7 @@
             if hands.links.remove(&link).is_some() {
                 let how = match (wrote, &why) {
                     (true, _) => Ended::Written,
-                    (false, Ending::Silent) => Ended::Silent,
+                    (false, CloseReason::TimedOut) => Ended::Silent,
                     (false, _) => Ended::Unwritten,
                 };
                 hands.why = Some(why.clone());
@@ -555,7 +557,7 @@
 }
 
 impl Reader for Replies<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         match reply::read(input, self.inner.settings.max_packet_bytes) {
             Ok(Some((message, taken))) => {
                 self.life(|life, now_us, wanted| life.message(now_us, &message, wanted))?;
@@ -567,7 +569,7 @@
             }
             Err(why) => {
                 self.life(|life, _, wanted| life.broken(why, wanted))?;
-                Err(Ending::Malformed(why.to_string()))
+                Err(CloseReason::Malformed(why.to_string()))
             }
         }
     }
--- a/crates/ochrewalk-node/src/net/ajp_front/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/inbound.rs
@@ -1,8 +1,8 @@
 //! What comes on a connection: packets are put together to requests, and what the connection's state machine asks for is done.
 
 use super::{AjpFront, Caller, Carried, Connection, PendingRequest};
+use crate::close_reason::CloseReason;
 use crate::core::Asked;
-use crate::ending::Ending;
 use crate::net::link::{Finish, Reader};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::{Acts, End, Plain, Refusal};
@@ -52,7 +52,7 @@
 }
 
 impl Reader for Inbound<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let (mut wanted, mut allow) = (Wanted::default(), Vec::new());
         let taken = {
             let mut state = self.connection.lock();
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -9,10 +9,10 @@
 
 use super::front::{Front, ENDING};
 use super::link::{carry, let_go, Finish, Outbox};
+use crate::close_reason::CloseReason;
 use crate::configuration::cached_quotas::CachedQuotas;
 use crate::configuration::handle::ConfigurationHandle;
 use crate::core::Core;
-use crate::ending::Ending;
 use crate::handover::records::ClientAddress;
 use crate::seam::{Answer, Asker};
 use inbound::{Inbound, Wanted, MOST_BODY};
@@ -220,7 +220,7 @@
         let mut reader = Inbound { front: self, connection };
         let ending = match stream.set_nodelay(true) {
             Ok(()) => carry(stream, &connection.outbox, None, self.packet, &mut reader),
-            Err(err) => Ending::of_use(&err),
+            Err(err) => CloseReason::from_io_error(&err),
         };
         let mut wanted = Wanted::default();
         {
@@ -229,7 +229,9 @@
             state.life.closed(&mut wanted);
         }
         match &ending {
-            Ending::Malformed(_) | Ending::TooLong => tracing::warn!(part = "ajp", "{ending}"),
+            CloseReason::Malformed(_) | CloseReason::MessageTooLong => {
+                tracing::warn!(part = "ajp", "{ending}")
+            }
             _ => tracing::debug!(part = "ajp", "{ending}; {} RPCs open", u8::from(wanted.gone)),
         }
         let rpc = connection.lock().rpc.take();
--- a/crates/ochrewalk-node/src/net/below.rs
+++ b/crates/ochrewalk-node/src/net/below.rs
@@ -4,7 +4,7 @@
 
 use super::link::{adopt, carry, connect, let_go, Finish, Outbox, Reader};
 use crate::clock::Clock;
-use crate::ending::{CallEnd, Ending};
+use crate::close_reason::{CallResult, CloseReason};
 use crate::gate::{Next, Post};
 use crate::handover::records::{UpstreamConnectionRecord, UpstreamRecord};
 use crate::seam::Beneath;
@@ -213,7 +213,11 @@
         }
         for (id, post) in calls {
             // What was never written whole never ran, however the connection ended.
-            let end = if never_written(&id) { CallEnd::Unsent } else { CallEnd::Link(ending.clone()) };
+            let end = if never_written(&id) {
+                CallResult::Unsent
+            } else {
+                CallResult::ConnectionClosed(ending.clone())
+            };
             post.send(Next::CallEnded(end));
         }
         if let Ok(stream) = stream {
@@ -243,9 +247,9 @@
 }
 
 impl Reader for Replies<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let now_us = self.below.clock.now_us();
-        let Some((reply, taken)) = calls::read(input).map_err(Ending::Malformed)? else {
+        let Some((reply, taken)) = calls::read(input).map_err(CloseReason::Malformed)? else {
             self.link.lock().partial_us.get_or_insert(now_us);
             return Ok(0);
         };
@@ -257,11 +261,11 @@
         // One that was given up may still be answered.
         if let Some(post) = post {
             post.send(Next::CallEnded(match reply.word {
-                Word::Ok => CallEnd::Good(reply.body.to_vec()),
-                Word::Busy => CallEnd::PushedBack,
-                Word::Err => CallEnd::Failed,
-                Word::Late => CallEnd::OutOfTime,
-                Word::Void => CallEnd::Moot,
+                Word::Ok => CallResult::Succeeded(reply.body.to_vec()),
+                Word::Busy => CallResult::Rejected,
+                Word::Err => CallResult::Failed,
+                Word::Late => CallResult::DeadlineExceeded,
+                Word::Void => CallResult::NoLongerNeeded,
             }));
         }
         Ok(taken)
--- a/crates/ochrewalk-node/src/net/directory.rs
+++ b/crates/ochrewalk-node/src/net/directory.rs
@@ -3,7 +3,7 @@
 
 use super::link::connect;
 use crate::clock::whole_ms;
-use crate::ending::Ending;
+use crate::close_reason::CloseReason;
 use crate::wire::reports;
 use may::net::TcpStream;
 use may::sync::mpsc::Receiver;
@@ -51,7 +51,7 @@
     }
 }
 
-fn tell(at: &SocketAddr, stream: &mut Option<TcpStream>, report: &[u8]) -> Result<(), Ending> {
+fn tell(at: &SocketAddr, stream: &mut Option<TcpStream>, report: &[u8]) -> Result<(), CloseReason> {
     // A kept connection may have been closed meanwhile; then a new one is tried at once.
     if let Some(kept) = stream {
         match exchange(kept, report) {
@@ -60,7 +60,7 @@
                 *stream = None;
                 return Ok(());
             }
-            Err(Ending::Closed | Ending::Broken(_)) => *stream = None,
+            Err(CloseReason::ClosedByPeer | CloseReason::Broken(_)) => *stream = None,
             Err(ending) => return Err(ending),
         }
     }
@@ -72,24 +72,24 @@
 }
 
 /// Writes a report and reads the answer; says whether the connection may carry another.
-fn exchange(stream: &mut TcpStream, report: &[u8]) -> Result<bool, Ending> {
+fn exchange(stream: &mut TcpStream, report: &[u8]) -> Result<bool, CloseReason> {
     let limit = |stream: &TcpStream| {
         stream.set_read_timeout(Some(WAIT)).and_then(|()| stream.set_write_timeout(Some(WAIT)))
     };
-    limit(stream).and_then(|()| stream.write_all(report)).map_err(|err| Ending::of_use(&err))?;
+    limit(stream).and_then(|()| stream.write_all(report)).map_err(|err| CloseReason::from_io_error(&err))?;
     let mut input = Vec::new();
     loop {
         let had = input.len();
         input.resize(had + 1024, 0);
-        let got = stream.read(&mut input[had..]).map_err(|err| Ending::of_use(&err))?;
+        let got = stream.read(&mut input[had..]).map_err(|err| CloseReason::from_io_error(&err))?;
         if got == 0 {
-            return Err(Ending::Closed);
+            return Err(CloseReason::ClosedByPeer);
         }
         input.truncate(had + got);
-        match reports::read(&input).map_err(Ending::Malformed)? {
+        match reports::read(&input).map_err(CloseReason::Malformed)? {
             Some(answer) if (200..300).contains(&answer.status) => return Ok(answer.keeps),
-            Some(answer) => return Err(Ending::Malformed(format!("status {}", answer.status))),
-            None if input.len() > reports::LONGEST => return Err(Ending::TooLong),
+            Some(answer) => return Err(CloseReason::Malformed(format!("status {}", answer.status))),
+            None if input.len() > reports::LONGEST => return Err(CloseReason::MessageTooLong),
             None => {}
         }
     }
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -3,8 +3,8 @@
 
 use super::front::{Front, ENDING};
 use super::link::{adopt, carry, let_go, Finish, Outbox, Reader};
+use crate::close_reason::CloseReason;
 use crate::core::{Asked, Core};
-use crate::ending::Ending;
 use crate::gate::Posture;
 use crate::handover::records::{
     ClientAddress, JsonRpcConnectionRecord, JsonRpcConnectionRecords, OpenRpcRecord,
@@ -453,7 +453,7 @@
         let mut reader = Inbound { core: &self.core, connection };
         let ending = match stream.set_nodelay(true) {
             Ok(()) => carry(stream, &connection.outbox, None, jsonrpc::LONGEST, &mut reader),
-            Err(err) => Ending::of_use(&err),
+            Err(err) => CloseReason::from_io_error(&err),
         };
         let open = {
             let mut state = connection.lock();
@@ -461,7 +461,9 @@
             std::mem::take(&mut state.open)
         };
         match &ending {
-            Ending::Malformed(_) | Ending::TooLong => tracing::warn!(part = "json-rpc", "{ending}"),
+            CloseReason::Malformed(_) | CloseReason::MessageTooLong => {
+                tracing::warn!(part = "json-rpc", "{ending}")
+            }
             _ => tracing::debug!(part = "json-rpc", "{ending}; {} RPCs open", open.len()),
         }
         // Nobody can be answered there any more.
@@ -477,7 +479,7 @@
 }
 
 impl Reader for Inbound<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let Some((line, taken)) = crate::wire::line(input) else {
             let now_us = self.core.clock.now_us();
             self.connection.lock().partial_us.get_or_insert(now_us);
@@ -494,8 +496,8 @@
         !state.deaf && state.after_faults < AFTER_FAULTS && self.connection.outbox.bytes() < UNREAD
     }
 
-    fn too_long(&mut self) -> Result<(), Ending> {
-        tracing::warn!(part = "json-rpc", "{}", Ending::TooLong);
+    fn too_long(&mut self) -> Result<(), CloseReason> {
+        tracing::warn!(part = "json-rpc", "{}", CloseReason::MessageTooLong);
         {
             let mut state = self.connection.lock();
             (state.deaf, state.partial_us) = (true, None);
@@ -513,7 +515,7 @@
 }
 
 impl Inbound<'_> {
-    fn message(&self, message: Message) -> Result<(), Ending> {
+    fn message(&self, message: Message) -> Result<(), CloseReason> {
         let now_us = self.core.clock.now_us();
         {
             let mut state = self.connection.lock();
@@ -598,7 +600,7 @@
     }
 
     /// Tells a sender what was wrong; the connection goes on for a while.
-    fn faulty(&self, id: &str, code: i32, why: &'static str) -> Result<(), Ending> {
+    fn faulty(&self, id: &str, code: i32, why: &'static str) -> Result<(), CloseReason> {
         tracing::warn!(part = "json-rpc", "{why}");
         self.connection.outbox.push(jsonrpc::error(id, code, why, ""));
         self.connection.fault();
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -10,7 +10,7 @@
 //! the start is written again, which means nothing to a run that is there, and the run is woken.
 
 use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
-use crate::ending::Ending;
+use crate::close_reason::CloseReason;
 use crate::gate::{Gate, Next, Post};
 use crate::handover::records::ExecutorRecord;
 use crate::wire::notices::{self, Notice, RunEnd};
@@ -200,7 +200,7 @@
             };
             let was_up = std::mem::take(&mut self.lock().welcomed);
             self.lock().doubtful.extend(self.outbox.take_written());
-            if was_up || ending != Ending::Refused {
+            if was_up || ending != CloseReason::Refused {
                 tracing::warn!(part = "executor", place = %at, "{ending}; joining again");
             }
             may::coroutine::sleep(pause_after(from.elapsed()));
@@ -269,7 +269,7 @@
         new
     }
 
-    fn notice(&self, gate: &Gate, up: &Sender<()>, notice: Notice) -> Result<(), Ending> {
+    fn notice(&self, gate: &Gate, up: &Sender<()>, notice: Notice) -> Result<(), CloseReason> {
         match notice {
             Notice::Welcome { cold, up_us } => {
                 tracing::info!(
@@ -288,10 +288,10 @@
             }
             Notice::Callout { pos, uid, content } if self.is_new(pos) => {
                 let text: std::borrow::Cow<str> = serde_json::from_str(content.get())
-                    .map_err(|err| Ending::Malformed(format!("CALLOUT: {err}")))?;
+                    .map_err(|err| CloseReason::Malformed(format!("CALLOUT: {err}")))?;
                 let body = BASE64_STANDARD
                     .decode(text.as_bytes())
-                    .map_err(|err| Ending::Malformed(format!("CALLOUT: {err}")))?;
+                    .map_err(|err| CloseReason::Malformed(format!("CALLOUT: {err}")))?;
                 // Guards against a reply that goes to a later call of its run: the run has gone on, so that what was in
                 // doubt of it had been read, and so had what brought it here on the present link, should that break.
                 let brought_here = |line: &[u8]| {
@@ -349,10 +349,10 @@
 }
 
 impl Reader for Link<'_> {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let Some((line, taken)) = crate::wire::line(input) else { return Ok(0) };
         if !line.is_empty() {
-            let notice = notices::read(line).map_err(Ending::Malformed)?;
+            let notice = notices::read(line).map_err(CloseReason::Malformed)?;
             self.executor.notice(self.gate, self.up, notice)?;
         }
         Ok(taken)
--- a/crates/ochrewalk-node/src/net/front.rs
+++ b/crates/ochrewalk-node/src/net/front.rs
@@ -1,7 +1,7 @@
 //! How any front takes connections in: one loop for every protocol, with room looked for before each.
 
 use super::link::{accept, adopt};
-use crate::ending::out_of_room;
+use crate::close_reason::is_out_of_resources;
 use may::net::{TcpListener, TcpStream};
 use socket2::SockRef;
 use std::net::{IpAddr, Shutdown};
@@ -88,7 +88,11 @@
             }
             Err(err) => {
                 tracing::warn!(part, "cannot accept: {err}");
-                may::coroutine::sleep(if out_of_room(&err) { NO_ROOM } else { Duration::from_millis(1) });
+                may::coroutine::sleep(if is_out_of_resources(&err) {
+                    NO_ROOM
+                } else {
+                    Duration::from_millis(1)
+                });
             }
         }
     }
--- a/crates/ochrewalk-node/src/net/link.rs
+++ b/crates/ochrewalk-node/src/net/link.rs
@@ -2,7 +2,7 @@
 //! stream, and a clone of it would cost a second descriptor; so a single coroutine waits for whatever comes
 //! first, that something can be read, that it can be written, or that a line was put into the outbox.
 
-use crate::ending::Ending;
+use crate::close_reason::CloseReason;
 use crate::handover::pause::is_paused;
 use crate::handover::records::StreamRecord;
 use crate::panics::contain;
@@ -228,7 +228,7 @@
 /// What a protocol does with what is read.
 pub trait Reader {
     /// Takes the first whole message and says how many bytes it took; 0 where none is whole.
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending>;
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason>;
 
     /// Whether more may be read now. It is asked again after anything was written or put into the outbox.
     fn ready(&self) -> bool {
@@ -245,8 +245,8 @@
 
     /// A message has come that is longer than any may be, so that where the next one begins is not known. Where answers
     /// are owed they are still given, and nothing more is read.
-    fn too_long(&mut self) -> Result<(), Ending> {
-        Err(Ending::TooLong)
+    fn too_long(&mut self) -> Result<(), CloseReason> {
+        Err(CloseReason::MessageTooLong)
     }
 }
 
@@ -271,8 +271,8 @@
 /// Ends a stream that was carried to this ending, whoever is at the other side: where we end it our side is shut first,
 /// then what still comes is read and thrown away until the peer's end or a bound, or while `crowded`. Guards against bytes
 /// that come in that instant: closing over them resets the stream, and takes with it what is still on its way.
-pub fn let_go(stream: &TcpStream, ending: &Ending, crowded: impl Fn() -> bool) {
-    if !ending.is_ours() || stream.shutdown(Shutdown::Write).is_err() {
+pub fn let_go(stream: &TcpStream, ending: &CloseReason, crowded: impl Fn() -> bool) {
+    if !ending.is_closed_locally() || stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
     let until = Instant::now() + LINGER;
@@ -299,9 +299,10 @@
     unsafe { TcpStream::from_raw_fd(descriptor.into_raw_fd()) }
 }
 
-pub fn connect(to: &SocketAddr, within: Duration) -> Result<TcpStream, Ending> {
-    let stream = TcpStream::connect_timeout(to, within).map_err(|err| Ending::of_connect(&err))?;
-    stream.set_nodelay(true).map_err(|err| Ending::of_use(&err))?;
+pub fn connect(to: &SocketAddr, within: Duration) -> Result<TcpStream, CloseReason> {
+    let stream =
+        TcpStream::connect_timeout(to, within).map_err(|err| CloseReason::from_connect_error(&err))?;
+    stream.set_nodelay(true).map_err(|err| CloseReason::from_io_error(&err))?;
     Ok(stream)
 }
 
@@ -313,7 +314,7 @@
     first: Option<Vec<u8>>,
     longest: usize,
     reader: &mut impl Reader,
-) -> Ending {
+) -> CloseReason {
     outbox.change(|w| w.waker = Some(stream.waker()));
     {
         let mut progress = outbox.progress();
@@ -327,7 +328,7 @@
         let went = if is_paused() {
             Ok(false)
         } else {
-            let broken = Err(Ending::Broken(ErrorKind::Other));
+            let broken = Err(CloseReason::Broken(ErrorKind::Other));
             contain(|| {
                 let mut progress = outbox.progress();
                 let Progress { input, writing, .. } = &mut *progress;
@@ -375,7 +376,7 @@
     input: &mut Vec<u8>,
     longest: usize,
     reader: &mut impl Reader,
-) -> Result<bool, Ending> {
+) -> Result<bool, CloseReason> {
     write(stream, outbox, writing)?;
     for _ in 0..TURN {
         if !writing.half_closed && !reader.ready() {
@@ -386,8 +387,8 @@
         let got = stream.inner().read(&mut input[had..]);
         input.truncate(had + *got.as_ref().unwrap_or(&0));
         match got {
-            Ok(0) if writing.half_closed => return Err(Ending::Leaving),
-            Ok(0) => return Err(Ending::Closed),
+            Ok(0) if writing.half_closed => return Err(CloseReason::Draining),
+            Ok(0) => return Err(CloseReason::ClosedByPeer),
             Ok(_) => {}
             Err(err) if err.kind() == ErrorKind::WouldBlock => {
                 if input.is_empty() {
@@ -398,7 +399,7 @@
                 return end_if_asked(stream, outbox, writing, reader);
             }
             Err(err) if err.kind() == ErrorKind::Interrupted => continue,
-            Err(err) => return Err(Ending::of_use(&err)),
+            Err(err) => return Err(CloseReason::from_io_error(&err)),
         }
         // Guards against a start for which no answer could be written any more.
         if writing.half_closed {
@@ -428,7 +429,7 @@
     outbox: &Outbox,
     writing: &mut Writing,
     reader: &mut impl Reader,
-) -> Result<bool, Ending> {
+) -> Result<bool, CloseReason> {
     let sent = writing.sent == writing.line.len();
     reader.drained(sent && outbox.lock().lines.is_empty());
     let asked = {
@@ -448,11 +449,11 @@
             return Ok(false);
         }
         None => return Ok(false),
-        Some(_) if writing.half_closed => Ending::Leaving,
-        Some(Finish::Idle) => Ending::Idle,
-        Some(Finish::Faulty) => Ending::Malformed("too many faults".into()),
-        Some(Finish::Silent) => Ending::Silent,
-        Some(Finish::Moved) => return Err(Ending::Moved),
+        Some(_) if writing.half_closed => CloseReason::Draining,
+        Some(Finish::Idle) => CloseReason::Idle,
+        Some(Finish::Faulty) => CloseReason::Malformed("too many faults".into()),
+        Some(Finish::Silent) => CloseReason::TimedOut,
+        Some(Finish::Moved) => return Err(CloseReason::Moved),
     };
     if asked.is_some_and(|how| reader.may_end(how)) {
         return Err(ending);
@@ -462,7 +463,7 @@
     Ok(false)
 }
 
-fn write(stream: &TcpStream, outbox: &Outbox, writing: &mut Writing) -> Result<(), Ending> {
+fn write(stream: &TcpStream, outbox: &Outbox, writing: &mut Writing) -> Result<(), CloseReason> {
     loop {
         if writing.sent == writing.line.len() {
             let next = {
@@ -488,20 +489,20 @@
             }
         }
         match stream.inner().write(&writing.line[writing.sent..]) {
-            Ok(0) => return Err(Ending::Closed),
+            Ok(0) => return Err(CloseReason::ClosedByPeer),
             Ok(wrote) => (writing.sent, writing.stuck) = (writing.sent + wrote, None),
             // Guards against a peer that reads nothing: what is to end does not wait for it.
             Err(err) if err.kind() == ErrorKind::WouldBlock => {
                 let since = *writing.stuck.get_or_insert_with(Instant::now);
                 return match outbox.lock().finish {
                     Some(Finish::Idle | Finish::Faulty | Finish::Silent) if since.elapsed() >= STUCK => {
-                        Err(Ending::Silent)
+                        Err(CloseReason::TimedOut)
                     }
                     _ => Ok(()),
                 };
             }
             Err(err) if err.kind() == ErrorKind::Interrupted => {}
-            Err(err) => return Err(Ending::of_use(&err)),
+            Err(err) => return Err(CloseReason::from_io_error(&err)),
         }
     }
 }
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -2,10 +2,10 @@
 
 use super::Node;
 use crate::clock::Clock;
+use crate::close_reason::{CallResult, CloseReason};
 use crate::configuration::activation::prepare_configuration;
 use crate::configuration::agent::PreparedAgent;
 use crate::core::Core;
-use crate::ending::{CallEnd, Ending};
 use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
 use crate::handover::received_state::ReceivedState;
 use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
@@ -72,7 +72,7 @@
     ajp: Vec<(Arc<ajp_front::Connection>, OwnedFd)>,
     lives: Vec<(Arc<Living>, Ticket)>,
     /// News for lives whose calls did not come along.
-    ends: Vec<(Post, CallEnd)>,
+    ends: Vec<(Post, CallResult)>,
     link: Option<OwnedFd>,
     below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, Post>)>,
 }
@@ -182,7 +182,8 @@
             let placed = kept.call.as_ref().is_some_and(|call| call.placed);
             if placed && !moved.contains(&kept.id) {
                 let lost = taken.upstream.record.lost.contains(&kept.id);
-                let end = if lost { CallEnd::Link(Ending::Moved) } else { CallEnd::Unsent };
+                let end =
+                    if lost { CallResult::ConnectionClosed(CloseReason::Moved) } else { CallResult::Unsent };
                 resumed.ends.push((ticket.post(), end));
             }
             let asker = kept.client.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
--- a/crates/ochrewalk-node/tests/crossings/panics.rs
+++ b/crates/ochrewalk-node/tests/crossings/panics.rs
@@ -2,7 +2,7 @@
 
 use crate::helper::listener;
 use may::net::TcpStream;
-use ochrewalk_node::ending::Ending;
+use ochrewalk_node::close_reason::CloseReason;
 use ochrewalk_node::net::link::{adopt, carry, Outbox, Reader};
 use ochrewalk_node::panics::{end_on_others, STATUS};
 use std::io::{ErrorKind, Write};
@@ -14,13 +14,13 @@
 struct Flawed;
 
 impl Reader for Flawed {
-    fn take(&mut self, _input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, _input: &[u8]) -> Result<usize, CloseReason> {
         panic!("a flaw that these bytes meet")
     }
 }
 
 /// A stream whose reader panics, carried to its end.
-fn flawed() -> Ending {
+fn flawed() -> CloseReason {
     let listener = listener();
     let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
@@ -38,7 +38,7 @@
 fn inner() {
     let Ok(which) = std::env::var(INNER) else { return };
     end_on_others();
-    assert_eq!(flawed(), Ending::Broken(ErrorKind::Other));
+    assert_eq!(flawed(), CloseReason::Broken(ErrorKind::Other));
     if which == "part" {
         let _ = may::go!(|| panic!("a part of the node")).join();
         std::process::exit(1);
--- a/crates/ochrewalk-node/tests/crossings/streams.rs
+++ b/crates/ochrewalk-node/tests/crossings/streams.rs
@@ -1,7 +1,7 @@
 //! One stream at its end, with bytes that come exactly between the last look at the socket and the end.
 
 use may::net::TcpStream;
-use ochrewalk_node::ending::Ending;
+use ochrewalk_node::close_reason::CloseReason;
 use ochrewalk_node::net::link::{adopt, carry, let_go, Finish, Outbox, Reader};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
@@ -19,7 +19,7 @@
 }
 
 impl Reader for Crossed {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let Some((line, taken)) = ochrewalk_node::wire::line(input) else { return Ok(0) };
         self.heard.lock().unwrap().push(String::from_utf8_lossy(line).into_owned());
         Ok(taken)
@@ -39,7 +39,7 @@
         true
     }
 
-    fn too_long(&mut self) -> Result<(), Ending> {
+    fn too_long(&mut self) -> Result<(), CloseReason> {
         self.deaf = true;
         self.outbox.finish(Finish::Faulty);
         Ok(())
@@ -48,7 +48,7 @@
 
 struct Crossing {
     heard: Vec<String>,
-    ending: Ending,
+    ending: CloseReason,
     /// What the peer read up to the end, and whether the end was in order.
     read: Vec<u8>,
     in_order: bool,
@@ -116,9 +116,9 @@
 fn bytes_that_cross_a_close_take_no_answer_with_them() {
     for late in [b"half a li".as_slice(), b"whole\n", b"one\ntwo\nthr", b""] {
         for (how, ending) in [
-            (Finish::Idle, Ending::Idle),
-            (Finish::Silent, Ending::Silent),
-            (Finish::Faulty, Ending::Malformed("too many faults".into())),
+            (Finish::Idle, CloseReason::Idle),
+            (Finish::Silent, CloseReason::TimedOut),
+            (Finish::Faulty, CloseReason::Malformed("too many faults".into())),
         ] {
             let crossed = crossing(Some(how), b"", late, None);
             assert!(crossed.in_order, "{how:?} was reset");
@@ -132,7 +132,7 @@
 #[test]
 fn nothing_is_taken_from_a_stream_whose_write_side_is_shut() {
     let crossed = crossing(Some(Finish::Leaving), b"", b"whole\nhalf", None);
-    assert_eq!((crossed.ending, crossed.read), (Ending::Leaving, b"answer\n".to_vec()));
+    assert_eq!((crossed.ending, crossed.read), (CloseReason::Draining, b"answer\n".to_vec()));
     assert_eq!(crossed.heard, Vec::<String>::new());
 }
 
@@ -141,7 +141,7 @@
 fn an_answer_that_is_given_after_the_end_was_asked_for_is_written() {
     let crossed = crossing(Some(Finish::Leaving), b"one\n", b"", Some(b"owed\n"));
     assert_eq!(String::from_utf8(crossed.read).unwrap(), "answer\nowed\n");
-    assert_eq!((crossed.ending, crossed.in_order), (Ending::Leaving, true));
+    assert_eq!((crossed.ending, crossed.in_order), (CloseReason::Draining, true));
 }
 
 /// A message without an end: what is owed is given, and what else comes is thrown away without a reset.
@@ -149,5 +149,5 @@
 fn a_message_longer_than_any_may_be_resets_nothing() {
     let crossed = crossing(None, &[b'x'; 20_000], b"more", None);
     assert_eq!((crossed.read, crossed.in_order), (b"answer\n".to_vec(), true));
-    assert_eq!(crossed.ending, Ending::Malformed("too many faults".into()));
+    assert_eq!(crossed.ending, CloseReason::Malformed("too many faults".into()));
 }
--- a/crates/ochrewalk-node/tests/life.rs
+++ b/crates/ochrewalk-node/tests/life.rs
@@ -1,6 +1,6 @@
 //! The life of one RPC as a value: what each event brings, and that no order of them brings two answers.
 
-use ochrewalk_node::ending::{CallEnd, Ending};
+use ochrewalk_node::close_reason::{CallResult, CloseReason};
 use ochrewalk_node::gate::{Next, Report};
 use ochrewalk_node::life::{Acts, Life};
 use ochrewalk_node::seam::Answer;
@@ -84,8 +84,8 @@
 #[test]
 fn each_event_brings_what_it_should() {
     let back = || Next::PushBack { last: true, come_back_us: 9 };
-    let good = || Next::CallEnded(CallEnd::Good(vec![7]));
-    let broken = || Next::CallEnded(CallEnd::Link(Ending::Closed));
+    let good = || Next::CallEnded(CallResult::Succeeded(vec![7]));
+    let broken = || Next::CallEnded(CallResult::ConnectionClosed(CloseReason::ClosedByPeer));
     let table: Vec<(Vec<Next>, &str, bool)> = vec![
         (vec![back()], "pushed back true 9", true),
         (vec![Next::Serve("\"QQ==\"".into())], "served", true),
@@ -190,8 +190,8 @@
                 2 => needs_call(),
                 3 | 4 => Next::Call { until_us: now + 3_000 },
                 5 => Next::Skip,
-                6 => Next::CallEnded(CallEnd::Good(vec![])),
-                7 => Next::CallEnded(CallEnd::Link(Ending::Closed)),
+                6 => Next::CallEnded(CallResult::Succeeded(vec![])),
+                7 => Next::CallEnded(CallResult::ConnectionClosed(CloseReason::ClosedByPeer)),
                 8 if rng.bool() => Next::Abort,
                 9 if rng.bool() => Next::Gone,
                 10 if life.running => {
--- a/crates/ochrewalk-node/tests/link.rs
+++ b/crates/ochrewalk-node/tests/link.rs
@@ -1,7 +1,7 @@
 //! One stream, carried to its end: what lies unread in it is read before it ends as silent, idle or faulty.
 
 use may::net::{TcpListener, TcpStream};
-use ochrewalk_node::ending::Ending;
+use ochrewalk_node::close_reason::CloseReason;
 use ochrewalk_node::net::link::{carry, Finish, Outbox, Reader};
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 }
 
 impl Reader for Lines {
-    fn take(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let Some((line, taken)) = ochrewalk_node::wire::line(input) else { return Ok(0) };
         self.heard.push(String::from_utf8_lossy(line).into_owned());
         Ok(taken)
@@ -28,7 +28,7 @@
 }
 
 /// A node kept from reading: it is asked to end the stream before it looks at what lies there.
-fn asked_while_unread(how: Finish, yields: bool, sent: &'static str) -> (Vec<String>, Ending) {
+fn asked_while_unread(how: Finish, yields: bool, sent: &'static str) -> (Vec<String>, CloseReason) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     peer.write_all(sent.as_bytes()).unwrap();
@@ -53,17 +53,21 @@
 fn what_lies_unread_is_read_before_a_stream_ends() {
     let two = "one\ntwo\n";
     for (how, ending) in [
-        (Finish::Idle, Ending::Idle),
-        (Finish::Silent, Ending::Silent),
-        (Finish::Faulty, Ending::Malformed("too many faults".into())),
-        (Finish::Moved, Ending::Moved),
+        (Finish::Idle, CloseReason::Idle),
+        (Finish::Silent, CloseReason::TimedOut),
+        (Finish::Faulty, CloseReason::Malformed("too many faults".into())),
+        (Finish::Moved, CloseReason::Moved),
     ] {
         assert_eq!(asked_while_unread(how, true, ""), (vec![], ending.clone()), "{how:?}, nothing there");
         let heard = vec!["one".to_string(), "two".to_string()];
         assert_eq!(asked_while_unread(how, true, two), (heard.clone(), ending), "{how:?}");
         // The reader has come to know better: the stream ends only with its peer.
         if how != Finish::Moved {
-            assert_eq!(asked_while_unread(how, false, two), (heard, Ending::Closed), "{how:?}, kept");
+            assert_eq!(
+                asked_while_unread(how, false, two),
+                (heard, CloseReason::ClosedByPeer),
+                "{how:?}, kept"
+            );
         }
     }
 }
@@ -84,5 +88,5 @@
         (ending, outbox.waiting())
     });
     assert_eq!(peer.read(&mut [0; 16]).unwrap(), 0, "nothing is written, and it ends");
-    assert_eq!(carried.join().unwrap(), (Ending::Moved, vec![b"later\n".to_vec()]));
+    assert_eq!(carried.join().unwrap(), (CloseReason::Moved, vec![b"later\n".to_vec()]));
 }
--- a/crates/ochrewalk-node/tests/wire.rs
+++ b/crates/ochrewalk-node/tests/wire.rs
@@ -3,7 +3,7 @@
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::Outcome;
 use ochrewalk_node::clock::since_us;
-use ochrewalk_node::ending::{CallEnd, Ending};
+use ochrewalk_node::close_reason::{CallResult, CloseReason};
 use ochrewalk_node::keys::{Keys, Known, State};
 use ochrewalk_node::net::executor::pause_after;
 use ochrewalk_node::wire::calls::{self, Word};
@@ -194,32 +194,32 @@
 
 #[test]
 fn only_a_connection_never_made_proves_that_a_call_never_ran() {
-    let refused = Ending::of_connect(&Error::from(ErrorKind::ConnectionRefused));
-    assert_eq!(refused, Ending::Refused);
-    assert_eq!(Ending::of_connect(&Error::from_raw_os_error(24)), Ending::NoRoom);
+    let refused = CloseReason::from_connect_error(&Error::from(ErrorKind::ConnectionRefused));
+    assert_eq!(refused, CloseReason::Refused);
+    assert_eq!(CloseReason::from_connect_error(&Error::from_raw_os_error(24)), CloseReason::OutOfResources);
     for (ending, proof) in [
         (refused, true),
-        (Ending::NoRoom, true),
-        (Ending::of_connect(&Error::from(ErrorKind::TimedOut)), true),
-        (Ending::of_use(&Error::from(ErrorKind::ConnectionReset)), false),
-        (Ending::Closed, false),
-        (Ending::Idle, false),
-        (Ending::Silent, false),
-        (Ending::TooLong, false),
-        (Ending::Malformed("x".into()), false),
-        (Ending::Leaving, false),
+        (CloseReason::OutOfResources, true),
+        (CloseReason::from_connect_error(&Error::from(ErrorKind::TimedOut)), true),
+        (CloseReason::from_io_error(&Error::from(ErrorKind::ConnectionReset)), false),
+        (CloseReason::ClosedByPeer, false),
+        (CloseReason::Idle, false),
+        (CloseReason::TimedOut, false),
+        (CloseReason::MessageTooLong, false),
+        (CloseReason::Malformed("x".into()), false),
+        (CloseReason::Draining, false),
     ] {
         assert_eq!(ending.outcome().never_ran(), proof, "{ending}");
-        assert_eq!(CallEnd::Link(ending).outcome().never_ran(), proof);
+        assert_eq!(CallResult::ConnectionClosed(ending).outcome().never_ran(), proof);
     }
     for (end, outcome) in [
-        (CallEnd::Good(vec![]), Outcome::Ok),
-        (CallEnd::PushedBack, Outcome::Rejected),
-        (CallEnd::Failed, Outcome::Error),
-        (CallEnd::OutOfTime, Outcome::TimedOut),
-        (CallEnd::Late, Outcome::TimedOut),
-        (CallEnd::Moot, Outcome::NotStarted),
-        (CallEnd::Unsent, Outcome::Unreachable),
+        (CallResult::Succeeded(vec![]), Outcome::Ok),
+        (CallResult::Rejected, Outcome::Rejected),
+        (CallResult::Failed, Outcome::Error),
+        (CallResult::DeadlineExceeded, Outcome::TimedOut),
+        (CallResult::TimedOut, Outcome::TimedOut),
+        (CallResult::NoLongerNeeded, Outcome::NotStarted),
+        (CallResult::Unsent, Outcome::Unreachable),
     ] {
         assert_eq!(end.outcome(), outcome);
     }
