--- a/crates/ochrewalk-node/src/gate.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The facade round the module, in blocking style: an RPC's coroutine tells of it by [`Gate::pick`], waits at its
+//! The facade round the module, in blocking style: an RPC's coroutine tells of it by [`RequestCoordinator::submit`], waits at its
 //! ticket for the verdict, reports what became of its run and calls, and waits again. Only this file knows the
 //! module's events and actions. One lock guards it, and nothing is read or written while it is held.
 
@@ -21,62 +21,62 @@
 
 /// What the module needs to know of an RPC.
 #[derive(Clone, Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     pub id: RpcId,
     /// Position in the deployment's list.
     pub method: usize,
-    pub kb: f64,
+    pub memory_kb: f64,
     /// When it came to the machine, in Unix time.
-    pub ts_ms: u64,
+    pub arrived_unix_ms: u64,
     /// How long its caller still waits, where that is conveyed.
-    pub left_us: Option<u64>,
-    pub token: Option<Token>,
+    pub time_left_us: Option<u64>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// The quota that it counts against, where its protocol names a tenant.
     pub tenant: Option<Tenant>,
 }
 
 /// The mark by which repeats are known, and a print of the work that all of them bring.
 #[derive(Clone, Debug)]
-pub struct Token {
+pub struct IdempotencyKey {
     pub key: Arc<str>,
-    pub work: u64,
+    pub fingerprint: u64,
 }
 
 /// Why an RPC was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum SubmitError {
     /// One of its id is open.
-    OpenAlready,
+    IdAlreadyOpen,
     /// Its token stands for other work, which `ran`, or is still open.
-    TokenTaken { ran: bool },
+    KeyOfOtherRequest { has_run: bool },
 }
 
 /// What an RPC's coroutine does next: a verdict of the module's, or news that came from the network.
 #[derive(Debug)]
-pub enum Next {
+pub enum RequestEvent {
     /// Start its run, or take it up again.
     Run,
     /// Take its run off the cores.
     Stop,
     /// Place its call, which may take until then on the monotonic clock.
-    Call {
+    PlaceCall {
         until_us: u64,
     },
     /// Go on without the call.
-    Skip,
+    SkipCall,
     /// Answer that it was turned away and never ran.
-    PushBack {
-        last: bool,
-        come_back_us: u64,
+    Reject {
+        do_not_retry: bool,
+        retry_after_us: u64,
     },
     /// Answer that it was given up.
     Abort,
     /// Answer with the result of the RPC that it repeats.
-    Serve(Served),
+    ServeResult(Served),
     /// Its caller has gone: no answer is owed.
-    Gone,
+    CallerLeft,
     /// Its run waits for a call; a notice of that number said so.
-    NeedsCall {
+    CallNeeded {
         pos: u64,
         body: Vec<u8>,
     },
@@ -84,13 +84,13 @@
     /// Its run has ended, with a result (a JSON string) where it is complete.
     RunEnded(RunEnd, Option<Served>),
     /// Nothing has come within the time given.
-    Nothing,
+    Timeout,
 }
 
-/// What became of an RPC's run or call, for [`Gate::report`].
+/// What became of an RPC's run or call, for [`RequestCoordinator::report`].
 #[derive(Debug)]
-pub enum Report {
-    NeedsCall,
+pub enum ProgressReport {
+    CallNeeded,
     CallEnded { outcome: Outcome, took_us: u64 },
     RunEnded(RunEnd, Option<Served>),
 }
@@ -107,14 +107,14 @@
 /// Mail that was sent to RPCs and is not dealt with yet, and RPCs that were begun and not yet told to the gate. None
 /// means that all is at rest until something comes from outside.
 #[derive(Clone, Default)]
-pub struct Unrest(Arc<AtomicUsize>);
+pub struct PendingWork(Arc<AtomicUsize>);
 
-impl Unrest {
-    pub fn more(&self) {
+impl PendingWork {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub fn less(&self) {
+    pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -125,42 +125,47 @@
 
 /// A way to send news to an RPC.
 #[derive(Clone)]
-pub struct Post {
-    to: Sender<Next>,
-    unrest: Unrest,
+pub struct EventSender {
+    to: Sender<RequestEvent>,
+    pending_work: PendingWork,
 }
 
-impl Post {
-    pub fn send(&self, next: Next) {
-        self.unrest.more();
+impl EventSender {
+    pub fn send(&self, next: RequestEvent) {
+        self.pending_work.increment();
         if self.to.send(next).is_err() {
-            self.unrest.less();
+            self.pending_work.decrement();
         }
     }
 }
 
 /// An open RPC's place in the gate: where its coroutine waits.
-pub struct Ticket {
+pub struct RequestHandle {
     id: RpcId,
-    post: Post,
-    mail: Receiver<Next>,
+    post: EventSender,
+    mail: Receiver<RequestEvent>,
     /// The last mail taken is being dealt with.
     busy: Cell<bool>,
 }
 
-impl Ticket {
-    fn new(id: RpcId, unrest: &Unrest) -> Ticket {
+impl RequestHandle {
+    fn new(id: RpcId, pending_work: &PendingWork) -> RequestHandle {
         let (to, mail) = channel();
-        Ticket { id, post: Post { to, unrest: unrest.clone() }, mail, busy: Cell::new(false) }
+        RequestHandle {
+            id,
+            post: EventSender { to, pending_work: pending_work.clone() },
+            mail,
+            busy: Cell::new(false),
+        }
     }
 
     /// A way for the network to send news.
-    pub fn post(&self) -> Post {
+    pub fn event_sender(&self) -> EventSender {
         self.post.clone()
     }
 
     /// Waits for whatever comes next, for so long at most (see [`whole_ms`]). What came before is dealt with.
-    pub fn wait(&self, most: Option<Duration>) -> Next {
+    pub fn wait(&self, most: Option<Duration>) -> RequestEvent {
         self.dealt_with();
         let came = match most {
             Some(most) => self.mail.recv_timeout(most),
@@ -169,55 +174,55 @@
         self.busy.set(came.is_ok());
         match came {
             Ok(next) => next,
-            Err(RecvTimeoutError::Timeout) => Next::Nothing,
-            Err(RecvTimeoutError::Disconnected) => Next::Gone,
+            Err(RecvTimeoutError::Timeout) => RequestEvent::Timeout,
+            Err(RecvTimeoutError::Disconnected) => RequestEvent::CallerLeft,
         }
     }
 
     fn dealt_with(&self) {
         if self.busy.take() {
-            self.post.unrest.less();
+            self.post.pending_work.decrement();
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.dealt_with();
         while self.mail.try_recv().is_ok() {
-            self.post.unrest.less();
+            self.post.pending_work.decrement();
         }
     }
 }
 
 /// What callers and the directory are told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Posture {
+pub struct HealthState {
     /// Health checks pass. None before there is a module: a report of bad health would keep callers away for
     /// seconds from a server that is only about to start.
-    pub healthy: Option<bool>,
+    pub is_healthy: Option<bool>,
     /// The value sent back with every answer.
-    pub signal: Option<f64>,
+    pub load_signal: Option<f64>,
     /// Connections that have carried nothing for so long are to be closed.
-    pub idle_us: u64,
+    pub max_idle_us: u64,
 }
 
-pub struct Gate {
+pub struct RequestCoordinator {
     clock: Clock,
     deployment: Deployment,
     seed: u64,
     state: Mutex<Inside>,
-    /// Tells who waits in [`Gate::turn`] that the module was told something.
+    /// Tells who waits in [`RequestCoordinator::decide_when_notified`] that the module was told something.
     stir: Sender<()>,
-    /// Tells who waits in [`Gate::wait_due`] that a wake-up has moved forward.
+    /// Tells who waits in [`RequestCoordinator::wait_for_timer`] that a wake-up has moved forward.
     earlier: Sender<()>,
-    pub unrest: Unrest,
+    pub pending_work: PendingWork,
 }
 
 /// The other ends of the gate's own channels.
-pub struct Stirred {
-    pub told: Receiver<()>,
-    pub earlier: Receiver<()>,
+pub struct CoordinatorNotifications {
+    pub state_changed: Receiver<()>,
+    pub timer_moved: Receiver<()>,
 }
 
 /// Before the executor is up there is no module, and nothing is taken.
@@ -231,7 +236,7 @@
     clock: Clock,
     open: HashMap<RpcId, Open>,
     keys: Keys,
-    posture: Posture,
+    posture: HealthState,
     wake_us: u64,
     wake_token: u64,
     /// It was told something since its last turn.
@@ -243,20 +248,25 @@
 }
 
 struct Open {
-    post: Post,
-    token: Option<Token>,
+    post: EventSender,
+    token: Option<IdempotencyKey>,
 }
 
-impl Gate {
-    /// Results of `most_bytes` at most are kept for repeats. The receivers are for [`Gate::turn`] and
-    /// [`Gate::wait_due`].
-    pub fn new(clock: Clock, deployment: Deployment, seed: u64, most_bytes: usize) -> (Gate, Stirred) {
+impl RequestCoordinator {
+    /// Results of `most_bytes` at most are kept for repeats. The receivers are for [`RequestCoordinator::decide_when_notified`] and
+    /// [`RequestCoordinator::wait_for_timer`].
+    pub fn new(
+        clock: Clock,
+        deployment: Deployment,
+        seed: u64,
+        most_bytes: usize,
+    ) -> (RequestCoordinator, CoordinatorNotifications) {
         let idle_us = deployment.machine.max_connection_idle_us;
         let desk = Desk {
             clock,
             open: HashMap::new(),
             keys: Keys::new(most_bytes),
-            posture: Posture { healthy: None, signal: None, idle_us },
+            posture: HealthState { is_healthy: None, load_signal: None, max_idle_us: idle_us },
             wake_us: u64::MAX,
             wake_token: 0,
             stirred: false,
@@ -265,12 +275,15 @@
         };
         let ((stir, told), (earlier, moved)) = (channel(), channel());
         let state = Mutex::new(Inside::Closed(Box::new(desk)));
-        let unrest = Unrest::default();
-        (Gate { clock, deployment, seed, state, stir, earlier, unrest }, Stirred { told, earlier: moved })
+        let pending_work = PendingWork::default();
+        (
+            RequestCoordinator { clock, deployment, seed, state, stir, earlier, pending_work },
+            CoordinatorNotifications { state_changed: told, timer_moved: moved },
+        )
     }
 
     /// The next tokens to go ahead of a hand-over, while all goes on; see [`Keys::keep_ahead`].
-    pub fn keep_ahead(
+    pub fn export_keys(
         &self,
         after: Option<&Lapse>,
         most: usize,
@@ -279,13 +292,13 @@
     }
 
     /// A hand-over has come to nothing.
-    pub fn end_ahead(&self) {
+    pub fn stop_tracking_keys(&self) {
         self.desk(|desk| desk.keys.end_ahead());
     }
 
     /// Writes down the module, the tokens (those that have changed where the others went `ahead`) and what callers are
     /// told, for `node`'s part in a hand-over.
-    pub fn keep(&self, node: &mut NodeRecord, ahead: bool) {
+    pub fn snapshot(&self, node: &mut NodeRecord, ahead: bool) {
         let mut state = self.lock();
         let (desk, module) = match &mut *state {
             Inside::Closed(desk) => (&mut **desk, None),
@@ -295,7 +308,7 @@
             }
         };
         node.decisions = module;
-        let Posture { healthy, signal, idle_us } = desk.posture;
+        let HealthState { is_healthy: healthy, load_signal: signal, max_idle_us: idle_us } = desk.posture;
         (node.healthy, node.signal, node.idle_us) = (healthy, signal, idle_us);
         (node.wake_us, node.wake_token) = (desk.wake_us, desk.wake_token);
         (node.keys, node.removed_keys) =
@@ -311,22 +324,25 @@
         most_bytes: usize,
         node: &mut NodeRecord,
         ahead: Keys,
-        open: &[Incoming],
-    ) -> Result<(Gate, Stirred, Vec<Ticket>), String> {
-        let (gate, stirred) = Gate::new(clock, deployment.clone(), seed, most_bytes);
-        let ticket = |rpc: &Incoming| Ticket::new(rpc.id.clone(), &gate.unrest);
-        let tickets: Vec<Ticket> = open.iter().map(ticket).collect();
+        open: &[IncomingRequest],
+    ) -> Result<(RequestCoordinator, CoordinatorNotifications, Vec<RequestHandle>), String> {
+        let (gate, stirred) = RequestCoordinator::new(clock, deployment.clone(), seed, most_bytes);
+        let ticket = |rpc: &IncomingRequest| RequestHandle::new(rpc.id.clone(), &gate.pending_work);
+        let tickets: Vec<RequestHandle> = open.iter().map(ticket).collect();
         {
             let mut state = gate.lock();
             let Inside::Closed(desk) = &mut *state else { unreachable!("just made") };
             let (healthy, signal, idle_us) = (node.healthy, node.signal, node.idle_us);
-            desk.posture = Posture { healthy, signal, idle_us };
+            desk.posture = HealthState { is_healthy: healthy, load_signal: signal, max_idle_us: idle_us };
             (desk.wake_us, desk.wake_token) = (node.wake_us, node.wake_token);
             desk.keys = ahead;
             desk.keys.take(std::mem::take(&mut node.keys), &node.removed_keys);
             desk.keys.limit(most_bytes);
             for (rpc, ticket) in open.iter().zip(&tickets) {
-                desk.open.insert(rpc.id.clone(), Open { post: ticket.post(), token: rpc.token.clone() });
+                desk.open.insert(
+                    rpc.id.clone(),
+                    Open { post: ticket.event_sender(), token: rpc.idempotency_key.clone() },
+                );
             }
             if let Some(kept) = node.decisions.take() {
                 let placeholder =
@@ -340,13 +356,13 @@
     }
 
     /// Whether all that was told has been acted on, and all mail dealt with.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_quiescent(&self) -> bool {
         let stirred = self.desk(|desk| desk.stirred || !desk.shared.is_empty());
-        !stirred && self.unrest.is_none()
+        !stirred && self.pending_work.is_none()
     }
 
     /// The executor is up, and has been for so long: from here on RPCs are taken. Once only.
-    pub fn open(&self, cold: bool, up_us: u64) {
+    pub fn activate(&self, cold: bool, up_us: u64) {
         let mut state = self.lock();
         let Inside::Closed(desk) = &mut *state else { return };
         let placeholder = Desk { keys: Keys::new(0), open: HashMap::new(), shared: Vec::new(), ..**desk };
@@ -367,22 +383,22 @@
     }
 
     /// Tells the module of an RPC that was read. The verdict comes by the ticket.
-    pub fn pick(&self, new: &Incoming) -> Result<Ticket, Turned> {
-        let ticket = Ticket::new(new.id.clone(), &self.unrest);
-        let post = ticket.post();
+    pub fn submit(&self, new: &IncomingRequest) -> Result<RequestHandle, SubmitError> {
+        let ticket = RequestHandle::new(new.id.clone(), &self.pending_work);
+        let post = ticket.event_sender();
         let method = &self.deployment.methods[new.method];
         let unix_ms = self.clock.unix_ms();
-        let queued_us = since_us(unix_ms, new.ts_ms, method.deadline_us);
+        let queued_us = since_us(unix_ms, new.arrived_unix_ms, method.deadline_us);
         let took = self.tell(|module, now_us| {
             let desk = module.host();
             if desk.open.contains_key(&new.id) {
-                return Err(Turned::OpenAlready);
+                return Err(SubmitError::IdAlreadyOpen);
             }
-            let token = new.token.clone();
+            let token = new.idempotency_key.clone();
             // Guards against a stamp ahead of the clock, which would step over the window.
-            let ts_ms = new.ts_ms.min(unix_ms);
-            let repeats = match token.as_ref().map(|t| desk.keys.find(&t.key, t.work, ts_ms)) {
-                Some(Known::Other { ran }) => return Err(Turned::TokenTaken { ran }),
+            let ts_ms = new.arrived_unix_ms.min(unix_ms);
+            let repeats = match token.as_ref().map(|t| desk.keys.find(&t.key, t.fingerprint, ts_ms)) {
+                Some(Known::Other { ran }) => return Err(SubmitError::KeyOfOtherRequest { has_run: ran }),
                 Some(Known::Same(holder)) => Some(holder),
                 Some(Known::No) | None => None,
             };
@@ -390,10 +406,10 @@
             let arrival = Arrival {
                 id: new.id.clone(),
                 method: new.method,
-                memory_kb: new.kb,
+                memory_kb: new.memory_kb,
                 queued_us,
                 // No longer than the deployment says: guards against a caller that holds its place for ever.
-                time_left_us: new.left_us.map(|left_us| left_us.min(method.deadline_us)),
+                time_left_us: new.time_left_us.map(|left_us| left_us.min(method.deadline_us)),
                 work_hint_us: None,
                 repeats,
                 is_retry: false,
@@ -404,7 +420,7 @@
         });
         // No module yet: it cannot run.
         let Some(took) = took else {
-            ticket.post.send(Next::PushBack { last: false, come_back_us: 0 });
+            ticket.post.send(RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 });
             return Ok(ticket);
         };
         took?;
@@ -413,13 +429,13 @@
 
     /// Tells the module what became of a run or a call. What comes next comes by the ticket; after a run's end
     /// nothing does.
-    pub fn report(&self, ticket: &Ticket, what: Report) {
+    pub fn report(&self, ticket: &RequestHandle, what: ProgressReport) {
         self.tell(|module, now_us| match what {
-            Report::NeedsCall => module.call_needed(now_us, &ticket.id),
-            Report::CallEnded { outcome, took_us } => {
+            ProgressReport::CallNeeded => module.call_needed(now_us, &ticket.id),
+            ProgressReport::CallEnded { outcome, took_us } => {
                 module.call_ended(now_us, &ticket.id, outcome, took_us);
             }
-            Report::RunEnded(end, result) => {
+            ProgressReport::RunEnded(end, result) => {
                 module.host().settle_key(&ticket.id, end, result);
                 module.run_ended(now_us, &ticket.id, run_outcome(end));
             }
@@ -428,18 +444,18 @@
 
     /// The caller of an RPC has gone. Its coroutine hears of it, too. Guards against one that was never taken
     /// here, as another caller's RPC has that id: only the very one that was picked goes.
-    pub fn gone(&self, id: &RpcId) {
+    pub fn caller_left(&self, id: &RpcId) {
         self.tell(|module, _| {
             let picked = module.host().open.get_key_value(id).is_some_and(|(open, _)| Arc::ptr_eq(open, id));
             if picked {
                 module.caller_left(id);
-                module.host().mail(id, Next::Gone);
+                module.host().mail(id, RequestEvent::CallerLeft);
             }
         });
     }
 
     /// An RPC's coroutine has nothing left to do.
-    pub fn close(&self, ticket: &Ticket) {
+    pub fn remove(&self, ticket: &RequestHandle) {
         self.desk(|desk| desk.open.remove(&ticket.id));
     }
 
@@ -462,7 +478,7 @@
     }
 
     /// Waits until the next wake-up is due.
-    pub fn wait_due(&self, moved: &Receiver<()>) {
+    pub fn wait_for_timer(&self, moved: &Receiver<()>) {
         loop {
             let due_us = self.desk(|desk| desk.wake_us);
             let now_us = self.clock.now_us();
@@ -476,24 +492,24 @@
     }
 
     /// This server leaves; what is open must be answered within `left_us`.
-    pub fn leave(&self, left_us: u64) {
+    pub fn drain(&self, left_us: u64) {
         let by_us = self.clock.now_us() + left_us;
-        self.desk(|desk| (desk.posture.healthy, desk.leaves_by_us) = (Some(false), Some(by_us)));
+        self.desk(|desk| (desk.posture.is_healthy, desk.leaves_by_us) = (Some(false), Some(by_us)));
         self.tell(|module, now_us| module.drain(now_us, left_us));
     }
 
-    pub fn posture(&self) -> Posture {
+    pub fn health_state(&self) -> HealthState {
         self.desk(|desk| desk.posture)
     }
 
     /// RPCs that are not over.
-    pub fn open_rpcs(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.desk(|desk| desk.open.len())
     }
 
     /// Lets the module act on all that it was told since it last did. Who is ready to tell it more does so
     /// first. Guards against a flood: one turn for each RPC read would cost a look at all that are held.
-    pub fn turn(&self, told: &Receiver<()>) {
+    pub fn decide_when_notified(&self, told: &Receiver<()>) {
         let _ = told.recv();
         let earlier = {
             let mut state = self.lock();
@@ -544,13 +560,13 @@
 }
 
 impl Desk {
-    fn mail(&self, id: &str, next: Next) {
+    fn mail(&self, id: &str, next: RequestEvent) {
         if let Some(open) = self.open.get(id) {
             open.post.send(next);
         }
     }
 
-    fn token(&self, id: &str) -> Option<Token> {
+    fn token(&self, id: &str) -> Option<IdempotencyKey> {
         self.open.get(id)?.token.clone()
     }
 
@@ -562,12 +578,12 @@
             (RunEnd::NeverRan | RunEnd::Unknown, _) => self.forget_token(&token.key, id),
             (RunEnd::Complete, Some(body)) => {
                 for repeat in self.keys.settle(&token.key, id, State::Served(body.clone())) {
-                    self.end_shared(repeat, Next::Serve(body.clone()), Outcome::Ok);
+                    self.end_shared(repeat, RequestEvent::ServeResult(body.clone()), Outcome::Ok);
                 }
             }
             _ => {
                 for repeat in self.keys.settle(&token.key, id, State::Failed) {
-                    self.end_shared(repeat, Next::Abort, Outcome::Error);
+                    self.end_shared(repeat, RequestEvent::Abort, Outcome::Error);
                 }
             }
         }
@@ -576,11 +592,15 @@
     /// What held the token never ran. Those that waited for it never will; their callers may go elsewhere.
     fn forget_token(&mut self, token: &str, id: &str) {
         for repeat in self.keys.forget(token, id) {
-            self.end_shared(repeat, Next::PushBack { last: false, come_back_us: 0 }, Outcome::Error);
+            self.end_shared(
+                repeat,
+                RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 },
+                Outcome::Error,
+            );
         }
     }
 
-    fn end_shared(&mut self, repeat: RpcId, next: Next, outcome: Outcome) {
+    fn end_shared(&mut self, repeat: RpcId, next: RequestEvent, outcome: Outcome) {
         self.mail(&repeat, next);
         self.shared.push((repeat, outcome));
     }
@@ -588,34 +608,34 @@
 
 impl Host for Desk {
     fn start(&mut self, id: &str) {
-        self.mail(id, Next::Run);
+        self.mail(id, RequestEvent::Run);
     }
 
     fn stop(&mut self, id: &str) {
-        self.mail(id, Next::Stop);
+        self.mail(id, RequestEvent::Stop);
     }
 
     fn reject(&mut self, id: &str, Rejection { retry, retry_after_us }: Rejection) {
         let last = retry == Retry::DoNotRetry;
-        self.mail(id, Next::PushBack { last, come_back_us: retry_after_us });
+        self.mail(id, RequestEvent::Reject { do_not_retry: last, retry_after_us });
     }
 
     fn abort(&mut self, id: &str) {
-        self.mail(id, Next::Abort);
+        self.mail(id, RequestEvent::Abort);
     }
 
     fn place_call(&mut self, id: &str, until_us: u64) {
-        self.mail(id, Next::Call { until_us });
+        self.mail(id, RequestEvent::PlaceCall { until_us });
     }
 
     fn skip_call(&mut self, id: &str) {
-        self.mail(id, Next::Skip);
+        self.mail(id, RequestEvent::SkipCall);
     }
 
     fn remember_key(&mut self, id: &str, ttl_us: u64) {
         let Some(token) = self.token(id) else { return };
         let until_ms = self.clock.unix_ms() + ttl_us.div_ceil(1_000);
-        self.keys.remember(token.key, token.work, id.into(), until_ms);
+        self.keys.remember(token.key, token.fingerprint, id.into(), until_ms);
     }
 
     fn forget_key(&mut self, id: &str) {
@@ -629,21 +649,21 @@
         let repeat: RpcId = id.into();
         match self.keys.share(&token.key, &repeat) {
             State::Open => {}
-            State::Served(body) => self.end_shared(repeat, Next::Serve(body), Outcome::Ok),
-            State::Failed => self.end_shared(repeat, Next::Abort, Outcome::Error),
+            State::Served(body) => self.end_shared(repeat, RequestEvent::ServeResult(body), Outcome::Ok),
+            State::Failed => self.end_shared(repeat, RequestEvent::Abort, Outcome::Error),
         }
     }
 
     fn set_readiness(&mut self, readiness: Readiness) {
-        self.posture.healthy = Some(readiness == Readiness::Ready);
+        self.posture.is_healthy = Some(readiness == Readiness::Ready);
     }
 
     fn send_load_signal(&mut self, value: f64) {
-        self.posture.signal = Some(value);
+        self.posture.load_signal = Some(value);
     }
 
     fn close_idle_connections(&mut self, idle_us: u64) {
-        self.posture.idle_us = idle_us;
+        self.posture.max_idle_us = idle_us;
     }
 
     fn set_timer(&mut self, at_us: u64, token: u64) {
--- a/crates/ochrewalk-node/src/core.rs
+++ b/crates/ochrewalk-node/src/core.rs
@@ -2,7 +2,7 @@
 //! RPC from its protocol and hands it over here; from then on it is the same for all of them.
 
 use crate::clock::Clock;
-use crate::gate::{Gate, Incoming, Ticket, Token};
+use crate::coordinator::{IdempotencyKey, IncomingRequest, RequestCoordinator, RequestHandle};
 use crate::life::Life;
 use crate::live::{go_on, live, Living};
 use crate::net::executor::Executor;
@@ -23,7 +23,7 @@
 
 pub struct Core {
     pub clock: Clock,
-    pub gate: Gate,
+    pub coordinator: RequestCoordinator,
     pub deployment: Deployment,
     pub tally: Tally,
     /// The methods' names as JSON strings.
@@ -59,7 +59,7 @@
     /// `bytes` of memory are the program's own.
     pub fn new(
         clock: Clock,
-        gate: Gate,
+        gate: RequestCoordinator,
         deployment: Deployment,
         executor: Executor,
         below: Option<Arc<dyn Beneath>>,
@@ -69,7 +69,7 @@
         let lanes = deployment.method_names.iter().map(|name| serde_json::Value::from(name).to_string());
         Core {
             clock,
-            gate,
+            coordinator: gate,
             tally: Tally::new(deployment.methods.len()),
             lanes: lanes.collect(),
             deployment,
@@ -83,22 +83,30 @@
     }
 
     /// Checks what no protocol can check alone. The error says in a few words what is wrong.
-    pub fn check(&self, asked: &Asked) -> Result<Incoming, &'static str> {
+    pub fn check(&self, asked: &Asked) -> Result<IncomingRequest, &'static str> {
         if self.clock.unix_ms().abs_diff(asked.ts_ms) > STAMP_MS {
             return Err("ts is out of range");
         }
         let tokened = self.deployment.methods[asked.method].effect == Effect::WithKey;
-        let token = asked.token.filter(|_| tokened).map(|key| Token {
+        let token = asked.token.filter(|_| tokened).map(|key| IdempotencyKey {
             key: key.into(),
             // Some escape the solidus: the work is the same by any protocol.
-            work: self.print(asked.method, &asked.body.replace('\\', "")),
+            fingerprint: self.print(asked.method, &asked.body.replace('\\', "")),
         });
         if tokened && token.is_none() {
             return Err("no token");
         }
         let id: RpcId = asked.id.into();
         let Asked { method, kb, ts_ms, left_us, tenant, .. } = *asked;
-        Ok(Incoming { id, method, kb, ts_ms, left_us, token, tenant })
+        Ok(IncomingRequest {
+            id,
+            method,
+            memory_kb: kb,
+            arrived_unix_ms: ts_ms,
+            time_left_us: left_us,
+            idempotency_key: token,
+            tenant,
+        })
     }
 
     fn print(&self, method: usize, body: &str) -> u64 {
@@ -118,7 +126,7 @@
     }
 
     /// Goes on with the life of an RPC that another process began.
-    pub fn go_on(self: &Arc<Core>, living: Arc<Living>, ticket: Ticket) {
+    pub fn go_on(self: &Arc<Core>, living: Arc<Living>, ticket: RequestHandle) {
         self.lives.fetch_add(1, Ordering::Relaxed);
         self.living().insert(living.rpc.id.clone(), living.clone());
         let core = self.clone();
@@ -129,17 +137,17 @@
     }
 
     /// Starts the life of an RPC that its front has entered as owed an answer.
-    pub fn begin(self: &Arc<Core>, rpc: Incoming, body: &str, asker: impl Asker + 'static) {
+    pub fn begin(self: &Arc<Core>, rpc: IncomingRequest, body: &str, asker: impl Asker + 'static) {
         // Guards the program's own memory against a flood: long before this many RPCs are open, the module's
         // hold is full.
         if self.lives.fetch_add(1, Ordering::Relaxed) >= self.most_lives {
             self.lives.fetch_sub(1, Ordering::Relaxed);
             self.tally.answered(&self.clock, &self.deployment, &rpc, &Answer::UNSEEN);
-            return asker.answer(Answer::UNSEEN, self.gate.posture().signal);
+            return asker.answer(Answer::UNSEEN, self.coordinator.health_state().load_signal);
         }
         let living = Arc::new(Living::new(self, rpc, body, Box::new(asker), Life::begin()));
         let core = self.clone();
-        self.gate.unrest.more();
+        self.coordinator.pending_work.increment();
         may::go!(move || {
             live(&core, &living);
             core.lives.fetch_sub(1, Ordering::Relaxed);
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -173,12 +173,12 @@
 
     /// Sends idempotency keys: they stay as they are for most of their time, while all else changes with every RPC.
     fn transfer_ahead(&mut self, _now_us: u64) -> TransferredAhead {
-        let gate = &self.node.core.gate;
+        let gate = &self.node.core.coordinator;
         let (mut chunks, mut after) = (0, None);
         self.keys_went_ahead = true;
         // An interruption ends the attempt anyway.
         while !self.control.is_interrupted() {
-            let Some((keys, last)) = gate.keep_ahead(after.as_ref(), KEYS_PER_CHUNK) else { break };
+            let Some((keys, last)) = gate.export_keys(after.as_ref(), KEYS_PER_CHUNK) else { break };
             let bytes = IdempotencyKeyRecords { keys }.encode_to_vec();
             let chunk = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
             if self.stream.send(Message::Chunk(chunk), &[]).is_err() {
@@ -232,7 +232,7 @@
             Err(error) => AttemptOutcome::Failed(error.to_string()),
         };
         tracing::warn!(part = "upgrade", "{outcome}");
-        self.node.core.gate.end_ahead();
+        self.node.core.coordinator.stop_tracking_keys();
         self.link.send(&ChildLine::AttemptEnded(outcome));
     }
 }
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -112,7 +112,7 @@
         Some(front) => Some(front.keep()?),
         None => None,
     };
-    node.core.gate.is_at_rest().then(|| sections(node, keys_went_ahead, json, ajp))
+    node.core.coordinator.is_quiescent().then(|| sections(node, keys_went_ahead, json, ajp))
 }
 
 fn sections(
@@ -147,21 +147,21 @@
     let clock_base_ns = node.core.clock.base_ns();
     let mut record =
         NodeRecord { clock_base_ns, fingerprint_key, fingerprint_key_more, ..NodeRecord::default() };
-    node.core.gate.keep(&mut record, keys_went_ahead);
+    node.core.coordinator.snapshot(&mut record, keys_went_ahead);
     record
 }
 
 fn rpc_record(living: &Living) -> RpcRecord {
     let life = living.lock();
-    let token = living.rpc.token.as_ref();
+    let token = living.rpc.idempotency_key.as_ref();
     RpcRecord {
         id: living.rpc.id.to_string(),
         method: living.rpc.method as u32,
-        kb: living.rpc.kb,
-        ts_ms: living.rpc.ts_ms,
-        left_us: living.rpc.left_us,
+        kb: living.rpc.memory_kb,
+        ts_ms: living.rpc.arrived_unix_ms,
+        left_us: living.rpc.time_left_us,
         token: token.map(|token| token.key.to_string()),
-        work: token.map_or(0, |token| token.work),
+        work: token.map_or(0, |token| token.fingerprint),
         body: living.body.to_string(),
         owed: life.owed,
         running: life.running,
--- a/crates/ochrewalk-node/src/lib.rs
+++ b/crates/ochrewalk-node/src/lib.rs
@@ -3,8 +3,8 @@
 pub mod clock;
 pub mod close_reason;
 pub mod configuration;
+pub mod coordinator;
 pub mod core;
-pub mod gate;
 pub mod handover;
 pub mod keys;
 pub mod life;
--- a/crates/ochrewalk-node/src/life.rs
+++ b/crates/ochrewalk-node/src/life.rs
@@ -3,7 +3,7 @@
 //! any two events, and goes on from there in another process.
 
 use crate::close_reason::CallResult;
-use crate::gate::{Next, Report};
+use crate::coordinator::{ProgressReport, RequestEvent};
 use crate::seam::Answer;
 use crate::wire::notices::RunEnd;
 
@@ -34,7 +34,7 @@
     /// It has run: its sender is no stranger.
     fn proven(&mut self);
     /// Tells the gate what became of its run or call.
-    fn report(&mut self, what: Report);
+    fn report(&mut self, what: ProgressReport);
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -71,55 +71,55 @@
         !self.owed && !self.running
     }
 
-    /// Until when its call may take, where one is placed; then [`Next::Nothing`] is due.
+    /// Until when its call may take, where one is placed; then [`RequestEvent::Timeout`] is due.
     pub fn late_us(&self) -> Option<u64> {
         Some(self.call.as_ref()?.placed?.until_us + CALL_GRACE_US)
     }
 
     /// One event, in the order in which they came.
-    pub fn next(&mut self, now_us: u64, next: Next, acts: &mut impl Acts) {
+    pub fn next(&mut self, now_us: u64, next: RequestEvent, acts: &mut impl Acts) {
         match next {
-            Next::Run if self.running => acts.wake(),
-            Next::Run => {
+            RequestEvent::Run if self.running => acts.wake(),
+            RequestEvent::Run => {
                 self.running = true;
                 acts.run();
             }
-            Next::Stop => acts.stop(),
-            Next::Call { until_us } => self.place_call(now_us, until_us, acts),
-            Next::Skip => {
+            RequestEvent::Stop => acts.stop(),
+            RequestEvent::PlaceCall { until_us } => self.place_call(now_us, until_us, acts),
+            RequestEvent::SkipCall => {
                 self.give_up_call(acts);
                 if let Some(call) = self.call.take() {
                     acts.bypass(call.pos);
                 }
             }
-            Next::PushBack { last, come_back_us } => {
-                self.answer(Answer::PushedBack { last, come_back_us }, acts)
+            RequestEvent::Reject { do_not_retry, retry_after_us } => {
+                self.answer(Answer::PushedBack { last: do_not_retry, come_back_us: retry_after_us }, acts)
             }
-            Next::Abort => {
+            RequestEvent::Abort => {
                 self.answer(Answer::Aborted, acts);
                 self.give_up_call(acts);
             }
-            Next::Serve(body) => self.answer(Answer::Served(&body), acts),
-            Next::Gone => {
+            RequestEvent::ServeResult(body) => self.answer(Answer::Served(&body), acts),
+            RequestEvent::CallerLeft => {
                 self.owed = false;
                 self.give_up_call(acts);
             }
-            Next::NeedsCall { pos, body } => {
+            RequestEvent::CallNeeded { pos, body } => {
                 self.give_up_call(acts);
                 self.call = Some(Call { pos, body, placed: None });
-                acts.report(Report::NeedsCall);
+                acts.report(ProgressReport::CallNeeded);
             }
-            Next::CallEnded(end) => self.call_ended(now_us, end, acts),
+            RequestEvent::CallEnded(end) => self.call_ended(now_us, end, acts),
             // Guards against a proxy that hangs: the call is given up, and whether it ran is not known.
-            Next::Nothing => {
+            RequestEvent::Timeout => {
                 if self.late_us().is_some_and(|late_us| now_us >= late_us) {
                     acts.give_up_call();
                     self.call_ended(now_us, CallResult::TimedOut, acts);
                 }
             }
-            Next::RunEnded(end, result) => {
+            RequestEvent::RunEnded(end, result) => {
                 self.run_ended(end, result.as_deref(), acts);
-                acts.report(Report::RunEnded(end, result));
+                acts.report(ProgressReport::RunEnded(end, result));
             }
         }
     }
@@ -147,7 +147,7 @@
             self.call = None;
             acts.give_back(&body);
         }
-        acts.report(Report::CallEnded { outcome, took_us });
+        acts.report(ProgressReport::CallEnded { outcome, took_us });
     }
 
     fn give_up_call(&mut self, acts: &mut impl Acts) {
--- a/crates/ochrewalk-node/src/live.rs
+++ b/crates/ochrewalk-node/src/live.rs
@@ -1,8 +1,8 @@
 //! One coroutine for each RPC: it waits for what happens next and feeds the RPC's life. Nobody else answers it.
 
 use crate::clock::whole_ms;
+use crate::coordinator::{EventSender, IncomingRequest, ProgressReport, RequestHandle, SubmitError};
 use crate::core::Core;
-use crate::gate::{Incoming, Post, Report, Ticket, Turned};
 use crate::life::{Acts, Life};
 use crate::seam::{Answer, Asker};
 use ochrewalk::host::Effect;
@@ -10,7 +10,7 @@
 
 /// An RPC that is open, and all that its life needs.
 pub struct Living {
-    pub rpc: Incoming,
+    pub rpc: IncomingRequest,
     /// A JSON string, as it came.
     pub body: Box<str>,
     /// Its run, and its call, may happen twice.
@@ -20,7 +20,7 @@
 }
 
 impl Living {
-    pub fn new(core: &Core, rpc: Incoming, body: &str, asker: Box<dyn Asker>, life: Life) -> Living {
+    pub fn new(core: &Core, rpc: IncomingRequest, body: &str, asker: Box<dyn Asker>, life: Life) -> Living {
         let again = core.deployment.methods[rpc.method].effect == Effect::Idempotent;
         Living { rpc, body: body.into(), again, asker, life: Mutex::new(life) }
     }
@@ -34,8 +34,8 @@
 /// Tells the gate of an RPC and lives it to its end.
 pub fn live(core: &Core, living: &Arc<Living>) {
     // Guards against a run for nobody: it may have been revoked before the gate heard of it.
-    let told = living.asker.is_owed().then(|| core.gate.pick(&living.rpc));
-    core.gate.unrest.less();
+    let told = living.asker.is_owed().then(|| core.coordinator.submit(&living.rpc));
+    core.coordinator.pending_work.decrement();
     match told {
         None => {}
         Some(Ok(ticket)) => {
@@ -45,9 +45,11 @@
         Some(Err(turned)) => {
             let answer = match turned {
                 // Who holds it may be the stranger and this one be honest: it never ran, and may elsewhere.
-                Turned::TokenTaken { ran: false } => Answer::UNSEEN,
-                Turned::TokenTaken { ran: true } => Answer::Fault("a token that stands for other work"),
-                Turned::OpenAlready => Answer::Fault("an id that is open already"),
+                SubmitError::KeyOfOtherRequest { has_run: false } => Answer::UNSEEN,
+                SubmitError::KeyOfOtherRequest { has_run: true } => {
+                    Answer::Fault("a token that stands for other work")
+                }
+                SubmitError::IdAlreadyOpen => Answer::Fault("an id that is open already"),
             };
             living.asker.answer(answer, None);
         }
@@ -55,7 +57,7 @@
 }
 
 /// Lives one that the gate knows of to its end.
-pub fn go_on(core: &Core, living: &Living, ticket: &Ticket) {
+pub fn go_on(core: &Core, living: &Living, ticket: &RequestHandle) {
     loop {
         let late_us = living.lock().late_us();
         let most = late_us.map(|late_us| whole_ms(late_us.saturating_sub(core.clock.now_us()) + 1_000));
@@ -67,18 +69,18 @@
         }
     }
     core.living().remove(&living.rpc.id);
-    core.gate.close(ticket);
+    core.coordinator.remove(ticket);
 }
 
 struct Deeds<'a> {
     core: &'a Core,
     living: &'a Living,
-    ticket: &'a Ticket,
+    ticket: &'a RequestHandle,
 }
 
 impl Deeds<'_> {
-    fn post(&self) -> Post {
-        self.ticket.post()
+    fn post(&self) -> EventSender {
+        self.ticket.event_sender()
     }
 
     /// Who is pushed back, with an RPC that calls below, need not come back before anything there takes a call.
@@ -130,7 +132,7 @@
         let Core { clock, deployment, .. } = self.core;
         let answer = self.told_when(answer);
         self.core.tally.answered(clock, deployment, &self.living.rpc, &answer);
-        self.living.asker.answer(answer, self.core.gate.posture().signal);
+        self.living.asker.answer(answer, self.core.coordinator.health_state().load_signal);
     }
 
     fn fault(&mut self) {
@@ -141,7 +143,7 @@
         self.living.asker.proven();
     }
 
-    fn report(&mut self, what: Report) {
-        self.core.gate.report(self.ticket, what);
+    fn report(&mut self, what: ProgressReport) {
+        self.core.coordinator.report(self.ticket, what);
     }
 }
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -4,7 +4,7 @@
 use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
 use crate::clock::Clock;
 use crate::close_reason::{CallResult, CloseReason};
-use crate::gate::{Next, Post};
+use crate::coordinator::{EventSender, RequestEvent};
 use crate::handover::records::UpstreamRecord;
 use crate::seam::Beneath;
 use ochrewalk::host::RpcId;
@@ -55,7 +55,7 @@
     until_us: u64,
     body: Vec<u8>,
     again: bool,
-    post: Post,
+    post: EventSender,
 }
 
 /// What the connections carry, and what is asked of them.
@@ -85,7 +85,7 @@
     id: RpcId,
     body: Vec<u8>,
     until_us: u64,
-    post: Post,
+    post: EventSender,
 }
 
 impl AjpBelow {
@@ -216,7 +216,7 @@
 }
 
 impl Beneath for AjpBelow {
-    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
+    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
         // A second call of an RPC stands in the place of the first.
         self.give_up(id);
         let until_us = self.0.clock.now_us() + wait_ms * 1_000;
@@ -426,7 +426,7 @@
                 None => CallResult::Failed,
             },
         };
-        post.send(Next::CallEnded(end));
+        post.send(RequestEvent::CallEnded(end));
     }
 
     fn close(&mut self, link: LinkId) {
--- a/crates/ochrewalk-node/src/net/ajp_front/answers.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/answers.rs
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn health(&self, reuse: bool) -> Vec<u8> {
-        let good = self.core.gate.posture().healthy.unwrap_or(false);
+        let good = self.core.coordinator.health_state().is_healthy.unwrap_or(false);
         let (status, words, body) =
             if good { (200, "OK", "takes work\n") } else { (503, "Not Now", "takes no work\n") };
         self.write(status, words, "text/plain", &[], body.as_bytes(), reuse)
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -236,7 +236,7 @@
         }
         let rpc = connection.lock().rpc.take();
         if let Some(id) = rpc.filter(|_| wanted.gone) {
-            self.core.gate.gone(&id);
+            self.core.coordinator.caller_left(&id);
         }
         let_go(stream, &ending, || self.count() >= self.most);
         self.lock().of.remove(&number);
--- a/crates/ochrewalk-node/src/net/below.rs
+++ b/crates/ochrewalk-node/src/net/below.rs
@@ -5,7 +5,7 @@
 use super::link::{adopt, carry, connect, let_go, Finish, Outbox, Reader};
 use crate::clock::Clock;
 use crate::close_reason::{CallResult, CloseReason};
-use crate::gate::{Next, Post};
+use crate::coordinator::{EventSender, RequestEvent};
 use crate::handover::records::{UpstreamConnectionRecord, UpstreamRecord};
 use crate::seam::Beneath;
 use crate::wire::calls::{self, Word};
@@ -49,7 +49,7 @@
 }
 
 struct Carried {
-    calls: HashMap<RpcId, Post>,
+    calls: HashMap<RpcId, EventSender>,
     used_us: u64,
     /// Since when a reply is under way that has no end yet.
     partial_us: Option<u64>,
@@ -78,7 +78,7 @@
 }
 
 impl Beneath for Below {
-    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
+    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
         self.0.call(id, wait_ms, body, again, post);
     }
 
@@ -111,7 +111,12 @@
 
 impl Below {
     /// Goes on with the connections of another process; the posts are those of the RPCs whose calls they carry.
-    pub fn resume(&self, kept: UpstreamRecord, descriptors: Vec<OwnedFd>, posts: &HashMap<RpcId, Post>) {
+    pub fn resume(
+        &self,
+        kept: UpstreamRecord,
+        descriptors: Vec<OwnedFd>,
+        posts: &HashMap<RpcId, EventSender>,
+    ) {
         let mut state = self.0.lock();
         for (kept, descriptor) in kept.links.into_iter().zip(descriptors) {
             let post =
@@ -131,7 +136,7 @@
 impl Links {
     /// One that is not to be made `again` goes on a connection of its own: guards against one that was forgotten
     /// below, which would leave it without proof.
-    fn call(self: &Arc<Self>, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
+    fn call(self: &Arc<Self>, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
         let mut state = self.lock();
         let now_us = self.clock.now_us();
         let room = state.links.len() < self.most_links;
@@ -218,7 +223,7 @@
             } else {
                 CallResult::ConnectionClosed(ending.clone())
             };
-            post.send(Next::CallEnded(end));
+            post.send(RequestEvent::CallEnded(end));
         }
         if let Ok(stream) = stream {
             let_go(&stream, &ending, || self.lock().links.len() >= self.most_links);
@@ -260,7 +265,7 @@
         };
         // One that was given up may still be answered.
         if let Some(post) = post {
-            post.send(Next::CallEnded(match reply.word {
+            post.send(RequestEvent::CallEnded(match reply.word {
                 Word::Ok => CallResult::Succeeded(reply.body.to_vec()),
                 Word::Busy => CallResult::Rejected,
                 Word::Err => CallResult::Failed,
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -4,8 +4,8 @@
 use super::front::{Front, ENDING};
 use super::link::{adopt, carry, let_go, Finish, Outbox, Reader};
 use crate::close_reason::CloseReason;
+use crate::coordinator::HealthState;
 use crate::core::{Asked, Core};
-use crate::gate::Posture;
 use crate::handover::records::{
     ClientAddress, JsonRpcConnectionRecord, JsonRpcConnectionRecords, OpenRpcRecord,
 };
@@ -115,7 +115,7 @@
     pub fn sweep(&self) {
         loop {
             may::coroutine::sleep(SWEEP);
-            let Posture { idle_us, .. } = self.core.gate.posture();
+            let HealthState { max_idle_us: idle_us, .. } = self.core.coordinator.health_state();
             let bounded = idle_us < self.core.deployment.machine.max_connection_idle_us;
             let idle_us = if bounded { idle_us } else { u64::MAX };
             let now_us = self.core.clock.now_us();
@@ -467,7 +467,7 @@
             _ => tracing::debug!(part = "json-rpc", "{ending}; {} RPCs open", open.len()),
         }
         // Nobody can be answered there any more.
-        open.values().for_each(|id| self.core.gate.gone(id));
+        open.values().for_each(|id| self.core.coordinator.caller_left(id));
         let_go(stream, &ending, || self.count() >= self.most);
         self.lock().of.remove(&number);
     }
@@ -564,7 +564,7 @@
                 let connection = self.connection.clone();
                 let caller = Caller { core: self.core.clone(), connection, id: rpc.id.into() };
                 if open > MOST_OPEN {
-                    caller.answer(Answer::UNSEEN, self.core.gate.posture().signal);
+                    caller.answer(Answer::UNSEEN, self.core.coordinator.health_state().load_signal);
                 } else {
                     self.core.begin(incoming, rpc.body.get(), caller);
                 }
@@ -581,12 +581,13 @@
                     id.and_then(|id| state.open.remove_entry(&id))
                 };
                 if let Some((number, id)) = gone {
-                    self.core.gate.gone(&id);
+                    self.core.coordinator.caller_left(&id);
                     self.connection.outbox.push(jsonrpc::revoked(&number));
                 }
             }
             Message::Heartbeat { id } => {
-                let Posture { healthy, signal, .. } = self.core.gate.posture();
+                let HealthState { is_healthy: healthy, load_signal: signal, .. } =
+                    self.core.coordinator.health_state();
                 let pass = healthy.unwrap_or(false);
                 self.connection.outbox.push(jsonrpc::heartbeat(id, pass, signal));
             }
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -11,7 +11,7 @@
 
 use super::link::{carry, connect, let_go, Finish, Outbox, Reader};
 use crate::close_reason::CloseReason;
-use crate::gate::{Gate, Next, Post};
+use crate::coordinator::{EventSender, RequestCoordinator, RequestEvent};
 use crate::handover::records::ExecutorRecord;
 use crate::wire::notices::{self, Notice, RunEnd};
 use base64::prelude::{Engine, BASE64_STANDARD};
@@ -54,7 +54,7 @@
 }
 
 struct Run {
-    post: Post,
+    post: EventSender,
     again: bool,
 }
 
@@ -79,7 +79,7 @@
         at: SocketAddr,
         pauses: bool,
         kept: ExecutorRecord,
-        runs: Vec<(RpcId, bool, Post)>,
+        runs: Vec<(RpcId, bool, EventSender)>,
     ) -> Executor {
         let mut executor = Executor::new(at, pauses);
         let run = |(id, again, post)| (id, Run { post, again });
@@ -132,7 +132,7 @@
 
     /// Starts a run; what becomes of it goes to `post`. Where `again` is harmless the command is repeated
     /// after a link that broke under it.
-    pub fn run(&self, id: &RpcId, lane: &str, content: &str, again: bool, post: Post) {
+    pub fn run(&self, id: &RpcId, lane: &str, content: &str, again: bool, post: EventSender) {
         self.lock().runs.insert(id.clone(), Run { post, again });
         self.outbox.push(notices::exec(id, lane, content));
     }
@@ -176,7 +176,7 @@
     }
 
     /// Keeps the link up for ever, `adopted` first. `up` gets a word whenever the executor is known to be up.
-    pub fn keep_up(&self, gate: &Gate, up: &Sender<()>, adopted: Option<TcpStream>) {
+    pub fn keep_up(&self, gate: &RequestCoordinator, up: &Sender<()>, adopted: Option<TcpStream>) {
         let mut adopted = adopted;
         loop {
             let from = Instant::now();
@@ -211,7 +211,7 @@
         self.state.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    fn news(&self, id: &str, next: Next) {
+    fn news(&self, id: &str, next: RequestEvent) {
         if let Some(run) = self.lock().runs.get(id) {
             run.post.send(next);
         }
@@ -219,7 +219,7 @@
 
     fn ended(&self, id: &str, end: RunEnd, content: Option<Arc<str>>) {
         if let Some(run) = self.lock().runs.remove(id) {
-            run.post.send(Next::RunEnded(end, content));
+            run.post.send(RequestEvent::RunEnded(end, content));
         }
     }
 
@@ -269,7 +269,7 @@
         new
     }
 
-    fn notice(&self, gate: &Gate, up: &Sender<()>, notice: Notice) -> Result<(), CloseReason> {
+    fn notice(&self, gate: &RequestCoordinator, up: &Sender<()>, notice: Notice) -> Result<(), CloseReason> {
         match notice {
             Notice::Welcome { cold, up_us } => {
                 tracing::info!(
@@ -280,7 +280,7 @@
                 );
                 self.lock().welcomed = true;
                 self.ask_for_proof();
-                gate.open(cold, up_us);
+                gate.activate(cold, up_us);
                 let _ = up.send(());
             }
             Notice::Exit { pos, uid, end, content } if self.is_new(pos) => {
@@ -300,7 +300,7 @@
                 };
                 self.outbox.settle(brought_here);
                 self.lock().doubtful.retain(|line| notices::named(line).is_none_or(|(_, of)| of != uid));
-                self.news(&uid, Next::NeedsCall { pos, body });
+                self.news(&uid, RequestEvent::CallNeeded { pos, body });
             }
             Notice::Meters { echo, meters } => {
                 let Ok(tag) = echo.parse() else { return Ok(()) };
@@ -344,7 +344,7 @@
 
 struct Link<'a> {
     executor: &'a Executor,
-    gate: &'a Gate,
+    gate: &'a RequestCoordinator,
     up: &'a Sender<()>,
 }
 
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -5,8 +5,11 @@
 use crate::close_reason::{CallResult, CloseReason};
 use crate::configuration::activation::prepare_configuration;
 use crate::configuration::agent::PreparedAgent;
+use crate::coordinator::{
+    CoordinatorNotifications, EventSender, IdempotencyKey, IncomingRequest, RequestCoordinator, RequestEvent,
+    RequestHandle,
+};
 use crate::core::Core;
-use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
 use crate::handover::received_state::ReceivedState;
 use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
 use crate::keys::Keys;
@@ -57,7 +60,7 @@
 pub(super) struct Built {
     node: Arc<Node>,
     name: String,
-    stirred: Stirred,
+    stirred: CoordinatorNotifications,
     listener: TcpListener,
     ajp_listener: Option<TcpListener>,
     status: Option<PathBuf>,
@@ -70,11 +73,11 @@
 pub(super) struct Resumed {
     json: Vec<(Arc<dispatchers::Connection>, OwnedFd)>,
     ajp: Vec<(Arc<ajp_front::Connection>, OwnedFd)>,
-    lives: Vec<(Arc<Living>, Ticket)>,
+    lives: Vec<(Arc<Living>, RequestHandle)>,
     /// News for lives whose calls did not come along.
-    ends: Vec<(Post, CallResult)>,
+    ends: Vec<(EventSender, CallResult)>,
     link: Option<OwnedFd>,
-    below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, Post>)>,
+    below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, EventSender>)>,
 }
 
 /// Puts every part together, from what another process held where there is something.
@@ -107,12 +110,12 @@
     if rpcs.iter().any(|rpc| rpc.method as usize >= known) {
         return Err("an RPC of an unknown method".into());
     }
-    let incoming: Vec<Incoming> = rpcs.iter().map(incoming).collect();
+    let incoming: Vec<IncomingRequest> = rpcs.iter().map(incoming).collect();
     let ids: HashSet<RpcId> = incoming.iter().map(|rpc| rpc.id.clone()).collect();
     let (gate, stirred, tickets) = match &mut taken {
         Some(taken) => {
             let ahead = std::mem::replace(&mut taken.keys, Keys::new(0));
-            Gate::resume(
+            RequestCoordinator::resume(
                 clock,
                 deployment.clone(),
                 placement.seed,
@@ -123,7 +126,8 @@
             )?
         }
         None => {
-            let (gate, stirred) = Gate::new(clock, deployment.clone(), placement.seed, bytes / 8);
+            let (gate, stirred) =
+                RequestCoordinator::new(clock, deployment.clone(), placement.seed, bytes / 8);
             (gate, stirred, Vec::new())
         }
     };
@@ -132,8 +136,8 @@
         .as_ref()
         .map_or(placement.descriptors / OF_BELOW, |upstream| upstream.max_connections);
     let runs = incoming.iter().zip(&rpcs).zip(&tickets).filter(|((_, rpc), _)| rpc.running);
-    let again = |rpc: &Incoming| deployment.methods[rpc.method].effect == Effect::Idempotent;
-    let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.post())).collect();
+    let again = |rpc: &IncomingRequest| deployment.methods[rpc.method].effect == Effect::Idempotent;
+    let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.event_sender())).collect();
     let (executor, link) = match &mut taken {
         Some(taken) => {
             let (kept, link) = (std::mem::take(&mut taken.executor), taken.executor_link.take());
@@ -184,7 +188,7 @@
                 let lost = taken.upstream.record.lost.contains(&kept.id);
                 let end =
                     if lost { CallResult::ConnectionClosed(CloseReason::Moved) } else { CallResult::Unsent };
-                resumed.ends.push((ticket.post(), end));
+                resumed.ends.push((ticket.event_sender(), end));
             }
             let asker = kept.client.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
                 (Some(front), true) => front.asker(at),
@@ -196,8 +200,11 @@
             let living = Living::new(&core, rpc, &kept.body, asker.unwrap_or_else(|| Box::new(Nobody)), life);
             resumed.lives.push((Arc::new(living), ticket));
         }
-        let posts =
-            resumed.lives.iter().map(|(living, ticket)| (living.rpc.id.clone(), ticket.post())).collect();
+        let posts = resumed
+            .lives
+            .iter()
+            .map(|(living, ticket)| (living.rpc.id.clone(), ticket.event_sender()))
+            .collect();
         resumed.below = Some((taken.upstream.record, taken.upstream.descriptors, posts));
     }
     let (memory_bytes, descriptors) = (bytes, placement.descriptors);
@@ -219,12 +226,21 @@
     Ok(Built { node, name, stirred, listener: json_listener, ajp_listener, status, resumed, agent })
 }
 
-pub(super) fn incoming(kept: &RpcRecord) -> Incoming {
-    let token = kept.token.as_ref().map(|key| Token { key: key.as_str().into(), work: kept.work });
+pub(super) fn incoming(kept: &RpcRecord) -> IncomingRequest {
+    let token =
+        kept.token.as_ref().map(|key| IdempotencyKey { key: key.as_str().into(), fingerprint: kept.work });
     let (method, left_us) = (kept.method as usize, kept.left_us);
     // The module has counted it already.
     let (id, tenant) = (kept.id.as_str().into(), None);
-    Incoming { id, method, kb: kept.kb, ts_ms: kept.ts_ms, left_us, token, tenant }
+    IncomingRequest {
+        id,
+        method,
+        memory_kb: kept.kb,
+        arrived_unix_ms: kept.ts_ms,
+        time_left_us: left_us,
+        idempotency_key: token,
+        tenant,
+    }
 }
 
 pub(super) fn call(kept: CallRecord) -> Call {
@@ -270,7 +286,7 @@
     let (report_now, changed) = channel();
     let (of, report) = (core.clone(), report_now.clone());
     let link = resumed.link.map(adopt);
-    may::go!(move || of.executor.keep_up(&of.gate, &report, link));
+    may::go!(move || of.executor.keep_up(&of.coordinator, &report, link));
     if let Some(store) = node.store.clone() {
         if let Some((kept, descriptors, posts)) = resumed.below {
             store.resume(kept, descriptors, &posts);
@@ -280,28 +296,28 @@
     for (living, ticket) in resumed.lives {
         core.go_on(living, ticket);
     }
-    resumed.ends.into_iter().for_each(|(post, end)| post.send(Next::CallEnded(end)));
+    resumed.ends.into_iter().for_each(|(post, end)| post.send(RequestEvent::CallEnded(end)));
     node.dispatchers.go_on(resumed.json);
     if let Some(front) = &node.ajp {
         front.go_on(resumed.ajp);
     }
     let of = core.clone();
     may::go!(move || loop {
-        of.gate.turn(&stirred.told);
+        of.coordinator.decide_when_notified(&stirred.state_changed);
     });
     let of = core;
     may::go!(move || {
         let rows = rows();
         loop {
-            of.gate.wait_due(&stirred.earlier);
+            of.coordinator.wait_for_timer(&stirred.timer_moved);
             let row = of.executor.gauges(&rows).unwrap_or_default();
-            of.gate.tick(of.deployment.gauges(|at| row.get(at).copied()));
+            of.coordinator.tick(of.deployment.gauges(|at| row.get(at).copied()));
         }
     });
     let of = node.clone();
     may::go!(move || {
         let at = || *of.directory.lock().expect("never held over a panic");
-        let healthy = || of.core.gate.posture().healthy;
+        let healthy = || of.core.coordinator.health_state().is_healthy;
         directory::keep(at, &name, healthy, &changed);
     });
     let of = node.dispatchers.clone();
--- a/crates/ochrewalk-node/src/node/leaving.rs
+++ b/crates/ochrewalk-node/src/node/leaving.rs
@@ -13,13 +13,13 @@
 
 /// Leaves: no new work is asked for, all that was read is answered, and every answer is written.
 pub(super) fn leave(node: &Node, stop_ms: u64, report_now: &Sender<()>) {
-    let Core { clock, gate, .. } = &*node.core;
+    let Core { clock, coordinator, .. } = &*node.core;
     let from_us = clock.now_us();
     let at = |ms: u64| {
         let until_us = from_us + ms * 1_000;
         may::coroutine::sleep(Duration::from_micros(until_us.saturating_sub(clock.now_us())));
     };
-    gate.leave(stop_ms.saturating_sub(FLUSH_MS) * 1_000);
+    coordinator.drain(stop_ms.saturating_sub(FLUSH_MS) * 1_000);
     let _ = report_now.send(());
     node.dispatchers.leave();
     if let Some(front) = &node.ajp {
@@ -41,5 +41,5 @@
     while clock.now_us() < from_us + stop_ms.saturating_sub(END_MS) * 1_000 && connections() > 0 {
         may::coroutine::sleep(Duration::from_millis(5));
     }
-    tracing::info!("{} RPCs and {} connections left", gate.open_rpcs(), connections());
+    tracing::info!("{} RPCs and {} connections left", coordinator.open_request_count(), connections());
 }
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -235,7 +235,7 @@
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
     ServingCounters {
-        is_healthy: hears && node.core.gate.posture().healthy == Some(true),
+        is_healthy: hears && node.core.coordinator.health_state().is_healthy == Some(true),
         memory_kb: resident * 4,
         methods: Vec::new(),
         settings_fingerprint: node.settings.load(Ordering::Relaxed),
--- a/crates/ochrewalk-node/src/seam.rs
+++ b/crates/ochrewalk-node/src/seam.rs
@@ -1,7 +1,7 @@
 //! What an RPC's life needs of the two sides that it stands between: of whoever asked, and of whatever lies
 //! below. Each protocol brings its own; the life knows none of them.
 
-use crate::gate::Post;
+use crate::coordinator::EventSender;
 use crate::handover::records::{ClientAddress, UpstreamRecord};
 use ochrewalk::host::RpcId;
 use std::os::fd::RawFd;
@@ -46,7 +46,7 @@
 pub trait Beneath: Send + Sync {
     /// Places a call that may take so long; what becomes of it goes to `post`, once. Only one that may be made
     /// `again` can be repeated, or go where its fate would not be known for certain.
-    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post);
+    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender);
 
     /// Gives a call up; nothing more is heard of it.
     fn give_up(&self, id: &str);
--- a/crates/ochrewalk-node/src/tally.rs
+++ b/crates/ochrewalk-node/src/tally.rs
@@ -1,7 +1,7 @@
 //! What became of RPCs, counted by method since the start, for whoever conducts a change.
 
 use crate::clock::{since_us, Clock};
-use crate::gate::Incoming;
+use crate::coordinator::IncomingRequest;
 use crate::seam::Answer;
 use ochrewalk::deployment::Deployment;
 use ochrewalk::names::Names;
@@ -29,12 +29,12 @@
     }
 
     /// An RPC is answered. Strangers' faults are nobody's.
-    pub fn answered(&self, clock: &Clock, deployment: &Deployment, rpc: &Incoming, answer: &Answer) {
+    pub fn answered(&self, clock: &Clock, deployment: &Deployment, rpc: &IncomingRequest, answer: &Answer) {
         if let Answer::Fault(_) = answer {
             return;
         }
         let (of, told) = (&self.methods[rpc.method], &deployment.methods[rpc.method]);
-        let took_us = since_us(clock.unix_ms(), rpc.ts_ms, told.deadline_us);
+        let took_us = since_us(clock.unix_ms(), rpc.arrived_unix_ms, told.deadline_us);
         let is_served = matches!(answer, Answer::Served(_));
         let add = |to: &AtomicU64, is: bool| to.fetch_add(u64::from(is), Ordering::Relaxed);
         add(&of.missed, !is_served || took_us > told.latency_target_us);
--- a/crates/ochrewalk-node/tests/life.rs
+++ b/crates/ochrewalk-node/tests/life.rs
@@ -1,7 +1,7 @@
 //! The life of one RPC as a value: what each event brings, and that no order of them brings two answers.
 
 use ochrewalk_node::close_reason::{CallResult, CloseReason};
-use ochrewalk_node::gate::{Next, Report};
+use ochrewalk_node::coordinator::{ProgressReport, RequestEvent};
 use ochrewalk_node::life::{Acts, Life};
 use ochrewalk_node::seam::Answer;
 use ochrewalk_node::wire::notices::RunEnd;
@@ -60,91 +60,101 @@
     fn proven(&mut self) {
         self.note("proven");
     }
-    fn report(&mut self, what: Report) {
+    fn report(&mut self, what: ProgressReport) {
         self.note(match what {
-            Report::NeedsCall => "needs call".into(),
-            Report::CallEnded { outcome, took_us } => format!("{outcome:?} after {took_us}"),
-            Report::RunEnded(end, _) => format!("{end:?}"),
+            ProgressReport::CallNeeded => "needs call".into(),
+            ProgressReport::CallEnded { outcome, took_us } => format!("{outcome:?} after {took_us}"),
+            ProgressReport::RunEnded(end, _) => format!("{end:?}"),
         });
     }
 }
 
-fn needs_call() -> Next {
-    Next::NeedsCall { pos: 4, body: vec![1, 2, 3] }
+fn needs_call() -> RequestEvent {
+    RequestEvent::CallNeeded { pos: 4, body: vec![1, 2, 3] }
 }
 
-fn call() -> Next {
-    Next::Call { until_us: 5_000 }
+fn call() -> RequestEvent {
+    RequestEvent::PlaceCall { until_us: 5_000 }
 }
 
-fn ended(end: RunEnd) -> Next {
-    Next::RunEnded(end, (end == RunEnd::Complete).then(|| "\"QQ==\"".into()))
+fn ended(end: RunEnd) -> RequestEvent {
+    RequestEvent::RunEnded(end, (end == RunEnd::Complete).then(|| "\"QQ==\"".into()))
 }
 
 #[test]
 fn each_event_brings_what_it_should() {
-    let back = || Next::PushBack { last: true, come_back_us: 9 };
-    let good = || Next::CallEnded(CallResult::Succeeded(vec![7]));
-    let broken = || Next::CallEnded(CallResult::ConnectionClosed(CloseReason::ClosedByPeer));
-    let table: Vec<(Vec<Next>, &str, bool)> = vec![
+    let back = || RequestEvent::Reject { do_not_retry: true, retry_after_us: 9 };
+    let good = || RequestEvent::CallEnded(CallResult::Succeeded(vec![7]));
+    let broken = || RequestEvent::CallEnded(CallResult::ConnectionClosed(CloseReason::ClosedByPeer));
+    let table: Vec<(Vec<RequestEvent>, &str, bool)> = vec![
         (vec![back()], "pushed back true 9", true),
-        (vec![Next::Serve("\"QQ==\"".into())], "served", true),
-        (vec![Next::Abort], "aborted", true),
-        (vec![Next::Gone], "", true),
-        (vec![Next::Nothing], "", false),
-        (vec![Next::Run], "run", false),
-        (vec![Next::Run, Next::Run], "run, wake", false),
-        (vec![Next::Run, Next::Stop], "run, stop", false),
-        (vec![Next::Run, ended(RunEnd::Complete)], "run, proven, served, Complete", true),
-        (vec![Next::Run, ended(RunEnd::Failed)], "run, aborted, Failed", true),
-        (vec![Next::Run, ended(RunEnd::Stopped)], "run, aborted, Stopped", true),
-        (vec![Next::Run, ended(RunEnd::NeverRan)], "run, pushed back false 0, NeverRan", true),
-        (vec![Next::Run, ended(RunEnd::Unknown)], "run, fault, pushed back false 0, Unknown", true),
+        (vec![RequestEvent::ServeResult("\"QQ==\"".into())], "served", true),
+        (vec![RequestEvent::Abort], "aborted", true),
+        (vec![RequestEvent::CallerLeft], "", true),
+        (vec![RequestEvent::Timeout], "", false),
+        (vec![RequestEvent::Run], "run", false),
+        (vec![RequestEvent::Run, RequestEvent::Run], "run, wake", false),
+        (vec![RequestEvent::Run, RequestEvent::Stop], "run, stop", false),
+        (vec![RequestEvent::Run, ended(RunEnd::Complete)], "run, proven, served, Complete", true),
+        (vec![RequestEvent::Run, ended(RunEnd::Failed)], "run, aborted, Failed", true),
+        (vec![RequestEvent::Run, ended(RunEnd::Stopped)], "run, aborted, Stopped", true),
+        (vec![RequestEvent::Run, ended(RunEnd::NeverRan)], "run, pushed back false 0, NeverRan", true),
+        (vec![RequestEvent::Run, ended(RunEnd::Unknown)], "run, fault, pushed back false 0, Unknown", true),
         // One that was given up, or whose caller has gone, lives on until its run has ended, and answers no more.
-        (vec![Next::Run, Next::Abort], "run, aborted", false),
-        (vec![Next::Run, Next::Abort, ended(RunEnd::Complete)], "run, aborted, Complete", true),
-        (vec![Next::Run, Next::Gone, ended(RunEnd::Unknown)], "run, Unknown", true),
+        (vec![RequestEvent::Run, RequestEvent::Abort], "run, aborted", false),
         (
-            vec![Next::Run, Next::Gone, Next::Abort, Next::Serve("x".into()), ended(RunEnd::Failed)],
+            vec![RequestEvent::Run, RequestEvent::Abort, ended(RunEnd::Complete)],
+            "run, aborted, Complete",
+            true,
+        ),
+        (vec![RequestEvent::Run, RequestEvent::CallerLeft, ended(RunEnd::Unknown)], "run, Unknown", true),
+        (
+            vec![
+                RequestEvent::Run,
+                RequestEvent::CallerLeft,
+                RequestEvent::Abort,
+                RequestEvent::ServeResult("x".into()),
+                ended(RunEnd::Failed),
+            ],
             "run, Failed",
             true,
         ),
         // Its call.
-        (vec![Next::Run, needs_call()], "run, needs call", false),
-        (vec![Next::Run, needs_call(), Next::Skip], "run, needs call, bypass 4", false),
-        (vec![Next::Run, needs_call(), call()], "run, needs call, call 4 3", false),
+        (vec![RequestEvent::Run, needs_call()], "run, needs call", false),
+        (vec![RequestEvent::Run, needs_call(), RequestEvent::SkipCall], "run, needs call, bypass 4", false),
+        (vec![RequestEvent::Run, needs_call(), call()], "run, needs call, call 4 3", false),
         (
-            vec![Next::Run, needs_call(), call(), good()],
+            vec![RequestEvent::Run, needs_call(), call(), good()],
             "run, needs call, call 4 3, back 1, Ok after 0",
             false,
         ),
         (
-            vec![Next::Run, needs_call(), call(), broken()],
+            vec![RequestEvent::Run, needs_call(), call(), broken()],
             "run, needs call, call 4 3, Interrupted after 0",
             false,
         ),
         (
-            vec![Next::Run, needs_call(), call(), broken(), call(), good()],
+            vec![RequestEvent::Run, needs_call(), call(), broken(), call(), good()],
             "run, needs call, call 4 3, Interrupted after 0, call 4 3, back 1, Ok after 0",
             false,
         ),
         (
-            vec![Next::Run, needs_call(), call(), Next::Abort],
+            vec![RequestEvent::Run, needs_call(), call(), RequestEvent::Abort],
             "run, needs call, call 4 3, aborted, give up",
             false,
         ),
         (
-            vec![Next::Run, needs_call(), call(), Next::Gone, good()],
+            vec![RequestEvent::Run, needs_call(), call(), RequestEvent::CallerLeft, good()],
             "run, needs call, call 4 3, give up",
             false,
         ),
         (
-            vec![Next::Run, needs_call(), call(), ended(RunEnd::Stopped)],
+            vec![RequestEvent::Run, needs_call(), call(), ended(RunEnd::Stopped)],
             "run, needs call, call 4 3, give up, aborted, Stopped",
             true,
         ),
         // What ends unasked means nothing.
-        (vec![good(), call(), Next::Skip], "", false),
+        (vec![good(), call(), RequestEvent::SkipCall], "", false),
     ];
     for (events, wanted, over) in table {
         let (mut life, mut deeds) = (Life::begin(), Deeds::default());
@@ -157,14 +167,14 @@
 #[test]
 fn a_call_without_an_answer_is_late_and_one_that_nobody_takes_is_unsent() {
     let (mut life, mut deeds) = (Life::begin(), Deeds::default());
-    for event in [Next::Run, needs_call(), call()] {
+    for event in [RequestEvent::Run, needs_call(), call()] {
         life.next(1_000, event, &mut deeds);
     }
     deeds.take();
     assert_eq!(life.late_us(), Some(15_000));
-    life.next(14_999, Next::Nothing, &mut deeds);
+    life.next(14_999, RequestEvent::Timeout, &mut deeds);
     assert_eq!(deeds.take(), "");
-    life.next(15_000, Next::Nothing, &mut deeds);
+    life.next(15_000, RequestEvent::Timeout, &mut deeds);
     assert_eq!(deeds.take(), "give up, TimedOut after 14000");
     assert_eq!(life.late_us(), None);
     deeds.nothing_below = true;
@@ -185,22 +195,22 @@
                 break;
             }
             let event = match rng.u32(0..12) {
-                0 => Next::Run,
-                1 => Next::Stop,
+                0 => RequestEvent::Run,
+                1 => RequestEvent::Stop,
                 2 => needs_call(),
-                3 | 4 => Next::Call { until_us: now + 3_000 },
-                5 => Next::Skip,
-                6 => Next::CallEnded(CallResult::Succeeded(vec![])),
-                7 => Next::CallEnded(CallResult::ConnectionClosed(CloseReason::ClosedByPeer)),
-                8 if rng.bool() => Next::Abort,
-                9 if rng.bool() => Next::Gone,
+                3 | 4 => RequestEvent::PlaceCall { until_us: now + 3_000 },
+                5 => RequestEvent::SkipCall,
+                6 => RequestEvent::CallEnded(CallResult::Succeeded(vec![])),
+                7 => RequestEvent::CallEnded(CallResult::ConnectionClosed(CloseReason::ClosedByPeer)),
+                8 if rng.bool() => RequestEvent::Abort,
+                9 if rng.bool() => RequestEvent::CallerLeft,
                 10 if life.running => {
                     ended([RunEnd::Complete, RunEnd::Failed, RunEnd::Unknown][rng.usize(0..3)])
                 }
-                11 if !life.running => Next::PushBack { last: false, come_back_us: 0 },
-                _ => Next::Nothing,
+                11 if !life.running => RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 },
+                _ => RequestEvent::Timeout,
             };
-            gone |= matches!(event, Next::Gone);
+            gone |= matches!(event, RequestEvent::CallerLeft);
             // A value: it goes on from a copy.
             life = life.clone();
             let placed = |life: &Life| life.call.as_ref().is_some_and(|call| call.placed.is_some());
