--- a/crates/ochrewalk-node/src/core.rs
+++ b/crates/ochrewalk-node/src/core.rs
@@ -3,9 +3,9 @@
 
 use crate::clock::Clock;
 use crate::coordinator::{IdempotencyKey, IncomingRequest, RequestCoordinator, RequestHandle};
-use crate::life::Life;
-use crate::live::{go_on, live, Living};
 use crate::net::executor::Executor;
+use crate::request_state::RequestState;
+use crate::request_task::{run_to_completion, submit_and_run, OpenRequest};
 use crate::seam::{Answer, Asker, Beneath};
 use crate::tally::Tally;
 use ochrewalk::deployment::Deployment;
@@ -33,7 +33,7 @@
     /// Prints of RPCs' work, by a key that no stranger knows.
     prints: SipHasher13,
     /// Those that the gate knows of.
-    living: Mutex<HashMap<RpcId, Arc<Living>>>,
+    living: Mutex<HashMap<RpcId, Arc<OpenRequest>>>,
     /// RPCs whose coroutines live, and how many may.
     lives: AtomicUsize,
     most_lives: usize,
@@ -121,17 +121,17 @@
     }
 
     /// The RPCs that the gate knows of.
-    pub fn living(&self) -> MutexGuard<'_, HashMap<RpcId, Arc<Living>>> {
+    pub fn living(&self) -> MutexGuard<'_, HashMap<RpcId, Arc<OpenRequest>>> {
         self.living.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// Goes on with the life of an RPC that another process began.
-    pub fn go_on(self: &Arc<Core>, living: Arc<Living>, ticket: RequestHandle) {
+    pub fn go_on(self: &Arc<Core>, living: Arc<OpenRequest>, ticket: RequestHandle) {
         self.lives.fetch_add(1, Ordering::Relaxed);
         self.living().insert(living.rpc.id.clone(), living.clone());
         let core = self.clone();
         may::go!(move || {
-            go_on(&core, &living, &ticket);
+            run_to_completion(&core, &living, &ticket);
             core.lives.fetch_sub(1, Ordering::Relaxed);
         });
     }
@@ -145,11 +145,11 @@
             self.tally.answered(&self.clock, &self.deployment, &rpc, &Answer::UNSEEN);
             return asker.answer(Answer::UNSEEN, self.coordinator.health_state().load_signal);
         }
-        let living = Arc::new(Living::new(self, rpc, body, Box::new(asker), Life::begin()));
+        let living = Arc::new(OpenRequest::new(self, rpc, body, Box::new(asker), RequestState::submitted()));
         let core = self.clone();
         self.coordinator.pending_work.increment();
         may::go!(move || {
-            live(&core, &living);
+            submit_and_run(&core, &living);
             core.lives.fetch_sub(1, Ordering::Relaxed);
         });
     }
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -4,9 +4,9 @@
 use super::pending_snapshot::{PendingSnapshot, SnapshotResult};
 use super::records::{AjpConnectionRecords, CallRecord, JsonRpcConnectionRecords, NodeRecord};
 use super::records::{RpcRecord, RpcRecords};
-use crate::life::Call;
-use crate::live::Living;
 use crate::node::Node;
+use crate::request_state::UpstreamCall;
+use crate::request_task::OpenRequest;
 use prost::Message;
 use std::os::fd::RawFd;
 use std::time::Duration;
@@ -151,7 +151,7 @@
     record
 }
 
-fn rpc_record(living: &Living) -> RpcRecord {
+fn rpc_record(living: &OpenRequest) -> RpcRecord {
     let life = living.lock();
     let token = living.rpc.idempotency_key.as_ref();
     RpcRecord {
@@ -163,20 +163,20 @@
         token: token.map(|token| token.key.to_string()),
         work: token.map_or(0, |token| token.fingerprint),
         body: living.body.to_string(),
-        owed: life.owed,
-        running: life.running,
+        owed: life.awaits_answer,
+        running: life.is_running,
         call: life.call.as_ref().map(call_record),
-        client: life.owed.then(|| living.asker.address()),
+        client: life.awaits_answer.then(|| living.asker.address()),
     }
 }
 
-fn call_record(call: &Call) -> CallRecord {
+fn call_record(call: &UpstreamCall) -> CallRecord {
     let placed = call.placed.unwrap_or_default();
     CallRecord {
         pos: call.pos,
         body: call.body.clone(),
         placed: call.placed.is_some(),
-        at_us: placed.at_us,
+        at_us: placed.placed_at_us,
         until_us: placed.until_us,
     }
 }
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -13,8 +13,6 @@
 use crate::handover::received_state::ReceivedState;
 use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
 use crate::keys::Keys;
-use crate::life::{Call, Life, Placed};
-use crate::live::Living;
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::{self, AjpFront, Open};
 use crate::net::below::Below;
@@ -22,6 +20,8 @@
 use crate::net::executor::{rows, Executor};
 use crate::net::front::accept_all;
 use crate::net::{directory, link::adopt, status};
+use crate::request_state::{PlacedCall, RequestState, UpstreamCall};
+use crate::request_task::OpenRequest;
 use crate::seam::{Answer, Asker, Beneath};
 use may::net::TcpListener;
 use may::sync::mpsc::{channel, Sender};
@@ -73,7 +73,7 @@
 pub(super) struct Resumed {
     json: Vec<(Arc<dispatchers::Connection>, OwnedFd)>,
     ajp: Vec<(Arc<ajp_front::Connection>, OwnedFd)>,
-    lives: Vec<(Arc<Living>, RequestHandle)>,
+    lives: Vec<(Arc<OpenRequest>, RequestHandle)>,
     /// News for lives whose calls did not come along.
     ends: Vec<(EventSender, CallResult)>,
     link: Option<OwnedFd>,
@@ -195,9 +195,13 @@
                 (None, true) => None,
                 (_, false) => dispatchers.asker(at),
             });
-            let life =
-                Life { owed: kept.owed && asker.is_some(), running: kept.running, call: kept.call.map(call) };
-            let living = Living::new(&core, rpc, &kept.body, asker.unwrap_or_else(|| Box::new(Nobody)), life);
+            let life = RequestState {
+                awaits_answer: kept.owed && asker.is_some(),
+                is_running: kept.running,
+                call: kept.call.map(call),
+            };
+            let living =
+                OpenRequest::new(&core, rpc, &kept.body, asker.unwrap_or_else(|| Box::new(Nobody)), life);
             resumed.lives.push((Arc::new(living), ticket));
         }
         let posts = resumed
@@ -243,9 +247,9 @@
     }
 }
 
-pub(super) fn call(kept: CallRecord) -> Call {
-    let placed = Placed { at_us: kept.at_us, until_us: kept.until_us };
-    Call { pos: kept.pos, body: kept.body, placed: kept.placed.then_some(placed) }
+pub(super) fn call(kept: CallRecord) -> UpstreamCall {
+    let placed = PlacedCall { placed_at_us: kept.at_us, until_us: kept.until_us };
+    UpstreamCall { pos: kept.pos, body: kept.body, placed: kept.placed.then_some(placed) }
 }
 
 /// Whoever asked is not there any more.
--- a/crates/ochrewalk-node/src/live.rs
+++ b/crates/ochrewalk-node/src/request_task.rs
@@ -3,36 +3,42 @@
 use crate::clock::whole_ms;
 use crate::coordinator::{EventSender, IncomingRequest, ProgressReport, RequestHandle, SubmitError};
 use crate::core::Core;
-use crate::life::{Acts, Life};
+use crate::request_state::{RequestActions, RequestState};
 use crate::seam::{Answer, Asker};
 use ochrewalk::host::Effect;
 use std::sync::{Arc, Mutex, MutexGuard};
 
 /// An RPC that is open, and all that its life needs.
-pub struct Living {
+pub struct OpenRequest {
     pub rpc: IncomingRequest,
     /// A JSON string, as it came.
     pub body: Box<str>,
     /// Its run, and its call, may happen twice.
-    pub again: bool,
+    pub may_repeat: bool,
     pub asker: Box<dyn Asker>,
-    life: Mutex<Life>,
+    life: Mutex<RequestState>,
 }
 
-impl Living {
-    pub fn new(core: &Core, rpc: IncomingRequest, body: &str, asker: Box<dyn Asker>, life: Life) -> Living {
+impl OpenRequest {
+    pub fn new(
+        core: &Core,
+        rpc: IncomingRequest,
+        body: &str,
+        asker: Box<dyn Asker>,
+        life: RequestState,
+    ) -> OpenRequest {
         let again = core.deployment.methods[rpc.method].effect == Effect::Idempotent;
-        Living { rpc, body: body.into(), again, asker, life: Mutex::new(life) }
+        OpenRequest { rpc, body: body.into(), may_repeat: again, asker, life: Mutex::new(life) }
     }
 
     /// Held for one event at most, and never over a wait.
-    pub fn lock(&self) -> MutexGuard<'_, Life> {
+    pub fn lock(&self) -> MutexGuard<'_, RequestState> {
         self.life.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 }
 
 /// Tells the gate of an RPC and lives it to its end.
-pub fn live(core: &Core, living: &Arc<Living>) {
+pub fn submit_and_run(core: &Core, living: &Arc<OpenRequest>) {
     // Guards against a run for nobody: it may have been revoked before the gate heard of it.
     let told = living.asker.is_owed().then(|| core.coordinator.submit(&living.rpc));
     core.coordinator.pending_work.decrement();
@@ -40,7 +46,7 @@
         None => {}
         Some(Ok(ticket)) => {
             core.living().insert(living.rpc.id.clone(), living.clone());
-            go_on(core, living, &ticket);
+            run_to_completion(core, living, &ticket);
         }
         Some(Err(turned)) => {
             let answer = match turned {
@@ -57,14 +63,14 @@
 }
 
 /// Lives one that the gate knows of to its end.
-pub fn go_on(core: &Core, living: &Living, ticket: &RequestHandle) {
+pub fn run_to_completion(core: &Core, living: &OpenRequest, ticket: &RequestHandle) {
     loop {
-        let late_us = living.lock().late_us();
+        let late_us = living.lock().call_timeout_us();
         let most = late_us.map(|late_us| whole_ms(late_us.saturating_sub(core.clock.now_us()) + 1_000));
         let next = ticket.wait(most);
         let mut life = living.lock();
-        life.next(core.clock.now_us(), next, &mut Deeds { core, living, ticket });
-        if life.is_over() {
+        life.handle(core.clock.now_us(), next, &mut Deeds { core, living, ticket });
+        if life.is_finished() {
             break;
         }
     }
@@ -74,7 +80,7 @@
 
 struct Deeds<'a> {
     core: &'a Core,
-    living: &'a Living,
+    living: &'a OpenRequest,
     ticket: &'a RequestHandle,
 }
 
@@ -94,37 +100,37 @@
     }
 }
 
-impl Acts for Deeds<'_> {
-    fn run(&mut self) {
-        let Living { rpc, body, again, .. } = self.living;
-        self.core.executor.run(&rpc.id, &self.core.lanes[rpc.method], body, *again, self.post());
+impl RequestActions for Deeds<'_> {
+    fn start_run(&mut self) {
+        let OpenRequest { rpc, body, may_repeat, .. } = self.living;
+        self.core.executor.run(&rpc.id, &self.core.lanes[rpc.method], body, *may_repeat, self.post());
     }
 
-    fn wake(&mut self) {
+    fn resume_run(&mut self) {
         self.core.executor.wake(&self.living.rpc.id);
     }
 
-    fn stop(&mut self) {
+    fn stop_run(&mut self) {
         self.core.executor.stop(&self.living.rpc.id);
     }
 
-    fn bypass(&mut self, pos: u64) {
+    fn continue_without_call(&mut self, pos: u64) {
         self.core.executor.bypass(&self.living.rpc.id, pos);
     }
 
-    fn call(&mut self, wait_ms: u64, body: &[u8]) -> bool {
+    fn place_call(&mut self, wait_ms: u64, body: &[u8]) -> bool {
         let Some(below) = &self.core.below else { return false };
-        below.call(&self.living.rpc.id, wait_ms, body, self.living.again, self.post());
+        below.call(&self.living.rpc.id, wait_ms, body, self.living.may_repeat, self.post());
         true
     }
 
-    fn give_up_call(&mut self) {
+    fn cancel_call(&mut self) {
         if let Some(below) = &self.core.below {
             below.give_up(&self.living.rpc.id);
         }
     }
 
-    fn give_back(&mut self, reply: &[u8]) {
+    fn return_reply(&mut self, reply: &[u8]) {
         self.core.executor.give_back(&self.living.rpc.id, reply);
     }
 
@@ -135,11 +141,11 @@
         self.living.asker.answer(answer, self.core.coordinator.health_state().load_signal);
     }
 
-    fn fault(&mut self) {
+    fn record_fault(&mut self) {
         self.living.asker.fault();
     }
 
-    fn proven(&mut self) {
+    fn mark_trusted(&mut self) {
         self.living.asker.proven();
     }
 
--- a/crates/ochrewalk-node/tests/life.rs
+++ b/crates/ochrewalk-node/tests/request_state.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_node::close_reason::{CallResult, CloseReason};
 use ochrewalk_node::coordinator::{ProgressReport, RequestEvent};
-use ochrewalk_node::life::{Acts, Life};
+use ochrewalk_node::request_state::{RequestActions, RequestState};
 use ochrewalk_node::seam::Answer;
 use ochrewalk_node::wire::notices::RunEnd;
 
@@ -23,27 +23,27 @@
     }
 }
 
-impl Acts for Deeds {
-    fn run(&mut self) {
+impl RequestActions for Deeds {
+    fn start_run(&mut self) {
         self.note("run");
     }
-    fn wake(&mut self) {
+    fn resume_run(&mut self) {
         self.note("wake");
     }
-    fn stop(&mut self) {
+    fn stop_run(&mut self) {
         self.note("stop");
     }
-    fn bypass(&mut self, pos: u64) {
+    fn continue_without_call(&mut self, pos: u64) {
         self.note(format!("bypass {pos}"));
     }
-    fn call(&mut self, wait_ms: u64, body: &[u8]) -> bool {
+    fn place_call(&mut self, wait_ms: u64, body: &[u8]) -> bool {
         self.note(format!("call {wait_ms} {}", body.len()));
         !self.nothing_below
     }
-    fn give_up_call(&mut self) {
+    fn cancel_call(&mut self) {
         self.note("give up");
     }
-    fn give_back(&mut self, reply: &[u8]) {
+    fn return_reply(&mut self, reply: &[u8]) {
         self.note(format!("back {}", reply.len()));
     }
     fn answer(&mut self, answer: Answer) {
@@ -54,10 +54,10 @@
             Answer::Fault(why) => format!("fault {why}"),
         });
     }
-    fn fault(&mut self) {
+    fn record_fault(&mut self) {
         self.note("fault");
     }
-    fn proven(&mut self) {
+    fn mark_trusted(&mut self) {
         self.note("proven");
     }
     fn report(&mut self, what: ProgressReport) {
@@ -157,28 +157,28 @@
         (vec![good(), call(), RequestEvent::SkipCall], "", false),
     ];
     for (events, wanted, over) in table {
-        let (mut life, mut deeds) = (Life::begin(), Deeds::default());
+        let (mut life, mut deeds) = (RequestState::submitted(), Deeds::default());
         let what = format!("{events:?}");
-        events.into_iter().for_each(|event| life.next(1_000, event, &mut deeds));
-        assert_eq!((deeds.take().as_str(), life.is_over()), (wanted, over), "{what}");
+        events.into_iter().for_each(|event| life.handle(1_000, event, &mut deeds));
+        assert_eq!((deeds.take().as_str(), life.is_finished()), (wanted, over), "{what}");
     }
 }
 
 #[test]
 fn a_call_without_an_answer_is_late_and_one_that_nobody_takes_is_unsent() {
-    let (mut life, mut deeds) = (Life::begin(), Deeds::default());
+    let (mut life, mut deeds) = (RequestState::submitted(), Deeds::default());
     for event in [RequestEvent::Run, needs_call(), call()] {
-        life.next(1_000, event, &mut deeds);
+        life.handle(1_000, event, &mut deeds);
     }
     deeds.take();
-    assert_eq!(life.late_us(), Some(15_000));
-    life.next(14_999, RequestEvent::Timeout, &mut deeds);
+    assert_eq!(life.call_timeout_us(), Some(15_000));
+    life.handle(14_999, RequestEvent::Timeout, &mut deeds);
     assert_eq!(deeds.take(), "");
-    life.next(15_000, RequestEvent::Timeout, &mut deeds);
+    life.handle(15_000, RequestEvent::Timeout, &mut deeds);
     assert_eq!(deeds.take(), "give up, TimedOut after 14000");
-    assert_eq!(life.late_us(), None);
+    assert_eq!(life.call_timeout_us(), None);
     deeds.nothing_below = true;
-    life.next(16_000, call(), &mut deeds);
+    life.handle(16_000, call(), &mut deeds);
     assert_eq!(deeds.take(), "call 1 3, Unreachable after 0");
 }
 
@@ -188,10 +188,10 @@
 fn no_order_of_events_brings_two_answers_or_leaves_a_call() {
     for seed in 0..5_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut life, mut answers, mut gone) = (Life::begin(), 0, false);
+        let (mut life, mut answers, mut gone) = (RequestState::submitted(), 0, false);
         let mut deeds = Deeds::default();
         for now in (0..40).map(|n| n * 1_000) {
-            if life.is_over() {
+            if life.is_finished() {
                 break;
             }
             let event = match rng.u32(0..12) {
@@ -204,18 +204,18 @@
                 7 => RequestEvent::CallEnded(CallResult::ConnectionClosed(CloseReason::ClosedByPeer)),
                 8 if rng.bool() => RequestEvent::Abort,
                 9 if rng.bool() => RequestEvent::CallerLeft,
-                10 if life.running => {
+                10 if life.is_running => {
                     ended([RunEnd::Complete, RunEnd::Failed, RunEnd::Unknown][rng.usize(0..3)])
                 }
-                11 if !life.running => RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 },
+                11 if !life.is_running => RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 },
                 _ => RequestEvent::Timeout,
             };
             gone |= matches!(event, RequestEvent::CallerLeft);
             // A value: it goes on from a copy.
             life = life.clone();
-            let placed = |life: &Life| life.call.as_ref().is_some_and(|call| call.placed.is_some());
+            let placed = |life: &RequestState| life.call.as_ref().is_some_and(|call| call.placed.is_some());
             let was_placed = placed(&life);
-            life.next(now, event, &mut deeds);
+            life.handle(now, event, &mut deeds);
             let did = std::mem::take(&mut deeds.did);
             let is_answer = |d: &&String| ["served", "aborted"].contains(&&***d) || d.starts_with("pushed");
             answers += did.iter().filter(is_answer).count();
@@ -226,6 +226,6 @@
             assert_eq!(was_placed && !placed(&life), ends > 0, "seed {seed}: {did:?}");
             assert!(ends <= 1 + usize::from(late), "seed {seed}: {did:?}");
         }
-        assert!(!life.is_over() || answers == 1 || gone, "seed {seed}");
+        assert!(!life.is_finished() || answers == 1 || gone, "seed {seed}");
     }
 }
