--- a/crates/ochrewalk-node/src/core.rs
+++ b/crates/ochrewalk-node/src/core.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::Clock;
 use crate::coordinator::{IdempotencyKey, IncomingRequest, RequestCoordinator, RequestHandle};
+use crate::interfaces::{Answer, DownstreamClient, UpstreamClient};
 use crate::net::executor::Executor;
 use crate::request_state::RequestState;
 use crate::request_task::{run_to_completion, submit_and_run, OpenRequest};
-use crate::seam::{Answer, Asker, Beneath};
 use crate::tally::Tally;
 use ochrewalk::deployment::Deployment;
 use ochrewalk::host::{Effect, RpcId, Tenant};
@@ -29,7 +29,7 @@
     /// The methods' names as JSON strings.
     pub lanes: Vec<String>,
     pub executor: Executor,
-    pub below: Option<Arc<dyn Beneath>>,
+    pub below: Option<Arc<dyn UpstreamClient>>,
     /// Prints of RPCs' work, by a key that no stranger knows.
     prints: SipHasher13,
     /// Those that the gate knows of.
@@ -62,7 +62,7 @@
         gate: RequestCoordinator,
         deployment: Deployment,
         executor: Executor,
-        below: Option<Arc<dyn Beneath>>,
+        below: Option<Arc<dyn UpstreamClient>>,
         bytes: usize,
         print_key: (u64, u64),
     ) -> Core {
@@ -137,13 +137,14 @@
     }
 
     /// Starts the life of an RPC that its front has entered as owed an answer.
-    pub fn begin(self: &Arc<Core>, rpc: IncomingRequest, body: &str, asker: impl Asker + 'static) {
+    pub fn begin(self: &Arc<Core>, rpc: IncomingRequest, body: &str, asker: impl DownstreamClient + 'static) {
         // Guards the program's own memory against a flood: long before this many RPCs are open, the module's
         // hold is full.
         if self.lives.fetch_add(1, Ordering::Relaxed) >= self.most_lives {
             self.lives.fetch_sub(1, Ordering::Relaxed);
-            self.tally.answered(&self.clock, &self.deployment, &rpc, &Answer::UNSEEN);
-            return asker.answer(Answer::UNSEEN, self.coordinator.health_state().load_signal);
+            self.tally.answered(&self.clock, &self.deployment, &rpc, &Answer::REJECTED_WITHOUT_ADVICE);
+            return asker
+                .answer(Answer::REJECTED_WITHOUT_ADVICE, self.coordinator.health_state().load_signal);
         }
         let living = Arc::new(OpenRequest::new(self, rpc, body, Box::new(asker), RequestState::submitted()));
         let core = self.clone();
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -48,8 +48,8 @@
 pub(super) fn resume_node(node: &Node) {
     resume();
     if let Some(below) = &node.core.below {
-        below.hold(false);
-        below.nudge();
+        below.set_calls_paused(false);
+        below.recheck_connections();
     }
     node.core.executor.nudge();
     node.dispatchers.nudge();
@@ -76,9 +76,9 @@
     let clock = node.core.clock;
     let deadline_us = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
     if let Some(below) = &node.core.below {
-        below.hold(true);
+        below.set_calls_paused(true);
         let deadline_us = deadline_us(MAX_UNMOVABLE_WAIT);
-        while below.is_unmovable() && clock.now_us() < deadline_us {
+        while below.has_unmovable_calls() && clock.now_us() < deadline_us {
             sleep_while_awaited(node, pending)?;
         }
     }
@@ -125,7 +125,7 @@
     let node_record = node_record(node, keys_went_ahead);
     let rpcs = RpcRecords { rpcs: core.living().values().map(|rpc| rpc_record(rpc)).collect() };
     let (executor, link) = core.executor.keep();
-    let (below, links) = core.below.as_ref().map(|below| below.keep()).unwrap_or_default();
+    let (below, links) = core.below.as_ref().map(|below| below.snapshot()).unwrap_or_default();
     let listeners = [node.dispatchers.listener(), node.ajp.as_ref().and_then(|front| front.listener())];
     let listeners = listeners.into_iter().flatten().collect();
     let mut sections = vec![
@@ -166,7 +166,7 @@
         owed: life.awaits_answer,
         running: life.is_running,
         call: life.call.as_ref().map(call_record),
-        client: life.awaits_answer.then(|| living.asker.address()),
+        client: life.awaits_answer.then(|| living.client.address()),
     }
 }
 
--- a/crates/ochrewalk-node/src/net/ajp_below.rs
+++ b/crates/ochrewalk-node/src/net/ajp_below.rs
@@ -6,7 +6,7 @@
 use crate::close_reason::{CallResult, CloseReason};
 use crate::coordinator::{EventSender, RequestEvent};
 use crate::handover::records::UpstreamRecord;
-use crate::seam::Beneath;
+use crate::interfaces::UpstreamClient;
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
@@ -215,10 +215,10 @@
     }
 }
 
-impl Beneath for AjpBelow {
-    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
+impl UpstreamClient for AjpBelow {
+    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
         // A second call of an RPC stands in the place of the first.
-        self.give_up(id);
+        self.cancel_call(id);
         let until_us = self.0.clock.now_us() + wait_ms * 1_000;
         let call = HeldCall { id: id.clone(), until_us, body: body.to_vec(), again, post };
         if let Some(held) = &mut self.0.lock().held {
@@ -227,12 +227,12 @@
         self.0.place(call);
     }
 
-    fn closed_us(&self) -> Option<u64> {
+    fn unavailable_for_us(&self) -> Option<u64> {
         self.0.with(|places, hands| places.closed_us(hands.now_us))
     }
 
     /// Connections by AJP do not move: a call is under way on each that carries one.
-    fn hold(&self, hold: bool) {
+    fn set_calls_paused(&self, hold: bool) {
         let held = {
             let mut state = self.0.lock();
             let held = state.held.take().unwrap_or_default();
@@ -242,11 +242,11 @@
         held.into_iter().for_each(|call| self.0.place(call));
     }
 
-    fn is_unmovable(&self) -> bool {
+    fn has_unmovable_calls(&self) -> bool {
         self.0.lock().places.open_calls() > 0
     }
 
-    fn keep(&self) -> (UpstreamRecord, Vec<RawFd>) {
+    fn snapshot(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
         // Those that only wait for a connection were not written, and are placed anew.
         let written = |link: &Link| link.call.filter(|_| link.life.wrote());
@@ -255,11 +255,11 @@
         (UpstreamRecord { links: Vec::new(), lost: lost.filter_map(name).collect() }, Vec::new())
     }
 
-    fn nudge(&self) {
+    fn recheck_connections(&self) {
         self.0.lock().hands.links.values().for_each(|link| link.outbox.nudge());
     }
 
-    fn give_up(&self, id: &str) {
+    fn cancel_call(&self, id: &str) {
         if let Some(held) = &mut self.0.lock().held {
             held.retain(|call| *call.id != *id);
         }
--- a/crates/ochrewalk-node/src/net/ajp_front/answers.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/answers.rs
@@ -1,7 +1,7 @@
 //! Answers as AJP packets: results, refusals and the node's health.
 
 use super::AjpFront;
-use crate::seam::Answer;
+use crate::interfaces::Answer;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::Refusal;
 use ochrewalk_ajp::reply::{self, Head};
@@ -24,19 +24,19 @@
                     (500, "Aborted", b"aborted: its result cannot be given\n".to_vec())
                 }
             },
-            Answer::PushedBack { last, come_back_us } => {
+            Answer::Rejected { do_not_retry, retry_after_us } => {
                 headers.push((NEVER_RAN.as_bytes(), "1".into()));
-                if come_back_us > 0 {
-                    headers.push((b"retry-after", come_back_us.div_ceil(1_000_000).to_string()));
-                    headers.push((COME_BACK.as_bytes(), come_back_us.div_ceil(1_000).to_string()));
+                if retry_after_us > 0 {
+                    headers.push((b"retry-after", retry_after_us.div_ceil(1_000_000).to_string()));
+                    headers.push((COME_BACK.as_bytes(), retry_after_us.div_ceil(1_000).to_string()));
                 }
-                if last {
+                if do_not_retry {
                     headers.push((LAST.as_bytes(), "1".into()));
                 }
                 (503, "Pushed Back", b"pushed back: it never ran\n".to_vec())
             }
             Answer::Aborted => (500, "Aborted", b"aborted\n".to_vec()),
-            Answer::Fault(why) => (409, "Conflict", format!("{why}\n").into_bytes()),
+            Answer::InvalidRequest(why) => (409, "Conflict", format!("{why}\n").into_bytes()),
         };
         if let Some(signal) = signal {
             headers.push((SIGNAL.as_bytes(), signal.to_string()));
--- a/crates/ochrewalk-node/src/net/ajp_front/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/handover.rs
@@ -2,8 +2,8 @@
 
 use super::{AjpFront, Caller, Carried, Connection, PendingRequest};
 use crate::handover::records::{AjpConnectionRecord, AjpConnectionRecords, AjpRequestRecord, ClientAddress};
+use crate::interfaces::DownstreamClient;
 use crate::net::link::{adopt, Outbox};
-use crate::seam::Asker;
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::answerer::{Life, State};
 use ochrewalk_ajp::request::BodyLength;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Who waits for an answer on a connection, as [`Asker::address`] said.
-    pub fn asker(self: &Arc<Self>, at: &ClientAddress) -> Option<Box<dyn Asker>> {
+    /// Who waits for an answer on a connection, as [`DownstreamClient::address`] said.
+    pub fn asker(self: &Arc<Self>, at: &ClientAddress) -> Option<Box<dyn DownstreamClient>> {
         let connection = self.lock().of.get(&at.connection)?.clone();
         Some(Box::new(Caller { front: self.clone(), connection, serial: at.serial }))
     }
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -14,7 +14,7 @@
 use crate::configuration::handle::ConfigurationHandle;
 use crate::core::Core;
 use crate::handover::records::ClientAddress;
-use crate::seam::{Answer, Asker};
+use crate::interfaces::{Answer, DownstreamClient};
 use inbound::{Inbound, Wanted, MOST_BODY};
 use may::net::TcpStream;
 use ochrewalk::host::{RpcId, Tenant};
@@ -312,8 +312,8 @@
     serial: u64,
 }
 
-impl Asker for Caller {
-    fn is_owed(&self) -> bool {
+impl DownstreamClient for Caller {
+    fn awaits_answer(&self) -> bool {
         let state = self.connection.lock();
         state.serial == self.serial && state.life.owes()
     }
@@ -324,7 +324,9 @@
             if state.serial != self.serial {
                 return;
             }
-            let Some(reuse) = state.life.answered(matches!(answer, Answer::Fault(_))) else { return };
+            let Some(reuse) = state.life.answered(matches!(answer, Answer::InvalidRequest(_))) else {
+                return;
+            };
             (state.rpc, state.used_us) = (None, self.front.core.clock.now_us());
             reuse
         };
@@ -341,9 +343,9 @@
     }
 
     /// It counts once its answer says so: one RPC is in hand at a time.
-    fn fault(&self) {}
+    fn record_fault(&self) {}
 
-    fn proven(&self) {
+    fn mark_trusted(&self) {
         let mut state = self.connection.lock();
         state.life.proven();
         state.good = true;
--- a/crates/ochrewalk-node/src/net/below.rs
+++ b/crates/ochrewalk-node/src/net/below.rs
@@ -7,7 +7,7 @@
 use crate::close_reason::{CallResult, CloseReason};
 use crate::coordinator::{EventSender, RequestEvent};
 use crate::handover::records::{UpstreamConnectionRecord, UpstreamRecord};
-use crate::seam::Beneath;
+use crate::interfaces::UpstreamClient;
 use crate::wire::calls::{self, Word};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
@@ -77,16 +77,16 @@
     }
 }
 
-impl Beneath for Below {
-    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
+impl UpstreamClient for Below {
+    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
         self.0.call(id, wait_ms, body, again, post);
     }
 
-    fn give_up(&self, id: &str) {
+    fn cancel_call(&self, id: &str) {
         self.0.give_up(id);
     }
 
-    fn keep(&self) -> (UpstreamRecord, Vec<RawFd>) {
+    fn snapshot(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
         let (mut links, mut descriptors) = (Vec::new(), Vec::new());
         // One that is only being made has written nothing: its calls are placed anew.
@@ -104,7 +104,7 @@
         (UpstreamRecord { links, lost: Vec::new() }, descriptors)
     }
 
-    fn nudge(&self) {
+    fn recheck_connections(&self) {
         self.0.lock().links.iter().for_each(|link| link.outbox.nudge());
     }
 }
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -9,7 +9,7 @@
 use crate::handover::records::{
     ClientAddress, JsonRpcConnectionRecord, JsonRpcConnectionRecords, OpenRpcRecord,
 };
-use crate::seam::{Answer, Asker};
+use crate::interfaces::{Answer, DownstreamClient};
 use crate::wire::jsonrpc::{self, Message, Which};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Who waits for an answer on a connection, as [`Asker::address`] said.
-    pub fn asker(&self, at: &ClientAddress) -> Option<Box<dyn Asker>> {
+    /// Who waits for an answer on a connection, as [`DownstreamClient::address`] said.
+    pub fn asker(&self, at: &ClientAddress) -> Option<Box<dyn DownstreamClient>> {
         let connection = self.lock().of.get(&at.connection)?.clone();
         Some(Box::new(Caller { core: self.core.clone(), connection, id: at.message_id.as_str().into() }))
     }
@@ -309,19 +309,19 @@
     id: Box<str>,
 }
 
-impl Asker for Caller {
-    fn is_owed(&self) -> bool {
+impl DownstreamClient for Caller {
+    fn awaits_answer(&self) -> bool {
         self.connection.lock().open.contains_key(&self.id)
     }
 
     fn answer(&self, answer: Answer, signal: Option<f64>) {
         let line = match answer {
             Answer::Served(body) => jsonrpc::served(&self.id, body, signal),
-            Answer::PushedBack { last, come_back_us } => {
-                jsonrpc::refused(&self.id, last, come_back_us.div_ceil(1_000), signal)
+            Answer::Rejected { do_not_retry, retry_after_us } => {
+                jsonrpc::refused(&self.id, do_not_retry, retry_after_us.div_ceil(1_000), signal)
             }
             Answer::Aborted => jsonrpc::failed(&self.id, signal),
-            Answer::Fault(why) => {
+            Answer::InvalidRequest(why) => {
                 tracing::warn!(part = "json-rpc", "{why}");
                 self.connection.fault();
                 jsonrpc::error(&self.id, jsonrpc::BAD_PARAMS, why, "")
@@ -335,11 +335,11 @@
         ClientAddress { by_ajp: false, connection, message_id, serial: 0 }
     }
 
-    fn fault(&self) {
+    fn record_fault(&self) {
         self.connection.fault();
     }
 
-    fn proven(&self) {
+    fn mark_trusted(&self) {
         let mut state = self.connection.lock();
         // Guards against a sender whose faults were too many, and who is no longer read: that is final.
         if state.faults < MOST_FAULTS {
@@ -564,7 +564,10 @@
                 let connection = self.connection.clone();
                 let caller = Caller { core: self.core.clone(), connection, id: rpc.id.into() };
                 if open > MOST_OPEN {
-                    caller.answer(Answer::UNSEEN, self.core.coordinator.health_state().load_signal);
+                    caller.answer(
+                        Answer::REJECTED_WITHOUT_ADVICE,
+                        self.core.coordinator.health_state().load_signal,
+                    );
                 } else {
                     self.core.begin(incoming, rpc.body.get(), caller);
                 }
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -12,6 +12,7 @@
 use crate::core::Core;
 use crate::handover::received_state::ReceivedState;
 use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
+use crate::interfaces::{Answer, DownstreamClient, UpstreamClient};
 use crate::keys::Keys;
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::{self, AjpFront, Open};
@@ -22,7 +23,6 @@
 use crate::net::{directory, link::adopt, status};
 use crate::request_state::{PlacedCall, RequestState, UpstreamCall};
 use crate::request_task::OpenRequest;
-use crate::seam::{Answer, Asker, Beneath};
 use may::net::TcpListener;
 use may::sync::mpsc::{channel, Sender};
 use ochrewalk::deployment::Placement;
@@ -149,7 +149,7 @@
     let by_ajp =
         operators.ajp_upstream.clone().map(|settings| AjpBelow::new(settings, clock, placement.seed));
     let store = placement.upstream.filter(|_| by_ajp.is_none()).map(|at| Below::new(at, clock, most_links));
-    let below: Option<Arc<dyn Beneath>> = match (&by_ajp, &store) {
+    let below: Option<Arc<dyn UpstreamClient>> = match (&by_ajp, &store) {
         (Some(by_ajp), _) => Some(Arc::new(by_ajp.clone())),
         (None, Some(store)) => Some(Arc::new(store.clone())),
         (None, None) => None,
@@ -255,16 +255,16 @@
 /// Whoever asked is not there any more.
 pub(super) struct Nobody;
 
-impl Asker for Nobody {
-    fn is_owed(&self) -> bool {
+impl DownstreamClient for Nobody {
+    fn awaits_answer(&self) -> bool {
         false
     }
     fn answer(&self, _answer: Answer, _signal: Option<f64>) {}
     fn address(&self) -> ClientAddress {
         ClientAddress::default()
     }
-    fn fault(&self) {}
-    fn proven(&self) {}
+    fn record_fault(&self) {}
+    fn mark_trusted(&self) {}
 }
 
 /// Starts every part. What is sent to the sender makes the directory hear of the present health at once.
--- a/crates/ochrewalk-node/src/request_state.rs
+++ b/crates/ochrewalk-node/src/request_state.rs
@@ -4,7 +4,7 @@
 
 use crate::close_reason::CallResult;
 use crate::coordinator::{ProgressReport, RequestEvent};
-use crate::seam::Answer;
+use crate::interfaces::Answer;
 use crate::wire::notices::RunEnd;
 
 /// How much longer than it was told a call may take before we give it up ourselves. Each moment of it is taken
@@ -93,7 +93,7 @@
                 }
             }
             RequestEvent::Reject { do_not_retry, retry_after_us } => {
-                self.answer(Answer::PushedBack { last: do_not_retry, come_back_us: retry_after_us }, acts)
+                self.answer(Answer::Rejected { do_not_retry, retry_after_us }, acts)
             }
             RequestEvent::Abort => {
                 self.answer(Answer::Aborted, acts);
@@ -168,7 +168,7 @@
         let answer = match (end, result) {
             (RunEnd::Complete, Some(body)) => Answer::Served(body),
             // Nothing was started: another server may take it.
-            (RunEnd::NeverRan | RunEnd::Unknown, _) => Answer::UNSEEN,
+            (RunEnd::NeverRan | RunEnd::Unknown, _) => Answer::REJECTED_WITHOUT_ADVICE,
             _ => Answer::Aborted,
         };
         self.answer(answer, acts);
--- a/crates/ochrewalk-node/src/request_task.rs
+++ b/crates/ochrewalk-node/src/request_task.rs
@@ -3,8 +3,8 @@
 use crate::clock::whole_ms;
 use crate::coordinator::{EventSender, IncomingRequest, ProgressReport, RequestHandle, SubmitError};
 use crate::core::Core;
+use crate::interfaces::{Answer, DownstreamClient};
 use crate::request_state::{RequestActions, RequestState};
-use crate::seam::{Answer, Asker};
 use ochrewalk::host::Effect;
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -15,7 +15,7 @@
     pub body: Box<str>,
     /// Its run, and its call, may happen twice.
     pub may_repeat: bool,
-    pub asker: Box<dyn Asker>,
+    pub client: Box<dyn DownstreamClient>,
     life: Mutex<RequestState>,
 }
 
@@ -24,11 +24,11 @@
         core: &Core,
         rpc: IncomingRequest,
         body: &str,
-        asker: Box<dyn Asker>,
+        client: Box<dyn DownstreamClient>,
         life: RequestState,
     ) -> OpenRequest {
         let again = core.deployment.methods[rpc.method].effect == Effect::Idempotent;
-        OpenRequest { rpc, body: body.into(), may_repeat: again, asker, life: Mutex::new(life) }
+        OpenRequest { rpc, body: body.into(), may_repeat: again, client, life: Mutex::new(life) }
     }
 
     /// Held for one event at most, and never over a wait.
@@ -40,7 +40,7 @@
 /// Tells the gate of an RPC and lives it to its end.
 pub fn submit_and_run(core: &Core, living: &Arc<OpenRequest>) {
     // Guards against a run for nobody: it may have been revoked before the gate heard of it.
-    let told = living.asker.is_owed().then(|| core.coordinator.submit(&living.rpc));
+    let told = living.client.awaits_answer().then(|| core.coordinator.submit(&living.rpc));
     core.coordinator.pending_work.decrement();
     match told {
         None => {}
@@ -51,13 +51,13 @@
         Some(Err(turned)) => {
             let answer = match turned {
                 // Who holds it may be the stranger and this one be honest: it never ran, and may elsewhere.
-                SubmitError::KeyOfOtherRequest { has_run: false } => Answer::UNSEEN,
+                SubmitError::KeyOfOtherRequest { has_run: false } => Answer::REJECTED_WITHOUT_ADVICE,
                 SubmitError::KeyOfOtherRequest { has_run: true } => {
-                    Answer::Fault("a token that stands for other work")
+                    Answer::InvalidRequest("a token that stands for other work")
                 }
-                SubmitError::IdAlreadyOpen => Answer::Fault("an id that is open already"),
+                SubmitError::IdAlreadyOpen => Answer::InvalidRequest("an id that is open already"),
             };
-            living.asker.answer(answer, None);
+            living.client.answer(answer, None);
         }
     }
 }
@@ -91,12 +91,13 @@
 
     /// Who is pushed back, with an RPC that calls below, need not come back before anything there takes a call.
     fn told_when<'a>(&self, answer: Answer<'a>) -> Answer<'a> {
-        let Answer::PushedBack { last, come_back_us } = answer else { return answer };
+        let Answer::Rejected { do_not_retry, retry_after_us } = answer else { return answer };
         let Core { deployment, below, .. } = self.core;
         let calls = deployment.methods[self.living.rpc.method].makes_calls;
-        let closed_us = below.as_ref().filter(|_| calls).and_then(|below| below.closed_us()).unwrap_or(0);
+        let closed_us =
+            below.as_ref().filter(|_| calls).and_then(|below| below.unavailable_for_us()).unwrap_or(0);
         let closed_us = closed_us.min(deployment.callers.max_retry_after_us);
-        Answer::PushedBack { last, come_back_us: come_back_us.max(closed_us) }
+        Answer::Rejected { do_not_retry, retry_after_us: retry_after_us.max(closed_us) }
     }
 }
 
@@ -120,13 +121,13 @@
 
     fn place_call(&mut self, wait_ms: u64, body: &[u8]) -> bool {
         let Some(below) = &self.core.below else { return false };
-        below.call(&self.living.rpc.id, wait_ms, body, self.living.may_repeat, self.post());
+        below.place_call(&self.living.rpc.id, wait_ms, body, self.living.may_repeat, self.post());
         true
     }
 
     fn cancel_call(&mut self) {
         if let Some(below) = &self.core.below {
-            below.give_up(&self.living.rpc.id);
+            below.cancel_call(&self.living.rpc.id);
         }
     }
 
@@ -138,15 +139,15 @@
         let Core { clock, deployment, .. } = self.core;
         let answer = self.told_when(answer);
         self.core.tally.answered(clock, deployment, &self.living.rpc, &answer);
-        self.living.asker.answer(answer, self.core.coordinator.health_state().load_signal);
+        self.living.client.answer(answer, self.core.coordinator.health_state().load_signal);
     }
 
     fn record_fault(&mut self) {
-        self.living.asker.fault();
+        self.living.client.record_fault();
     }
 
     fn mark_trusted(&mut self) {
-        self.living.asker.proven();
+        self.living.client.mark_trusted();
     }
 
     fn report(&mut self, what: ProgressReport) {
--- a/crates/ochrewalk-node/src/tally.rs
+++ b/crates/ochrewalk-node/src/tally.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{since_us, Clock};
 use crate::coordinator::IncomingRequest;
-use crate::seam::Answer;
+use crate::interfaces::Answer;
 use ochrewalk::deployment::Deployment;
 use ochrewalk::names::Names;
 use ochrewalk_rollout::messages::MethodCounters;
@@ -30,7 +30,7 @@
 
     /// An RPC is answered. Strangers' faults are nobody's.
     pub fn answered(&self, clock: &Clock, deployment: &Deployment, rpc: &IncomingRequest, answer: &Answer) {
-        if let Answer::Fault(_) = answer {
+        if let Answer::InvalidRequest(_) = answer {
             return;
         }
         let (of, told) = (&self.methods[rpc.method], &deployment.methods[rpc.method]);
--- a/crates/ochrewalk-node/tests/request_state.rs
+++ b/crates/ochrewalk-node/tests/request_state.rs
@@ -2,8 +2,8 @@
 
 use ochrewalk_node::close_reason::{CallResult, CloseReason};
 use ochrewalk_node::coordinator::{ProgressReport, RequestEvent};
+use ochrewalk_node::interfaces::Answer;
 use ochrewalk_node::request_state::{RequestActions, RequestState};
-use ochrewalk_node::seam::Answer;
 use ochrewalk_node::wire::notices::RunEnd;
 
 /// What was asked for, in words. Nothing lies below where told so.
@@ -49,9 +49,11 @@
     fn answer(&mut self, answer: Answer) {
         self.note(match answer {
             Answer::Served(_) => "served".into(),
-            Answer::PushedBack { last, come_back_us } => format!("pushed back {last} {come_back_us}"),
+            Answer::Rejected { do_not_retry, retry_after_us } => {
+                format!("pushed back {do_not_retry} {retry_after_us}")
+            }
             Answer::Aborted => "aborted".into(),
-            Answer::Fault(why) => format!("fault {why}"),
+            Answer::InvalidRequest(why) => format!("fault {why}"),
         });
     }
     fn record_fault(&mut self) {
