--- a/crates/ochrewalk-node/benches/pause.rs
+++ b/crates/ochrewalk-node/benches/pause.rs
@@ -3,7 +3,7 @@
 //! `cargo bench -p ochrewalk-node`
 
 use ochrewalk_node::handover::records::{IdempotencyKeyRecord, IdempotencyKeyRecords};
-use ochrewalk_node::keys::{Keys, State};
+use ochrewalk_node::idempotency_keys::{IdempotencyKeyStore, KeyState};
 use prost::Message;
 use std::time::Instant;
 
@@ -13,25 +13,25 @@
 const RESULT: &str =
     "\"0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890\"";
 
-fn filled(count: u64) -> Keys {
-    let mut keys = Keys::new(usize::MAX);
+fn filled(count: u64) -> IdempotencyKeyStore {
+    let mut keys = IdempotencyKeyStore::new(usize::MAX);
     for number in 0..count {
         settle(&mut keys, number);
     }
     keys
 }
 
-fn settle(keys: &mut Keys, number: u64) {
+fn settle(keys: &mut IdempotencyKeyStore, number: u64) {
     let token: std::sync::Arc<str> = format!("{number:032x}").into();
     let holder = format!("{number:016x}");
     keys.remember(token.clone(), number, holder.as_str().into(), 1_764_576_000_000 + number);
-    keys.settle(&token, &holder, State::Served(RESULT.into()));
+    keys.record_outcome(&token, &holder, KeyState::Served(RESULT.into()));
 }
 
 /// Through bytes and into the next program's table.
-fn pass(tokens: Vec<IdempotencyKeyRecord>, gone: &[String], to: &mut Keys) {
+fn pass(tokens: Vec<IdempotencyKeyRecord>, gone: &[String], to: &mut IdempotencyKeyStore) {
     let bytes = IdempotencyKeyRecords { keys: tokens }.encode_to_vec();
-    to.take(IdempotencyKeyRecords::decode(bytes.as_slice()).expect("just written").keys, gone);
+    to.import(IdempotencyKeyRecords::decode(bytes.as_slice()).expect("just written").keys, gone);
 }
 
 fn ms(from: Instant) -> f64 {
@@ -43,13 +43,14 @@
     for count in [1_000, 10_000, 100_000, 1_000_000] {
         let mut keys = filled(count);
         let from = Instant::now();
-        let mut next = Keys::new(usize::MAX);
-        pass(keys.keep(), &[], &mut next);
+        let mut next = IdempotencyKeyStore::new(usize::MAX);
+        pass(keys.export_all(), &[], &mut next);
         let at_once = ms(from);
-        let (mut next, mut after, mut longest, from) = (Keys::new(usize::MAX), None, 0.0f64, Instant::now());
+        let (mut next, mut after, mut longest, from) =
+            (IdempotencyKeyStore::new(usize::MAX), None, 0.0f64, Instant::now());
         loop {
             let held = Instant::now();
-            let piece = keys.keep_ahead(after.as_ref(), PIECE);
+            let piece = keys.export_batch(after.as_ref(), PIECE);
             longest = longest.max(ms(held));
             let Some((tokens, last)) = piece else { break };
             pass(tokens, &[], &mut next);
@@ -58,13 +59,13 @@
         let ahead = ms(from);
         (count..count + CHANGED).for_each(|number| settle(&mut keys, number));
         let from = Instant::now();
-        let (changed, gone) = keys.keep_changed();
+        let (changed, gone) = keys.export_changed();
         pass(changed, &gone, &mut next);
         let still = ms(from);
         let from = Instant::now();
-        (0..100).for_each(|_| keys.sweep(1_764_576_000_000));
+        (0..100).for_each(|_| keys.remove_expired(1_764_576_000_000));
         let sweep_us = ms(from) * 10.0;
         println!("{count:<10} {at_once:>14.1} {ahead:>10.1} {longest:>18.2} {still:>22.1} {sweep_us:>10.2}");
-        assert_eq!(next.keep().len(), keys.keep().len());
+        assert_eq!(next.export_all().len(), keys.export_all().len());
     }
 }
--- a/crates/ochrewalk-node/src/coordinator.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -6,7 +6,7 @@
 use crate::close_reason::CallResult;
 use crate::handover::pause::is_paused;
 use crate::handover::records::{IdempotencyKeyRecord, NodeRecord};
-use crate::keys::{Keys, Known, Lapse, Served, State};
+use crate::idempotency_keys::{IdempotencyKeyStore, KeyExpiry, KeyLookup, KeyState, SharedResult};
 use crate::wire::notices::RunEnd;
 use may::sync::mpsc::{channel, Receiver, Sender};
 use ochrewalk::admission::AdmissionController;
@@ -72,7 +72,7 @@
     /// Answer that it was given up.
     Abort,
     /// Answer with the result of the RPC that it repeats.
-    ServeResult(Served),
+    ServeResult(SharedResult),
     /// Its caller has gone: no answer is owed.
     CallerLeft,
     /// Its run waits for a call; a notice of that number said so.
@@ -82,7 +82,7 @@
     },
     CallEnded(CallResult),
     /// Its run has ended, with a result (a JSON string) where it is complete.
-    RunEnded(RunEnd, Option<Served>),
+    RunEnded(RunEnd, Option<SharedResult>),
     /// Nothing has come within the time given.
     Timeout,
 }
@@ -92,7 +92,7 @@
 pub enum ProgressReport {
     CallNeeded,
     CallEnded { outcome: Outcome, took_us: u64 },
-    RunEnded(RunEnd, Option<Served>),
+    RunEnded(RunEnd, Option<SharedResult>),
 }
 
 fn run_outcome(end: RunEnd) -> Outcome {
@@ -235,7 +235,7 @@
 struct Desk {
     clock: Clock,
     open: HashMap<RpcId, Open>,
-    keys: Keys,
+    keys: IdempotencyKeyStore,
     posture: HealthState,
     wake_us: u64,
     wake_token: u64,
@@ -265,7 +265,7 @@
         let desk = Desk {
             clock,
             open: HashMap::new(),
-            keys: Keys::new(most_bytes),
+            keys: IdempotencyKeyStore::new(most_bytes),
             posture: HealthState { is_healthy: None, load_signal: None, max_idle_us: idle_us },
             wake_us: u64::MAX,
             wake_token: 0,
@@ -282,18 +282,18 @@
         )
     }
 
-    /// The next tokens to go ahead of a hand-over, while all goes on; see [`Keys::keep_ahead`].
+    /// The next tokens to go ahead of a hand-over, while all goes on; see [`IdempotencyKeyStore::export_batch`].
     pub fn export_keys(
         &self,
-        after: Option<&Lapse>,
+        after: Option<&KeyExpiry>,
         most: usize,
-    ) -> Option<(Vec<IdempotencyKeyRecord>, Lapse)> {
-        self.desk(|desk| desk.keys.keep_ahead(after, most))
+    ) -> Option<(Vec<IdempotencyKeyRecord>, KeyExpiry)> {
+        self.desk(|desk| desk.keys.export_batch(after, most))
     }
 
     /// A hand-over has come to nothing.
     pub fn stop_tracking_keys(&self) {
-        self.desk(|desk| desk.keys.end_ahead());
+        self.desk(|desk| desk.keys.stop_tracking_changes());
     }
 
     /// Writes down the module, the tokens (those that have changed where the others went `ahead`) and what callers are
@@ -312,7 +312,7 @@
         (node.healthy, node.signal, node.idle_us) = (healthy, signal, idle_us);
         (node.wake_us, node.wake_token) = (desk.wake_us, desk.wake_token);
         (node.keys, node.removed_keys) =
-            if ahead { desk.keys.keep_changed() } else { (desk.keys.keep(), Vec::new()) };
+            if ahead { desk.keys.export_changed() } else { (desk.keys.export_all(), Vec::new()) };
     }
 
     /// Goes on with what another process wrote down, after the tokens that went ahead. The RPCs that are open get their
@@ -323,7 +323,7 @@
         seed: u64,
         most_bytes: usize,
         node: &mut NodeRecord,
-        ahead: Keys,
+        ahead: IdempotencyKeyStore,
         open: &[IncomingRequest],
     ) -> Result<(RequestCoordinator, CoordinatorNotifications, Vec<RequestHandle>), String> {
         let (gate, stirred) = RequestCoordinator::new(clock, deployment.clone(), seed, most_bytes);
@@ -336,8 +336,8 @@
             desk.posture = HealthState { is_healthy: healthy, load_signal: signal, max_idle_us: idle_us };
             (desk.wake_us, desk.wake_token) = (node.wake_us, node.wake_token);
             desk.keys = ahead;
-            desk.keys.take(std::mem::take(&mut node.keys), &node.removed_keys);
-            desk.keys.limit(most_bytes);
+            desk.keys.import(std::mem::take(&mut node.keys), &node.removed_keys);
+            desk.keys.set_max_result_bytes(most_bytes);
             for (rpc, ticket) in open.iter().zip(&tickets) {
                 desk.open.insert(
                     rpc.id.clone(),
@@ -345,8 +345,12 @@
                 );
             }
             if let Some(kept) = node.decisions.take() {
-                let placeholder =
-                    Desk { keys: Keys::new(0), open: HashMap::new(), shared: Vec::new(), ..**desk };
+                let placeholder = Desk {
+                    keys: IdempotencyKeyStore::new(0),
+                    open: HashMap::new(),
+                    shared: Vec::new(),
+                    ..**desk
+                };
                 let desk = std::mem::replace(&mut **desk, placeholder);
                 *state =
                     Inside::Open(Box::new(deployment.resume(desk, kept).map_err(|error| error.to_string())?));
@@ -365,7 +369,8 @@
     pub fn activate(&self, cold: bool, up_us: u64) {
         let mut state = self.lock();
         let Inside::Closed(desk) = &mut *state else { return };
-        let placeholder = Desk { keys: Keys::new(0), open: HashMap::new(), shared: Vec::new(), ..**desk };
+        let placeholder =
+            Desk { keys: IdempotencyKeyStore::new(0), open: HashMap::new(), shared: Vec::new(), ..**desk };
         let desk = std::mem::replace(&mut **desk, placeholder);
         let mut deployment = self.deployment.clone();
         deployment.survivable_load.is_cold = cold;
@@ -398,9 +403,11 @@
             // Guards against a stamp ahead of the clock, which would step over the window.
             let ts_ms = new.arrived_unix_ms.min(unix_ms);
             let repeats = match token.as_ref().map(|t| desk.keys.find(&t.key, t.fingerprint, ts_ms)) {
-                Some(Known::Other { ran }) => return Err(SubmitError::KeyOfOtherRequest { has_run: ran }),
-                Some(Known::Same(holder)) => Some(holder),
-                Some(Known::No) | None => None,
+                Some(KeyLookup::OtherRequest { has_run: ran }) => {
+                    return Err(SubmitError::KeyOfOtherRequest { has_run: ran })
+                }
+                Some(KeyLookup::SameRequest(holder)) => Some(holder),
+                Some(KeyLookup::Unknown) | None => None,
             };
             desk.open.insert(new.id.clone(), Open { post, token });
             let arrival = Arrival {
@@ -467,7 +474,7 @@
         }
         self.tell(|module, now_us| {
             let desk = module.host();
-            desk.keys.sweep(unix_ms);
+            desk.keys.remove_expired(unix_ms);
             // A wake-up that is not due yet stays as it is: the module goes by the token.
             if now_us >= desk.wake_us {
                 desk.wake_us = u64::MAX;
@@ -571,18 +578,18 @@
     }
 
     /// A tokened run has ended: those that wait for its outcome get it.
-    fn settle_key(&mut self, id: &str, end: RunEnd, result: Option<Served>) {
+    fn settle_key(&mut self, id: &str, end: RunEnd, result: Option<SharedResult>) {
         let Some(token) = self.token(id) else { return };
         match (end, result) {
             // It never ran, so that another try may.
             (RunEnd::NeverRan | RunEnd::Unknown, _) => self.forget_token(&token.key, id),
             (RunEnd::Complete, Some(body)) => {
-                for repeat in self.keys.settle(&token.key, id, State::Served(body.clone())) {
+                for repeat in self.keys.record_outcome(&token.key, id, KeyState::Served(body.clone())) {
                     self.end_shared(repeat, RequestEvent::ServeResult(body.clone()), Outcome::Ok);
                 }
             }
             _ => {
-                for repeat in self.keys.settle(&token.key, id, State::Failed) {
+                for repeat in self.keys.record_outcome(&token.key, id, KeyState::Failed) {
                     self.end_shared(repeat, RequestEvent::Abort, Outcome::Error);
                 }
             }
@@ -648,9 +655,9 @@
         let Some(token) = self.token(id) else { return };
         let repeat: RpcId = id.into();
         match self.keys.share(&token.key, &repeat) {
-            State::Open => {}
-            State::Served(body) => self.end_shared(repeat, RequestEvent::ServeResult(body), Outcome::Ok),
-            State::Failed => self.end_shared(repeat, RequestEvent::Abort, Outcome::Error),
+            KeyState::Open => {}
+            KeyState::Served(body) => self.end_shared(repeat, RequestEvent::ServeResult(body), Outcome::Ok),
+            KeyState::Failed => self.end_shared(repeat, RequestEvent::Abort, Outcome::Error),
         }
     }
 
--- a/crates/ochrewalk-node/src/handover/received_state.rs
+++ b/crates/ochrewalk-node/src/handover/received_state.rs
@@ -4,7 +4,7 @@
     self, AjpConnectionRecords, ExecutorRecord, IdempotencyKeyRecords, JsonRpcConnectionRecords, NodeRecord,
     RpcRecords, UpstreamRecord,
 };
-use crate::keys::Keys;
+use crate::idempotency_keys::IdempotencyKeyStore;
 use prost::Message;
 use std::collections::HashMap;
 use std::os::fd::OwnedFd;
@@ -29,7 +29,7 @@
     /// Calls upstream, and the connections that carry them.
     pub upstream: ReceivedSection<UpstreamRecord>,
     /// Idempotency keys that were transferred ahead.
-    pub keys: Keys,
+    pub keys: IdempotencyKeyStore,
 }
 
 /// A record, and a descriptor for each connection in it, in the same order.
@@ -70,14 +70,18 @@
 pub(super) struct ChunkStore {
     sections: HashMap<String, ReceivedSection<Vec<u8>>>,
     /// Put together as they come: there may be a million of them.
-    keys: Keys,
+    keys: IdempotencyKeyStore,
     /// Something that was announced is missing or cannot be read.
     is_incomplete: bool,
 }
 
 impl ChunkStore {
     pub(super) fn new() -> ChunkStore {
-        ChunkStore { sections: HashMap::new(), keys: Keys::new(usize::MAX), is_incomplete: false }
+        ChunkStore {
+            sections: HashMap::new(),
+            keys: IdempotencyKeyStore::new(usize::MAX),
+            is_incomplete: false,
+        }
     }
 
     /// Stores a chunk; `descriptors` are none where fewer came with it than were announced.
@@ -85,7 +89,7 @@
         self.is_incomplete |= descriptors.is_none();
         if section == records::AHEAD.0 {
             match IdempotencyKeyRecords::decode(bytes) {
-                Ok(records) => self.keys.take(records.keys, &[]),
+                Ok(records) => self.keys.import(records.keys, &[]),
                 Err(_) => self.is_incomplete = true,
             }
             return;
@@ -116,7 +120,7 @@
             executor: executor.record,
             executor_link: executor.descriptors.into_iter().next(),
             upstream: self.section("below")?,
-            keys: std::mem::replace(&mut self.keys, Keys::new(0)),
+            keys: std::mem::replace(&mut self.keys, IdempotencyKeyStore::new(0)),
         };
         if state.has_descriptor_for_each_connection() {
             Ok(state)
--- a/crates/ochrewalk-node/src/keys.rs
+++ b/crates/ochrewalk-node/src/idempotency_keys.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// A result as the executor gave it, shared by all that it serves.
-pub type Served = Arc<str>;
+pub type SharedResult = Arc<str>;
 
 /// A repeat may be read long after it came, so that an entry outlives its window by this much.
 const READ_LATE_MS: u64 = 10_000;
@@ -15,23 +15,23 @@
 const MARGIN_MS: u64 = 50;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum KeyState {
     /// Held or running.
     Open,
-    Served(Served),
+    Served(SharedResult),
     /// It may have run, and there is no result to share.
     Failed,
 }
 
 /// Whether a token is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Known {
-    No,
+pub enum KeyLookup {
+    Unknown,
     /// For the same work, by this RPC.
-    Same(RpcId),
+    SameRequest(RpcId),
     /// For other work, which `ran`, or is still open.
-    Other {
-        ran: bool,
+    OtherRequest {
+        has_run: bool,
     },
 }
 
@@ -41,31 +41,31 @@
     /// A print of the work: all tries of one RPC carry the same.
     work: u64,
     until_ms: u64,
-    state: State,
+    state: KeyState,
     waiting: Vec<RpcId>,
 }
 
 /// A token by when it lapses, in Unix time.
-pub type Lapse = (u64, Arc<str>);
+pub type KeyExpiry = (u64, Arc<str>);
 
 /// Results count against a limit of bytes. Past it the oldest ones are let go, never the fact that their
 /// RPC ran.
 #[derive(Debug)]
-pub struct Keys {
+pub struct IdempotencyKeyStore {
     entries: HashMap<Arc<str>, Entry>,
     /// All of them, and those with a result, the next to lapse first: neither a sweep nor a result that is let go
     /// costs a look at all.
-    lapses: BTreeSet<Lapse>,
-    results: BTreeSet<Lapse>,
+    lapses: BTreeSet<KeyExpiry>,
+    results: BTreeSet<KeyExpiry>,
     bytes: usize,
     most_bytes: usize,
     /// What has changed since all were begun to be written down ahead of a hand-over, if they were.
     changed: Option<HashSet<Arc<str>>>,
 }
 
-impl Keys {
-    pub fn new(most_bytes: usize) -> Keys {
-        Keys {
+impl IdempotencyKeyStore {
+    pub fn new(most_bytes: usize) -> IdempotencyKeyStore {
+        IdempotencyKeyStore {
             entries: HashMap::new(),
             lapses: BTreeSet::new(),
             results: BTreeSet::new(),
@@ -77,17 +77,17 @@
 
     /// What is known of the token of a try that came at `ts_ms`. Guards against a stranger who has come to know
     /// a token: the result is for those alone who bring the same work.
-    pub fn find(&self, token: &str, work: u64, ts_ms: u64) -> Known {
+    pub fn find(&self, token: &str, work: u64, ts_ms: u64) -> KeyLookup {
         match self.entries.get(token).filter(|e| ts_ms <= e.until_ms + MARGIN_MS) {
-            None => Known::No,
-            Some(e) if e.work == work => Known::Same(e.holder.clone()),
-            Some(e) => Known::Other { ran: e.state != State::Open },
+            None => KeyLookup::Unknown,
+            Some(e) if e.work == work => KeyLookup::SameRequest(e.holder.clone()),
+            Some(e) => KeyLookup::OtherRequest { has_run: e.state != KeyState::Open },
         }
     }
 
     /// `holder` has the token for that work until `until_ms`, in Unix time.
     pub fn remember(&mut self, token: Arc<str>, work: u64, holder: RpcId, until_ms: u64) {
-        self.put(token, Entry { holder, work, until_ms, state: State::Open, waiting: Vec::new() });
+        self.put(token, Entry { holder, work, until_ms, state: KeyState::Open, waiting: Vec::new() });
     }
 
     fn put(&mut self, token: Arc<str>, entry: Entry) {
@@ -126,10 +126,10 @@
     }
 
     /// The state of the RPC that this one repeats. While that is open, this one waits for it.
-    pub fn share(&mut self, token: &Arc<str>, repeat: &RpcId) -> State {
-        let Some(entry) = self.entries.get_mut(token) else { return State::Failed };
+    pub fn share(&mut self, token: &Arc<str>, repeat: &RpcId) -> KeyState {
+        let Some(entry) = self.entries.get_mut(token) else { return KeyState::Failed };
         let state = entry.state.clone();
-        if state == State::Open {
+        if state == KeyState::Open {
             entry.waiting.push(repeat.clone());
             self.touch(token);
         }
@@ -137,7 +137,7 @@
     }
 
     /// What became of the RPC that holds the token; gives those that waited for it.
-    pub fn settle(&mut self, token: &Arc<str>, holder: &str, state: State) -> Vec<RpcId> {
+    pub fn record_outcome(&mut self, token: &Arc<str>, holder: &str, state: KeyState) -> Vec<RpcId> {
         if self.entries.get(token).is_none_or(|e| &*e.holder != holder) {
             return Vec::new();
         }
@@ -154,24 +154,24 @@
             let Some((_, token)) = self.results.pop_first() else { break };
             if let Some(entry) = self.entries.get_mut(&token) {
                 self.bytes -= size(&entry.state);
-                entry.state = State::Failed;
+                entry.state = KeyState::Failed;
             }
             self.touch(&token);
         }
     }
 
     /// Writes all of it down.
-    pub fn keep(&self) -> Vec<IdempotencyKeyRecord> {
+    pub fn export_all(&self) -> Vec<IdempotencyKeyRecord> {
         self.entries.iter().map(written).collect()
     }
 
     /// Writes the next ones down while all goes on, from `after` on, so many at most; what changes from the first of them
-    /// on is for [`Keys::keep_changed`]. None once all are written.
-    pub fn keep_ahead(
+    /// on is for [`IdempotencyKeyStore::export_changed`]. None once all are written.
+    pub fn export_batch(
         &mut self,
-        after: Option<&Lapse>,
+        after: Option<&KeyExpiry>,
         most: usize,
-    ) -> Option<(Vec<IdempotencyKeyRecord>, Lapse)> {
+    ) -> Option<(Vec<IdempotencyKeyRecord>, KeyExpiry)> {
         let from = match after {
             None => {
                 self.changed = Some(HashSet::new());
@@ -179,14 +179,14 @@
             }
             Some(after) => Bound::Excluded(after.clone()),
         };
-        let next: Vec<&Lapse> = self.lapses.range((from, Bound::Unbounded)).take(most).collect();
+        let next: Vec<&KeyExpiry> = self.lapses.range((from, Bound::Unbounded)).take(most).collect();
         let last = (*next.last()?).clone();
-        let entry = |lapse: &&Lapse| self.entries.get_key_value(&lapse.1).map(written);
+        let entry = |lapse: &&KeyExpiry| self.entries.get_key_value(&lapse.1).map(written);
         Some((next.iter().filter_map(entry).collect(), last))
     }
 
-    /// Those that have changed since the first of [`Keys::keep_ahead`], and those that are gone.
-    pub fn keep_changed(&self) -> (Vec<IdempotencyKeyRecord>, Vec<String>) {
+    /// Those that have changed since the first of [`IdempotencyKeyStore::export_batch`], and those that are gone.
+    pub fn export_changed(&self) -> (Vec<IdempotencyKeyRecord>, Vec<String>) {
         let (mut kept, mut gone) = (Vec::new(), Vec::new());
         for token in self.changed.iter().flatten() {
             match self.entries.get_key_value(token) {
@@ -198,17 +198,17 @@
     }
 
     /// Nothing that changes needs to be known any more.
-    pub fn end_ahead(&mut self) {
+    pub fn stop_tracking_changes(&mut self) {
         self.changed = None;
     }
 
     /// Takes over what another process wrote down, later words over earlier ones.
-    pub fn take(&mut self, kept: Vec<IdempotencyKeyRecord>, gone: &[String]) {
+    pub fn import(&mut self, kept: Vec<IdempotencyKeyRecord>, gone: &[String]) {
         for token in kept {
             let state = match token.state {
-                0 => State::Open,
-                1 => State::Served(token.result.into()),
-                _ => State::Failed,
+                0 => KeyState::Open,
+                1 => KeyState::Served(token.result.into()),
+                _ => KeyState::Failed,
             };
             let waiting = token.waiting.into_iter().map(RpcId::from).collect();
             let IdempotencyKeyRecord { work, until_ms, .. } = token;
@@ -220,16 +220,17 @@
     }
 
     /// From here on results of so many bytes are kept at most.
-    pub fn limit(&mut self, most_bytes: usize) {
+    pub fn set_max_result_bytes(&mut self, most_bytes: usize) {
         self.most_bytes = most_bytes;
         self.let_go();
     }
 
     /// Drops what has lapsed. A successor drops the same by itself.
-    pub fn sweep(&mut self, unix_ms: u64) {
-        let lapsed = |lapse: &&Lapse| unix_ms > lapse.0 + READ_LATE_MS;
-        let is_open = |lapse: &&Lapse| self.entries.get(&lapse.1).is_some_and(|e| e.state == State::Open);
-        let over: Vec<Lapse> =
+    pub fn remove_expired(&mut self, unix_ms: u64) {
+        let lapsed = |lapse: &&KeyExpiry| unix_ms > lapse.0 + READ_LATE_MS;
+        let is_open =
+            |lapse: &&KeyExpiry| self.entries.get(&lapse.1).is_some_and(|e| e.state == KeyState::Open);
+        let over: Vec<KeyExpiry> =
             self.lapses.iter().take_while(lapsed).filter(|l| !is_open(l)).cloned().collect();
         for (_, token) in over {
             self.drop_entry(&token);
@@ -239,9 +240,9 @@
 
 fn written((key, entry): (&Arc<str>, &Entry)) -> IdempotencyKeyRecord {
     let (state, result) = match &entry.state {
-        State::Open => (0, String::new()),
-        State::Served(body) => (1, body.to_string()),
-        State::Failed => (2, String::new()),
+        KeyState::Open => (0, String::new()),
+        KeyState::Served(body) => (1, body.to_string()),
+        KeyState::Failed => (2, String::new()),
     };
     IdempotencyKeyRecord {
         key: key.to_string(),
@@ -254,9 +255,9 @@
     }
 }
 
-fn size(state: &State) -> usize {
+fn size(state: &KeyState) -> usize {
     match state {
-        State::Served(body) => body.len(),
+        KeyState::Served(body) => body.len(),
         _ => 0,
     }
 }
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -12,8 +12,8 @@
 use crate::core::Core;
 use crate::handover::received_state::ReceivedState;
 use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
+use crate::idempotency_keys::IdempotencyKeyStore;
 use crate::interfaces::{Answer, DownstreamClient, UpstreamClient};
-use crate::keys::Keys;
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::{self, AjpFront, Open};
 use crate::net::below::Below;
@@ -114,7 +114,7 @@
     let ids: HashSet<RpcId> = incoming.iter().map(|rpc| rpc.id.clone()).collect();
     let (gate, stirred, tickets) = match &mut taken {
         Some(taken) => {
-            let ahead = std::mem::replace(&mut taken.keys, Keys::new(0));
+            let ahead = std::mem::replace(&mut taken.keys, IdempotencyKeyStore::new(0));
             RequestCoordinator::resume(
                 clock,
                 deployment.clone(),
--- a/crates/ochrewalk-node/tests/wire.rs
+++ b/crates/ochrewalk-node/tests/wire.rs
@@ -4,7 +4,7 @@
 use ochrewalk::host::Outcome;
 use ochrewalk_node::clock::since_us;
 use ochrewalk_node::close_reason::{CallResult, CloseReason};
-use ochrewalk_node::keys::{Keys, Known, State};
+use ochrewalk_node::idempotency_keys::{IdempotencyKeyStore, KeyLookup, KeyState};
 use ochrewalk_node::net::executor::pause_after;
 use ochrewalk_node::wire::calls::{self, Word};
 use ochrewalk_node::wire::jsonrpc::{self, Message, Which};
@@ -227,34 +227,40 @@
 
 #[test]
 fn a_token_is_known_for_its_window_and_waits_for_its_run() {
-    let mut keys = Keys::new(10);
+    let mut keys = IdempotencyKeyStore::new(10);
     keys.remember("k".into(), 7, "a".into(), 1_000);
-    let same = || Known::Same("a".into());
-    for (ts, known) in [(0, same()), (1_000, same()), (1_050, same()), (1_051, Known::No)] {
+    let same = || KeyLookup::SameRequest("a".into());
+    for (ts, known) in [(0, same()), (1_000, same()), (1_050, same()), (1_051, KeyLookup::Unknown)] {
         assert_eq!(keys.find("k", 7, ts), known, "{ts}");
     }
-    assert_eq!(keys.find("other", 7, 0), Known::No);
-    assert_eq!(keys.find("k", 8, 0), Known::Other { ran: false });
-    assert_eq!(keys.share(&"k".into(), &"b".into()), State::Open);
-    assert!(keys.settle(&"k".into(), "not-a", State::Failed).is_empty(), "only the holder settles");
-    assert_eq!(keys.settle(&"k".into(), "a", State::Served("12345678".into())), vec!["b".into()]);
-    assert_eq!(keys.share(&"k".into(), &"c".into()), State::Served("12345678".into()));
-    assert_eq!(keys.find("k", 8, 0), Known::Other { ran: true });
+    assert_eq!(keys.find("other", 7, 0), KeyLookup::Unknown);
+    assert_eq!(keys.find("k", 8, 0), KeyLookup::OtherRequest { has_run: false });
+    assert_eq!(keys.share(&"k".into(), &"b".into()), KeyState::Open);
+    assert!(
+        keys.record_outcome(&"k".into(), "not-a", KeyState::Failed).is_empty(),
+        "only the holder settles"
+    );
+    assert_eq!(keys.record_outcome(&"k".into(), "a", KeyState::Served("12345678".into())), vec!["b".into()]);
+    assert_eq!(keys.share(&"k".into(), &"c".into()), KeyState::Served("12345678".into()));
+    assert_eq!(keys.find("k", 8, 0), KeyLookup::OtherRequest { has_run: true });
     // Past the limit of bytes the oldest result goes, but not that it ran.
     keys.remember("l".into(), 7, "d".into(), 2_000);
-    keys.settle(&"l".into(), "d", State::Served("12345".into()));
-    assert_eq!(keys.share(&"k".into(), &"e".into()), State::Failed);
-    assert_eq!(keys.share(&"l".into(), &"f".into()), State::Served("12345".into()));
+    keys.record_outcome(&"l".into(), "d", KeyState::Served("12345".into()));
+    assert_eq!(keys.share(&"k".into(), &"e".into()), KeyState::Failed);
+    assert_eq!(keys.share(&"l".into(), &"f".into()), KeyState::Served("12345".into()));
     // Another holder, forgotten with those that wait for it.
     keys.remember("l".into(), 7, "g".into(), 3_000);
     keys.share(&"l".into(), &"h".into());
     assert!(keys.forget("l", "d").is_empty());
     assert_eq!(keys.forget("l", "g"), vec!["h".into()]);
-    assert_eq!(keys.find("l", 7, 0), Known::No);
+    assert_eq!(keys.find("l", 7, 0), KeyLookup::Unknown);
     // What is open outlives its window, what is settled does not for long.
     keys.remember("m".into(), 7, "i".into(), 5_000);
-    keys.sweep(1_000_000);
-    assert_eq!((keys.find("k", 7, 0), keys.find("m", 7, 0)), (Known::No, Known::Same("i".into())));
+    keys.remove_expired(1_000_000);
+    assert_eq!(
+        (keys.find("k", 7, 0), keys.find("m", 7, 0)),
+        (KeyLookup::Unknown, KeyLookup::SameRequest("i".into()))
+    );
 }
 
 #[test]
@@ -262,7 +268,8 @@
     // Many runs of steps, with pieces sent ahead between them.
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut keys, mut next, mut after) = (Keys::new(400), Keys::new(usize::MAX), None);
+        let (mut keys, mut next, mut after) =
+            (IdempotencyKeyStore::new(400), IdempotencyKeyStore::new(usize::MAX), None);
         let mut is_ahead = false;
         for step in 0..200u64 {
             let token: std::sync::Arc<str> = format!("t{}", rng.u32(0..40)).into();
@@ -271,35 +278,39 @@
                 0 | 1 => keys.remember(token, 7, holder.as_str().into(), rng.u64(0..50) * 1_000),
                 2 => drop(keys.forget(&token, &holder)),
                 3 => drop(keys.share(&token, &format!("r{step}").as_str().into())),
-                4 => drop(keys.settle(&token, &holder, State::Served("x".repeat(rng.usize(0..30)).into()))),
-                _ => drop(keys.settle(&token, &holder, State::Failed)),
+                4 => drop(keys.record_outcome(
+                    &token,
+                    &holder,
+                    KeyState::Served("x".repeat(rng.usize(0..30)).into()),
+                )),
+                _ => drop(keys.record_outcome(&token, &holder, KeyState::Failed)),
             }
             if step >= 100 && step % 5 == 0 && (after.is_some() || !is_ahead) {
                 is_ahead = true;
-                after = keys.keep_ahead(after.as_ref(), 3).map(|(piece, last)| {
-                    next.take(piece, &[]);
+                after = keys.export_batch(after.as_ref(), 3).map(|(piece, last)| {
+                    next.import(piece, &[]);
                     last
                 });
             }
         }
         while let Some(from) = after {
-            after = keys.keep_ahead(Some(&from), 3).map(|(piece, last)| {
-                next.take(piece, &[]);
+            after = keys.export_batch(Some(&from), 3).map(|(piece, last)| {
+                next.import(piece, &[]);
                 last
             });
         }
-        let (changed, gone) = keys.keep_changed();
-        next.take(changed, &gone);
-        next.limit(400);
-        let sorted = |keys: &Keys| {
-            let mut all = keys.keep();
+        let (changed, gone) = keys.export_changed();
+        next.import(changed, &gone);
+        next.set_max_result_bytes(400);
+        let sorted = |keys: &IdempotencyKeyStore| {
+            let mut all = keys.export_all();
             all.sort_by(|a, b| a.key.cmp(&b.key));
             all
         };
         assert_eq!(sorted(&next), sorted(&keys), "{seed}");
         // And both let go of the same.
-        keys.sweep(40_000);
-        next.sweep(40_000);
+        keys.remove_expired(40_000);
+        next.remove_expired(40_000);
         assert_eq!(sorted(&next), sorted(&keys), "{seed}");
     }
 }
