--- a/crates/ochrewalk-node/src/core.rs
+++ b/crates/ochrewalk-node/src/core.rs
@@ -4,10 +4,10 @@
 use crate::clock::Clock;
 use crate::coordinator::{IdempotencyKey, IncomingRequest, RequestCoordinator, RequestHandle};
 use crate::interfaces::{Answer, DownstreamClient, UpstreamClient};
+use crate::method_counters::PerMethodCounters;
 use crate::net::executor::Executor;
 use crate::request_state::RequestState;
 use crate::request_task::{run_to_completion, submit_and_run, OpenRequest};
-use crate::tally::Tally;
 use ochrewalk::deployment::Deployment;
 use ochrewalk::host::{Effect, RpcId, Tenant};
 use siphasher::sip::SipHasher13;
@@ -25,7 +25,7 @@
     pub clock: Clock,
     pub coordinator: RequestCoordinator,
     pub deployment: Deployment,
-    pub tally: Tally,
+    pub method_counters: PerMethodCounters,
     /// The methods' names as JSON strings.
     pub lanes: Vec<String>,
     pub executor: Executor,
@@ -70,7 +70,7 @@
         Core {
             clock,
             coordinator: gate,
-            tally: Tally::new(deployment.methods.len()),
+            method_counters: PerMethodCounters::new(deployment.methods.len()),
             lanes: lanes.collect(),
             deployment,
             executor,
@@ -142,7 +142,12 @@
         // hold is full.
         if self.lives.fetch_add(1, Ordering::Relaxed) >= self.most_lives {
             self.lives.fetch_sub(1, Ordering::Relaxed);
-            self.tally.answered(&self.clock, &self.deployment, &rpc, &Answer::REJECTED_WITHOUT_ADVICE);
+            self.method_counters.record_answer(
+                &self.clock,
+                &self.deployment,
+                &rpc,
+                &Answer::REJECTED_WITHOUT_ADVICE,
+            );
             return asker
                 .answer(Answer::REJECTED_WITHOUT_ADVICE, self.coordinator.health_state().load_signal);
         }
--- a/crates/ochrewalk-node/src/tally.rs
+++ b/crates/ochrewalk-node/src/method_counters.rs
@@ -19,17 +19,23 @@
 }
 
 /// Counters that are only ever added to.
-pub struct Tally {
+pub struct PerMethodCounters {
     methods: Vec<Method>,
 }
 
-impl Tally {
-    pub fn new(methods: usize) -> Tally {
-        Tally { methods: (0..methods).map(|_| Method::default()).collect() }
+impl PerMethodCounters {
+    pub fn new(methods: usize) -> PerMethodCounters {
+        PerMethodCounters { methods: (0..methods).map(|_| Method::default()).collect() }
     }
 
     /// An RPC is answered. Strangers' faults are nobody's.
-    pub fn answered(&self, clock: &Clock, deployment: &Deployment, rpc: &IncomingRequest, answer: &Answer) {
+    pub fn record_answer(
+        &self,
+        clock: &Clock,
+        deployment: &Deployment,
+        rpc: &IncomingRequest,
+        answer: &Answer,
+    ) {
         if let Answer::InvalidRequest(_) = answer {
             return;
         }
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -18,11 +18,11 @@
 use crate::handover::supervisor_link::{supervised, Supervised, SupervisorLink};
 use crate::handover::supervisor_protocol::ChildLine;
 use crate::logger::Logs;
+use crate::method_counters::ReportedCalls;
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::AjpFront;
 use crate::net::below::Below;
 use crate::net::dispatchers::Dispatchers;
-use crate::tally::ReportedCalls;
 use assembly::{begin, build};
 use leaving::{leave, END_MS};
 use may::sync::mpsc::channel;
@@ -219,10 +219,14 @@
 /// Reports to the supervisor for ever, for whoever conducts a change.
 fn report_counters(node: &Node, link: &SupervisorLink, reads_changes: bool) {
     let (mut pulse, mut reported) = (Pulse::default(), ReportedCalls::default());
-    let Core { tally, deployment, .. } = &*node.core;
+    let Core { method_counters, deployment, .. } = &*node.core;
     let names = &deployment.method_names;
     loop {
-        let methods = if reads_changes { tally.changed(names, &mut reported) } else { tally.all(names) };
+        let methods = if reads_changes {
+            method_counters.changed(names, &mut reported)
+        } else {
+            method_counters.all(names)
+        };
         let tally = ServingCounters { methods, ..condition(node, pulse.is_felt()) };
         let report = if reads_changes { CounterReport::Changed(tally) } else { CounterReport::All(tally) };
         link.send(&ChildLine::Counters(report));
--- a/crates/ochrewalk-node/src/request_task.rs
+++ b/crates/ochrewalk-node/src/request_task.rs
@@ -138,7 +138,7 @@
     fn answer(&mut self, answer: Answer) {
         let Core { clock, deployment, .. } = self.core;
         let answer = self.told_when(answer);
-        self.core.tally.answered(clock, deployment, &self.living.rpc, &answer);
+        self.core.method_counters.record_answer(clock, deployment, &self.living.rpc, &answer);
         self.living.client.answer(answer, self.core.coordinator.health_state().load_signal);
     }
 
