--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -47,7 +47,7 @@
 /// Ends the pause, and has every connection looked at again.
 pub(super) fn resume_node(node: &Node) {
     resume();
-    if let Some(below) = &node.core.below {
+    if let Some(below) = &node.core.upstream {
         below.set_calls_paused(false);
         below.recheck_connections();
     }
@@ -75,7 +75,7 @@
     }
     let clock = node.core.clock;
     let deadline_us = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
-    if let Some(below) = &node.core.below {
+    if let Some(below) = &node.core.upstream {
         below.set_calls_paused(true);
         let deadline_us = deadline_us(MAX_UNMOVABLE_WAIT);
         while below.has_unmovable_calls() && clock.now_us() < deadline_us {
@@ -123,9 +123,9 @@
 ) -> Vec<SectionState> {
     let core = &node.core;
     let node_record = node_record(node, keys_went_ahead);
-    let rpcs = RpcRecords { rpcs: core.living().values().map(|rpc| rpc_record(rpc)).collect() };
+    let rpcs = RpcRecords { rpcs: core.open_requests().values().map(|rpc| rpc_record(rpc)).collect() };
     let (executor, link) = core.executor.keep();
-    let (below, links) = core.below.as_ref().map(|below| below.snapshot()).unwrap_or_default();
+    let (below, links) = core.upstream.as_ref().map(|below| below.snapshot()).unwrap_or_default();
     let listeners = [node.dispatchers.listener(), node.ajp.as_ref().and_then(|front| front.listener())];
     let listeners = listeners.into_iter().flatten().collect();
     let mut sections = vec![
@@ -143,7 +143,7 @@
 }
 
 fn node_record(node: &Node, keys_went_ahead: bool) -> NodeRecord {
-    let (fingerprint_key, fingerprint_key_more) = node.core.print_key();
+    let (fingerprint_key, fingerprint_key_more) = node.core.fingerprint_key();
     let clock_base_ns = node.core.clock.base_ns();
     let mut record =
         NodeRecord { clock_base_ns, fingerprint_key, fingerprint_key_more, ..NodeRecord::default() };
--- a/crates/ochrewalk-node/src/net/ajp_front/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/inbound.rs
@@ -2,8 +2,8 @@
 
 use super::{AjpFront, Caller, Carried, Connection, PendingRequest};
 use crate::close_reason::CloseReason;
-use crate::core::Asked;
 use crate::net::link::{Finish, Reader};
+use crate::shared_state::ParsedRequest;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::{Acts, End, Plain, Refusal};
 use ochrewalk_ajp::reply;
@@ -236,21 +236,21 @@
             format!("{:016x}", ids.u64(..))
         });
         let body = format!("\"{}\"", BASE64_STANDARD.encode(&body));
-        let asked = Asked {
+        let asked = ParsedRequest {
             id: &id,
             method: method.method,
-            kb: method.kb,
-            ts_ms: pending.read_ms,
-            left_us: method.left_us,
-            token: method.token.as_deref(),
+            memory_kb: method.kb,
+            arrived_unix_ms: pending.read_ms,
+            time_left_us: method.left_us,
+            idempotency_key: method.token.as_deref(),
             tenant: pending.tenant,
             body: &body,
         };
-        match front.core.check(&asked) {
+        match front.core.validate(&asked) {
             Ok(incoming) => {
                 self.connection.lock().rpc = Some(incoming.id.clone());
                 let caller = Caller { front: front.clone(), connection: self.connection.clone(), serial };
-                front.core.begin(incoming, &body, caller);
+                front.core.start_request(incoming, &body, caller);
             }
             Err(why) => {
                 if let Some(reuse) = self.answered(true) {
--- a/crates/ochrewalk-node/src/net/ajp_front/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_front/mod.rs
@@ -12,9 +12,9 @@
 use crate::close_reason::CloseReason;
 use crate::configuration::cached_quotas::CachedQuotas;
 use crate::configuration::handle::ConfigurationHandle;
-use crate::core::Core;
 use crate::handover::records::ClientAddress;
 use crate::interfaces::{Answer, DownstreamClient};
+use crate::shared_state::SharedState;
 use inbound::{Inbound, Wanted, MOST_BODY};
 use may::net::TcpStream;
 use ochrewalk::host::{RpcId, Tenant};
@@ -43,7 +43,7 @@
 }
 
 pub struct AjpFront {
-    core: Arc<Core>,
+    core: Arc<SharedState>,
     packet: usize,
     most: usize,
     idle_us: u64,
@@ -95,7 +95,7 @@
 impl AjpFront {
     /// `most` connections at a time, with packets of `packet` bytes at most.
     pub fn new(
-        core: Arc<Core>,
+        core: Arc<SharedState>,
         open: Open,
         packet: usize,
         most: usize,
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -5,11 +5,11 @@
 use super::link::{adopt, carry, let_go, Finish, Outbox, Reader};
 use crate::close_reason::CloseReason;
 use crate::coordinator::HealthState;
-use crate::core::{Asked, Core};
 use crate::handover::records::{
     ClientAddress, JsonRpcConnectionRecord, JsonRpcConnectionRecords, OpenRpcRecord,
 };
 use crate::interfaces::{Answer, DownstreamClient};
+use crate::shared_state::{ParsedRequest, SharedState};
 use crate::wire::jsonrpc::{self, Message, Which};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
@@ -42,7 +42,7 @@
 const AFTER_FAULTS: u32 = 32;
 
 pub struct Dispatchers {
-    core: Arc<Core>,
+    core: Arc<SharedState>,
     most: usize,
     open: Mutex<Connections>,
 }
@@ -90,7 +90,7 @@
 
 impl Dispatchers {
     /// `most` connections at a time.
-    pub fn new(core: Arc<Core>, most: usize) -> Dispatchers {
+    pub fn new(core: Arc<SharedState>, most: usize) -> Dispatchers {
         Dispatchers { core, most, open: Mutex::default() }
     }
 
@@ -303,7 +303,7 @@
 
 /// Who asked, by JSON-RPC.
 struct Caller {
-    core: Arc<Core>,
+    core: Arc<SharedState>,
     connection: Arc<Connection>,
     /// The message's id.
     id: Box<str>,
@@ -474,7 +474,7 @@
 }
 
 struct Inbound<'a> {
-    core: &'a Arc<Core>,
+    core: &'a Arc<SharedState>,
     connection: &'a Arc<Connection>,
 }
 
@@ -537,17 +537,17 @@
                 let Some(method) = self.core.deployment.method(&rpc.method) else {
                     return self.faulty(rpc.id, jsonrpc::NO_METHOD, "unknown method");
                 };
-                let asked = Asked {
+                let asked = ParsedRequest {
                     id: &rpc.req,
                     method,
-                    kb: rpc.kb,
-                    ts_ms: rpc.ts_ms,
-                    left_us: None,
-                    token: rpc.opkey.as_deref(),
+                    memory_kb: rpc.kb,
+                    arrived_unix_ms: rpc.ts_ms,
+                    time_left_us: None,
+                    idempotency_key: rpc.opkey.as_deref(),
                     tenant: None,
                     body: rpc.body.get(),
                 };
-                let incoming = match self.core.check(&asked) {
+                let incoming = match self.core.validate(&asked) {
                     Ok(incoming) => incoming,
                     Err(why) => return self.faulty(rpc.id, jsonrpc::BAD_PARAMS, why),
                 };
@@ -569,7 +569,7 @@
                         self.core.coordinator.health_state().load_signal,
                     );
                 } else {
-                    self.core.begin(incoming, rpc.body.get(), caller);
+                    self.core.start_request(incoming, rpc.body.get(), caller);
                 }
             }
             Message::Revoke(which) => {
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -9,7 +9,6 @@
     CoordinatorNotifications, EventSender, IdempotencyKey, IncomingRequest, RequestCoordinator, RequestEvent,
     RequestHandle,
 };
-use crate::core::Core;
 use crate::handover::received_state::ReceivedState;
 use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
 use crate::idempotency_keys::IdempotencyKeyStore;
@@ -23,6 +22,7 @@
 use crate::net::{directory, link::adopt, status};
 use crate::request_state::{PlacedCall, RequestState, UpstreamCall};
 use crate::request_task::OpenRequest;
+use crate::shared_state::SharedState;
 use may::net::TcpListener;
 use may::sync::mpsc::{channel, Sender};
 use ochrewalk::deployment::Placement;
@@ -154,7 +154,7 @@
         (None, Some(store)) => Some(Arc::new(store.clone())),
         (None, None) => None,
     };
-    let core = Arc::new(Core::new(clock, gate, deployment, executor, below, bytes, print_key));
+    let core = Arc::new(SharedState::new(clock, gate, deployment, executor, below, bytes, print_key));
     // Each front has descriptors of its own, so that neither can take the other's: its connections, a few that
     // are ending, its listener.
     let of_ajp =
@@ -298,7 +298,7 @@
         may::go!(move || store.watch());
     }
     for (living, ticket) in resumed.lives {
-        core.go_on(living, ticket);
+        core.resume_request(living, ticket);
     }
     resumed.ends.into_iter().for_each(|(post, end)| post.send(RequestEvent::CallEnded(end)));
     node.dispatchers.go_on(resumed.json);
--- a/crates/ochrewalk-node/src/node/leaving.rs
+++ b/crates/ochrewalk-node/src/node/leaving.rs
@@ -1,8 +1,8 @@
 //! How a node leaves: no new work, all that was read answered, every answer written.
 
 use super::Node;
-use crate::core::Core;
 use crate::net::front::shut;
+use crate::shared_state::SharedState;
 use may::sync::mpsc::Sender;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 /// Leaves: no new work is asked for, all that was read is answered, and every answer is written.
 pub(super) fn leave(node: &Node, stop_ms: u64, report_now: &Sender<()>) {
-    let Core { clock, coordinator, .. } = &*node.core;
+    let SharedState { clock, coordinator, .. } = &*node.core;
     let from_us = clock.now_us();
     let at = |ms: u64| {
         let until_us = from_us + ms * 1_000;
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -8,7 +8,6 @@
 pub use files::Files;
 
 use crate::configuration::handle::ConfigurationHandle;
-use crate::core::Core;
 use crate::handover::counter_report::CounterReport;
 use crate::handover::hand_over_control::{HandOverControl, Interruption};
 use crate::handover::hand_over_stream::HandOverStream;
@@ -23,6 +22,7 @@
 use crate::net::ajp_front::AjpFront;
 use crate::net::below::Below;
 use crate::net::dispatchers::Dispatchers;
+use crate::shared_state::SharedState;
 use assembly::{begin, build};
 use leaving::{leave, END_MS};
 use may::sync::mpsc::channel;
@@ -52,7 +52,7 @@
 
 /// What signals and hand-overs act on.
 pub struct Node {
-    pub core: Arc<Core>,
+    pub core: Arc<SharedState>,
     store: Option<Below>,
     by_ajp: Option<AjpBelow>,
     pub ajp: Option<Arc<AjpFront>>,
@@ -219,7 +219,7 @@
 /// Reports to the supervisor for ever, for whoever conducts a change.
 fn report_counters(node: &Node, link: &SupervisorLink, reads_changes: bool) {
     let (mut pulse, mut reported) = (Pulse::default(), ReportedCalls::default());
-    let Core { method_counters, deployment, .. } = &*node.core;
+    let SharedState { method_counters, deployment, .. } = &*node.core;
     let names = &deployment.method_names;
     loop {
         let methods = if reads_changes {
--- a/crates/ochrewalk-node/src/request_task.rs
+++ b/crates/ochrewalk-node/src/request_task.rs
@@ -2,9 +2,9 @@
 
 use crate::clock::whole_ms;
 use crate::coordinator::{EventSender, IncomingRequest, ProgressReport, RequestHandle, SubmitError};
-use crate::core::Core;
 use crate::interfaces::{Answer, DownstreamClient};
 use crate::request_state::{RequestActions, RequestState};
+use crate::shared_state::SharedState;
 use ochrewalk::host::Effect;
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -21,7 +21,7 @@
 
 impl OpenRequest {
     pub fn new(
-        core: &Core,
+        core: &SharedState,
         rpc: IncomingRequest,
         body: &str,
         client: Box<dyn DownstreamClient>,
@@ -38,14 +38,14 @@
 }
 
 /// Tells the gate of an RPC and lives it to its end.
-pub fn submit_and_run(core: &Core, living: &Arc<OpenRequest>) {
+pub fn submit_and_run(core: &SharedState, living: &Arc<OpenRequest>) {
     // Guards against a run for nobody: it may have been revoked before the gate heard of it.
     let told = living.client.awaits_answer().then(|| core.coordinator.submit(&living.rpc));
     core.coordinator.pending_work.decrement();
     match told {
         None => {}
         Some(Ok(ticket)) => {
-            core.living().insert(living.rpc.id.clone(), living.clone());
+            core.open_requests().insert(living.rpc.id.clone(), living.clone());
             run_to_completion(core, living, &ticket);
         }
         Some(Err(turned)) => {
@@ -63,7 +63,7 @@
 }
 
 /// Lives one that the gate knows of to its end.
-pub fn run_to_completion(core: &Core, living: &OpenRequest, ticket: &RequestHandle) {
+pub fn run_to_completion(core: &SharedState, living: &OpenRequest, ticket: &RequestHandle) {
     loop {
         let late_us = living.lock().call_timeout_us();
         let most = late_us.map(|late_us| whole_ms(late_us.saturating_sub(core.clock.now_us()) + 1_000));
@@ -74,12 +74,12 @@
             break;
         }
     }
-    core.living().remove(&living.rpc.id);
+    core.open_requests().remove(&living.rpc.id);
     core.coordinator.remove(ticket);
 }
 
 struct Deeds<'a> {
-    core: &'a Core,
+    core: &'a SharedState,
     living: &'a OpenRequest,
     ticket: &'a RequestHandle,
 }
@@ -92,7 +92,7 @@
     /// Who is pushed back, with an RPC that calls below, need not come back before anything there takes a call.
     fn told_when<'a>(&self, answer: Answer<'a>) -> Answer<'a> {
         let Answer::Rejected { do_not_retry, retry_after_us } = answer else { return answer };
-        let Core { deployment, below, .. } = self.core;
+        let SharedState { deployment, upstream: below, .. } = self.core;
         let calls = deployment.methods[self.living.rpc.method].makes_calls;
         let closed_us =
             below.as_ref().filter(|_| calls).and_then(|below| below.unavailable_for_us()).unwrap_or(0);
@@ -104,7 +104,13 @@
 impl RequestActions for Deeds<'_> {
     fn start_run(&mut self) {
         let OpenRequest { rpc, body, may_repeat, .. } = self.living;
-        self.core.executor.run(&rpc.id, &self.core.lanes[rpc.method], body, *may_repeat, self.post());
+        self.core.executor.run(
+            &rpc.id,
+            &self.core.method_names_json[rpc.method],
+            body,
+            *may_repeat,
+            self.post(),
+        );
     }
 
     fn resume_run(&mut self) {
@@ -120,13 +126,13 @@
     }
 
     fn place_call(&mut self, wait_ms: u64, body: &[u8]) -> bool {
-        let Some(below) = &self.core.below else { return false };
+        let Some(below) = &self.core.upstream else { return false };
         below.place_call(&self.living.rpc.id, wait_ms, body, self.living.may_repeat, self.post());
         true
     }
 
     fn cancel_call(&mut self) {
-        if let Some(below) = &self.core.below {
+        if let Some(below) = &self.core.upstream {
             below.cancel_call(&self.living.rpc.id);
         }
     }
@@ -136,7 +142,7 @@
     }
 
     fn answer(&mut self, answer: Answer) {
-        let Core { clock, deployment, .. } = self.core;
+        let SharedState { clock, deployment, .. } = self.core;
         let answer = self.told_when(answer);
         self.core.method_counters.record_answer(clock, deployment, &self.living.rpc, &answer);
         self.living.client.answer(answer, self.core.coordinator.health_state().load_signal);
--- a/crates/ochrewalk-node/src/core.rs
+++ b/crates/ochrewalk-node/src/shared_state.rs
@@ -21,15 +21,15 @@
 /// The farthest that a stamp may be from our clock.
 const STAMP_MS: u64 = 3_600_000;
 
-pub struct Core {
+pub struct SharedState {
     pub clock: Clock,
     pub coordinator: RequestCoordinator,
     pub deployment: Deployment,
     pub method_counters: PerMethodCounters,
     /// The methods' names as JSON strings.
-    pub lanes: Vec<String>,
+    pub method_names_json: Vec<String>,
     pub executor: Executor,
-    pub below: Option<Arc<dyn UpstreamClient>>,
+    pub upstream: Option<Arc<dyn UpstreamClient>>,
     /// Prints of RPCs' work, by a key that no stranger knows.
     prints: SipHasher13,
     /// Those that the gate knows of.
@@ -40,22 +40,22 @@
 }
 
 /// An RPC as a front has read it.
-pub struct Asked<'a> {
+pub struct ParsedRequest<'a> {
     pub id: &'a str,
     /// Position in the deployment's list.
     pub method: usize,
-    pub kb: f64,
-    pub ts_ms: u64,
+    pub memory_kb: f64,
+    pub arrived_unix_ms: u64,
     /// How long its caller still waits, where that is conveyed.
-    pub left_us: Option<u64>,
-    pub token: Option<&'a str>,
+    pub time_left_us: Option<u64>,
+    pub idempotency_key: Option<&'a str>,
     /// The quota that it counts against, where its protocol names a tenant.
     pub tenant: Option<Tenant>,
     /// A JSON string of base64.
     pub body: &'a str,
 }
 
-impl Core {
+impl SharedState {
     /// `bytes` of memory are the program's own.
     pub fn new(
         clock: Clock,
@@ -65,16 +65,16 @@
         below: Option<Arc<dyn UpstreamClient>>,
         bytes: usize,
         print_key: (u64, u64),
-    ) -> Core {
+    ) -> SharedState {
         let lanes = deployment.method_names.iter().map(|name| serde_json::Value::from(name).to_string());
-        Core {
+        SharedState {
             clock,
             coordinator: gate,
             method_counters: PerMethodCounters::new(deployment.methods.len()),
-            lanes: lanes.collect(),
+            method_names_json: lanes.collect(),
             deployment,
             executor,
-            below,
+            upstream: below,
             prints: SipHasher13::new_with_keys(print_key.0, print_key.1),
             living: Mutex::default(),
             lives: AtomicUsize::new(0),
@@ -83,12 +83,12 @@
     }
 
     /// Checks what no protocol can check alone. The error says in a few words what is wrong.
-    pub fn check(&self, asked: &Asked) -> Result<IncomingRequest, &'static str> {
-        if self.clock.unix_ms().abs_diff(asked.ts_ms) > STAMP_MS {
+    pub fn validate(&self, asked: &ParsedRequest) -> Result<IncomingRequest, &'static str> {
+        if self.clock.unix_ms().abs_diff(asked.arrived_unix_ms) > STAMP_MS {
             return Err("ts is out of range");
         }
         let tokened = self.deployment.methods[asked.method].effect == Effect::WithKey;
-        let token = asked.token.filter(|_| tokened).map(|key| IdempotencyKey {
+        let token = asked.idempotency_key.filter(|_| tokened).map(|key| IdempotencyKey {
             key: key.into(),
             // Some escape the solidus: the work is the same by any protocol.
             fingerprint: self.print(asked.method, &asked.body.replace('\\', "")),
@@ -97,13 +97,13 @@
             return Err("no token");
         }
         let id: RpcId = asked.id.into();
-        let Asked { method, kb, ts_ms, left_us, tenant, .. } = *asked;
+        let ParsedRequest { method, memory_kb, arrived_unix_ms, time_left_us, tenant, .. } = *asked;
         Ok(IncomingRequest {
             id,
             method,
-            memory_kb: kb,
-            arrived_unix_ms: ts_ms,
-            time_left_us: left_us,
+            memory_kb,
+            arrived_unix_ms,
+            time_left_us,
             idempotency_key: token,
             tenant,
         })
@@ -116,19 +116,19 @@
     }
 
     /// The key of the prints, for whoever goes on.
-    pub fn print_key(&self) -> (u64, u64) {
+    pub fn fingerprint_key(&self) -> (u64, u64) {
         self.prints.keys()
     }
 
     /// The RPCs that the gate knows of.
-    pub fn living(&self) -> MutexGuard<'_, HashMap<RpcId, Arc<OpenRequest>>> {
+    pub fn open_requests(&self) -> MutexGuard<'_, HashMap<RpcId, Arc<OpenRequest>>> {
         self.living.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// Goes on with the life of an RPC that another process began.
-    pub fn go_on(self: &Arc<Core>, living: Arc<OpenRequest>, ticket: RequestHandle) {
+    pub fn resume_request(self: &Arc<SharedState>, living: Arc<OpenRequest>, ticket: RequestHandle) {
         self.lives.fetch_add(1, Ordering::Relaxed);
-        self.living().insert(living.rpc.id.clone(), living.clone());
+        self.open_requests().insert(living.rpc.id.clone(), living.clone());
         let core = self.clone();
         may::go!(move || {
             run_to_completion(&core, &living, &ticket);
@@ -137,7 +137,12 @@
     }
 
     /// Starts the life of an RPC that its front has entered as owed an answer.
-    pub fn begin(self: &Arc<Core>, rpc: IncomingRequest, body: &str, asker: impl DownstreamClient + 'static) {
+    pub fn start_request(
+        self: &Arc<SharedState>,
+        rpc: IncomingRequest,
+        body: &str,
+        asker: impl DownstreamClient + 'static,
+    ) {
         // Guards the program's own memory against a flood: long before this many RPCs are open, the module's
         // hold is full.
         if self.lives.fetch_add(1, Ordering::Relaxed) >= self.most_lives {
