--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/main.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/main.rs
@@ -30,7 +30,7 @@
 use arguments::{CommandLine, ConfigCommand};
 use clap::Parser;
 use error::ConfigCommandError;
-use ochrewalk_node::logger::{self, Logs};
+use ochrewalk_node::logger::{self, LogSettings};
 use std::process::ExitCode;
 
 /// Runs a command and returns what is to be printed.
@@ -47,7 +47,7 @@
 
 fn main() -> ExitCode {
     let line = CommandLine::parse();
-    logger::start(Logs { level: line.log, form: line.log_format });
+    logger::start(LogSettings { level: line.log, format: line.log_format });
     let outcome = run(line.command);
     logger::flush();
     match outcome {
--- a/crates/ochrewalk-node/src/clock.rs
+++ b/crates/ochrewalk-node/src/clock.rs
@@ -52,11 +52,11 @@
 /// is freed although a waiter may still hold an entry, which then ends the thread that all timers need.
 ///
 /// ```
-/// use ochrewalk_node::clock::whole_ms;
-/// assert_eq!([0, 1, 1_000, 49_001].map(|us| whole_ms(us).as_micros()), [1_000, 1_000, 1_000, 50_000]);
-/// assert_eq!([64_000, 101_000, 1_000_000].map(|us| whole_ms(us).as_millis()), [64, 100, 992]);
+/// use ochrewalk_node::clock::channel_timeout;
+/// assert_eq!([0, 1, 1_000, 49_001].map(|us| channel_timeout(us).as_micros()), [1_000, 1_000, 1_000, 50_000]);
+/// assert_eq!([64_000, 101_000, 1_000_000].map(|us| channel_timeout(us).as_millis()), [64, 100, 992]);
 /// ```
-pub fn whole_ms(us: u64) -> Duration {
+pub fn channel_timeout(us: u64) -> Duration {
     let ms = us.div_ceil(1_000).max(1);
     let step = (ms / EXACT_MS).checked_ilog2().map_or(1, |doublings| 2 << doublings);
     Duration::from_millis(ms / step * step)
@@ -66,9 +66,9 @@
 /// one so old that it can only be wrong.
 ///
 /// ```
-/// use ochrewalk_node::clock::since_us;
-/// assert_eq!([since_us(1_500, 1_000, 9_000_000), since_us(1_000, 1_500, 9_000_000)], [500_000, 0]);
+/// use ochrewalk_node::clock::age_us;
+/// assert_eq!([age_us(1_500, 1_000, 9_000_000), age_us(1_000, 1_500, 9_000_000)], [500_000, 0]);
 /// ```
-pub fn since_us(unix_ms: u64, ts_ms: u64, most_us: u64) -> u64 {
+pub fn age_us(unix_ms: u64, ts_ms: u64, most_us: u64) -> u64 {
     unix_ms.saturating_sub(ts_ms).saturating_mul(1_000).min(most_us)
 }
--- a/crates/ochrewalk-node/src/coordinator.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -2,7 +2,7 @@
 //! ticket for the verdict, reports what became of its run and calls, and waits again. Only this file knows the
 //! module's events and actions. One lock guards it, and nothing is read or written while it is held.
 
-use crate::clock::{since_us, whole_ms, Clock};
+use crate::clock::{age_us, channel_timeout, Clock};
 use crate::close_reason::CallResult;
 use crate::handover::pause::is_paused;
 use crate::handover::records::{IdempotencyKeyRecord, NodeRecord};
@@ -164,7 +164,7 @@
         self.post.clone()
     }
 
-    /// Waits for whatever comes next, for so long at most (see [`whole_ms`]). What came before is dealt with.
+    /// Waits for whatever comes next, for so long at most (see [`channel_timeout`]). What came before is dealt with.
     pub fn wait(&self, most: Option<Duration>) -> RequestEvent {
         self.dealt_with();
         let came = match most {
@@ -393,7 +393,7 @@
         let post = ticket.event_sender();
         let method = &self.deployment.methods[new.method];
         let unix_ms = self.clock.unix_ms();
-        let queued_us = since_us(unix_ms, new.arrived_unix_ms, method.deadline_us);
+        let queued_us = age_us(unix_ms, new.arrived_unix_ms, method.deadline_us);
         let took = self.tell(|module, now_us| {
             let desk = module.host();
             if desk.open.contains_key(&new.id) {
@@ -494,7 +494,7 @@
             }
             let due_us = due_us.max(now_us + 1_000);
             // Moved forward, or due: either way it is looked at again.
-            let _ = moved.recv_timeout(whole_ms(due_us.min(now_us + 1_000_000) - now_us));
+            let _ = moved.recv_timeout(channel_timeout(due_us.min(now_us + 1_000_000) - now_us));
         }
     }
 
@@ -561,7 +561,7 @@
         self.state.lock().unwrap_or_else(|_| {
             tracing::error!("the decisions failed; this process ends, to be started anew");
             crate::logger::flush();
-            std::process::exit(crate::panics::STATUS)
+            std::process::exit(crate::panics::EXIT_STATUS)
         })
     }
 }
--- a/crates/ochrewalk-node/src/logger.rs
+++ b/crates/ochrewalk-node/src/logger.rs
@@ -21,7 +21,7 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
-pub enum Form {
+pub enum LogFormat {
     /// Time, level, fields and words
     #[default]
     Plain,
@@ -31,27 +31,27 @@
 
 /// What is logged, and how.
 #[derive(Clone, Copy, Debug)]
-pub struct Logs {
+pub struct LogSettings {
     pub level: LevelFilter,
-    pub form: Form,
+    pub format: LogFormat,
 }
 
 /// Writes out what waits when it is dropped.
 static GUARD: Mutex<Option<WorkerGuard>> = Mutex::new(None);
 
 /// Starts the writing thread. Only the first call counts.
-pub fn start(logs: Logs) {
+pub fn start(logs: LogSettings) {
     let (to, guard) =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE).finish(io::stderr());
     let (dropped, left_out) = (to.error_counter(), Arc::new(AtomicU64::new(0)));
     let limit = Limit { level: logs.level, left_out: left_out.clone(), places: Mutex::default() };
     let layer = fmt::layer().with_ansi(false).with_target(false).with_writer(to);
-    let set = match logs.form {
-        Form::Plain => {
+    let set = match logs.format {
+        LogFormat::Plain => {
             let lines = tracing_subscriber::registry().with(layer.with_filter(limit));
             tracing::subscriber::set_global_default(lines)
         }
-        Form::Json => {
+        LogFormat::Json => {
             let objects = layer.json().flatten_event(true);
             tracing::subscriber::set_global_default(
                 tracing_subscriber::registry().with(objects.with_filter(limit)),
--- a/crates/ochrewalk-node/src/method_counters.rs
+++ b/crates/ochrewalk-node/src/method_counters.rs
@@ -1,6 +1,6 @@
 //! What became of RPCs, counted by method since the start, for whoever conducts a change.
 
-use crate::clock::{since_us, Clock};
+use crate::clock::{age_us, Clock};
 use crate::coordinator::IncomingRequest;
 use crate::interfaces::Answer;
 use ochrewalk::deployment::Deployment;
@@ -40,7 +40,7 @@
             return;
         }
         let (of, told) = (&self.methods[rpc.method], &deployment.methods[rpc.method]);
-        let took_us = since_us(clock.unix_ms(), rpc.arrived_unix_ms, told.deadline_us);
+        let took_us = age_us(clock.unix_ms(), rpc.arrived_unix_ms, told.deadline_us);
         let is_served = matches!(answer, Answer::Served(_));
         let add = |to: &AtomicU64, is: bool| to.fetch_add(u64::from(is), Ordering::Relaxed);
         add(&of.missed, !is_served || took_us > told.latency_target_us);
--- a/crates/ochrewalk-node/src/net/directory.rs
+++ b/crates/ochrewalk-node/src/net/directory.rs
@@ -2,7 +2,7 @@
 //! coroutine waits for it.
 
 use super::link::connect;
-use crate::clock::whole_ms;
+use crate::clock::channel_timeout;
 use crate::close_reason::CloseReason;
 use crate::wire::reports;
 use may::net::TcpStream;
@@ -44,7 +44,7 @@
         }
         failed = told.is_err();
         let rest_us = EVERY.saturating_sub(from.elapsed()).as_micros() as u64;
-        if changed.recv_timeout(whole_ms(rest_us)) == Err(RecvTimeoutError::Disconnected) {
+        if changed.recv_timeout(channel_timeout(rest_us)) == Err(RecvTimeoutError::Disconnected) {
             return;
         }
         while changed.try_recv().is_ok() {}
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -16,7 +16,7 @@
 use crate::handover::supervisor;
 use crate::handover::supervisor_link::{supervised, Supervised, SupervisorLink};
 use crate::handover::supervisor_protocol::ChildLine;
-use crate::logger::Logs;
+use crate::logger::LogSettings;
 use crate::method_counters::ReportedCalls;
 use crate::net::ajp_below::AjpBelow;
 use crate::net::ajp_front::AjpFront;
@@ -74,7 +74,7 @@
 /// Serves as the node of those files until SIGTERM or SIGINT, then ends the process. SIGHUP has them read again. Where
 /// the operators' file allows upgrades, another process serves and this one keeps it. An error comes back before any
 /// RPC is taken.
-pub fn serve(files: &Files, logs: Logs) -> Result<(), String> {
+pub fn serve(files: &Files, logs: LogSettings) -> Result<(), String> {
     // Before anything else: guards against a SIGHUP that ends a process which has only begun.
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])
         .map_err(|err| format!("cannot wait for signals: {err}"))?;
@@ -96,7 +96,7 @@
         std::process::exit(status.code().unwrap_or(70));
     }
     crate::logger::start(logs);
-    crate::panics::end_on_others();
+    crate::panics::exit_on_uncontained_panics();
     // One core is ours: one worker runs all coroutines, so that none of them ever waits for a lock for long.
     may::config()
         .set_workers(1)
--- a/crates/ochrewalk-node/src/panics.rs
+++ b/crates/ochrewalk-node/src/panics.rs
@@ -6,7 +6,7 @@
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
 
 /// The status of a process that ended so.
-pub const STATUS: i32 = 70;
+pub const EXIT_STATUS: i32 = 70;
 
 thread_local! {
     /// What goes on costs a connection at most. Nothing that waits may go on meanwhile: it might end on another thread.
@@ -22,14 +22,14 @@
 }
 
 /// From here on any other panic ends the process.
-pub fn end_on_others() {
+pub fn exit_on_uncontained_panics() {
     let told = take_hook();
     set_hook(Box::new(move |panic| {
         told(panic);
         tracing::error!("{panic}");
         if !CONTAINED.get() {
             crate::logger::flush();
-            std::process::exit(STATUS);
+            std::process::exit(EXIT_STATUS);
         }
     }));
 }
--- a/crates/ochrewalk-node/src/request_task.rs
+++ b/crates/ochrewalk-node/src/request_task.rs
@@ -1,6 +1,6 @@
 //! One coroutine for each RPC: it waits for what happens next and feeds the RPC's life. Nobody else answers it.
 
-use crate::clock::whole_ms;
+use crate::clock::channel_timeout;
 use crate::coordinator::{EventSender, IncomingRequest, ProgressReport, RequestHandle, SubmitError};
 use crate::interfaces::{Answer, DownstreamClient};
 use crate::request_state::{RequestActions, RequestState};
@@ -66,7 +66,8 @@
 pub fn run_to_completion(core: &SharedState, living: &OpenRequest, ticket: &RequestHandle) {
     loop {
         let late_us = living.lock().call_timeout_us();
-        let most = late_us.map(|late_us| whole_ms(late_us.saturating_sub(core.clock.now_us()) + 1_000));
+        let most =
+            late_us.map(|late_us| channel_timeout(late_us.saturating_sub(core.clock.now_us()) + 1_000));
         let next = ticket.wait(most);
         let mut life = living.lock();
         life.handle(core.clock.now_us(), next, &mut Deeds { core, living, ticket });
--- a/crates/ochrewalk-node/tests/crossings/panics.rs
+++ b/crates/ochrewalk-node/tests/crossings/panics.rs
@@ -4,7 +4,7 @@
 use may::net::TcpStream;
 use ochrewalk_node::close_reason::CloseReason;
 use ochrewalk_node::net::link::{adopt, carry, Outbox, Reader};
-use ochrewalk_node::panics::{end_on_others, STATUS};
+use ochrewalk_node::panics::{exit_on_uncontained_panics, EXIT_STATUS};
 use std::io::{ErrorKind, Write};
 use std::process::{Command, Stdio};
 
@@ -37,7 +37,7 @@
 #[test]
 fn inner() {
     let Ok(which) = std::env::var(INNER) else { return };
-    end_on_others();
+    exit_on_uncontained_panics();
     assert_eq!(flawed(), CloseReason::Broken(ErrorKind::Other));
     if which == "part" {
         let _ = may::go!(|| panic!("a part of the node")).join();
@@ -49,7 +49,7 @@
 /// What was read on a connection costs that connection; a panic anywhere else ends the process, to be started anew.
 #[test]
 fn a_panic_costs_a_connection_or_the_process_and_nothing_between() {
-    for (which, status) in [("stream", 0), ("part", STATUS)] {
+    for (which, status) in [("stream", 0), ("part", EXIT_STATUS)] {
         let mut command = Command::new(std::env::current_exe().unwrap());
         command
             .args(["--exact", "panics::inner"])
--- a/crates/ochrewalk-node/tests/wire.rs
+++ b/crates/ochrewalk-node/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::Outcome;
-use ochrewalk_node::clock::since_us;
+use ochrewalk_node::clock::age_us;
 use ochrewalk_node::close_reason::{CallResult, CloseReason};
 use ochrewalk_node::idempotency_keys::{IdempotencyKeyStore, KeyLookup, KeyState};
 use ochrewalk_node::net::executor::pause_after;
@@ -320,7 +320,7 @@
     for (now_ms, ts_ms, wanted_us) in
         [(1_500, 1_000, 500_000), (1_000, 1_500, 0), (u64::MAX, 0, 7_000_000), (9_000, 1_000, 7_000_000)]
     {
-        assert_eq!(since_us(now_ms, ts_ms, 7_000_000), wanted_us);
+        assert_eq!(age_us(now_ms, ts_ms, 7_000_000), wanted_us);
     }
 }
 
