--- a/crates/ochrewalk-node/src/tally.rs
+++ b/crates/ochrewalk-node/src/method_counters.rs
@@ -1,8 +1,8 @@
 //! What became of RPCs, counted by method since the start, for whoever conducts a change.
 
-use crate::clock::{since_us, Clock};
-use crate::gate::Incoming;
-use crate::seam::Answer;
+use crate::clock::{age_us, Clock};
+use crate::coordinator::IncomingRequest;
+use crate::interfaces::Answer;
 use ochrewalk::deployment::Deployment;
 use ochrewalk::names::Names;
 use ochrewalk_rollout::messages::MethodCounters;
@@ -19,22 +19,28 @@
 }
 
 /// Counters that are only ever added to.
-pub struct Tally {
+pub struct PerMethodCounters {
     methods: Vec<Method>,
 }
 
-impl Tally {
-    pub fn new(methods: usize) -> Tally {
-        Tally { methods: (0..methods).map(|_| Method::default()).collect() }
+impl PerMethodCounters {
+    pub fn new(methods: usize) -> PerMethodCounters {
+        PerMethodCounters { methods: (0..methods).map(|_| Method::default()).collect() }
     }
 
     /// An RPC is answered. Strangers' faults are nobody's.
-    pub fn answered(&self, clock: &Clock, deployment: &Deployment, rpc: &Incoming, answer: &Answer) {
-        if let Answer::Fault(_) = answer {
+    pub fn record_answer(
+        &self,
+        clock: &Clock,
+        deployment: &Deployment,
+        rpc: &IncomingRequest,
+        answer: &Answer,
+    ) {
+        if let Answer::InvalidRequest(_) = answer {
             return;
         }
         let (of, told) = (&self.methods[rpc.method], &deployment.methods[rpc.method]);
-        let took_us = since_us(clock.unix_ms(), rpc.ts_ms, told.deadline_us);
+        let took_us = age_us(clock.unix_ms(), rpc.arrived_unix_ms, told.deadline_us);
         let is_served = matches!(answer, Answer::Served(_));
         let add = |to: &AtomicU64, is: bool| to.fetch_add(u64::from(is), Ordering::Relaxed);
         add(&of.missed, !is_served || took_us > told.latency_target_us);
--- a/crates/ochrewalk-node/src/net/ajp_ingress/answers.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/answers.rs
@@ -1,7 +1,7 @@
 //! Encodes answers as AJP packets: results, rejections and the node's health.
 
 use super::AjpIngress;
-use crate::seam::Answer;
+use crate::interfaces::Answer;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::Refusal;
 use ochrewalk_ajp::reply::{self, Head};
@@ -24,19 +24,19 @@
                     (500, "Aborted", b"aborted: its result cannot be given\n".to_vec())
                 }
             },
-            Answer::PushedBack { last, come_back_us } => {
+            Answer::Rejected { do_not_retry, retry_after_us } => {
                 headers.push((NEVER_RAN.as_bytes(), "1".into()));
-                if come_back_us > 0 {
-                    headers.push((b"retry-after", come_back_us.div_ceil(1_000_000).to_string()));
-                    headers.push((RETRY_AFTER_MS.as_bytes(), come_back_us.div_ceil(1_000).to_string()));
+                if retry_after_us > 0 {
+                    headers.push((b"retry-after", retry_after_us.div_ceil(1_000_000).to_string()));
+                    headers.push((RETRY_AFTER_MS.as_bytes(), retry_after_us.div_ceil(1_000).to_string()));
                 }
-                if last {
+                if do_not_retry {
                     headers.push((LAST.as_bytes(), "1".into()));
                 }
                 (503, "Pushed Back", b"pushed back: it never ran\n".to_vec())
             }
             Answer::Aborted => (500, "Aborted", b"aborted\n".to_vec()),
-            Answer::Fault(cause) => (409, "Conflict", format!("{cause}\n").into_bytes()),
+            Answer::InvalidRequest(cause) => (409, "Conflict", format!("{cause}\n").into_bytes()),
         };
         if let Some(signal) = signal {
             headers.push((SIGNAL.as_bytes(), signal.to_string()));
@@ -56,7 +56,7 @@
 
     /// Encodes the answer to a health check.
     pub(super) fn health(&self, may_reuse: bool) -> Vec<u8> {
-        let is_healthy = self.core.gate.posture().healthy.unwrap_or(false);
+        let is_healthy = self.core.coordinator.health_state().is_healthy.unwrap_or(false);
         let (status, reason, body) =
             if is_healthy { (200, "OK", "takes work\n") } else { (503, "Not Now", "takes no work\n") };
         self.write(status, reason, "text/plain", &[], body.as_bytes(), may_reuse)
--- a/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -2,8 +2,8 @@
 
 use super::{AjpClient, AjpIngress, Connection, ConnectionState, PendingRequest};
 use crate::handover::records::{AjpConnectionRecord, AjpConnectionRecords, AjpRequestRecord, ClientAddress};
+use crate::interfaces::DownstreamClient;
 use crate::net::buffered_connection::{stream_from_descriptor, SendQueue};
-use crate::seam::Asker;
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::answerer::{Life, State};
 use ochrewalk_ajp::request::BodyLength;
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Returns the client that waits for an answer at the address that [`Asker::address`] gave.
-    pub fn asker(self: &Arc<Self>, at: &ClientAddress) -> Option<Box<dyn Asker>> {
+    /// Returns the client that waits for an answer at the address that [`DownstreamClient::address`] gave.
+    pub fn client_at(self: &Arc<Self>, at: &ClientAddress) -> Option<Box<dyn DownstreamClient>> {
         let connection = self.lock().connections.get(&at.connection)?.clone();
         Some(Box::new(AjpClient { ingress: self.clone(), connection, serial: at.serial }))
     }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -2,9 +2,9 @@
 //! machine requests.
 
 use super::{AjpClient, AjpIngress, Connection, ConnectionState, PendingRequest};
-use crate::core::Asked;
-use crate::ending::Ending;
+use crate::close_reason::CloseReason;
 use crate::net::buffered_connection::{CloseRequest, MessageHandler};
+use crate::shared_state::ParsedRequest;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::{Acts, End, Plain, Refusal};
 use ochrewalk_ajp::reply;
@@ -54,7 +54,7 @@
 }
 
 impl MessageHandler for RequestHandler<'_> {
-    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let (mut actions, mut allow) = (RequestedActions::default(), Vec::new());
         let taken = {
             let mut state = self.connection.lock();
@@ -92,7 +92,7 @@
     }
 
     fn may_close(&self, request: CloseRequest) -> bool {
-        request != CloseRequest::Leaving || !self.connection.lock().life.owes()
+        request != CloseRequest::Draining || !self.connection.lock().life.owes()
     }
 
     fn on_drained(&mut self, is_flushed: bool) {
@@ -112,7 +112,7 @@
         if is_closing && actions.end.is_none() {
             // The last answer is written. Only the write side is shut, because a full close on later input would reset
             // the connection before the peer has received the answer.
-            self.connection.send_queue.request_close_once(CloseRequest::Leaving);
+            self.connection.send_queue.request_close_once(CloseRequest::Draining);
         }
         self.perform(actions, &[]);
     }
@@ -211,7 +211,7 @@
         match actions.end {
             None => {}
             Some(End::Idle | End::Leaving) => send_queue.request_close(CloseRequest::Idle),
-            Some(End::Silent | End::Unclosed) => send_queue.request_close(CloseRequest::Silent),
+            Some(End::Silent | End::Unclosed) => send_queue.request_close(CloseRequest::TimedOut),
             Some(End::Broken(error)) => {
                 tracing::warn!(part = "ajp", "malformed packet: {error}");
                 send_queue.request_close(CloseRequest::Faulty);
@@ -242,22 +242,22 @@
             format!("{:016x}", generator.u64(..))
         });
         let body = format!("\"{}\"", BASE64_STANDARD.encode(&body));
-        let asked = Asked {
+        let request = ParsedRequest {
             id: &id,
             method: method.method,
-            kb: method.kb,
-            ts_ms: pending.read_ms,
-            left_us: method.left_us,
-            token: method.token.as_deref(),
+            memory_kb: method.kb,
+            arrived_unix_ms: pending.read_ms,
+            time_left_us: method.left_us,
+            idempotency_key: method.token.as_deref(),
             tenant: pending.tenant,
             body: &body,
         };
-        match ingress.core.check(&asked) {
+        match ingress.core.validate(&request) {
             Ok(incoming) => {
                 self.connection.lock().rpc = Some(incoming.id.clone());
                 let client =
                     AjpClient { ingress: ingress.clone(), connection: self.connection.clone(), serial };
-                ingress.core.begin(incoming, &body, client);
+                ingress.core.start_request(incoming, &body, client);
             }
             Err(why) => {
                 if let Some(may_reuse) = self.answered(true) {
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -10,12 +10,12 @@
 
 use super::buffered_connection::{close_gracefully, drive_connection, CloseRequest, SendQueue};
 use super::listener::{ConnectionListener, MAX_CLOSING};
+use crate::close_reason::CloseReason;
 use crate::configuration::cached_quotas::CachedQuotas;
 use crate::configuration::handle::ConfigurationHandle;
-use crate::core::Core;
-use crate::ending::Ending;
 use crate::handover::records::ClientAddress;
-use crate::seam::{Answer, Asker};
+use crate::interfaces::{Answer, DownstreamClient};
+use crate::shared_state::SharedState;
 use inbound::{RequestHandler, RequestedActions, MAX_BODY_BYTES};
 use may::net::TcpStream;
 use ochrewalk::host::{RpcId, Tenant};
@@ -50,7 +50,7 @@
 }
 
 pub struct AjpIngress {
-    core: Arc<Core>,
+    core: Arc<SharedState>,
     max_packet_bytes: usize,
     max_connections: usize,
     idle_timeout_us: u64,
@@ -106,7 +106,7 @@
 impl AjpIngress {
     /// Returns an ingress for up to `max_connections`, with packets of up to `max_packet_bytes`.
     pub fn new(
-        core: Arc<Core>,
+        core: Arc<SharedState>,
         config: ReloadableConfig,
         max_packet_bytes: usize,
         max_connections: usize,
@@ -175,7 +175,7 @@
 
     /// Shuts the write side of each connection once its queue is written.
     pub fn request_close(&self) {
-        self.all().iter().for_each(|connection| connection.send_queue.request_close(CloseRequest::Leaving));
+        self.all().iter().for_each(|connection| connection.send_queue.request_close(CloseRequest::Draining));
     }
 
     /// Returns the number of connections.
@@ -208,7 +208,7 @@
     }
 
     /// Wakes every connection after a pause.
-    pub fn wake_connections(&self) {
+    pub fn recheck_connections(&self) {
         self.all().iter().for_each(|connection| connection.send_queue.wake());
     }
 
@@ -245,7 +245,7 @@
             Ok(()) => {
                 drive_connection(stream, &connection.send_queue, None, self.max_packet_bytes, &mut handler)
             }
-            Err(err) => Ending::of_use(&err),
+            Err(err) => CloseReason::from_io_error(&err),
         };
         let mut actions = RequestedActions::default();
         {
@@ -254,7 +254,7 @@
             state.life.closed(&mut actions);
         }
         match &ending {
-            Ending::Malformed(_) | Ending::TooLong => {
+            CloseReason::Malformed(_) | CloseReason::MessageTooLong => {
                 tracing::warn!(part = "ajp", "connection closed: {ending}")
             }
             _ => tracing::debug!(
@@ -265,7 +265,7 @@
         }
         let rpc = connection.lock().rpc.take();
         if let Some(id) = rpc.filter(|_| actions.gone) {
-            self.core.gate.gone(&id);
+            self.core.coordinator.caller_left(&id);
         }
         close_gracefully(stream, &ending, || self.count() >= self.max_connections);
         self.lock().connections.remove(&number);
@@ -343,8 +343,8 @@
     serial: u64,
 }
 
-impl Asker for AjpClient {
-    fn is_owed(&self) -> bool {
+impl DownstreamClient for AjpClient {
+    fn awaits_answer(&self) -> bool {
         let state = self.connection.lock();
         state.serial == self.serial && state.life.owes()
     }
@@ -355,7 +355,9 @@
             if state.serial != self.serial {
                 return;
             }
-            let Some(may_reuse) = state.life.answered(matches!(answer, Answer::Fault(_))) else { return };
+            let Some(may_reuse) = state.life.answered(matches!(answer, Answer::InvalidRequest(_))) else {
+                return;
+            };
             (state.rpc, state.used_us) = (None, self.ingress.core.clock.now_us());
             may_reuse
         };
@@ -371,10 +373,10 @@
         }
     }
 
-    /// Has no effect here: [`Asker::answer`] counts the fault, as a connection has one RPC in flight at a time.
-    fn fault(&self) {}
+    /// Has no effect here: [`DownstreamClient::answer`] counts the fault, as a connection has one RPC in flight at a time.
+    fn record_fault(&self) {}
 
-    fn proven(&self) {
+    fn mark_trusted(&self) {
         let mut state = self.connection.lock();
         state.life.proven();
         state.is_proven = true;
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -5,16 +5,16 @@
     close_gracefully, connect, drive_connection, CloseRequest, MessageHandler, SendQueue,
 };
 use crate::clock::Clock;
-use crate::ending::{CallEnd, Ending};
-use crate::gate::{Next, Post};
+use crate::close_reason::{CallResult, CloseReason};
+use crate::coordinator::{EventSender, RequestEvent};
 use crate::handover::records::UpstreamRecord;
-use crate::seam::Beneath;
+use crate::interfaces::UpstreamClient;
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
 use ochrewalk_connection_pool::{
-    CallId, CallResult, ConnectionId, ConnectionPool, Disconnect, ReplyOutcome, Transport,
+    CallId, CallResult as PoolCallResult, ConnectionId, ConnectionPool, Disconnect, ReplyOutcome, Transport,
 };
 use ochrewalk_ingress::judge::Headers;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
@@ -59,7 +59,7 @@
     until_us: u64,
     body: Vec<u8>,
     again: bool,
-    post: Post,
+    post: EventSender,
 }
 
 /// What the connections carry, and what is asked of them.
@@ -73,7 +73,7 @@
     next_call: CallId,
     /// What the module's present word is about: a whole answer, or a connection's end.
     reply: Option<Reply>,
-    why: Option<Ending>,
+    why: Option<CloseReason>,
     now_us: u64,
 }
 
@@ -89,7 +89,7 @@
     id: RpcId,
     body: Vec<u8>,
     until_us: u64,
-    post: Post,
+    post: EventSender,
 }
 
 impl AjpUpstreamClient {
@@ -219,10 +219,10 @@
     }
 }
 
-impl Beneath for AjpUpstreamClient {
-    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
+impl UpstreamClient for AjpUpstreamClient {
+    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
         // A second call of an RPC stands in the place of the first.
-        self.give_up(id);
+        self.cancel_call(id);
         let until_us = self.0.clock.now_us() + wait_ms * 1_000;
         let call = HeldCall { id: id.clone(), until_us, body: body.to_vec(), again, post };
         if let Some(held) = &mut self.0.lock().held {
@@ -231,12 +231,12 @@
         self.0.place(call);
     }
 
-    fn closed_us(&self) -> Option<u64> {
+    fn unavailable_for_us(&self) -> Option<u64> {
         self.0.with(|places, hands| places.unavailable_for_us(hands.now_us))
     }
 
     /// Connections by AJP do not move: a call is under way on each that carries one.
-    fn hold(&self, hold: bool) {
+    fn set_calls_paused(&self, hold: bool) {
         let held = {
             let mut state = self.0.lock();
             let held = state.held.take().unwrap_or_default();
@@ -246,11 +246,11 @@
         held.into_iter().for_each(|call| self.0.place(call));
     }
 
-    fn is_unmovable(&self) -> bool {
+    fn has_unmovable_calls(&self) -> bool {
         self.0.lock().places.open_calls() > 0
     }
 
-    fn keep(&self) -> (UpstreamRecord, Vec<RawFd>) {
+    fn snapshot(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
         // Those that only wait for a connection were not written, and are placed anew.
         let written = |link: &Link| link.call.filter(|_| link.life.wrote());
@@ -259,11 +259,11 @@
         (UpstreamRecord { links: Vec::new(), lost: lost.filter_map(name).collect() }, Vec::new())
     }
 
-    fn nudge(&self) {
+    fn recheck_connections(&self) {
         self.0.lock().hands.links.values().for_each(|link| link.send_queue.wake());
     }
 
-    fn give_up(&self, id: &str) {
+    fn cancel_call(&self, id: &str) {
         if let Some(held) = &mut self.0.lock().held {
             held.retain(|call| *call.id != *id);
         }
@@ -337,18 +337,18 @@
             }
         };
         match ending {
-            Ending::Idle => tracing::debug!(part = "below", place = %at, "{ending}"),
+            CloseReason::Idle => tracing::debug!(part = "below", place = %at, "{ending}"),
             _ => tracing::warn!(part = "below", place = %at, "{ending}"),
         }
     }
 
     /// A connection ended that was not let go by us.
-    fn end(&self, link: ConnectionId, ending: &Ending) {
+    fn end(&self, link: ConnectionId, ending: &CloseReason) {
         self.with(|places, hands| {
             let Some(of) = hands.links.remove(&link) else { return };
             let how = match (of.life.wrote(), ending) {
                 (true, _) => Disconnect::AfterWrite,
-                (false, Ending::Silent) => Disconnect::PingTimedOut,
+                (false, CloseReason::TimedOut) => Disconnect::PingTimedOut,
                 (false, _) => Disconnect::BeforeWrite,
             };
             hands.why = Some(ending.clone());
@@ -417,18 +417,20 @@
         self.put(&inner, link, &wanted);
     }
 
-    fn complete(&mut self, call: CallId, end: CallResult) {
+    fn complete(&mut self, call: CallId, end: PoolCallResult) {
         let Some(Call { id, post, .. }) = self.calls.remove(&call) else { return };
         self.ids.remove(&id);
         let end = match end {
-            CallResult::Unsent => CallEnd::Unsent,
-            CallResult::Broken => CallEnd::Link(self.why.clone().unwrap_or(Ending::Closed)),
-            CallResult::Replied => match self.reply.take() {
-                Some(reply) => CallEnd::of_status(reply.status, reply.never_ran, reply.body),
-                None => CallEnd::Failed,
+            PoolCallResult::Unsent => CallResult::Unsent,
+            PoolCallResult::Broken => {
+                CallResult::ConnectionClosed(self.why.clone().unwrap_or(CloseReason::ClosedByPeer))
+            }
+            PoolCallResult::Replied => match self.reply.take() {
+                Some(reply) => CallResult::from_status(reply.status, reply.never_ran, reply.body),
+                None => CallResult::Failed,
             },
         };
-        post.send(Next::CallEnded(end));
+        post.send(RequestEvent::CallEnded(end));
     }
 
     fn close(&mut self, link: ConnectionId) {
@@ -498,15 +500,15 @@
     }
 }
 
-fn ending(why: End) -> Ending {
+fn ending(why: End) -> CloseReason {
     match why {
-        End::Closed | End::Spent => Ending::Closed,
-        End::Failed => Ending::Broken(std::io::ErrorKind::Other),
-        End::Broken(why) => Ending::Malformed(why.to_string()),
-        End::TooLong => Ending::TooLong,
-        End::TooShort => Ending::Malformed("an answer shorter than it said".into()),
-        End::Silent => Ending::Silent,
-        End::Idle | End::GivenUp => Ending::Idle,
+        End::Closed | End::Spent => CloseReason::ClosedByPeer,
+        End::Failed => CloseReason::Broken(std::io::ErrorKind::Other),
+        End::Broken(why) => CloseReason::Malformed(why.to_string()),
+        End::TooLong => CloseReason::MessageTooLong,
+        End::TooShort => CloseReason::Malformed("an answer shorter than it said".into()),
+        End::Silent => CloseReason::TimedOut,
+        End::Idle | End::GivenUp => CloseReason::Idle,
     }
 }
 
@@ -518,12 +520,12 @@
 
 impl Replies<'_> {
     /// Lets the life act, and tells the module what came of it. An ending is the stream's.
-    fn life(&self, what: impl FnOnce(&mut Life, u64, &mut Wanted)) -> Result<(), Ending> {
+    fn life(&self, what: impl FnOnce(&mut Life, u64, &mut Wanted)) -> Result<(), CloseReason> {
         let (inner, link) = (self.inner, self.link);
         inner.with(|places, hands| {
             let now_us = hands.now_us;
             // It was let go: nothing that still comes is anybody's.
-            let Some(of) = hands.links.get_mut(&link) else { return Err(Ending::Idle) };
+            let Some(of) = hands.links.get_mut(&link) else { return Err(CloseReason::Idle) };
             let mut wanted = Wanted::default();
             what(&mut of.life, now_us, &mut wanted);
             hands.put(inner, link, &wanted);
@@ -532,10 +534,10 @@
                 if let Some(of) = hands.links.get_mut(&link) {
                     of.call = None;
                 }
-                let said = match CallEnd::of_status(reply.status, reply.never_ran, Vec::new()) {
-                    CallEnd::Good(_) => ReplyOutcome::Succeeded,
-                    CallEnd::PushedBack => ReplyOutcome::Rejected,
-                    CallEnd::OutOfTime => ReplyOutcome::TimedOut,
+                let said = match CallResult::from_status(reply.status, reply.never_ran, Vec::new()) {
+                    CallResult::Succeeded(_) => ReplyOutcome::Succeeded,
+                    CallResult::Rejected => ReplyOutcome::Rejected,
+                    CallResult::DeadlineExceeded => ReplyOutcome::TimedOut,
                     _ => ReplyOutcome::Failed,
                 };
                 hands.reply = Some(reply);
@@ -547,7 +549,7 @@
             if hands.links.remove(&link).is_some() {
                 let how = match (wrote, &why) {
                     (true, _) => Disconnect::AfterWrite,
-                    (false, Ending::Silent) => Disconnect::PingTimedOut,
+                    (false, CloseReason::TimedOut) => Disconnect::PingTimedOut,
                     (false, _) => Disconnect::BeforeWrite,
                 };
                 hands.why = Some(why.clone());
@@ -559,7 +561,7 @@
 }
 
 impl MessageHandler for Replies<'_> {
-    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         match reply::read(input, self.inner.settings.max_packet_bytes) {
             Ok(Some((message, taken))) => {
                 self.life(|life, now_us, wanted| life.message(now_us, &message, wanted))?;
@@ -571,7 +573,7 @@
             }
             Err(why) => {
                 self.life(|life, _, wanted| life.broken(why, wanted))?;
-                Err(Ending::Malformed(why.to_string()))
+                Err(CloseReason::Malformed(why.to_string()))
             }
         }
     }
--- a/crates/ochrewalk-node/src/net/buffered_connection.rs
+++ b/crates/ochrewalk-node/src/net/buffered_connection.rs
@@ -3,7 +3,7 @@
 //! `may` lets only one coroutine wait on a stream, and a clone of the stream would use a second descriptor. A
 //! single coroutine therefore waits until the stream is readable, the stream is writable, or a line is queued.
 
-use crate::ending::Ending;
+use crate::close_reason::CloseReason;
 use crate::handover::pause::is_paused;
 use crate::handover::records::StreamRecord;
 use crate::panics::contain;
@@ -76,22 +76,22 @@
     /// The peer sends malformed input.
     Faulty,
     /// The peer has exceeded a time limit.
-    Silent,
+    TimedOut,
     /// The peer has a new address. The stream closes once all received input is read; lines that are not partly
     /// written are left for the next stream.
     Moved,
     /// The node drains. The write side is shut once all that was read is answered; later input is read and discarded,
     /// as closing on unread input would reset the connection before the peer has received the answers.
-    Leaving,
+    Draining,
 }
 
 impl CloseRequest {
     const ALL: [CloseRequest; 5] = [
         CloseRequest::Idle,
         CloseRequest::Faulty,
-        CloseRequest::Silent,
+        CloseRequest::TimedOut,
         CloseRequest::Moved,
-        CloseRequest::Leaving,
+        CloseRequest::Draining,
     ];
 }
 
@@ -177,7 +177,7 @@
         // A draining stream is not closed as idle, because later input on it is still read.
         self.update(|queue| {
             let keeps_draining =
-                queue.close_request == Some(CloseRequest::Leaving) && request == CloseRequest::Idle;
+                queue.close_request == Some(CloseRequest::Draining) && request == CloseRequest::Idle;
             queue.close_request = if keeps_draining { queue.close_request } else { Some(request) };
         });
     }
@@ -253,7 +253,7 @@
     /// # Errors
     ///
     /// The connection must be closed for the returned reason.
-    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending>;
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason>;
 
     /// Whether more may be read now. The connection calls this again after each write and after each queued line.
     fn may_read(&self) -> bool {
@@ -276,8 +276,8 @@
     /// # Errors
     ///
     /// The connection must be closed at once for the returned reason.
-    fn on_oversized_message(&mut self) -> Result<(), Ending> {
-        Err(Ending::TooLong)
+    fn on_oversized_message(&mut self) -> Result<(), CloseReason> {
+        Err(CloseReason::MessageTooLong)
     }
 }
 
@@ -306,8 +306,8 @@
 /// Closes a stream for the given reason. Where this side closes it, the write side is shut first, and input is read and
 /// discarded until the peer closes, a bound is reached, or `is_crowded` returns true. Closing on bytes that arrive at
 /// that time would reset the connection and lose the data that is still on its way to the peer.
-pub fn close_gracefully(stream: &TcpStream, ending: &Ending, is_crowded: impl Fn() -> bool) {
-    if !ending.is_ours() || stream.shutdown(Shutdown::Write).is_err() {
+pub fn close_gracefully(stream: &TcpStream, ending: &CloseReason, is_crowded: impl Fn() -> bool) {
+    if !ending.is_closed_locally() || stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
     let until = Instant::now() + LINGER;
@@ -339,9 +339,10 @@
 /// # Errors
 ///
 /// The connection could not be established, or its options could not be set.
-pub fn connect(to: &SocketAddr, timeout: Duration) -> Result<TcpStream, Ending> {
-    let stream = TcpStream::connect_timeout(to, timeout).map_err(|err| Ending::of_connect(&err))?;
-    stream.set_nodelay(true).map_err(|err| Ending::of_use(&err))?;
+pub fn connect(to: &SocketAddr, timeout: Duration) -> Result<TcpStream, CloseReason> {
+    let stream =
+        TcpStream::connect_timeout(to, timeout).map_err(|err| CloseReason::from_connect_error(&err))?;
+    stream.set_nodelay(true).map_err(|err| CloseReason::from_io_error(&err))?;
     Ok(stream)
 }
 
@@ -353,7 +354,7 @@
     first: Option<Vec<u8>>,
     max_message_bytes: usize,
     handler: &mut impl MessageHandler,
-) -> Ending {
+) -> CloseReason {
     send_queue.update(|queue| queue.waker = Some(stream.waker()));
     {
         let mut state = send_queue.lock_stream();
@@ -371,7 +372,7 @@
         let turn = if is_paused() {
             Ok(false)
         } else {
-            let broken = Err(Ending::Broken(ErrorKind::Other));
+            let broken = Err(CloseReason::Broken(ErrorKind::Other));
             contain(|| {
                 let mut state = send_queue.lock_stream();
                 let StreamState { input, writing, .. } = &mut *state;
@@ -419,7 +420,7 @@
     input: &mut Vec<u8>,
     max_message_bytes: usize,
     handler: &mut impl MessageHandler,
-) -> Result<bool, Ending> {
+) -> Result<bool, CloseReason> {
     write(stream, send_queue, writing)?;
     for _ in 0..READS_BEFORE_YIELD {
         if !writing.is_half_closed && !handler.may_read() {
@@ -430,8 +431,8 @@
         let got = stream.inner().read(&mut input[had..]);
         input.truncate(had + *got.as_ref().unwrap_or(&0));
         match got {
-            Ok(0) if writing.is_half_closed => return Err(Ending::Leaving),
-            Ok(0) => return Err(Ending::Closed),
+            Ok(0) if writing.is_half_closed => return Err(CloseReason::Draining),
+            Ok(0) => return Err(CloseReason::ClosedByPeer),
             Ok(_) => {}
             Err(err) if err.kind() == ErrorKind::WouldBlock => {
                 if input.is_empty() {
@@ -442,7 +443,7 @@
                 return close_if_requested(stream, send_queue, writing, handler);
             }
             Err(err) if err.kind() == ErrorKind::Interrupted => continue,
-            Err(err) => return Err(Ending::of_use(&err)),
+            Err(err) => return Err(CloseReason::from_io_error(&err)),
         }
         // Input after the write side is shut is discarded, because an RPC from it could not be answered.
         if writing.is_half_closed {
@@ -473,7 +474,7 @@
     send_queue: &SendQueue,
     writing: &mut WriteState,
     handler: &mut impl MessageHandler,
-) -> Result<bool, Ending> {
+) -> Result<bool, CloseReason> {
     let is_line_sent = writing.sent == writing.line.len();
     handler.on_drained(is_line_sent && send_queue.lock().lines.is_empty());
     let requested = {
@@ -487,20 +488,20 @@
         queue.close_request.filter(is_due)
     };
     let ending = match requested {
-        Some(CloseRequest::Leaving) => {
+        Some(CloseRequest::Draining) => {
             // The write side stays open while an answer is pending, so that the answer can still be written.
-            if !writing.is_half_closed && handler.may_close(CloseRequest::Leaving) {
+            if !writing.is_half_closed && handler.may_close(CloseRequest::Draining) {
                 writing.is_half_closed = true;
                 let _ = stream.shutdown(Shutdown::Write);
             }
             return Ok(false);
         }
         None => return Ok(false),
-        Some(_) if writing.is_half_closed => Ending::Leaving,
-        Some(CloseRequest::Idle) => Ending::Idle,
-        Some(CloseRequest::Faulty) => Ending::Malformed("too many faults".into()),
-        Some(CloseRequest::Silent) => Ending::Silent,
-        Some(CloseRequest::Moved) => return Err(Ending::Moved),
+        Some(_) if writing.is_half_closed => CloseReason::Draining,
+        Some(CloseRequest::Idle) => CloseReason::Idle,
+        Some(CloseRequest::Faulty) => CloseReason::Malformed("too many faults".into()),
+        Some(CloseRequest::TimedOut) => CloseReason::TimedOut,
+        Some(CloseRequest::Moved) => return Err(CloseReason::Moved),
     };
     if requested.is_some_and(|request| handler.may_close(request)) {
         return Err(ending);
@@ -511,7 +512,7 @@
 }
 
 /// Writes queued lines until the queue is empty or the stream would block.
-fn write(stream: &TcpStream, send_queue: &SendQueue, writing: &mut WriteState) -> Result<(), Ending> {
+fn write(stream: &TcpStream, send_queue: &SendQueue, writing: &mut WriteState) -> Result<(), CloseReason> {
     loop {
         if writing.sent == writing.line.len() {
             let next = {
@@ -538,22 +539,22 @@
             }
         }
         match stream.inner().write(&writing.line[writing.sent..]) {
-            Ok(0) => return Err(Ending::Closed),
+            Ok(0) => return Err(CloseReason::ClosedByPeer),
             Ok(wrote) => (writing.sent, writing.stalled_since) = (writing.sent + wrote, None),
             // A connection that is to be closed does not wait for a peer that reads nothing.
             Err(err) if err.kind() == ErrorKind::WouldBlock => {
                 let since = *writing.stalled_since.get_or_insert_with(Instant::now);
                 return match send_queue.lock().close_request {
-                    Some(CloseRequest::Idle | CloseRequest::Faulty | CloseRequest::Silent)
+                    Some(CloseRequest::Idle | CloseRequest::Faulty | CloseRequest::TimedOut)
                         if since.elapsed() >= WRITE_STALL_TIMEOUT =>
                     {
-                        Err(Ending::Silent)
+                        Err(CloseReason::TimedOut)
                     }
                     _ => Ok(()),
                 };
             }
             Err(err) if err.kind() == ErrorKind::Interrupted => {}
-            Err(err) => return Err(Ending::of_use(&err)),
+            Err(err) => return Err(CloseReason::from_io_error(&err)),
         }
     }
 }
--- a/crates/ochrewalk-node/src/net/directory.rs
+++ b/crates/ochrewalk-node/src/net/directory.rs
@@ -2,8 +2,8 @@
 //! or unreachable delays only this coroutine.
 
 use super::buffered_connection::connect;
-use crate::clock::whole_ms;
-use crate::ending::Ending;
+use crate::clock::channel_timeout;
+use crate::close_reason::CloseReason;
 use crate::wire::reports;
 use may::net::TcpStream;
 use may::sync::mpsc::Receiver;
@@ -47,14 +47,14 @@
         }
         has_failed = sent.is_err();
         let rest_us = REPORT_INTERVAL.saturating_sub(from.elapsed()).as_micros() as u64;
-        if changed.recv_timeout(whole_ms(rest_us)) == Err(RecvTimeoutError::Disconnected) {
+        if changed.recv_timeout(channel_timeout(rest_us)) == Err(RecvTimeoutError::Disconnected) {
             return;
         }
         while changed.try_recv().is_ok() {}
     }
 }
 
-fn send_report(at: &SocketAddr, stream: &mut Option<TcpStream>, report: &[u8]) -> Result<(), Ending> {
+fn send_report(at: &SocketAddr, stream: &mut Option<TcpStream>, report: &[u8]) -> Result<(), CloseReason> {
     // The directory may have closed an open connection in the meantime; then a new one is tried at once.
     if let Some(open) = stream {
         match exchange(open, report) {
@@ -63,7 +63,7 @@
                 *stream = None;
                 return Ok(());
             }
-            Err(Ending::Closed | Ending::Broken(_)) => *stream = None,
+            Err(CloseReason::ClosedByPeer | CloseReason::Broken(_)) => *stream = None,
             Err(ending) => return Err(ending),
         }
     }
@@ -75,24 +75,26 @@
 }
 
 /// Writes a report and reads the response. Returns whether the connection may carry another report.
-fn exchange(stream: &mut TcpStream, report: &[u8]) -> Result<bool, Ending> {
+fn exchange(stream: &mut TcpStream, report: &[u8]) -> Result<bool, CloseReason> {
     let set_timeouts = |stream: &TcpStream| {
         stream.set_read_timeout(Some(TIMEOUT)).and_then(|()| stream.set_write_timeout(Some(TIMEOUT)))
     };
-    set_timeouts(stream).and_then(|()| stream.write_all(report)).map_err(|err| Ending::of_use(&err))?;
+    set_timeouts(stream)
+        .and_then(|()| stream.write_all(report))
+        .map_err(|err| CloseReason::from_io_error(&err))?;
     let mut input = Vec::new();
     loop {
         let had = input.len();
         input.resize(had + 1024, 0);
-        let got = stream.read(&mut input[had..]).map_err(|err| Ending::of_use(&err))?;
+        let got = stream.read(&mut input[had..]).map_err(|err| CloseReason::from_io_error(&err))?;
         if got == 0 {
-            return Err(Ending::Closed);
+            return Err(CloseReason::ClosedByPeer);
         }
         input.truncate(had + got);
-        match reports::read(&input).map_err(Ending::Malformed)? {
+        match reports::read(&input).map_err(CloseReason::Malformed)? {
             Some(response) if (200..300).contains(&response.status) => return Ok(response.is_reusable),
-            Some(response) => return Err(Ending::Malformed(format!("status {}", response.status))),
-            None if input.len() > reports::MAX_RESPONSE_BYTES => return Err(Ending::TooLong),
+            Some(response) => return Err(CloseReason::Malformed(format!("status {}", response.status))),
+            None if input.len() > reports::MAX_RESPONSE_BYTES => return Err(CloseReason::MessageTooLong),
             None => {}
         }
     }
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -5,13 +5,13 @@
     close_gracefully, drive_connection, stream_from_descriptor, CloseRequest, MessageHandler, SendQueue,
 };
 use super::listener::{ConnectionListener, MAX_CLOSING};
-use crate::core::{Asked, Core};
-use crate::ending::Ending;
-use crate::gate::Posture;
+use crate::close_reason::CloseReason;
+use crate::coordinator::HealthState;
 use crate::handover::records::{
     ClientAddress, JsonRpcConnectionRecord, JsonRpcConnectionRecords, OpenRpcRecord,
 };
-use crate::seam::{Answer, Asker};
+use crate::interfaces::{Answer, DownstreamClient};
+use crate::shared_state::{ParsedRequest, SharedState};
 use crate::wire::jsonrpc::{self, Message, RevokeTarget};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
@@ -44,7 +44,7 @@
 const AFTER_FAULTS: u32 = 32;
 
 pub struct Dispatchers {
-    core: Arc<Core>,
+    core: Arc<SharedState>,
     most: usize,
     open: Mutex<Connections>,
 }
@@ -92,7 +92,7 @@
 
 impl Dispatchers {
     /// `most` connections at a time.
-    pub fn new(core: Arc<Core>, most: usize) -> Dispatchers {
+    pub fn new(core: Arc<SharedState>, most: usize) -> Dispatchers {
         Dispatchers { core, most, open: Mutex::default() }
     }
 
@@ -117,7 +117,7 @@
     pub fn sweep(&self) {
         loop {
             may::coroutine::sleep(SWEEP);
-            let Posture { idle_us, .. } = self.core.gate.posture();
+            let HealthState { max_idle_us: idle_us, .. } = self.core.coordinator.health_state();
             let bounded = idle_us < self.core.deployment.machine.max_connection_idle_us;
             let idle_us = if bounded { idle_us } else { u64::MAX };
             let now_us = self.core.clock.now_us();
@@ -145,7 +145,7 @@
 
     /// Nothing more is written once what waits is written.
     pub fn request_close(&self) {
-        self.all().iter().for_each(|connection| connection.send_queue.request_close(CloseRequest::Leaving));
+        self.all().iter().for_each(|connection| connection.send_queue.request_close(CloseRequest::Draining));
     }
 
     pub fn count(&self) -> usize {
@@ -153,7 +153,7 @@
     }
 
     /// Has every connection looked at again, as a pause is over.
-    pub fn wake_connections(&self) {
+    pub fn recheck_connections(&self) {
         self.all().iter().for_each(|connection| connection.send_queue.wake());
     }
 
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Who waits for an answer on a connection, as [`Asker::address`] said.
-    pub fn asker(&self, at: &ClientAddress) -> Option<Box<dyn Asker>> {
+    /// Who waits for an answer on a connection, as [`DownstreamClient::address`] said.
+    pub fn client_at(&self, at: &ClientAddress) -> Option<Box<dyn DownstreamClient>> {
         let connection = self.lock().of.get(&at.connection)?.clone();
         Some(Box::new(Caller { core: self.core.clone(), connection, id: at.message_id.as_str().into() }))
     }
@@ -293,7 +293,7 @@
         let goes = open.of[&number].clone();
         drop(open);
         goes.lock().going = true;
-        goes.send_queue.request_close(CloseRequest::Silent);
+        goes.send_queue.request_close(CloseRequest::TimedOut);
         room
     }
 
@@ -306,27 +306,27 @@
 
 /// Who asked, by JSON-RPC.
 struct Caller {
-    core: Arc<Core>,
+    core: Arc<SharedState>,
     connection: Arc<Connection>,
     /// The message's id.
     id: Box<str>,
 }
 
-impl Asker for Caller {
-    fn is_owed(&self) -> bool {
+impl DownstreamClient for Caller {
+    fn awaits_answer(&self) -> bool {
         self.connection.lock().open.contains_key(&self.id)
     }
 
     fn answer(&self, answer: Answer, signal: Option<f64>) {
         let line = match answer {
             Answer::Served(body) => jsonrpc::served(&self.id, body, signal),
-            Answer::PushedBack { last, come_back_us } => {
-                jsonrpc::rejected(&self.id, last, come_back_us.div_ceil(1_000), signal)
+            Answer::Rejected { do_not_retry, retry_after_us } => {
+                jsonrpc::rejected(&self.id, do_not_retry, retry_after_us.div_ceil(1_000), signal)
             }
             Answer::Aborted => jsonrpc::failed(&self.id, signal),
-            Answer::Fault(why) => {
+            Answer::InvalidRequest(why) => {
                 tracing::warn!(part = "json-rpc", "{why}");
-                self.connection.fault();
+                self.connection.record_fault();
                 jsonrpc::error(&self.id, jsonrpc::INVALID_PARAMS, why, "")
             }
         };
@@ -338,11 +338,11 @@
         ClientAddress { by_ajp: false, connection, message_id, serial: 0 }
     }
 
-    fn fault(&self) {
-        self.connection.fault();
+    fn record_fault(&self) {
+        self.connection.record_fault();
     }
 
-    fn proven(&self) {
+    fn mark_trusted(&self) {
         let mut state = self.connection.lock();
         // Guards against a sender whose faults were too many, and who is no longer read: that is final.
         if state.faults < MOST_FAULTS {
@@ -366,7 +366,7 @@
 
     /// What came was no proper RPC. Past a few of them the connection ends once its answers are written: guards
     /// against a flood of what costs its sender nothing.
-    fn fault(&self) {
+    fn record_fault(&self) {
         let mut state = self.lock();
         state.faults += 1;
         if state.faults >= MOST_FAULTS {
@@ -395,8 +395,8 @@
         // Again and again: guards against a peer that takes no answers, and so never wakes its coroutine.
         let finish = if state.faults >= MOST_FAULTS {
             CloseRequest::Faulty
-        } else if state.may_close(CloseRequest::Silent, now_us) {
-            CloseRequest::Silent
+        } else if state.may_close(CloseRequest::TimedOut, now_us) {
+            CloseRequest::TimedOut
         } else if state.may_close(CloseRequest::Idle, now_us) {
             CloseRequest::Idle
         } else {
@@ -443,9 +443,9 @@
         self.open.is_empty()
             && match request {
                 CloseRequest::Faulty => self.faults >= MOST_FAULTS,
-                CloseRequest::Silent => unsaid || self.going,
+                CloseRequest::TimedOut => unsaid || self.going,
                 // The rest of a line may still be on its way; the process's end does not wait for it.
-                CloseRequest::Leaving => self.partial_us.is_none(),
+                CloseRequest::Draining => self.partial_us.is_none(),
                 _ => self.partial_us.is_none() && self.end_by_us.is_some_and(|by_us| now_us >= by_us),
             }
     }
@@ -458,7 +458,7 @@
             Ok(()) => {
                 drive_connection(stream, &connection.send_queue, None, jsonrpc::MAX_LINE_BYTES, &mut reader)
             }
-            Err(err) => Ending::of_use(&err),
+            Err(err) => CloseReason::from_io_error(&err),
         };
         let open = {
             let mut state = connection.lock();
@@ -466,23 +466,25 @@
             std::mem::take(&mut state.open)
         };
         match &ending {
-            Ending::Malformed(_) | Ending::TooLong => tracing::warn!(part = "json-rpc", "{ending}"),
+            CloseReason::Malformed(_) | CloseReason::MessageTooLong => {
+                tracing::warn!(part = "json-rpc", "{ending}")
+            }
             _ => tracing::debug!(part = "json-rpc", "{ending}; {} RPCs open", open.len()),
         }
         // Nobody can be answered there any more.
-        open.values().for_each(|id| self.core.gate.gone(id));
+        open.values().for_each(|id| self.core.coordinator.caller_left(id));
         close_gracefully(stream, &ending, || self.count() >= self.most);
         self.lock().of.remove(&number);
     }
 }
 
 struct Inbound<'a> {
-    core: &'a Arc<Core>,
+    core: &'a Arc<SharedState>,
     connection: &'a Arc<Connection>,
 }
 
 impl MessageHandler for Inbound<'_> {
-    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let Some((line, taken)) = crate::wire::line(input) else {
             let now_us = self.core.clock.now_us();
             self.connection.lock().partial_us.get_or_insert(now_us);
@@ -499,8 +501,8 @@
         !state.deaf && state.after_faults < AFTER_FAULTS && self.connection.send_queue.queued_bytes() < UNREAD
     }
 
-    fn on_oversized_message(&mut self) -> Result<(), Ending> {
-        tracing::warn!(part = "json-rpc", "{}", Ending::TooLong);
+    fn on_oversized_message(&mut self) -> Result<(), CloseReason> {
+        tracing::warn!(part = "json-rpc", "{}", CloseReason::MessageTooLong);
         {
             let mut state = self.connection.lock();
             (state.deaf, state.partial_us) = (true, None);
@@ -518,7 +520,7 @@
 }
 
 impl Inbound<'_> {
-    fn message(&self, message: Message) -> Result<(), Ending> {
+    fn message(&self, message: Message) -> Result<(), CloseReason> {
         let now_us = self.core.clock.now_us();
         {
             let mut state = self.connection.lock();
@@ -540,17 +542,17 @@
                 let Some(method) = self.core.deployment.method(&rpc.method) else {
                     return self.faulty(rpc.id, jsonrpc::METHOD_NOT_FOUND, "unknown method");
                 };
-                let asked = Asked {
+                let asked = ParsedRequest {
                     id: &rpc.req,
                     method,
-                    kb: rpc.kb,
-                    ts_ms: rpc.ts_ms,
-                    left_us: None,
-                    token: rpc.opkey.as_deref(),
+                    memory_kb: rpc.kb,
+                    arrived_unix_ms: rpc.ts_ms,
+                    time_left_us: None,
+                    idempotency_key: rpc.opkey.as_deref(),
                     tenant: None,
                     body: rpc.body.get(),
                 };
-                let incoming = match self.core.check(&asked) {
+                let incoming = match self.core.validate(&asked) {
                     Ok(incoming) => incoming,
                     Err(why) => return self.faulty(rpc.id, jsonrpc::INVALID_PARAMS, why),
                 };
@@ -567,9 +569,12 @@
                 let connection = self.connection.clone();
                 let caller = Caller { core: self.core.clone(), connection, id: rpc.id.into() };
                 if open > MOST_OPEN {
-                    caller.answer(Answer::UNSEEN, self.core.gate.posture().signal);
+                    caller.answer(
+                        Answer::REJECTED_WITHOUT_ADVICE,
+                        self.core.coordinator.health_state().load_signal,
+                    );
                 } else {
-                    self.core.begin(incoming, rpc.body.get(), caller);
+                    self.core.start_request(incoming, rpc.body.get(), caller);
                 }
             }
             Message::Revoke(which) => {
@@ -584,12 +589,13 @@
                     id.and_then(|id| state.open.remove_entry(&id))
                 };
                 if let Some((number, id)) = gone {
-                    self.core.gate.gone(&id);
+                    self.core.coordinator.caller_left(&id);
                     self.connection.send_queue.push(jsonrpc::revoked(&number));
                 }
             }
             Message::Heartbeat { id } => {
-                let Posture { healthy, signal, .. } = self.core.gate.posture();
+                let HealthState { is_healthy: healthy, load_signal: signal, .. } =
+                    self.core.coordinator.health_state();
                 let pass = healthy.unwrap_or(false);
                 self.connection.send_queue.push(jsonrpc::heartbeat(id, pass, signal));
             }
@@ -603,10 +609,10 @@
     }
 
     /// Tells a sender what was wrong; the connection goes on for a while.
-    fn faulty(&self, id: &str, code: i32, why: &'static str) -> Result<(), Ending> {
+    fn faulty(&self, id: &str, code: i32, why: &'static str) -> Result<(), CloseReason> {
         tracing::warn!(part = "json-rpc", "{why}");
         self.connection.send_queue.push(jsonrpc::error(id, code, why, ""));
-        self.connection.fault();
+        self.connection.record_fault();
         Ok(())
     }
 }
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -14,8 +14,8 @@
 use super::buffered_connection::{
     close_gracefully, connect, drive_connection, CloseRequest, MessageHandler, SendQueue,
 };
-use crate::ending::Ending;
-use crate::gate::{Gate, Next, Post};
+use crate::close_reason::CloseReason;
+use crate::coordinator::{EventSender, RequestCoordinator, RequestEvent};
 use crate::handover::records::ExecutorRecord;
 use crate::wire::notices::{self, Notice, RunEnd};
 use base64::prelude::{Engine, BASE64_STANDARD};
@@ -62,7 +62,7 @@
 }
 
 struct Run {
-    post: Post,
+    post: EventSender,
     is_repeatable: bool,
 }
 
@@ -89,7 +89,7 @@
         address: SocketAddr,
         can_pause: bool,
         record: ExecutorRecord,
-        runs: Vec<(RpcId, bool, Post)>,
+        runs: Vec<(RpcId, bool, EventSender)>,
     ) -> Executor {
         let mut executor = Executor::new(address, can_pause);
         let run = |(id, is_repeatable, post)| (id, Run { post, is_repeatable });
@@ -130,7 +130,7 @@
     }
 
     /// Wakes the coroutine of the connection after a pause.
-    pub fn wake_connection(&self) {
+    pub fn recheck_connection(&self) {
         self.send_queue.wake();
     }
 
@@ -144,7 +144,7 @@
 
     /// Starts a run, whose notices are sent to `post`. Where the run `is_repeatable`, the command is repeated without a
     /// proof after a connection broke.
-    pub fn run(&self, id: &RpcId, lane: &str, content: &str, is_repeatable: bool, post: Post) {
+    pub fn run(&self, id: &RpcId, lane: &str, content: &str, is_repeatable: bool, post: EventSender) {
         self.lock().runs.insert(id.clone(), Run { post, is_repeatable });
         self.send_queue.push(notices::exec(id, lane, content));
     }
@@ -193,7 +193,12 @@
 
     /// Maintains the connection forever, and starts with `adopted` where it is given. Sends a message on `up` whenever
     /// the executor has welcomed the node.
-    pub fn maintain_connection(&self, gate: &Gate, up: &Sender<()>, adopted: Option<TcpStream>) {
+    pub fn maintain_connection(
+        &self,
+        coordinator: &RequestCoordinator,
+        up: &Sender<()>,
+        adopted: Option<TcpStream>,
+    ) {
         let mut adopted = adopted;
         loop {
             let from = Instant::now();
@@ -207,7 +212,7 @@
             let first = resumed.is_none().then(|| notices::join(last_read));
             let ending = match resumed.map_or_else(|| connect(&address, CONNECT_TIMEOUT), Ok) {
                 Ok(stream) => {
-                    let mut handler = NoticeHandler { executor: self, gate, up };
+                    let mut handler = NoticeHandler { executor: self, coordinator, up };
                     let ending = drive_connection(
                         &stream,
                         &self.send_queue,
@@ -225,7 +230,7 @@
             };
             let was_up = std::mem::take(&mut self.lock().is_welcomed);
             self.lock().unconfirmed.extend(self.send_queue.take_unconfirmed());
-            if was_up || ending != Ending::Refused {
+            if was_up || ending != CloseReason::Refused {
                 tracing::warn!(part = "executor", place = %address, "connection lost: {ending}; reconnecting");
             }
             may::coroutine::sleep(reconnect_delay(from.elapsed()));
@@ -236,7 +241,7 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn notify(&self, id: &str, next: Next) {
+    fn notify(&self, id: &str, next: RequestEvent) {
         if let Some(run) = self.lock().runs.get(id) {
             run.post.send(next);
         }
@@ -244,7 +249,7 @@
 
     fn end_run(&self, id: &str, end: RunEnd, content: Option<Arc<str>>) {
         if let Some(run) = self.lock().runs.remove(id) {
-            run.post.send(Next::RunEnded(end, content));
+            run.post.send(RequestEvent::RunEnded(end, content));
         }
     }
 
@@ -299,7 +304,12 @@
         is_new
     }
 
-    fn handle_notice(&self, gate: &Gate, up: &Sender<()>, notice: Notice) -> Result<(), Ending> {
+    fn handle_notice(
+        &self,
+        coordinator: &RequestCoordinator,
+        up: &Sender<()>,
+        notice: Notice,
+    ) -> Result<(), CloseReason> {
         match notice {
             Notice::Welcome { is_cold, uptime_us } => {
                 tracing::info!(
@@ -310,7 +320,7 @@
                 );
                 self.lock().is_welcomed = true;
                 self.pause_unconfirmed_starts();
-                gate.open(is_cold, uptime_us);
+                coordinator.activate(is_cold, uptime_us);
                 let _ = up.send(());
             }
             Notice::Exit { pos, uid, end, content } if self.is_new(pos) => {
@@ -318,10 +328,10 @@
             }
             Notice::Callout { pos, uid, content } if self.is_new(pos) => {
                 let text: std::borrow::Cow<str> = serde_json::from_str(content.get())
-                    .map_err(|err| Ending::Malformed(format!("CALLOUT: {err}")))?;
+                    .map_err(|err| CloseReason::Malformed(format!("CALLOUT: {err}")))?;
                 let body = BASE64_STANDARD
                     .decode(text.as_bytes())
-                    .map_err(|err| Ending::Malformed(format!("CALLOUT: {err}")))?;
+                    .map_err(|err| CloseReason::Malformed(format!("CALLOUT: {err}")))?;
                 // The run has continued, so the executor has read its unconfirmed commands, and those on the current
                 // connection that let it continue. They are not repeated, even if this connection breaks: a repeated
                 // reply would reach a later call of the run.
@@ -333,7 +343,7 @@
                 self.lock()
                     .unconfirmed
                     .retain(|line| notices::action_and_run(line).is_none_or(|(_, run)| run != uid));
-                self.notify(&uid, Next::NeedsCall { pos, body });
+                self.notify(&uid, RequestEvent::CallNeeded { pos, body });
             }
             Notice::Meters { echo, meters } => {
                 let Ok(tag) = echo.parse() else { return Ok(()) };
@@ -379,16 +389,16 @@
 /// The handler of the notices on one connection.
 struct NoticeHandler<'a> {
     executor: &'a Executor,
-    gate: &'a Gate,
+    coordinator: &'a RequestCoordinator,
     up: &'a Sender<()>,
 }
 
 impl MessageHandler for NoticeHandler<'_> {
-    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let Some((line, taken)) = crate::wire::line(input) else { return Ok(0) };
         if !line.is_empty() {
-            let notice = notices::read(line).map_err(Ending::Malformed)?;
-            self.executor.handle_notice(self.gate, self.up, notice)?;
+            let notice = notices::read(line).map_err(CloseReason::Malformed)?;
+            self.executor.handle_notice(self.coordinator, self.up, notice)?;
         }
         Ok(taken)
     }
--- a/crates/ochrewalk-node/src/net/line_upstream.rs
+++ b/crates/ochrewalk-node/src/net/line_upstream.rs
@@ -8,10 +8,10 @@
     SendQueue,
 };
 use crate::clock::Clock;
-use crate::ending::{CallEnd, Ending};
-use crate::gate::{Next, Post};
+use crate::close_reason::{CallResult, CloseReason};
+use crate::coordinator::{EventSender, RequestEvent};
 use crate::handover::records::{UpstreamConnectionRecord, UpstreamRecord};
-use crate::seam::Beneath;
+use crate::interfaces::UpstreamClient;
 use crate::wire::calls::{self, Status};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
@@ -56,7 +56,7 @@
 }
 
 struct ConnectionState {
-    calls: HashMap<RpcId, Post>,
+    calls: HashMap<RpcId, EventSender>,
     used_us: u64,
     /// The time since which a reply is incomplete.
     partial_since_us: Option<u64>,
@@ -89,16 +89,16 @@
     }
 }
 
-impl Beneath for LineUpstreamClient {
-    fn call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: Post) {
+impl UpstreamClient for LineUpstreamClient {
+    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
         self.0.call(id, wait_ms, body, again, post);
     }
 
-    fn give_up(&self, id: &str) {
-        self.0.give_up(id);
+    fn cancel_call(&self, id: &str) {
+        self.0.cancel_call(id);
     }
 
-    fn keep(&self) -> (UpstreamRecord, Vec<RawFd>) {
+    fn snapshot(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
         let (mut connections, mut descriptors) = (Vec::new(), Vec::new());
         // A connection that is not established yet has written nothing; its calls are started again.
@@ -120,14 +120,19 @@
         (UpstreamRecord { links: connections, lost: Vec::new() }, descriptors)
     }
 
-    fn nudge(&self) {
+    fn recheck_connections(&self) {
         self.0.lock().connections.iter().for_each(|connection| connection.send_queue.wake());
     }
 }
 
 impl LineUpstreamClient {
     /// Resumes the connections of another process. `posts` are those of the RPCs whose calls the connections carry.
-    pub fn resume(&self, record: UpstreamRecord, descriptors: Vec<OwnedFd>, posts: &HashMap<RpcId, Post>) {
+    pub fn resume(
+        &self,
+        record: UpstreamRecord,
+        descriptors: Vec<OwnedFd>,
+        posts: &HashMap<RpcId, EventSender>,
+    ) {
         let mut state = self.0.lock();
         for (record, descriptor) in record.links.into_iter().zip(descriptors) {
             let post =
@@ -153,7 +158,7 @@
 impl Connections {
     /// Starts a call. A call that is not `is_repeatable` gets a new connection, because the upstream may have dropped the
     /// state of an idle one, which would leave it unknown whether the call ran.
-    fn call(self: &Arc<Self>, id: &RpcId, wait_ms: u64, body: &[u8], is_repeatable: bool, post: Post) {
+    fn call(self: &Arc<Self>, id: &RpcId, wait_ms: u64, body: &[u8], is_repeatable: bool, post: EventSender) {
         let mut state = self.lock();
         let now_us = self.clock.now_us();
         let has_capacity = state.connections.len() < self.max_connections;
@@ -196,7 +201,7 @@
         connection.send_queue.push(calls::call(id, wait_ms, body));
     }
 
-    fn give_up(&self, id: &str) {
+    fn cancel_call(&self, id: &str) {
         let Some(connection) = self.connection_of(id) else { return };
         if connection.lock().calls.remove(id).is_some() {
             connection.send_queue.push(calls::cancel(id));
@@ -210,7 +215,7 @@
             let now_us = self.clock.now_us();
             let idle_us = now_us.saturating_sub(inner.used_us);
             if inner.partial_since_us.is_some_and(|from_us| now_us >= from_us + REPLY_TIMEOUT_US) {
-                connection.send_queue.request_close(CloseRequest::Silent);
+                connection.send_queue.request_close(CloseRequest::TimedOut);
             } else if inner.calls.is_empty()
                 && (idle_us >= MAX_IDLE_US || connection.address != state.address)
             {
@@ -249,8 +254,12 @@
         }
         for (id, post) in calls {
             // A call that was not written completely never ran, for whatever reason the connection closed.
-            let end = if was_never_written(&id) { CallEnd::Unsent } else { CallEnd::Link(ending.clone()) };
-            post.send(Next::CallEnded(end));
+            let end = if was_never_written(&id) {
+                CallResult::Unsent
+            } else {
+                CallResult::ConnectionClosed(ending.clone())
+            };
+            post.send(RequestEvent::CallEnded(end));
         }
         if let Ok(stream) = stream {
             close_gracefully(&stream, &ending, || self.lock().connections.len() >= self.max_connections);
@@ -279,9 +288,9 @@
 }
 
 impl MessageHandler for ReplyHandler<'_> {
-    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let now_us = self.connections.clock.now_us();
-        let Some((reply, taken)) = calls::read(input).map_err(Ending::Malformed)? else {
+        let Some((reply, taken)) = calls::read(input).map_err(CloseReason::Malformed)? else {
             self.connection.lock().partial_since_us.get_or_insert(now_us);
             return Ok(0);
         };
@@ -292,12 +301,12 @@
         };
         // A call that was cancelled may still be answered.
         if let Some(post) = post {
-            post.send(Next::CallEnded(match reply.status {
-                Status::Ok => CallEnd::Good(reply.body.to_vec()),
-                Status::Busy => CallEnd::PushedBack,
-                Status::Err => CallEnd::Failed,
-                Status::Late => CallEnd::OutOfTime,
-                Status::Void => CallEnd::Moot,
+            post.send(RequestEvent::CallEnded(match reply.status {
+                Status::Ok => CallResult::Succeeded(reply.body.to_vec()),
+                Status::Busy => CallResult::Rejected,
+                Status::Err => CallResult::Failed,
+                Status::Late => CallResult::DeadlineExceeded,
+                Status::Void => CallResult::NoLongerNeeded,
             }));
         }
         Ok(taken)
@@ -307,7 +316,7 @@
         let inner = self.connection.lock();
         let now_us = self.connections.clock.now_us();
         match request {
-            CloseRequest::Silent => {
+            CloseRequest::TimedOut => {
                 inner.partial_since_us.is_some_and(|from_us| now_us >= from_us + REPLY_TIMEOUT_US)
             }
             _ => inner.calls.is_empty() && inner.partial_since_us.is_none(),
--- a/crates/ochrewalk-node/src/net/listener.rs
+++ b/crates/ochrewalk-node/src/net/listener.rs
@@ -2,7 +2,7 @@
 //! connection.
 
 use super::buffered_connection::{accept, stream_from_descriptor};
-use crate::ending::out_of_room;
+use crate::close_reason::is_out_of_resources;
 use may::net::{TcpListener, TcpStream};
 use socket2::SockRef;
 use std::net::{IpAddr, Shutdown};
@@ -97,7 +97,7 @@
             }
             Err(err) => {
                 tracing::warn!(part, "failed to accept a connection: {err}");
-                may::coroutine::sleep(if out_of_room(&err) {
+                may::coroutine::sleep(if is_out_of_resources(&err) {
                     EXHAUSTION_DELAY
                 } else {
                     Duration::from_millis(1)
--- a/crates/ochrewalk-node/tests/link.rs
+++ b/crates/ochrewalk-node/tests/link.rs
@@ -1,7 +1,7 @@
 //! Tests that a buffered connection reads the received input before it closes as idle, silent, faulty or moved.
 
 use may::net::{TcpListener, TcpStream};
-use ochrewalk_node::ending::Ending;
+use ochrewalk_node::close_reason::CloseReason;
 use ochrewalk_node::net::buffered_connection::{drive_connection, CloseRequest, MessageHandler, SendQueue};
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 }
 
 impl MessageHandler for LineRecorder {
-    fn handle_message(&mut self, input: &[u8]) -> Result<usize, Ending> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         let Some((line, taken)) = ochrewalk_node::wire::line(input) else { return Ok(0) };
         self.received.push(String::from_utf8_lossy(line).into_owned());
         Ok(taken)
@@ -33,7 +33,7 @@
     request: CloseRequest,
     always_agrees: bool,
     sent: &'static str,
-) -> (Vec<String>, Ending) {
+) -> (Vec<String>, CloseReason) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     peer.write_all(sent.as_bytes()).unwrap();
@@ -59,10 +59,10 @@
 fn unread_input_is_read_before_a_connection_closes() {
     let two = "one\ntwo\n";
     for (request, ending) in [
-        (CloseRequest::Idle, Ending::Idle),
-        (CloseRequest::Silent, Ending::Silent),
-        (CloseRequest::Faulty, Ending::Malformed("too many faults".into())),
-        (CloseRequest::Moved, Ending::Moved),
+        (CloseRequest::Idle, CloseReason::Idle),
+        (CloseRequest::TimedOut, CloseReason::TimedOut),
+        (CloseRequest::Faulty, CloseReason::Malformed("too many faults".into())),
+        (CloseRequest::Moved, CloseReason::Moved),
     ] {
         assert_eq!(
             close_with_unread_input(request, true, ""),
@@ -75,7 +75,7 @@
         if request != CloseRequest::Moved {
             assert_eq!(
                 close_with_unread_input(request, false, two),
-                (received, Ending::Closed),
+                (received, CloseReason::ClosedByPeer),
                 "{request:?}, not agreed"
             );
         }
@@ -99,5 +99,5 @@
         (ending, send_queue.queued_lines())
     });
     assert_eq!(peer.read(&mut [0; 16]).unwrap(), 0, "nothing is written, and the connection closes");
-    assert_eq!(handle.join().unwrap(), (Ending::Moved, vec![b"later\n".to_vec()]));
+    assert_eq!(handle.join().unwrap(), (CloseReason::Moved, vec![b"later\n".to_vec()]));
 }
--- a/crates/ochrewalk-node/tests/wire.rs
+++ b/crates/ochrewalk-node/tests/wire.rs
@@ -2,9 +2,9 @@
 
 use ochrewalk::deployment::Placement;
 use ochrewalk::host::Outcome;
-use ochrewalk_node::clock::since_us;
-use ochrewalk_node::ending::{CallEnd, Ending};
-use ochrewalk_node::keys::{Keys, Known, State};
+use ochrewalk_node::clock::age_us;
+use ochrewalk_node::close_reason::{CallResult, CloseReason};
+use ochrewalk_node::idempotency_keys::{IdempotencyKeyStore, KeyLookup, KeyState};
 use ochrewalk_node::net::executor::reconnect_delay;
 use ochrewalk_node::wire::calls::{self, Status};
 use ochrewalk_node::wire::jsonrpc::{self, Message, RevokeTarget};
@@ -199,32 +199,32 @@
 
 #[test]
 fn only_a_failed_connect_proves_that_a_call_never_ran() {
-    let refused = Ending::of_connect(&Error::from(ErrorKind::ConnectionRefused));
-    assert_eq!(refused, Ending::Refused);
-    assert_eq!(Ending::of_connect(&Error::from_raw_os_error(24)), Ending::NoRoom);
+    let refused = CloseReason::from_connect_error(&Error::from(ErrorKind::ConnectionRefused));
+    assert_eq!(refused, CloseReason::Refused);
+    assert_eq!(CloseReason::from_connect_error(&Error::from_raw_os_error(24)), CloseReason::OutOfResources);
     for (ending, proof) in [
         (refused, true),
-        (Ending::NoRoom, true),
-        (Ending::of_connect(&Error::from(ErrorKind::TimedOut)), true),
-        (Ending::of_use(&Error::from(ErrorKind::ConnectionReset)), false),
-        (Ending::Closed, false),
-        (Ending::Idle, false),
-        (Ending::Silent, false),
-        (Ending::TooLong, false),
-        (Ending::Malformed("x".into()), false),
-        (Ending::Leaving, false),
+        (CloseReason::OutOfResources, true),
+        (CloseReason::from_connect_error(&Error::from(ErrorKind::TimedOut)), true),
+        (CloseReason::from_io_error(&Error::from(ErrorKind::ConnectionReset)), false),
+        (CloseReason::ClosedByPeer, false),
+        (CloseReason::Idle, false),
+        (CloseReason::TimedOut, false),
+        (CloseReason::MessageTooLong, false),
+        (CloseReason::Malformed("x".into()), false),
+        (CloseReason::Draining, false),
     ] {
         assert_eq!(ending.outcome().never_ran(), proof, "{ending}");
-        assert_eq!(CallEnd::Link(ending).outcome().never_ran(), proof);
+        assert_eq!(CallResult::ConnectionClosed(ending).outcome().never_ran(), proof);
     }
     for (end, outcome) in [
-        (CallEnd::Good(vec![]), Outcome::Ok),
-        (CallEnd::PushedBack, Outcome::Rejected),
-        (CallEnd::Failed, Outcome::Error),
-        (CallEnd::OutOfTime, Outcome::TimedOut),
-        (CallEnd::Late, Outcome::TimedOut),
-        (CallEnd::Moot, Outcome::NotStarted),
-        (CallEnd::Unsent, Outcome::Unreachable),
+        (CallResult::Succeeded(vec![]), Outcome::Ok),
+        (CallResult::Rejected, Outcome::Rejected),
+        (CallResult::Failed, Outcome::Error),
+        (CallResult::DeadlineExceeded, Outcome::TimedOut),
+        (CallResult::TimedOut, Outcome::TimedOut),
+        (CallResult::NoLongerNeeded, Outcome::NotStarted),
+        (CallResult::Unsent, Outcome::Unreachable),
     ] {
         assert_eq!(end.outcome(), outcome);
     }
@@ -232,37 +232,40 @@
 
 #[test]
 fn an_idempotency_key_is_found_within_its_window_and_waits_for_its_run() {
-    let mut keys = Keys::new(10);
+    let mut keys = IdempotencyKeyStore::new(10);
     keys.remember("k".into(), 7, "a".into(), 1_000);
-    let same = || Known::Same("a".into());
-    for (ts, known) in [(0, same()), (1_000, same()), (1_050, same()), (1_051, Known::No)] {
+    let same = || KeyLookup::SameRequest("a".into());
+    for (ts, known) in [(0, same()), (1_000, same()), (1_050, same()), (1_051, KeyLookup::Unknown)] {
         assert_eq!(keys.find("k", 7, ts), known, "{ts}");
     }
-    assert_eq!(keys.find("other", 7, 0), Known::No);
-    assert_eq!(keys.find("k", 8, 0), Known::Other { ran: false });
-    assert_eq!(keys.share(&"k".into(), &"b".into()), State::Open);
+    assert_eq!(keys.find("other", 7, 0), KeyLookup::Unknown);
+    assert_eq!(keys.find("k", 8, 0), KeyLookup::OtherRequest { has_run: false });
+    assert_eq!(keys.share(&"k".into(), &"b".into()), KeyState::Open);
     assert!(
-        keys.settle(&"k".into(), "not-a", State::Failed).is_empty(),
+        keys.record_outcome(&"k".into(), "not-a", KeyState::Failed).is_empty(),
         "only the holder may settle the key"
     );
-    assert_eq!(keys.settle(&"k".into(), "a", State::Served("12345678".into())), vec!["b".into()]);
-    assert_eq!(keys.share(&"k".into(), &"c".into()), State::Served("12345678".into()));
-    assert_eq!(keys.find("k", 8, 0), Known::Other { ran: true });
+    assert_eq!(keys.record_outcome(&"k".into(), "a", KeyState::Served("12345678".into())), vec!["b".into()]);
+    assert_eq!(keys.share(&"k".into(), &"c".into()), KeyState::Served("12345678".into()));
+    assert_eq!(keys.find("k", 8, 0), KeyLookup::OtherRequest { has_run: true });
     // Beyond the byte limit the oldest result is evicted; the fact that the RPC ran is retained.
     keys.remember("l".into(), 7, "d".into(), 2_000);
-    keys.settle(&"l".into(), "d", State::Served("12345".into()));
-    assert_eq!(keys.share(&"k".into(), &"e".into()), State::Failed);
-    assert_eq!(keys.share(&"l".into(), &"f".into()), State::Served("12345".into()));
+    keys.record_outcome(&"l".into(), "d", KeyState::Served("12345".into()));
+    assert_eq!(keys.share(&"k".into(), &"e".into()), KeyState::Failed);
+    assert_eq!(keys.share(&"l".into(), &"f".into()), KeyState::Served("12345".into()));
     // Only the holder's own id removes the key, together with the RPCs that wait for it.
     keys.remember("l".into(), 7, "g".into(), 3_000);
     keys.share(&"l".into(), &"h".into());
     assert!(keys.forget("l", "d").is_empty());
     assert_eq!(keys.forget("l", "g"), vec!["h".into()]);
-    assert_eq!(keys.find("l", 7, 0), Known::No);
+    assert_eq!(keys.find("l", 7, 0), KeyLookup::Unknown);
     // A key whose run is open outlives its window; a settled key expires.
     keys.remember("m".into(), 7, "i".into(), 5_000);
-    keys.sweep(1_000_000);
-    assert_eq!((keys.find("k", 7, 0), keys.find("m", 7, 0)), (Known::No, Known::Same("i".into())));
+    keys.remove_expired(1_000_000);
+    assert_eq!(
+        (keys.find("k", 7, 0), keys.find("m", 7, 0)),
+        (KeyLookup::Unknown, KeyLookup::SameRequest("i".into()))
+    );
 }
 
 #[test]
@@ -270,7 +273,8 @@
     // Random operations, with chunks transferred between them.
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut keys, mut next, mut after) = (Keys::new(400), Keys::new(usize::MAX), None);
+        let (mut keys, mut next, mut after) =
+            (IdempotencyKeyStore::new(400), IdempotencyKeyStore::new(usize::MAX), None);
         let mut has_begun = false;
         for step in 0..200u64 {
             let key: std::sync::Arc<str> = format!("t{}", rng.u32(0..40)).into();
@@ -279,35 +283,39 @@
                 0 | 1 => keys.remember(key, 7, holder.as_str().into(), rng.u64(0..50) * 1_000),
                 2 => drop(keys.forget(&key, &holder)),
                 3 => drop(keys.share(&key, &format!("r{step}").as_str().into())),
-                4 => drop(keys.settle(&key, &holder, State::Served("x".repeat(rng.usize(0..30)).into()))),
-                _ => drop(keys.settle(&key, &holder, State::Failed)),
+                4 => drop(keys.record_outcome(
+                    &key,
+                    &holder,
+                    KeyState::Served("x".repeat(rng.usize(0..30)).into()),
+                )),
+                _ => drop(keys.record_outcome(&key, &holder, KeyState::Failed)),
             }
             if step >= 100 && step % 5 == 0 && (after.is_some() || !has_begun) {
                 has_begun = true;
-                after = keys.keep_ahead(after.as_ref(), 3).map(|(chunk, last)| {
-                    next.take(chunk, &[]);
+                after = keys.export_batch(after.as_ref(), 3).map(|(chunk, last)| {
+                    next.import(chunk, &[]);
                     last
                 });
             }
         }
         while let Some(from) = after {
-            after = keys.keep_ahead(Some(&from), 3).map(|(chunk, last)| {
-                next.take(chunk, &[]);
+            after = keys.export_batch(Some(&from), 3).map(|(chunk, last)| {
+                next.import(chunk, &[]);
                 last
             });
         }
-        let (changed, removed) = keys.keep_changed();
-        next.take(changed, &removed);
-        next.limit(400);
-        let sorted = |keys: &Keys| {
-            let mut all = keys.keep();
+        let (changed, removed) = keys.export_changed();
+        next.import(changed, &removed);
+        next.set_max_result_bytes(400);
+        let sorted = |keys: &IdempotencyKeyStore| {
+            let mut all = keys.export_all();
             all.sort_by(|a, b| a.key.cmp(&b.key));
             all
         };
         assert_eq!(sorted(&next), sorted(&keys), "{seed}");
         // Both expire the same keys.
-        keys.sweep(40_000);
-        next.sweep(40_000);
+        keys.remove_expired(40_000);
+        next.remove_expired(40_000);
         assert_eq!(sorted(&next), sorted(&keys), "{seed}");
     }
 }
@@ -317,7 +325,7 @@
     for (now_ms, ts_ms, wanted_us) in
         [(1_500, 1_000, 500_000), (1_000, 1_500, 0), (u64::MAX, 0, 7_000_000), (9_000, 1_000, 7_000_000)]
     {
-        assert_eq!(since_us(now_ms, ts_ms, 7_000_000), wanted_us);
+        assert_eq!(age_us(now_ms, ts_ms, 7_000_000), wanted_us);
     }
 }
 
