--- a/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -28,8 +28,8 @@
         {
             let (fd, stream) = connection.send_queue.snapshot()?;
             let state = connection.lock();
-            let (life, spoke, faults) = state.life.keep();
-            let (kind, since_us, got, stated, flag) = match life {
+            let (machine_state, spoke, faults) = state.state_machine.keep();
+            let (kind, since_us, got, stated, flag) = match machine_state {
                 State::Idle { since_us } => (0, since_us, 0, None, false),
                 State::Head { since_us } => (1, since_us, 0, None, false),
                 State::Body { since_us, got, of } => {
@@ -76,7 +76,7 @@
         let mut resumed = Vec::new();
         for (record, descriptor) in records.connections.into_iter().zip(descriptors) {
             let (since_us, flag) = (record.since_us, record.flag);
-            let life = match record.state {
+            let machine_state = match record.state {
                 0 => State::Idle { since_us },
                 1 => State::Head { since_us },
                 2 => {
@@ -89,7 +89,7 @@
                 _ => State::Over,
             };
             let state = ConnectionState {
-                life: Life::resume(self.bounds(), life, record.spoke, record.faults),
+                state_machine: Life::resume(self.bounds(), machine_state, record.spoke, record.faults),
                 request: record.request.map(pending_request),
                 body: record.body,
                 rpc: record.rpc.map(id),
--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -58,18 +58,18 @@
         let (mut actions, mut allow) = (RequestedActions::default(), Vec::new());
         let taken = {
             let mut state = self.connection.lock();
-            if state.life.drops() || !state.life.reads() {
+            if state.state_machine.drops() || !state.state_machine.reads() {
                 return Ok(input.len());
             }
             let now_us = self.ingress.core.clock.now_us();
-            let taken = if state.life.awaits_piece() {
+            let taken = if state.state_machine.awaits_piece() {
                 self.piece(&mut state, now_us, input, &mut actions)
             } else {
                 self.message(&mut state, now_us, input, &mut actions, &mut allow)
             };
             match taken {
                 Ok(0) => {
-                    state.life.partial(now_us);
+                    state.state_machine.partial(now_us);
                     0
                 }
                 Ok(taken) => {
@@ -78,7 +78,7 @@
                 }
                 // The start of the next packet is unknown; a pending answer is still sent.
                 Err(error) => {
-                    state.life.broken(error, &mut actions);
+                    state.state_machine.broken(error, &mut actions);
                     input.len()
                 }
             }
@@ -88,11 +88,11 @@
     }
 
     fn may_read(&self) -> bool {
-        self.connection.lock().life.reads()
+        self.connection.lock().state_machine.reads()
     }
 
     fn may_close(&self, request: CloseRequest) -> bool {
-        request != CloseRequest::Draining || !self.connection.lock().life.owes()
+        request != CloseRequest::Draining || !self.connection.lock().state_machine.owes()
     }
 
     fn on_drained(&mut self, is_flushed: bool) {
@@ -101,13 +101,13 @@
             let mut state = self.connection.lock();
             let now_us = self.ingress.core.clock.now_us();
             if is_flushed {
-                state.life.written(now_us);
+                state.state_machine.written(now_us);
             }
             if std::mem::take(&mut state.is_evicted) {
-                state.life.make_room(&mut actions);
+                state.state_machine.make_room(&mut actions);
             }
-            state.life.empty(now_us, &mut actions);
-            is_flushed && state.life.drops()
+            state.state_machine.empty(now_us, &mut actions);
+            is_flushed && state.state_machine.drops()
         };
         if is_closing && actions.end.is_none() {
             // The last answer is written. Only the write side is shut, because a full close on later input would reset
@@ -132,7 +132,7 @@
         if state.body.len() + piece.len() <= MAX_BODY_BYTES as usize {
             state.body.extend_from_slice(piece);
         }
-        state.life.piece(now_us, piece.len() as u64, actions);
+        state.state_machine.piece(now_us, piece.len() as u64, actions);
         Ok(taken)
     }
 
@@ -152,12 +152,12 @@
                 // The configuration in force now applies to this request as a whole.
                 let config = self.ingress.config();
                 let judged = config.rules.judge(&request);
-                if !state.life.owes() {
+                if !state.state_machine.owes() {
                     state.body.clear();
                     state.request = None;
                 }
                 match judged {
-                    Ok((asks, body)) if !state.life.owes() => {
+                    Ok((asks, body)) if !state.state_machine.owes() => {
                         let tenant = match &asks {
                             Asks::Method(Method { tenant: Some(tenant), .. }) => {
                                 self.ingress.quota(&config, tenant)
@@ -166,16 +166,16 @@
                         };
                         let read_ms = self.ingress.core.clock.unix_ms();
                         state.request = Some(PendingRequest { asks, read_ms, tenant });
-                        state.life.request(now_us, Ok(body), actions);
+                        state.state_machine.request(now_us, Ok(body), actions);
                     }
-                    Ok((_, body)) => state.life.request(now_us, Ok(body), actions),
+                    Ok((_, body)) => state.state_machine.request(now_us, Ok(body), actions),
                     Err(No { refusal, allow: of, last }) => {
                         *allow = of;
                         let has_body = request.body_length() != Some(BodyLength::None);
                         if last || has_body {
-                            state.life.request_with_body(now_us, refusal, actions);
+                            state.state_machine.request_with_body(now_us, refusal, actions);
                         } else {
-                            state.life.request(now_us, Err(refusal), actions);
+                            state.state_machine.request(now_us, Err(refusal), actions);
                         }
                     }
                 }
@@ -185,7 +185,7 @@
             Message::Login => Plain::Login,
             Message::Shutdown => Plain::Shutdown,
         };
-        state.life.plain(now_us, plain, actions);
+        state.state_machine.plain(now_us, plain, actions);
         Ok(taken)
     }
 
@@ -272,6 +272,6 @@
     }
 
     fn answered(&self, is_fault: bool) -> Option<bool> {
-        self.connection.lock().life.answered(is_fault)
+        self.connection.lock().state_machine.answered(is_fault)
     }
 }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -49,6 +49,7 @@
     pub quotas: Arc<CachedQuotas>,
 }
 
+/// The AJP ingress of a node.
 pub struct AjpIngress {
     core: Arc<SharedState>,
     max_packet_bytes: usize,
@@ -67,9 +68,11 @@
     next_number: u64,
     connections: HashMap<u64, Arc<Connection>>,
     is_draining: bool,
+    /// A second descriptor of the listener, for `close_listener`; the accept loop ends after it has been taken.
     listener: Option<std::net::TcpListener>,
 }
 
+/// One connection, as shared between its own coroutine and others.
 pub struct Connection {
     number: u64,
     send_queue: SendQueue,
@@ -77,7 +80,7 @@
 }
 
 struct ConnectionState {
-    life: Life,
+    state_machine: Life,
     /// The current request, or the one whose body is being received.
     request: Option<PendingRequest>,
     body: Vec<u8>,
@@ -160,7 +163,7 @@
             may::coroutine::sleep(CHECK_INTERVAL);
             let now_us = self.core.clock.now_us();
             for connection in self.all() {
-                if connection.lock().life.due_us().is_some_and(|due_us| now_us >= due_us) {
+                if connection.lock().state_machine.due_us().is_some_and(|due_us| now_us >= due_us) {
                     connection.send_queue.wake();
                 }
             }
@@ -170,7 +173,7 @@
     /// Starts to drain: requests are still answered, and each connection is closed after its next answer.
     pub fn drain(&self) {
         self.lock().is_draining = true;
-        self.all().iter().for_each(|connection| connection.lock().life.leave());
+        self.all().iter().for_each(|connection| connection.lock().state_machine.leave());
     }
 
     /// Shuts the write side of each connection once its queue is written.
@@ -216,12 +219,12 @@
     fn register(&self) -> (u64, Arc<Connection>) {
         let now_us = self.core.clock.now_us();
         let mut table = self.lock();
-        let mut life = Life::new(now_us, self.bounds());
+        let mut state_machine = Life::new(now_us, self.bounds());
         if table.is_draining {
-            life.leave();
+            state_machine.leave();
         }
         let state = ConnectionState {
-            life,
+            state_machine,
             request: None,
             body: Vec::new(),
             rpc: None,
@@ -241,7 +244,7 @@
 
     fn serve(self: &Arc<Self>, stream: &TcpStream, number: u64, connection: &Arc<Connection>) {
         let mut handler = RequestHandler { ingress: self, connection };
-        let ending = match stream.set_nodelay(true) {
+        let reason = match stream.set_nodelay(true) {
             Ok(()) => {
                 drive_connection(stream, &connection.send_queue, None, self.max_packet_bytes, &mut handler)
             }
@@ -251,15 +254,15 @@
         {
             let mut state = connection.lock();
             state.is_closed = true;
-            state.life.closed(&mut actions);
+            state.state_machine.closed(&mut actions);
         }
-        match &ending {
+        match &reason {
             CloseReason::Malformed(_) | CloseReason::MessageTooLong => {
-                tracing::warn!(part = "ajp", "connection closed: {ending}")
+                tracing::warn!(part = "ajp", "connection closed: {reason}")
             }
             _ => tracing::debug!(
                 part = "ajp",
-                "connection closed: {ending}; {} RPCs open",
+                "connection closed: {reason}; {} RPCs open",
                 u8::from(actions.gone)
             ),
         }
@@ -267,7 +270,7 @@
         if let Some(id) = rpc.filter(|_| actions.gone) {
             self.core.coordinator.caller_left(&id);
         }
-        close_gracefully(stream, &ending, || self.count() >= self.max_connections);
+        close_gracefully(stream, &reason, || self.count() >= self.max_connections);
         self.lock().connections.remove(&number);
     }
 }
@@ -305,7 +308,7 @@
         let standing = |(number, connection): (&u64, &Arc<Connection>)| {
             let state = connection.lock();
             let worth = Worth { good: state.is_proven, used_us: state.used_us };
-            let worth = state.life.idle_since_us().map(|_| worth);
+            let worth = state.state_machine.idle_since_us().map(|_| worth);
             Standing { number: *number, going: state.is_evicted || state.is_closed, worth }
         };
         let all: Vec<Standing> = table.connections.iter().map(standing).collect();
@@ -346,7 +349,7 @@
 impl DownstreamClient for AjpClient {
     fn awaits_answer(&self) -> bool {
         let state = self.connection.lock();
-        state.serial == self.serial && state.life.owes()
+        state.serial == self.serial && state.state_machine.owes()
     }
 
     fn answer(&self, answer: Answer, signal: Option<f64>) {
@@ -355,7 +358,8 @@
             if state.serial != self.serial {
                 return;
             }
-            let Some(may_reuse) = state.life.answered(matches!(answer, Answer::InvalidRequest(_))) else {
+            let Some(may_reuse) = state.state_machine.answered(matches!(answer, Answer::InvalidRequest(_)))
+            else {
                 return;
             };
             (state.rpc, state.used_us) = (None, self.ingress.core.clock.now_us());
@@ -378,7 +382,7 @@
 
     fn mark_trusted(&self) {
         let mut state = self.connection.lock();
-        state.life.proven();
+        state.state_machine.proven();
         state.is_proven = true;
     }
 }
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -1,5 +1,6 @@
-//! Calls below by AJP: connections made, written and read as `ochrewalk-connection-pool` decides, each with the life of an
-//! asker's connection. One lock guards both; nothing is read or written while it is held.
+//! The upstream that is called by AJP. `ochrewalk-connection-pool` decides which connections are opened, written to and
+//! closed, and each connection has a state machine of `ochrewalk-ajp`. One lock guards the pool and the connections, and no
+//! I/O is performed while it is held.
 
 use super::buffered_connection::{
     close_gracefully, connect, drive_connection, CloseRequest, MessageHandler, SendQueue,
@@ -29,11 +30,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How often calls that wait, connections that stand idle and silent ones are looked at.
-const SWEEP: Duration = Duration::from_millis(20);
-/// The longest answer that is read, as by the other protocol below.
-const MOST_REPLY: usize = 64 * 1024;
+/// The interval at which waiting calls, idle connections and time limits are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The maximum size of a reply, in bytes, which equals that of the line protocol.
+const MAX_REPLY_BYTES: usize = 64 * 1024;
 
+/// The client of the upstream's endpoints.
 #[derive(Clone)]
 pub struct AjpUpstreamClient(Arc<Inner>);
 
@@ -42,46 +44,47 @@
     settings: AjpUpstream,
     headers: Headers,
     state: Mutex<State>,
-    /// Connections that have ended and whose peers have not seen that yet.
-    ending: AtomicUsize,
+    /// The number of connections that are closed, while their peers may not have received the close yet.
+    closing: AtomicUsize,
 }
 
 struct State {
-    places: ConnectionPool,
-    hands: Hands,
-    /// Calls that wait for the end of a hold; none where none is on.
-    held: Option<Vec<HeldCall>>,
+    pool: ConnectionPool,
+    transport: PoolTransport,
+    /// The calls that wait for the end of a pause, or `None` while calls are not paused.
+    held_calls: Option<Vec<HeldCall>>,
 }
 
-/// A call that came while none was to be placed.
+/// A call that is to be started, or that waits while calls are paused.
 struct HeldCall {
     id: RpcId,
     until_us: u64,
     body: Vec<u8>,
-    again: bool,
-    post: EventSender,
+    is_repeatable: bool,
+    events: EventSender,
 }
 
-/// What the connections carry, and what is asked of them.
-struct Hands {
+/// The connections and their calls, on which the pool's decisions are performed.
+struct PoolTransport {
     inner: std::sync::Weak<Inner>,
-    /// Where each place is, by the number that `ConnectionPool` knows it by.
-    places: Vec<SocketAddr>,
-    links: HashMap<ConnectionId, Link>,
+    /// The address of each endpoint, by its slot in the pool.
+    addresses: Vec<SocketAddr>,
+    connections: HashMap<ConnectionId, Connection>,
     calls: HashMap<CallId, Call>,
-    ids: HashMap<RpcId, CallId>,
-    next_call: CallId,
-    /// What the module's present word is about: a whole answer, or a connection's end.
+    call_ids: HashMap<RpcId, CallId>,
+    last_call_id: CallId,
+    /// The reply that is being reported to the pool.
     reply: Option<Reply>,
-    why: Option<CloseReason>,
+    /// The reason of the close that is being reported to the pool.
+    close_reason: Option<CloseReason>,
     now_us: u64,
 }
 
-struct Link {
+struct Connection {
     send_queue: Arc<SendQueue>,
-    life: Life,
+    state_machine: Life,
     call: Option<CallId>,
-    /// How much of the call's body went already.
+    /// The number of bytes of the call's body that are already queued.
     sent: usize,
 }
 
@@ -89,106 +92,117 @@
     id: RpcId,
     body: Vec<u8>,
     until_us: u64,
-    post: EventSender,
+    events: EventSender,
 }
 
 impl AjpUpstreamClient {
+    /// Returns the client of the endpoints in `settings`.
     pub fn new(settings: AjpUpstream, clock: Clock, seed: u64) -> AjpUpstreamClient {
-        let bounds = ochrewalk_connection_pool::PoolConfig {
+        let config = ochrewalk_connection_pool::PoolConfig {
             max_connections: settings.max_connections,
             ping_after_idle_us: settings.ping_after_idle_us,
             max_idle_us: settings.max_idle_us,
         };
-        let mut places = ConnectionPool::new(bounds, settings.balancing, settings.retry_budget, seed);
+        let mut pool = ConnectionPool::new(config, settings.balancing, settings.retry_budget, seed);
         AjpUpstreamClient(Arc::new_cyclic(|inner| {
-            let mut hands = Hands {
+            let mut transport = PoolTransport {
                 inner: inner.clone(),
-                places: Vec::new(),
-                links: HashMap::new(),
+                addresses: Vec::new(),
+                connections: HashMap::new(),
                 calls: HashMap::new(),
-                ids: HashMap::new(),
-                next_call: 0,
+                call_ids: HashMap::new(),
+                last_call_id: 0,
                 reply: None,
-                why: None,
+                close_reason: None,
                 now_us: clock.now_us(),
             };
-            list(&mut places, &mut hands, &settings.endpoints);
+            set_pool_endpoints(&mut pool, &mut transport, &settings.endpoints);
             Inner {
                 clock,
                 settings,
                 headers: Headers::default(),
-                state: Mutex::new(State { places, hands, held: None }),
-                ending: AtomicUsize::new(0),
+                state: Mutex::new(State { pool, transport, held_calls: None }),
+                closing: AtomicUsize::new(0),
             }
         }))
     }
 
-    /// The operators' file names other places: calls to those that it names no more end where they are.
+    /// Replaces the endpoints. Calls in flight to endpoints that are no longer listed finish there.
     pub fn set_endpoints(&self, endpoints: &[UpstreamEndpoint]) {
-        self.0.with(|places, hands| list(places, hands, endpoints));
+        self.0.with(|pool, transport| set_pool_endpoints(pool, transport, endpoints));
     }
 
-    /// Looks after time, for ever.
+    /// Applies time limits and logs changes of the endpoints' states, forever.
     pub fn maintain(&self) {
-        let mut words: Vec<&str> = Vec::new();
+        let mut state_names: Vec<&str> = Vec::new();
         loop {
-            may::coroutine::sleep(SWEEP);
+            may::coroutine::sleep(CHECK_INTERVAL);
             let now_us = self.0.clock.now_us();
-            self.0.with(|places, hands| {
-                places.tick(now_us, hands);
-                for link in hands.links.values() {
-                    if link.life.due_us().is_some_and(|due_us| now_us >= due_us) {
-                        link.send_queue.wake();
+            self.0.with(|pool, transport| {
+                pool.tick(now_us, transport);
+                for connection in transport.connections.values() {
+                    if connection.state_machine.due_us().is_some_and(|due_us| now_us >= due_us) {
+                        connection.send_queue.wake();
                     }
                 }
-                let spread = places.load_balancer();
-                words.resize(spread.state().endpoints.len(), "in");
-                for (slot, before) in words.iter_mut().enumerate() {
-                    let word = spread.status(slot, now_us).name();
-                    if let (true, Some(held)) = (word != *before, spread.state().endpoints[slot].as_ref()) {
-                        let (place, in_hand) = (hands.places[slot], held.in_flight());
-                        let cause = held.health.ejection_cause().map_or("", EjectionCause::description);
-                        match (word, *before) {
+                let balancer = pool.load_balancer();
+                state_names.resize(balancer.state().endpoints.len(), "in");
+                for (slot, previous) in state_names.iter_mut().enumerate() {
+                    let name = balancer.status(slot, now_us).name();
+                    if let (true, Some(endpoint)) =
+                        (name != *previous, balancer.state().endpoints[slot].as_ref())
+                    {
+                        let (place, in_hand) = (transport.addresses[slot], endpoint.in_flight());
+                        let cause = endpoint.health.ejection_cause().map_or("", EjectionCause::description);
+                        match (name, *previous) {
                             ("out", "trying") => {}
                             ("out", _) => {
                                 tracing::warn!(part = "below", %place, in_hand, cause, "ejected")
                             }
                             ("back", _) => tracing::warn!(part = "below", %place, in_hand, "readmitted"),
-                            _ => tracing::debug!(part = "below", %place, in_hand, "now {word}, was {before}"),
+                            _ => {
+                                tracing::debug!(part = "below", %place, in_hand, "now {name}, was {previous}")
+                            }
                         }
                     }
-                    *before = word;
+                    *previous = name;
                 }
             });
         }
     }
 
-    /// How each place stands, one line each, for operators.
+    /// Returns the table of endpoints for operators, one line per endpoint.
     pub fn endpoint_table(&self) -> String {
         let now_us = self.0.clock.now_us();
-        self.0.with(|places, hands| {
-            let view = places.load_balancer().state();
-            let all: f64 = view.subset.iter().map(|slot| view.share(*slot, now_us)).sum();
+        self.0.with(|pool, transport| {
+            let balancer = pool.load_balancer().state();
+            let total_share: f64 = balancer.subset.iter().map(|slot| balancer.share(*slot, now_us)).sum();
             let mut text = format!(
                 "{:<22} {:<8} {:>9} {:>7} {:>7} {:>9} {:>9}  {}\n",
                 "place", "state", "for s", "share", "in hand", "last ms", "calls", "cause"
             );
-            for (slot, held) in
-                view.endpoints.iter().enumerate().filter_map(|(at, held)| Some((at, held.as_ref()?)))
+            for (slot, endpoint) in balancer
+                .endpoints
+                .iter()
+                .enumerate()
+                .filter_map(|(slot, endpoint)| Some((slot, endpoint.as_ref()?)))
             {
-                let share =
-                    if view.subset.contains(&slot) { view.share(slot, now_us) / all.max(1e-9) } else { 0.0 };
+                let share = if balancer.subset.contains(&slot) {
+                    balancer.share(slot, now_us) / total_share.max(1e-9)
+                } else {
+                    0.0
+                };
                 let _ = writeln!(
                     text,
                     "{:<22} {:<8} {:>9.1} {:>7.3} {:>7} {:>9.1} {:>9}  {}",
-                    hands.places[slot].to_string(),
-                    places.load_balancer().status(slot, now_us).name(),
-                    now_us.saturating_sub(held.health.since_us()) as f64 / 1e6,
+                    transport.addresses[slot].to_string(),
+                    pool.load_balancer().status(slot, now_us).name(),
+                    now_us.saturating_sub(endpoint.health.since_us()) as f64 / 1e6,
                     share,
-                    held.in_flight(),
-                    held.last_latency_us as f64 / 1e3,
-                    held.calls_started,
-                    held.health.ejection_cause().map_or("", EjectionCause::description)
+                    endpoint.in_flight(),
+                    endpoint.last_latency_us as f64 / 1e3,
+                    endpoint.calls_started,
+                    endpoint.health.ejection_cause().map_or("", EjectionCause::description)
                 );
             }
             text
@@ -196,186 +210,198 @@
     }
 }
 
-/// A print of a place's name, the same in every process.
-fn key(at: &SocketAddr) -> u64 {
-    let mut print = SipHasher13::new();
-    at.to_string().hash(&mut print);
-    print.finish()
+/// Returns a hash of an endpoint's address, which is the same in every process.
+fn endpoint_key(address: &SocketAddr) -> u64 {
+    let mut hasher = SipHasher13::new();
+    address.to_string().hash(&mut hasher);
+    hasher.finish()
 }
 
-fn list(places: &mut ConnectionPool, hands: &mut Hands, endpoints: &[UpstreamEndpoint]) {
+/// Sets the pool's endpoints and records the address of each slot.
+fn set_pool_endpoints(
+    pool: &mut ConnectionPool,
+    transport: &mut PoolTransport,
+    endpoints: &[UpstreamEndpoint],
+) {
     let listed = |endpoint: &UpstreamEndpoint| Endpoint {
-        key: key(&endpoint.address),
+        key: endpoint_key(&endpoint.address),
         weight: endpoint.weight,
         is_local_zone: endpoint.is_in_local_zone,
     };
     let listed: Vec<Endpoint> = endpoints.iter().map(listed).collect();
-    let slots = places.set_endpoints(hands.now_us, &listed, hands);
+    let slots = pool.set_endpoints(transport.now_us, &listed, transport);
     for (slot, endpoint) in slots.into_iter().zip(endpoints) {
-        if hands.places.len() <= slot {
-            hands.places.resize(slot + 1, endpoint.address);
+        if transport.addresses.len() <= slot {
+            transport.addresses.resize(slot + 1, endpoint.address);
         }
-        hands.places[slot] = endpoint.address;
+        transport.addresses[slot] = endpoint.address;
     }
 }
 
 impl UpstreamClient for AjpUpstreamClient {
-    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
-        // A second call of an RPC stands in the place of the first.
+    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], is_repeatable: bool, events: EventSender) {
+        // A second call of an RPC replaces the first.
         self.cancel_call(id);
         let until_us = self.0.clock.now_us() + wait_ms * 1_000;
-        let call = HeldCall { id: id.clone(), until_us, body: body.to_vec(), again, post };
-        if let Some(held) = &mut self.0.lock().held {
-            return held.push(call);
+        let call = HeldCall { id: id.clone(), until_us, body: body.to_vec(), is_repeatable, events };
+        if let Some(held_calls) = &mut self.0.lock().held_calls {
+            return held_calls.push(call);
         }
-        self.0.place(call);
+        self.0.start_call(call);
     }
 
     fn unavailable_for_us(&self) -> Option<u64> {
-        self.0.with(|places, hands| places.unavailable_for_us(hands.now_us))
+        self.0.with(|pool, transport| pool.unavailable_for_us(transport.now_us))
     }
 
-    /// Connections by AJP do not move: a call is under way on each that carries one.
-    fn set_calls_paused(&self, hold: bool) {
-        let held = {
+    /// Holds new calls while paused, and starts them afterwards. AJP connections cannot move to another process while they
+    /// carry a call, so the calls in flight have to end first.
+    fn set_calls_paused(&self, is_paused: bool) {
+        let held_calls = {
             let mut state = self.0.lock();
-            let held = state.held.take().unwrap_or_default();
-            state.held = hold.then(Vec::new);
-            held
+            let held_calls = state.held_calls.take().unwrap_or_default();
+            state.held_calls = is_paused.then(Vec::new);
+            held_calls
         };
-        held.into_iter().for_each(|call| self.0.place(call));
+        held_calls.into_iter().for_each(|call| self.0.start_call(call));
     }
 
     fn has_unmovable_calls(&self) -> bool {
-        self.0.lock().places.open_calls() > 0
+        self.0.lock().pool.open_calls() > 0
     }
 
     fn snapshot(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
-        // Those that only wait for a connection were not written, and are placed anew.
-        let written = |link: &Link| link.call.filter(|_| link.life.wrote());
-        let lost = state.hands.links.values().filter_map(written);
-        let name = |call: CallId| state.hands.calls.get(&call).map(|call| call.id.to_string());
-        (UpstreamRecord { links: Vec::new(), lost: lost.filter_map(name).collect() }, Vec::new())
+        // Calls that still wait for a connection were not written, and are started again.
+        let written_call =
+            |connection: &Connection| connection.call.filter(|_| connection.state_machine.wrote());
+        let lost = state.transport.connections.values().filter_map(written_call);
+        let rpc_id = |call: CallId| state.transport.calls.get(&call).map(|call| call.id.to_string());
+        (UpstreamRecord { links: Vec::new(), lost: lost.filter_map(rpc_id).collect() }, Vec::new())
     }
 
     fn recheck_connections(&self) {
-        self.0.lock().hands.links.values().for_each(|link| link.send_queue.wake());
+        self.0.lock().transport.connections.values().for_each(|connection| connection.send_queue.wake());
     }
 
     fn cancel_call(&self, id: &str) {
-        if let Some(held) = &mut self.0.lock().held {
-            held.retain(|call| *call.id != *id);
+        if let Some(held_calls) = &mut self.0.lock().held_calls {
+            held_calls.retain(|call| *call.id != *id);
         }
-        self.0.with(|places, hands| {
-            let Some(call) = hands.ids.remove(id) else { return };
-            hands.calls.remove(&call);
-            places.cancel(self.0.clock.now_us(), call, hands);
+        self.0.with(|pool, transport| {
+            let Some(call) = transport.call_ids.remove(id) else { return };
+            transport.calls.remove(&call);
+            pool.cancel(self.0.clock.now_us(), call, transport);
         });
     }
 }
 
 impl Inner {
-    fn place(&self, new: HeldCall) {
-        let HeldCall { id, until_us, body, again, post } = new;
-        self.with(|places, hands| {
-            hands.next_call += 1;
-            let call = hands.next_call;
-            hands.ids.insert(id.clone(), call);
-            hands.calls.insert(call, Call { id, body, until_us, post });
-            places.start_call(hands.now_us, call, again, until_us, hands);
+    fn start_call(&self, new: HeldCall) {
+        let HeldCall { id, until_us, body, is_repeatable, events } = new;
+        self.with(|pool, transport| {
+            transport.last_call_id += 1;
+            let call = transport.last_call_id;
+            transport.call_ids.insert(id.clone(), call);
+            transport.calls.insert(call, Call { id, body, until_us, events });
+            pool.start_call(transport.now_us, call, is_repeatable, until_us, transport);
         });
     }
 
-    fn with<T>(&self, what: impl FnOnce(&mut ConnectionPool, &mut Hands) -> T) -> T {
+    /// Runs `operation` under the lock, with the time set to now.
+    fn with<T>(&self, operation: impl FnOnce(&mut ConnectionPool, &mut PoolTransport) -> T) -> T {
         let mut state = self.lock();
-        let State { places, hands, .. } = &mut *state;
-        hands.now_us = self.clock.now_us();
-        what(places, hands)
+        let State { pool, transport, .. } = &mut *state;
+        transport.now_us = self.clock.now_us();
+        operation(pool, transport)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Carries one connection from its making to its end.
-    fn keep(&self, link: ConnectionId, at: SocketAddr, send_queue: &SendQueue) {
-        let ending = match connect(&at, Duration::from_micros(self.settings.connect_timeout_us)) {
+    /// Opens one connection and drives it until it is closed.
+    fn drive(&self, id: ConnectionId, address: SocketAddr, send_queue: &SendQueue) {
+        let reason = match connect(&address, Duration::from_micros(self.settings.connect_timeout_us)) {
             Ok(stream) => {
                 let now_us = self.clock.now_us();
-                self.with(|places, hands| {
-                    if let Some(of) = hands.links.get_mut(&link) {
-                        // Its bounds count from here.
-                        of.life = self.life(now_us);
+                self.with(|pool, transport| {
+                    if let Some(connection) = transport.connections.get_mut(&id) {
+                        // The connection's time limits count from here.
+                        connection.state_machine = self.state_machine(now_us);
                     }
-                    places.connected(now_us, link, hands);
+                    pool.connected(now_us, id, transport);
                 });
-                let ending = drive_connection(
+                let reason = drive_connection(
                     &stream,
                     send_queue,
                     None,
                     self.settings.max_packet_bytes,
-                    &mut Replies { inner: self, send_queue, link },
+                    &mut ReplyHandler { inner: self, send_queue, id },
                 );
-                self.end(link, &ending);
-                self.ending.fetch_add(1, Ordering::Relaxed);
-                let crowded = || {
-                    self.lock().hands.links.len() + self.ending.load(Ordering::Relaxed)
+                self.report_close(id, &reason);
+                self.closing.fetch_add(1, Ordering::Relaxed);
+                let is_crowded = || {
+                    self.lock().transport.connections.len() + self.closing.load(Ordering::Relaxed)
                         > self.settings.max_connections
                 };
-                close_gracefully(&stream, &ending, crowded);
-                self.ending.fetch_sub(1, Ordering::Relaxed);
-                ending
+                close_gracefully(&stream, &reason, is_crowded);
+                self.closing.fetch_sub(1, Ordering::Relaxed);
+                reason
             }
-            Err(ending) => {
-                self.with(|places, hands| {
-                    hands.links.remove(&link);
-                    hands.why = Some(ending.clone());
-                    places.disconnected(self.clock.now_us(), link, Disconnect::ConnectFailed, hands);
+            Err(reason) => {
+                self.with(|pool, transport| {
+                    transport.connections.remove(&id);
+                    transport.close_reason = Some(reason.clone());
+                    pool.disconnected(self.clock.now_us(), id, Disconnect::ConnectFailed, transport);
                 });
-                ending
+                reason
             }
         };
-        match ending {
-            CloseReason::Idle => tracing::debug!(part = "below", place = %at, "{ending}"),
-            _ => tracing::warn!(part = "below", place = %at, "{ending}"),
+        match reason {
+            CloseReason::Idle => {
+                tracing::debug!(part = "below", place = %address, "connection closed: {reason}")
+            }
+            _ => tracing::warn!(part = "below", place = %address, "connection closed: {reason}"),
         }
     }
 
-    /// A connection ended that was not let go by us.
-    fn end(&self, link: ConnectionId, ending: &CloseReason) {
-        self.with(|places, hands| {
-            let Some(of) = hands.links.remove(&link) else { return };
-            let how = match (of.life.wrote(), ending) {
+    /// Reports the close of a connection to the pool, unless the pool has closed it.
+    fn report_close(&self, id: ConnectionId, reason: &CloseReason) {
+        self.with(|pool, transport| {
+            let Some(connection) = transport.connections.remove(&id) else { return };
+            let disconnect = match (connection.state_machine.wrote(), reason) {
                 (true, _) => Disconnect::AfterWrite,
                 (false, CloseReason::TimedOut) => Disconnect::PingTimedOut,
                 (false, _) => Disconnect::BeforeWrite,
             };
-            hands.why = Some(ending.clone());
-            places.disconnected(self.clock.now_us(), link, how, hands);
+            transport.close_reason = Some(reason.clone());
+            pool.disconnected(self.clock.now_us(), id, disconnect, transport);
         });
     }
 
-    fn life(&self, now_us: u64) -> Life {
+    /// Returns the state machine of a connection that opens now.
+    fn state_machine(&self, now_us: u64) -> Life {
         let bounds = Bounds {
             pong_us: self.settings.ping_timeout_us,
             reply_us: self.settings.reply_timeout_us,
-            most_reply: MOST_REPLY,
+            most_reply: MAX_REPLY_BYTES,
         };
         Life::new(now_us, bounds, super::ajp_ingress::NEVER_RAN)
     }
 
-    /// The call's packets: its head and the first piece of its body, and how much of the body that is.
+    /// Returns the call's first packets, which hold its head and the first piece of its body, and the size of that piece.
+    /// `None` where the head does not fit a packet.
     fn packets(&self, call: &Call, now_us: u64) -> Option<(Vec<u8>, usize)> {
         let length = call.body.len().to_string();
-        let left = call.until_us.saturating_sub(now_us).div_ceil(1_000).max(1).to_string();
+        let time_left = call.until_us.saturating_sub(now_us).div_ceil(1_000).max(1).to_string();
         let mut headers: Vec<(&[u8], &[u8])> = vec![
             (b"content-type", b"application/octet-stream"),
             (b"content-length", length.as_bytes()),
             (b"host", self.settings.server_name.as_bytes()),
         ];
         headers.push((self.headers.id.as_bytes(), call.id.as_bytes()));
-        headers.push((self.headers.left.as_bytes(), left.as_bytes()));
+        headers.push((self.headers.left.as_bytes(), time_left.as_bytes()));
         let secret = self.settings.secret.as_ref().map(|secret| Attribute::Text(Which::Secret, secret));
         let request = Request {
             method: b"POST",
@@ -399,89 +425,94 @@
     }
 }
 
-impl Transport for Hands {
-    fn connect(&mut self, link: ConnectionId, place: usize) {
+impl Transport for PoolTransport {
+    fn connect(&mut self, id: ConnectionId, slot: usize) {
         let Some(inner) = self.inner.upgrade() else { return };
         let send_queue = Arc::new(SendQueue::default());
-        let life = inner.life(self.now_us);
-        self.links.insert(link, Link { send_queue: send_queue.clone(), life, call: None, sent: 0 });
-        let at = self.places[place];
-        may::go!(move || inner.keep(link, at, &send_queue));
+        let state_machine = inner.state_machine(self.now_us);
+        self.connections
+            .insert(id, Connection { send_queue: send_queue.clone(), state_machine, call: None, sent: 0 });
+        let address = self.addresses[slot];
+        may::go!(move || inner.drive(id, address, &send_queue));
     }
 
-    fn write(&mut self, link: ConnectionId, call: CallId, prove: bool) {
-        let (Some(inner), Some(of)) = (self.inner.upgrade(), self.links.get_mut(&link)) else { return };
-        (of.call, of.sent) = (Some(call), 0);
-        let mut wanted = Wanted::default();
-        of.life.call(self.now_us, prove, &mut wanted);
-        self.put(&inner, link, &wanted);
+    fn write(&mut self, id: ConnectionId, call: CallId, ping_first: bool) {
+        let (Some(inner), Some(connection)) = (self.inner.upgrade(), self.connections.get_mut(&id)) else {
+            return;
+        };
+        (connection.call, connection.sent) = (Some(call), 0);
+        let mut actions = RequestedActions::default();
+        connection.state_machine.call(self.now_us, ping_first, &mut actions);
+        self.queue_packets(&inner, id, &actions);
     }
 
-    fn complete(&mut self, call: CallId, end: PoolCallResult) {
-        let Some(Call { id, post, .. }) = self.calls.remove(&call) else { return };
-        self.ids.remove(&id);
-        let end = match end {
+    fn complete(&mut self, call: CallId, result: PoolCallResult) {
+        let Some(Call { id, events, .. }) = self.calls.remove(&call) else { return };
+        self.call_ids.remove(&id);
+        let result = match result {
             PoolCallResult::Unsent => CallResult::Unsent,
             PoolCallResult::Broken => {
-                CallResult::ConnectionClosed(self.why.clone().unwrap_or(CloseReason::ClosedByPeer))
+                CallResult::ConnectionClosed(self.close_reason.clone().unwrap_or(CloseReason::ClosedByPeer))
             }
             PoolCallResult::Replied => match self.reply.take() {
                 Some(reply) => CallResult::from_status(reply.status, reply.never_ran, reply.body),
                 None => CallResult::Failed,
             },
         };
-        post.send(RequestEvent::CallEnded(end));
+        events.send(RequestEvent::CallEnded(result));
     }
 
-    fn close(&mut self, link: ConnectionId) {
-        if let Some(of) = self.links.remove(&link) {
-            of.send_queue.request_close(CloseRequest::Faulty);
+    fn close(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.remove(&id) {
+            connection.send_queue.request_close(CloseRequest::Faulty);
         }
     }
 }
 
-impl Hands {
-    /// Writes what a life asked for.
-    fn put(&mut self, inner: &Inner, link: ConnectionId, wanted: &Wanted) {
-        let Some(of) = self.links.get_mut(&link) else { return };
-        let call = of.call.and_then(|call| self.calls.get(&call));
+impl PoolTransport {
+    /// Queues the packets that a state machine has requested.
+    fn queue_packets(&mut self, inner: &Inner, id: ConnectionId, actions: &RequestedActions) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let call = connection.call.and_then(|call| self.calls.get(&call));
         let mut out = Vec::new();
-        if wanted.ping {
+        if actions.ping {
             request::write_plain(&mut out, &Message::CPing, inner.settings.max_packet_bytes).expect("fits");
         }
-        if let (true, Some(call)) = (wanted.call, call) {
+        if let (true, Some(call)) = (actions.call, call) {
             match inner.packets(call, self.now_us) {
                 Some((packets, sent)) => {
                     out.extend(packets);
-                    of.sent = sent;
+                    connection.sent = sent;
                 }
-                // Nothing of it is written: the other side ends what it waits for in vain.
-                None => of.send_queue.request_close(CloseRequest::Faulty),
+                // The call cannot be encoded and nothing of it is written, so the connection is closed.
+                None => connection.send_queue.request_close(CloseRequest::Faulty),
             }
         }
-        if let (Some(most), Some(call)) = (wanted.piece, call) {
+        if let (Some(most), Some(call)) = (actions.piece, call) {
             let most = usize::from(most).min(request::longest_piece(inner.settings.max_packet_bytes));
-            let piece = &call.body[of.sent..(of.sent + most).min(call.body.len())];
-            of.sent += piece.len();
+            let piece = &call.body[connection.sent..(connection.sent + most).min(call.body.len())];
+            connection.sent += piece.len();
             request::write_piece(&mut out, inner.settings.max_packet_bytes, piece).expect("fits");
         }
         if !out.is_empty() {
-            of.send_queue.push(out);
+            connection.send_queue.push(out);
         }
     }
 }
 
-/// What a life asked for.
+/// The actions that a state machine has requested.
 #[derive(Default)]
-struct Wanted {
+struct RequestedActions {
     ping: bool,
     call: bool,
+    /// The maximum size of the next piece of the body, where one is requested.
     piece: Option<u16>,
     reply: Option<Reply>,
+    /// The reason of the close, and whether the call may have been written.
     end: Option<(End, bool)>,
 }
 
-impl Acts for Wanted {
+impl Acts for RequestedActions {
     fn ping(&mut self) {
         self.ping = true;
     }
@@ -500,87 +531,92 @@
     }
 }
 
-fn ending(why: End) -> CloseReason {
-    match why {
+fn close_reason(end: End) -> CloseReason {
+    match end {
         End::Closed | End::Spent => CloseReason::ClosedByPeer,
         End::Failed => CloseReason::Broken(std::io::ErrorKind::Other),
-        End::Broken(why) => CloseReason::Malformed(why.to_string()),
+        End::Broken(error) => CloseReason::Malformed(error.to_string()),
         End::TooLong => CloseReason::MessageTooLong,
-        End::TooShort => CloseReason::Malformed("an answer shorter than it said".into()),
+        End::TooShort => CloseReason::Malformed("a reply shorter than its stated length".into()),
         End::Silent => CloseReason::TimedOut,
         End::Idle | End::GivenUp => CloseReason::Idle,
     }
 }
 
-struct Replies<'a> {
+/// The handler of the replies on one connection.
+struct ReplyHandler<'a> {
     inner: &'a Inner,
     send_queue: &'a SendQueue,
-    link: ConnectionId,
+    id: ConnectionId,
 }
 
-impl Replies<'_> {
-    /// Lets the life act, and tells the module what came of it. An ending is the stream's.
-    fn life(&self, what: impl FnOnce(&mut Life, u64, &mut Wanted)) -> Result<(), CloseReason> {
-        let (inner, link) = (self.inner, self.link);
-        inner.with(|places, hands| {
-            let now_us = hands.now_us;
-            // It was let go: nothing that still comes is anybody's.
-            let Some(of) = hands.links.get_mut(&link) else { return Err(CloseReason::Idle) };
-            let mut wanted = Wanted::default();
-            what(&mut of.life, now_us, &mut wanted);
-            hands.put(inner, link, &wanted);
-            let spent = matches!(wanted.end, Some((End::Spent, _)));
-            if let Some(reply) = wanted.reply.take() {
-                if let Some(of) = hands.links.get_mut(&link) {
-                    of.call = None;
+impl ReplyHandler<'_> {
+    /// Advances the state machine, performs the actions that it requests, and reports replies and closes to the pool.
+    ///
+    /// # Errors
+    ///
+    /// The connection is to be closed for the returned reason.
+    fn advance(&self, step: impl FnOnce(&mut Life, u64, &mut RequestedActions)) -> Result<(), CloseReason> {
+        let (inner, id) = (self.inner, self.id);
+        inner.with(|pool, transport| {
+            let now_us = transport.now_us;
+            // The pool has closed the connection, so later input belongs to no call.
+            let Some(connection) = transport.connections.get_mut(&id) else { return Err(CloseReason::Idle) };
+            let mut actions = RequestedActions::default();
+            step(&mut connection.state_machine, now_us, &mut actions);
+            transport.queue_packets(inner, id, &actions);
+            let is_spent = matches!(actions.end, Some((End::Spent, _)));
+            if let Some(reply) = actions.reply.take() {
+                if let Some(connection) = transport.connections.get_mut(&id) {
+                    connection.call = None;
                 }
-                let said = match CallResult::from_status(reply.status, reply.never_ran, Vec::new()) {
+                let outcome = match CallResult::from_status(reply.status, reply.never_ran, Vec::new()) {
                     CallResult::Succeeded(_) => ReplyOutcome::Succeeded,
                     CallResult::Rejected => ReplyOutcome::Rejected,
                     CallResult::DeadlineExceeded => ReplyOutcome::TimedOut,
                     _ => ReplyOutcome::Failed,
                 };
-                hands.reply = Some(reply);
-                places.replied(now_us, link, said, !spent, hands);
-                hands.reply = None;
+                transport.reply = Some(reply);
+                pool.replied(now_us, id, outcome, !is_spent, transport);
+                transport.reply = None;
             }
-            let Some((why, wrote)) = wanted.end else { return Ok(()) };
-            let why = ending(why);
-            if hands.links.remove(&link).is_some() {
-                let how = match (wrote, &why) {
+            let Some((end, was_written)) = actions.end else { return Ok(()) };
+            let reason = close_reason(end);
+            if transport.connections.remove(&id).is_some() {
+                let disconnect = match (was_written, &reason) {
                     (true, _) => Disconnect::AfterWrite,
                     (false, CloseReason::TimedOut) => Disconnect::PingTimedOut,
                     (false, _) => Disconnect::BeforeWrite,
                 };
-                hands.why = Some(why.clone());
-                places.disconnected(now_us, link, how, hands);
+                transport.close_reason = Some(reason.clone());
+                pool.disconnected(now_us, id, disconnect, transport);
             }
-            Err(why)
+            Err(reason)
         })
     }
 }
 
-impl MessageHandler for Replies<'_> {
+impl MessageHandler for ReplyHandler<'_> {
     fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
         match reply::read(input, self.inner.settings.max_packet_bytes) {
             Ok(Some((message, taken))) => {
-                self.life(|life, now_us, wanted| life.message(now_us, &message, wanted))?;
+                self.advance(|machine, now_us, actions| machine.message(now_us, &message, actions))?;
                 Ok(taken)
             }
             Ok(None) => {
-                self.life(|life, now_us, _| life.partial(now_us))?;
+                self.advance(|machine, now_us, _| machine.partial(now_us))?;
                 Ok(0)
             }
-            Err(why) => {
-                self.life(|life, _, wanted| life.broken(why, wanted))?;
-                Err(CloseReason::Malformed(why.to_string()))
+            Err(error) => {
+                self.advance(|machine, _, actions| machine.broken(error, actions))?;
+                Err(CloseReason::Malformed(error.to_string()))
             }
         }
     }
 
-    fn on_drained(&mut self, _written: bool) {
-        if self.life(|life, now_us, wanted| life.empty(now_us, wanted)).is_err() {
-            // It has ended for the module; the stream follows.
+    fn on_drained(&mut self, _is_flushed: bool) {
+        if self.advance(|machine, now_us, actions| machine.empty(now_us, actions)).is_err() {
+            // The pool no longer uses the connection, so the stream is closed as well.
             self.send_queue.request_close_once(CloseRequest::Faulty);
         }
     }
--- a/crates/ochrewalk-node/src/net/buffered_connection.rs
+++ b/crates/ochrewalk-node/src/net/buffered_connection.rs
@@ -306,8 +306,8 @@
 /// Closes a stream for the given reason. Where this side closes it, the write side is shut first, and input is read and
 /// discarded until the peer closes, a bound is reached, or `is_crowded` returns true. Closing on bytes that arrive at
 /// that time would reset the connection and lose the data that is still on its way to the peer.
-pub fn close_gracefully(stream: &TcpStream, ending: &CloseReason, is_crowded: impl Fn() -> bool) {
-    if !ending.is_closed_locally() || stream.shutdown(Shutdown::Write).is_err() {
+pub fn close_gracefully(stream: &TcpStream, reason: &CloseReason, is_crowded: impl Fn() -> bool) {
+    if !reason.is_closed_locally() || stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
     let until = Instant::now() + LINGER;
@@ -368,7 +368,7 @@
         }
         state.fd = Some(stream.as_raw_fd());
     }
-    let ending = loop {
+    let reason = loop {
         let turn = if is_paused() {
             Ok(false)
         } else {
@@ -385,7 +385,7 @@
                 stream.wait_io();
             }
             Ok(true) => may::coroutine::yield_now(),
-            Err(ending) => break ending,
+            Err(reason) => break reason,
         }
     };
     let mut state = send_queue.lock_stream();
@@ -398,7 +398,7 @@
             queue.lines.push_front(line);
         }
     });
-    ending
+    reason
 }
 
 #[derive(Default)]
@@ -487,7 +487,7 @@
         };
         queue.close_request.filter(is_due)
     };
-    let ending = match requested {
+    let reason = match requested {
         Some(CloseRequest::Draining) => {
             // The write side stays open while an answer is pending, so that the answer can still be written.
             if !writing.is_half_closed && handler.may_close(CloseRequest::Draining) {
@@ -504,7 +504,7 @@
         Some(CloseRequest::Moved) => return Err(CloseReason::Moved),
     };
     if requested.is_some_and(|request| handler.may_close(request)) {
-        return Err(ending);
+        return Err(reason);
     }
     let mut queue = send_queue.lock();
     queue.close_request = queue.close_request.filter(|request| Some(*request) != requested);
--- a/crates/ochrewalk-node/src/net/directory.rs
+++ b/crates/ochrewalk-node/src/net/directory.rs
@@ -37,10 +37,10 @@
         let from = Instant::now();
         let report = health().map(|is_healthy| reports::report(name, &at.to_string(), is_healthy));
         let sent = report.map_or(Ok(()), |report| send_report(&at, &mut stream, &report));
-        if let Err(ending) = &sent {
+        if let Err(reason) = &sent {
             stream = None;
             if !has_failed {
-                tracing::warn!(part = "directory", place = %at, "report failed: {ending}; reports will continue");
+                tracing::warn!(part = "directory", place = %at, "report failed: {reason}; reports will continue");
             }
         } else if has_failed {
             tracing::info!(part = "directory", place = %at, "reports succeed again");
@@ -64,7 +64,7 @@
                 return Ok(());
             }
             Err(CloseReason::ClosedByPeer | CloseReason::Broken(_)) => *stream = None,
-            Err(ending) => return Err(ending),
+            Err(reason) => return Err(reason),
         }
     }
     let mut new = connect(at, TIMEOUT)?;
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -34,6 +34,7 @@
 /// The time limit for a gauge reply.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(15);
 
+/// The client of the executor.
 pub struct Executor {
     /// Whether `KILL` pauses a run, which `WAKE` then resumes.
     can_pause: bool,
@@ -62,7 +63,7 @@
 }
 
 struct Run {
-    post: EventSender,
+    events: EventSender,
     is_repeatable: bool,
 }
 
@@ -92,7 +93,7 @@
         runs: Vec<(RpcId, bool, EventSender)>,
     ) -> Executor {
         let mut executor = Executor::new(address, can_pause);
-        let run = |(id, is_repeatable, post)| (id, Run { post, is_repeatable });
+        let run = |(id, is_repeatable, events)| (id, Run { events, is_repeatable });
         {
             let mut state = executor.lock();
             state.runs = runs.into_iter().map(run).collect();
@@ -142,10 +143,10 @@
         }
     }
 
-    /// Starts a run, whose notices are sent to `post`. Where the run `is_repeatable`, the command is repeated without a
+    /// Starts a run, whose notices are sent to `events`. Where the run `is_repeatable`, the command is repeated without a
     /// proof after a connection broke.
-    pub fn run(&self, id: &RpcId, lane: &str, content: &str, is_repeatable: bool, post: EventSender) {
-        self.lock().runs.insert(id.clone(), Run { post, is_repeatable });
+    pub fn run(&self, id: &RpcId, lane: &str, content: &str, is_repeatable: bool, events: EventSender) {
+        self.lock().runs.insert(id.clone(), Run { events, is_repeatable });
         self.send_queue.push(notices::exec(id, lane, content));
     }
 
@@ -210,10 +211,10 @@
             }
             let State { address, last_read, .. } = *self.lock();
             let first = resumed.is_none().then(|| notices::join(last_read));
-            let ending = match resumed.map_or_else(|| connect(&address, CONNECT_TIMEOUT), Ok) {
+            let reason = match resumed.map_or_else(|| connect(&address, CONNECT_TIMEOUT), Ok) {
                 Ok(stream) => {
                     let mut handler = NoticeHandler { executor: self, coordinator, up };
-                    let ending = drive_connection(
+                    let reason = drive_connection(
                         &stream,
                         &self.send_queue,
                         first,
@@ -222,16 +223,16 @@
                     );
                     // The next connection is not delayed by the close. Notices that are discarded on this connection
                     // are sent again on the next one.
-                    let reason = ending.clone();
-                    may::go!(move || close_gracefully(&stream, &reason, || false));
-                    ending
+                    let close_reason = reason.clone();
+                    may::go!(move || close_gracefully(&stream, &close_reason, || false));
+                    reason
                 }
-                Err(ending) => ending,
+                Err(reason) => reason,
             };
             let was_up = std::mem::take(&mut self.lock().is_welcomed);
             self.lock().unconfirmed.extend(self.send_queue.take_unconfirmed());
-            if was_up || ending != CloseReason::Refused {
-                tracing::warn!(part = "executor", place = %address, "connection lost: {ending}; reconnecting");
+            if was_up || reason != CloseReason::Refused {
+                tracing::warn!(part = "executor", place = %address, "connection lost: {reason}; reconnecting");
             }
             may::coroutine::sleep(reconnect_delay(from.elapsed()));
         }
@@ -243,13 +244,13 @@
 
     fn notify(&self, id: &str, next: RequestEvent) {
         if let Some(run) = self.lock().runs.get(id) {
-            run.post.send(next);
+            run.events.send(next);
         }
     }
 
     fn end_run(&self, id: &str, end: RunEnd, content: Option<Arc<str>>) {
         if let Some(run) = self.lock().runs.remove(id) {
-            run.post.send(RequestEvent::RunEnded(end, content));
+            run.events.send(RequestEvent::RunEnded(end, content));
         }
     }
 
--- a/crates/ochrewalk-node/src/net/line_upstream.rs
+++ b/crates/ochrewalk-node/src/net/line_upstream.rs
@@ -90,8 +90,8 @@
 }
 
 impl UpstreamClient for LineUpstreamClient {
-    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender) {
-        self.0.call(id, wait_ms, body, again, post);
+    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, events: EventSender) {
+        self.0.call(id, wait_ms, body, again, events);
     }
 
     fn cancel_call(&self, id: &str) {
@@ -126,18 +126,19 @@
 }
 
 impl LineUpstreamClient {
-    /// Resumes the connections of another process. `posts` are those of the RPCs whose calls the connections carry.
+    /// Resumes the connections of another process. `event_senders` are those of the RPCs whose calls the connections carry.
     pub fn resume(
         &self,
         record: UpstreamRecord,
         descriptors: Vec<OwnedFd>,
-        posts: &HashMap<RpcId, EventSender>,
+        event_senders: &HashMap<RpcId, EventSender>,
     ) {
         let mut state = self.0.lock();
         for (record, descriptor) in record.links.into_iter().zip(descriptors) {
-            let post =
-                |id: String| posts.get_key_value(id.as_str()).map(|(id, post)| (id.clone(), post.clone()));
-            let calls = record.calls.into_iter().filter_map(post).collect();
+            let events = |id: String| {
+                event_senders.get_key_value(id.as_str()).map(|(id, events)| (id.clone(), events.clone()))
+            };
+            let calls = record.calls.into_iter().filter_map(events).collect();
             let connection_state = ConnectionState {
                 calls,
                 used_us: record.used_us,
@@ -158,7 +159,14 @@
 impl Connections {
     /// Starts a call. A call that is not `is_repeatable` gets a new connection, because the upstream may have dropped the
     /// state of an idle one, which would leave it unknown whether the call ran.
-    fn call(self: &Arc<Self>, id: &RpcId, wait_ms: u64, body: &[u8], is_repeatable: bool, post: EventSender) {
+    fn call(
+        self: &Arc<Self>,
+        id: &RpcId,
+        wait_ms: u64,
+        body: &[u8],
+        is_repeatable: bool,
+        events: EventSender,
+    ) {
         let mut state = self.lock();
         let now_us = self.clock.now_us();
         let has_capacity = state.connections.len() < self.max_connections;
@@ -195,7 +203,7 @@
         };
         {
             let mut inner = connection.lock();
-            inner.calls.insert(id.clone(), post);
+            inner.calls.insert(id.clone(), events);
             inner.used_us = now_us;
         }
         connection.send_queue.push(calls::call(id, wait_ms, body));
@@ -227,7 +235,7 @@
     /// Drives one connection until it is closed, and reports the calls that it still carries.
     fn drive(&self, connection: &Arc<Connection>, adopted: Option<TcpStream>) {
         let stream = adopted.map_or_else(|| connect(&connection.address, CONNECT_TIMEOUT), Ok);
-        let ending = match &stream {
+        let reason = match &stream {
             Ok(stream) => drive_connection(
                 stream,
                 &connection.send_queue,
@@ -235,7 +243,7 @@
                 calls::MAX_REPLY_BYTES,
                 &mut ReplyHandler { connections: self, connection },
             ),
-            Err(ending) => ending.clone(),
+            Err(reason) => reason.clone(),
         };
         // From here on no call can select the connection, so that none is lost while it closes as idle.
         let calls = {
@@ -250,19 +258,19 @@
             unwritten.iter().any(|line| line.starts_with(start.as_bytes()))
         };
         if !calls.is_empty() {
-            tracing::warn!(part = "below", place = %connection.address, "connection closed: {ending}; {} calls were in flight", calls.len());
+            tracing::warn!(part = "below", place = %connection.address, "connection closed: {reason}; {} calls were in flight", calls.len());
         }
-        for (id, post) in calls {
+        for (id, events) in calls {
             // A call that was not written completely never ran, for whatever reason the connection closed.
             let end = if was_never_written(&id) {
                 CallResult::Unsent
             } else {
-                CallResult::ConnectionClosed(ending.clone())
+                CallResult::ConnectionClosed(reason.clone())
             };
-            post.send(RequestEvent::CallEnded(end));
+            events.send(RequestEvent::CallEnded(end));
         }
         if let Ok(stream) = stream {
-            close_gracefully(&stream, &ending, || self.lock().connections.len() >= self.max_connections);
+            close_gracefully(&stream, &reason, || self.lock().connections.len() >= self.max_connections);
         }
         self.lock().connections.retain(|other| !Arc::ptr_eq(other, connection));
     }
@@ -294,14 +302,14 @@
             self.connection.lock().partial_since_us.get_or_insert(now_us);
             return Ok(0);
         };
-        let post = {
+        let events = {
             let mut inner = self.connection.lock();
             (inner.used_us, inner.partial_since_us) = (now_us, None);
             inner.calls.remove(reply.id)
         };
         // A call that was cancelled may still be answered.
-        if let Some(post) = post {
-            post.send(RequestEvent::CallEnded(match reply.status {
+        if let Some(events) = events {
+            events.send(RequestEvent::CallEnded(match reply.status {
                 Status::Ok => CallResult::Succeeded(reply.body.to_vec()),
                 Status::Busy => CallResult::Rejected,
                 Status::Err => CallResult::Failed,
