--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -213,7 +213,7 @@
             Some(End::Idle | End::Leaving) => send_queue.request_close(CloseRequest::Idle),
             Some(End::Silent | End::Unclosed) => send_queue.request_close(CloseRequest::TimedOut),
             Some(End::Broken(error)) => {
-                tracing::warn!(part = "ajp", "malformed packet: {error}");
+                tracing::warn!(part = "ajp", "malformed AJP input: {error}");
                 send_queue.request_close(CloseRequest::Faulty);
             }
         }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -72,7 +72,7 @@
     listener: Option<std::net::TcpListener>,
 }
 
-/// One connection, as shared between its own coroutine and others.
+/// A connection, as shared between its own coroutine and others.
 pub struct Connection {
     number: u64,
     send_queue: SendQueue,
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -362,7 +362,7 @@
             CloseReason::Idle => {
                 tracing::debug!(part = "below", place = %address, "connection closed: {reason}")
             }
-            _ => tracing::warn!(part = "below", place = %address, "connection closed: {reason}"),
+            _ => tracing::warn!(part = "below", place = %address, "connection failed: {reason}"),
         }
     }
 
--- a/crates/ochrewalk-node/src/net/buffered_connection.rs
+++ b/crates/ochrewalk-node/src/net/buffered_connection.rs
@@ -479,8 +479,8 @@
     handler.on_drained(is_line_sent && send_queue.lock().lines.is_empty());
     let requested = {
         let queue = send_queue.lock();
-        // Where the peer has a new address, queued lines are left for the next stream and do not delay the close. In
-        // any other case the queue is written first, including lines that the handler has just queued, which wake this
+        // Queued lines do not delay the close where the peer has a new address; the next stream writes them. In any
+        // other case the queue is written first, including lines that the handler has just queued, which wake this
         // stream again.
         let is_due = |request: &CloseRequest| {
             is_line_sent && (queue.lines.is_empty() || *request == CloseRequest::Moved)
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -64,7 +64,7 @@
     listener: Option<std::net::TcpListener>,
 }
 
-/// One connection, as shared between its own coroutine and others.
+/// A connection, as shared between its own coroutine and others.
 pub struct Connection {
     number: u64,
     pub send_queue: SendQueue,
@@ -345,7 +345,7 @@
             }
             Answer::Aborted => jsonrpc::failed(&self.id, signal),
             Answer::InvalidRequest(cause) => {
-                tracing::warn!(part = "json-rpc", "invalid request: {cause}");
+                tracing::warn!(part = "json-rpc", "{cause}");
                 self.connection.record_fault();
                 jsonrpc::error(&self.id, jsonrpc::INVALID_PARAMS, cause, "")
             }
@@ -643,7 +643,7 @@
     /// Answers an invalid message with an error and counts the fault. The connection stays open until the faults are too
     /// many.
     fn reply_with_error(&self, id: &str, code: i32, cause: &'static str) -> Result<(), CloseReason> {
-        tracing::warn!(part = "json-rpc", "invalid request: {cause}");
+        tracing::warn!(part = "json-rpc", "{cause}");
         self.connection.send_queue.push(jsonrpc::error(id, code, cause, ""));
         self.connection.record_fault();
         Ok(())
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -232,7 +232,7 @@
             let was_up = std::mem::take(&mut self.lock().is_welcomed);
             self.lock().unconfirmed.extend(self.send_queue.take_unconfirmed());
             if was_up || reason != CloseReason::Refused {
-                tracing::warn!(part = "executor", place = %address, "connection lost: {reason}; reconnecting");
+                tracing::warn!(part = "executor", place = %address, "not connected: {reason}; reconnecting");
             }
             may::coroutine::sleep(reconnect_delay(from.elapsed()));
         }
--- a/crates/ochrewalk-node/src/net/line_upstream.rs
+++ b/crates/ochrewalk-node/src/net/line_upstream.rs
@@ -48,7 +48,7 @@
     connections: Vec<Arc<Connection>>,
 }
 
-/// One connection, from the call that requests it until it is closed.
+/// A connection, from the call that requests it until it is closed.
 struct Connection {
     address: SocketAddr,
     send_queue: SendQueue,
@@ -258,7 +258,7 @@
             unwritten.iter().any(|line| line.starts_with(start.as_bytes()))
         };
         if !calls.is_empty() {
-            tracing::warn!(part = "below", place = %connection.address, "connection closed: {reason}; {} calls were in flight", calls.len());
+            tracing::warn!(part = "below", place = %connection.address, "connection failed: {reason}; {} calls were in flight", calls.len());
         }
         for (id, events) in calls {
             // A call that was not written completely never ran, for whatever reason the connection closed.
--- a/crates/ochrewalk-node/tests/link.rs
+++ b/crates/ochrewalk-node/tests/link.rs
@@ -48,7 +48,7 @@
         let ending = drive_connection(&stream, &send_queue, None, 64, &mut lines);
         (lines.received, ending)
     });
-    // Where the stream stays open, the peer closes it.
+    // The peer closes a stream that stays open.
     if !always_agrees && !sent.is_empty() {
         peer.shutdown(std::net::Shutdown::Write).unwrap();
     }
