--- a/crates/ochrewalk-node/src/net/line_upstream.rs
+++ b/crates/ochrewalk-node/src/net/line_upstream.rs
@@ -90,8 +90,8 @@
 }
 
 impl UpstreamClient for LineUpstreamClient {
-    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, events: EventSender) {
-        self.0.call(id, wait_ms, body, again, events);
+    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], is_repeatable: bool, events: EventSender) {
+        self.0.call(id, wait_ms, body, is_repeatable, events);
     }
 
     fn cancel_call(&self, id: &str) {
@@ -135,10 +135,10 @@
     ) {
         let mut state = self.0.lock();
         for (record, descriptor) in record.links.into_iter().zip(descriptors) {
-            let events = |id: String| {
+            let call = |id: String| {
                 event_senders.get_key_value(id.as_str()).map(|(id, events)| (id.clone(), events.clone()))
             };
-            let calls = record.calls.into_iter().filter_map(events).collect();
+            let calls = record.calls.into_iter().filter_map(call).collect();
             let connection_state = ConnectionState {
                 calls,
                 used_us: record.used_us,
