--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -4,9 +4,9 @@
 use super::pending_snapshot::{PendingSnapshot, SnapshotResult};
 use super::records::{AjpConnectionRecords, CallRecord, JsonRpcConnectionRecords, NodeRecord};
 use super::records::{RpcRecord, RpcRecords};
-use crate::life::Call;
-use crate::live::Living;
 use crate::node::Node;
+use crate::request_state::UpstreamCall;
+use crate::request_task::OpenRequest;
 use prost::Message;
 use std::os::fd::RawFd;
 use std::time::Duration;
@@ -47,14 +47,14 @@
 /// Ends the pause, and has every connection looked at again.
 pub(super) fn resume_node(node: &Node) {
     resume();
-    if let Some(below) = &node.core.below {
-        below.hold(false);
-        below.nudge();
+    if let Some(below) = &node.core.upstream {
+        below.set_calls_paused(false);
+        below.recheck_connections();
     }
-    node.core.executor.nudge();
-    node.dispatchers.nudge();
+    node.core.executor.recheck_connection();
+    node.dispatchers.recheck_connections();
     if let Some(front) = &node.ajp {
-        front.nudge();
+        front.recheck_connections();
     }
 }
 
@@ -75,10 +75,10 @@
     }
     let clock = node.core.clock;
     let deadline_us = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
-    if let Some(below) = &node.core.below {
-        below.hold(true);
+    if let Some(below) = &node.core.upstream {
+        below.set_calls_paused(true);
         let deadline_us = deadline_us(MAX_UNMOVABLE_WAIT);
-        while below.is_unmovable() && clock.now_us() < deadline_us {
+        while below.has_unmovable_calls() && clock.now_us() < deadline_us {
             sleep_while_awaited(node, pending)?;
         }
     }
@@ -107,12 +107,12 @@
 
 /// All sections; none while something that was read is still being dealt with, or a connection is coming or going.
 fn sections_at_rest(node: &Node, keys_went_ahead: bool) -> Option<Vec<SectionState>> {
-    let json = node.dispatchers.keep()?;
+    let json = node.dispatchers.snapshot()?;
     let ajp = match &node.ajp {
-        Some(front) => Some(front.keep()?),
+        Some(front) => Some(front.snapshot()?),
         None => None,
     };
-    node.core.gate.is_at_rest().then(|| sections(node, keys_went_ahead, json, ajp))
+    node.core.coordinator.is_quiescent().then(|| sections(node, keys_went_ahead, json, ajp))
 }
 
 fn sections(
@@ -123,10 +123,13 @@
 ) -> Vec<SectionState> {
     let core = &node.core;
     let node_record = node_record(node, keys_went_ahead);
-    let rpcs = RpcRecords { rpcs: core.living().values().map(|rpc| rpc_record(rpc)).collect() };
-    let (executor, link) = core.executor.keep();
-    let (below, links) = core.below.as_ref().map(|below| below.keep()).unwrap_or_default();
-    let listeners = [node.dispatchers.listener(), node.ajp.as_ref().and_then(|front| front.listener())];
+    let rpcs = RpcRecords { rpcs: core.open_requests().values().map(|rpc| rpc_record(rpc)).collect() };
+    let (executor, link) = core.executor.snapshot();
+    let (below, links) = core.upstream.as_ref().map(|below| below.snapshot()).unwrap_or_default();
+    let listeners = [
+        node.dispatchers.listener_descriptor(),
+        node.ajp.as_ref().and_then(|front| front.listener_descriptor()),
+    ];
     let listeners = listeners.into_iter().flatten().collect();
     let mut sections = vec![
         SectionState::new("node", &node_record, Vec::new()),
@@ -143,40 +146,40 @@
 }
 
 fn node_record(node: &Node, keys_went_ahead: bool) -> NodeRecord {
-    let (fingerprint_key, fingerprint_key_more) = node.core.print_key();
+    let (fingerprint_key, fingerprint_key_more) = node.core.fingerprint_key();
     let clock_base_ns = node.core.clock.base_ns();
     let mut record =
         NodeRecord { clock_base_ns, fingerprint_key, fingerprint_key_more, ..NodeRecord::default() };
-    node.core.gate.keep(&mut record, keys_went_ahead);
+    node.core.coordinator.snapshot(&mut record, keys_went_ahead);
     record
 }
 
-fn rpc_record(living: &Living) -> RpcRecord {
+fn rpc_record(living: &OpenRequest) -> RpcRecord {
     let life = living.lock();
-    let token = living.rpc.token.as_ref();
+    let token = living.rpc.idempotency_key.as_ref();
     RpcRecord {
         id: living.rpc.id.to_string(),
         method: living.rpc.method as u32,
-        kb: living.rpc.kb,
-        ts_ms: living.rpc.ts_ms,
-        left_us: living.rpc.left_us,
+        kb: living.rpc.memory_kb,
+        ts_ms: living.rpc.arrived_unix_ms,
+        left_us: living.rpc.time_left_us,
         token: token.map(|token| token.key.to_string()),
-        work: token.map_or(0, |token| token.work),
+        work: token.map_or(0, |token| token.fingerprint),
         body: living.body.to_string(),
-        owed: life.owed,
-        running: life.running,
+        owed: life.awaits_answer,
+        running: life.is_running,
         call: life.call.as_ref().map(call_record),
-        client: life.owed.then(|| living.asker.address()),
+        client: life.awaits_answer.then(|| living.client.address()),
     }
 }
 
-fn call_record(call: &Call) -> CallRecord {
+fn call_record(call: &UpstreamCall) -> CallRecord {
     let placed = call.placed.unwrap_or_default();
     CallRecord {
         pos: call.pos,
         body: call.body.clone(),
         placed: call.placed.is_some(),
-        at_us: placed.at_us,
+        at_us: placed.placed_at_us,
         until_us: placed.until_us,
     }
 }
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -2,24 +2,27 @@
 
 use super::Node;
 use crate::clock::Clock;
+use crate::close_reason::{CallResult, CloseReason};
 use crate::configuration::activation::prepare_configuration;
 use crate::configuration::agent::PreparedAgent;
-use crate::core::Core;
-use crate::ending::{CallEnd, Ending};
-use crate::gate::{Gate, Incoming, Next, Post, Stirred, Ticket, Token};
+use crate::coordinator::{
+    CoordinatorNotifications, EventSender, IdempotencyKey, IncomingRequest, RequestCoordinator, RequestEvent,
+    RequestHandle,
+};
 use crate::handover::received_state::ReceivedState;
 use crate::handover::records::{CallRecord, ClientAddress, RpcRecord, UpstreamRecord};
-use crate::keys::Keys;
-use crate::life::{Call, Life, Placed};
-use crate::live::Living;
-use crate::net::ajp_below::AjpBelow;
-use crate::net::ajp_front::{self, AjpFront, Open};
-use crate::net::below::Below;
+use crate::idempotency_keys::IdempotencyKeyStore;
+use crate::interfaces::{Answer, DownstreamClient, UpstreamClient};
+use crate::net::ajp_ingress::{self, AjpIngress, ReloadableConfig};
+use crate::net::ajp_upstream::AjpUpstreamClient;
 use crate::net::dispatchers::{self, Dispatchers};
-use crate::net::executor::{rows, Executor};
-use crate::net::front::accept_all;
-use crate::net::{directory, link::adopt, status};
-use crate::seam::{Answer, Asker, Beneath};
+use crate::net::executor::{gauge_channel, Executor};
+use crate::net::line_upstream::LineUpstreamClient;
+use crate::net::listener::accept_connections;
+use crate::net::{buffered_connection::stream_from_descriptor, directory, status};
+use crate::request_state::{PlacedCall, RequestState, UpstreamCall};
+use crate::request_task::OpenRequest;
+use crate::shared_state::SharedState;
 use may::net::TcpListener;
 use may::sync::mpsc::{channel, Sender};
 use ochrewalk::deployment::Placement;
@@ -57,7 +60,7 @@
 pub(super) struct Built {
     node: Arc<Node>,
     name: String,
-    stirred: Stirred,
+    stirred: CoordinatorNotifications,
     listener: TcpListener,
     ajp_listener: Option<TcpListener>,
     status: Option<PathBuf>,
@@ -69,12 +72,12 @@
 #[derive(Default)]
 pub(super) struct Resumed {
     json: Vec<(Arc<dispatchers::Connection>, OwnedFd)>,
-    ajp: Vec<(Arc<ajp_front::Connection>, OwnedFd)>,
-    lives: Vec<(Arc<Living>, Ticket)>,
+    ajp: Vec<(Arc<ajp_ingress::Connection>, OwnedFd)>,
+    lives: Vec<(Arc<OpenRequest>, RequestHandle)>,
     /// News for lives whose calls did not come along.
-    ends: Vec<(Post, CallEnd)>,
+    ends: Vec<(EventSender, CallResult)>,
     link: Option<OwnedFd>,
-    below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, Post>)>,
+    below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, EventSender>)>,
 }
 
 /// Puts every part together, from what another process held where there is something.
@@ -107,12 +110,12 @@
     if rpcs.iter().any(|rpc| rpc.method as usize >= known) {
         return Err("an RPC of an unknown method".into());
     }
-    let incoming: Vec<Incoming> = rpcs.iter().map(incoming).collect();
+    let incoming: Vec<IncomingRequest> = rpcs.iter().map(incoming).collect();
     let ids: HashSet<RpcId> = incoming.iter().map(|rpc| rpc.id.clone()).collect();
     let (gate, stirred, tickets) = match &mut taken {
         Some(taken) => {
-            let ahead = std::mem::replace(&mut taken.keys, Keys::new(0));
-            Gate::resume(
+            let ahead = std::mem::replace(&mut taken.keys, IdempotencyKeyStore::new(0));
+            RequestCoordinator::resume(
                 clock,
                 deployment.clone(),
                 placement.seed,
@@ -123,7 +126,8 @@
             )?
         }
         None => {
-            let (gate, stirred) = Gate::new(clock, deployment.clone(), placement.seed, bytes / 8);
+            let (gate, stirred) =
+                RequestCoordinator::new(clock, deployment.clone(), placement.seed, bytes / 8);
             (gate, stirred, Vec::new())
         }
     };
@@ -132,8 +136,8 @@
         .as_ref()
         .map_or(placement.descriptors / OF_BELOW, |upstream| upstream.max_connections);
     let runs = incoming.iter().zip(&rpcs).zip(&tickets).filter(|((_, rpc), _)| rpc.running);
-    let again = |rpc: &Incoming| deployment.methods[rpc.method].effect == Effect::Idempotent;
-    let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.post())).collect();
+    let again = |rpc: &IncomingRequest| deployment.methods[rpc.method].effect == Effect::Idempotent;
+    let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.event_sender())).collect();
     let (executor, link) = match &mut taken {
         Some(taken) => {
             let (kept, link) = (std::mem::take(&mut taken.executor), taken.executor_link.take());
@@ -142,15 +146,20 @@
         None => (Executor::new(placement.executor, pauses), None),
     };
     let status = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.status_socket.clone());
-    let by_ajp =
-        operators.ajp_upstream.clone().map(|settings| AjpBelow::new(settings, clock, placement.seed));
-    let store = placement.upstream.filter(|_| by_ajp.is_none()).map(|at| Below::new(at, clock, most_links));
-    let below: Option<Arc<dyn Beneath>> = match (&by_ajp, &store) {
+    let by_ajp = operators
+        .ajp_upstream
+        .clone()
+        .map(|settings| AjpUpstreamClient::new(settings, clock, placement.seed));
+    let store = placement
+        .upstream
+        .filter(|_| by_ajp.is_none())
+        .map(|at| LineUpstreamClient::new(at, clock, most_links));
+    let below: Option<Arc<dyn UpstreamClient>> = match (&by_ajp, &store) {
         (Some(by_ajp), _) => Some(Arc::new(by_ajp.clone())),
         (None, Some(store)) => Some(Arc::new(store.clone())),
         (None, None) => None,
     };
-    let core = Arc::new(Core::new(clock, gate, deployment, executor, below, bytes, print_key));
+    let core = Arc::new(SharedState::new(clock, gate, deployment, executor, below, bytes, print_key));
     // Each front has descriptors of its own, so that neither can take the other's: its connections, a few that
     // are ending, its listener.
     let of_ajp =
@@ -162,10 +171,13 @@
     let dispatchers = Arc::new(Dispatchers::new(core.clone(), most));
     let directory = Mutex::new(placement.directory);
     let ajp = operators.ajp_listener.clone().map(|settings| {
-        let open =
-            Open { allowed_peers: settings.allowed_peers, rules: settings.rules, quotas: Arc::default() };
+        let open = ReloadableConfig {
+            allowed_peers: settings.allowed_peers,
+            rules: settings.rules,
+            quotas: Arc::default(),
+        };
         let (packet, idle_us) = (settings.max_packet_bytes, settings.idle_timeout_us);
-        AjpFront::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
+        AjpIngress::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
     });
     let agent = prepare_configuration(placement, &operators, ajp.as_ref(), by_ajp.as_ref())
         .map_err(|error| error.to_string())?;
@@ -182,21 +194,29 @@
             let placed = kept.call.as_ref().is_some_and(|call| call.placed);
             if placed && !moved.contains(&kept.id) {
                 let lost = taken.upstream.record.lost.contains(&kept.id);
-                let end = if lost { CallEnd::Link(Ending::Moved) } else { CallEnd::Unsent };
-                resumed.ends.push((ticket.post(), end));
+                let end =
+                    if lost { CallResult::ConnectionClosed(CloseReason::Moved) } else { CallResult::Unsent };
+                resumed.ends.push((ticket.event_sender(), end));
             }
             let asker = kept.client.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
-                (Some(front), true) => front.asker(at),
+                (Some(front), true) => front.client_at(at),
                 (None, true) => None,
-                (_, false) => dispatchers.asker(at),
+                (_, false) => dispatchers.client_at(at),
             });
-            let life =
-                Life { owed: kept.owed && asker.is_some(), running: kept.running, call: kept.call.map(call) };
-            let living = Living::new(&core, rpc, &kept.body, asker.unwrap_or_else(|| Box::new(Nobody)), life);
+            let life = RequestState {
+                awaits_answer: kept.owed && asker.is_some(),
+                is_running: kept.running,
+                call: kept.call.map(call),
+            };
+            let living =
+                OpenRequest::new(&core, rpc, &kept.body, asker.unwrap_or_else(|| Box::new(Nobody)), life);
             resumed.lives.push((Arc::new(living), ticket));
         }
-        let posts =
-            resumed.lives.iter().map(|(living, ticket)| (living.rpc.id.clone(), ticket.post())).collect();
+        let posts = resumed
+            .lives
+            .iter()
+            .map(|(living, ticket)| (living.rpc.id.clone(), ticket.event_sender()))
+            .collect();
         resumed.below = Some((taken.upstream.record, taken.upstream.descriptors, posts));
     }
     let (memory_bytes, descriptors) = (bytes, placement.descriptors);
@@ -218,32 +238,41 @@
     Ok(Built { node, name, stirred, listener: json_listener, ajp_listener, status, resumed, agent })
 }
 
-pub(super) fn incoming(kept: &RpcRecord) -> Incoming {
-    let token = kept.token.as_ref().map(|key| Token { key: key.as_str().into(), work: kept.work });
+pub(super) fn incoming(kept: &RpcRecord) -> IncomingRequest {
+    let token =
+        kept.token.as_ref().map(|key| IdempotencyKey { key: key.as_str().into(), fingerprint: kept.work });
     let (method, left_us) = (kept.method as usize, kept.left_us);
     // The module has counted it already.
     let (id, tenant) = (kept.id.as_str().into(), None);
-    Incoming { id, method, kb: kept.kb, ts_ms: kept.ts_ms, left_us, token, tenant }
+    IncomingRequest {
+        id,
+        method,
+        memory_kb: kept.kb,
+        arrived_unix_ms: kept.ts_ms,
+        time_left_us: left_us,
+        idempotency_key: token,
+        tenant,
+    }
 }
 
-pub(super) fn call(kept: CallRecord) -> Call {
-    let placed = Placed { at_us: kept.at_us, until_us: kept.until_us };
-    Call { pos: kept.pos, body: kept.body, placed: kept.placed.then_some(placed) }
+pub(super) fn call(kept: CallRecord) -> UpstreamCall {
+    let placed = PlacedCall { placed_at_us: kept.at_us, until_us: kept.until_us };
+    UpstreamCall { pos: kept.pos, body: kept.body, placed: kept.placed.then_some(placed) }
 }
 
 /// Whoever asked is not there any more.
 pub(super) struct Nobody;
 
-impl Asker for Nobody {
-    fn is_owed(&self) -> bool {
+impl DownstreamClient for Nobody {
+    fn awaits_answer(&self) -> bool {
         false
     }
     fn answer(&self, _answer: Answer, _signal: Option<f64>) {}
     fn address(&self) -> ClientAddress {
         ClientAddress::default()
     }
-    fn fault(&self) {}
-    fn proven(&self) {}
+    fn record_fault(&self) {}
+    fn mark_trusted(&self) {}
 }
 
 /// Starts every part. What is sent to the sender makes the directory hear of the present health at once.
@@ -257,55 +286,55 @@
         tracing::info!(part = "ajp", "node {name} listens");
         let of = front.clone();
         may::go!(move || of.sweep());
-        may::go!(move || accept_all(&front, &listener));
+        may::go!(move || accept_connections(&front, &listener));
     }
     if let Some(by_ajp) = node.by_ajp.clone() {
         if let Some(status) = status {
             status::serve(&status, by_ajp.clone());
         }
-        may::go!(move || by_ajp.watch());
+        may::go!(move || by_ajp.maintain());
     }
     let core = node.core.clone();
     let (report_now, changed) = channel();
     let (of, report) = (core.clone(), report_now.clone());
-    let link = resumed.link.map(adopt);
-    may::go!(move || of.executor.keep_up(&of.gate, &report, link));
+    let link = resumed.link.map(stream_from_descriptor);
+    may::go!(move || of.executor.maintain_connection(&of.coordinator, &report, link));
     if let Some(store) = node.store.clone() {
         if let Some((kept, descriptors, posts)) = resumed.below {
             store.resume(kept, descriptors, &posts);
         }
-        may::go!(move || store.watch());
+        may::go!(move || store.maintain());
     }
     for (living, ticket) in resumed.lives {
-        core.go_on(living, ticket);
+        core.resume_request(living, ticket);
     }
-    resumed.ends.into_iter().for_each(|(post, end)| post.send(Next::CallEnded(end)));
-    node.dispatchers.go_on(resumed.json);
+    resumed.ends.into_iter().for_each(|(post, end)| post.send(RequestEvent::CallEnded(end)));
+    node.dispatchers.serve_resumed(resumed.json);
     if let Some(front) = &node.ajp {
-        front.go_on(resumed.ajp);
+        front.serve_resumed(resumed.ajp);
     }
     let of = core.clone();
     may::go!(move || loop {
-        of.gate.turn(&stirred.told);
+        of.coordinator.decide_when_notified(&stirred.state_changed);
     });
     let of = core;
     may::go!(move || {
-        let rows = rows();
+        let rows = gauge_channel();
         loop {
-            of.gate.wait_due(&stirred.earlier);
+            of.coordinator.wait_for_timer(&stirred.timer_moved);
             let row = of.executor.gauges(&rows).unwrap_or_default();
-            of.gate.tick(of.deployment.gauges(|at| row.get(at).copied()));
+            of.coordinator.tick(of.deployment.gauges(|at| row.get(at).copied()));
         }
     });
     let of = node.clone();
     may::go!(move || {
         let at = || *of.directory.lock().expect("never held over a panic");
-        let healthy = || of.core.gate.posture().healthy;
-        directory::keep(at, &name, healthy, &changed);
+        let healthy = || of.core.coordinator.health_state().is_healthy;
+        directory::report_periodically(at, &name, healthy, &changed);
     });
     let of = node.dispatchers.clone();
     may::go!(move || of.sweep());
     let of = node.dispatchers.clone();
-    may::go!(move || accept_all(&of, &listener));
+    may::go!(move || accept_connections(&of, &listener));
     (node, report_now)
 }
