--- a/crates/ochrewalk-node/src/interfaces.rs
+++ b/crates/ochrewalk-node/src/interfaces.rs
@@ -1,73 +1,81 @@
-//! What an RPC's life needs of the two sides that it stands between: of whoever asked, and of whatever lies
-//! below. Each protocol brings its own; the life knows none of them.
+//! The interfaces of a request to its client and to its upstream. Each protocol implements them; the request's state machine
+//! and task know no protocol.
 
 use crate::coordinator::EventSender;
 use crate::handover::records::{ClientAddress, UpstreamRecord};
 use ochrewalk::host::RpcId;
 use std::os::fd::RawFd;
 
-/// The final answer to an RPC, before a protocol has put it into bytes.
+/// The final answer to a request, before a protocol encodes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer<'a> {
-    /// The result of its run, a JSON string of base64 as the executor gave it.
+    /// The result of the run, a JSON string of base64 as received from the executor.
     Served(&'a str),
-    /// It never ran. `do_not_retry` asks not to try elsewhere, `retry_after_us` (0 for none) to keep away for so long.
-    Rejected { do_not_retry: bool, retry_after_us: u64 },
-    /// Given up, with no word on whether it ran.
+    /// The request was rejected and never ran.
+    Rejected {
+        /// Whether the client is asked not to retry at another server.
+        do_not_retry: bool,
+        /// How long the client is asked to keep away from this server, in microseconds; 0 for no advice.
+        retry_after_us: u64,
+    },
+    /// The request was aborted; the answer does not say whether it ran.
     Aborted,
-    /// It can't be done as it was asked, for this reason; it did not run.
+    /// The request is invalid, for this reason, and did not run.
     InvalidRequest(&'static str),
 }
 
 impl Answer<'_> {
-    /// Pushed back with no advice.
+    /// A rejection without advice: the client may retry at another server, and at this one at any time.
     pub const REJECTED_WITHOUT_ADVICE: Answer<'static> =
         Answer::Rejected { do_not_retry: false, retry_after_us: 0 };
 }
 
-/// Who waits for the answer to one RPC.
+/// The client that waits for the answer to one request.
 pub trait DownstreamClient: Send + Sync {
-    /// Whether an answer is still owed.
+    /// Whether the client still waits for an answer.
     fn awaits_answer(&self) -> bool;
 
-    /// Gives the answer, if it is still owed. `signal` is the value sent back, where there is one.
-    fn answer(&self, answer: Answer, signal: Option<f64>);
+    /// Sends the answer, if the client still waits for one. `load_signal` is the value sent with every answer, where there
+    /// is one.
+    fn answer(&self, answer: Answer, load_signal: Option<f64>);
 
-    /// Where it is found again by another process that goes on with the connections.
+    /// Returns the address by which another process that takes over the connections finds this client.
     fn address(&self) -> ClientAddress;
 
-    /// The executor knows of no such RPC: it counts against its sender.
+    /// Counts a fault against the client: the executor does not know its request.
     fn record_fault(&self);
 
-    /// The RPC has run: its sender is no stranger.
+    /// Marks the client as trusted: its request has run.
     fn mark_trusted(&self);
 }
 
-/// What lies below.
+/// The client of an upstream, by any protocol.
 pub trait UpstreamClient: Send + Sync {
-    /// Places a call that may take so long; what becomes of it goes to `post`, once. Only one that may be made
-    /// `again` can be repeated, or go where its fate would not be known for certain.
-    fn place_call(&self, id: &RpcId, wait_ms: u64, body: &[u8], again: bool, post: EventSender);
+    /// Places a call that may take up to `timeout_ms`. Its result is sent to `events` exactly once, unless the call is
+    /// cancelled. Only a call with `may_repeat` is retried, or sent on a connection on which a failure would leave it
+    /// unknown whether the call ran.
+    fn place_call(&self, id: &RpcId, timeout_ms: u64, body: &[u8], may_repeat: bool, events: EventSender);
 
-    /// Gives a call up; nothing more is heard of it.
+    /// Cancels a call; no result is sent for it after that.
     fn cancel_call(&self, id: &str);
 
-    /// How long nothing below is expected to take a call, where nothing does now.
+    /// Returns for how long no endpoint is expected to accept a call, in microseconds; none where one accepts calls now.
     fn unavailable_for_us(&self) -> Option<u64> {
         None
     }
 
-    /// Places no new call for the moment, so that those under way can end before a pause; or goes on.
-    fn set_calls_paused(&self, _hold: bool) {}
+    /// Queues new calls while `is_paused` is set, so that calls in flight can end before the process pauses for a
+    /// hand-over; places the queued calls once it is cleared.
+    fn set_calls_paused(&self, _is_paused: bool) {}
 
-    /// Whether calls are under way on connections that cannot move to another process.
+    /// Whether calls are in flight on connections that cannot be handed over to another process.
     fn has_unmovable_calls(&self) -> bool {
         false
     }
 
-    /// The connections and calls, for another process to go on with, and the connections' descriptors.
+    /// Returns the connections and calls for a successor process, with the connections' descriptors.
     fn snapshot(&self) -> (UpstreamRecord, Vec<RawFd>);
 
-    /// Has every connection looked at again, as a pause is over.
+    /// Makes every connection check for work again, after a pause has ended.
     fn recheck_connections(&self);
 }
