--- a/crates/ochrewalk-node/src/coordinator.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -1,6 +1,6 @@
-//! The facade round the module, in blocking style: an RPC's coroutine tells of it by [`RequestCoordinator::submit`], waits at its
-//! ticket for the verdict, reports what became of its run and calls, and waits again. Only this file knows the
-//! module's events and actions. One lock guards it, and nothing is read or written while it is held.
+//! Connects request tasks with the admission controller. A task submits its request by [`RequestCoordinator::submit`], waits at
+//! its [`RequestHandle`] for the next event, reports what happened to the run and the calls, and waits again. This is the only
+//! file that knows the controller's events and actions. One lock guards the controller, and no I/O is done while it is held.
 
 use crate::clock::{age_us, channel_timeout, Clock};
 use crate::close_reason::CallResult;
@@ -19,79 +19,101 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What the module needs to know of an RPC.
+/// A request, as far as the coordinator needs to know it.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
+    /// The id, as given by the client.
     pub id: RpcId,
-    /// Position in the deployment's list.
+    /// The position of the method in the deployment's list.
     pub method: usize,
+    /// The memory that the request occupies while it is queued.
     pub memory_kb: f64,
-    /// When it came to the machine, in Unix time.
+    /// The time at which the request reached the machine, in Unix time.
     pub arrived_unix_ms: u64,
-    /// How long its caller still waits, where that is conveyed.
+    /// The time for which the caller still waits, where the protocol conveys it.
     pub time_left_us: Option<u64>,
+    /// The idempotency key, where the method takes one.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The quota that it counts against, where its protocol names a tenant.
+    /// The tenant whose quota the request counts against, where the protocol names one.
     pub tenant: Option<Tenant>,
 }
 
-/// The mark by which repeats are known, and a print of the work that all of them bring.
+/// The key by which repeats of a request are recognised, with the request's fingerprint.
 #[derive(Clone, Debug)]
 pub struct IdempotencyKey {
+    /// The key, as given by the client.
     pub key: Arc<str>,
+    /// A fingerprint of method and body, the same for all repeats of a request.
     pub fingerprint: u64,
 }
 
-/// Why an RPC was not taken.
+/// The reason why a request was not submitted to the admission controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitError {
-    /// One of its id is open.
+    /// A request with this id is already open.
     IdAlreadyOpen,
-    /// Its token stands for other work, which `ran`, or is still open.
-    KeyOfOtherRequest { has_run: bool },
+    /// The idempotency key belongs to a request with another fingerprint.
+    KeyOfOtherRequest {
+        /// Whether that request may have run; otherwise it is still open.
+        has_run: bool,
+    },
 }
 
-/// What an RPC's coroutine does next: a verdict of the module's, or news that came from the network.
+/// The event or command that a request task handles next, from the admission controller or from the network.
 #[derive(Debug)]
 pub enum RequestEvent {
-    /// Start its run, or take it up again.
+    /// Starts the run, or resumes it.
     Run,
-    /// Take its run off the cores.
+    /// Takes the run off the cores.
     Stop,
-    /// Place its call, which may take until then on the monotonic clock.
+    /// Places the upstream call.
     PlaceCall {
+        /// The deadline of the call, on the monotonic clock.
         until_us: u64,
     },
-    /// Go on without the call.
+    /// Continues the run without the call.
     SkipCall,
-    /// Answer that it was turned away and never ran.
+    /// Answers that the request was rejected and never ran.
     Reject {
+        /// Whether the client is asked not to retry at another server.
         do_not_retry: bool,
+        /// How long the client is asked to keep away from this server; 0 for no advice.
         retry_after_us: u64,
     },
-    /// Answer that it was given up.
+    /// Answers that the request was aborted.
     Abort,
-    /// Answer with the result of the RPC that it repeats.
+    /// Answers with the result of the request that this one repeats.
     ServeResult(SharedResult),
-    /// Its caller has gone: no answer is owed.
+    /// The caller has left: no answer is sent.
     CallerLeft,
-    /// Its run waits for a call; a notice of that number said so.
+    /// The run waits for an upstream call.
     CallNeeded {
+        /// The position of the executor notice that requested the call.
         pos: u64,
+        /// The payload of the call.
         body: Vec<u8>,
     },
+    /// The upstream call has ended.
     CallEnded(CallResult),
-    /// Its run has ended, with a result (a JSON string) where it is complete.
+    /// The run has ended, with a result (a JSON string) where it is complete.
     RunEnded(RunEnd, Option<SharedResult>),
-    /// Nothing has come within the time given.
+    /// No event has arrived within the given time.
     Timeout,
 }
 
-/// What became of an RPC's run or call, for [`RequestCoordinator::report`].
+/// A report on a request's run or call, for [`RequestCoordinator::report`].
 #[derive(Debug)]
 pub enum ProgressReport {
+    /// The run waits for an upstream call.
     CallNeeded,
-    CallEnded { outcome: Outcome, took_us: u64 },
+    /// The call has ended.
+    CallEnded {
+        /// The outcome of the call.
+        outcome: Outcome,
+        /// The time that it took.
+        took_us: u64,
+    },
+    /// The run has ended, with a result (a JSON string) where it is complete.
     RunEnded(RunEnd, Option<SharedResult>),
 }
 
@@ -104,502 +126,550 @@
     }
 }
 
-/// Mail that was sent to RPCs and is not dealt with yet, and RPCs that were begun and not yet told to the gate. None
-/// means that all is at rest until something comes from outside.
+/// Counts the events that were sent to requests and are not handled yet, and the requests that were started and are not
+/// submitted yet. At zero nothing changes until new input arrives from the network.
 #[derive(Clone, Default)]
 pub struct PendingWork(Arc<AtomicUsize>);
 
 impl PendingWork {
+    /// Adds one piece of work.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// Removes a piece of work that is done.
     pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
+    /// Whether no work is pending.
     pub fn is_none(&self) -> bool {
         self.0.load(Ordering::Relaxed) == 0
     }
 }
 
-/// A way to send news to an RPC.
+/// Sends events to the mailbox of a request.
 #[derive(Clone)]
 pub struct EventSender {
-    to: Sender<RequestEvent>,
+    mailbox: Sender<RequestEvent>,
     pending_work: PendingWork,
 }
 
 impl EventSender {
-    pub fn send(&self, next: RequestEvent) {
+    /// Sends an event. It is dropped if the request is already finished.
+    pub fn send(&self, event: RequestEvent) {
         self.pending_work.increment();
-        if self.to.send(next).is_err() {
+        if self.mailbox.send(event).is_err() {
             self.pending_work.decrement();
         }
     }
 }
 
-/// An open RPC's place in the gate: where its coroutine waits.
+/// The handle of an open request at the coordinator, at which its task waits for events.
 pub struct RequestHandle {
     id: RpcId,
-    post: EventSender,
-    mail: Receiver<RequestEvent>,
-    /// The last mail taken is being dealt with.
-    busy: Cell<bool>,
+    events: EventSender,
+    mailbox: Receiver<RequestEvent>,
+    /// Whether the last event that was received is being handled.
+    is_handling: Cell<bool>,
 }
 
 impl RequestHandle {
     fn new(id: RpcId, pending_work: &PendingWork) -> RequestHandle {
-        let (to, mail) = channel();
+        let (sender, mailbox) = channel();
         RequestHandle {
             id,
-            post: EventSender { to, pending_work: pending_work.clone() },
-            mail,
-            busy: Cell::new(false),
+            events: EventSender { mailbox: sender, pending_work: pending_work.clone() },
+            mailbox,
+            is_handling: Cell::new(false),
         }
     }
 
-    /// A way for the network to send news.
+    /// Returns a sender of events to this request.
     pub fn event_sender(&self) -> EventSender {
-        self.post.clone()
+        self.events.clone()
     }
 
-    /// Waits for whatever comes next, for so long at most (see [`channel_timeout`]). What came before is dealt with.
-    pub fn wait(&self, most: Option<Duration>) -> RequestEvent {
-        self.dealt_with();
-        let came = match most {
-            Some(most) => self.mail.recv_timeout(most),
-            None => self.mail.recv().map_err(|_| RecvTimeoutError::Disconnected),
+    /// Waits for the next event, for up to `max_wait` (see [`channel_timeout`]), and returns [`RequestEvent::Timeout`] if none
+    /// arrives. The event before it counts as handled.
+    pub fn wait(&self, max_wait: Option<Duration>) -> RequestEvent {
+        self.finish_handling();
+        let received = match max_wait {
+            Some(max_wait) => self.mailbox.recv_timeout(max_wait),
+            None => self.mailbox.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
-        self.busy.set(came.is_ok());
-        match came {
-            Ok(next) => next,
+        self.is_handling.set(received.is_ok());
+        match received {
+            Ok(event) => event,
             Err(RecvTimeoutError::Timeout) => RequestEvent::Timeout,
             Err(RecvTimeoutError::Disconnected) => RequestEvent::CallerLeft,
         }
     }
 
-    fn dealt_with(&self) {
-        if self.busy.take() {
-            self.post.pending_work.decrement();
+    fn finish_handling(&self) {
+        if self.is_handling.take() {
+            self.events.pending_work.decrement();
         }
     }
 }
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.dealt_with();
-        while self.mail.try_recv().is_ok() {
-            self.post.pending_work.decrement();
+        self.finish_handling();
+        while self.mailbox.try_recv().is_ok() {
+            self.events.pending_work.decrement();
         }
     }
 }
 
-/// What callers and the directory are told.
+/// The health state, as reported to callers and to the directory.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthState {
-    /// Health checks pass. None before there is a module: a report of bad health would keep callers away for
-    /// seconds from a server that is only about to start.
+    /// Whether health checks pass. None before the executor is up: a report as unhealthy would keep callers away for seconds
+    /// from a server that is about to start.
     pub is_healthy: Option<bool>,
-    /// The value sent back with every answer.
+    /// The value sent with every answer.
     pub load_signal: Option<f64>,
-    /// Connections that have carried nothing for so long are to be closed.
+    /// The time after which idle connections are closed.
     pub max_idle_us: u64,
 }
 
+/// The admission controller behind a lock, and the mailboxes of all open requests.
 pub struct RequestCoordinator {
     clock: Clock,
     deployment: Deployment,
     seed: u64,
-    state: Mutex<Inside>,
-    /// Tells who waits in [`RequestCoordinator::decide_when_notified`] that the module was told something.
-    stir: Sender<()>,
-    /// Tells who waits in [`RequestCoordinator::wait_for_timer`] that a wake-up has moved forward.
-    earlier: Sender<()>,
+    state: Mutex<CoordinatorState>,
+    /// Wakes [`RequestCoordinator::decide_when_notified`] after the controller was notified of an event.
+    state_changed: Sender<()>,
+    /// Wakes [`RequestCoordinator::wait_for_timer`] after the timer has moved forward.
+    timer_moved: Sender<()>,
+    /// The work that is pending in request tasks.
     pub pending_work: PendingWork,
 }
 
-/// The other ends of the gate's own channels.
+/// The receivers of the coordinator's notifications.
 pub struct CoordinatorNotifications {
+    /// For [`RequestCoordinator::decide_when_notified`].
     pub state_changed: Receiver<()>,
+    /// For [`RequestCoordinator::wait_for_timer`].
     pub timer_moved: Receiver<()>,
 }
 
-/// Before the executor is up there is no module, and nothing is taken.
-enum Inside {
-    Closed(Box<Desk>),
-    Open(Box<AdmissionController<Desk>>),
+/// The controller does not exist before the executor is up, and every request is rejected until then.
+enum CoordinatorState {
+    Inactive(Box<ControllerHost>),
+    Active(Box<AdmissionController<ControllerHost>>),
 }
 
-/// The module's host: its actions become mail for the coroutines concerned.
-struct Desk {
+/// The controller's host, which turns its actions into events for the requests concerned.
+struct ControllerHost {
     clock: Clock,
-    open: HashMap<RpcId, Open>,
+    requests: HashMap<RpcId, RequestEntry>,
     keys: IdempotencyKeyStore,
-    posture: HealthState,
-    wake_us: u64,
-    wake_token: u64,
-    /// It was told something since its last turn.
-    stirred: bool,
-    /// Repeats that an outcome already known has ended; the module hears of them next.
-    shared: Vec<(RpcId, Outcome)>,
-    /// This server leaves, and all must be answered by then.
-    leaves_by_us: Option<u64>,
+    health: HealthState,
+    timer_due_us: u64,
+    timer_token: u64,
+    /// Whether the controller was notified of an event after its last round of decisions.
+    has_changed: bool,
+    /// Repeats that were finished by an outcome already known, to be reported to the controller next.
+    finished_repeats: Vec<(RpcId, Outcome)>,
+    /// The time by which all requests must be answered, once this server drains.
+    drain_deadline_us: Option<u64>,
 }
 
-struct Open {
-    post: EventSender,
-    token: Option<IdempotencyKey>,
+/// An open request.
+struct RequestEntry {
+    events: EventSender,
+    idempotency_key: Option<IdempotencyKey>,
 }
 
 impl RequestCoordinator {
-    /// Results of `most_bytes` at most are kept for repeats. The receivers are for [`RequestCoordinator::decide_when_notified`] and
-    /// [`RequestCoordinator::wait_for_timer`].
+    /// Returns a coordinator without a controller, which retains up to `max_result_bytes` of results for repeats.
     pub fn new(
         clock: Clock,
         deployment: Deployment,
         seed: u64,
-        most_bytes: usize,
+        max_result_bytes: usize,
     ) -> (RequestCoordinator, CoordinatorNotifications) {
         let idle_us = deployment.machine.max_connection_idle_us;
-        let desk = Desk {
+        let host = ControllerHost {
             clock,
-            open: HashMap::new(),
-            keys: IdempotencyKeyStore::new(most_bytes),
-            posture: HealthState { is_healthy: None, load_signal: None, max_idle_us: idle_us },
-            wake_us: u64::MAX,
-            wake_token: 0,
-            stirred: false,
-            shared: Vec::new(),
-            leaves_by_us: None,
+            requests: HashMap::new(),
+            keys: IdempotencyKeyStore::new(max_result_bytes),
+            health: HealthState { is_healthy: None, load_signal: None, max_idle_us: idle_us },
+            timer_due_us: u64::MAX,
+            timer_token: 0,
+            has_changed: false,
+            finished_repeats: Vec::new(),
+            drain_deadline_us: None,
         };
-        let ((stir, told), (earlier, moved)) = (channel(), channel());
-        let state = Mutex::new(Inside::Closed(Box::new(desk)));
+        let ((state_changed, on_state_changed), (timer_moved, on_timer_moved)) = (channel(), channel());
+        let state = Mutex::new(CoordinatorState::Inactive(Box::new(host)));
         let pending_work = PendingWork::default();
         (
-            RequestCoordinator { clock, deployment, seed, state, stir, earlier, pending_work },
-            CoordinatorNotifications { state_changed: told, timer_moved: moved },
+            RequestCoordinator { clock, deployment, seed, state, state_changed, timer_moved, pending_work },
+            CoordinatorNotifications { state_changed: on_state_changed, timer_moved: on_timer_moved },
         )
     }
 
-    /// The next tokens to go ahead of a hand-over, while all goes on; see [`IdempotencyKeyStore::export_batch`].
+    /// Exports the next batch of idempotency keys ahead of a hand-over; see [`IdempotencyKeyStore::export_batch`].
     pub fn export_keys(
         &self,
         after: Option<&KeyExpiry>,
-        most: usize,
+        max_keys: usize,
     ) -> Option<(Vec<IdempotencyKeyRecord>, KeyExpiry)> {
-        self.desk(|desk| desk.keys.export_batch(after, most))
+        self.with_host(|host| host.keys.export_batch(after, max_keys))
     }
 
-    /// A hand-over has come to nothing.
+    /// Stops tracking changes of idempotency keys, after a hand-over that failed.
     pub fn stop_tracking_keys(&self) {
-        self.desk(|desk| desk.keys.stop_tracking_changes());
+        self.with_host(|host| host.keys.stop_tracking_changes());
     }
 
-    /// Writes down the module, the tokens (those that have changed where the others went `ahead`) and what callers are
-    /// told, for `node`'s part in a hand-over.
-    pub fn snapshot(&self, node: &mut NodeRecord, ahead: bool) {
+    /// Writes the controller, the idempotency keys and the health state to `node` for a hand-over. Where
+    /// `keys_sent_ahead` is set, only the keys that have changed since the export are written.
+    pub fn snapshot(&self, node: &mut NodeRecord, keys_sent_ahead: bool) {
         let mut state = self.lock();
-        let (desk, module) = match &mut *state {
-            Inside::Closed(desk) => (&mut **desk, None),
-            Inside::Open(module) => {
-                let kept = module.snapshot();
-                (module.host(), Some(kept))
+        let (host, snapshot) = match &mut *state {
+            CoordinatorState::Inactive(host) => (&mut **host, None),
+            CoordinatorState::Active(controller) => {
+                let snapshot = controller.snapshot();
+                (controller.host(), Some(snapshot))
             }
         };
-        node.decisions = module;
-        let HealthState { is_healthy: healthy, load_signal: signal, max_idle_us: idle_us } = desk.posture;
-        (node.healthy, node.signal, node.idle_us) = (healthy, signal, idle_us);
-        (node.wake_us, node.wake_token) = (desk.wake_us, desk.wake_token);
+        node.decisions = snapshot;
+        let HealthState { is_healthy, load_signal, max_idle_us } = host.health;
+        (node.healthy, node.signal, node.idle_us) = (is_healthy, load_signal, max_idle_us);
+        (node.wake_us, node.wake_token) = (host.timer_due_us, host.timer_token);
         (node.keys, node.removed_keys) =
-            if ahead { desk.keys.export_changed() } else { (desk.keys.export_all(), Vec::new()) };
+            if keys_sent_ahead { host.keys.export_changed() } else { (host.keys.export_all(), Vec::new()) };
     }
 
-    /// Goes on with what another process wrote down, after the tokens that went ahead. The RPCs that are open get their
-    /// tickets.
+    /// Restores the state that a predecessor process wrote to `node`, on top of the keys that it sent ahead. Returns a handle
+    /// for each of `open_requests`, in the same order.
+    ///
+    /// # Errors
+    ///
+    /// The controller cannot be restored from its snapshot.
     pub fn resume(
         clock: Clock,
         deployment: Deployment,
         seed: u64,
-        most_bytes: usize,
+        max_result_bytes: usize,
         node: &mut NodeRecord,
-        ahead: IdempotencyKeyStore,
-        open: &[IncomingRequest],
+        keys_sent_ahead: IdempotencyKeyStore,
+        open_requests: &[IncomingRequest],
     ) -> Result<(RequestCoordinator, CoordinatorNotifications, Vec<RequestHandle>), String> {
-        let (gate, stirred) = RequestCoordinator::new(clock, deployment.clone(), seed, most_bytes);
-        let ticket = |rpc: &IncomingRequest| RequestHandle::new(rpc.id.clone(), &gate.pending_work);
-        let tickets: Vec<RequestHandle> = open.iter().map(ticket).collect();
+        let (coordinator, notifications) =
+            RequestCoordinator::new(clock, deployment.clone(), seed, max_result_bytes);
+        let handle = |rpc: &IncomingRequest| RequestHandle::new(rpc.id.clone(), &coordinator.pending_work);
+        let handles: Vec<RequestHandle> = open_requests.iter().map(handle).collect();
         {
-            let mut state = gate.lock();
-            let Inside::Closed(desk) = &mut *state else { unreachable!("just made") };
-            let (healthy, signal, idle_us) = (node.healthy, node.signal, node.idle_us);
-            desk.posture = HealthState { is_healthy: healthy, load_signal: signal, max_idle_us: idle_us };
-            (desk.wake_us, desk.wake_token) = (node.wake_us, node.wake_token);
-            desk.keys = ahead;
-            desk.keys.import(std::mem::take(&mut node.keys), &node.removed_keys);
-            desk.keys.set_max_result_bytes(most_bytes);
-            for (rpc, ticket) in open.iter().zip(&tickets) {
-                desk.open.insert(
+            let mut state = coordinator.lock();
+            let CoordinatorState::Inactive(host) = &mut *state else {
+                unreachable!("a new coordinator is inactive")
+            };
+            let (is_healthy, load_signal, max_idle_us) = (node.healthy, node.signal, node.idle_us);
+            host.health = HealthState { is_healthy, load_signal, max_idle_us };
+            (host.timer_due_us, host.timer_token) = (node.wake_us, node.wake_token);
+            host.keys = keys_sent_ahead;
+            host.keys.import(std::mem::take(&mut node.keys), &node.removed_keys);
+            host.keys.set_max_result_bytes(max_result_bytes);
+            for (rpc, handle) in open_requests.iter().zip(&handles) {
+                host.requests.insert(
                     rpc.id.clone(),
-                    Open { post: ticket.event_sender(), token: rpc.idempotency_key.clone() },
+                    RequestEntry {
+                        events: handle.event_sender(),
+                        idempotency_key: rpc.idempotency_key.clone(),
+                    },
                 );
             }
-            if let Some(kept) = node.decisions.take() {
-                let placeholder = Desk {
+            if let Some(snapshot) = node.decisions.take() {
+                let placeholder = ControllerHost {
                     keys: IdempotencyKeyStore::new(0),
-                    open: HashMap::new(),
-                    shared: Vec::new(),
-                    ..**desk
+                    requests: HashMap::new(),
+                    finished_repeats: Vec::new(),
+                    ..**host
                 };
-                let desk = std::mem::replace(&mut **desk, placeholder);
-                *state =
-                    Inside::Open(Box::new(deployment.resume(desk, kept).map_err(|error| error.to_string())?));
+                let host = std::mem::replace(&mut **host, placeholder);
+                *state = CoordinatorState::Active(Box::new(
+                    deployment.resume(host, snapshot).map_err(|error| error.to_string())?,
+                ));
             }
         }
-        Ok((gate, stirred, tickets))
+        Ok((coordinator, notifications, handles))
     }
 
-    /// Whether all that was told has been acted on, and all mail dealt with.
+    /// Whether the controller has acted on every event and no work is pending in request tasks.
     pub fn is_quiescent(&self) -> bool {
-        let stirred = self.desk(|desk| desk.stirred || !desk.shared.is_empty());
-        !stirred && self.pending_work.is_none()
+        let has_changed = self.with_host(|host| host.has_changed || !host.finished_repeats.is_empty());
+        !has_changed && self.pending_work.is_none()
     }
 
-    /// The executor is up, and has been for so long: from here on RPCs are taken. Once only.
-    pub fn activate(&self, cold: bool, up_us: u64) {
+    /// Starts the controller once the executor is up, so that requests are admitted from now on. The executor has been up for
+    /// `up_us`, and `is_cold` says whether it started cold. Further calls have no effect.
+    pub fn activate(&self, is_cold: bool, up_us: u64) {
         let mut state = self.lock();
-        let Inside::Closed(desk) = &mut *state else { return };
-        let placeholder =
-            Desk { keys: IdempotencyKeyStore::new(0), open: HashMap::new(), shared: Vec::new(), ..**desk };
-        let desk = std::mem::replace(&mut **desk, placeholder);
+        let CoordinatorState::Inactive(host) = &mut *state else { return };
+        let placeholder = ControllerHost {
+            keys: IdempotencyKeyStore::new(0),
+            requests: HashMap::new(),
+            finished_repeats: Vec::new(),
+            ..**host
+        };
+        let host = std::mem::replace(&mut **host, placeholder);
         let mut deployment = self.deployment.clone();
-        deployment.survivable_load.is_cold = cold;
+        deployment.survivable_load.is_cold = is_cold;
         let now_us = self.clock.now_us();
         let started_us = now_us.saturating_sub(up_us);
-        let leaves_by_us = desk.leaves_by_us;
-        let mut module = Box::new(deployment.start(desk, started_us, self.seed));
-        // Guards against an executor that comes up once we were told to leave: nothing is begun any more.
-        if let Some(by_us) = leaves_by_us {
-            module.drain(now_us, by_us.saturating_sub(now_us));
+        let drain_deadline_us = host.drain_deadline_us;
+        let mut controller = Box::new(deployment.start(host, started_us, self.seed));
+        // Guards against an executor that comes up after this server has begun to drain: no request is started any more.
+        if let Some(deadline_us) = drain_deadline_us {
+            controller.drain(now_us, deadline_us.saturating_sub(now_us));
         }
-        *state = Inside::Open(module);
+        *state = CoordinatorState::Active(controller);
         drop(state);
-        let _ = self.earlier.send(());
+        let _ = self.timer_moved.send(());
     }
 
-    /// Tells the module of an RPC that was read. The verdict comes by the ticket.
+    /// Submits a request that was read to the controller. The decision arrives as an event at the handle.
+    ///
+    /// # Errors
+    ///
+    /// The id or the idempotency key is in use by another request.
     pub fn submit(&self, new: &IncomingRequest) -> Result<RequestHandle, SubmitError> {
-        let ticket = RequestHandle::new(new.id.clone(), &self.pending_work);
-        let post = ticket.event_sender();
+        let handle = RequestHandle::new(new.id.clone(), &self.pending_work);
+        let events = handle.event_sender();
         let method = &self.deployment.methods[new.method];
         let unix_ms = self.clock.unix_ms();
         let queued_us = age_us(unix_ms, new.arrived_unix_ms, method.deadline_us);
-        let took = self.tell(|module, now_us| {
-            let desk = module.host();
-            if desk.open.contains_key(&new.id) {
+        let submitted = self.with_controller(|controller, now_us| {
+            let host = controller.host();
+            if host.requests.contains_key(&new.id) {
                 return Err(SubmitError::IdAlreadyOpen);
             }
-            let token = new.idempotency_key.clone();
-            // Guards against a stamp ahead of the clock, which would step over the window.
-            let ts_ms = new.arrived_unix_ms.min(unix_ms);
-            let repeats = match token.as_ref().map(|t| desk.keys.find(&t.key, t.fingerprint, ts_ms)) {
-                Some(KeyLookup::OtherRequest { has_run: ran }) => {
-                    return Err(SubmitError::KeyOfOtherRequest { has_run: ran })
+            let idempotency_key = new.idempotency_key.clone();
+            // Guards against a time stamp ahead of the clock, which would lie beyond the key's window.
+            let arrived_unix_ms = new.arrived_unix_ms.min(unix_ms);
+            let repeats = match idempotency_key
+                .as_ref()
+                .map(|key| host.keys.find(&key.key, key.fingerprint, arrived_unix_ms))
+            {
+                Some(KeyLookup::OtherRequest { has_run }) => {
+                    return Err(SubmitError::KeyOfOtherRequest { has_run })
                 }
                 Some(KeyLookup::SameRequest(holder)) => Some(holder),
                 Some(KeyLookup::Unknown) | None => None,
             };
-            desk.open.insert(new.id.clone(), Open { post, token });
+            host.requests.insert(new.id.clone(), RequestEntry { events, idempotency_key });
             let arrival = Arrival {
                 id: new.id.clone(),
                 method: new.method,
                 memory_kb: new.memory_kb,
                 queued_us,
-                // No longer than the deployment says: guards against a caller that holds its place for ever.
-                time_left_us: new.time_left_us.map(|left_us| left_us.min(method.deadline_us)),
+                // Limited by the method's deadline: guards against a caller that occupies the queue for ever.
+                time_left_us: new.time_left_us.map(|time_left_us| time_left_us.min(method.deadline_us)),
                 work_hint_us: None,
                 repeats,
                 is_retry: false,
                 tenant: new.tenant,
             };
-            module.request_arrived(now_us, arrival);
+            controller.request_arrived(now_us, arrival);
             Ok(())
         });
-        // No module yet: it cannot run.
-        let Some(took) = took else {
-            ticket.post.send(RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 });
-            return Ok(ticket);
+        // Without a controller the request cannot run.
+        let Some(submitted) = submitted else {
+            handle.events.send(RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 });
+            return Ok(handle);
         };
-        took?;
-        Ok(ticket)
+        submitted?;
+        Ok(handle)
     }
 
-    /// Tells the module what became of a run or a call. What comes next comes by the ticket; after a run's end
-    /// nothing does.
-    pub fn report(&self, ticket: &RequestHandle, what: ProgressReport) {
-        self.tell(|module, now_us| match what {
-            ProgressReport::CallNeeded => module.call_needed(now_us, &ticket.id),
+    /// Reports to the controller what happened to a run or a call. The next decision arrives as an event at the handle; none
+    /// arrives after the end of a run.
+    pub fn report(&self, handle: &RequestHandle, report: ProgressReport) {
+        self.with_controller(|controller, now_us| match report {
+            ProgressReport::CallNeeded => controller.call_needed(now_us, &handle.id),
             ProgressReport::CallEnded { outcome, took_us } => {
-                module.call_ended(now_us, &ticket.id, outcome, took_us);
+                controller.call_ended(now_us, &handle.id, outcome, took_us);
             }
             ProgressReport::RunEnded(end, result) => {
-                module.host().settle_key(&ticket.id, end, result);
-                module.run_ended(now_us, &ticket.id, run_outcome(end));
+                controller.host().record_key_outcome(&handle.id, end, result);
+                controller.run_ended(now_us, &handle.id, run_outcome(end));
             }
         });
     }
 
-    /// The caller of an RPC has gone. Its coroutine hears of it, too. Guards against one that was never taken
-    /// here, as another caller's RPC has that id: only the very one that was picked goes.
+    /// Reports to the controller and to the request's task that the caller of a request has left. The comparison by pointer
+    /// guards against a request that was not submitted because another caller's request has the same id: only the request
+    /// that was submitted is affected.
     pub fn caller_left(&self, id: &RpcId) {
-        self.tell(|module, _| {
-            let picked = module.host().open.get_key_value(id).is_some_and(|(open, _)| Arc::ptr_eq(open, id));
-            if picked {
-                module.caller_left(id);
-                module.host().mail(id, RequestEvent::CallerLeft);
+        self.with_controller(|controller, _| {
+            let is_submitted = controller
+                .host()
+                .requests
+                .get_key_value(id)
+                .is_some_and(|(open_id, _)| Arc::ptr_eq(open_id, id));
+            if is_submitted {
+                controller.caller_left(id);
+                controller.host().send_event(id, RequestEvent::CallerLeft);
             }
         });
     }
 
-    /// An RPC's coroutine has nothing left to do.
-    pub fn remove(&self, ticket: &RequestHandle) {
-        self.desk(|desk| desk.open.remove(&ticket.id));
+    /// Removes a request whose task has finished.
+    pub fn remove(&self, handle: &RequestHandle) {
+        self.with_host(|host| host.requests.remove(&handle.id));
     }
 
-    /// The wake-up that the module asked for, or any time at which its gauges are fresh.
+    /// Removes expired idempotency keys and, if the controller's timer is due, fires it with these gauges.
     pub fn tick(&self, gauges: Gauges) {
         let unix_ms = self.clock.unix_ms();
         if is_paused() {
             return;
         }
-        self.tell(|module, now_us| {
-            let desk = module.host();
-            desk.keys.remove_expired(unix_ms);
-            // A wake-up that is not due yet stays as it is: the module goes by the token.
-            if now_us >= desk.wake_us {
-                desk.wake_us = u64::MAX;
-                let token = desk.wake_token;
-                module.timer_fired(now_us, token, gauges);
+        self.with_controller(|controller, now_us| {
+            let host = controller.host();
+            host.keys.remove_expired(unix_ms);
+            // A timer that is not due yet stays set: the controller recognises it by its token.
+            if now_us >= host.timer_due_us {
+                host.timer_due_us = u64::MAX;
+                let token = host.timer_token;
+                controller.timer_fired(now_us, token, gauges);
             }
         });
     }
 
-    /// Waits until the next wake-up is due.
-    pub fn wait_for_timer(&self, moved: &Receiver<()>) {
+    /// Waits until the controller's timer is due.
+    pub fn wait_for_timer(&self, timer_moved: &Receiver<()>) {
         loop {
-            let due_us = self.desk(|desk| desk.wake_us);
+            let due_us = self.with_host(|host| host.timer_due_us);
             let now_us = self.clock.now_us();
             if due_us <= now_us && !is_paused() {
                 return;
             }
             let due_us = due_us.max(now_us + 1_000);
-            // Moved forward, or due: either way it is looked at again.
-            let _ = moved.recv_timeout(channel_timeout(due_us.min(now_us + 1_000_000) - now_us));
+            // The timer has moved or is due; either way it is checked again.
+            let _ = timer_moved.recv_timeout(channel_timeout(due_us.min(now_us + 1_000_000) - now_us));
         }
     }
 
-    /// This server leaves; what is open must be answered within `left_us`.
-    pub fn drain(&self, left_us: u64) {
-        let by_us = self.clock.now_us() + left_us;
-        self.desk(|desk| (desk.posture.is_healthy, desk.leaves_by_us) = (Some(false), Some(by_us)));
-        self.tell(|module, now_us| module.drain(now_us, left_us));
+    /// Starts draining: the server reports itself as unhealthy, and all open requests must be answered within `time_left_us`.
+    pub fn drain(&self, time_left_us: u64) {
+        let deadline_us = self.clock.now_us() + time_left_us;
+        self.with_host(|host| {
+            (host.health.is_healthy, host.drain_deadline_us) = (Some(false), Some(deadline_us))
+        });
+        self.with_controller(|controller, now_us| controller.drain(now_us, time_left_us));
     }
 
+    /// Returns the health state.
     pub fn health_state(&self) -> HealthState {
-        self.desk(|desk| desk.posture)
+        self.with_host(|host| host.health)
     }
 
-    /// RPCs that are not over.
+    /// Returns the number of open requests.
     pub fn open_request_count(&self) -> usize {
-        self.desk(|desk| desk.open.len())
+        self.with_host(|host| host.requests.len())
     }
 
-    /// Lets the module act on all that it was told since it last did. Who is ready to tell it more does so
-    /// first. Guards against a flood: one turn for each RPC read would cost a look at all that are held.
-    pub fn decide_when_notified(&self, told: &Receiver<()>) {
-        let _ = told.recv();
-        let earlier = {
+    /// Waits for a notification, then lets the controller act on all events since its last round of decisions. Tasks that are
+    /// ready report their events first. Guards against a flood of requests: one round for each request that is read would
+    /// examine all queued requests each time.
+    pub fn decide_when_notified(&self, state_changed: &Receiver<()>) {
+        let _ = state_changed.recv();
+        let has_moved_forward = {
             let mut state = self.lock();
-            let Inside::Open(module) = &mut *state else { return };
-            let was_us = module.host().wake_us;
-            module.host().stirred = false;
-            module.decide(self.clock.now_us());
-            module.host().wake_us < was_us
+            let CoordinatorState::Active(controller) = &mut *state else { return };
+            let previous_due_us = controller.host().timer_due_us;
+            controller.host().has_changed = false;
+            controller.decide(self.clock.now_us());
+            controller.host().timer_due_us < previous_due_us
         };
-        if earlier {
-            let _ = self.earlier.send(());
+        if has_moved_forward {
+            let _ = self.timer_moved.send(());
         }
     }
 
-    /// Tells the module one thing; it acts in the next turn. None before it is there.
-    fn tell<T>(&self, what: impl FnOnce(&mut AdmissionController<Desk>, u64) -> T) -> Option<T> {
+    /// Notifies the controller of one event, on which it acts in the next round of decisions. Returns none while there is no
+    /// controller.
+    fn with_controller<T>(
+        &self,
+        notify: impl FnOnce(&mut AdmissionController<ControllerHost>, u64) -> T,
+    ) -> Option<T> {
         let mut state = self.lock();
-        let Inside::Open(module) = &mut *state else { return None };
+        let CoordinatorState::Active(controller) = &mut *state else { return None };
         let now_us = self.clock.now_us();
-        let answer = what(module, now_us);
-        while let Some((id, outcome)) = module.host().shared.pop() {
-            module.run_ended(now_us, &id, outcome);
+        let result = notify(controller, now_us);
+        while let Some((id, outcome)) = controller.host().finished_repeats.pop() {
+            controller.run_ended(now_us, &id, outcome);
         }
-        let first = !std::mem::replace(&mut module.host().stirred, true);
+        let is_first = !std::mem::replace(&mut controller.host().has_changed, true);
         drop(state);
-        if first {
-            let _ = self.stir.send(());
+        if is_first {
+            let _ = self.state_changed.send(());
         }
-        Some(answer)
+        Some(result)
     }
 
-    fn desk<T>(&self, what: impl FnOnce(&mut Desk) -> T) -> T {
+    fn with_host<T>(&self, access: impl FnOnce(&mut ControllerHost) -> T) -> T {
         match &mut *self.lock() {
-            Inside::Closed(desk) => what(desk),
-            Inside::Open(module) => what(module.host()),
+            CoordinatorState::Inactive(host) => access(host),
+            CoordinatorState::Active(controller) => access(controller.host()),
         }
     }
 
-    /// Guards against going on with a module that panicked half-way: nothing that it says could be relied
-    /// on, so that the process ends and is started anew.
-    fn lock(&self) -> MutexGuard<'_, Inside> {
+    /// Locks the state. Exits the process if the controller has panicked under the lock: its state may be inconsistent and no
+    /// decision could be relied on, so the process must be restarted.
+    fn lock(&self) -> MutexGuard<'_, CoordinatorState> {
         self.state.lock().unwrap_or_else(|_| {
-            tracing::error!("the decisions failed; this process ends, to be started anew");
+            tracing::error!("the decisions failed; this process exits, to be restarted");
             crate::logger::flush();
             std::process::exit(crate::panics::EXIT_STATUS)
         })
     }
 }
 
-impl Desk {
-    fn mail(&self, id: &str, next: RequestEvent) {
-        if let Some(open) = self.open.get(id) {
-            open.post.send(next);
+impl ControllerHost {
+    fn send_event(&self, id: &str, event: RequestEvent) {
+        if let Some(request) = self.requests.get(id) {
+            request.events.send(event);
         }
     }
 
-    fn token(&self, id: &str) -> Option<IdempotencyKey> {
-        self.open.get(id)?.token.clone()
+    fn idempotency_key(&self, id: &str) -> Option<IdempotencyKey> {
+        self.requests.get(id)?.idempotency_key.clone()
     }
 
-    /// A tokened run has ended: those that wait for its outcome get it.
-    fn settle_key(&mut self, id: &str, end: RunEnd, result: Option<SharedResult>) {
-        let Some(token) = self.token(id) else { return };
+    /// Stores the outcome of a run under its idempotency key, if it has one, and answers the repeats that wait for it.
+    fn record_key_outcome(&mut self, id: &str, end: RunEnd, result: Option<SharedResult>) {
+        let Some(idempotency_key) = self.idempotency_key(id) else { return };
         match (end, result) {
-            // It never ran, so that another try may.
-            (RunEnd::NeverRan | RunEnd::Unknown, _) => self.forget_token(&token.key, id),
+            // The request never ran, so another attempt may run.
+            (RunEnd::NeverRan | RunEnd::Unknown, _) => self.remove_key(&idempotency_key.key, id),
             (RunEnd::Complete, Some(body)) => {
-                for repeat in self.keys.record_outcome(&token.key, id, KeyState::Served(body.clone())) {
-                    self.end_shared(repeat, RequestEvent::ServeResult(body.clone()), Outcome::Ok);
+                for repeat in
+                    self.keys.record_outcome(&idempotency_key.key, id, KeyState::Served(body.clone()))
+                {
+                    self.finish_repeat(repeat, RequestEvent::ServeResult(body.clone()), Outcome::Ok);
                 }
             }
             _ => {
-                for repeat in self.keys.record_outcome(&token.key, id, KeyState::Failed) {
-                    self.end_shared(repeat, RequestEvent::Abort, Outcome::Error);
+                for repeat in self.keys.record_outcome(&idempotency_key.key, id, KeyState::Failed) {
+                    self.finish_repeat(repeat, RequestEvent::Abort, Outcome::Error);
                 }
             }
         }
     }
 
-    /// What held the token never ran. Those that waited for it never will; their callers may go elsewhere.
-    fn forget_token(&mut self, token: &str, id: &str) {
-        for repeat in self.keys.forget(token, id) {
-            self.end_shared(
+    /// Removes the key of a request that never ran, and rejects the repeats that waited for it, so that their callers may retry
+    /// at another server.
+    fn remove_key(&mut self, key: &str, id: &str) {
+        for repeat in self.keys.forget(key, id) {
+            self.finish_repeat(
                 repeat,
                 RequestEvent::Reject { do_not_retry: false, retry_after_us: 0 },
                 Outcome::Error,
@@ -607,73 +677,75 @@
         }
     }
 
-    fn end_shared(&mut self, repeat: RpcId, next: RequestEvent, outcome: Outcome) {
-        self.mail(&repeat, next);
-        self.shared.push((repeat, outcome));
+    fn finish_repeat(&mut self, repeat: RpcId, event: RequestEvent, outcome: Outcome) {
+        self.send_event(&repeat, event);
+        self.finished_repeats.push((repeat, outcome));
     }
 }
 
-impl Host for Desk {
+impl Host for ControllerHost {
     fn start(&mut self, id: &str) {
-        self.mail(id, RequestEvent::Run);
+        self.send_event(id, RequestEvent::Run);
     }
 
     fn stop(&mut self, id: &str) {
-        self.mail(id, RequestEvent::Stop);
+        self.send_event(id, RequestEvent::Stop);
     }
 
     fn reject(&mut self, id: &str, Rejection { retry, retry_after_us }: Rejection) {
-        let last = retry == Retry::DoNotRetry;
-        self.mail(id, RequestEvent::Reject { do_not_retry: last, retry_after_us });
+        let do_not_retry = retry == Retry::DoNotRetry;
+        self.send_event(id, RequestEvent::Reject { do_not_retry, retry_after_us });
     }
 
     fn abort(&mut self, id: &str) {
-        self.mail(id, RequestEvent::Abort);
+        self.send_event(id, RequestEvent::Abort);
     }
 
     fn place_call(&mut self, id: &str, until_us: u64) {
-        self.mail(id, RequestEvent::PlaceCall { until_us });
+        self.send_event(id, RequestEvent::PlaceCall { until_us });
     }
 
     fn skip_call(&mut self, id: &str) {
-        self.mail(id, RequestEvent::SkipCall);
+        self.send_event(id, RequestEvent::SkipCall);
     }
 
     fn remember_key(&mut self, id: &str, ttl_us: u64) {
-        let Some(token) = self.token(id) else { return };
+        let Some(idempotency_key) = self.idempotency_key(id) else { return };
         let until_ms = self.clock.unix_ms() + ttl_us.div_ceil(1_000);
-        self.keys.remember(token.key, token.fingerprint, id.into(), until_ms);
+        self.keys.remember(idempotency_key.key, idempotency_key.fingerprint, id.into(), until_ms);
     }
 
     fn forget_key(&mut self, id: &str) {
-        if let Some(token) = self.token(id) {
-            self.forget_token(&token.key, id);
+        if let Some(idempotency_key) = self.idempotency_key(id) {
+            self.remove_key(&idempotency_key.key, id);
         }
     }
 
     fn share_outcome(&mut self, id: &str) {
-        let Some(token) = self.token(id) else { return };
+        let Some(idempotency_key) = self.idempotency_key(id) else { return };
         let repeat: RpcId = id.into();
-        match self.keys.share(&token.key, &repeat) {
+        match self.keys.share(&idempotency_key.key, &repeat) {
             KeyState::Open => {}
-            KeyState::Served(body) => self.end_shared(repeat, RequestEvent::ServeResult(body), Outcome::Ok),
-            KeyState::Failed => self.end_shared(repeat, RequestEvent::Abort, Outcome::Error),
+            KeyState::Served(body) => {
+                self.finish_repeat(repeat, RequestEvent::ServeResult(body), Outcome::Ok)
+            }
+            KeyState::Failed => self.finish_repeat(repeat, RequestEvent::Abort, Outcome::Error),
         }
     }
 
     fn set_readiness(&mut self, readiness: Readiness) {
-        self.posture.is_healthy = Some(readiness == Readiness::Ready);
+        self.health.is_healthy = Some(readiness == Readiness::Ready);
     }
 
     fn send_load_signal(&mut self, value: f64) {
-        self.posture.load_signal = Some(value);
+        self.health.load_signal = Some(value);
     }
 
     fn close_idle_connections(&mut self, idle_us: u64) {
-        self.posture.max_idle_us = idle_us;
+        self.health.max_idle_us = idle_us;
     }
 
     fn set_timer(&mut self, at_us: u64, token: u64) {
-        (self.wake_us, self.wake_token) = (at_us, token);
+        (self.timer_due_us, self.timer_token) = (at_us, token);
     }
 }
