--- a/crates/ochrewalk-node/src/shared_state.rs
+++ b/crates/ochrewalk-node/src/shared_state.rs
@@ -1,5 +1,5 @@
-//! What the fronts share: the gate, the executor, what lies below, and the bound on open RPCs. A front reads an
-//! RPC from its protocol and hands it over here; from then on it is the same for all of them.
+//! The state that all ingress protocols share: the coordinator, the executor, the upstream, and the limit on open requests. Each
+//! ingress parses a request from its protocol and passes it on here; from then on all requests are handled alike.
 
 use crate::clock::Clock;
 use crate::coordinator::{IdempotencyKey, IncomingRequest, RequestCoordinator, RequestHandle};
@@ -16,152 +16,161 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Memory that one open RPC may take: its stack, its body and its answer.
-const RPC_BYTES: usize = 32 * 1024;
-/// The farthest that a stamp may be from our clock.
-const STAMP_MS: u64 = 3_600_000;
+/// The memory that one open request may take: its stack, its body and its answer.
+const MAX_REQUEST_BYTES: usize = 32 * 1024;
+/// The maximal difference between a request's time stamp and this node's clock.
+const MAX_CLOCK_DIFFERENCE_MS: u64 = 3_600_000;
 
+/// The parts of a node that all ingress protocols and request tasks use.
 pub struct SharedState {
+    /// The node's clock.
     pub clock: Clock,
+    /// The coordinator of all requests.
     pub coordinator: RequestCoordinator,
+    /// The deployment, with its methods and tenants.
     pub deployment: Deployment,
+    /// The counters of answers by method.
     pub method_counters: PerMethodCounters,
     /// The methods' names as JSON strings.
     pub method_names_json: Vec<String>,
+    /// The link to the executor.
     pub executor: Executor,
+    /// The upstream, where the deployment has one.
     pub upstream: Option<Arc<dyn UpstreamClient>>,
-    /// Prints of RPCs' work, by a key that no stranger knows.
-    prints: SipHasher13,
-    /// Those that the gate knows of.
-    living: Mutex<HashMap<RpcId, Arc<OpenRequest>>>,
-    /// RPCs whose coroutines live, and how many may.
-    lives: AtomicUsize,
-    most_lives: usize,
+    /// Computes fingerprints of requests, with a key that no client knows.
+    fingerprint_hasher: SipHasher13,
+    /// The requests that the coordinator has accepted and whose tasks have not finished.
+    open_requests: Mutex<HashMap<RpcId, Arc<OpenRequest>>>,
+    /// The number of request tasks.
+    task_count: AtomicUsize,
+    max_tasks: usize,
 }
 
-/// An RPC as a front has read it.
+/// A request as parsed by an ingress.
 pub struct ParsedRequest<'a> {
+    /// The id, as given by the client or by the ingress.
     pub id: &'a str,
-    /// Position in the deployment's list.
+    /// The position of the method in the deployment's list.
     pub method: usize,
+    /// The memory that the request occupies while it is queued.
     pub memory_kb: f64,
+    /// The time at which the request reached the machine, in Unix time.
     pub arrived_unix_ms: u64,
-    /// How long its caller still waits, where that is conveyed.
+    /// The time for which the caller still waits, where the protocol conveys it.
     pub time_left_us: Option<u64>,
+    /// The idempotency key, where the client gave one.
     pub idempotency_key: Option<&'a str>,
-    /// The quota that it counts against, where its protocol names a tenant.
+    /// The tenant whose quota the request counts against, where the protocol names one.
     pub tenant: Option<Tenant>,
-    /// A JSON string of base64.
+    /// The body, a JSON string of base64.
     pub body: &'a str,
 }
 
 impl SharedState {
-    /// `bytes` of memory are the program's own.
+    /// Returns the shared state of a node whose process may use `memory_bytes`. A quarter of them is for request tasks.
     pub fn new(
         clock: Clock,
-        gate: RequestCoordinator,
+        coordinator: RequestCoordinator,
         deployment: Deployment,
         executor: Executor,
-        below: Option<Arc<dyn UpstreamClient>>,
-        bytes: usize,
-        print_key: (u64, u64),
+        upstream: Option<Arc<dyn UpstreamClient>>,
+        memory_bytes: usize,
+        fingerprint_key: (u64, u64),
     ) -> SharedState {
-        let lanes = deployment.method_names.iter().map(|name| serde_json::Value::from(name).to_string());
+        let method_names =
+            deployment.method_names.iter().map(|name| serde_json::Value::from(name).to_string());
         SharedState {
             clock,
-            coordinator: gate,
+            coordinator,
             method_counters: PerMethodCounters::new(deployment.methods.len()),
-            method_names_json: lanes.collect(),
+            method_names_json: method_names.collect(),
             deployment,
             executor,
-            upstream: below,
-            prints: SipHasher13::new_with_keys(print_key.0, print_key.1),
-            living: Mutex::default(),
-            lives: AtomicUsize::new(0),
-            most_lives: bytes / 4 / RPC_BYTES,
+            upstream,
+            fingerprint_hasher: SipHasher13::new_with_keys(fingerprint_key.0, fingerprint_key.1),
+            open_requests: Mutex::default(),
+            task_count: AtomicUsize::new(0),
+            max_tasks: memory_bytes / 4 / MAX_REQUEST_BYTES,
         }
     }
 
-    /// Checks what no protocol can check alone. The error says in a few words what is wrong.
-    pub fn validate(&self, asked: &ParsedRequest) -> Result<IncomingRequest, &'static str> {
-        if self.clock.unix_ms().abs_diff(asked.arrived_unix_ms) > STAMP_MS {
+    /// Validates a request where the protocols cannot do so by themselves: its time stamp and its idempotency key.
+    ///
+    /// # Errors
+    ///
+    /// The request is invalid; the text for its client says why.
+    pub fn validate(&self, parsed: &ParsedRequest) -> Result<IncomingRequest, &'static str> {
+        if self.clock.unix_ms().abs_diff(parsed.arrived_unix_ms) > MAX_CLOCK_DIFFERENCE_MS {
             return Err("ts is out of range");
         }
-        let tokened = self.deployment.methods[asked.method].effect == Effect::WithKey;
-        let token = asked.idempotency_key.filter(|_| tokened).map(|key| IdempotencyKey {
+        let takes_key = self.deployment.methods[parsed.method].effect == Effect::WithKey;
+        let idempotency_key = parsed.idempotency_key.filter(|_| takes_key).map(|key| IdempotencyKey {
             key: key.into(),
-            // Some escape the solidus: the work is the same by any protocol.
-            fingerprint: self.print(asked.method, &asked.body.replace('\\', "")),
+            // Some clients escape the solidus; without the escapes a body has the same fingerprint by any protocol.
+            fingerprint: self.fingerprint(parsed.method, &parsed.body.replace('\\', "")),
         });
-        if tokened && token.is_none() {
+        if takes_key && idempotency_key.is_none() {
             return Err("no token");
         }
-        let id: RpcId = asked.id.into();
-        let ParsedRequest { method, memory_kb, arrived_unix_ms, time_left_us, tenant, .. } = *asked;
-        Ok(IncomingRequest {
-            id,
-            method,
-            memory_kb,
-            arrived_unix_ms,
-            time_left_us,
-            idempotency_key: token,
-            tenant,
-        })
+        let id: RpcId = parsed.id.into();
+        let ParsedRequest { method, memory_kb, arrived_unix_ms, time_left_us, tenant, .. } = *parsed;
+        Ok(IncomingRequest { id, method, memory_kb, arrived_unix_ms, time_left_us, idempotency_key, tenant })
     }
 
-    fn print(&self, method: usize, body: &str) -> u64 {
-        let mut print = self.prints;
-        (method, body).hash(&mut print);
-        print.finish()
+    fn fingerprint(&self, method: usize, body: &str) -> u64 {
+        let mut hasher = self.fingerprint_hasher;
+        (method, body).hash(&mut hasher);
+        hasher.finish()
     }
 
-    /// The key of the prints, for whoever goes on.
+    /// Returns the key of the fingerprints, for a successor process.
     pub fn fingerprint_key(&self) -> (u64, u64) {
-        self.prints.keys()
+        self.fingerprint_hasher.keys()
     }
 
-    /// The RPCs that the gate knows of.
+    /// Locks the requests that the coordinator has accepted and whose tasks have not finished.
     pub fn open_requests(&self) -> MutexGuard<'_, HashMap<RpcId, Arc<OpenRequest>>> {
-        self.living.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.open_requests.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Goes on with the life of an RPC that another process began.
-    pub fn resume_request(self: &Arc<SharedState>, living: Arc<OpenRequest>, ticket: RequestHandle) {
-        self.lives.fetch_add(1, Ordering::Relaxed);
-        self.open_requests().insert(living.rpc.id.clone(), living.clone());
-        let core = self.clone();
+    /// Starts a task for a request that a predecessor process has accepted.
+    pub fn resume_request(self: &Arc<SharedState>, request: Arc<OpenRequest>, handle: RequestHandle) {
+        self.task_count.fetch_add(1, Ordering::Relaxed);
+        self.open_requests().insert(request.rpc.id.clone(), request.clone());
+        let shared = self.clone();
         may::go!(move || {
-            run_to_completion(&core, &living, &ticket);
-            core.lives.fetch_sub(1, Ordering::Relaxed);
+            run_to_completion(&shared, &request, &handle);
+            shared.task_count.fetch_sub(1, Ordering::Relaxed);
         });
     }
 
-    /// Starts the life of an RPC that its front has entered as owed an answer.
+    /// Starts the task of a new request. Its ingress must have registered the client as waiting for an answer.
     pub fn start_request(
         self: &Arc<SharedState>,
         rpc: IncomingRequest,
         body: &str,
-        asker: impl DownstreamClient + 'static,
+        client: impl DownstreamClient + 'static,
     ) {
-        // Guards the program's own memory against a flood: long before this many RPCs are open, the module's
-        // hold is full.
-        if self.lives.fetch_add(1, Ordering::Relaxed) >= self.most_lives {
-            self.lives.fetch_sub(1, Ordering::Relaxed);
+        // Guards the memory of this process against a flood of requests. The controller's queue is full long before the
+        // limit is reached.
+        if self.task_count.fetch_add(1, Ordering::Relaxed) >= self.max_tasks {
+            self.task_count.fetch_sub(1, Ordering::Relaxed);
             self.method_counters.record_answer(
                 &self.clock,
                 &self.deployment,
                 &rpc,
                 &Answer::REJECTED_WITHOUT_ADVICE,
             );
-            return asker
+            return client
                 .answer(Answer::REJECTED_WITHOUT_ADVICE, self.coordinator.health_state().load_signal);
         }
-        let living = Arc::new(OpenRequest::new(self, rpc, body, Box::new(asker), RequestState::submitted()));
-        let core = self.clone();
+        let request =
+            Arc::new(OpenRequest::new(self, rpc, body, Box::new(client), RequestState::submitted()));
+        let shared = self.clone();
         self.coordinator.pending_work.increment();
         may::go!(move || {
-            submit_and_run(&core, &living);
-            core.lives.fetch_sub(1, Ordering::Relaxed);
+            submit_and_run(&shared, &request);
+            shared.task_count.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
