--- a/crates/ochrewalk-node/src/close_reason.rs
+++ b/crates/ochrewalk-node/src/close_reason.rs
@@ -1,38 +1,39 @@
-//! Decides what the end of a connection, or of a call, proves. Every way is one value of one type, whoever is at the other side, and
-//! what it proves of a call that was under way is said in this file alone.
+//! Decides what the end of a connection or of an upstream call proves. Every way in which either can end is a variant of one type,
+//! and this file alone defines whether a call that was in flight may have run.
 
 use ochrewalk::host::Outcome;
 use std::fmt;
 use std::io::{Error, ErrorKind};
 
+/// The reason why a connection closed or could not be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed it.
+    /// The peer closed the connection.
     ClosedByPeer,
-    /// It broke: a reset, or any other error on it.
+    /// The connection was reset, or failed with another error.
     Broken(ErrorKind),
-    /// Nobody listens there.
+    /// The peer refused the connection, as no process listens at the address.
     Refused,
-    /// It could not be made for any other reason.
+    /// The connection could not be made for any other reason.
     Unreachable(ErrorKind),
-    /// It was not made, as no descriptor or memory was free for it.
+    /// The connection was not made, as the system had no descriptor or memory left.
     OutOfResources,
-    /// We closed it, as it carried nothing.
+    /// This node closed the connection, as it was idle.
     Idle,
-    /// The peer sent what the protocol does not know.
+    /// The peer sent a message that violates the protocol.
     Malformed(String),
-    /// The peer sent a message longer than any may be.
+    /// The peer sent a message above the maximal length.
     MessageTooLong,
     /// The peer did not answer in time.
     TimedOut,
-    /// We closed it, as this server leaves.
+    /// This node closed the connection, as it drains.
     Draining,
-    /// We closed it, as the peer has a new address.
+    /// This node closed the connection, as the peer has a new address.
     Moved,
 }
 
 impl CloseReason {
-    /// How an attempt to connect failed.
+    /// Returns the reason why an attempt to connect failed.
     pub fn from_connect_error(err: &Error) -> CloseReason {
         match err.kind() {
             ErrorKind::ConnectionRefused => CloseReason::Refused,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// How an open connection failed.
+    /// Returns the reason why an open connection failed.
     pub fn from_io_error(err: &Error) -> CloseReason {
         match err.kind() {
             ErrorKind::TimedOut | ErrorKind::WouldBlock => CloseReason::TimedOut,
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Whether the end of an open connection was our own, so that its peer is told by shutting our side first.
-    /// One that left has been told already.
+    /// Whether this node closed an open connection, so that it must notify the peer by shutting down its own side first. For a
+    /// draining connection that has been done already.
     pub fn is_closed_locally(&self) -> bool {
         match self {
             CloseReason::Idle
@@ -67,8 +68,8 @@
         }
     }
 
-    /// What a call has come to whose connection ended so. A connection that was never made proves that the
-    /// call never ran; one that breaks under a call proves nothing.
+    /// Returns the outcome of a call whose connection closed for this reason. A connection that was never made proves that the
+    /// call never ran; a connection that closes during a call proves nothing.
     pub fn outcome(&self) -> Outcome {
         match self {
             CloseReason::Refused | CloseReason::Unreachable(_) | CloseReason::OutOfResources => {
@@ -86,30 +87,30 @@
     }
 }
 
-/// What became of a call below, by any protocol.
+/// The result of an upstream call, by any protocol.
 #[derive(Debug)]
 pub enum CallResult {
-    /// It went well; its reply.
+    /// The call succeeded, with this reply.
     Succeeded(Vec<u8>),
-    /// What lies below said so, whole: it was turned away unseen.
+    /// The upstream answered completely that it rejected the call, which never ran.
     Rejected,
-    /// It said that the call failed, and it may have had its effect.
+    /// The upstream answered that the call failed; the call may have had its effect.
     Failed,
-    /// It said that the call ran out of time.
+    /// The upstream answered that the call exceeded its deadline.
     DeadlineExceeded,
-    /// It said that nobody waits for the call.
+    /// The upstream answered that no client waits for the call any more.
     NoLongerNeeded,
-    /// We waited as long as we said we would.
+    /// No answer arrived within the time that the call was given.
     TimedOut,
-    /// The connection that was to carry it ended before a byte of it was written, or no place took it.
+    /// The connection closed before a byte of the call was written, or no endpoint was available.
     Unsent,
-    /// The connection that carried it ended.
+    /// The connection that carried the call closed.
     ConnectionClosed(CloseReason),
 }
 
 impl CallResult {
-    /// What a whole answer by AJP means. Only a header of our own kind says that a call never ran; a bare 503 may
-    /// come from whoever stands between.
+    /// Returns the result that a complete AJP answer stands for. Only the header of this project proves that a call never ran:
+    /// a bare 503 may come from an intermediary.
     pub fn from_status(status: u16, never_ran: bool, body: Vec<u8>) -> CallResult {
         match status {
             200..=299 => CallResult::Succeeded(body),
@@ -119,7 +120,7 @@
         }
     }
 
-    /// What it means to the module.
+    /// Returns the outcome that is reported to the admission controller.
     pub fn outcome(&self) -> Outcome {
         match self {
             CallResult::Succeeded(_) => Outcome::Ok,
--- a/crates/ochrewalk-node/src/method_counters.rs
+++ b/crates/ochrewalk-node/src/method_counters.rs
@@ -1,4 +1,4 @@
-//! What became of RPCs, counted by method since the start, for whoever conducts a change.
+//! Counters of answers by method since the start of the process, which a rollout controller compares between versions.
 
 use crate::clock::{age_us, Clock};
 use crate::coordinator::IncomingRequest;
@@ -8,27 +8,29 @@
 use ochrewalk_rollout::messages::MethodCounters;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+/// The counters of one method.
 #[derive(Default)]
 struct Method {
-    /// Counted last, so that a change of it covers the others'.
+    /// All answers. Incremented last, so that a change of it implies that the other counters are up to date.
     calls: AtomicU64,
-    /// No served answer within the latency target.
+    /// Requests that were not served within the latency target.
     missed: AtomicU64,
-    /// No served answer.
+    /// Requests that were not served.
     failed: AtomicU64,
 }
 
-/// Counters that are only ever added to.
+/// The counters of all methods, which only increase.
 pub struct PerMethodCounters {
     methods: Vec<Method>,
 }
 
 impl PerMethodCounters {
+    /// Returns zeroed counters for this number of methods.
     pub fn new(methods: usize) -> PerMethodCounters {
         PerMethodCounters { methods: (0..methods).map(|_| Method::default()).collect() }
     }
 
-    /// An RPC is answered. Strangers' faults are nobody's.
+    /// Counts an answer. Invalid requests are faults of their clients and are not counted.
     pub fn record_answer(
         &self,
         clock: &Clock,
@@ -39,22 +41,22 @@
         if let Answer::InvalidRequest(_) = answer {
             return;
         }
-        let (of, told) = (&self.methods[rpc.method], &deployment.methods[rpc.method]);
-        let took_us = age_us(clock.unix_ms(), rpc.arrived_unix_ms, told.deadline_us);
+        let (counters, method) = (&self.methods[rpc.method], &deployment.methods[rpc.method]);
+        let took_us = age_us(clock.unix_ms(), rpc.arrived_unix_ms, method.deadline_us);
         let is_served = matches!(answer, Answer::Served(_));
-        let add = |to: &AtomicU64, is: bool| to.fetch_add(u64::from(is), Ordering::Relaxed);
-        add(&of.missed, !is_served || took_us > told.latency_target_us);
-        add(&of.failed, !is_served);
-        // Last: whoever has seen this call has seen what became of it.
-        of.calls.fetch_add(1, Ordering::Release);
+        let add = |counter: &AtomicU64, is: bool| counter.fetch_add(u64::from(is), Ordering::Relaxed);
+        add(&counters.missed, !is_served || took_us > method.latency_target_us);
+        add(&counters.failed, !is_served);
+        // Incremented last: a reader that sees this call also sees its other counters.
+        counters.calls.fetch_add(1, Ordering::Release);
     }
 
-    /// Counters of all methods.
+    /// Returns the counters of all methods.
     pub fn all(&self, names: &Names) -> Vec<MethodCounters> {
-        names.iter().zip(&self.methods).map(|(name, method)| method.counted(name)).collect()
+        names.iter().zip(&self.methods).map(|(name, method)| method.to_message(name)).collect()
     }
 
-    /// Counters of methods that had calls since the last time that `reported` came here.
+    /// Returns the counters of the methods that had calls since the last report, and records them in `reported`.
     pub fn changed(&self, names: &Names, reported: &mut ReportedCalls) -> Vec<MethodCounters> {
         reported.0.resize(self.methods.len(), 0);
         let mut changed = Vec::new();
@@ -62,25 +64,25 @@
             let calls = method.calls.load(Ordering::Acquire);
             if calls != *reported {
                 *reported = calls;
-                changed.push(method.counted(name));
+                changed.push(method.to_message(name));
             }
         }
         changed
     }
 }
 
-/// How many calls of each method were reported.
+/// The number of calls of each method that were reported.
 #[derive(Default)]
 pub struct ReportedCalls(Vec<u64>);
 
 impl Method {
-    fn counted(&self, name: &str) -> MethodCounters {
-        let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    fn to_message(&self, name: &str) -> MethodCounters {
+        let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         MethodCounters {
             name: name.to_string(),
-            calls: of(&self.calls),
-            missed: of(&self.missed),
-            failed: of(&self.failed),
+            calls: read(&self.calls),
+            missed: read(&self.missed),
+            failed: read(&self.failed),
         }
     }
 }
