--- a/crates/ochrewalk-node/src/clock.rs
+++ b/crates/ochrewalk-node/src/clock.rs
@@ -1,38 +1,39 @@
-//! The two clocks of a node: durations come from one that only advances, moments that others name from the
-//! system's Unix clock.
+//! The two clocks of a node: a monotonic clock for durations, and the system's Unix clock for times that other machines state.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What the monotonic clock shows at the start, so that moments before the start can be named too.
+/// The reading of the node's clock at its start. Starting above 0 lets times before the start be expressed, too.
 const START_US: u64 = 3_600_000_000;
 
-/// It counts from a moment of the system's monotonic clock, which another process on the machine sees as well.
+/// A clock that counts from a base time of the system's monotonic clock, which other processes on the machine see as well.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base_ns: i64,
 }
 
 impl Clock {
+    /// Starts a clock.
     pub fn start() -> Clock {
         Clock { base_ns: monotonic_ns() }
     }
 
-    /// Goes on counting as the one before this process did.
+    /// Continues the clock of a predecessor process with this base time.
     pub fn resume(base_ns: i64) -> Clock {
         Clock { base_ns }
     }
 
+    /// Returns the base time, in nanoseconds of the system's monotonic clock.
     pub fn base_ns(&self) -> i64 {
         self.base_ns
     }
 
-    /// Microseconds that only advance.
+    /// Returns the monotonic time in microseconds.
     pub fn now_us(&self) -> u64 {
         START_US + ((monotonic_ns() - self.base_ns) / 1_000).max(0) as u64
     }
 
-    /// Unix milliseconds.
+    /// Returns the Unix time in milliseconds.
     pub fn unix_ms(&self) -> u64 {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
     }
@@ -43,13 +44,17 @@
     now.tv_sec * 1_000_000_000 + now.tv_nsec
 }
 
-/// Waits of up to so many milliseconds are exact; longer ones go by steps, half as many to each doubling.
-const EXACT_MS: u64 = 64;
+/// The number of milliseconds up to which time-outs are exact. Longer ones are rounded down to steps, of which each
+/// doubling has half this number.
+const MAX_EXACT_MS: u64 = 64;
 
-/// A time to wait for a channel of may's; who waits looks at the clock again, as it may be up to 3% short. Guards against
-/// two ways of may's: it counts whole milliseconds, so that a part of one is waited for twice over, and less than one
-/// for ever. And it keeps a list for each length of time ever waited for, up to 1,024; past that a list that empties
-/// is freed although a waiter may still hold an entry, which then ends the thread that all timers need.
+/// Returns the time-out to pass to a channel of `may` for a wait of `us` microseconds. The time-out may be up to 3 % short, so
+/// the caller must check the clock again. Guards against two faults of `may`:
+///
+/// * Time-outs count in whole milliseconds: a fraction of a millisecond is waited for twice, and less than one
+///   millisecond for ever.
+/// * A list is kept for each length of time that was ever waited for, up to 1,024. Beyond that number a list that becomes
+///   empty is freed although a waiter may still hold an entry, which ends the thread that serves all timers.
 ///
 /// ```
 /// use ochrewalk_node::clock::channel_timeout;
@@ -58,17 +63,17 @@
 /// ```
 pub fn channel_timeout(us: u64) -> Duration {
     let ms = us.div_ceil(1_000).max(1);
-    let step = (ms / EXACT_MS).checked_ilog2().map_or(1, |doublings| 2 << doublings);
+    let step = (ms / MAX_EXACT_MS).checked_ilog2().map_or(1, |doublings| 2 << doublings);
     Duration::from_millis(ms / step * step)
 }
 
-/// How long ago a moment in Unix milliseconds was. Guards against a stamp ahead of our clock, and against
-/// one so old that it can only be wrong.
+/// Returns the time since `stamp_ms` in microseconds, at most `max_us`; 0 for a time stamp ahead of this node's clock. The
+/// maximum guards against a time stamp so old that it can only be wrong.
 ///
 /// ```
 /// use ochrewalk_node::clock::age_us;
 /// assert_eq!([age_us(1_500, 1_000, 9_000_000), age_us(1_000, 1_500, 9_000_000)], [500_000, 0]);
 /// ```
-pub fn age_us(unix_ms: u64, ts_ms: u64, most_us: u64) -> u64 {
-    unix_ms.saturating_sub(ts_ms).saturating_mul(1_000).min(most_us)
+pub fn age_us(unix_ms: u64, stamp_ms: u64, max_us: u64) -> u64 {
+    unix_ms.saturating_sub(stamp_ms).saturating_mul(1_000).min(max_us)
 }
