--- a/crates/ochrewalk-node/src/logger.rs
+++ b/crates/ochrewalk-node/src/logger.rs
@@ -1,6 +1,6 @@
-//! Structured logs to standard error, plain or as JSON, through a bounded queue and a thread of its own. Whoever logs
-//! never waits: what the queue cannot hold is dropped and counted. A place in the code that repeats itself is cut to a
-//! few lines a second. No span is ever entered: a coroutine that waits would leave it to another.
+//! Structured logs to standard error, plain or as JSON, through a bounded queue and a writer thread. Logging never blocks: lines
+//! that do not fit into the queue are dropped and counted. A call site that repeats itself is limited to a few lines per second.
+//! Spans are never entered, as a coroutine that waits would leave its span to another coroutine on the same thread.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,39 +14,43 @@
 use tracing_subscriber::layer::{Context, Filter, SubscriberExt};
 use tracing_subscriber::{fmt, Layer};
 
-const QUEUE: usize = 512;
-/// Lines that one place in the code may write in a second.
-const A_SECOND: u32 = 5;
-const SECOND: Duration = Duration::from_secs(1);
+/// The maximal number of lines that wait to be written.
+const MAX_QUEUED_LINES: usize = 512;
+/// The number of lines that one call site may write per period.
+const MAX_LINES_PER_PERIOD: u32 = 5;
+/// The period of the limit, and of the warning about lines that were not written.
+const PERIOD: Duration = Duration::from_secs(1);
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
-    /// Time, level, fields and words
+    /// Time, level, message and fields
     #[default]
     Plain,
-    /// An object a line
+    /// One JSON object per line
     Json,
 }
 
-/// What is logged, and how.
+/// The settings of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogSettings {
+    /// The most verbose level that is logged.
     pub level: LevelFilter,
+    /// The format of lines.
     pub format: LogFormat,
 }
 
-/// Writes out what waits when it is dropped.
-static GUARD: Mutex<Option<WorkerGuard>> = Mutex::new(None);
+/// Writes all queued lines when it is dropped.
+static WRITER_GUARD: Mutex<Option<WorkerGuard>> = Mutex::new(None);
 
-/// Starts the writing thread. Only the first call counts.
-pub fn start(logs: LogSettings) {
-    let (to, guard) =
-        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE).finish(io::stderr());
-    let (dropped, left_out) = (to.error_counter(), Arc::new(AtomicU64::new(0)));
-    let limit = Limit { level: logs.level, left_out: left_out.clone(), places: Mutex::default() };
-    let layer = fmt::layer().with_ansi(false).with_target(false).with_writer(to);
-    let set = match logs.format {
+/// Starts the log and its writer thread. Only the first call has an effect.
+pub fn start(settings: LogSettings) {
+    let (writer, guard) =
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).finish(io::stderr());
+    let (dropped, repeated) = (writer.error_counter(), Arc::new(AtomicU64::new(0)));
+    let limit = RateLimit { level: settings.level, repeated: repeated.clone(), call_sites: Mutex::default() };
+    let layer = fmt::layer().with_ansi(false).with_target(false).with_writer(writer);
+    let set = match settings.format {
         LogFormat::Plain => {
             let lines = tracing_subscriber::registry().with(layer.with_filter(limit));
             tracing::subscriber::set_global_default(lines)
@@ -59,58 +63,64 @@
         }
     };
     if set.is_ok() {
-        *GUARD.lock().expect("never held over a panic") = Some(guard);
-        std::thread::spawn(move || tell_of_lost(&dropped, &left_out));
+        *WRITER_GUARD.lock().expect("no panic occurs under this lock") = Some(guard);
+        std::thread::spawn(move || warn_of_unwritten_lines(&dropped, &repeated));
     }
 }
 
-/// Waits, for a moment at most, until what was logged so far is written. Nothing is logged after it.
+/// Waits, for a short time at most, until all queued lines are written. Nothing is logged after this call.
 pub fn flush() {
-    drop(GUARD.lock().expect("never held over a panic").take());
+    drop(WRITER_GUARD.lock().expect("no panic occurs under this lock").take());
 }
 
-/// Says each second what was not written.
-fn tell_of_lost(dropped: &ErrorCounter, left_out: &AtomicU64) {
-    let mut before = 0;
+/// Logs once per period how many lines were not written.
+fn warn_of_unwritten_lines(dropped: &ErrorCounter, repeated: &AtomicU64) {
+    let mut previously_dropped = 0;
     loop {
-        std::thread::sleep(SECOND);
-        let (lost, repeated) = (dropped.dropped_lines(), left_out.swap(0, Ordering::Relaxed));
-        if lost > before || repeated > 0 {
-            tracing::warn!(part = "log", dropped = lost - before, repeated, "lines not written");
+        std::thread::sleep(PERIOD);
+        let (total_dropped, repeated) = (dropped.dropped_lines(), repeated.swap(0, Ordering::Relaxed));
+        if total_dropped > previously_dropped || repeated > 0 {
+            tracing::warn!(
+                part = "log",
+                dropped = total_dropped - previously_dropped,
+                repeated,
+                "lines not written"
+            );
         }
-        before = lost;
+        previously_dropped = total_dropped;
     }
 }
 
-/// What is written: the project's own lines, and a few a second from one place.
-struct Limit {
+/// Passes the lines of this project's crates, up to a limited number per call site and period.
+struct RateLimit {
     level: LevelFilter,
-    left_out: Arc<AtomicU64>,
-    places: Mutex<HashMap<Identifier, (Instant, u32)>>,
+    repeated: Arc<AtomicU64>,
+    /// The start of each call site's period, and its lines since.
+    call_sites: Mutex<HashMap<Identifier, (Instant, u32)>>,
 }
 
-impl<S> Filter<S> for Limit {
+impl<S> Filter<S> for RateLimit {
     fn enabled(&self, meta: &Metadata, _: &Context<S>) -> bool {
         meta.target().starts_with("ochrewalk") && *meta.level() <= self.level
     }
 
     fn event_enabled(&self, event: &Event, _: &Context<S>) -> bool {
-        // Who asks for the finest lines wants all of them.
+        // Levels more verbose than INFO are not limited: an operator who enables them wants all lines.
         if *event.metadata().level() > Level::INFO {
             return true;
         }
         let now = Instant::now();
-        let mut places = self.places.lock().unwrap_or_else(|broken| broken.into_inner());
-        let (since, said) = places.entry(event.metadata().callsite()).or_insert((now, 0));
-        if now.duration_since(*since) >= SECOND {
-            (*since, *said) = (now, 0);
+        let mut call_sites = self.call_sites.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let (since, lines) = call_sites.entry(event.metadata().callsite()).or_insert((now, 0));
+        if now.duration_since(*since) >= PERIOD {
+            (*since, *lines) = (now, 0);
         }
-        *said += 1;
-        let written = *said <= A_SECOND;
-        if !written {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+        *lines += 1;
+        let is_written = *lines <= MAX_LINES_PER_PERIOD;
+        if !is_written {
+            self.repeated.fetch_add(1, Ordering::Relaxed);
         }
-        written
+        is_written
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
