--- a/crates/ochrewalk-node/src/clock.rs
+++ b/crates/ochrewalk-node/src/clock.rs
@@ -1,4 +1,5 @@
-//! The two clocks of a node: a monotonic clock for durations, and the system's Unix clock for times that other machines state.
+//! The two clocks of a node: a monotonic clock for durations, and the system's Unix clock for times that other machines
+//! state.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,7 +7,8 @@
 /// The reading of the node's clock at its start. Starting above 0 lets times before the start be expressed, too.
 const START_US: u64 = 3_600_000_000;
 
-/// A clock that counts from a base time of the system's monotonic clock, which other processes on the machine see as well.
+/// A clock that counts from a base time of the system's monotonic clock, which other processes on the machine see as
+/// well.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base_ns: i64,
@@ -48,8 +50,8 @@
 /// doubling has half this number.
 const MAX_EXACT_MS: u64 = 64;
 
-/// Returns the time-out to pass to a channel of `may` for a wait of `us` microseconds. The time-out may be up to 3 % short, so
-/// the caller must check the clock again. Guards against two faults of `may`:
+/// Returns the time-out to pass to a channel of `may` for a wait of `us` microseconds. The time-out may be up to 3 %
+/// short, so the caller must check the clock again. Guards against two faults of `may`:
 ///
 /// * Time-outs count in whole milliseconds: a fraction of a millisecond is waited for twice, and less than one
 ///   millisecond for ever.
@@ -67,8 +69,8 @@
     Duration::from_millis(ms / step * step)
 }
 
-/// Returns the time since `stamp_ms` in microseconds, at most `max_us`; 0 for a time stamp ahead of this node's clock. The
-/// maximum guards against a time stamp so old that it can only be wrong.
+/// Returns the time since `stamp_ms` in microseconds, at most `max_us`; 0 for a time stamp ahead of this node's clock.
+/// The maximum guards against a time stamp so old that it can only be wrong.
 ///
 /// ```
 /// use ochrewalk_node::clock::age_us;
--- a/crates/ochrewalk-node/src/close_reason.rs
+++ b/crates/ochrewalk-node/src/close_reason.rs
@@ -1,5 +1,5 @@
-//! Decides what the end of a connection or of an upstream call proves. Every way in which either can end is a variant of one type,
-//! and this file alone defines whether a call that was in flight may have run.
+//! Decides what the end of a connection or of an upstream call proves. Every way in which either can end is a variant
+//! of one type, and this file alone defines whether a call that was in flight may have run.
 
 use ochrewalk::host::Outcome;
 use std::fmt;
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Whether this node closed an open connection, so that it must notify the peer by shutting down its own side first. For a
-    /// draining connection that has been done already.
+    /// Whether this node closed an open connection, so that it must notify the peer by shutting down its own side
+    /// first. For a draining connection that has been done already.
     pub fn is_closed_locally(&self) -> bool {
         match self {
             CloseReason::Idle
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns the outcome of a call whose connection closed for this reason. A connection that was never made proves that the
-    /// call never ran; a connection that closes during a call proves nothing.
+    /// Returns the outcome of a call whose connection closed for this reason. A connection that was never made proves
+    /// that the call never ran; a connection that closes during a call proves nothing.
     pub fn outcome(&self) -> Outcome {
         match self {
             CloseReason::Refused | CloseReason::Unreachable(_) | CloseReason::OutOfResources => {
@@ -109,8 +109,8 @@
 }
 
 impl CallResult {
-    /// Returns the result that a complete AJP answer stands for. Only the header of this project proves that a call never ran:
-    /// a bare 503 may come from an intermediary.
+    /// Returns the result that a complete AJP answer stands for. Only the header of this project proves that a call
+    /// never ran: a bare 503 may come from an intermediary.
     pub fn from_status(status: u16, never_ran: bool, body: Vec<u8>) -> CallResult {
         match status {
             200..=299 => CallResult::Succeeded(body),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Whether the system had no descriptor or memory left.
+/// Whether the error says that the system has no descriptor or memory left.
 pub fn is_out_of_resources(err: &Error) -> bool {
     const EMFILE_ENFILE_ENOBUFS_ENOMEM: [i32; 4] = [24, 23, 105, 12];
     err.raw_os_error().is_some_and(|code| EMFILE_ENFILE_ENOBUFS_ENOMEM.contains(&code))
--- a/crates/ochrewalk-node/src/coordinator.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -1,6 +1,7 @@
-//! Connects request tasks with the admission controller. A task submits its request by [`RequestCoordinator::submit`], waits at
-//! its [`RequestHandle`] for the next event, reports what happened to the run and the calls, and waits again. This is the only
-//! file that knows the controller's events and actions. One lock guards the controller, and no I/O is done while it is held.
+//! Connects request tasks with the admission controller. A task submits its request by [`RequestCoordinator::submit`],
+//! waits at its [`RequestHandle`] for the next event, reports what happened to the run and the calls, and waits again.
+//! This is the only file that knows the controller's events and actions. One lock guards the controller, and no I/O is
+//! done while it is held.
 
 use crate::clock::{age_us, channel_timeout, Clock};
 use crate::close_reason::CallResult;
@@ -77,7 +78,7 @@
     Reject {
         /// Whether the client is asked not to retry at another server.
         do_not_retry: bool,
-        /// How long the client is asked to keep away from this server; 0 for no advice.
+        /// The time for which the client is asked to keep away from this server; 0 for no advice.
         retry_after_us: u64,
     },
     /// Answers that the request was aborted.
@@ -190,8 +191,8 @@
         self.events.clone()
     }
 
-    /// Waits for the next event, for up to `max_wait` (see [`channel_timeout`]), and returns [`RequestEvent::Timeout`] if none
-    /// arrives. The event before it counts as handled.
+    /// Waits for the next event, for up to `max_wait` (see [`channel_timeout`]), and returns [`RequestEvent::Timeout`]
+    /// if none arrives. The event before it counts as handled.
     pub fn wait(&self, max_wait: Option<Duration>) -> RequestEvent {
         self.finish_handling();
         let received = match max_wait {
@@ -225,8 +226,8 @@
 /// The health state, as reported to callers and to the directory.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthState {
-    /// Whether health checks pass. None before the executor is up: a report as unhealthy would keep callers away for seconds
-    /// from a server that is about to start.
+    /// Whether health checks pass. None before the executor is up: a report as unhealthy would keep callers away for
+    /// seconds from a server that is about to start.
     pub is_healthy: Option<bool>,
     /// The value sent with every answer.
     pub load_signal: Option<f64>,
@@ -346,8 +347,8 @@
             if keys_sent_ahead { host.keys.export_changed() } else { (host.keys.export_all(), Vec::new()) };
     }
 
-    /// Restores the state that a predecessor process wrote to `node`, on top of the keys that it sent ahead. Returns a handle
-    /// for each of `open_requests`, in the same order.
+    /// Restores the state that a predecessor process wrote to `node`, on top of the keys that it sent ahead. Returns a
+    /// handle for each of `open_requests`, in the same order.
     ///
     /// # Errors
     ///
@@ -407,8 +408,8 @@
         !has_changed && self.pending_work.is_none()
     }
 
-    /// Starts the controller once the executor is up, so that requests are admitted from now on. The executor has been up for
-    /// `up_us`, and `is_cold` says whether it started cold. Further calls have no effect.
+    /// Starts the controller once the executor is up, so that requests are admitted from now on. The executor has been
+    /// up for `up_us`, and `is_cold` says whether it started cold. Further calls have no effect.
     pub fn activate(&self, is_cold: bool, up_us: u64) {
         let mut state = self.lock();
         let CoordinatorState::Inactive(host) = &mut *state else { return };
@@ -425,7 +426,8 @@
         let started_us = now_us.saturating_sub(up_us);
         let drain_deadline_us = host.drain_deadline_us;
         let mut controller = Box::new(deployment.start(host, started_us, self.seed));
-        // Guards against an executor that comes up after this server has begun to drain: no request is started any more.
+        // Guards against an executor that comes up after this server has begun to drain: no request is started any
+        // more.
         if let Some(deadline_us) = drain_deadline_us {
             controller.drain(now_us, deadline_us.saturating_sub(now_us));
         }
@@ -488,8 +490,8 @@
         Ok(handle)
     }
 
-    /// Reports to the controller what happened to a run or a call. The next decision arrives as an event at the handle; none
-    /// arrives after the end of a run.
+    /// Reports to the controller what happened to a run or a call. The next decision arrives as an event at the handle;
+    /// none arrives after the end of a run.
     pub fn report(&self, handle: &RequestHandle, report: ProgressReport) {
         self.with_controller(|controller, now_us| match report {
             ProgressReport::CallNeeded => controller.call_needed(now_us, &handle.id),
@@ -503,9 +505,9 @@
         });
     }
 
-    /// Reports to the controller and to the request's task that the caller of a request has left. The comparison by pointer
-    /// guards against a request that was not submitted because another caller's request has the same id: only the request
-    /// that was submitted is affected.
+    /// Reports to the controller and to the request's task that the caller of a request has left. The comparison by
+    /// pointer guards against a request that was not submitted because another caller's request has the same id: only
+    /// the request that was submitted is affected.
     pub fn caller_left(&self, id: &RpcId) {
         self.with_controller(|controller, _| {
             let is_submitted = controller
@@ -525,7 +527,8 @@
         self.with_host(|host| host.requests.remove(&handle.id));
     }
 
-    /// Removes expired idempotency keys and, if the controller's timer is due, fires it with these gauges.
+    /// Removes expired idempotency keys and, if the controller's timer is due, fires it with these gauges. Has no
+    /// effect while the process is paused.
     pub fn tick(&self, gauges: Gauges) {
         let unix_ms = self.clock.unix_ms();
         if is_paused() {
@@ -557,7 +560,8 @@
         }
     }
 
-    /// Starts draining: the server reports itself as unhealthy, and all open requests must be answered within `time_left_us`.
+    /// Starts draining: the server reports itself as unhealthy, and all open requests must be answered within
+    /// `time_left_us`.
     pub fn drain(&self, time_left_us: u64) {
         let deadline_us = self.clock.now_us() + time_left_us;
         self.with_host(|host| {
@@ -576,9 +580,9 @@
         self.with_host(|host| host.requests.len())
     }
 
-    /// Waits for a notification, then lets the controller act on all events since its last round of decisions. Tasks that are
-    /// ready report their events first. Guards against a flood of requests: one round for each request that is read would
-    /// examine all queued requests each time.
+    /// Waits for a notification, then lets the controller act on all events since its last round of decisions. Tasks
+    /// that are ready report their events first. Guards against a flood of requests: one round for each request that is
+    /// read would examine all queued requests each time.
     pub fn decide_when_notified(&self, state_changed: &Receiver<()>) {
         let _ = state_changed.recv();
         let has_moved_forward = {
@@ -594,8 +598,8 @@
         }
     }
 
-    /// Notifies the controller of one event, on which it acts in the next round of decisions. Returns none while there is no
-    /// controller.
+    /// Notifies the controller of one event, on which it acts in the next round of decisions. Returns none while there
+    /// is no controller.
     fn with_controller<T>(
         &self,
         notify: impl FnOnce(&mut AdmissionController<ControllerHost>, u64) -> T,
@@ -622,8 +626,8 @@
         }
     }
 
-    /// Locks the state. Exits the process if the controller has panicked under the lock: its state may be inconsistent and no
-    /// decision could be relied on, so the process must be restarted.
+    /// Locks the state. Exits the process if the controller has panicked under the lock: its state may be inconsistent
+    /// and no decision could be relied on, so the process must be restarted.
     fn lock(&self) -> MutexGuard<'_, CoordinatorState> {
         self.state.lock().unwrap_or_else(|_| {
             tracing::error!("the decisions failed; this process exits, to be restarted");
@@ -665,8 +669,8 @@
         }
     }
 
-    /// Removes the key of a request that never ran, and rejects the repeats that waited for it, so that their callers may retry
-    /// at another server.
+    /// Removes the key of a request that never ran, and rejects the repeats that waited for it, so that their callers
+    /// may retry at another server.
     fn remove_key(&mut self, key: &str, id: &str) {
         for repeat in self.keys.forget(key, id) {
             self.finish_repeat(
--- a/crates/ochrewalk-node/src/idempotency_keys.rs
+++ b/crates/ochrewalk-node/src/idempotency_keys.rs
@@ -1,5 +1,5 @@
-//! Decides what an idempotency key refers to: the request that holds it, that request's outcome, and the repeats that wait
-//! for this outcome.
+//! Decides what an idempotency key refers to: the request that holds it, that request's outcome, and the repeats that
+//! wait for this outcome.
 
 use crate::handover::records::IdempotencyKeyRecord;
 use ochrewalk::host::RpcId;
@@ -56,8 +56,8 @@
 /// A key, preceded by its time of expiry in Unix milliseconds, by which keys are sorted.
 pub type KeyExpiry = (u64, Arc<str>);
 
-/// Stores idempotency keys and the results of their requests. Results count against a limit in bytes. Beyond it the results
-/// that expire first are evicted, while the fact that their requests may have run is retained.
+/// Stores idempotency keys and the results of their requests. Results count against a limit in bytes. Beyond it the
+/// results that expire first are evicted, while the fact that their requests may have run is retained.
 #[derive(Debug)]
 pub struct IdempotencyKeyStore {
     entries: HashMap<Arc<str>, Entry>,
@@ -67,8 +67,8 @@
     results: BTreeSet<KeyExpiry>,
     result_bytes: usize,
     max_result_bytes: usize,
-    /// The keys that have changed since the first batch was exported ahead of a hand-over; none while no export is under
-    /// way.
+    /// The keys that have changed since the first batch was exported ahead of a hand-over; none while no export is
+    /// under way.
     changed: Option<HashSet<Arc<str>>>,
 }
 
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Looks up the key of an attempt that arrived at `arrived_unix_ms`. The fingerprint guards against an untrusted client
-    /// that has learnt a key: only a request with the same fingerprint gets the result.
+    /// Looks up the key of an attempt that arrived at `arrived_unix_ms`. The fingerprint guards against an untrusted
+    /// client that has learnt a key: only a request with the same fingerprint gets the result.
     pub fn find(&self, key: &str, fingerprint: u64, arrived_unix_ms: u64) -> KeyLookup {
         match self.entries.get(key).filter(|e| arrived_unix_ms <= e.until_ms + ROUNDING_MARGIN_MS) {
             None => KeyLookup::Unknown,
@@ -176,8 +176,8 @@
     }
 
     /// Returns records of up to `max_keys` keys that expire next after `after`, and the last of them. Requests continue
-    /// between the batches; changes after the first batch are returned by [`IdempotencyKeyStore::export_changed`]. Returns
-    /// none once all keys have been exported.
+    /// between the batches; changes after the first batch are returned by [`IdempotencyKeyStore::export_changed`].
+    /// Returns none once all keys have been exported.
     pub fn export_batch(
         &mut self,
         after: Option<&KeyExpiry>,
@@ -196,8 +196,8 @@
         Some((next.iter().filter_map(record).collect(), last))
     }
 
-    /// Returns records of the keys that have changed since the first [`IdempotencyKeyStore::export_batch`], and the keys that
-    /// have been removed since.
+    /// Returns records of the keys that have changed since the first [`IdempotencyKeyStore::export_batch`], and the
+    /// keys that have been removed since.
     pub fn export_changed(&self) -> (Vec<IdempotencyKeyRecord>, Vec<String>) {
         let (mut records, mut removed) = (Vec::new(), Vec::new());
         for key in self.changed.iter().flatten() {
@@ -214,7 +214,8 @@
         self.changed = None;
     }
 
-    /// Imports the records of another process, then removes the keys in `removed`. A later record replaces an earlier one.
+    /// Imports the records of another process, then removes the keys in `removed`. A later record replaces an earlier
+    /// one.
     pub fn import(&mut self, records: Vec<IdempotencyKeyRecord>, removed: &[String]) {
         for record in records {
             let state = match record.state {
--- a/crates/ochrewalk-node/src/interfaces.rs
+++ b/crates/ochrewalk-node/src/interfaces.rs
@@ -1,5 +1,5 @@
-//! The interfaces of a request to its client and to its upstream. Each protocol implements them; the request's state machine
-//! and task know no protocol.
+//! The interfaces of a request to its client and to its upstream. Each protocol implements them; the request's state
+//! machine and task know no protocol.
 
 use crate::coordinator::EventSender;
 use crate::handover::records::{ClientAddress, UpstreamRecord};
@@ -15,7 +15,7 @@
     Rejected {
         /// Whether the client is asked not to retry at another server.
         do_not_retry: bool,
-        /// How long the client is asked to keep away from this server, in microseconds; 0 for no advice.
+        /// The time for which the client is asked to keep away from this server, in microseconds; 0 for no advice.
         retry_after_us: u64,
     },
     /// The request was aborted; the answer does not say whether it ran.
@@ -35,8 +35,8 @@
     /// Whether the client still waits for an answer.
     fn awaits_answer(&self) -> bool;
 
-    /// Sends the answer, if the client still waits for one. `load_signal` is the value sent with every answer, where there
-    /// is one.
+    /// Sends the answer, if the client still waits for one. `load_signal` is the value sent with every answer, where
+    /// there is one.
     fn answer(&self, answer: Answer, load_signal: Option<f64>);
 
     /// Returns the address by which another process that takes over the connections finds this client.
@@ -59,13 +59,15 @@
     /// Cancels a call; no result is sent for it after that.
     fn cancel_call(&self, id: &str);
 
-    /// Returns for how long no endpoint is expected to accept a call, in microseconds; none where one accepts calls now.
+    /// Returns for how long no endpoint is expected to accept a call, in microseconds; none where one accepts calls
+    /// now.
     fn unavailable_for_us(&self) -> Option<u64> {
         None
     }
 
     /// Queues new calls while `is_paused` is set, so that calls in flight can end before the process pauses for a
-    /// hand-over; places the queued calls once it is cleared.
+    /// hand-over; places the queued calls once it is cleared. Has no effect on an upstream whose
+    /// connections can be handed over.
     fn set_calls_paused(&self, _is_paused: bool) {}
 
     /// Whether calls are in flight on connections that cannot be handed over to another process.
--- a/crates/ochrewalk-node/src/lib.rs
+++ b/crates/ochrewalk-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! The parts of a node that connect the admission controller with real sockets: ingress protocols, the executor, upstreams,
-//! hand-over to a new process, configuration and rollout. See docs/architecture.md.
+//! The parts of a node that connect the admission controller with real sockets: ingress protocols, the executor,
+//! upstreams, hand-over to a new process, configuration and rollout. See docs/architecture.md.
 
 pub mod clock;
 pub mod close_reason;
--- a/crates/ochrewalk-node/src/logger.rs
+++ b/crates/ochrewalk-node/src/logger.rs
@@ -1,6 +1,7 @@
-//! Structured logs to standard error, plain or as JSON, through a bounded queue and a writer thread. Logging never blocks: lines
-//! that do not fit into the queue are dropped and counted. A call site that repeats itself is limited to a few lines per second.
-//! Spans are never entered, as a coroutine that waits would leave its span to another coroutine on the same thread.
+//! Structured logs to standard error, plain or as JSON, through a bounded queue and a writer thread. Logging never
+//! blocks: lines that do not fit into the queue are dropped and counted. A call site that repeats itself is limited to
+//! a few lines per second. Spans are never entered, as a coroutine that waits would leave its span to another coroutine
+//! on the same thread.
 
 use std::collections::HashMap;
 use std::io;
--- a/crates/ochrewalk-node/src/method_counters.rs
+++ b/crates/ochrewalk-node/src/method_counters.rs
@@ -10,7 +10,7 @@
 
 /// The counters of one method.
 #[derive(Default)]
-struct Method {
+struct Counters {
     /// All answers. Incremented last, so that a change of it implies that the other counters are up to date.
     calls: AtomicU64,
     /// Requests that were not served within the latency target.
@@ -21,13 +21,13 @@
 
 /// The counters of all methods, which only increase.
 pub struct PerMethodCounters {
-    methods: Vec<Method>,
+    methods: Vec<Counters>,
 }
 
 impl PerMethodCounters {
     /// Returns zeroed counters for this number of methods.
     pub fn new(methods: usize) -> PerMethodCounters {
-        PerMethodCounters { methods: (0..methods).map(|_| Method::default()).collect() }
+        PerMethodCounters { methods: (0..methods).map(|_| Counters::default()).collect() }
     }
 
     /// Counts an answer. Invalid requests are faults of their clients and are not counted.
@@ -44,7 +44,8 @@
         let (counters, method) = (&self.methods[rpc.method], &deployment.methods[rpc.method]);
         let took_us = age_us(clock.unix_ms(), rpc.arrived_unix_ms, method.deadline_us);
         let is_served = matches!(answer, Answer::Served(_));
-        let add = |counter: &AtomicU64, is: bool| counter.fetch_add(u64::from(is), Ordering::Relaxed);
+        let add =
+            |counter: &AtomicU64, applies: bool| counter.fetch_add(u64::from(applies), Ordering::Relaxed);
         add(&counters.missed, !is_served || took_us > method.latency_target_us);
         add(&counters.failed, !is_served);
         // Incremented last: a reader that sees this call also sees its other counters.
@@ -75,7 +76,7 @@
 #[derive(Default)]
 pub struct ReportedCalls(Vec<u64>);
 
-impl Method {
+impl Counters {
     fn to_message(&self, name: &str) -> MethodCounters {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         MethodCounters {
--- a/crates/ochrewalk-node/src/panics.rs
+++ b/crates/ochrewalk-node/src/panics.rs
@@ -1,7 +1,8 @@
-//! Limits the effect of a panic, a fault of this program: a panic that is caused by the input of a connection closes only that
-//! connection, any other ends the process, which is then restarted. Guards against a node that continues without one of its
-//! parts, as a coroutine that panics just ends: a request would never be answered, or the executor's notices would never be
-//! read. Ending the process is harmful where the same input reaches every node, so panics on input are contained.
+//! Limits the effect of a panic, a fault of this program: a panic that is caused by the input of a connection closes
+//! only that connection, any other ends the process, which is then restarted. Guards against a node that continues
+//! without one of its parts, as a coroutine that panics just ends: a request would never be answered, or the executor's
+//! notices would never be read. Ending the process is harmful where the same input reaches every node, so panics on
+//! input are contained.
 
 use std::cell::Cell;
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
@@ -10,8 +11,8 @@
 pub const EXIT_STATUS: i32 = 70;
 
 thread_local! {
-    /// Whether a panic on this thread costs only a connection. Contained code must not wait, as its coroutine might continue on
-    /// another thread.
+    /// Whether a panic on this thread costs only a connection. Contained code must not wait, as its coroutine might
+    /// continue on another thread.
     static CONTAINED: Cell<bool> = const { Cell::new(false) };
 }
 
--- a/crates/ochrewalk-node/src/request_state.rs
+++ b/crates/ochrewalk-node/src/request_state.rs
@@ -1,5 +1,5 @@
-//! Decides what a request does next, from its submission to the coordinator until its answer and the end of its run. The
-//! state machine does no I/O: it is fed with events and acts through the [`RequestActions`] trait. Its state can be
+//! Decides what a request does next, from its submission to the coordinator until its answer and the end of its run.
+//! The state machine does no I/O: it is fed with events and acts through the [`RequestActions`] trait. Its state can be
 //! persisted between any two events and restored in another process.
 
 use crate::close_reason::CallResult;
@@ -7,8 +7,8 @@
 use crate::interfaces::Answer;
 use crate::wire::notices::RunEnd;
 
-/// The grace period after the deadline of a call, at whose end the node cancels the call itself. Every millisecond of it
-/// is taken from a request that could still continue without its call.
+/// The grace period after the deadline of a call, at whose end the node cancels the call itself. Every millisecond of
+/// it is taken from a request that could still continue without its call.
 const CALL_GRACE_US: u64 = 10_000;
 
 /// The actions that the state machine of a request can take.
--- a/crates/ochrewalk-node/src/request_task.rs
+++ b/crates/ochrewalk-node/src/request_task.rs
@@ -1,4 +1,4 @@
-//! Runs each request in a coroutine of its own, which waits for events and feeds them to the request's state machine. Only
+//! Runs each request in its own coroutine, which waits for events and feeds them to the request's state machine. Only
 //! this coroutine answers a request that was submitted to the coordinator.
 
 use crate::clock::channel_timeout;
@@ -54,8 +54,8 @@
         }
         Some(Err(error)) => {
             let answer = match error {
-                // The key's holder may be an untrusted client that has learnt the key of this one. This request never ran,
-                // and may run on another server.
+                // The key's holder may be an untrusted client that has learnt the key of this one. This request never
+                // ran, and may run on another server.
                 SubmitError::KeyOfOtherRequest { has_run: false } => Answer::REJECTED_WITHOUT_ADVICE,
                 SubmitError::KeyOfOtherRequest { has_run: true } => {
                     Answer::InvalidRequest("a token that stands for other work")
--- a/crates/ochrewalk-node/src/shared_state.rs
+++ b/crates/ochrewalk-node/src/shared_state.rs
@@ -1,5 +1,6 @@
-//! The state that all ingress protocols share: the coordinator, the executor, the upstream, and the limit on open requests. Each
-//! ingress parses a request from its protocol and passes it on here; from then on all requests are handled alike.
+//! The state that all ingress protocols share: the coordinator, the executor, the upstream, and the limit on open
+//! requests. Each ingress parses a request from its protocol and passes it on here; from then on all requests are
+//! handled alike.
 
 use crate::clock::Clock;
 use crate::coordinator::{IdempotencyKey, IncomingRequest, RequestCoordinator, RequestHandle};
--- a/crates/ochrewalk-node/tests/clock.rs
+++ b/crates/ochrewalk-node/tests/clock.rs
@@ -3,7 +3,8 @@
 use ochrewalk_node::clock::channel_timeout;
 use std::collections::BTreeSet;
 
-/// The number of lengths of time for which `may` retains a list. The node's fixed sleeps and timeouts need some of them.
+/// The number of lengths of time for which `may` retains a list. The node's fixed sleeps and timeouts need some of
+/// them.
 const LISTS_RETAINED_BY_MAY: usize = 1_024;
 
 #[test]
--- a/crates/ochrewalk-node/tests/request_state.rs
+++ b/crates/ochrewalk-node/tests/request_state.rs
@@ -103,7 +103,8 @@
         (vec![RequestEvent::Run, ended(RunEnd::Stopped)], "start, aborted, Stopped", true),
         (vec![RequestEvent::Run, ended(RunEnd::NeverRan)], "start, rejected false 0, NeverRan", true),
         (vec![RequestEvent::Run, ended(RunEnd::Unknown)], "start, fault, rejected false 0, Unknown", true),
-        // A request that was aborted, or whose caller left, stays open until its run has ended, and is not answered again.
+        // A request that was aborted, or whose caller left, stays open until its run has ended, and is not answered
+        // again.
         (vec![RequestEvent::Run, RequestEvent::Abort], "start, aborted", false),
         (
             vec![RequestEvent::Run, RequestEvent::Abort, ended(RunEnd::Complete)],
@@ -189,8 +190,8 @@
     assert_eq!(recorded.take(), "call 1 3, Unreachable after 0");
 }
 
-/// Random events in random order, each handled by a copy that replaces the original: there is at most one answer, exactly one
-/// where the caller stays, and each placed call ends once.
+/// Random events in random order, each handled by a copy that replaces the original: there is at most one answer,
+/// exactly one where the caller stays, and each placed call ends once.
 #[test]
 fn no_order_of_events_causes_two_answers_or_leaves_a_call_open() {
     for seed in 0..5_000 {
