--- a/crates/ochrewalk-node/src/coordinator.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -111,7 +111,7 @@
     CallEnded {
         /// The outcome of the call.
         outcome: Outcome,
-        /// The time that it took.
+        /// The duration of the call.
         took_us: u64,
     },
     /// The run has ended, with a result (a JSON string) where it is complete.
@@ -157,7 +157,7 @@
 }
 
 impl EventSender {
-    /// Sends an event. It is dropped if the request is already finished.
+    /// Sends an event, or drops it if the request is already finished.
     pub fn send(&self, event: RequestEvent) {
         self.pending_work.increment();
         if self.mailbox.send(event).is_err() {
@@ -192,7 +192,7 @@
     }
 
     /// Waits for the next event, for up to `max_wait` (see [`channel_timeout`]), and returns [`RequestEvent::Timeout`]
-    /// if none arrives. The event before it counts as handled.
+    /// if none arrives. Marks the previous event as handled.
     pub fn wait(&self, max_wait: Option<Duration>) -> RequestEvent {
         self.finish_handling();
         let received = match max_wait {
@@ -251,13 +251,13 @@
 
 /// The receivers of the coordinator's notifications.
 pub struct CoordinatorNotifications {
-    /// For [`RequestCoordinator::decide_when_notified`].
+    /// Passed to [`RequestCoordinator::decide_when_notified`].
     pub state_changed: Receiver<()>,
-    /// For [`RequestCoordinator::wait_for_timer`].
+    /// Passed to [`RequestCoordinator::wait_for_timer`].
     pub timer_moved: Receiver<()>,
 }
 
-/// The controller does not exist before the executor is up, and every request is rejected until then.
+/// The state of the coordinator. It has no controller before the executor is up, and rejects every request until then.
 enum CoordinatorState {
     Inactive(Box<ControllerHost>),
     Active(Box<AdmissionController<ControllerHost>>),
--- a/crates/ochrewalk-node/src/interfaces.rs
+++ b/crates/ochrewalk-node/src/interfaces.rs
@@ -59,15 +59,15 @@
     /// Cancels a call; no result is sent for it after that.
     fn cancel_call(&self, id: &str);
 
-    /// Returns for how long no endpoint is expected to accept a call, in microseconds; none where one accepts calls
-    /// now.
+    /// Returns the time in microseconds for which no endpoint is expected to accept a call; none where an endpoint accepts
+    /// calls now.
     fn unavailable_for_us(&self) -> Option<u64> {
         None
     }
 
     /// Queues new calls while `is_paused` is set, so that calls in flight can end before the process pauses for a
-    /// hand-over; places the queued calls once it is cleared. Has no effect on an upstream whose
-    /// connections can be handed over.
+    /// hand-over; places the queued calls once it is cleared. Has no effect on an upstream whose connections can be
+    /// handed over.
     fn set_calls_paused(&self, _is_paused: bool) {}
 
     /// Whether calls are in flight on connections that cannot be handed over to another process.
