--- a/crates/ochrewalk-node/src/logger.rs
+++ b/crates/ochrewalk-node/src/logger.rs
@@ -48,8 +48,12 @@
 pub fn start(settings: LogSettings) {
     let (writer, guard) =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).finish(io::stderr());
-    let (dropped, repeated) = (writer.error_counter(), Arc::new(AtomicU64::new(0)));
-    let limit = RateLimit { level: settings.level, repeated: repeated.clone(), call_sites: Mutex::default() };
+    let (dropped, repeated_lines) = (writer.error_counter(), Arc::new(AtomicU64::new(0)));
+    let limit = RateLimit {
+        level: settings.level,
+        repeated_lines: repeated_lines.clone(),
+        call_sites: Mutex::default(),
+    };
     let layer = fmt::layer().with_ansi(false).with_target(false).with_writer(writer);
     let set = match settings.format {
         LogFormat::Plain => {
@@ -65,7 +69,7 @@
     };
     if set.is_ok() {
         *WRITER_GUARD.lock().expect("no panic occurs under this lock") = Some(guard);
-        std::thread::spawn(move || warn_of_unwritten_lines(&dropped, &repeated));
+        std::thread::spawn(move || warn_of_unwritten_lines(&dropped, &repeated_lines));
     }
 }
 
@@ -75,11 +79,11 @@
 }
 
 /// Logs once per period how many lines were not written.
-fn warn_of_unwritten_lines(dropped: &ErrorCounter, repeated: &AtomicU64) {
+fn warn_of_unwritten_lines(dropped: &ErrorCounter, repeated_lines: &AtomicU64) {
     let mut previously_dropped = 0;
     loop {
         std::thread::sleep(PERIOD);
-        let (total_dropped, repeated) = (dropped.dropped_lines(), repeated.swap(0, Ordering::Relaxed));
+        let (total_dropped, repeated) = (dropped.dropped_lines(), repeated_lines.swap(0, Ordering::Relaxed));
         if total_dropped > previously_dropped || repeated > 0 {
             tracing::warn!(
                 part = "log",
@@ -95,7 +99,8 @@
 /// Passes the lines of this project's crates, up to a limited number per call site and period.
 struct RateLimit {
     level: LevelFilter,
-    repeated: Arc<AtomicU64>,
+    /// The number of lines above the limit, since the last warning.
+    repeated_lines: Arc<AtomicU64>,
     /// The start of each call site's period, and its lines since.
     call_sites: Mutex<HashMap<Identifier, (Instant, u32)>>,
 }
@@ -119,7 +124,7 @@
         *lines += 1;
         let is_written = *lines <= MAX_LINES_PER_PERIOD;
         if !is_written {
-            self.repeated.fetch_add(1, Ordering::Relaxed);
+            self.repeated_lines.fetch_add(1, Ordering::Relaxed);
         }
         is_written
     }
