--- a/crates/ochrewalk-control-plane/src/agent/mod.rs
+++ b/crates/ochrewalk-control-plane/src/agent/mod.rs
@@ -254,8 +254,8 @@
         self.has_unread = received?;
         let is_silent = now_us >= self.silent_at_us(now_us);
         match &mut self.link {
-            Link::Connecting { until_us, .. } if now_us >= *until_us => Err(ConnectionError::Silent),
-            Link::Subscribed { .. } if is_silent => Err(ConnectionError::Silent),
+            Link::Connecting { until_us, .. } if now_us >= *until_us => Err(ConnectionError::ReceiveTimeout),
+            Link::Subscribed { .. } if is_silent => Err(ConnectionError::ReceiveTimeout),
             Link::Connecting { connection, .. } | Link::Subscribed { connection } => connection.flush(),
             Link::Waiting { .. } => Ok(()),
         }
@@ -287,7 +287,7 @@
                 Err(ConnectionError::RetryLater)
             }
             Body::Refused(refused) => Err(ConnectionError::Refused { reasons: refused.reasons }),
-            _ => Err(ConnectionError::NotFromRelay),
+            _ => Err(ConnectionError::UnexpectedFromRelay),
         }
     }
 
--- a/crates/ochrewalk-control-plane/src/connection.rs
+++ b/crates/ochrewalk-control-plane/src/connection.rs
@@ -19,10 +19,10 @@
     Closed,
     /// The peer sent nothing for too long.
     #[error("it says nothing")]
-    Silent,
+    ReceiveTimeout,
     /// The peer did not read for too long.
     #[error("it does not read")]
-    NotReading,
+    SendTimeout,
     /// A part of an update that does not fit what came before.
     #[error("it sends what it should not: {0}")]
     Update(#[from] UpdateError),
@@ -31,10 +31,10 @@
     Watch(SubscribeError),
     /// A message that relays do not send.
     #[error("it sends what it should not: a message that relays do not send")]
-    NotFromRelay,
+    UnexpectedFromRelay,
     /// A message that subscribers do not send.
     #[error("it sends what it should not: unexpected message {kind}")]
-    NotFromSubscriber {
+    UnexpectedFromSubscriber {
         /// The kind of message.
         kind: &'static str,
     },
--- a/crates/ochrewalk-control-plane/src/control.rs
+++ b/crates/ochrewalk-control-plane/src/control.rs
@@ -41,7 +41,7 @@
     },
     /// The publisher closed the connection without a reply.
     #[error("{0}: no answer that can be read")]
-    NoAnswer(PathBuf),
+    NoReply(PathBuf),
 }
 
 /// Listens at `path`, in place of a socket that a killed publisher left. Requests arrive at the receiver, and the event loop
@@ -145,5 +145,5 @@
     let mut out = Vec::new();
     frame::encode(body, &mut out);
     stream.write_all(&out).map_err(fault)?;
-    read_message(&mut stream).map_err(fault)?.ok_or_else(|| ControlError::NoAnswer(path.into()))
+    read_message(&mut stream).map_err(fault)?.ok_or_else(|| ControlError::NoReply(path.into()))
 }
--- a/crates/ochrewalk-control-plane/src/publisher.rs
+++ b/crates/ochrewalk-control-plane/src/publisher.rs
@@ -11,8 +11,8 @@
     Body, Fetch, Fetched, Position, Publish, Published, Refused, Resource, Rollback, Status,
 };
 use ochrewalk_distribution::{
-    merge, rollback_changes, Batch, CatchUpLimits, PublishError, RollbackError, Server, ServerLimits, Store,
-    StoreLimits,
+    merge_region_statuses, rollback_changes, Batch, CatchUpLimits, PublishError, RollbackError, Server,
+    ServerLimits, Store, StoreLimits,
 };
 use ochrewalk_operator_config::resources::check;
 use std::io;
@@ -275,7 +275,8 @@
         let store = self.subscribers.server.store();
         // The relays themselves are listed as subscribers of the publisher, under no region.
         let relays = self.subscribers.server.status();
-        let regions = merge(self.subscribers.regions().cloned().chain([relays]), MAX_REJECTIONS);
+        let regions =
+            merge_region_statuses(self.subscribers.regions().cloned().chain([relays]), MAX_REJECTIONS);
         Status { position: store.position(), resources: store.len() as u64, regions }
     }
 
--- a/crates/ochrewalk-control-plane/src/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/src/publisher_log.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Where the storage cannot be opened, or what it contains cannot be decoded.
-    pub fn open_on(storage: impl StorageBackend) -> Result<(PublisherLog, Recovered), LogError> {
+    pub fn open_with_backend(storage: impl StorageBackend) -> Result<(PublisherLog, Recovered), LogError> {
         let mut builder = Database::builder();
         PublisherLog::from_database(builder.set_cache_size(CACHE_BYTES).create_with_backend(storage)?)
     }
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -108,7 +108,7 @@
     fn schedule_check(&mut self, now_us: u64) -> Result<(), ConnectionError> {
         let is_flushed = self.connection.is_flushed();
         if !is_flushed && now_us >= self.since_us + PEER_TIMEOUT_US {
-            return Err(ConnectionError::NotReading);
+            return Err(ConnectionError::SendTimeout);
         }
         let check_at_us =
             if is_flushed { self.last_sent_us + HEARTBEAT_US } else { self.since_us + PEER_TIMEOUT_US };
@@ -288,7 +288,7 @@
                 Ok(())
             }
             // A message that neither a node nor a relay sends.
-            (_, other) => Err(ConnectionError::NotFromSubscriber { kind: kind_of(&other) }),
+            (_, other) => Err(ConnectionError::UnexpectedFromSubscriber { kind: kind_of(&other) }),
         }
     }
 
@@ -297,7 +297,7 @@
         peer.connection.flush()?;
         match peer.role {
             Role::Unknown => {
-                peer.wait_until(peer.since_us + PEER_TIMEOUT_US, now_us, ConnectionError::Silent)
+                peer.wait_until(peer.since_us + PEER_TIMEOUT_US, now_us, ConnectionError::ReceiveTimeout)
             }
             Role::Closing => peer.wait_until(peer.since_us + CLOSE_DELAY_US, now_us, ConnectionError::Closed),
             Role::Subscriber(id) => {
--- a/crates/ochrewalk-control-plane/tests/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher_log.rs
@@ -168,7 +168,7 @@
 #[test]
 fn killed_at_any_operation_it_has_what_it_acknowledged_and_nothing_half() {
     let unharmed = FaultyStorage::new(Vec::new(), u64::MAX, u64::MAX);
-    let (mut log, recovered) = PublisherLog::open_on(unharmed.clone()).unwrap();
+    let (mut log, recovered) = PublisherLog::open_with_backend(unharmed.clone()).unwrap();
     publish(&mut log, &mut restored(recovered), 6);
     drop(log);
     let operations = unharmed.0.lock().unwrap().operations;
@@ -176,12 +176,12 @@
     for dies_after in 1..operations {
         let storage = FaultyStorage::new(Vec::new(), dies_after, u64::MAX);
         let mut acknowledged = 0;
-        if let Ok((mut log, recovered)) = PublisherLog::open_on(storage.clone()) {
+        if let Ok((mut log, recovered)) = PublisherLog::open_with_backend(storage.clone()) {
             acknowledged = publish(&mut log, &mut restored(recovered), 6).0;
         }
         let left = storage.after_power_loss(&mut chance);
         let after = FaultyStorage::new(left, u64::MAX, u64::MAX);
-        let (_, recovered) = match PublisherLog::open_on(after) {
+        let (_, recovered) = match PublisherLog::open_with_backend(after) {
             Ok(opened) => opened,
             // Before the file was ever whole there is nothing to lose.
             Err(_) if acknowledged == 0 => continue,
@@ -198,7 +198,7 @@
 #[test]
 fn a_full_disk_refuses_a_batch_and_what_was_acknowledged_stays() {
     let storage = FaultyStorage::new(Vec::new(), u64::MAX, 1536 * 1024);
-    let (mut log, recovered) = PublisherLog::open_on(storage.clone()).unwrap();
+    let (mut log, recovered) = PublisherLog::open_with_backend(storage.clone()).unwrap();
     let mut store = restored(recovered);
     let (acknowledged, failed) = publish(&mut log, &mut store, 5_000);
     assert!(matches!(failed, Some(LogError::Storage(_))), "{acknowledged} fit: {failed:?}");
@@ -207,7 +207,8 @@
     assert!(matches!(publish(&mut log, &mut store, 1), (0, Some(LogError::Failed))));
     drop(log);
     let left = storage.0.lock().unwrap().current.clone();
-    let (_, recovered) = PublisherLog::open_on(FaultyStorage::new(left, u64::MAX, u64::MAX)).unwrap();
+    let (_, recovered) =
+        PublisherLog::open_with_backend(FaultyStorage::new(left, u64::MAX, u64::MAX)).unwrap();
     let store = restored(recovered);
     assert_eq!(contents(&store), contents(&state_after(acknowledged)));
 }
@@ -215,7 +216,7 @@
 #[test]
 fn a_sync_that_fails_once_is_the_last_thing_the_log_does() {
     let storage = FaultyStorage::new(Vec::new(), u64::MAX, u64::MAX);
-    let (mut log, recovered) = PublisherLog::open_on(storage.clone()).unwrap();
+    let (mut log, recovered) = PublisherLog::open_with_backend(storage.clone()).unwrap();
     let mut store = restored(recovered);
     assert!(publish(&mut log, &mut store, 2).1.is_none());
     {
--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -105,7 +105,7 @@
 pub use relay_choice::{Choice, NoRelays, ProbeResult, RelayChoice, RelayChoiceLimits};
 pub use rollback::{rollback_changes, RollbackError};
 pub use server::{Admission, NextUpdate, Server, ServerLimits, SubscribeError, SubscriberId};
-pub use status::merge;
+pub use status::merge_region_statuses;
 pub use store::{ApplyError, Batch, ChangeOrder, Store, StoreLimits, UpdateKind};
 pub use subscription::{CompleteUpdate, Received, Subscription, SubscriptionLimits, UpdateError};
 pub use validation::{
--- a/crates/ochrewalk-distribution/src/status.rs
+++ b/crates/ochrewalk-distribution/src/status.rs
@@ -54,7 +54,10 @@
 
 /// One status for each region, in the order of their names: counts added up, at most `max_rejections` rejections (the
 /// latest positions first), and the position of the relay that is furthest behind.
-pub fn merge(statuses: impl IntoIterator<Item = RegionStatus>, max_rejections: usize) -> Vec<RegionStatus> {
+pub fn merge_region_statuses(
+    statuses: impl IntoIterator<Item = RegionStatus>,
+    max_rejections: usize,
+) -> Vec<RegionStatus> {
     let mut regions: BTreeMap<String, Vec<RegionStatus>> = BTreeMap::new();
     for status in statuses {
         regions.entry(status.region.clone()).or_default().push(status);
--- a/crates/ochrewalk-distribution/tests/status.rs
+++ b/crates/ochrewalk-distribution/tests/status.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use ochrewalk_distribution::messages::{PositionCount, RegionStatus, Rejection};
-use ochrewalk_distribution::{merge, Interest, Server, ServerLimits, Store, StoreLimits};
+use ochrewalk_distribution::{merge_region_statuses, Interest, Server, ServerLimits, Store, StoreLimits};
 
 fn rejection(node: &str, revision: u64) -> Rejection {
     Rejection { position: position(1, revision), node: node.into(), reason: "it does not fit".into() }
@@ -72,7 +72,7 @@
     second.in_force = vec![count(5, 1), count(6, 3)];
     second.rejections = vec![rejection("one", 6), rejection("three", 3)];
     let south = status("relay-3", "south", 7);
-    let merged = merge([south.clone(), second, first], 2);
+    let merged = merge_region_statuses([south.clone(), second, first], 2);
     let mut north = status("relay-1, relay-2", "north", 6);
     north.in_force = vec![count(5, 1), count(6, 5), count(7, 10)];
     north.rejections = vec![rejection("one", 6), rejection("two", 4)];
