--- a/crates/ochrewalk-distribution/src/catch_up.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -1,5 +1,5 @@
-//! Decides which subscribers are sent what they lack now, and when others are to retry. Those that lack the least go first,
-//! and the bytes a second that catching up takes are bounded.
+//! Decides which subscribers are sent their missing updates now, and when others have to retry. Subscribers with the
+//! least to fetch are served first, and the bytes per second used for catching up are bounded.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -13,21 +13,21 @@
 const MIN_RETRY_MS: u64 = 500;
 /// The longest time until a subscriber retries.
 const MAX_RETRY_MS: u64 = 120_000;
-/// How long a subscriber that does not retry when it should is still remembered as waiting.
+/// The time for which a subscriber that does not retry when it should still counts as waiting.
 const WAITING_GRACE_US: u64 = 10_000_000;
 
-/// Bounds on catching up.
+/// The bounds on catching up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CatchUpLimits {
-    /// Bytes a second of all catching up together; 0 for no bound.
+    /// The rate at which all subscribers together are caught up, in bytes per second; 0 for no bound.
     pub bytes_per_second: u64,
-    /// Updates up to this size, in bytes, are not counted as catching up, and always admitted.
+    /// The size up to which an update does not count as catching up and is always admitted, in bytes.
     pub small_update_bytes: u64,
-    /// The most subscribers caught up at once.
+    /// The most subscribers that catch up at once.
     pub max_concurrent: usize,
-    /// The time that catching up all those admitted takes at most, if there is more than one, in milliseconds.
+    /// The longest time that catching up all admitted subscribers may take if more than one is admitted, in milliseconds.
     pub max_backlog_ms: u64,
-    /// The most subscribers remembered of those that are to retry.
+    /// The most waiting subscribers that are recorded.
     pub max_waiting: usize,
 }
 
@@ -43,13 +43,13 @@
     }
 }
 
-/// When a subscriber that is not admitted is to retry.
+/// The time after which a subscriber that is not admitted may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RetryAfter {
     pub(crate) milliseconds: u64,
 }
 
-/// A hash of a node's name that is the same in every program.
+/// A hash of a node's name that is the same in every process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct NodeHash(u64);
 
@@ -64,15 +64,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Waiting {
     bytes: u64,
-    returns_at_us: u64,
+    retry_at_us: u64,
 }
 
-/// The subscribers that are caught up, and those that wait for it.
+/// The subscribers that are catching up, and those that wait to do so.
 #[derive(Clone, Debug)]
 pub(crate) struct CatchUp {
     limits: CatchUpLimits,
     pacer: Pacer,
-    /// Bytes still to be sent to each.
+    /// The bytes still to be sent to each admitted subscriber.
     admitted: BTreeMap<SubscriberId, u64>,
     waiting: BTreeMap<NodeHash, Waiting>,
 }
@@ -87,30 +87,30 @@
         bytes <= self.limits.small_update_bytes
     }
 
-    /// Admits `node`, which has `bytes` to fetch, or says when it is to retry.
+    /// Admits `node`, which has `bytes` to fetch, or returns the time after which it may retry.
     pub(crate) fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), RetryAfter> {
-        self.waiting.retain(|_, waiting| waiting.returns_at_us.saturating_add(WAITING_GRACE_US) > now_us);
+        self.waiting.retain(|_, waiting| waiting.retry_at_us.saturating_add(WAITING_GRACE_US) > now_us);
         let node_hash = NodeHash::of(node);
         if self.is_small(bytes) || self.has_capacity_for(bytes) {
             self.waiting.remove(&node_hash);
             return Ok(());
         }
         let after_ms = self.retry_after_ms(node_hash, bytes);
-        self.remember(node_hash, bytes, after_ms, now_us);
+        self.record_waiting(node_hash, bytes, after_ms, now_us);
         Err(RetryAfter { milliseconds: after_ms })
     }
 
-    /// When `node` is to retry, where no subscriber is admitted.
+    /// Returns the time after which `node` may retry while no subscriber is admitted.
     pub(crate) fn defer(&mut self, node: &str, now_us: u64) -> RetryAfter {
         let after_ms = self.retry_after_ms(NodeHash::of(node), u64::MAX);
-        self.remember(NodeHash::of(node), 0, after_ms, now_us);
+        self.record_waiting(NodeHash::of(node), 0, after_ms, now_us);
         RetryAfter { milliseconds: after_ms }
     }
 
-    fn remember(&mut self, node_hash: NodeHash, bytes: u64, after_ms: u64, now_us: u64) {
+    fn record_waiting(&mut self, node_hash: NodeHash, bytes: u64, after_ms: u64, now_us: u64) {
         if self.waiting.len() < self.limits.max_waiting || self.waiting.contains_key(&node_hash) {
-            let returns_at_us = now_us.saturating_add(after_ms * MICROSECONDS_PER_MILLISECOND);
-            self.waiting.insert(node_hash, Waiting { bytes, returns_at_us });
+            let retry_at_us = now_us.saturating_add(after_ms * MICROSECONDS_PER_MILLISECOND);
+            self.waiting.insert(node_hash, Waiting { bytes, retry_at_us });
         }
     }
 
@@ -128,33 +128,34 @@
         self.pacer.cost_us(bytes) / MICROSECONDS_PER_MILLISECOND
     }
 
-    /// The time that those admitted and those waiting with no more to fetch take, and up to a quarter more by the node's
-    /// hash so that equal ones do not retry at once.
+    /// Returns the time that catching up takes for the admitted subscribers and for the waiting ones that have no more to
+    /// fetch than this node. The node's hash adds up to a quarter of that time, so that nodes with equally much to fetch
+    /// do not retry at once.
     fn retry_after_ms(&self, node_hash: NodeHash, bytes: u64) -> u64 {
-        let goes_first =
+        let is_served_before =
             |(hash, waiting): &(&NodeHash, &Waiting)| **hash != node_hash && waiting.bytes <= bytes;
-        let before = self.waiting.iter().filter(goes_first).map(|(_, waiting)| waiting.bytes);
+        let before = self.waiting.iter().filter(is_served_before).map(|(_, waiting)| waiting.bytes);
         let before = before.fold(self.backlog_bytes(), u64::saturating_add);
         let wait_ms = self.duration_ms(before).clamp(MIN_RETRY_MS, MAX_RETRY_MS);
         wait_ms + node_hash.0 % (wait_ms / 4)
     }
 
-    /// `subscriber` has `bytes` to fetch.
+    /// Admits `subscriber` with `bytes` left to send.
     pub(crate) fn begin(&mut self, subscriber: SubscriberId, bytes: u64) {
         self.admitted.insert(subscriber, bytes);
     }
 
-    /// Whether `subscriber` is being caught up.
+    /// Whether `subscriber` is catching up.
     pub(crate) fn is_admitted(&self, subscriber: SubscriberId) -> bool {
         self.admitted.contains_key(&subscriber)
     }
 
-    /// From when on a further part may be sent to any of those being caught up.
+    /// Returns the time from which a further part may be sent to a subscriber that is catching up.
     pub(crate) fn free_at_us(&self) -> u64 {
         self.pacer.free_at_us()
     }
 
-    /// A part of `bytes` is sent to `subscriber`.
+    /// Records that a part of `bytes` is sent to `subscriber`.
     pub(crate) fn charge(&mut self, subscriber: SubscriberId, bytes: usize, now_us: u64) {
         if let Some(left) = self.admitted.get_mut(&subscriber) {
             *left = left.saturating_sub(bytes as u64);
@@ -162,7 +163,7 @@
         }
     }
 
-    /// `subscriber` is caught up, or disconnected.
+    /// Removes `subscriber`, which has caught up or disconnected.
     pub(crate) fn end(&mut self, subscriber: SubscriberId) {
         self.admitted.remove(&subscriber);
     }
--- a/crates/ochrewalk-distribution/src/pacing.rs
+++ b/crates/ochrewalk-distribution/src/pacing.rs
@@ -3,11 +3,11 @@
 pub(crate) const MICROSECONDS_PER_MILLISECOND: u64 = 1_000;
 const MICROSECONDS_PER_SECOND: u128 = 1_000_000;
 
-/// Spaces messages out in time: each may be sent once the time that those before it take at the rate has passed. In any
-/// span of time no more is sent than the rate allows, plus one message.
+/// Spaces messages out in time: each message may be sent once the time that the earlier messages take at the rate has
+/// passed. In any time span at most the bytes that the rate allows are sent, plus one message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Pacer {
-    /// 0 for no bound.
+    /// The rate; 0 for no bound.
     bytes_per_second: u64,
     free_at_us: u64,
 }
@@ -17,18 +17,18 @@
         Self { bytes_per_second, free_at_us: 0 }
     }
 
-    /// The time from which on the next message may be sent; in the past where it may be sent now.
+    /// Returns the time from which the next message may be sent; a time in the past if it may be sent now.
     pub(crate) fn free_at_us(&self) -> u64 {
         self.free_at_us
     }
 
-    /// A message of `bytes` is sent now.
+    /// Records that a message of `bytes` is sent now.
     pub(crate) fn charge(&mut self, bytes: usize, now_us: u64) {
         let cost_us = self.cost_us(bytes as u64);
         self.free_at_us = self.free_at_us.max(now_us).saturating_add(cost_us);
     }
 
-    /// How long `bytes` take at the rate.
+    /// Returns the time that `bytes` take at the rate.
     pub(crate) fn cost_us(&self, bytes: u64) -> u64 {
         if self.bytes_per_second == 0 {
             return 0;
--- a/crates/ochrewalk-distribution/src/subscription.rs
+++ b/crates/ochrewalk-distribution/src/subscription.rs
@@ -12,12 +12,12 @@
 };
 use crate::pacing::MICROSECONDS_PER_MILLISECOND;
 
-/// Bounds of a [`Subscription`].
+/// The bounds of a [`Subscription`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SubscriptionLimits {
-    /// The largest update taken, in encoded bytes of all parts.
+    /// The largest update that is accepted, in encoded bytes of all parts.
     pub max_update_bytes: usize,
-    /// The bytes a second that the subscriber asks to be sent at most; 0 for no bound.
+    /// The highest rate at which the subscriber asks to be sent updates, in bytes per second; 0 for no bound.
     pub bytes_per_second: u64,
 }
 
@@ -30,13 +30,13 @@
 /// An update with all its parts, in order and with the right checksum.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompleteUpdate {
-    /// The position that it leads to.
+    /// The position of the state after this update.
     pub position: Position,
-    /// What the subscriber has is to be replaced, not added to.
+    /// Whether the update replaces the subscriber's state instead of adding to it.
     pub is_snapshot: bool,
-    /// Changed resources. Those without a value are deleted.
+    /// The changed resources. A resource without a value is deleted.
     pub resources: Vec<Arc<Resource>>,
-    /// Watched names of which there is nothing: their default holds.
+    /// The watched names that have no resource: the caller's default applies to them.
     pub absent: Vec<ResourceName>,
     /// The oldest revision from which differences are complete after this snapshot.
     pub horizon: u64,
@@ -45,73 +45,74 @@
 /// The result of receiving a part of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Received {
-    /// Further parts are due.
+    /// The update has further parts.
     More,
-    /// All parts have come and fit together. Once the update is in force or was rejected, call [`Subscription::applied`]
-    /// or [`Subscription::rejected`].
+    /// All parts were received and are consistent. Once the update is in force or was rejected, the caller calls
+    /// [`Subscription::applied`] or [`Subscription::rejected`].
     Complete(CompleteUpdate),
 }
 
-/// Why a part of an update was not accepted. What is in force stays as it was, and the caller is to close the connection.
+/// The reason why a part of an update was not accepted. The state in force does not change, and the caller closes the
+/// connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
-    /// A part is missing, or came twice.
-    #[error("part {part} came where part {expected} was due")]
+    /// A part is missing, or was received twice.
+    #[error("received part {part} of the update, expected part {expected}")]
     WrongPart {
-        /// The number of the part that was due.
+        /// The number of the expected part.
         expected: u32,
-        /// The number of the part that came.
+        /// The number of the received part.
         part: u32,
     },
     /// The server follows a publisher that was replaced.
-    #[error("the update has epoch {update}, and epoch {highest} was heard of")]
+    #[error("the update has epoch {update}, but epoch {highest} was already observed")]
     OlderEpoch {
         /// The highest epoch observed.
         highest: u64,
         /// The update's epoch.
         update: u64,
     },
-    /// The update would lead back.
-    #[error("the update leads to {update:?}, older than {newer:?}")]
+    /// The update leads to an older position.
+    #[error("the update leads to {update:?}, which is older than {newer:?}")]
     OlderPosition {
-        /// The position in force, or of the part before.
+        /// The applied position, or that of the previous part.
         newer: Position,
-        /// The part's position.
+        /// The position of the part.
         update: Position,
     },
-    /// The differences are from another position than the one in force.
-    #[error("the differences are from {base:?}, and {applied:?} is applied")]
+    /// The differences start from another position than the applied one.
+    #[error("the update contains differences from {base:?}, but {applied:?} is applied")]
     WrongBase {
-        /// The position in force.
+        /// The applied position.
         applied: Option<Position>,
-        /// The position that they are differences from.
+        /// The position from which the differences start.
         base: Option<Position>,
     },
-    /// The update is above its bound.
+    /// The update is larger than its bound.
     #[error("the update is larger than {limit} bytes")]
     TooLarge {
         /// The bound, in encoded bytes of all parts.
         limit: usize,
     },
-    /// The resources are not those that were sent.
-    #[error("the checksum is {actual:#010x}, and the sender's {expected:#010x}")]
+    /// The received resources differ from those that were sent.
+    #[error("the checksum of the update is {actual:#010x}, but the server sent {expected:#010x}")]
     WrongChecksum {
-        /// The sender's CRC-32.
+        /// The CRC-32 that the server sent.
         expected: u32,
-        /// The CRC-32 of the resources that came.
+        /// The CRC-32 of the received resources.
         actual: u32,
     },
-    /// A resource is newer than the update that it came in.
-    #[error("a resource has revision {revision}, after the update's {position:?}")]
+    /// A resource has a later revision than the update that contains it.
+    #[error("a resource has revision {revision}, which is later than the update's {position:?}")]
     RevisionAfterPosition {
-        /// The update's position.
+        /// The position of the update.
         position: Position,
-        /// The resource's revision.
+        /// The revision of the resource.
         revision: u64,
     },
 }
 
-/// Parts of an update whose last part has not come.
+/// The received parts of an update whose last part is missing.
 #[derive(Clone, Debug)]
 struct PartialUpdate {
     position: Position,
@@ -123,35 +124,36 @@
     checksum: u32,
 }
 
-/// The checksum of `resource` after resources with `checksum` before it.
+/// Returns the checksum of the resources with `checksum` followed by `resource`.
 pub(crate) fn extend_checksum(checksum: u32, resource: &Resource) -> u32 {
     let mut hasher = Hasher::new_with_initial(checksum);
     hasher.update(&resource.encode_to_vec());
     hasher.finalize()
 }
 
-/// A subscriber's side of a stream of updates: of a node or of a relay.
+/// The subscriber's side of a stream of updates, in a node or a relay.
 #[derive(Clone, Debug)]
 pub struct Subscription {
     node: String,
     region: String,
     interest: Interest,
-    /// Watched names that no applied update has answered, with the number of the watch on this stream that asked for them.
+    /// The watched names that no applied update has answered, with the number of the watch on this stream that requested
+    /// them.
     unanswered: BTreeMap<ResourceName, u64>,
-    /// How many watches were sent on this stream.
+    /// The number of watches that were sent on this stream.
     watches: u64,
     applied: Option<Position>,
     highest_epoch: u64,
     limits: SubscriptionLimits,
     partial: Option<PartialUpdate>,
-    /// How many watches the update answers that was completed last.
+    /// The number of watches that the most recently completed update answers.
     answered_watches: Option<u64>,
     last_message_us: Option<u64>,
 }
 
 impl Subscription {
-    /// A subscription of `node`. `saved` is the position of its persisted state, if it has one; the single names of `interest`
-    /// are part of that state.
+    /// Creates a subscription of `node`. `saved` is the position of its persisted state, if it has one; that state
+    /// includes the single names of `interest`.
     pub fn new(
         node: impl Into<String>,
         region: impl Into<String>,
@@ -174,27 +176,28 @@
         }
     }
 
-    /// What is wanted now.
+    /// Returns the resources that the subscriber wants now.
     pub fn interest(&self) -> &Interest {
         &self.interest
     }
 
-    /// The position in force.
+    /// Returns the applied position.
     pub fn position(&self) -> Option<Position> {
         self.applied
     }
 
-    /// The highest epoch observed.
+    /// Returns the highest epoch observed.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
 
-    /// There is a publisher of `epoch`. Updates of older epochs are refused from now on.
+    /// Records that a publisher of `epoch` exists. Updates of older epochs are refused from now on.
     pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
-    /// The first message of a stream. [`unanswered_watch`](Self::unanswered_watch) is to follow it on the same stream.
+    /// Returns the first message of a stream. The message of [`unanswered_watch`](Self::unanswered_watch) follows it on
+    /// the same stream.
     pub fn subscribe_message(&self) -> Subscribe {
         let is_answered =
             |name: &&ResourceName| self.applied.is_none() || !self.unanswered.contains_key(*name);
@@ -211,16 +214,18 @@
         }
     }
 
-    /// Names watched whose answer was not applied before the last stream ended. Call this once on each stream, right after
-    /// [`subscribe_message`](Self::subscribe_message).
+    /// Returns a watch of the names whose answer was not applied before the last stream ended. The caller calls this
+    /// method once per stream, right after [`subscribe_message`](Self::subscribe_message).
     pub fn unanswered_watch(&mut self) -> Option<Watch> {
-        let is_asked_again = self.applied.is_some() && !self.unanswered.is_empty();
-        self.watches = u64::from(is_asked_again);
+        let is_requested_again = self.applied.is_some() && !self.unanswered.is_empty();
+        self.watches = u64::from(is_requested_again);
         self.unanswered.values_mut().for_each(|watch| *watch = self.watches);
-        is_asked_again.then(|| Watch { add: self.unanswered.keys().cloned().collect(), remove: Vec::new() })
+        is_requested_again
+            .then(|| Watch { add: self.unanswered.keys().cloned().collect(), remove: Vec::new() })
     }
 
-    /// Names are added to or removed from what is wanted. The caller sends `watch` on the stream, if there is one.
+    /// Adds the names of `watch` to the subscription and removes others from it. The caller sends `watch` on the stream,
+    /// if the stream is open.
     pub fn watch(&mut self, watch: &Watch) {
         self.watches += 1;
         for name in &watch.remove {
@@ -228,8 +233,8 @@
             self.unanswered.remove(name);
         }
         for name in &watch.add {
-            // The server goes on sending changes of a name that it was asked for before. Were it unanswered again, its
-            // deletion in an update under way would not be applied, and its old value would stay in force.
+            // The server continues to send changes of a name that was requested before. If that name became unanswered
+            // again, its deletion in an update in progress would not be applied, and the old value would stay in force.
             let is_new = self.interest.names.insert(name.clone());
             if is_new {
                 self.unanswered.insert(name.clone(), self.watches);
@@ -237,15 +242,15 @@
         }
     }
 
-    /// A part of an update was received.
+    /// Adds a received part to the current update.
     ///
     /// # Errors
     ///
-    /// Where the part cannot belong to a complete and newer update; what was received of the update is dropped.
+    /// Returns an error if the part cannot belong to a complete and newer update; the parts received so far are dropped.
     pub fn received(&mut self, update: Update) -> Result<Received, UpdateError> {
         let partial = self.partial.take();
         let partial = match partial {
-            // A server that can no longer complete its update begins a snapshot in place of it.
+            // A server that can no longer complete its update starts a snapshot instead.
             Some(_) if update.part == 0 && update.is_snapshot => self.first_part(&update)?,
             Some(partial) => partial,
             None => self.first_part(&update)?,
@@ -310,8 +315,8 @@
 
     fn complete(&mut self, mut partial: PartialUpdate, horizon: u64, watches: u64) -> CompleteUpdate {
         self.answered_watches = Some(watches);
-        partial.resources.retain(|resource| self.is_to_be_applied(&resource.name, watches));
-        partial.absent.retain(|name| self.is_to_be_applied(name, watches));
+        partial.resources.retain(|resource| self.should_apply(&resource.name, watches));
+        partial.absent.retain(|name| self.should_apply(name, watches));
         CompleteUpdate {
             position: partial.position,
             is_snapshot: partial.is_snapshot,
@@ -321,15 +326,17 @@
         }
     }
 
-    /// Whether to apply what an update that answers the first `watches` watches contains of `name`. A name that was removed
-    /// meanwhile would go stale; so would one that was removed and added again, until the server has processed that.
-    fn is_to_be_applied(&self, name: &ResourceName, watches: u64) -> bool {
-        let is_of_scope = self.interest.everything || self.interest.scopes.contains(&name.scope);
+    /// Whether the content of `name` in an update that answers the first `watches` watches should be applied. The value
+    /// of a name that was removed meanwhile would become stale. The same holds for a name that was removed and added
+    /// again, until the server has processed both watches.
+    fn should_apply(&self, name: &ResourceName, watches: u64) -> bool {
+        let is_in_scope = self.interest.everything || self.interest.scopes.contains(&name.scope);
         let is_answered = self.unanswered.get(name).is_none_or(|watch| *watch <= watches);
-        is_of_scope || (self.interest.names.contains(name) && is_answered)
+        is_in_scope || (self.interest.names.contains(name) && is_answered)
     }
 
-    /// The complete update of `position` is in force. Send the report to the server, which sends no further update before.
+    /// Records that the complete update of `position` is in force. The caller sends the report to the server, which sends
+    /// no further update before.
     pub fn applied(&mut self, position: Position) -> Report {
         self.applied = Some(position);
         self.observe_epoch(position.epoch);
@@ -339,31 +346,31 @@
         Report { applied: position, rejected: None }
     }
 
-    /// The complete update of `position` cannot be applied by this subscriber: the earlier one stays in force. Send the
-    /// report to the server, which sends nothing more until there is a later position.
+    /// Records that this subscriber cannot apply the complete update of `position`; the previous state stays in force.
+    /// The caller sends the report to the server, which sends no update until a later position exists.
     pub fn rejected(&mut self, position: Position, reason: impl Into<String>) -> Report {
         self.answered_watches = None;
         let rejection = Rejection { position, node: self.node.clone(), reason: reason.into() };
         Report { applied: self.applied.unwrap_or_default(), rejected: Some(rejection) }
     }
 
-    /// Any message was received from the server.
+    /// Records that a message of any kind was received from the server.
     pub fn message_received(&mut self, now_us: u64) {
         self.last_message_us = Some(now_us);
     }
 
-    /// When the last message was received from the server, in microseconds.
+    /// Returns the time at which the last message was received from the server, in microseconds.
     pub fn last_message_us(&self) -> Option<u64> {
         self.last_message_us
     }
 
-    /// The time since the last message was received, in milliseconds; none if there was none.
+    /// Returns the time since the last message was received, in milliseconds, or `None` before the first message.
     pub fn age_ms(&self, now_us: u64) -> Option<u64> {
         let age_us = now_us.saturating_sub(self.last_message_us?);
         Some(age_us / MICROSECONDS_PER_MILLISECOND)
     }
 
-    /// The stream ended: an incomplete update is dropped.
+    /// Drops an incomplete update after the stream has ended.
     pub fn reset(&mut self) {
         self.partial = None;
         self.answered_watches = None;
