--- a/crates/ochrewalk-distribution/src/part_builder.rs
+++ b/crates/ochrewalk-distribution/src/part_builder.rs
@@ -1,21 +1,21 @@
-//! Gathers the resources and names of one part of an update, up to a size.
+//! Collects the resources and names of one part of an update, up to a size.
 
 use prost::encoding::encoded_len_varint;
 use prost::Message;
 
 use crate::messages::{Resource, ResourceName};
 
-/// Bytes of a part apart from its resources and names.
+/// The bytes of a part without its resources and names.
 const PART_OVERHEAD_BYTES: usize = 128;
-/// The most resources looked at for one part, so that one call does not delay others.
+/// The most resources visited for one part, so that one call does not delay other subscribers.
 const MAX_VISITED: usize = 20_000;
 
-/// The encoded size of a message as a field of another one.
+/// Returns the encoded size of a message as a field of another message.
 fn field_len(message_len: usize) -> usize {
     1 + encoded_len_varint(message_len as u64) + message_len
 }
 
-/// Gathers resources and names up to a size.
+/// Collects resources and names up to a size.
 pub(crate) struct PartBuilder {
     pub(crate) resources: Vec<Resource>,
     pub(crate) absent: Vec<ResourceName>,
@@ -33,8 +33,8 @@
         self.resources.is_empty() && self.absent.is_empty()
     }
 
-    /// Whether a further resource may be looked at.
-    pub(crate) fn visit(&mut self) -> bool {
+    /// Whether a further resource may be visited.
+    pub(crate) fn try_visit(&mut self) -> bool {
         let may_visit = self.visits_left > 0;
         self.visits_left = self.visits_left.saturating_sub(1);
         may_visit
@@ -56,7 +56,7 @@
         fits
     }
 
-    /// Reserves `bytes` if they fit. The first entry always fits, so that each part has one.
+    /// Reserves `bytes` if they fit. The first entry always fits, so that each part contains at least one.
     fn reserve(&mut self, bytes: usize) -> bool {
         let fits = bytes <= self.bytes_left || self.is_empty();
         if fits {
--- a/crates/ochrewalk-distribution/src/server/mod.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -1,5 +1,6 @@
-//! Decides what a publisher or relay sends to each of its subscribers, and when. Nothing is queued for a subscriber: a
-//! cursor into the store says what it lacks, and the next part is built when its connection can take it.
+//! Decides what a publisher or relay sends to each of its subscribers, and when. The server queues nothing for a
+//! subscriber: a cursor into the store records what the subscriber lacks, and the next part is built when its connection
+//! can take it.
 
 mod subscriber;
 
@@ -19,23 +20,23 @@
 use crate::validation::{name_problems, MAX_NAME_BYTES};
 use subscriber::{Activity, Subscriber};
 
-/// Rounds of an update after which it is no longer spread over time, so that it ends under ever so many changes.
+/// The number of rounds after which an update is no longer paced, so that it ends at any rate of changes.
 const MAX_PACED_ROUNDS: u32 = 4;
-/// The most changes looked at to estimate what a subscriber lacks.
+/// The most changes visited to estimate how much a subscriber lacks.
 const MAX_ESTIMATED_CHANGES: usize = 4_096;
 
-/// Bounds of a [`Server`].
+/// The bounds of a [`Server`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServerLimits {
-    /// The largest part of an update in encoded bytes, unless a single resource takes more.
+    /// The largest part of an update in encoded bytes, unless a single resource is larger.
     pub chunk_bytes: usize,
-    /// The most subscribers at a time; further ones are to retry later.
+    /// The most concurrent subscribers; further ones have to retry later.
     pub max_subscribers: usize,
     /// The most scopes and single names of one subscriber together.
     pub max_interest: usize,
     /// The most rejections that a status lists.
     pub max_rejections: usize,
-    /// Bounds on sending subscribers what they lack after they connected.
+    /// The bounds on sending subscribers their missing updates after they connected.
     pub catch_up: CatchUpLimits,
 }
 
@@ -51,48 +52,48 @@
     }
 }
 
-/// A subscriber of a [`Server`]. Numbers are not used again.
+/// The number of a subscriber of a [`Server`]. Numbers are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SubscriberId(u64);
 
 /// The decision on a subscriber that connects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is served from now on.
+    /// The subscriber is served from now on.
     Accepted(SubscriberId),
     /// Too many subscribers connect at once.
     RetryLater {
-        /// The time after which it may connect again, in milliseconds.
+        /// The time after which the subscriber may connect again, in milliseconds.
         after_ms: u64,
     },
-    /// It cannot be served, now or later.
+    /// The subscriber cannot be served, now or later.
     Refused {
-        /// Why.
+        /// The reason for the refusal_reason.
         reason: SubscribeError,
     },
 }
 
-/// Why a subscriber is refused.
+/// The reason why a subscriber is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubscribeError {
     /// The subscriber needs a later version of the messages.
     #[error("the subscriber needs version {version} of the messages, and this is {PROTOCOL_VERSION}")]
     UnknownVersion {
-        /// The version that it needs.
+        /// The version that the subscriber needs.
         version: u32,
     },
     /// The subscriber has observed a later publisher than the one that this server follows.
     #[error("epoch {observed} was heard of, and this server has epoch {own}")]
     OlderEpoch {
-        /// This server's epoch.
+        /// The epoch of this server.
         own: u64,
         /// The epoch that the subscriber has observed.
         observed: u64,
     },
-    /// The subscriber wants more than one subscriber may.
+    /// The subscriber wants more scopes and names than the bound allows.
     #[error("{count} scopes and names are wanted, more than {limit}")]
     TooManyNames {
-        /// How many scopes and names it wants.
+        /// The number of scopes and names that the subscriber wants.
         count: usize,
         /// The bound.
         limit: usize,
@@ -102,21 +103,21 @@
     InvalidName,
 }
 
-/// What the caller has to do for a subscriber now.
+/// The action that the caller takes for a subscriber now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextUpdate {
-    /// Send this part, and call again once the connection has written it.
+    /// The caller sends this part, and calls again once the connection has written it.
     Send(Update),
-    /// Call again at a later time.
+    /// The caller calls again at a later time.
     Wait {
-        /// That time, in microseconds.
+        /// The time of the next call, in microseconds.
         until_us: u64,
     },
-    /// Call again when the store has changed or the subscriber has sent something.
+    /// The caller calls again when the store has changed or the subscriber has sent a message.
     Idle,
 }
 
-/// A publisher's or relay's side of all its streams of updates.
+/// The publisher's or relay's side of all its streams of updates.
 #[derive(Clone, Debug)]
 pub struct Server {
     name: String,
@@ -130,7 +131,7 @@
 }
 
 impl Server {
-    /// A server of what is in `store`. `name` and `region` are part of its status.
+    /// Creates a server of the state in `store`. `name` and `region` are part of its status.
     pub fn new(
         name: impl Into<String>,
         region: impl Into<String>,
@@ -149,28 +150,30 @@
         }
     }
 
-    /// What is served.
+    /// Returns the state that is served.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// What is served, to be changed. Call [`next`](Self::next) for each subscriber after a change.
+    /// Returns the state that is served, to be changed. After a change the caller calls [`next`](Self::next) for each
+    /// subscriber.
     pub fn store_mut(&mut self) -> &mut Store {
         &mut self.store
     }
 
-    /// The subscribers there are.
+    /// Returns the connected subscribers.
     pub fn subscribers(&self) -> impl Iterator<Item = SubscriberId> + '_ {
         self.subscribers.keys().copied()
     }
 
-    /// A subscriber connects. Nothing of it is remembered unless it is accepted, but for when it may retry.
+    /// Decides on a subscriber that connects. Of a subscriber that is not accepted, the server records only when it may
+    /// retry.
     pub fn subscribe(&mut self, now_us: u64, message: Subscribe) -> Admission {
-        if let Some(reason) = self.refusal(&message) {
+        if let Some(reason) = self.refusal_reason(&message) {
             return Admission::Refused { reason };
         }
         let interest = Interest::from(&message);
-        let bytes = self.bytes_lacking(&interest, message.applied);
+        let bytes = self.missing_bytes(&interest, message.applied);
         if let Err(retry) = self.admit(&message.node, bytes, now_us) {
             return Admission::RetryLater { after_ms: retry.milliseconds };
         }
@@ -193,7 +196,8 @@
         Admission::Accepted(id)
     }
 
-    /// A relay without state cannot know what a subscriber lacks: subscribers retry until it has state.
+    /// Admits a subscriber unless it has to retry later. A relay without state cannot determine what a subscriber lacks:
+    /// subscribers retry until the relay has state.
     fn admit(&mut self, node: &str, bytes: u64, now_us: u64) -> Result<(), RetryAfter> {
         let is_full = self.subscribers.len() >= self.limits.max_subscribers;
         if is_full || self.is_without_state() {
@@ -206,7 +210,7 @@
         self.store.position().epoch == 0
     }
 
-    fn refusal(&mut self, message: &Subscribe) -> Option<SubscribeError> {
+    fn refusal_reason(&mut self, message: &Subscribe) -> Option<SubscribeError> {
         let count = message.scopes.len() + message.names.len();
         let limit = self.limits.max_interest;
         if message.version > PROTOCOL_VERSION {
@@ -228,8 +232,8 @@
         None
     }
 
-    /// About how many bytes a subscriber lacks; at most a snapshot's.
-    fn bytes_lacking(&self, interest: &Interest, applied: Option<Position>) -> u64 {
+    /// Returns an estimate of how many bytes a subscriber lacks, at most the size of a snapshot.
+    fn missing_bytes(&self, interest: &Interest, applied: Option<Position>) -> u64 {
         let snapshot = self.store.snapshot_bytes(interest);
         if applied.is_some_and(|applied| applied > self.store.position()) {
             return 0;
@@ -249,12 +253,12 @@
         bytes
     }
 
-    /// A subscriber wants further single names, or no longer wants some. The next update answers those added.
+    /// Adds single names to those that a subscriber wants, and removes others. The next update answers the added names.
     ///
     /// # Errors
     ///
-    /// Where a name is not valid, or the subscriber would want too many. Nothing is changed then, and the caller is to close
-    /// the connection.
+    /// Returns an error if a name is not valid or the subscriber would want too many names. The subscription is unchanged
+    /// then, and the caller closes the connection.
     pub fn watch(&mut self, id: SubscriberId, watch: &Watch) -> Result<(), SubscribeError> {
         let limit = self.limits.max_interest;
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return Ok(()) };
@@ -275,7 +279,7 @@
         Ok(())
     }
 
-    /// A subscriber reports the outcome of an update. The next one is sent only after that.
+    /// Records the outcome of an update that a subscriber reports. The next update is sent only after that.
     pub fn report(&mut self, id: SubscriberId, report: Report) {
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return };
         let in_force = Some(report.applied).filter(|position| position.epoch != 0);
@@ -291,14 +295,14 @@
         self.catch_up.end(id);
     }
 
-    /// The connection of a subscriber has ended.
+    /// Removes a subscriber whose connection has ended.
     pub fn unsubscribe(&mut self, id: SubscriberId) {
         self.subscribers.remove(&id);
         self.catch_up.end(id);
     }
 
-    /// What to do for a subscriber whose connection has written all that it was given. A part is built only here, so that
-    /// a subscriber that does not read costs the memory of one part.
+    /// Returns the next action for a subscriber whose connection has written everything that it was given. Parts are
+    /// built only here, so that a subscriber that does not read uses the memory of one part.
     pub fn next(&mut self, id: SubscriberId, now_us: u64) -> NextUpdate {
         self.begin_update(id);
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return NextUpdate::Idle };
@@ -322,12 +326,12 @@
         NextUpdate::Send(update)
     }
 
-    /// Begins an update if the subscriber lacks anything, or a snapshot if an update under way cannot be completed.
+    /// Begins an update if the subscriber needs one, or a snapshot if an update in progress cannot be completed.
     fn begin_update(&mut self, id: SubscriberId) {
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return };
-        let lacks_something = subscriber.lacks_something(&self.store);
+        let needs_update = subscriber.needs_update(&self.store);
         let progress = match &mut subscriber.activity {
-            Activity::Ready if lacks_something => {
+            Activity::Ready if needs_update => {
                 let requested = std::mem::take(&mut subscriber.requested);
                 let applied = subscriber.applied;
                 UpdateProgress::begin(
@@ -351,7 +355,7 @@
         subscriber.activity = Activity::Receiving(progress);
     }
 
-    /// How many subscribers have which position in force, and the latest rejections.
+    /// Returns the number of subscribers per position in force, and the latest rejections.
     pub fn status(&self) -> RegionStatus {
         let positions = self.subscribers.values().map(|subscriber| subscriber.applied.unwrap_or_default());
         RegionStatus {
--- a/crates/ochrewalk-distribution/src/server/subscriber.rs
+++ b/crates/ochrewalk-distribution/src/server/subscriber.rs
@@ -1,4 +1,5 @@
-//! One subscriber of a server: what it wants, what it has, and how far the update under way has got.
+//! The record of one subscriber of a server: the resources that it wants, the state that it has, and the progress of the
+//! current update.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +9,13 @@
 use crate::store::Store;
 use crate::update_builder::UpdateProgress;
 
-/// What a subscriber is doing.
+/// The current activity of a subscriber.
 #[derive(Clone, Debug)]
 pub(super) enum Activity {
-    /// It has what it was sent.
+    /// The subscriber has reported on everything that it was sent.
     Ready,
     Receiving(UpdateProgress),
-    /// It was sent a complete update and has not reported on it.
+    /// The subscriber was sent a complete update and has not reported on it.
     Applying {
         position: Position,
         answers: BTreeSet<ResourceName>,
@@ -28,18 +29,18 @@
     pub(super) pacer: Pacer,
     pub(super) applied: Option<Position>,
     pub(super) rejected: Option<Position>,
-    /// Watched names that the next update is to answer.
+    /// The watched names that the next update has to answer.
     pub(super) requested: BTreeSet<ResourceName>,
-    /// How many watches were taken over.
+    /// The number of watches that the server has processed.
     pub(super) watches: u64,
     pub(super) activity: Activity,
 }
 
 impl Subscriber {
-    pub(super) fn lacks_something(&self, store: &Store) -> bool {
+    pub(super) fn needs_update(&self, store: &Store) -> bool {
         let head = store.position();
         let is_rejected = self.rejected.is_some_and(|rejected| head <= rejected);
-        // A relay may be behind what the subscriber has from another one, or have no state yet.
+        // A relay may be behind the state that the subscriber has from another relay, or have no state yet.
         let is_behind = head.epoch == 0 || self.applied.is_some_and(|applied| applied > head);
         let is_current = self.applied == Some(head) && self.requested.is_empty();
         !is_rejected && !is_behind && !is_current
@@ -53,7 +54,7 @@
         self.activity = Activity::Applying { position, answers };
     }
 
-    /// Whether the update that was sent is the one in force now.
+    /// Records that the subscriber has the state of `in_force`. Returns whether that is the update that was sent last.
     pub(super) fn finish_applying(&mut self, in_force: Position) -> bool {
         let is_awaited =
             matches!(&self.activity, Activity::Applying { position, .. } if *position == in_force);
@@ -65,7 +66,8 @@
         is_awaited
     }
 
-    /// The subscriber keeps what is `in_force`. It is sent nothing until there is something later than `position`.
+    /// Records that the subscriber rejected the update of `position` and stays at `in_force`. The server sends no update
+    /// until a position later than `position` exists.
     pub(super) fn reject(&mut self, position: Position, in_force: Option<Position>) {
         self.applied = in_force;
         self.rejected = self.rejected.max(Some(position));
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -1,5 +1,5 @@
-//! Builds the next part of an update. An update under way is a cursor into the store, so that its memory does not grow with
-//! what is changed or with what is to be sent.
+//! Builds the next part of an update. An update in progress is a cursor into the store, so that its memory grows neither
+//! with the number of changes nor with the number of resources to send.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -10,7 +10,7 @@
 use crate::store::{Store, UpdateKind};
 use crate::subscription::extend_checksum;
 
-/// Kinds in the order of the store.
+/// The kinds in the order of the store.
 const KINDS: [ResourceKind; 4] =
     [ResourceKind::Route, ResourceKind::Quota, ResourceKind::Endpoint, ResourceKind::Limit];
 
@@ -18,27 +18,29 @@
 #[derive(Debug)]
 pub(crate) enum Built {
     Part(Update),
-    /// Nothing yet, as many resources were visited that the subscriber does not want. Call again at once.
+    /// No part yet, because many resources were visited that the subscriber does not want. The caller calls again at
+    /// once.
     Unfinished,
 }
 
-/// How far an update has got.
+/// The progress of an update.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    /// Watched names are answered, from this one on.
+    /// Watched names are answered, starting with this one.
     Answers { from: Option<ResourceName> },
-    /// A snapshot's resources in the order of names. Those changed after it began are left to the changes.
+    /// The resources of a snapshot in the order of names. Resources that changed after the snapshot began are sent as
+    /// changes.
     Names { range: usize, after: Option<ResourceName> },
     /// Changes in the order of revisions, after this name within the cursor's revision.
     Changes { after: Option<ResourceName> },
 }
 
-/// An update under way for one subscriber.
+/// An update in progress for one subscriber.
 ///
-/// Changes are walked in rounds: each goes to the head that the store had when the round began. A resource that is
-/// changed meanwhile moves behind the target and comes, at its newest revision, in the next round. The update ends when a
-/// round ends at the head, and so contains complete batches only. A round has only what was changed during the one before, so
-/// rounds end as soon as less is changed than can be sent.
+/// Changes are sent in rounds. Each round ends at the head that the store had when the round began. A resource that
+/// changes during a round moves behind the target of the round, and the next round sends it at its newest revision. The
+/// update ends when a round ends at the head, and therefore contains complete batches only. A round contains only what
+/// changed during the previous one, so the rounds end as soon as changes arrive more slowly than they can be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct UpdateProgress {
     base: Option<Position>,
@@ -46,18 +48,18 @@
     part: u32,
     checksum: u32,
     stage: Stage,
-    /// All that was changed up to this revision is sent, apart from what `stage` leaves open.
+    /// The revision up to which all changes were sent, except for what `stage` has not sent yet.
     cursor: u64,
-    /// The head when the round began.
+    /// The head of the store when the round began.
     target: Position,
     rounds: u32,
     answers: BTreeSet<ResourceName>,
-    /// How many watches of the subscriber were taken over when the update began.
+    /// The number of the subscriber's watches that the server had processed when the update began.
     watches: u64,
 }
 
 impl UpdateProgress {
-    /// An update from `applied` to the head of `store`, with answers to the names `requested`.
+    /// Begins an update from `applied` to the head of `store` that answers the names `requested`.
     pub(crate) fn begin(
         store: &Store,
         interest: &Interest,
@@ -93,18 +95,18 @@
         self.is_snapshot
     }
 
-    /// How often the head had moved on when a round ended.
+    /// Returns how many rounds ended behind the head.
     pub(crate) fn rounds(&self) -> u32 {
         self.rounds
     }
 
-    /// Takes out the names that the update answers, as it ends.
+    /// Removes and returns the names that the update answers; called when the update ends.
     pub(crate) fn take_answers(&mut self) -> BTreeSet<ResourceName> {
         std::mem::take(&mut self.answers)
     }
 
-    /// Whether the store can still complete this update: neither has it gone to another history, nor has it
-    /// forgotten deletions that were not sent.
+    /// Whether the store can still complete this update. It cannot after it has moved to another history or has forgotten
+    /// deletions that were not sent.
     pub(crate) fn can_continue(&self, store: &Store) -> bool {
         let is_within_revision = matches!(self.stage, Stage::Changes { after: Some(_) });
         let revision = self.cursor - u64::from(is_within_revision);
@@ -112,7 +114,7 @@
         store.position() >= self.target && store.differences_from(Some(reached)) != UpdateKind::Snapshot
     }
 
-    /// Builds the next part, of at most `chunk_bytes` unless a single resource takes more.
+    /// Builds the next part, of at most `chunk_bytes` unless a single resource is larger.
     pub(crate) fn next_part(&mut self, store: &Store, interest: &Interest, chunk_bytes: usize) -> Built {
         let mut part = PartBuilder::new(chunk_bytes);
         let is_last = self.fill(store, interest, &mut part);
@@ -143,12 +145,12 @@
         match (is_last && self.is_snapshot, interest.everything) {
             (false, _) => 0,
             (true, true) => store.horizon(),
-            // Deletions were not sent.
+            // The snapshot contained no deletions.
             (true, false) => self.target.revision,
         }
     }
 
-    /// Adds what fits. Returns whether the update is complete with it.
+    /// Adds resources until the part is full. Returns whether the update is then complete.
     fn fill(&mut self, store: &Store, interest: &Interest, part: &mut PartBuilder) -> bool {
         loop {
             let is_stage_done = match self.stage.clone() {
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Goes on after a stage is done. Returns whether that was the last.
+    /// Moves to the next stage after one is done. Returns whether that was the last one.
     fn next_stage(&mut self, store: &Store) -> bool {
         match self.stage {
             Stage::Answers { .. } if self.is_snapshot => self.stage = Stage::Names { range: 0, after: None },
@@ -187,7 +189,7 @@
         let start = from.map_or(Bound::Unbounded, Bound::Included);
         for name in self.answers.range::<ResourceName, _>((start, Bound::Unbounded)) {
             let fits = match store.newest(name) {
-                // It comes with the changes.
+                // The resource is sent with the changes.
                 Some(resource) if resource.revision > self.cursor => true,
                 Some(resource) if resource.value.is_some() => part.add_resource(resource),
                 _ => part.add_absent(name),
@@ -218,7 +220,7 @@
                 let is_included = resource.revision <= self.cursor
                     && (resource.value.is_some() || interest.everything)
                     && !self.answers.contains(&resource.name);
-                if !part.visit() || (is_included && !part.add_resource(resource)) {
+                if !part.try_visit() || (is_included && !part.add_resource(resource)) {
                     self.stage = Stage::Names { range, after: last.or(after.as_ref()).cloned() };
                     return false;
                 }
@@ -243,7 +245,7 @@
                 break;
             }
             let is_included = interest.matches(&resource.name);
-            if !part.visit() || (is_included && !part.add_resource(resource)) {
+            if !part.try_visit() || (is_included && !part.add_resource(resource)) {
                 self.stage = Stage::Changes { after: last.cloned() };
                 return false;
             }
@@ -254,7 +256,7 @@
     }
 }
 
-/// The ranges of names that a snapshot goes through, in this order. No scope stands for all kinds and scopes.
+/// Returns the ranges of names that a snapshot visits, in order. A range without a scope covers all kinds and scopes.
 fn snapshot_ranges(interest: &Interest) -> Vec<(ResourceKind, Option<&str>)> {
     if interest.everything {
         return vec![(ResourceKind::Unknown, None)];
