--- a/crates/ochrewalk-distribution/src/epochs.rs
+++ b/crates/ochrewalk-distribution/src/epochs.rs
@@ -1,11 +1,11 @@
-//! Decides which positions belong to the history of a store, by where each of its epochs began.
+//! Decides which positions belong to the history of a store, based on where each of its epochs began.
 
 use crate::messages::Position;
 
 /// The most epochs remembered. Subscribers of an older epoch are sent a snapshot.
 const MAX_EPOCHS: usize = 64;
 
-/// Where an epoch began.
+/// The start of an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EpochStart {
     /// The number of the epoch.
@@ -14,7 +14,7 @@
     pub after_revision: u64,
 }
 
-/// The epochs of one history of changes, oldest first. It is never empty.
+/// The epochs of one history of changes, oldest first. The list is never empty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct EpochHistory {
     starts: Vec<EpochStart>,
@@ -29,12 +29,12 @@
         self.starts.last().map_or(0, |start| start.epoch)
     }
 
-    /// All epochs that are remembered.
+    /// Returns all remembered epochs.
     pub(crate) fn starts(&self) -> Vec<EpochStart> {
         self.starts.clone()
     }
 
-    /// `epoch` begins after `after_revision`. Its number must be above all others.
+    /// Begins `epoch` after `after_revision`. The number must be higher than all others.
     pub(crate) fn begin(&mut self, epoch: u64, after_revision: u64) {
         debug_assert!(epoch > self.current());
         if self.starts.len() == MAX_EPOCHS {
@@ -43,7 +43,7 @@
         self.starts.push(EpochStart { epoch, after_revision });
     }
 
-    /// Whether `position` is part of this history: its epoch is known, and no later epoch had begun before its revision.
+    /// Whether `position` is part of this history: its epoch is known, and no later epoch began before its revision.
     pub(crate) fn contains(&self, position: Position) -> bool {
         let Some(index) = self.starts.iter().position(|start| start.epoch == position.epoch) else {
             return false;
--- a/crates/ochrewalk-distribution/src/store/batch.rs
+++ b/crates/ochrewalk-distribution/src/store/batch.rs
@@ -1,16 +1,16 @@
-//! Batches of changes as a durable log records them, and the order that they come in.
+//! Batches of changes as a durable log records them, and the order of changes.
 
 use crate::epochs::EpochStart;
 use crate::messages::{Position, Resource, Value};
 
-/// What a durable log records: changes made together at one revision, and what they replaced.
+/// The record of a durable log: changes applied together at one revision, and the values that they replaced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// The revision of all its changes, and the epoch that it belongs to.
+    /// The revision of all changes of the batch, and its epoch.
     pub position: Position,
-    /// The changes, in the order of the request. None where the batch begins an epoch.
+    /// The changes, in the order of the request; empty in a batch that begins an epoch.
     pub resources: Vec<Resource>,
-    /// The value that each of `resources` had before, in the same order; none where there was no such resource.
+    /// The previous value of each of `resources`, in the same order; `None` if no such resource existed.
     pub previous: Vec<Option<Value>>,
 }
 
@@ -19,18 +19,18 @@
 pub struct ChangeOrder {
     /// The revision of the last batch.
     pub revision: u64,
-    /// Each epoch and the revision that its own changes follow, oldest first.
+    /// Each epoch and the revision after which its changes begin, oldest first.
     pub epochs: Vec<EpochStart>,
     /// The oldest revision from which differences are complete.
     pub horizon: u64,
-    /// The highest epoch observed. Where it is above the last of `epochs`, another publisher has taken over.
+    /// The highest epoch observed. An epoch higher than the last of `epochs` means that another publisher has taken over.
     pub highest_epoch: u64,
 }
 
-/// Why an update or a recorded batch wasn't applied. The store is as it was.
+/// The reason why an update or a recorded batch was not applied. The store is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The update would lead back to an older position.
+    /// The update leads to an older position.
     #[error("the update leads to {update:?}, older than {applied:?}")]
     OlderPosition {
         /// The position of the store.
--- a/crates/ochrewalk-distribution/src/store/index.rs
+++ b/crates/ochrewalk-distribution/src/store/index.rs
@@ -1,4 +1,4 @@
-//! The newest change of each name, found by name and by revision, with the bytes that it takes.
+//! The newest change of each name, indexed by name and by revision, with the encoded sizes.
 
 use std::borrow::Borrow;
 use std::cmp::Ordering;
@@ -12,7 +12,7 @@
 use crate::interest::Interest;
 use crate::messages::{Resource, ResourceKind, ResourceName};
 
-/// A resource in the order of names.
+/// A resource, ordered by name.
 #[derive(Clone, Debug)]
 struct ByName(Arc<Resource>);
 
@@ -42,11 +42,11 @@
     }
 }
 
-/// A resource in the order of revisions, and of names within a revision.
+/// A resource, ordered by revision, and by name within a revision.
 #[derive(Clone)]
 struct ByRevision(Arc<Resource>);
 
-/// Shows the key alone, as the resource is shown in the order of names.
+/// Formats the key alone, because the resource is formatted in the index by name.
 impl fmt::Debug for ByRevision {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}:{}", self.0.revision, self.0.name.name)
@@ -54,8 +54,8 @@
 }
 
 impl ByRevision {
-    /// What compares as a resource of `name` at `revision` would.
-    fn probe(revision: u64, name: ResourceName) -> Self {
+    /// Returns a key that compares like a resource of `name` at `revision`.
+    fn search_key(revision: u64, name: ResourceName) -> Self {
         Self(Arc::new(Resource { name, revision, value: None }))
     }
 }
@@ -81,7 +81,7 @@
     }
 }
 
-/// All indexes of a store. A resource is in memory once, shared by them and by updates under way.
+/// The indexes of a store. Each resource is in memory once, shared by the indexes and by updates in progress.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResourceIndex {
     names: BTreeSet<ByName>,
@@ -92,12 +92,12 @@
 }
 
 impl ResourceIndex {
-    /// The newest change of `name`, which may be its deletion.
+    /// Returns the newest change of `name`, which may be its deletion.
     pub(super) fn newest(&self, name: &ResourceName) -> Option<&Arc<Resource>> {
         self.names.get(name).map(|entry| &entry.0)
     }
 
-    /// How many names there are, deleted ones included.
+    /// Returns the number of names, deleted ones included.
     pub(super) fn len(&self) -> usize {
         self.names.len()
     }
@@ -106,44 +106,46 @@
         self.tombstones.len()
     }
 
-    /// The deletion of the lowest revision.
+    /// Returns the deletion with the lowest revision.
     pub(super) fn oldest_tombstone(&self) -> Option<Arc<Resource>> {
         self.tombstones.first().map(|oldest| Arc::clone(&oldest.0))
     }
 
-    /// All resources in the order of their names, without deleted ones.
+    /// Returns all resources in the order of their names, without deleted ones.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Resource> {
         self.names.iter().map(|entry| entry.0.as_ref()).filter(|resource| resource.value.is_some())
     }
 
-    /// The resources of a kind, without deleted ones.
+    /// Returns the resources of a kind, without deleted ones.
     pub(super) fn of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
-        // Names are in the order of their kinds first.
+        // Names are ordered by their kinds first.
         let first = ResourceName { kind: kind as i32, scope: String::new(), name: String::new() };
         let of_kind = move |entry: &&ByName| entry.0.name.kind == kind as i32;
         let entries = self.names.range::<ResourceName, _>(first..).take_while(of_kind);
         entries.map(|entry| entry.0.as_ref()).filter(|resource| resource.value.is_some())
     }
 
-    /// The newest changes of names from `from` on, in the order of names, deletions included.
+    /// Returns the newest changes of the names from `from` on, in the order of names, deletions included.
     pub(super) fn names_from(&self, from: Bound<&ResourceName>) -> impl Iterator<Item = &Arc<Resource>> {
         self.names.range::<ResourceName, _>((from, Bound::Unbounded)).map(|entry| &entry.0)
     }
 
-    /// The changes after `revision`, or after `name` within it, in the order of revisions.
+    /// Returns the changes after `revision`, or after `name` within it, in the order of revisions.
     pub(super) fn changes_after(
         &self,
         revision: u64,
         name: Option<&ResourceName>,
     ) -> impl Iterator<Item = &Arc<Resource>> {
         let from = match name {
-            Some(name) => Bound::Excluded(ByRevision::probe(revision, name.clone())),
-            None => Bound::Included(ByRevision::probe(revision.saturating_add(1), ResourceName::default())),
+            Some(name) => Bound::Excluded(ByRevision::search_key(revision, name.clone())),
+            None => {
+                Bound::Included(ByRevision::search_key(revision.saturating_add(1), ResourceName::default()))
+            }
         };
         self.changes.range((from, Bound::Unbounded)).map(|entry| &entry.0)
     }
 
-    /// The encoded size of all that `interest` matches, deletions included.
+    /// Returns the encoded size of all resources that `interest` matches, deletions included.
     pub(super) fn snapshot_bytes(&self, interest: &Interest) -> u64 {
         if interest.everything {
             return self.total_bytes;
@@ -170,7 +172,7 @@
         self.changes.insert(ByRevision(resource));
     }
 
-    /// Takes a resource that is no longer in `names` out of the other indexes.
+    /// Removes a resource that is no longer in `names` from the other indexes.
     fn unlink(&mut self, resource: &Arc<Resource>) {
         let key = ByRevision(Arc::clone(resource));
         self.changes.remove(&key);
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Removes `name` without a trace.
+    /// Removes `name` without adding a tombstone.
     pub(super) fn remove(&mut self, name: &ResourceName) {
         if let Some(entry) = self.names.take(name) {
             self.unlink(&entry.0);
--- a/crates/ochrewalk-distribution/src/store/mod.rs
+++ b/crates/ochrewalk-distribution/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The state: the newest change of each name, the order of all changes, and the positions from which differences are
-//! complete. Publishers, relays and nodes use the same store.
+//! The versioned state: the newest change of each name, the order of all changes, and the positions from which
+//! differences are complete. Publishers, relays and nodes use the same store.
 
 mod batch;
 mod index;
@@ -18,10 +18,10 @@
 pub use batch::{ApplyError, Batch, ChangeOrder};
 use index::ResourceIndex;
 
-/// Bounds of a [`Store`].
+/// The bounds of a [`Store`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoreLimits {
-    /// The most tombstones. A subscriber that lacks a deletion which is no longer remembered is sent a snapshot.
+    /// The most tombstones. A subscriber that lacks a deletion whose tombstone was dropped is sent a snapshot.
     pub tombstones: usize,
 }
 
@@ -31,15 +31,15 @@
     }
 }
 
-/// What a subscriber has to be sent.
+/// The kind of update that a subscriber needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The newest changes that it wants after a revision.
+    /// The newest changes after a revision to the resources that the subscriber wants.
     Differences {
-        /// That revision.
+        /// The revision after which changes are sent.
         after: u64,
     },
-    /// All resources that it wants.
+    /// All resources that the subscriber wants.
     Snapshot,
 }
 
@@ -50,13 +50,13 @@
     epochs: EpochHistory,
     highest_epoch: u64,
     revision: u64,
-    /// Differences are complete from this revision on; deletions before it may be forgotten.
+    /// The revision from which differences are complete; tombstones before it may have been dropped.
     horizon: u64,
     index: ResourceIndex,
 }
 
 impl Store {
-    /// An empty store. A relay or node without state begins at epoch 0, a publisher at 1 or above.
+    /// Creates an empty store. A relay or node without state begins at epoch 0, a publisher at 1 or above.
     pub fn new(epoch: u64, limits: StoreLimits) -> Self {
         Self {
             limits,
@@ -68,12 +68,12 @@
         }
     }
 
-    /// The position of the last change.
+    /// Returns the position of the last change.
     pub fn position(&self) -> Position {
         Position { epoch: self.epochs.current(), revision: self.revision }
     }
 
-    /// The highest epoch observed: its own, or that of a peer.
+    /// Returns the highest epoch observed, whether that of this store or of a peer.
     pub fn highest_epoch(&self) -> u64 {
         self.highest_epoch
     }
@@ -83,52 +83,52 @@
         self.highest_epoch > self.epochs.current()
     }
 
-    /// The oldest revision from which differences are complete.
+    /// Returns the oldest revision from which differences are complete.
     pub fn horizon(&self) -> u64 {
         self.horizon
     }
 
-    /// The resource of `name`, if there is one and it is not deleted.
+    /// Returns the resource of `name` unless it does not exist or is deleted.
     pub fn get(&self, name: &ResourceName) -> Option<&Resource> {
         self.newest(name).map(Arc::as_ref).filter(|resource| resource.value.is_some())
     }
 
-    /// The newest change of `name`, which may be its deletion.
+    /// Returns the newest change of `name`, which may be its deletion.
     pub fn newest(&self, name: &ResourceName) -> Option<&Arc<Resource>> {
         self.index.newest(name)
     }
 
-    /// How many resources there are, without deleted ones.
+    /// Returns the number of resources, without deleted ones.
     pub fn len(&self) -> usize {
         self.index.len() - self.index.tombstone_count()
     }
 
-    /// Whether there are no resources.
+    /// Whether the store has no resources; deleted ones do not count.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many deleted names are remembered.
+    /// Returns the number of tombstones.
     pub fn tombstone_count(&self) -> usize {
         self.index.tombstone_count()
     }
 
-    /// All resources in the order of their names, without deleted ones.
+    /// Returns all resources in the order of their names, without deleted ones.
     pub fn iter(&self) -> impl Iterator<Item = &Resource> {
         self.index.iter()
     }
 
-    /// The resources of a kind, without deleted ones.
+    /// Returns the resources of a kind, without deleted ones.
     pub fn of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
         self.index.of_kind(kind)
     }
 
-    /// The newest changes of names from `from` on, in the order of names, deletions included.
+    /// Returns the newest changes of the names from `from` on, in the order of names, deletions included.
     pub(crate) fn names_from(&self, from: Bound<&ResourceName>) -> impl Iterator<Item = &Arc<Resource>> {
         self.index.names_from(from)
     }
 
-    /// The changes after `revision`, or after `name` within it, in the order of revisions.
+    /// Returns the changes after `revision`, or after `name` within it, in the order of revisions.
     pub(crate) fn changes_after(
         &self,
         revision: u64,
@@ -137,16 +137,17 @@
         self.index.changes_after(revision, name)
     }
 
-    /// The encoded size of all that `interest` matches, deletions included.
+    /// Returns the encoded size of all resources that `interest` matches, deletions included.
     pub(crate) fn snapshot_bytes(&self, interest: &Interest) -> u64 {
         self.index.snapshot_bytes(interest)
     }
 
-    /// Applies `changes` together at a new revision. `expected` is the position that the caller took the state to be at.
+    /// Applies `changes` together at a new revision. `expected` is the position at which the caller assumes the state to
+    /// be.
     ///
     /// # Errors
     ///
-    /// With all reasons for which the batch is refused; nothing of it is applied then.
+    /// Returns all reasons for which the batch is refused; none of its changes is applied then.
     pub fn publish(
         &mut self,
         changes: &[Resource],
@@ -157,12 +158,12 @@
         Ok(batch)
     }
 
-    /// The batch that `changes` would be. The state stays as it is until the batch is passed to [`replay`](Self::replay), once
-    /// it is durable.
+    /// Returns the batch that `changes` would become. The state does not change until the caller passes the batch to
+    /// [`replay`](Self::replay) once it is durable.
     ///
     /// # Errors
     ///
-    /// With all reasons for which the batch is refused.
+    /// Returns all reasons for which the batch is refused.
     pub fn prepare(&self, changes: &[Resource], expected: Option<Position>) -> Result<Batch, PublishError> {
         let reasons = self.refusal_reasons(changes, expected);
         if !reasons.is_empty() {
@@ -176,7 +177,7 @@
         Ok(Batch { position, resources: changes.iter().map(at_revision).collect(), previous })
     }
 
-    /// The order of all changes, to be persisted together with the resources.
+    /// Returns the order of all changes, to be persisted together with the resources.
     pub fn order(&self) -> ChangeOrder {
         ChangeOrder {
             revision: self.revision,
@@ -186,8 +187,8 @@
         }
     }
 
-    /// The state that was persisted: the newest change of each name, deletions included, and their order. Deletions beyond
-    /// the bound are forgotten.
+    /// Restores the persisted state: the newest change of each name, deletions included, and their order. Tombstones
+    /// beyond the bound are dropped.
     pub fn restore(
         order: &ChangeOrder,
         resources: impl IntoIterator<Item = Resource>,
@@ -257,7 +258,7 @@
     ///
     /// # Errors
     ///
-    /// Where it is not the next batch after the position of the store.
+    /// Returns an error if the batch does not directly follow the position of the store.
     pub fn replay(&mut self, batch: &Batch) -> Result<(), ApplyError> {
         let applied = self.position();
         let begins_epoch = batch.position.epoch > applied.epoch;
@@ -276,8 +277,8 @@
         Ok(())
     }
 
-    /// This publisher takes over: an epoch above all observed ones begins. The batch returned has no changes; record it
-    /// before anything is published, so that the epoch is not used again after a restart.
+    /// Begins an epoch above all observed ones, for a publisher that takes over. The returned batch has no changes; the
+    /// caller records it before it publishes anything, so that the epoch is not reused after a restart.
     pub fn new_epoch(&mut self) -> Batch {
         let epoch = self.highest_epoch.saturating_add(1);
         self.epochs.begin(epoch, self.revision);
@@ -285,18 +286,18 @@
         Batch { position: self.position(), resources: Vec::new(), previous: Vec::new() }
     }
 
-    /// There is a publisher of `epoch`. If that is above this store's, [`publish`](Self::publish) refuses all changes from
-    /// now on.
+    /// Records that a publisher of `epoch` exists. If that epoch is higher than this store's, [`publish`](Self::publish)
+    /// refuses all changes from now on.
     pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
-    /// Applies a complete update, all of it or nothing. Names in `absent` are removed before `resources` are added, and a
-    /// snapshot replaces everything.
+    /// Applies a complete update atomically. Names in `absent` are removed before `resources` are added, and a snapshot
+    /// replaces all resources.
     ///
     /// # Errors
     ///
-    /// Where the update would lead to an older position.
+    /// Returns an error if the update leads to an older position.
     pub fn apply(&mut self, update: &CompleteUpdate) -> Result<(), ApplyError> {
         let applied = self.position();
         if update.position < applied {
@@ -305,7 +306,8 @@
         if update.is_snapshot {
             self.clear_for_snapshot(update);
         } else if update.position.epoch > applied.epoch {
-            // Where exactly the epoch began is not known here. From the position before it is safe.
+            // The exact revision at which the epoch began is unknown here. The revision before the update is a safe lower
+            // bound.
             self.epochs.begin(update.position.epoch, applied.revision);
         }
         self.observe_epoch(update.position.epoch);
@@ -327,7 +329,7 @@
         self.horizon = update.horizon;
     }
 
-    /// Removes `name` without a tombstone, as it is no longer watched and its value would go stale.
+    /// Removes `name` without a tombstone, because it is no longer watched and its value would become stale.
     pub fn forget(&mut self, name: &ResourceName) {
         self.index.remove(name);
     }
@@ -340,8 +342,8 @@
         }
     }
 
-    /// What a subscriber that has applied `applied` is to be sent. Differences are complete only from positions in this
-    /// store's own history that are neither before its horizon nor after its revision.
+    /// Returns the kind of update that a subscriber at `applied` needs. Differences are complete only from positions in
+    /// this store's own history that are neither before its horizon nor after its revision.
     pub fn differences_from(&self, applied: Option<Position>) -> UpdateKind {
         match applied {
             Some(position)
--- a/crates/ochrewalk-distribution/src/validation.rs
+++ b/crates/ochrewalk-distribution/src/validation.rs
@@ -1,5 +1,5 @@
-//! Decides which changes a publisher accepts. The checks look at one change at a time; what depends on the state of the
-//! store is checked there.
+//! Decides which changes a publisher accepts. The checks consider one change at a time; the store checks everything that
+//! depends on its state.
 
 use crate::messages::{Position, Resource, ResourceKind, ResourceName, Route, Value};
 
@@ -12,16 +12,16 @@
 /// The most reasons that a refusal lists.
 pub const MAX_REASONS: usize = 100;
 
-/// A batch was refused. Nothing of it was applied.
+/// A batch was refused, and none of its changes was applied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("batch refused: {}", list(reasons))]
+#[error("batch refused: {}", join_reasons(reasons))]
 pub struct PublishError {
-    /// Every reason that was found, at most [`MAX_REASONS`].
+    /// The reasons for the refusal, at most [`MAX_REASONS`].
     pub reasons: Vec<RefusalReason>,
 }
 
 impl PublishError {
-    /// The reasons as text, as the message `Refused` carries them.
+    /// Returns the reasons as the texts that the message `Refused` contains.
     pub fn texts(&self) -> Vec<String> {
         self.reasons.iter().map(ToString::to_string).collect()
     }
@@ -30,24 +30,24 @@
 /// One reason for which a batch is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RefusalReason {
-    /// There is nothing to change.
+    /// The batch contains no changes.
     #[error("the batch is empty")]
     EmptyBatch,
-    /// The batch is above its bound.
+    /// The batch has more changes than the bound allows.
     #[error("the batch has {changes} changes, more than {MAX_BATCH_CHANGES}")]
     TooManyChanges {
-        /// How many changes it has.
+        /// The number of changes in the batch.
         changes: usize,
     },
     /// Another publisher has taken over.
     #[error("a publisher of epoch {observed} has taken over from this one of epoch {own}")]
     Fenced {
-        /// This publisher's epoch.
+        /// The epoch of this publisher.
         own: u64,
         /// The highest epoch observed.
         observed: u64,
     },
-    /// The state has changed since the operator looked at it.
+    /// The state has changed since the operator read it.
     #[error("the state is at {actual:?}, not at the expected {expected:?}")]
     UnexpectedPosition {
         /// The position that the operator expects.
@@ -55,48 +55,48 @@
         /// The position of the state.
         actual: Position,
     },
-    /// A change is not valid by itself, or does not fit the state.
+    /// A change is invalid by itself, or does not match the state.
     #[error("change {index}: {problem}")]
     InvalidChange {
         /// The index of the change in the batch.
         index: usize,
-        /// What is wrong with it.
+        /// The problem of the change.
         problem: ChangeProblem,
     },
 }
 
-/// What is wrong with one change of a batch.
+/// A problem of one change of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeProblem {
     /// The name is of a kind that this version does not know.
     #[error("the kind {kind} is unknown")]
     UnknownKind {
-        /// Its number.
+        /// The number of the kind.
         kind: i32,
     },
-    /// A text that is needed is missing.
+    /// A required text is missing.
     #[error("{field} is empty")]
     EmptyText {
-        /// Which text.
+        /// The field with the text.
         field: &'static str,
     },
-    /// A text is above its bound.
+    /// A text is longer than its bound.
     #[error("{field} has {bytes} bytes, more than {limit}")]
     TextTooLong {
-        /// Which text.
+        /// The field with the text.
         field: &'static str,
-        /// Its length.
+        /// The length of the text, in bytes.
         bytes: usize,
         /// The bound, in bytes.
         limit: usize,
     },
-    /// A text has characters that cannot be shown.
+    /// A text has control characters.
     #[error("{field} has control characters")]
     ControlCharacters {
-        /// Which text.
+        /// The field with the text.
         field: &'static str,
     },
-    /// The value does not belong to a name of this kind.
+    /// The value is not of the kind of its name.
     #[error("the value is a {value:?}, but the name is of a {name:?}")]
     WrongKindOfValue {
         /// The kind of the name.
@@ -107,22 +107,22 @@
     /// A number is negative, infinite or not a number.
     #[error("{field} is not a finite number of zero or more")]
     InvalidNumber {
-        /// Which number.
+        /// The field with the number.
         field: &'static str,
     },
     /// Two changes of a batch have the same name.
     #[error("the same name is in the batch twice")]
     DuplicateName,
-    /// There is nothing of this name to delete.
+    /// The change deletes a resource that does not exist.
     #[error("there is no such resource to delete")]
     DeletesMissing,
 }
 
-fn list(reasons: &[RefusalReason]) -> String {
+fn join_reasons(reasons: &[RefusalReason]) -> String {
     reasons.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// Everything that is wrong with `change` by itself.
+/// Returns all problems of `change` by itself.
 pub(crate) fn change_problems(change: &Resource) -> Vec<ChangeProblem> {
     let mut problems = name_problems(&change.name);
     if let Some(value) = &change.value {
@@ -132,14 +132,14 @@
     problems
 }
 
-/// Everything that is wrong with `name`.
+/// Returns all problems of `name`.
 pub(crate) fn name_problems(name: &ResourceName) -> Vec<ChangeProblem> {
     let mut problems = Vec::new();
     if name.kind() == ResourceKind::Unknown {
         problems.push(ChangeProblem::UnknownKind { kind: name.kind });
     }
     check_text("scope", &name.scope, MAX_NAME_BYTES, &mut problems);
-    check_filled_text("name", &name.name, MAX_NAME_BYTES, &mut problems);
+    check_required_text("name", &name.name, MAX_NAME_BYTES, &mut problems);
     problems
 }
 
@@ -163,12 +163,12 @@
 }
 
 fn check_route(route: &Route, problems: &mut Vec<ChangeProblem>) {
-    check_filled_text("HTTP method", &route.http_method, MAX_NAME_BYTES, problems);
-    check_filled_text("path", &route.path, MAX_PATH_BYTES, problems);
-    check_filled_text("method", &route.method, MAX_NAME_BYTES, problems);
+    check_required_text("HTTP method", &route.http_method, MAX_NAME_BYTES, problems);
+    check_required_text("path", &route.path, MAX_PATH_BYTES, problems);
+    check_required_text("method", &route.method, MAX_NAME_BYTES, problems);
 }
 
-fn check_filled_text(field: &'static str, text: &str, limit: usize, problems: &mut Vec<ChangeProblem>) {
+fn check_required_text(field: &'static str, text: &str, limit: usize, problems: &mut Vec<ChangeProblem>) {
     if text.is_empty() {
         problems.push(ChangeProblem::EmptyText { field });
     }
