--- a/crates/ochrewalk-distribution/src/demand.rs
+++ b/crates/ochrewalk-distribution/src/demand.rs
@@ -1,19 +1,19 @@
-//! Decides which single names a node watches: those that it used, the least recently used being evicted once there are too
-//! many.
+//! Decides which single names a node watches: those that it used. The least recently used names are evicted when the set
+//! is full.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::messages::{ResourceName, Watch};
 use crate::subscription::CompleteUpdate;
 
-/// What is known of a name that was used.
+/// The known state of a name that was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DemandState {
-    /// It was requested, and no answer has been applied: the caller's default holds.
+    /// The name was requested, and no answer has been applied: the caller's default applies.
     Requested,
-    /// There is a value, which the store has.
+    /// The store has a value of this name.
     Present,
-    /// There is nothing of this name: the default holds.
+    /// The publisher has no resource of this name: the caller's default applies.
     Absent,
 }
 
@@ -33,12 +33,12 @@
 }
 
 impl DemandSet {
-    /// An empty set of up to `limit` names, and at least one.
+    /// Creates an empty set of up to `limit` names, at least one.
     pub fn new(limit: usize) -> Self {
         Self { limit: limit.max(1), entries: BTreeMap::new(), by_use: BTreeSet::new() }
     }
 
-    /// How many names are watched.
+    /// Returns the number of watched names.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -48,18 +48,18 @@
         self.entries.is_empty()
     }
 
-    /// The names watched, in their order.
+    /// Returns the watched names in their order.
     pub fn names(&self) -> impl Iterator<Item = &ResourceName> {
         self.entries.keys()
     }
 
-    /// What is known of `name`; none where it is not watched.
+    /// Returns the state of `name`, or `None` if it is not watched.
     pub fn state(&self, name: &ResourceName) -> Option<DemandState> {
         self.entries.get(name).map(|entry| entry.state)
     }
 
-    /// `name` is used. If it was not watched before, send the watch that is returned, and have the store forget the names
-    /// that it removes.
+    /// Records that `name` is used. If it was not watched before, the caller sends the returned watch and has the store
+    /// forget the names that the watch removes.
     pub fn request(&mut self, name: &ResourceName, now_us: u64) -> Option<Watch> {
         if let Some(entry) = self.entries.get_mut(name) {
             let last_us = std::mem::replace(&mut entry.used_us, now_us);
@@ -71,12 +71,13 @@
         Some(Watch { add: vec![name.clone()], remove })
     }
 
-    /// `name` is watched since before a restart, and its value is part of the saved state. Ignored once the set is full.
+    /// Adds `name`, which was watched before a restart and has a value in the persisted state. Ignored if the set is
+    /// full.
     pub fn restore_present(&mut self, name: &ResourceName, now_us: u64) {
         self.restore(name, DemandState::Present, now_us);
     }
 
-    /// `name` is watched since before a restart, and there was nothing of it. Ignored once the set is full.
+    /// Adds `name`, which was watched before a restart and had no resource. Ignored if the set is full.
     pub fn restore_absent(&mut self, name: &ResourceName, now_us: u64) {
         self.restore(name, DemandState::Absent, now_us);
     }
@@ -111,7 +112,7 @@
         removed
     }
 
-    /// An update was applied: it may answer or change watched names.
+    /// Records the names that an applied update answers or changes.
     pub fn applied(&mut self, update: &CompleteUpdate) {
         for name in &update.absent {
             self.set_state(name, DemandState::Absent);
--- a/crates/ochrewalk-distribution/src/interest.rs
+++ b/crates/ochrewalk-distribution/src/interest.rs
@@ -4,24 +4,24 @@
 
 use crate::messages::{ResourceName, Subscribe, Watch};
 
-/// Which resources a subscriber wants.
+/// The resources that a subscriber wants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Interest {
-    /// All resources of all scopes, deletions included, as relays want.
+    /// Whether all resources of all scopes are wanted, deletions included; relays want them.
     pub everything: bool,
-    /// Scopes of which all resources are wanted.
+    /// The scopes of which all resources are wanted.
     pub scopes: BTreeSet<String>,
-    /// Single resources of other scopes.
+    /// The single resources of other scopes.
     pub names: BTreeSet<ResourceName>,
 }
 
 impl Interest {
-    /// All resources of all scopes.
+    /// Returns an interest in all resources of all scopes.
     pub fn everything() -> Self {
         Self { everything: true, ..Self::default() }
     }
 
-    /// All resources of `scopes`.
+    /// Returns an interest in all resources of `scopes`.
     pub fn scopes<Text: Into<String>>(scopes: impl IntoIterator<Item = Text>) -> Self {
         Self { scopes: scopes.into_iter().map(Into::into).collect(), ..Self::default() }
     }
--- a/crates/ochrewalk-distribution/src/relay_choice.rs
+++ b/crates/ochrewalk-distribution/src/relay_choice.rs
@@ -1,22 +1,22 @@
 //! Decides which of its relays a node connects to, and when. Each node has its own stable order of relays (rendezvous
-//! hashing), so that relays have about as many nodes each, and a node returns to the same one.
+//! hashing), so that relays have about the same number of nodes each, and a node returns to the same relay.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// The largest power of two by which a backoff grows.
+/// The highest number of times that a backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// Times of a [`RelayChoice`], in microseconds.
+/// The times of a [`RelayChoice`], in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RelayChoiceLimits {
-    /// The time to the second attempt after a failure. It doubles with each further failure.
+    /// The backoff after the first failure. The backoff doubles with each further failure.
     pub min_backoff_us: u64,
-    /// The longest time between two attempts.
+    /// The longest backoff.
     pub max_backoff_us: u64,
-    /// How long the first choice must have been healthy before a node returns to it.
+    /// The time for which the first choice must have been healthy before a node returns to it.
     pub min_healthy_us: u64,
-    /// The bound of a random time that a node waits in addition, so that not all return at once.
+    /// The bound of the random time that a node waits in addition, so that the nodes do not all return at once.
     pub return_jitter_us: u64,
 }
 
@@ -31,31 +31,31 @@
     }
 }
 
-/// Where to connect to, or when.
+/// The decision on the next connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice<'a> {
-    /// Connect now.
+    /// The node connects now.
     Connect {
         /// The name of the relay.
         relay: &'a str,
     },
-    /// No relay may be attempted before a later time.
+    /// The node may not attempt any relay before a later time.
     Wait {
-        /// That time, in microseconds.
+        /// The time of the next attempt, in microseconds.
         until_us: u64,
     },
 }
 
-/// What a probe of the first choice found.
+/// The result of a probe of the first choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It accepted a connection.
+    /// The relay accepted a connection.
     Healthy,
-    /// It refused the connection, or did not accept it in time.
+    /// The relay refused the connection, or did not accept it in time.
     Unhealthy,
 }
 
-/// No relay is known.
+/// The list of relays is empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a node needs at least one relay")]
 pub struct NoRelays;
@@ -63,9 +63,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Relay {
     name: String,
-    /// Failures since it was last connected to.
+    /// The number of failures since the node was last connected to the relay.
     failures: u32,
-    /// Not before this time.
+    /// The time before which the relay is not attempted.
     not_before_us: u64,
 }
 
@@ -73,21 +73,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RelayChoice {
     limits: RelayChoiceLimits,
-    /// In the node's order.
+    /// The relays in the node's order.
     relays: Vec<Relay>,
-    /// The relay connected to, or attempted last.
+    /// The index of the relay that is connected, or was attempted last.
     current: usize,
     random_state: u64,
-    /// When the node may return to its first choice; none while that is not healthy.
+    /// The time from which the node may return to its first choice; `None` while that relay is not healthy.
     return_at_us: Option<u64>,
 }
 
 impl RelayChoice {
-    /// The choice of `node` among `relays`. Random times come from a generator that begins with `seed`.
+    /// Creates the choice of `node` among `relays`. Random times are generated from `seed`.
     ///
     /// # Errors
     ///
-    /// Where `relays` is empty.
+    /// Returns an error if `relays` is empty.
     pub fn new(
         node: &str,
         relays: impl IntoIterator<Item = String>,
@@ -106,18 +106,18 @@
         Ok(Self { limits, relays, current: 0, random_state: seed, return_at_us: None })
     }
 
-    /// The relays in the order of this node.
+    /// Returns the relays in the order of this node.
     pub fn order(&self) -> impl Iterator<Item = &str> {
         self.relays.iter().map(|relay| relay.name.as_str())
     }
 
-    /// The relay connected to, or attempted last.
+    /// Returns the relay that is connected, or was attempted last.
     pub fn current(&self) -> &str {
         &self.relays[self.current].name
     }
 
-    /// Where a node without a connection is to connect to: the first relay of its order that may be attempted, with those
-    /// that failed less often before those that failed more often.
+    /// Returns the decision for a node without a connection: the relay with the fewest failures among those that may be
+    /// attempted now, and the first one in the node's order among equals.
     pub fn next(&mut self, now_us: u64) -> Choice<'_> {
         let may_attempt = |index: &usize| self.relays[*index].not_before_us <= now_us;
         let attempt =
@@ -135,7 +135,7 @@
         self.relays.iter().map(|relay| relay.not_before_us).min().unwrap_or(0)
     }
 
-    /// The current relay has accepted the node.
+    /// Records that the current relay has accepted the node.
     pub fn connected(&mut self) {
         self.relays[self.current].failures = 0;
         if self.current == 0 {
@@ -143,12 +143,13 @@
         }
     }
 
-    /// The attempt at the current relay failed, or the connection to it broke.
+    /// Records that the attempt at the current relay failed, or that its connection broke.
     pub fn failed(&mut self, now_us: u64) {
         self.fail(self.current, now_us);
     }
 
-    /// The current relay asked the node to connect again after `after_us`. It is not attempted before.
+    /// Records that the current relay asked the node to connect again after `after_us`. The relay is not attempted
+    /// before.
     pub fn retry_later(&mut self, now_us: u64, after_us: u64) {
         let relay = &mut self.relays[self.current];
         relay.not_before_us = now_us.saturating_add(after_us);
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Between half and all of the exponential backoff after `failures` earlier ones.
+    /// Returns a random time between half of the exponential backoff after `failures` earlier failures and all of it.
     fn backoff_us(&mut self, failures: u32) -> u64 {
         let doublings = failures.min(MAX_BACKOFF_DOUBLINGS);
         let longest_us = self.limits.min_backoff_us.saturating_mul(1 << doublings);
@@ -173,15 +174,15 @@
         half_us + self.random_less_than(longest_us - half_us + 1)
     }
 
-    /// The first choice, where the node is connected to another one and the first may be probed: by a connection that is
-    /// closed again. Report its result by [`probed`](Self::probed).
+    /// Returns the first choice if the node is connected to another relay and the first choice may be probed. A probe is
+    /// a connection that is closed again; the caller passes its result to [`probed`](Self::probed).
     pub fn probe_due(&self, now_us: u64) -> Option<&str> {
         let first = &self.relays[0];
         let is_due = self.current != 0 && first.not_before_us <= now_us;
         is_due.then_some(first.name.as_str())
     }
 
-    /// The first choice was probed. The next probe is due after the longest backoff, or at once when the node may return.
+    /// Records the result of a probe of the first choice. The next probe is due after the longest backoff.
     pub fn probed(&mut self, result: ProbeResult, now_us: u64) {
         if result == ProbeResult::Unhealthy {
             return self.fail(0, now_us);
@@ -195,19 +196,19 @@
         }
     }
 
-    /// Whether the node, connected to another relay, is to return to its first choice now: it was healthy at all probes for
-    /// long enough.
+    /// Whether the node, connected to another relay, should return to its first choice now, because all probes found that
+    /// relay healthy for the required time.
     pub fn should_return(&self, now_us: u64) -> bool {
         self.current != 0 && self.return_at_us.is_some_and(|return_at_us| return_at_us <= now_us)
     }
 
-    /// The node has returned to its first choice.
+    /// Records that the node has returned to its first choice.
     pub fn returned(&mut self) {
         self.current = 0;
         self.connected();
     }
 
-    /// A number below `bound`, or 0 where that is 0 (SplitMix64).
+    /// Returns a random number below `bound`, or 0 if `bound` is 0 (SplitMix64).
     fn random_less_than(&mut self, bound: u64) -> u64 {
         self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.random_state;
@@ -218,7 +219,7 @@
     }
 }
 
-/// The weight of `relay` for `node`: the same everywhere, and independent between relays.
+/// Returns the weight of `relay` for `node`, which is the same in every process and independent between relays.
 fn rendezvous_weight(node: &str, relay: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(node.as_bytes());
--- a/crates/ochrewalk-distribution/src/status.rs
+++ b/crates/ochrewalk-distribution/src/status.rs
@@ -1,10 +1,10 @@
-//! Sums up the states of many subscribers for operators.
+//! Aggregates the states of many subscribers for operators.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::messages::{Position, PositionCount, RegionStatus, Rejection};
 
-/// The longest reason of a rejection that is remembered, in bytes.
+/// The longest reason of a rejection that is stored, in bytes.
 const MAX_REASON_BYTES: usize = 512;
 
 /// The latest rejection of each node, a bounded number of them, oldest first.
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The node has applied what is newer.
+    /// Removes the rejection of `node`, which has applied a newer update.
     pub(crate) fn remove(&mut self, node: &str) {
         self.latest.retain(|rejection| rejection.node != node);
     }
@@ -43,7 +43,7 @@
     text.truncate(end.unwrap_or(0));
 }
 
-/// How many of `positions` are the same, in their order.
+/// Counts equal `positions`, in their order.
 pub(crate) fn count_positions(positions: impl Iterator<Item = (Position, u64)>) -> Vec<PositionCount> {
     let mut counts: BTreeMap<Position, u64> = BTreeMap::new();
     for (position, nodes) in positions {
@@ -52,8 +52,9 @@
     counts.into_iter().map(|(position, nodes)| PositionCount { position, nodes }).collect()
 }
 
-/// One status for each region, in the order of their names: counts added up, at most `max_rejections` rejections (the
-/// latest positions first), and the position of the relay that is furthest behind.
+/// Merges `statuses` into one for each region, in the order of the regions' names. A merged status has the sums of the
+/// counts, at most `max_rejections` rejections (the latest positions first), and the position of the relay that is
+/// furthest behind.
 pub fn merge_region_statuses(
     statuses: impl IntoIterator<Item = RegionStatus>,
     max_rejections: usize,
