--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -1,51 +1,53 @@
-//! Distribution of versioned configuration to the nodes of a fleet, as state machines without I/O: what a publisher accepts,
-//! what each subscriber is sent next, what a subscriber applies, and which relay it connects to.
+//! Distribution of versioned configuration to the nodes of a fleet, as state machines without I/O. They decide which
+//! batches a publisher accepts, which update each subscriber is sent next, which updates a subscriber applies, and which
+//! relay it connects to.
 //!
-//! A publisher and each relay have a [`Server`] with a [`Store`]; a relay and each node have a [`Subscription`], a store of
-//! their own, and a [`RelayChoice`] among the servers that they may follow.
+//! The publisher and each relay have a [`Server`] with a [`Store`]. Each relay and each node have a [`Subscription`], a
+//! store of their own, and a [`RelayChoice`] among the servers that they may follow.
 //!
 //! # Guarantees
 //!
-//! * What a subscriber has in force is the publisher's state at one position, of all that it wants and was answered: an
-//!   update is applied complete or not at all.
-//! * A subscriber never goes back to an older position, and never follows a publisher of an older epoch than it has observed.
-//! * All subscribers that stay connected end up at the position of the newest publisher.
-//! * The memory for a subscriber that does not read is bounded, whatever is published meanwhile.
+//! * The state in force at a subscriber is the publisher's state at one position, restricted to the resources that the
+//!   subscriber wants and that have been answered: an update is applied completely or not at all.
+//! * A subscriber never returns to an older position, and never follows a publisher of an older epoch than the highest
+//!   one that it has observed.
+//! * All subscribers that stay connected converge on the position of the newest publisher.
+//! * The memory used for a subscriber that does not read is bounded, however much is published meanwhile.
 //!
 //! # States
 //!
-//! A subscriber, as its [`Server`] sees it:
+//! The states of a subscriber in its [`Server`]:
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | connecting | [`Server::subscribe`] accepts it | ready |
-//! | connecting | too many are caught up, or the relay has no state yet | rejected, to retry later |
-//! | connecting | it needs a later version, wants too much, or has observed a later epoch | refused |
+//! | connecting | too many subscribers are catching up, or the relay has no state yet | rejected; it may retry later |
+//! | connecting | it needs a later version, wants too many resources, or has observed a later epoch | refused |
 //! | ready | the store is ahead of it, or it requested names | receiving an update |
-//! | receiving | a part was sent, and another one is due | receiving |
-//! | receiving | the store can no longer complete the update | receiving a snapshot in place of it |
+//! | receiving | a part was sent that is not the last one | receiving |
+//! | receiving | the store can no longer complete the update | receiving a snapshot instead |
 //! | receiving | the last part was sent | applying |
 //! | applying | it reports the position as applied | ready |
-//! | applying | it reports the update as rejected | ready, but sent nothing until there is a later position |
+//! | applying | it reports the update as rejected | ready, but no update is sent before a later position exists |
 //! | any | [`Server::unsubscribe`] | removed |
 //!
-//! An update, as the [`Subscription`] sees it:
+//! The states of an update in the [`Subscription`]:
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | none | a first part that fits the position in force | partial |
+//! | none | a first part that matches the applied position | partial |
 //! | partial | the next part, which is not the last one | partial |
 //! | partial | the first part of a snapshot | partial, of that snapshot |
 //! | partial | the last part, with the right checksum | complete; the caller applies or rejects it |
 //! | any | any other part ([`UpdateError`]), or the stream ends | none |
 //!
-//! # What is left to the caller
+//! # Responsibilities of the caller
 //!
-//! Nothing here does I/O or reads a clock. The caller carries values of [`messages`] over connections, in order and without
-//! loss while a connection lasts; passes times as whole microseconds of a monotonic clock; writes a [`Batch`] to durable
-//! storage before [`Store::replay`]; makes the batch of [`Store::new_epoch`] durable before it serves; and closes a connection
-//! after an error. It has to call [`Server::next`] for each subscriber whenever the store has changed, the subscriber has sent
-//! something, or the time of [`NextUpdate::Wait`] has come.
+//! The state machines do no I/O and read no clock. The caller carries values of [`messages`] over connections, in order
+//! and without loss while a connection lasts; passes times as whole microseconds of a monotonic clock; writes a [`Batch`]
+//! to durable storage before [`Store::replay`]; makes the batch of [`Store::new_epoch`] durable before it serves; and
+//! closes a connection after an error. The caller has to call [`Server::next`] for each subscriber whenever the store has
+//! changed, the subscriber has sent a message, or the time of [`NextUpdate::Wait`] has come.
 //!
 //! # Example
 //!
@@ -69,7 +71,7 @@
 //! let mut subscription = Subscription::new("node-1", "north", Interest::scopes(["orders"]), None, limits);
 //! let Admission::Accepted(id) = server.subscribe(0, subscription.subscribe_message()) else { panic!() };
 //!
-//! // It is sent an update, applies it and reports.
+//! // The server sends an update, which the node applies and reports.
 //! let NextUpdate::Send(update) = server.next(id, 0) else { panic!() };
 //! let Received::Complete(update) = subscription.received(update)? else { panic!() };
 //! state.apply(&update)?;
--- a/crates/ochrewalk-distribution/src/messages/mod.rs
+++ b/crates/ochrewalk-distribution/src/messages/mod.rs
@@ -1,6 +1,6 @@
-//! The messages between publisher, relays, nodes and operators, as Protocol Buffers. On a stream each is an [`Envelope`]
-//! behind its length as a varint. Numbers and types of fields never change, and fields are only ever added: an older
-//! program ignores those that it does not know.
+//! The messages between publisher, relays, nodes and operators, as Protocol Buffers. On a stream each message is an
+//! [`Envelope`] prefixed with its length as a varint. Numbers and types of fields never change, and fields are only ever
+//! added: an older program ignores the fields that it does not know.
 
 use prost::{Message, Oneof};
 
@@ -14,24 +14,24 @@
     Heartbeat, PositionCount, RegionStatus, Rejection, Report, RetryLater, Subscribe, Update, Watch,
 };
 
-/// The version of this set of messages; a subscriber that needs a newer one is refused.
+/// The version of this set of messages; a subscriber that needs a newer version is refused.
 pub const PROTOCOL_VERSION: u32 = 1;
 
 /// One message on a stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
-    /// None where it is of a later version.
+    /// The message; `None` if a later version added it.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15")]
     pub body: Option<Body>,
 }
 
-/// What an [`Envelope`] contains. A receiver ignores one that it does not know.
+/// The content of an [`Envelope`]. A receiver ignores content that it does not know.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
     /// The first message of a subscriber.
     #[prost(message, tag = "1")]
     Subscribe(Subscribe),
-    /// A subscriber changes which single names it wants.
+    /// A subscriber changes the single names that it wants.
     #[prost(message, tag = "2")]
     Watch(Watch),
     /// A subscriber reports the outcome of an update.
@@ -40,7 +40,7 @@
     /// A server sends a part of an update.
     #[prost(message, tag = "4")]
     Update(Update),
-    /// A server shows that it is alive.
+    /// A server confirms that it is running.
     #[prost(message, tag = "5")]
     Heartbeat(Heartbeat),
     /// A server asks a subscriber to connect again later.
@@ -52,25 +52,25 @@
     /// An operator publishes changes.
     #[prost(message, tag = "8")]
     Publish(Publish),
-    /// The publisher has accepted changes.
+    /// The publisher accepted changes.
     #[prost(message, tag = "9")]
     Published(Published),
-    /// A request or a subscriber is refused.
+    /// The receiver refused a request or a subscriber.
     #[prost(message, tag = "10")]
     Refused(Refused),
-    /// An operator asks for the status of the fleet.
+    /// An operator requests the status of the fleet.
     #[prost(message, tag = "11")]
     StatusRequest(StatusRequest),
     /// The status of the fleet.
     #[prost(message, tag = "12")]
     Status(Status),
-    /// An operator wants changes undone.
+    /// An operator requests that changes be undone.
     #[prost(message, tag = "13")]
     Rollback(Rollback),
-    /// An operator asks for resources.
+    /// An operator requests resources.
     #[prost(message, tag = "14")]
     Fetch(Fetch),
-    /// The resources asked for.
+    /// The requested resources.
     #[prost(message, tag = "15")]
     Fetched(Fetched),
 }
--- a/crates/ochrewalk-distribution/src/messages/resource.rs
+++ b/crates/ochrewalk-distribution/src/messages/resource.rs
@@ -1,8 +1,8 @@
-//! Resources: what is configured, under which name, and at which position in the order of changes.
+//! Resources: their content, their names, and their positions in the order of changes.
 
 use prost::{Enumeration, Message, Oneof};
 
-/// What a resource configures.
+/// The subject that a resource configures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum ResourceKind {
@@ -10,21 +10,21 @@
     Unknown = 0,
     /// An HTTP method and path of the AJP listener, and the RPC method that they map to.
     Route = 1,
-    /// What a tenant may send over the whole fleet.
+    /// The rate at which a tenant may send RPCs over the whole fleet.
     Quota = 2,
-    /// An address that calls to the upstream go to.
+    /// An address of the upstream that receives calls.
     Endpoint = 3,
-    /// A limit that a running node takes over.
+    /// A limit that a running node applies.
     Limit = 4,
 }
 
 /// The identity of a resource. Names are ordered by kind, scope and name.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Message)]
 pub struct ResourceName {
-    /// A [`ResourceKind`] as its number, so that a later version's kind survives this one.
+    /// The number of a [`ResourceKind`], so that a kind of a later version passes through this one unchanged.
     #[prost(enumeration = "ResourceKind", tag = "1")]
     pub kind: i32,
-    /// Groups resources that the same nodes need, such as those of one service; may be empty.
+    /// The group of resources that the same nodes need, such as those of one service; may be empty.
     #[prost(string, tag = "2")]
     pub scope: String,
     /// The name within its kind and scope; never empty.
@@ -32,7 +32,7 @@
     pub name: String,
 }
 
-/// A route: requests of `http_method` to `path` are RPCs of `method`.
+/// A route, which maps requests of `http_method` to `path` to RPCs of `method`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Route {
     /// The HTTP method of the requests, such as `GET`.
@@ -41,34 +41,34 @@
     /// The path of the requests, or its pattern.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// The RPC method that is called for them.
+    /// The RPC method that these requests call.
     #[prost(string, tag = "3")]
     pub method: String,
 }
 
-/// RPCs a second that a tenant may send over the whole fleet.
+/// The quota of a tenant over the whole fleet.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Quota {
-    /// RPCs a second, finite and not negative.
+    /// RPCs per second, finite and not negative.
     #[prost(double, tag = "1")]
     pub per_second: f64,
 }
 
-/// An endpoint of the upstream; its name is its address.
+/// An endpoint of the upstream; its resource name is its address.
 #[derive(Clone, PartialEq, Message)]
 pub struct Endpoint {
-    /// Its part of the calls, in proportion to the weights of the others; finite and not negative.
+    /// The weight of the endpoint: its share of the calls in proportion to the other weights; finite and not negative.
     #[prost(double, tag = "1")]
     pub weight: f64,
-    /// The zone that it runs in; empty where zones do not matter.
+    /// The zone of the endpoint; empty if zones are not used.
     #[prost(string, tag = "2")]
     pub zone: String,
 }
 
-/// A limit's amount, in the unit that its name states.
+/// The amount of a limit, in the unit that the limit's name states.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Limit {
-    /// Finite and not negative.
+    /// The amount, finite and not negative.
     #[prost(double, tag = "1")]
     pub amount: f64,
 }
@@ -90,24 +90,24 @@
     Limit(Limit),
 }
 
-/// A resource at the revision that last changed it. One without a value is deleted.
+/// A resource at the revision that last changed it. A resource without a value is deleted.
 #[derive(Clone, PartialEq, Message)]
 pub struct Resource {
-    /// What it is the newest change of.
+    /// The name of the resource.
     #[prost(message, required, tag = "1")]
     pub name: ResourceName,
-    /// The revision of the batch that changed it last; 0 in a change that is not accepted yet.
+    /// The revision of the batch that last changed the resource; 0 in a change that is not accepted yet.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// None where it was deleted.
+    /// The value; `None` if the resource is deleted.
     #[prost(oneof = "Value", tags = "3, 4, 5, 6")]
     pub value: Option<Value>,
 }
 
-/// A position in the order of all changes. A later epoch is later whatever the revisions are.
+/// A position in the order of all changes. A position of a later epoch is later, regardless of the revisions.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Message)]
 pub struct Position {
-    /// Which publisher's order this is: raised whenever another publisher takes over.
+    /// The epoch, which identifies the publisher of the order and increases whenever another publisher takes over.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// The number of the batch in that order; the first is 1.
@@ -116,7 +116,7 @@
 }
 
 impl Value {
-    /// The kind of name that this value belongs to.
+    /// Returns the kind of the names that this value belongs to.
     pub fn kind(&self) -> ResourceKind {
         match self {
             Value::Route(_) => ResourceKind::Route,
@@ -128,19 +128,19 @@
 }
 
 impl ResourceName {
-    /// The name of a resource of `kind` in `scope`.
+    /// Creates the name of a resource of `kind` in `scope`.
     pub fn new(kind: ResourceKind, scope: impl Into<String>, name: impl Into<String>) -> Self {
         Self { kind: kind as i32, scope: scope.into(), name: name.into() }
     }
 }
 
 impl Resource {
-    /// A change that sets `value`. The store gives it its revision.
+    /// Creates a change that sets `value`. The store assigns its revision.
     pub fn set(name: ResourceName, value: Value) -> Self {
         Self { name, revision: 0, value: Some(value) }
     }
 
-    /// A change that deletes `name`. The store gives it its revision.
+    /// Creates a change that deletes `name`. The store assigns its revision.
     pub fn delete(name: ResourceName) -> Self {
         Self { name, revision: 0, value: None }
     }
--- a/crates/ochrewalk-distribution/src/messages/stream.rs
+++ b/crates/ochrewalk-distribution/src/messages/stream.rs
@@ -7,149 +7,150 @@
 /// The first message of a subscriber.
 #[derive(Clone, PartialEq, Message)]
 pub struct Subscribe {
-    /// The version of the messages that it needs; see [`PROTOCOL_VERSION`](super::PROTOCOL_VERSION).
+    /// The version of the messages that the subscriber needs; see [`PROTOCOL_VERSION`](super::PROTOCOL_VERSION).
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// Its name, unique in the fleet.
+    /// The name of the subscriber, unique in the fleet.
     #[prost(string, tag = "2")]
     pub node: String,
-    /// The region that it runs in.
+    /// The region of the subscriber.
     #[prost(string, tag = "3")]
     pub region: String,
-    /// What it has applied last; absent where it has nothing.
+    /// The position that the subscriber applied last; absent if it has no state.
     #[prost(message, optional, tag = "4")]
     pub applied: Option<Position>,
-    /// Scopes of which it wants all resources.
+    /// The scopes of which the subscriber wants all resources.
     #[prost(string, repeated, tag = "5")]
     pub scopes: Vec<String>,
-    /// Single resources of other scopes.
+    /// The single resources of other scopes that the subscriber wants.
     #[prost(message, repeated, tag = "6")]
     pub names: Vec<ResourceName>,
-    /// It wants all resources of all scopes, as relays do.
+    /// Whether the subscriber wants all resources of all scopes, as relays do.
     #[prost(bool, tag = "7")]
     pub everything: bool,
-    /// The rate at which it may be sent updates, in bytes a second; 0 for no bound.
+    /// The highest rate at which the subscriber may be sent updates, in bytes per second; 0 for no bound.
     #[prost(uint64, tag = "8")]
     pub bytes_per_second: u64,
-    /// The highest epoch that it has observed: a publisher of a lower one is fenced.
+    /// The highest epoch that the subscriber has observed. A publisher of a lower epoch is fenced.
     #[prost(uint64, tag = "9")]
     pub highest_epoch: u64,
 }
 
-/// A subscriber wants further single resources, or no longer wants some.
+/// Changes the single resources that a subscriber wants.
 #[derive(Clone, PartialEq, Message)]
 pub struct Watch {
-    /// Names that the next update is to answer, and whose changes are sent from then on.
+    /// The names that the next update has to answer, and whose changes are sent from then on.
     #[prost(message, repeated, tag = "1")]
     pub add: Vec<ResourceName>,
-    /// Names whose changes are no longer sent. A name in both lists is removed first.
+    /// The names whose changes are no longer sent. A name in both lists is removed first.
     #[prost(message, repeated, tag = "2")]
     pub remove: Vec<ResourceName>,
 }
 
-/// A subscriber reports the outcome of an update.
+/// Reports the outcome of an update at a subscriber.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// What is in force there.
+    /// The position in force at the subscriber.
     #[prost(message, required, tag = "1")]
     pub applied: Position,
-    /// Set where a later one was rejected.
+    /// The rejection of a later update, if the subscriber rejected one.
     #[prost(message, optional, tag = "2")]
     pub rejected: Option<Rejection>,
 }
 
-/// A subscriber keeps its last good state, because an update is wrong for it.
+/// Reports that a subscriber retains its last valid state, because it cannot apply an update.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Rejection {
     /// The position of the update that was rejected.
     #[prost(message, required, tag = "1")]
     pub position: Position,
-    /// The subscriber's name.
+    /// The name of the subscriber.
     #[prost(string, tag = "2")]
     pub node: String,
-    /// Why, for people.
+    /// The reason, as text for operators.
     #[prost(string, tag = "3")]
     pub reason: String,
 }
 
-/// A part of what a subscriber lacks. The subscriber applies all parts together once it has the last one.
+/// A part of the changes that a subscriber lacks. The subscriber applies all parts atomically once it has the last one.
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
-    /// The position that all parts lead to; parts of one update may name ever later ones, and the last one's counts.
+    /// The position after the update. Later parts of one update may have later positions; the position of the last part
+    /// counts.
     #[prost(message, required, tag = "1")]
     pub position: Position,
-    /// Set on the first part of a snapshot: what the subscriber has is to be replaced, not added to.
+    /// Whether the update replaces the subscriber's state instead of adding to it; set on the first part of a snapshot.
     #[prost(bool, tag = "2")]
     pub is_snapshot: bool,
-    /// Changed resources; those without a value are deleted.
+    /// The changed resources; a resource without a value is deleted.
     #[prost(message, repeated, tag = "3")]
     pub resources: Vec<Resource>,
-    /// Names requested of which there is nothing: their default holds.
+    /// The requested names that have no resource: the subscriber's default applies to them.
     #[prost(message, repeated, tag = "4")]
     pub absent: Vec<ResourceName>,
-    /// Set on the last part.
+    /// Whether this is the last part.
     #[prost(bool, tag = "5")]
     pub is_last: bool,
-    /// The number of this part in its update, from 0 on.
+    /// The number of this part in its update, starting at 0.
     #[prost(uint32, tag = "6")]
     pub part: u32,
-    /// On the last part: CRC-32 over the encoded resources of all parts, in their order.
+    /// The CRC-32 over the encoded resources of all parts, in their order; set on the last part.
     #[prost(uint32, tag = "7")]
     pub checksum: u32,
-    /// On the first part of differences: the position that they are differences from. A receiver at any other
+    /// The position from which the differences start; set on the first part of differences. A receiver at any other
     /// position must not apply them.
     #[prost(message, optional, tag = "8")]
     pub base: Option<Position>,
-    /// On the last part of a snapshot: the oldest revision from which the receiver can in turn serve differences, if it
-    /// was sent everything, deletions included.
+    /// The oldest revision from which the receiver can in turn serve differences, if it was sent all resources, deletions
+    /// included; set on the last part of a snapshot.
     #[prost(uint64, tag = "9")]
     pub horizon: u64,
-    /// On the last part: how many messages `Watch` of this stream had been taken over when the update began. It answers
-    /// the names of all of these.
+    /// The number of `Watch` messages of this stream that the server had processed when the update began, and whose names
+    /// the update answers; set on the last part.
     #[prost(uint64, tag = "10")]
     pub watches: u64,
 }
 
-/// Sent by a server that has no update to send, so that silence means a broken path.
+/// Confirms that a server without an update to send is running, so that silence indicates a broken path.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Heartbeat {
-    /// The latest position that it knows of.
+    /// The latest position that the server knows.
     #[prost(message, required, tag = "1")]
     pub position: Position,
-    /// The time since its own source last sent anything, in milliseconds: its state may be that old.
+    /// The time since the server's own source last sent a message, in milliseconds: the server's state may be that old.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
 }
 
-/// Too many subscribers connect at once: this one is to connect again later.
+/// Asks a subscriber to connect again later, because too many subscribers connect at once.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct RetryLater {
-    /// The time after which it may connect again, in milliseconds.
+    /// The time after which the subscriber may connect again, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub after_ms: u64,
 }
 
-/// How many subscribers of a region have which position in force.
+/// The number of subscribers of a region with the same position in force.
 #[derive(Clone, PartialEq, Message)]
 pub struct PositionCount {
-    /// The position in force; the default one for those that have none.
+    /// The position in force; the default position for subscribers without state.
     #[prost(message, required, tag = "1")]
     pub position: Position,
-    /// How many subscribers have it in force.
+    /// The number of subscribers.
     #[prost(uint64, tag = "2")]
     pub nodes: u64,
 }
 
-/// A relay reports on its subscribers to its publisher.
+/// The report of a relay on its subscribers to its publisher.
 #[derive(Clone, PartialEq, Message)]
 pub struct RegionStatus {
-    /// The relay's name; several, parted by commas, where statuses were merged.
+    /// The name of the relay; several names separated by commas if statuses were merged.
     #[prost(string, tag = "1")]
     pub relay: String,
     /// The region that the relay serves.
     #[prost(string, tag = "2")]
     pub region: String,
-    /// How many subscribers have which position in force, oldest first.
+    /// The number of subscribers per position in force, oldest position first.
     #[prost(message, repeated, tag = "3")]
     pub in_force: Vec<PositionCount>,
     /// The latest rejection of each node, a bounded number of them.
