--- a/crates/ochrewalk-distribution/tests/explore.rs
+++ b/crates/ochrewalk-distribution/tests/explore.rs
@@ -1,13 +1,14 @@
-//! A publisher and a second one that takes over, a relay and two nodes, explored exhaustively: messages lost, repeated and as
-//! late as they like, connections that end, and restarts. Stores, servers and subscriptions are the real ones.
+//! Exhaustive exploration of a publisher, a second publisher that takes over, a relay and two nodes. Messages are lost,
+//! repeated and delayed by any time, connections end, and the relay and the nodes restart. Stores, servers and
+//! subscriptions are the production types.
 
 mod common;
 
-#[path = "explore/world.rs"]
-mod world;
+#[path = "explore/fleet.rs"]
+mod fleet;
 
+use fleet::{BrokenRule, Fleet, FOLLOWERS, NEW_PUBLISHER, OLD_PUBLISHER, RELAY, RELAY_SERVER};
 use stateright::{Checker, Model, Property};
-use world::{BrokenRule, World, FOLLOWERS, NEW_PUBLISHER, OLD_PUBLISHER, RELAY, RELAY_SERVER};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
@@ -23,30 +24,30 @@
     Restart { follower: usize },
 }
 
-/// How much may go wrong, and which rule is broken on purpose.
+/// The explored system: the bounds on faults, and the rule that is broken on purpose.
 #[derive(Clone, Copy)]
-struct Explored {
+struct ExplorationModel {
     publishes: u8,
-    takes_over: bool,
+    has_takeover: bool,
     losses: u8,
     repeats: u8,
     breaks: u8,
     restarts: u8,
-    /// How many followers take part.
+    /// The number of followers that take part.
     followers: usize,
-    /// All have followed the first publisher already.
-    begins_equal: bool,
+    /// Whether all followers have the state of the first publisher at the start.
+    starts_caught_up: bool,
     broken: Option<BrokenRule>,
 }
 
-impl Explored {
-    fn follower_actions(&self, world: &World, index: usize, actions: &mut Vec<Action>) {
-        if world.restarts < self.restarts && world.followers[index].subscription.position().is_some() {
+impl ExplorationModel {
+    fn follower_actions(&self, fleet: &Fleet, index: usize, actions: &mut Vec<Action>) {
+        if fleet.restarts < self.restarts && fleet.followers[index].subscription.position().is_some() {
             actions.push(Action::Restart { follower: index });
         }
-        if world.followers[index].link.is_some() {
+        if fleet.followers[index].link.is_some() {
             actions.push(Action::Send { follower: index });
-            if world.breaks < self.breaks {
+            if fleet.breaks < self.breaks {
                 actions.push(Action::Break { follower: index });
             }
             return;
@@ -57,133 +58,133 @@
             1 => &[RELAY_SERVER],
             _ => &[RELAY_SERVER, OLD_PUBLISHER],
         };
-        for server in servers.iter().copied().filter(|server| world.servers[*server].is_some()) {
+        for server in servers.iter().copied().filter(|server| fleet.servers[*server].is_some()) {
             actions.push(Action::Connect { follower: index, server });
         }
     }
 }
 
-impl Model for Explored {
-    type State = World;
+impl Model for ExplorationModel {
+    type State = Fleet;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut world = World::new();
-        if self.begins_equal {
-            world.follow(OLD_PUBLISHER);
+    fn init_states(&self) -> Vec<Fleet> {
+        let mut fleet = Fleet::new();
+        if self.starts_caught_up {
+            fleet.follow(OLD_PUBLISHER);
         }
-        vec![world]
+        vec![fleet]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+    fn actions(&self, fleet: &Fleet, actions: &mut Vec<Action>) {
         for publisher in [OLD_PUBLISHER, NEW_PUBLISHER] {
-            if world.servers[publisher].is_some() && world.publishes < self.publishes {
+            if fleet.servers[publisher].is_some() && fleet.publishes < self.publishes {
                 actions.push(Action::Publish { publisher });
             }
         }
-        if self.takes_over && world.servers[NEW_PUBLISHER].is_none() {
+        if self.has_takeover && fleet.servers[NEW_PUBLISHER].is_none() {
             actions.push(Action::TakeOver);
         }
         for index in 0..self.followers {
-            self.follower_actions(world, index, actions);
+            self.follower_actions(fleet, index, actions);
         }
-        for message in 0..world.in_flight.len() {
+        for message in 0..fleet.in_flight.len() {
             actions.push(Action::Deliver { message });
-            if world.losses < self.losses {
+            if fleet.losses < self.losses {
                 actions.push(Action::Lose { message });
                 actions.push(Action::DeliverAndLoseReport { message });
             }
-            if world.repeats < self.repeats {
+            if fleet.repeats < self.repeats {
                 actions.push(Action::Repeat { message });
             }
         }
     }
 
-    fn next_state(&self, last: &World, action: Action) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &Fleet, action: Action) -> Option<Fleet> {
+        let mut fleet = last.clone();
         match action {
-            Action::Publish { publisher } => world.publish(publisher),
-            Action::TakeOver => world.take_over(),
-            Action::Connect { follower, server } => world.connect(follower, server),
+            Action::Publish { publisher } => fleet.publish(publisher),
+            Action::TakeOver => fleet.take_over(),
+            Action::Connect { follower, server } => fleet.connect(follower, server),
             Action::Break { follower } => {
-                world.breaks += 1;
-                world.disconnect(follower);
+                fleet.breaks += 1;
+                fleet.disconnect(follower);
             }
-            // More messages on their way at once would only give more orders of the same.
-            Action::Send { .. } if world.in_flight.len() >= 2 => return None,
-            Action::Send { follower } => drop(world.send(follower)),
+            // More messages in flight at once would only add orders of the same deliveries.
+            Action::Send { .. } if fleet.in_flight.len() >= 2 => return None,
+            Action::Send { follower } => drop(fleet.send(follower)),
             Action::Deliver { message } => {
-                let (to, part) = world.in_flight.remove(message);
-                world.deliver(to, part, false, self.broken);
+                let (to, part) = fleet.in_flight.remove(message);
+                fleet.deliver(to, part, false, self.broken);
             }
             Action::DeliverAndLoseReport { message } => {
-                world.losses += 1;
-                let (to, part) = world.in_flight.remove(message);
-                world.deliver(to, part, true, self.broken);
+                fleet.losses += 1;
+                let (to, part) = fleet.in_flight.remove(message);
+                fleet.deliver(to, part, true, self.broken);
             }
             Action::Repeat { message } => {
-                world.repeats += 1;
-                let (to, part) = world.in_flight[message].clone();
-                world.deliver(to, part, false, self.broken);
+                fleet.repeats += 1;
+                let (to, part) = fleet.in_flight[message].clone();
+                fleet.deliver(to, part, false, self.broken);
             }
             Action::Lose { message } => {
-                world.losses += 1;
-                world.in_flight.remove(message);
+                fleet.losses += 1;
+                fleet.in_flight.remove(message);
             }
             Action::Restart { follower } => {
-                world.restarts += 1;
-                world.restart(follower);
+                fleet.restarts += 1;
+                fleet.restart(follower);
             }
         }
-        Some(world)
+        Some(fleet)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(FORWARD, |_, world: &World| !world.moved_to_older_position),
-            Property::always(WHOLE, |_, world: &World| !world.has_partial_batch),
-            Property::always(EQUAL, |_, world: &World| world.ends_equal()),
-            Property::sometimes(NODE_AT_LAST, |model: &Explored, world: &World| {
-                world.publishes == model.publishes
-                    && world.followers[1].store.position().revision >= u64::from(model.publishes)
+            Property::always(NEVER_MOVES_BACK, |_, fleet: &Fleet| !fleet.moved_to_older_position),
+            Property::always(COMPLETE_STATES_ONLY, |_, fleet: &Fleet| !fleet.has_partial_batch),
+            Property::always(CONVERGES, |_, fleet: &Fleet| fleet.ends_equal()),
+            Property::sometimes(NODE_HAS_LAST_CHANGE, |model: &ExplorationModel, fleet: &Fleet| {
+                fleet.publishes == model.publishes
+                    && fleet.followers[1].store.position().revision >= u64::from(model.publishes)
             }),
-            Property::sometimes(NODE_FOLLOWS, |_, world: &World| {
-                world.followers[1].store.position().epoch == 2
+            Property::sometimes(NODE_FOLLOWS, |_, fleet: &Fleet| {
+                fleet.followers[1].store.position().epoch == 2
             }),
         ]
     }
 }
 
-const FORWARD: &str = "no follower goes back to an older position";
-const WHOLE: &str = "what is in force is a whole state of a publisher";
-const EQUAL: &str = "all that stay reachable end up equal";
-const NODE_AT_LAST: &str = "a node has the last change in force";
+const NEVER_MOVES_BACK: &str = "no follower returns to an older position";
+const COMPLETE_STATES_ONLY: &str = "each state in force is a complete state of a publisher";
+const CONVERGES: &str = "all reachable followers converge";
+const NODE_HAS_LAST_CHANGE: &str = "a node has the last change in force";
 const NODE_FOLLOWS: &str = "a node follows the second publisher";
 
-const QUIET: Explored = Explored {
+const NO_FAULTS: ExplorationModel = ExplorationModel {
     publishes: 2,
-    takes_over: false,
+    has_takeover: false,
     losses: 0,
     repeats: 0,
     breaks: 0,
     restarts: 0,
     followers: FOLLOWERS,
-    begins_equal: true,
+    starts_caught_up: true,
     broken: None,
 };
 
-/// Explores on one thread: with several, the number of states within a depth differs from run to run. A change that is
-/// not meant to change behaviour leaves the number of distinct `states` as it is.
-fn explore(model: Explored, depth: usize, states: usize) -> impl Checker<Explored> {
+/// Explores on one thread: with several threads, the number of states within a depth differs from run to run. A change
+/// that preserves the behaviour leaves the number of distinct `states` unchanged.
+fn explore(model: ExplorationModel, depth: usize, states: usize) -> impl Checker<ExplorationModel> {
     let checker = model.checker().target_max_depth(depth).threads(1).spawn_bfs().join();
     assert_eq!(checker.unique_state_count(), states, "distinct states");
     checker
 }
 
-/// Explores and checks what must hold in every state, and that `reached` holds in one.
-fn assert_holds(model: Explored, depth: usize, states: usize, reached: &'static str) {
+/// Explores, checks the properties that must hold in every state, and checks that `reached` holds in one.
+fn assert_holds(model: ExplorationModel, depth: usize, states: usize, reached: &'static str) {
     let checker = explore(model, depth, states);
-    for property in [FORWARD, WHOLE, EQUAL] {
+    for property in [NEVER_MOVES_BACK, COMPLETE_STATES_ONLY, CONVERGES] {
         checker.assert_no_discovery(property);
     }
     checker.assert_any_discovery(reached);
@@ -191,49 +192,56 @@
 
 #[test]
 fn a_snapshot_with_messages_lost_repeated_and_late_and_a_connection_that_ends() {
-    let model = Explored { losses: 1, repeats: 1, breaks: 1, followers: 2, begins_equal: false, ..QUIET };
-    assert_holds(model, 13, 10_848, NODE_AT_LAST);
+    let model = ExplorationModel {
+        losses: 1,
+        repeats: 1,
+        breaks: 1,
+        followers: 2,
+        starts_caught_up: false,
+        ..NO_FAULTS
+    };
+    assert_holds(model, 13, 10_848, NODE_HAS_LAST_CHANGE);
 }
 
 #[test]
 fn differences_with_messages_lost_repeated_and_late_and_a_connection_that_ends() {
-    let model = Explored { losses: 1, repeats: 1, breaks: 1, ..QUIET };
-    assert_holds(model, 12, 9_162, NODE_AT_LAST);
+    let model = ExplorationModel { losses: 1, repeats: 1, breaks: 1, ..NO_FAULTS };
+    assert_holds(model, 12, 9_162, NODE_HAS_LAST_CHANGE);
 }
 
 #[test]
 fn a_second_publisher_takes_over_with_late_messages_and_connections_that_end() {
-    let model = Explored { takes_over: true, breaks: 2, followers: 2, ..QUIET };
+    let model = ExplorationModel { has_takeover: true, breaks: 2, followers: 2, ..NO_FAULTS };
     assert_holds(model, 14, 5_802, NODE_FOLLOWS);
 }
 
 #[test]
 fn restarts_of_the_relay_and_of_nodes_that_may_follow_the_old_publisher() {
-    let model = Explored { takes_over: true, restarts: 1, breaks: 1, ..QUIET };
+    let model = ExplorationModel { has_takeover: true, restarts: 1, breaks: 1, ..NO_FAULTS };
     assert_holds(model, 9, 9_712, NODE_FOLLOWS);
 }
 
-/// The trace that leads a subscriber which breaks `rule` to the first state that no publisher had.
-fn trace_of(rule: BrokenRule, model: Explored, depth: usize, states: usize) -> Vec<Action> {
-    let model = Explored { broken: Some(rule), ..model };
-    // One thread finds a shortest trace.
+/// Returns the trace that leads a subscriber which breaks `rule` to the first state that no publisher had.
+fn trace_to_violation(rule: BrokenRule, model: ExplorationModel, depth: usize, states: usize) -> Vec<Action> {
+    let model = ExplorationModel { broken: Some(rule), ..model };
+    // Exploration on one thread finds a shortest trace.
     let checker = explore(model, depth, states);
-    let path = checker.discovery(WHOLE).expect("the broken rule is found out");
-    let whole = path.into_vec().into_iter().take_while(|(world, _)| !world.has_partial_batch);
-    let trace: Vec<Action> = whole.filter_map(|(_, action)| action).collect();
+    let path = checker.discovery(COMPLETE_STATES_ONLY).expect("the broken rule is detected");
+    let valid_steps = path.into_vec().into_iter().take_while(|(fleet, _)| !fleet.has_partial_batch);
+    let trace: Vec<Action> = valid_steps.filter_map(|(_, action)| action).collect();
     println!("{rule:?}: {trace:?}");
     trace
 }
 
 #[test]
-fn a_subscriber_that_applies_each_part_at_once_is_found_out_by_a_short_trace() {
-    let trace = trace_of(BrokenRule::AppliesParts, QUIET, 5, 7);
+fn a_subscriber_that_applies_each_part_at_once_is_detected_by_a_short_trace() {
+    let trace = trace_to_violation(BrokenRule::AppliesParts, NO_FAULTS, 5, 7);
     assert!(trace.len() <= 3, "{trace:?}");
 }
 
 #[test]
-fn a_subscriber_that_applies_differences_to_whatever_it_has_is_found_out_by_a_short_trace() {
-    let model = Explored { takes_over: true, breaks: 2, followers: 1, ..QUIET };
-    let trace = trace_of(BrokenRule::IgnoresBase, model, 13, 1_652);
+fn a_subscriber_that_ignores_the_base_of_differences_is_detected_by_a_short_trace() {
+    let model = ExplorationModel { has_takeover: true, breaks: 2, followers: 1, ..NO_FAULTS };
+    let trace = trace_to_violation(BrokenRule::IgnoresBase, model, 13, 1_652);
     assert!(trace.len() <= 11, "{trace:?}");
 }
--- a/crates/ochrewalk-distribution/tests/explore/world.rs
+++ b/crates/ochrewalk-distribution/tests/explore/fleet.rs
@@ -1,4 +1,4 @@
-//! The state that is explored: servers, followers and messages on their way, and what may happen to them.
+//! The explored state: servers, followers and messages in flight, and the events that change it.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -12,11 +12,12 @@
 
 use crate::common::{deletion, quota};
 
-/// Servers by their index.
+/// The servers by their index.
 pub const OLD_PUBLISHER: usize = 0;
 pub const NEW_PUBLISHER: usize = 1;
 pub const RELAY_SERVER: usize = 2;
-/// Followers by their index: the relay follows a publisher, both nodes follow the relay, and the second one publishers too.
+/// The followers by their index: the relay follows a publisher, both nodes follow the relay, and the second node also
+/// follows publishers.
 pub const RELAY: usize = 0;
 pub const FOLLOWERS: usize = 3;
 pub const TOMBSTONES: StoreLimits = StoreLimits { tombstones: 1 };
@@ -30,13 +31,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct World {
-    /// There is no second publisher before it takes over.
+pub struct Fleet {
+    /// The servers. The second publisher does not exist before it takes over.
     pub servers: [Option<Server>; 3],
     pub followers: Vec<Follower>,
-    /// Parts of updates on their way, each to a follower.
+    /// The parts of updates in flight, each with the index of its follower.
     pub in_flight: Vec<(usize, Update)>,
-    /// The hash of what publishers had at each position.
+    /// The hash of the publishers' state at each position.
     pub history: BTreeMap<Position, u64>,
     pub publishes: u8,
     pub losses: u8,
@@ -47,7 +48,7 @@
     pub has_partial_batch: bool,
 }
 
-/// Hashes what is written to it.
+/// Hashes the text that is written to it.
 struct HashWriter<'a, H>(&'a mut H);
 
 impl<H: Hasher> Write for HashWriter<'_, H> {
@@ -57,13 +58,13 @@
     }
 }
 
-impl Hash for World {
+impl Hash for Fleet {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let counters = (self.publishes, self.losses, self.repeats, self.breaks, self.restarts);
         (counters, self.moved_to_older_position, self.has_partial_batch).hash(state);
         self.history.hash(state);
         let mut writer = HashWriter(state);
-        // The relay's store is its server's.
+        // The relay's store is that of its server.
         let nodes = &self.followers[RELAY + 1..];
         let relay = &self.followers[RELAY];
         write!(writer, "{:?}{nodes:?}{:?}", self.servers, self.in_flight).expect("hashing does not fail");
@@ -71,23 +72,23 @@
     }
 }
 
-impl PartialEq for World {
+impl PartialEq for Fleet {
     fn eq(&self, other: &Self) -> bool {
         format!("{self:?}") == format!("{other:?}")
     }
 }
 
-/// A rule that a broken subscriber does not follow.
+/// The rule that a broken subscriber violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
-    /// It applies each part at once.
+    /// The subscriber applies each part at once.
     AppliesParts,
-    /// It applies differences to whatever it has.
+    /// The subscriber applies differences regardless of its position.
     IgnoresBase,
 }
 
 pub fn server_limits() -> ServerLimits {
-    // A part holds two of the three resources.
+    // A part has capacity for two of the three resources.
     let catch_up = CatchUpLimits { bytes_per_second: 0, max_concurrent: 9, ..CatchUpLimits::default() };
     ServerLimits { chunk_bytes: 180, catch_up, ..ServerLimits::default() }
 }
@@ -106,7 +107,7 @@
     Server::new("relay", "north", Store::new(0, TOMBSTONES), server_limits())
 }
 
-/// A hash of all that is in `store`.
+/// Returns a hash of the resources in `store`.
 pub fn content(store: &Store) -> u64 {
     let mut hasher = DefaultHasher::new();
     let mut writer = HashWriter(&mut hasher);
@@ -116,23 +117,23 @@
     hasher.finish()
 }
 
-/// Two quotas that always change together, and one that comes and goes.
+/// Returns changes of two quotas that always change together, and of one that is set and deleted alternately.
 pub fn batch(store: &Store, number: u8) -> Vec<Resource> {
     let amount = f64::from(number);
-    let comes_and_goes = match number % 2 {
+    let alternating = match number % 2 {
         1 => quota("a", "z", amount),
         _ => deletion("a", "z"),
     };
-    let is_possible = comes_and_goes.value.is_some() || store.get(&comes_and_goes.name).is_some();
+    let is_possible = alternating.value.is_some() || store.get(&alternating.name).is_some();
     let pair = [quota("a", "x", amount), quota("a", "y", amount)];
-    pair.into_iter().chain(is_possible.then_some(comes_and_goes)).collect()
+    pair.into_iter().chain(is_possible.then_some(alternating)).collect()
 }
 
-impl World {
-    /// The first publisher has published once, and nobody follows it yet.
+impl Fleet {
+    /// Creates a fleet whose first publisher has published once and has no followers yet.
     pub fn new() -> Self {
         let store = Store::new(1, TOMBSTONES);
-        let mut world = World {
+        let mut fleet = Fleet {
             servers: [Some(Server::new("old", "north", store, server_limits())), None, Some(relay_server())],
             followers: (0..FOLLOWERS).map(follower).collect(),
             in_flight: Vec::new(),
@@ -145,12 +146,12 @@
             moved_to_older_position: false,
             has_partial_batch: false,
         };
-        world.publish(OLD_PUBLISHER);
-        world
+        fleet.publish(OLD_PUBLISHER);
+        fleet
     }
 
     fn server(&mut self, index: usize) -> &mut Server {
-        self.servers[index].as_mut().expect("it is there")
+        self.servers[index].as_mut().expect("the server exists")
     }
 
     fn record(&mut self, publisher: usize) {
@@ -164,7 +165,7 @@
         let number = self.publishes;
         let store = self.server(publisher).store_mut();
         let changes = batch(store, number);
-        // A fenced publisher refuses.
+        // A fenced publisher refuses changes.
         if store.publish(&changes, None).is_ok() {
             self.record(publisher);
         }
@@ -256,36 +257,36 @@
         self.check_state(index);
     }
 
-    /// What a follower has in force must be all that a publisher had at that position.
+    /// Checks that the state in force at a follower is the complete state of a publisher at that position.
     fn check_state(&mut self, index: usize) {
         let store = &self.followers[index].store;
         self.has_partial_batch |= self.history.get(&store.position()) != Some(&content(store));
     }
 
-    /// All connect, the relay to `publisher`, and take what there is.
+    /// Connects all followers, the relay to `publisher`, and applies all updates.
     pub fn follow(&mut self, publisher: usize) {
         for index in 0..FOLLOWERS {
             self.connect(index, if index == RELAY { publisher } else { RELAY_SERVER });
             while self.send(index) {
-                let (_, part) = self.in_flight.pop().expect("it was just sent");
+                let (_, part) = self.in_flight.pop().expect("a part was just sent");
                 self.deliver(index, part, false, None);
             }
         }
     }
 
-    /// Whether all end up equal to the newest publisher once messages are no longer lost or late.
+    /// Whether all states become equal to that of the newest publisher once messages are no longer lost or late.
     pub fn ends_equal(&self) -> bool {
-        let mut world = self.clone();
-        world.in_flight.clear();
+        let mut fleet = self.clone();
+        fleet.in_flight.clear();
         for index in 0..FOLLOWERS {
-            world.disconnect(index);
+            fleet.disconnect(index);
         }
-        let newest = if world.servers[NEW_PUBLISHER].is_some() { NEW_PUBLISHER } else { OLD_PUBLISHER };
-        world.follow(newest);
-        let target = world.server(newest).store().clone();
-        world.followers.iter().all(|follower| {
+        let newest = if fleet.servers[NEW_PUBLISHER].is_some() { NEW_PUBLISHER } else { OLD_PUBLISHER };
+        fleet.follow(newest);
+        let target = fleet.server(newest).store().clone();
+        fleet.followers.iter().all(|follower| {
             follower.store.position() == target.position() && content(&follower.store) == content(&target)
-        }) && !world.has_partial_batch
-            && !world.moved_to_older_position
+        }) && !fleet.has_partial_batch
+            && !fleet.moved_to_older_position
     }
 }
