--- a/crates/ochrewalk-distribution/tests/admission.rs
+++ b/crates/ochrewalk-distribution/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which subscribers are caught up first, at which rate, and when others come back; all in virtual time.
+//! The order and the rate in which subscribers are caught up, and the time after which others retry, in virtual time.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -38,7 +38,7 @@
     server
 }
 
-/// A relay that has everything of `server`.
+/// Returns a relay that has all resources of `server`.
 fn relay_of(server: &mut Server) -> Server {
     let mut relay = Node::new("relay", Interest::everything());
     relay.connect(server);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Admits subscribers of the largest scope until no more get in.
+/// Admits subscribers of the largest scope until no more are admitted.
 fn fill(relay: &mut Server) -> Vec<SubscriberId> {
     let mut admitted = Vec::new();
     loop {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn small_differences_always_get_in() {
+fn small_differences_are_always_admitted() {
     let mut server = publisher_of_ten_scopes();
     let mut node = Node::new("node", Interest::scopes(["scope-9"]));
     node.connect(&mut server);
@@ -105,7 +105,7 @@
     sorted.sort_unstable();
     sorted.dedup();
     assert!(sorted.len() > 45, "{times:?}");
-    // Those with less to fetch do not wait for those with more.
+    // Subscribers with less to fetch do not wait for those with more.
     let smaller = retry_after_ms(relay.subscribe(0, message("smaller", 4)));
     let larger = retry_after_ms(relay.subscribe(0, message("larger", 9)));
     assert!(smaller * 4 < larger, "{smaller} {larger}");
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn one_subscriber_with_very_much_to_fetch_gets_in_where_it_is_alone() {
+fn a_subscriber_with_a_large_snapshot_is_admitted_when_no_other_is() {
     let mut server = publisher_of_ten_scopes();
     let mut relay = relay_of(&mut server);
     let everything = Node::new("everything", Interest::everything()).subscription.subscribe_message();
@@ -137,22 +137,22 @@
 }
 
 /// One of the subscribers of a relay that was restarted.
-struct Waiting {
+struct WaitingSubscriber {
     node: Node,
     scope: usize,
-    /// When it subscribes, or asks for the next part.
+    /// The time at which the subscriber connects, or requests the next part.
     at_us: u64,
     served_at_us: Option<u64>,
 }
 
-impl Waiting {
+impl WaitingSubscriber {
     fn new(n: usize) -> Self {
         let scope = n % 10;
         let node = Node::new(&format!("node-{n}"), Interest::scopes([format!("scope-{scope}")]));
         Self { node, scope, at_us: 0, served_at_us: None }
     }
 
-    /// One step at its time, and how many bytes it was sent by it.
+    /// Runs one step at its time. Returns how many bytes the relay sent in it.
     fn step(&mut self, relay: &mut Server, now_us: u64) -> usize {
         let Some(id) = self.node.id else {
             if let Admission::RetryLater { after_ms } = self.node.try_connect(relay, now_us) {
@@ -176,17 +176,17 @@
 }
 
 #[test]
-fn a_relay_restarted_empty_with_a_hundred_subscribers_serves_all_in_order_at_a_bounded_rate() {
+fn an_empty_restarted_relay_serves_a_hundred_subscribers_in_order_at_a_bounded_rate() {
     let mut server = publisher_of_ten_scopes();
     let full = relay_of(&mut server);
     let mut relay = Server::new("relay", "north", Store::new(0, StoreLimits::default()), limits());
-    let mut waiting: Vec<Waiting> = (0..100).map(Waiting::new).collect();
+    let mut waiting: Vec<WaitingSubscriber> = (0..100).map(WaitingSubscriber::new).collect();
     let (mut sent, mut steps) = (0_u64, 0);
     while let Some(next) =
         waiting.iter_mut().filter(|one| one.served_at_us.is_none()).min_by_key(|one| one.at_us)
     {
         let now_us = next.at_us;
-        // After a second the relay has its own state.
+        // The relay has its own state after one second.
         if now_us >= SECOND_US && relay.store().position().epoch == 0 {
             *relay.store_mut() = full.store().clone();
         }
@@ -207,11 +207,11 @@
         times.values().map(|times| times.iter().sum::<u64>() / times.len() as u64).collect();
     let last_ms = times.values().flatten().max().unwrap();
     println!("{sent} bytes, the last after {last_ms} ms, mean by size {means:?} ms, {steps} steps");
-    // Those with the least to fetch are served first.
+    // Subscribers with the least to fetch are served first.
     let small = means[..3].iter().sum::<u64>();
     let large = means[7..].iter().sum::<u64>();
     assert!(small * 2 < large, "{means:?}");
-    // Not much time is lost between them.
+    // The catch-up rate is used most of the time.
     let shortest_ms = sent * 1_000 / CATCH_UP.bytes_per_second;
     assert!(*last_ms < 3 * shortest_ms, "{last_ms} {shortest_ms}");
 }
--- a/crates/ochrewalk-distribution/tests/common/mod.rs
+++ b/crates/ochrewalk-distribution/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of the distribution share: names and changes, and a node that is served by a server in virtual time.
+//! Shared helpers of the distribution's tests: names and changes, and a node that is served by a server in virtual time.
 #![allow(dead_code)]
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -46,7 +46,7 @@
     Position { epoch, revision }
 }
 
-/// A publisher whose snapshot has several parts.
+/// Returns a publisher whose snapshot has several parts.
 pub fn filled_publisher() -> Server {
     let mut server = publisher();
     let changes: Vec<Resource> = (0..400).map(|n| quota("a", &format!("tenant-{n:03}"), 1.0)).collect();
@@ -58,7 +58,7 @@
     server.store_mut().publish(changes, None).unwrap();
 }
 
-/// Limits under which no subscriber waits to be caught up.
+/// Returns limits under which no subscriber waits to catch up.
 pub fn unbounded_limits() -> ServerLimits {
     let catch_up =
         CatchUpLimits { bytes_per_second: 0, max_concurrent: usize::MAX, ..CatchUpLimits::default() };
@@ -73,20 +73,20 @@
     SubscriptionLimits { bytes_per_second: 0, ..SubscriptionLimits::default() }
 }
 
-/// The values of all resources that `interest` matches.
+/// Returns the values of all resources that `interest` matches.
 pub fn values(store: &Store, interest: &Interest) -> BTreeMap<ResourceName, Value> {
     let wanted = store.iter().filter(|resource| interest.matches(&resource.name));
     wanted
-        .map(|resource| (resource.name.clone(), resource.value.clone().expect("it is not deleted")))
+        .map(|resource| (resource.name.clone(), resource.value.clone().expect("the resource is not deleted")))
         .collect()
 }
 
-/// A node that wants scope `a`.
+/// Returns a node that wants scope `a`.
 pub fn node(name: &str) -> Node {
     Node::new(name, Interest::scopes(["a"]))
 }
 
-/// A node that wants scope `a`, connected to `server`, with all that there is.
+/// Returns a node that wants scope `a`, is connected to `server` and has caught up.
 pub fn caught_up_node(server: &mut Server) -> Node {
     let mut node = node("one");
     node.connect(server);
@@ -135,7 +135,7 @@
         self.subscription.reset();
     }
 
-    /// Ends the connection, connects again and takes all that the server has for it.
+    /// Closes the connection, connects again and applies all updates from the server.
     pub fn reconnect(&mut self, server: &mut Server) -> Vec<CompleteUpdate> {
         self.disconnect(server);
         self.connect(server);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The next part from the server, waiting in virtual time as it says.
+    /// Returns the next part from the server, and advances the virtual time to the time for which the server waits.
     pub fn next_part(&mut self, server: &mut Server, now_us: &mut u64) -> Option<Update> {
         let id = self.id.expect("the node is connected");
         loop {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes all that the server has for it, and gives the updates back.
+    /// Applies all updates from the server, and returns them.
     pub fn catch_up(&mut self, server: &mut Server) -> Vec<CompleteUpdate> {
         self.catch_up_from(server, &mut 0)
     }
@@ -192,16 +192,16 @@
     pub fn catch_up_from(&mut self, server: &mut Server, now_us: &mut u64) -> Vec<CompleteUpdate> {
         let mut updates = Vec::new();
         while let Some(part) = self.next_part(server, now_us) {
-            updates.extend(self.receive(server, part).expect("the part is right"));
+            updates.extend(self.receive(server, part).expect("the part is valid"));
         }
         updates
     }
 
-    /// Takes one whole update part by part without applying it.
+    /// Receives one complete update part by part without applying it.
     pub fn next_update(&mut self, server: &mut Server) -> CompleteUpdate {
         loop {
             let part = self.next_part(server, &mut 0).expect("there is an update");
-            if let Received::Complete(update) = self.subscription.received(part).expect("the part is right") {
+            if let Received::Complete(update) = self.subscription.received(part).expect("the part is valid") {
                 return update;
             }
         }
--- a/crates/ochrewalk-distribution/tests/demand.rs
+++ b/crates/ochrewalk-distribution/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Names watched because a node used them.
+//! The names that a node watches because it used them.
 
 mod common;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_name_is_known_as_absent_until_it_is_made() {
+fn a_name_is_absent_until_its_resource_is_created() {
     let mut demand = DemandSet::new(2);
     demand.request(&name(1), 1);
     assert_eq!(demand.state(&name(1)), Some(DemandState::Requested));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_node_that_watches_on_demand_has_what_it_watches_and_nothing_else() {
+fn a_node_that_watches_on_demand_has_the_watched_resources_only() {
     let mut server = filled_publisher();
     let mut node = Node::new("one", Interest::default());
     node.connect(&mut server);
@@ -78,8 +78,8 @@
             demand.applied(&update);
         }
         node.assert_equals(server.store());
-        let is_there = server.store().get(&wanted).is_some();
-        let state = if is_there { DemandState::Present } else { DemandState::Absent };
+        let exists = server.store().get(&wanted).is_some();
+        let state = if exists { DemandState::Present } else { DemandState::Absent };
         assert_eq!(demand.state(&wanted), Some(state));
     }
     assert!(node.store.len() <= 20);
@@ -87,7 +87,7 @@
 
 proptest! {
     #[test]
-    fn as_many_as_the_bound_that_were_used_last_are_watched(
+    fn the_most_recently_used_names_are_watched_up_to_the_bound(
         uses in proptest::collection::vec(0..12_usize, 1..60),
         limit in 1..6_usize,
     ) {
--- a/crates/ochrewalk-distribution/tests/memory.rs
+++ b/crates/ochrewalk-distribution/tests/memory.rs
@@ -1,4 +1,5 @@
-//! Memory held, counted by the allocator: for subscribers that do not read, and for all that a fleet has.
+//! The allocated memory, counted by the allocator: of a server with subscribers that do not read, and of a relay with the
+//! state of the whole fleet.
 
 mod common;
 
@@ -11,18 +12,18 @@
 use ochrewalk_distribution::{CompleteUpdate, Interest, NextUpdate, Store, StoreLimits};
 
 thread_local! {
-    /// Bytes held by this thread, so that tests at the same time do not count each other's.
+    /// The bytes allocated by this thread, so that concurrent tests do not count each other's.
     static ALLOCATED_BYTES: Cell<i64> = const { Cell::new(0) };
 }
 
 struct CountingAllocator;
 
 fn count(bytes: i64) {
-    // The counter is gone while a thread ends.
-    let _ = ALLOCATED_BYTES.try_with(|held| held.set(held.get() + bytes));
+    // The counter no longer exists while a thread exits.
+    let _ = ALLOCATED_BYTES.try_with(|allocated| allocated.set(allocated.get() + bytes));
 }
 
-// SAFETY: all requests go to the system's allocator unchanged.
+// SAFETY: all requests are forwarded to the system's allocator unchanged.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         count(layout.size() as i64);
@@ -51,7 +52,7 @@
     for node in &mut nodes {
         node.connect(&mut server);
     }
-    // Half of them have stopped in the middle of an update.
+    // Half of the subscribers have stopped reading in the middle of an update.
     for node in &nodes[..SUBSCRIBERS / 2] {
         assert!(matches!(server.next(node.id.unwrap(), 0), NextUpdate::Send(_)));
     }
@@ -65,7 +66,7 @@
     let after_first = round(0);
     for first in (1_000..10_000).step_by(1_000) {
         let grown = round(first) - after_first;
-        // Trees of the store may be of slightly different shapes.
+        // The trees of the store may have slightly different shapes.
         assert!(grown.abs() < 16 << 10, "{grown} bytes more after {first} publishes");
     }
 }
@@ -99,8 +100,8 @@
     store.apply(&update).unwrap();
     println!("{} bytes while the snapshot is applied", allocated_bytes() - before);
     drop(update);
-    let held = allocated_bytes() - before;
-    println!("{} resources take {held} bytes, {} each", store.len(), held / store.len() as i64);
+    let allocated = allocated_bytes() - before;
+    println!("{} resources take {allocated} bytes, {} each", store.len(), allocated / store.len() as i64);
     assert_eq!(store.len(), 459_000);
-    assert!(held < BOUND_BYTES, "{held}");
+    assert!(allocated < BOUND_BYTES, "{allocated}");
 }
--- a/crates/ochrewalk-distribution/tests/pacing.rs
+++ b/crates/ochrewalk-distribution/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Updates sent over time: within the rate of the subscriber, and while the state goes on changing.
+//! Updates sent over time: within the rate of the subscriber, and while the state continues to change.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use prost::Message;
 
 #[test]
-fn what_is_changed_while_an_update_is_sent_is_part_of_it() {
+fn changes_published_while_an_update_is_sent_are_part_of_it() {
     let mut server = filled_publisher();
     let mut node = node("one");
     node.connect(&mut server);
     let part = node.next_part(&mut server, &mut 0).unwrap();
     node.receive(&mut server, part).unwrap();
-    // One already sent, one not sent yet, one deleted, one made.
+    // One resource was already sent, one was not sent yet, one is deleted, and one is created.
     publish(&mut server, &[quota("a", "tenant-000", 2.0), quota("a", "tenant-399", 2.0)]);
     publish(&mut server, &[deletion("a", "tenant-001"), quota("a", "tenant-new", 2.0)]);
     let updates = node.catch_up(&mut server);
@@ -38,7 +38,7 @@
         if is_last {
             break;
         }
-        // Some already sent and some not, at each part.
+        // At each part, some of the changed resources were already sent and some were not.
         let changed = [0, sent, 200 + sent, 399];
         let changes = changed.map(|n| quota("a", &format!("tenant-{n:03}"), f64::from(sent)));
         publish(&mut server, &changes);
@@ -58,7 +58,7 @@
     let part = node.next_part(&mut server, &mut 0).unwrap();
     assert!(!part.is_snapshot && !part.is_last);
     node.receive(&mut server, part).unwrap();
-    // The deletion that was not sent yet is forgotten.
+    // The tombstone of a deletion that was not sent yet is dropped.
     publish(&mut server, &[deletion("a", "tenant-398"), deletion("a", "tenant-397")]);
     let updates = node.catch_up(&mut server);
     assert!(updates.len() == 1 && updates[0].is_snapshot);
--- a/crates/ochrewalk-distribution/tests/properties.rs
+++ b/crates/ochrewalk-distribution/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Random histories of a publisher, a relay and nodes. Whatever a node has in force is exactly the publisher's state at that
-//! position, and in the end all are equal.
+//! Random histories of a publisher, a relay and nodes. The state in force at a node is always exactly the publisher's
+//! state at that position, and at the end all states are equal.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -50,17 +50,18 @@
     proptest::collection::vec(step, 1..150)
 }
 
-/// Tenants with an even number are of the scope that all nodes want, others are watched one by one.
+/// Returns the name of a tenant. Tenants with an even number are in the scope that all nodes want; the others are watched
+/// individually.
 fn tenant_name(tenant: u8) -> ResourceName {
     quota_name(if tenant.is_multiple_of(2) { "even" } else { "odd" }, &format!("tenant-{tenant}"))
 }
 
 type Values = BTreeMap<ResourceName, Value>;
 
-/// A node, and whether it is connected to the publisher rather than to the relay.
+/// A node, and whether it is connected to the publisher instead of the relay.
 struct Member {
     node: Node,
-    is_at_publisher: bool,
+    is_connected_to_publisher: bool,
 }
 
 struct Fleet {
@@ -80,7 +81,7 @@
         let store_limits = StoreLimits { tombstones };
         let member = |n| Member {
             node: Node::new(&format!("node-{n}"), Interest::scopes(["even"])),
-            is_at_publisher: false,
+            is_connected_to_publisher: false,
         };
         let mut fleet = Self {
             publisher: Server::new("publisher", "north", Store::new(1, store_limits), limits),
@@ -104,8 +105,8 @@
         let mut batch: Vec<Resource> = Vec::new();
         for (tenant, value) in changes {
             let name = tenant_name(*tenant);
-            let is_there = self.publisher.store().get(&name).is_some();
-            if (value.is_none() && !is_there) || batch.iter().any(|change| change.name == name) {
+            let exists = self.publisher.store().get(&name).is_some();
+            if (value.is_none() && !exists) || batch.iter().any(|change| change.name == name) {
                 continue;
             }
             let value = value.map(|value| quota_value(f64::from(value)));
@@ -135,7 +136,7 @@
         self.upstream.disconnect(&mut self.publisher);
         self.upstream = Node::new("relay", Interest::everything());
         for node in 0..NODES {
-            if !self.members[node].is_at_publisher {
+            if !self.members[node].is_connected_to_publisher {
                 self.disconnect(node);
             }
         }
@@ -144,22 +145,22 @@
 
     fn disconnect(&mut self, node: usize) {
         let member = &mut self.members[node];
-        let server = if member.is_at_publisher { &mut self.publisher } else { &mut self.relay };
+        let server = if member.is_connected_to_publisher { &mut self.publisher } else { &mut self.relay };
         member.node.disconnect(server);
     }
 
     fn connect(&mut self, node: usize, to_publisher: bool) -> bool {
         self.disconnect(node);
         let member = &mut self.members[node];
-        member.is_at_publisher = to_publisher;
+        member.is_connected_to_publisher = to_publisher;
         let server = if to_publisher { &mut self.publisher } else { &mut self.relay };
         matches!(member.node.try_connect(server, 0), Admission::Accepted(_))
     }
 
-    /// A node is sent a part, and rejects the update if it is complete and `rejects` says so.
+    /// Sends a part to a node, which rejects the update if it is complete and `rejects` is set.
     fn node_part(&mut self, index: usize, rejects: bool) -> bool {
         let member = &mut self.members[index];
-        let server = if member.is_at_publisher { &mut self.publisher } else { &mut self.relay };
+        let server = if member.is_connected_to_publisher { &mut self.publisher } else { &mut self.relay };
         let node = &mut member.node;
         let Some(id) = node.id else { return false };
         let part = match server.next(id, 0) {
@@ -180,18 +181,19 @@
         true
     }
 
-    /// What a node has in force is the publisher's state of its position, of all that it wants and has been answered.
+    /// Checks that the state in force at a node is the publisher's state at its position, restricted to the resources
+    /// that the node wants and that have been answered.
     fn assert_is_a_published_state(&self, node: usize) {
         let node = &self.members[node].node;
-        let held = Interest::from(&node.subscription.subscribe_message());
+        let answered = Interest::from(&node.subscription.subscribe_message());
         let mut expected = self.history[&node.store.position()].clone();
-        expected.retain(|name, _| held.matches(name));
+        expected.retain(|name, _| answered.matches(name));
         assert_eq!(values(&node.store, &Interest::everything()), expected);
     }
 
     fn watch(&mut self, node: usize, watch: &Watch) {
         let member = &mut self.members[node];
-        let server = if member.is_at_publisher { &mut self.publisher } else { &mut self.relay };
+        let server = if member.is_connected_to_publisher { &mut self.publisher } else { &mut self.relay };
         member.node.watch(server, watch);
     }
 
@@ -222,13 +224,13 @@
         }
     }
 
-    /// Everything stays connected from now on, and there is one more change.
+    /// Publishes one more change and keeps all connections open until every node has it.
     fn settle(&mut self) {
         self.publish(&[(0, Some(9))]);
         let mut steps = 0;
         while self.relay_part() {
             steps += 1;
-            assert!(steps < 1_000, "the relay does not come to rest");
+            assert!(steps < 1_000, "the relay does not converge");
         }
         for node in 0..NODES {
             if self.members[node].node.id.is_none() {
@@ -236,7 +238,7 @@
             }
             while self.node_part(node, false) {
                 steps += 1;
-                assert!(steps < 1_000, "a node does not come to rest");
+                assert!(steps < 1_000, "a node does not converge");
             }
             self.members[node].node.assert_equals(self.publisher.store());
         }
@@ -246,7 +248,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
     #[test]
-    fn what_is_in_force_is_a_whole_state_of_the_publisher_and_all_end_equal(
+    fn each_state_in_force_is_a_complete_state_of_the_publisher_and_all_converge(
         steps in steps(),
         tombstones in 0..4_usize,
         chunk_bytes in prop_oneof![Just(1_usize), Just(200), Just(4_096)],
--- a/crates/ochrewalk-distribution/tests/relay_choice.rs
+++ b/crates/ochrewalk-distribution/tests/relay_choice.rs
@@ -1,4 +1,4 @@
-//! Which relay a node connects to, and when.
+//! The choice and the time of the relay that a node connects to.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 fn connect(choice: &mut RelayChoice, now_us: u64) -> String {
     match choice.next(now_us) {
         Choice::Connect { relay } => relay.to_string(),
-        Choice::Wait { until_us } => panic!("it waits until {until_us}"),
+        Choice::Wait { until_us } => panic!("the node waits until {until_us}"),
     }
 }
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_order_is_the_same_whatever_the_order_of_the_list_and_moves_little_when_one_is_added() {
+fn the_order_does_not_depend_on_the_list_and_few_nodes_move_when_a_relay_is_added() {
     let mut moved = 0;
     for n in 0..1_000 {
         let node = format!("node-{n}");
@@ -109,7 +109,7 @@
     connect(&mut choice, 3_000);
 }
 
-/// A node that is connected to its second relay, as its first has failed at time 0.
+/// Returns a node that is connected to its second relay, because its first relay failed at time 0.
 fn on_second_relay(node: &str, seed: u64) -> RelayChoice {
     let mut choice = RelayChoice::new(node, relays(3), LIMITS, seed).unwrap();
     connect(&mut choice, 0);
@@ -119,7 +119,7 @@
     choice
 }
 
-/// Probes the first relay whenever it is due, and gives the time at which the node goes back to it.
+/// Probes the first relay whenever a probe is due. Returns the time at which the node returns to that relay.
 fn return_time_us(choice: &mut RelayChoice, is_healthy: impl Fn(u64) -> bool) -> u64 {
     for now_us in (0..1_000_000).step_by(50) {
         if choice.probe_due(now_us).is_some() {
@@ -131,11 +131,11 @@
             return now_us;
         }
     }
-    panic!("it does not go back");
+    panic!("the node does not return to its first relay");
 }
 
 #[test]
-fn a_node_returns_to_its_first_relay_once_that_was_healthy_for_a_while_and_not_all_at_once() {
+fn nodes_return_to_a_healthy_first_relay_after_a_jittered_delay() {
     let mut times = Vec::new();
     for seed in 0..200 {
         let mut choice = on_second_relay("node", seed);
--- a/crates/ochrewalk-distribution/tests/status.rs
+++ b/crates/ochrewalk-distribution/tests/status.rs
@@ -1,4 +1,4 @@
-//! How the states of many subscribers are summed up.
+//! The aggregation of the states of many subscribers.
 
 mod common;
 
--- a/crates/ochrewalk-distribution/tests/store.rs
+++ b/crates/ochrewalk-distribution/tests/store.rs
@@ -1,4 +1,4 @@
-//! What a store accepts, remembers and forgets.
+//! The changes that a store accepts, stores and drops.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -15,7 +15,7 @@
     Store::new(1, StoreLimits::default())
 }
 
-/// Publishes what must be refused, checks that nothing of it was applied, and gives the reasons.
+/// Publishes a batch that must be refused, checks that none of it was applied, and returns the reasons.
 fn refused(store: &mut Store, changes: &[Resource]) -> Vec<RefusalReason> {
     let before = (store.position(), store.len(), store.iter().cloned().collect::<Vec<_>>());
     let error = store.publish(changes, None).expect_err("the batch is to be refused");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_batch_gets_one_new_revision_and_records_what_it_replaced() {
+fn a_batch_gets_one_new_revision_and_records_replaced_values() {
     let mut store = store();
     store.publish(&[quota("a", "one", 1.0)], None).unwrap();
     let batch = store.publish(&[quota("a", "one", 2.0), quota("a", "two", 3.0)], None).unwrap();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_is_deleted_cannot_be_deleted_again_and_can_be_made_again() {
+fn a_deleted_resource_cannot_be_deleted_again_and_can_be_created_again() {
     let mut store = store();
     store.publish(&[quota("a", "one", 1.0)], None).unwrap();
     store.publish(&[deletion("a", "one")], None).unwrap();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn the_oldest_deletions_are_forgotten_beyond_the_bound_and_the_horizon_rises() {
+fn the_oldest_tombstones_beyond_the_bound_are_dropped_and_the_horizon_rises() {
     let mut store = Store::new(1, StoreLimits { tombstones: 2 });
     let changes: Vec<Resource> = (0..4).map(|n| quota("a", &format!("tenant-{n}"), 1.0)).collect();
     store.publish(&changes, None).unwrap();
@@ -219,15 +219,15 @@
     store.new_epoch();
     let cases = [
         (None, UpdateKind::Snapshot),
-        // Before the deletion that was forgotten.
+        // Revision 5 is before the deletion whose tombstone was dropped.
         (Some(position(1, 5)), UpdateKind::Snapshot),
         (Some(position(1, 6)), UpdateKind::Differences { after: 6 }),
-        // Epoch 2 began after revision 6, so this is on a fork.
+        // Epoch 2 began after revision 6, so that this position is on a fork.
         (Some(position(1, 7)), UpdateKind::Snapshot),
         (Some(position(2, 7)), UpdateKind::Differences { after: 7 }),
         (Some(position(2, 8)), UpdateKind::Snapshot),
         (Some(position(3, 7)), UpdateKind::Differences { after: 7 }),
-        // These never were.
+        // These positions never existed.
         (Some(position(3, 8)), UpdateKind::Snapshot),
         (Some(position(4, 7)), UpdateKind::Snapshot),
         (Some(position(0, 0)), UpdateKind::Snapshot),
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn absent_names_are_dropped_before_resources_are_added() {
+fn absent_names_are_removed_before_resources_are_added() {
     let mut store = Store::new(0, StoreLimits::default());
     let resources = ["one", "two"].map(|tenant| Resource { revision: 1, ..quota("a", tenant, 1.0) });
     store.apply(&update((1, 1), true, resources.to_vec())).unwrap();
@@ -276,12 +276,12 @@
 }
 
 #[test]
-fn a_relay_that_followed_into_a_new_epoch_serves_differences_from_where_it_knows_the_line() {
+fn a_relay_that_followed_a_new_epoch_serves_differences_from_positions_in_its_history() {
     let mut store = Store::new(0, StoreLimits::default());
     store.apply(&update((1, 5), true, Vec::new())).unwrap();
     store.apply(&update((2, 9), false, Vec::new())).unwrap();
     assert_eq!(store.differences_from(Some(position(1, 5))), UpdateKind::Differences { after: 5 });
-    // The epoch began somewhere between 5 and 9.
+    // The epoch began after a revision between 5 and 9.
     assert_eq!(store.differences_from(Some(position(1, 6))), UpdateKind::Snapshot);
     assert_eq!(store.differences_from(Some(position(2, 8))), UpdateKind::Differences { after: 8 });
 }
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_rollback_restores_what_was_deleted_and_deletes_what_was_made() {
+fn a_rollback_restores_deleted_resources_and_deletes_created_ones() {
     let mut store = store();
     store.publish(&[quota("a", "deleted", 1.0), quota("a", "changed", 2.0)], None).unwrap();
     let to = store.position();
@@ -334,7 +334,7 @@
     assert_eq!(changes, [quota("a", "changed", 2.0), quota("a", "deleted", 1.0), deletion("a", "made")]);
 }
 
-/// Batches of changes to few names, where deletions of what is not there are turned into values.
+/// Batches of changes to few names. `publish_all` replaces the deletion of a missing resource with a value.
 fn batches() -> impl Strategy<Value = Vec<Vec<(u8, Option<u8>)>>> {
     let change = (0..6_u8, proptest::option::weighted(0.7, 0..3_u8));
     proptest::collection::vec(proptest::collection::vec(change, 1..4), 1..30)
@@ -352,8 +352,8 @@
             if changes.iter().any(|change| change.name == name) {
                 continue;
             }
-            let is_there = store.get(&name).is_some();
-            let value = value.or((!is_there).then_some(9));
+            let exists = store.get(&name).is_some();
+            let value = value.or((!exists).then_some(9));
             let value = value.map(|value| quota_value(f64::from(value)));
             changes.push(Resource { name, revision: 0, value });
         }
--- a/crates/ochrewalk-distribution/tests/updates.rs
+++ b/crates/ochrewalk-distribution/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Updates from a server to a node, part by part: what is cut off, wrong, old, or no longer held.
+//! Updates from a server to a node, part by part: incomplete, corrupted, outdated, and no longer available ones.
 
 mod common;
 
@@ -10,7 +10,7 @@
 };
 use prost::Message;
 
-/// All parts of the next update.
+/// Returns all parts of the next update.
 fn parts(node: &mut Node, server: &mut Server) -> Vec<Update> {
     let mut parts = Vec::new();
     loop {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_change_of_what_a_node_does_not_want_moves_its_position_only() {
+fn a_change_of_an_unwanted_resource_moves_the_position_only() {
     let mut server = filled_publisher();
     let mut node = caught_up_node(&mut server);
     publish(&mut server, &[quota("b", "other", 1.0)]);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_snapshot_cut_off_at_each_chunk_leaves_the_state_as_it_was() {
+fn a_snapshot_truncated_at_any_part_leaves_the_state_unchanged() {
     let mut server = filled_publisher();
     let mut probe = node("probe");
     probe.connect(&mut server);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_part_that_is_missing_or_repeated_ends_the_connection_and_leaves_the_state_as_it_was() {
+fn a_missing_or_repeated_part_is_an_error_and_leaves_the_state_unchanged() {
     let mut server = filled_publisher();
     for missing in [true, false] {
         let mut node = node("one");
@@ -91,15 +91,15 @@
 #[test]
 fn a_wrong_checksum_or_a_changed_value_is_refused() {
     let mut server = filled_publisher();
-    let spoil: [fn(&mut Vec<Update>); 2] = [
+    let corrupt: [fn(&mut Vec<Update>); 2] = [
         |parts| parts.last_mut().unwrap().checksum ^= 1,
         |parts| parts[1].resources[0].value = Some(quota_value(9.0)),
     ];
-    for spoil in spoil {
+    for corrupt in corrupt {
         let mut node = node("one");
         node.connect(&mut server);
         let mut parts = parts(&mut node, &mut server);
-        spoil(&mut parts);
+        corrupt(&mut parts);
         let last = parts.pop().unwrap();
         for part in parts {
             node.receive(&mut server, part).unwrap();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_relay_that_answers_with_an_older_epoch_is_not_believed() {
+fn an_update_of_an_older_epoch_is_refused() {
     let mut server = filled_publisher();
     let mut node = caught_up_node(&mut server);
     node.subscription.observe_epoch(2);
@@ -133,7 +133,7 @@
     let error = node.receive(&mut server, part).unwrap_err();
     assert_eq!(error, UpdateError::OlderEpoch { highest: 2, update: 1 });
     assert_eq!(node.store.position(), position(1, 1));
-    // Nor does it take the node on again, and it learns that it is behind.
+    // The relay does not accept the node again, and observes the later epoch.
     node.disconnect(&mut server);
     let reason = SubscribeError::OlderEpoch { own: 1, observed: 2 };
     assert_eq!(node.try_connect(&mut server, 0), Admission::Refused { reason });
@@ -152,7 +152,7 @@
     publish(&mut server, &[quota("a", "tenant-000", 2.0)]);
     let differences = parts(&mut node, &mut server).remove(0);
     node.receive(&mut server, differences.clone()).unwrap();
-    // Both come once more, late.
+    // Both parts arrive a second time, late.
     let error = node.receive(&mut server, differences).unwrap_err();
     let (applied, base) = (Some(position(1, 2)), Some(position(1, 1)));
     assert_eq!(error, UpdateError::WrongBase { applied, base });
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_name_deleted_and_made_again_while_a_node_is_away_has_its_new_value() {
+fn a_name_deleted_and_created_again_while_a_node_is_disconnected_has_its_new_value() {
     for tombstones in [0, 10] {
         let store = Store::new(1, StoreLimits { tombstones });
         let mut server = Server::new("publisher", "north", store, unbounded_limits());
@@ -198,14 +198,14 @@
 }
 
 #[test]
-fn a_node_at_a_revision_before_the_horizon_or_that_never_was_is_sent_a_snapshot() {
+fn a_node_at_a_position_before_the_horizon_or_outside_the_history_is_sent_a_snapshot() {
     let store = Store::new(1, StoreLimits { tombstones: 0 });
     let mut server = Server::new("publisher", "north", store, unbounded_limits());
     publish(&mut server, &[quota("a", "one", 1.0)]);
     publish(&mut server, &[quota("a", "two", 1.0)]);
     publish(&mut server, &[deletion("a", "one")]);
     server.store_mut().new_epoch();
-    // No longer held, never held on this line, and of an epoch that never was.
+    // The positions are before the horizon, never reached by this history, and of an epoch that never existed.
     for applied in [position(1, 1), position(1, 9), position(0, 7)] {
         let mut node = node("one");
         node.subscription =
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn two_publishers_after_a_cut_the_old_one_is_fenced_and_nodes_on_the_fork_end_equal() {
+fn after_a_partition_the_old_publisher_is_fenced_and_nodes_on_the_fork_converge() {
     let mut old = filled_publisher();
     let mut new = old.clone();
     let (mut forked, mut moved) = (node("forked"), node("moved"));
@@ -263,10 +263,10 @@
         node.connect(&mut old);
         node.catch_up(&mut old);
     }
-    // A cut: the second one takes over, and both are published to.
+    // The network is partitioned: the second publisher takes over, and changes are published at both.
     new.store_mut().new_epoch();
     publish(&mut new, &[quota("a", "tenant-000", 2.0), deletion("a", "tenant-002")]);
-    // The new line is longer than the fork, so that only its epochs tell them apart.
+    // The new history is longer than the fork, so that only the epochs distinguish them.
     for n in 3..10 {
         publish(&mut new, &[quota("a", &format!("tenant-{n:03}"), 2.0)]);
     }
@@ -283,12 +283,12 @@
     for node in [&forked, &moved] {
         node.assert_equals(new.store());
     }
-    // One that knows of the new epoch fences the old publisher.
+    // A node that has observed the new epoch fences the old publisher.
     moved.disconnect(&mut new);
     let reason = SubscribeError::OlderEpoch { own: 1, observed: 2 };
     assert_eq!(moved.try_connect(&mut old, 0), Admission::Refused { reason });
     assert!(old.store_mut().publish(&[quota("a", "tenant-001", 5.0)], None).is_err());
-    // The old publisher begins anew as a subscriber of the new one.
+    // The old publisher restarts as a subscriber of the new one.
     let mut follower = Node::new("old", Interest::everything());
     follower.store = old.store().clone();
     let saved = Some(old.store().position());
--- a/crates/ochrewalk-distribution/tests/watches.rs
+++ b/crates/ochrewalk-distribution/tests/watches.rs
@@ -1,4 +1,4 @@
-//! What a subscriber asks for and reports: single names, rejections, and requests that are refused.
+//! The requests and reports of a subscriber: single names, rejections, and requests that are refused.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use ochrewalk_distribution::{Admission, Interest, NextUpdate, SubscribeError};
 
 #[test]
-fn a_rejected_update_is_not_sent_again_until_there_is_a_later_one() {
+fn a_rejected_update_is_not_sent_again_before_a_later_position_exists() {
     let mut server = filled_publisher();
     let mut node = caught_up_node(&mut server);
     publish(&mut server, &[quota("a", "tenant-000", 2.0)]);
@@ -19,7 +19,7 @@
     let status = server.status();
     assert_eq!((status.in_force[0].position, status.rejections.len()), (position(1, 1), 1));
     publish(&mut server, &[quota("a", "tenant-001", 2.0)]);
-    // From what is applied, so the rejected change comes again together with the new one.
+    // The differences start at the applied position, so that the rejected change is sent again together with the new one.
     let updates = node.catch_up(&mut server);
     assert!(updates.len() == 1 && updates[0].resources.len() == 2);
     node.assert_equals(server.store());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn nothing_further_is_sent_before_the_report_on_an_update() {
+fn no_further_update_is_sent_before_the_report_on_the_last_one() {
     let mut server = filled_publisher();
     let mut node = node("one");
     node.connect(&mut server);
@@ -69,7 +69,7 @@
     node.next_update(&mut server);
     assert_eq!(node.reconnect(&mut server).len(), 1);
     node.assert_equals(server.store());
-    // Once it is applied, it is not.
+    // A name whose answer was applied is not requested again.
     assert!(node.reconnect(&mut server).is_empty());
 }
 
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_answer_to_a_watch_before_a_name_was_removed_and_added_again_is_not_taken_for_the_later_one() {
+fn an_answer_to_an_earlier_watch_is_ignored_after_its_name_was_removed_and_added_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
     let mut node = caught_up_node(&mut server);
@@ -142,12 +142,12 @@
     let remove = Watch { add: Vec::new(), remove: vec![name.clone()] };
     node.watch(&mut server, &add);
     let part = node.next_part(&mut server, &mut 0).unwrap();
-    // Both are on their way while the answer to the first one is.
+    // Both watches are in flight at the same time as the answer to the first one.
     node.subscription.watch(&remove);
     node.subscription.watch(&add);
     node.receive(&mut server, part).unwrap();
     assert!(node.store.get(&name).is_none());
-    // The server takes over the removal only, and the connection ends.
+    // The server processes the removal only, and the connection ends.
     server.watch(node.id.unwrap(), &remove).unwrap();
     publish(&mut server, &[quota("b", "tenant", 2.0)]);
     node.catch_up(&mut server);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_deletion_in_an_update_under_way_is_applied_although_the_name_is_watched_again() {
+fn a_deletion_in_an_update_in_progress_is_applied_although_the_name_is_watched_again() {
     let mut server = filled_publisher();
     publish(&mut server, &[quota("b", "tenant", 1.0)]);
     let mut node = caught_up_node(&mut server);
@@ -168,12 +168,12 @@
     assert!(node.store.get(&name).is_some());
     publish(&mut server, &[deletion("b", "tenant")]);
     let part = node.next_part(&mut server, &mut 0).expect("there is an update");
-    // The update was begun before the server hears of the second watch.
+    // The update began before the server received the second watch.
     node.watch(&mut server, &add);
-    node.receive(&mut server, part).expect("the part is right");
+    node.receive(&mut server, part).expect("the part is valid");
     node.assert_equals(server.store());
     assert!(node.store.get(&name).is_none());
-    // The second watch is answered as well.
+    // The second watch is answered too.
     assert_eq!(node.catch_up(&mut server)[0].absent, [name]);
     node.assert_equals(server.store());
 }
--- a/crates/ochrewalk-distribution/tests/wire_format.rs
+++ b/crates/ochrewalk-distribution/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! Each message of the distribution as it stands on the wire: recorded frames are read and written back byte for byte.
+//! The wire format of each message of the distribution: recorded frames are decoded and encoded again byte for byte.
 
 mod common;
 
@@ -16,7 +16,7 @@
     ResourceName::new(ResourceKind::Route, "shop", "GET /orders")
 }
 
-/// A resource of each kind, and a deleted one.
+/// Returns a resource of each kind, and a deleted one.
 fn resources() -> Vec<Resource> {
     let named = |kind, value| Resource {
         revision: 300,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The messages between a subscriber and its server.
+/// Returns the messages between a subscriber and its server.
 fn stream_messages() -> Vec<(&'static str, Body)> {
     let subscribe = Subscribe {
         version: 1,
@@ -85,7 +85,7 @@
     ]
 }
 
-/// The requests of operators and the replies to them.
+/// Returns the requests of operators and the replies to them.
 fn operator_messages() -> Vec<(&'static str, Body)> {
     let changes = resources();
     let expected = Some(position(2, 300));
