--- a/crates/ochrewalk-control-plane/src/agent/mod.rs
+++ b/crates/ochrewalk-control-plane/src/agent/mod.rs
@@ -1,15 +1,15 @@
-//! The socket side of a subscriber, in a node or in a relay: it holds a connection to one of its relays, passes complete
-//! updates to a [`ConfigurationSink`], and reports their outcome. What it does is decided by the state machines of
-//! `ochrewalk-distribution`.
+//! The socket side of a subscriber, in a node or in a relay. The agent maintains a connection to one of its relays,
+//! passes complete updates to a [`ConfigurationSink`], and reports their outcome. The state machines of
+//! `ochrewalk-distribution` make its decisions.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | waiting | the time of the next attempt has come | connecting |
 //! | connecting | the first update or heartbeat | subscribed |
-//! | connecting | nothing for 1.5 s, an error, or a refusal | waiting; that relay is attempted again after a backoff |
+//! | connecting | nothing received for 1.5 s, an error, or a refusal | waiting; that relay is attempted again after a backoff |
 //! | connecting | asked to retry later | waiting; that relay is not attempted before |
-//! | subscribed | nothing for 1.5 s, or an error | waiting; that relay is attempted again after a backoff |
-//! | subscribed to another one | the first choice was healthy for long enough | waiting, to connect to the first choice at once |
+//! | subscribed | nothing received for 1.5 s, or an error | waiting; that relay is attempted again after a backoff |
+//! | subscribed to another relay | the first choice was healthy for the required time | waiting, to connect to the first choice at once |
 
 mod probe;
 mod settings;
@@ -29,23 +29,24 @@
 use probe::Probe;
 pub use settings::{AgentCounters, AgentSettings};
 
-/// A relay that sends nothing for this time counts as failed, in microseconds: three heartbeats.
+/// The time after which a relay that sends nothing counts as failed, in microseconds: three heartbeats.
 pub const RELAY_TIMEOUT_US: u64 = 1_500_000;
-/// How long a connection may take until the relay first sends something.
+/// The time within which the relay has to send its first message on a connection.
 const CONNECT_TIMEOUT_US: u64 = 1_500_000;
-/// Reads before others on the same event loop get their turn.
-const MAX_READS_IN_TURN: usize = 64;
+/// The most reads per turn before other connections on the same event loop are read.
+const MAX_READS_PER_TURN: usize = 64;
 
 /// Applies the updates of a subscription.
 pub trait ConfigurationSink {
-    /// Why an update cannot be applied; its text is reported to the relay.
+    /// The reason why an update cannot be applied; its text is reported to the relay.
     type Error: fmt::Display;
 
-    /// Brings a complete update into force.
+    /// Applies a complete update.
     ///
     /// # Errors
     ///
-    /// Where the update cannot be applied. All of it is left out then, and the earlier one stays in force.
+    /// Returns an error if the update cannot be applied. None of its changes is applied then, and the previous state
+    /// stays in force.
     fn apply(&mut self, update: &CompleteUpdate) -> Result<(), Self::Error>;
 }
 
@@ -68,19 +69,19 @@
     probe: Option<Probe>,
     probe_token: Token,
     counters: AgentCounters,
-    /// How old the relay's own state was at its last heartbeat.
+    /// The age of the relay's own state at its last heartbeat.
     source_age_ms: u64,
-    /// More may wait to be read, and the event loop will not report that again.
+    /// Whether more may be readable that the event loop will not report again.
     has_unread: bool,
 }
 
 impl Agent {
-    /// An agent that begins to connect when it is first driven. It uses `token` and the one after it. `saved` is the position
-    /// of the persisted state.
+    /// Creates an agent that begins to connect when it is first driven. The agent uses `token` and the next one. `saved`
+    /// is the position of the persisted state.
     ///
     /// # Errors
     ///
-    /// Where the settings name no relay.
+    /// Returns an error if the settings name no relay.
     pub fn new(settings: AgentSettings, saved: Option<Position>, token: Token) -> Result<Agent, NoRelays> {
         let AgentSettings { node, region, relays, interest, limits, choice, max_names, seed } = settings;
         let addresses: HashMap<String, SocketAddr> =
@@ -101,23 +102,23 @@
         })
     }
 
-    /// The position in force.
+    /// Returns the position in force.
     pub fn position(&self) -> Option<Position> {
         self.subscription.position()
     }
 
-    /// The age of what is in force, in milliseconds: the time since the relay last sent anything, and the age that the
-    /// relay's own state had then. None before the relay sent anything.
+    /// Returns the age of the state in force, in milliseconds: the time since the relay last sent a message, plus the age
+    /// of the relay's own state at that time. Returns `None` before the relay has sent a message.
     pub fn age_ms(&self, now_us: u64) -> Option<u64> {
         Some(self.subscription.age_ms(now_us)? + self.source_age_ms)
     }
 
-    /// Whether it is subscribed to a relay.
+    /// Whether the agent is subscribed to a relay.
     pub fn is_connected(&self) -> bool {
         matches!(self.link, Link::Subscribed { .. })
     }
 
-    /// Its counters so far.
+    /// Returns the counters of the agent.
     pub fn counters(&self) -> AgentCounters {
         let open = match &self.link {
             Link::Waiting { .. } => (0, 0),
@@ -132,35 +133,35 @@
         }
     }
 
-    /// A single name whose value is part of the state that was persisted.
+    /// Adds a single name whose value is part of the persisted state.
     pub fn restore_present(&mut self, name: &ResourceName, now_us: u64) {
         self.demand.restore_present(name, now_us);
     }
 
-    /// A single name of which there was nothing in the state that was persisted.
+    /// Adds a single name that had no resource in the persisted state.
     pub fn restore_absent(&mut self, name: &ResourceName, now_us: u64) {
         self.demand.restore_absent(name, now_us);
     }
 
-    /// A single name is needed. Returns the names that are no longer watched in its place.
+    /// Requests a single name. Returns the names that are no longer watched in exchange.
     pub fn request_name(&mut self, name: &ResourceName, now_us: u64) -> Vec<ResourceName> {
         let Some(watch) = self.demand.request(name, now_us) else { return Vec::new() };
         self.subscription.watch(&watch);
         let removed = watch.remove.clone();
         if let Link::Subscribed { connection } = &mut self.link {
-            // A connection that fails here is noticed by the next call of `drive`.
+            // The next call of `drive` detects a connection that fails here.
             let _ = connection.send(Body::Watch(watch));
         }
         removed
     }
 
-    /// Whether a single name was requested, and with what result.
+    /// Returns the state of a single name, or `None` if it is not watched.
     pub fn name_state(&self, name: &ResourceName) -> Option<DemandState> {
         self.demand.state(name)
     }
 
-    /// Sends the status of a relay's region, unless an earlier message still waits to be written. The caller sends it again
-    /// at the next interval.
+    /// Sends the status of a relay's region, unless an earlier message is still waiting to be written. The caller sends
+    /// the status again at the next interval.
     pub fn send_status(&mut self, status: RegionStatus) {
         if let Link::Subscribed { connection } = &mut self.link {
             if connection.is_flushed() {
@@ -169,13 +170,13 @@
         }
     }
 
-    /// Whether `token` is one of its own.
+    /// Whether `token` belongs to this agent.
     pub fn owns(&self, token: Token) -> bool {
         token == self.token || token == self.probe_token
     }
 
-    /// Connects, reads, applies and writes what can be now. Call it after each event of its tokens. Returns the time at which
-    /// to call again although nothing happens, in microseconds.
+    /// Connects, reads, applies and writes as far as possible without blocking. The caller calls this method after each
+    /// event of the agent's tokens. Returns the time of the next call if no event occurs before, in microseconds.
     pub fn drive(&mut self, registry: &Registry, now_us: u64, sink: &mut impl ConfigurationSink) -> u64 {
         if let Err(error) = self.read_and_write(now_us, sink) {
             self.disconnect(registry, now_us, &error);
@@ -195,13 +196,13 @@
         }
         let link_us = match &self.link {
             Link::Waiting { until_us } | Link::Connecting { until_us, .. } => *until_us,
-            Link::Subscribed { .. } => self.silent_at_us(now_us),
+            Link::Subscribed { .. } => self.receive_deadline_us(now_us),
         };
-        let probe_us = self.probe.as_ref().map_or(u64::MAX, Probe::until_us);
+        let probe_us = self.probe.as_ref().map_or(u64::MAX, Probe::deadline_us);
         link_us.min(probe_us).max(now_us + 1)
     }
 
-    fn silent_at_us(&self, now_us: u64) -> u64 {
+    fn receive_deadline_us(&self, now_us: u64) -> u64 {
         self.subscription.last_message_us().unwrap_or(now_us) + RELAY_TIMEOUT_US
     }
 
@@ -219,14 +220,14 @@
                 self.link = Link::Connecting { connection, until_us: now_us + CONNECT_TIMEOUT_US };
             }
             Err(error) => {
-                tracing::debug!(part = "config", "relay {address}: {error}");
+                tracing::debug!(part = "config", "cannot connect to relay {address}: {error}");
                 self.choice.failed(now_us);
                 self.link = Link::Waiting { until_us: now_us + 1 };
             }
         }
     }
 
-    /// Connects and subscribes; the operating system holds the message until the connection is established.
+    /// Connects and subscribes; the operating system buffers the message until the connection is established.
     fn open(&mut self, address: SocketAddr, registry: &Registry) -> Result<Connection, ConnectionError> {
         let mut connection = Connection::connect(address, self.token, registry, MAX_SUBSCRIBER_FRAME)?;
         connection.send(Body::Subscribe(self.subscription.subscribe_message()))?;
@@ -252,10 +253,10 @@
             self.handle_message(body, now_us, sink)?;
         }
         self.has_unread = received?;
-        let is_silent = now_us >= self.silent_at_us(now_us);
+        let has_timed_out = now_us >= self.receive_deadline_us(now_us);
         match &mut self.link {
             Link::Connecting { until_us, .. } if now_us >= *until_us => Err(ConnectionError::ReceiveTimeout),
-            Link::Subscribed { .. } if is_silent => Err(ConnectionError::ReceiveTimeout),
+            Link::Subscribed { .. } if has_timed_out => Err(ConnectionError::ReceiveTimeout),
             Link::Connecting { connection, .. } | Link::Subscribed { connection } => connection.flush(),
             Link::Waiting { .. } => Ok(()),
         }
@@ -296,7 +297,7 @@
         self.link = match link {
             Link::Connecting { connection, .. } => {
                 self.choice.connected();
-                tracing::info!(part = "config", "relay {} serves", self.choice.current());
+                tracing::info!(part = "config", "connected to relay {}", self.choice.current());
                 Link::Subscribed { connection }
             }
             other => other,
@@ -328,12 +329,12 @@
     fn disconnect(&mut self, registry: &Registry, now_us: u64, error: &ConnectionError) {
         self.close_link(registry, now_us);
         if !matches!(error, ConnectionError::RetryLater) {
-            tracing::info!(part = "config", "relay {}: {error}", self.choice.current());
+            tracing::info!(part = "config", "connection to relay {} failed: {error}", self.choice.current());
             self.choice.failed(now_us);
         }
     }
 
-    /// Probes the first choice while another relay serves, and returns to it once it was healthy for long enough.
+    /// Probes the first choice while another relay serves, and returns to it after it was healthy for the required time.
     fn probe_first_choice(&mut self, registry: &Registry, now_us: u64) {
         if let Some(mut probe) = self.probe.take() {
             let Some(result) = probe.result(now_us) else {
@@ -347,7 +348,7 @@
             return;
         }
         if self.choice.should_return(now_us) {
-            // The first choice is connected to at once.
+            // The agent connects to the first choice at once.
             self.choice.returned();
             return self.close_link(registry, now_us);
         }
@@ -359,7 +360,7 @@
         }
     }
 
-    /// Closes the connection, if there is one. An incomplete update is dropped.
+    /// Closes the connection, if one exists. An incomplete update is dropped.
     fn close_link(&mut self, registry: &Registry, now_us: u64) {
         let link = std::mem::replace(&mut self.link, Link::Waiting { until_us: now_us });
         if let Link::Connecting { connection, .. } | Link::Subscribed { connection } = link {
@@ -372,9 +373,9 @@
     }
 }
 
-/// Reads what was received, up to a bound. Returns whether more may wait.
+/// Reads the received messages, up to a bound. Returns whether more may be readable.
 fn receive_all(connection: &mut Connection, bodies: &mut Vec<Body>) -> Result<bool, ConnectionError> {
-    for _ in 0..MAX_READS_IN_TURN {
+    for _ in 0..MAX_READS_PER_TURN {
         if !connection.receive(|body| bodies.push(body))? {
             return Ok(false);
         }
--- a/crates/ochrewalk-control-plane/src/agent/probe.rs
+++ b/crates/ochrewalk-control-plane/src/agent/probe.rs
@@ -1,4 +1,4 @@
-//! A connection to the first choice among the relays, made while another one serves, to see whether it is healthy.
+//! Probes of the first choice among the relays: connections, opened while another relay serves, that test its health.
 
 use super::CONNECT_TIMEOUT_US;
 use crate::connection::Connection;
@@ -8,11 +8,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// One probe under way.
+/// A probe in progress.
 #[derive(Debug)]
 pub(super) struct Probe {
     connection: Connection,
-    until_us: u64,
+    deadline_us: u64,
 }
 
 impl Probe {
@@ -24,26 +24,26 @@
         now_us: u64,
     ) -> io::Result<Probe> {
         let connection = Connection::connect(address, token, registry, MAX_SUBSCRIBER_FRAME)?;
-        Ok(Probe { connection, until_us: now_us + CONNECT_TIMEOUT_US })
+        Ok(Probe { connection, deadline_us: now_us + CONNECT_TIMEOUT_US })
     }
 
-    /// When it is unhealthy if nothing happens until then, in microseconds.
-    pub(super) fn until_us(&self) -> u64 {
-        self.until_us
+    /// Returns the time at which the probe finds the relay unhealthy if no event occurs before, in microseconds.
+    pub(super) fn deadline_us(&self) -> u64 {
+        self.deadline_us
     }
 
-    /// What it found; none while it is under way.
+    /// Returns the result of the probe, or `None` while it is in progress.
     pub(super) fn result(&mut self, now_us: u64) -> Option<ProbeResult> {
-        // Nothing can be read from an established connection yet; one that was refused says so when it is read.
+        // An established connection has no data to read yet; a read returns the error of a refused connection.
         let has_nothing_to_read = matches!(self.connection.receive(|_| ()), Ok(false));
         if has_nothing_to_read && self.connection.is_established() {
             return Some(ProbeResult::Healthy);
         }
-        let is_over = now_us >= self.until_us || self.connection.is_broken();
-        is_over.then_some(ProbeResult::Unhealthy)
+        let is_unhealthy = now_us >= self.deadline_us || self.connection.is_broken();
+        is_unhealthy.then_some(ProbeResult::Unhealthy)
     }
 
-    /// Takes the connection out of the event loop and closes it.
+    /// Removes the connection from the event loop and closes it.
     pub(super) fn close(self, registry: &Registry) {
         self.connection.deregister(registry);
     }
--- a/crates/ochrewalk-control-plane/src/agent/settings.rs
+++ b/crates/ochrewalk-control-plane/src/agent/settings.rs
@@ -1,22 +1,22 @@
-//! Settings of an agent, and its counters.
+//! The settings of an agent, and its counters.
 
 use ochrewalk_distribution::{Interest, RelayChoiceLimits, SubscriptionLimits};
 use std::net::SocketAddr;
 
-/// The identity of an agent, and what it wants.
+/// The identity of an agent, and the resources that it wants.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
     /// The name of the subscriber, unique in the fleet.
     pub node: String,
-    /// The region that it runs in.
+    /// The region of the subscriber.
     pub region: String,
     /// The servers that it may follow.
     pub relays: Vec<SocketAddr>,
-    /// What it wants from the start.
+    /// The resources that the agent wants from the start.
     pub interest: Interest,
-    /// Bounds on what it is sent.
+    /// The bounds on updates that the agent is sent.
     pub limits: SubscriptionLimits,
-    /// Times of attempts, probes and returns.
+    /// The times of attempts, probes and returns.
     pub choice: RelayChoiceLimits,
     /// The most single names watched at a time.
     pub max_names: usize,
@@ -24,17 +24,17 @@
     pub seed: u64,
 }
 
-/// What an agent has done, for measurements and logs.
+/// The counters of an agent, for measurements and logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AgentCounters {
-    /// Connections begun.
+    /// The number of connections begun.
     pub connections: u64,
-    /// Complete updates applied.
+    /// The number of complete updates applied.
     pub updates: u64,
-    /// Complete updates rejected.
+    /// The number of complete updates rejected.
     pub rejected: u64,
-    /// Bytes received.
+    /// The number of bytes received.
     pub bytes_in: u64,
-    /// Bytes sent.
+    /// The number of bytes sent.
     pub bytes_out: u64,
 }
--- a/crates/ochrewalk-control-plane/src/connection.rs
+++ b/crates/ochrewalk-control-plane/src/connection.rs
@@ -11,43 +11,43 @@
 /// The most bytes of one read.
 const READ_CHUNK: usize = 64 * 1024;
 
-/// Why a connection is closed.
+/// The reason why a connection is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
     /// The peer closed the connection.
-    #[error("the peer closed it")]
+    #[error("the peer closed the connection")]
     Closed,
-    /// The peer sent nothing for too long.
-    #[error("it says nothing")]
+    /// The peer sent nothing within the timeout.
+    #[error("the peer sent nothing within the timeout")]
     ReceiveTimeout,
-    /// The peer did not read for too long.
-    #[error("it does not read")]
+    /// The peer did not read within the timeout.
+    #[error("the peer did not read within the timeout")]
     SendTimeout,
-    /// A part of an update that does not fit what came before.
-    #[error("it sends what it should not: {0}")]
+    /// A part of an update is inconsistent with the earlier parts or the applied position.
+    #[error("invalid update: {0}")]
     Update(#[from] UpdateError),
-    /// A watch of invalid names, or of too many.
-    #[error("it sends what it should not: {0}")]
+    /// A watch contains invalid names or too many names.
+    #[error("invalid watch: {0}")]
     Watch(SubscribeError),
-    /// A message that relays do not send.
-    #[error("it sends what it should not: a message that relays do not send")]
+    /// The peer sent a message that relays do not send.
+    #[error("unexpected message from the relay")]
     UnexpectedFromRelay,
-    /// A message that subscribers do not send.
-    #[error("it sends what it should not: unexpected message {kind}")]
+    /// The peer sent a message that subscribers do not send.
+    #[error("unexpected message from the subscriber: {kind}")]
     UnexpectedFromSubscriber {
-        /// The kind of message.
+        /// The kind of the message.
         kind: &'static str,
     },
     /// The relay asked to connect again later.
-    #[error("it asks to connect again later")]
+    #[error("the relay asked to connect again later")]
     RetryLater,
     /// The relay refused the subscriber.
-    #[error("it refuses: {}", reasons.join("; "))]
+    #[error("the relay refused the subscription: {}", reasons.join("; "))]
     Refused {
-        /// Why, as the relay says.
+        /// The reasons that the relay sent.
         reasons: Vec<String>,
     },
-    /// Bytes that are no message.
+    /// The received bytes are not a valid message.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The operating system reported an error.
@@ -62,27 +62,27 @@
     token: Token,
     decoder: FrameDecoder,
     outbound: Vec<u8>,
-    /// Bytes of `outbound` that were written already.
+    /// The number of bytes of `outbound` that were already written.
     written: usize,
-    /// Bytes received since the connection began.
+    /// The bytes received since the connection began.
     pub bytes_in: u64,
-    /// Bytes sent since the connection began.
+    /// The bytes sent since the connection began.
     pub bytes_out: u64,
 }
 
 impl Connection {
-    /// Registers a stream that was accepted or begins to connect. Messages of more than `max_frame` bytes are refused.
+    /// Registers a stream that was accepted or is being connected. Messages of more than `max_frame` bytes are refused.
     ///
     /// # Errors
     ///
-    /// Where the event loop does not accept the stream.
+    /// Returns an error if the event loop does not accept the stream.
     pub fn register(
         mut stream: TcpStream,
         token: Token,
         registry: &Registry,
         max_frame: usize,
     ) -> io::Result<Connection> {
-        // Messages are small and waited for: Nagle's algorithm would delay them.
+        // Messages are small and the peer waits for them; Nagle's algorithm would delay them.
         let _ = stream.set_nodelay(true);
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         let decoder = FrameDecoder::new(max_frame);
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Where the operating system refuses at once, or the event loop does not accept the stream.
+    /// Returns an error if the operating system refuses at once, or the event loop does not accept the stream.
     pub fn connect(
         address: SocketAddr,
         token: Token,
@@ -103,31 +103,31 @@
         Connection::register(TcpStream::connect(address)?, token, registry, max_frame)
     }
 
-    /// The token that it was registered under.
+    /// Returns the token under which the connection is registered.
     pub fn token(&self) -> Token {
         self.token
     }
 
-    /// Whether nothing waits to be written, so that the next message may be built.
+    /// Whether all messages have been written, so that the next message may be built.
     pub fn is_flushed(&self) -> bool {
         self.outbound.is_empty()
     }
 
-    /// Appends a message to what waits to be written, and writes what the operating system takes.
+    /// Appends a message to the output buffer, and writes as much as the operating system accepts.
     ///
     /// # Errors
     ///
-    /// Where the connection is closed or broken.
+    /// Returns an error if the connection is closed or broken.
     pub fn send(&mut self, body: Body) -> Result<(), ConnectionError> {
         frame::encode(body, &mut self.outbound);
         self.flush()
     }
 
-    /// Writes what the operating system takes; nothing while the connection is not established.
+    /// Writes as much of the output buffer as the operating system accepts; nothing before the connection is established.
     ///
     /// # Errors
     ///
-    /// Where the connection is closed or broken.
+    /// Returns an error if the connection is closed or broken.
     pub fn flush(&mut self) -> Result<(), ConnectionError> {
         while self.written < self.outbound.len() {
             match self.stream.write(&self.outbound[self.written..]) {
@@ -146,12 +146,12 @@
         Ok(())
     }
 
-    /// Reads what was received, up to a bound, and passes each complete message to `handle` in order. Returns whether more
-    /// may wait.
+    /// Reads the received bytes, up to a bound, and passes each complete message to `handle` in order. Returns whether
+    /// more may be readable.
     ///
     /// # Errors
     ///
-    /// Where the connection is closed or broken, or the bytes are no message.
+    /// Returns an error if the connection is closed or broken, or the bytes are not a valid message.
     pub fn receive(&mut self, mut handle: impl FnMut(Body)) -> Result<bool, ConnectionError> {
         let mut chunk = vec![0; READ_CHUNK];
         let count = match self.stream.read(&mut chunk) {
@@ -174,12 +174,12 @@
         self.stream.peer_addr().is_ok()
     }
 
-    /// Whether the operating system has given the connection up.
+    /// Whether the operating system reports an error of the connection.
     pub fn is_broken(&self) -> bool {
         !matches!(self.stream.take_error(), Ok(None))
     }
 
-    /// Closes the writing side; what the peer sends may still be read.
+    /// Closes the sending direction; messages of the peer can still be received.
     pub fn shut_write(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
--- a/crates/ochrewalk-control-plane/src/frame.rs
+++ b/crates/ochrewalk-control-plane/src/frame.rs
@@ -1,64 +1,66 @@
-//! Envelopes on a byte stream, each behind its length as a varint. No I/O: bytes in, messages out.
+//! Framing of envelopes on a byte stream, each prefixed with its length as a varint. The decoder does no I/O: it takes
+//! bytes and returns messages.
 
 use ochrewalk_distribution::messages::{Body, Envelope};
 use prost::encoding::decode_varint;
 use prost::Message;
 
-/// The longest envelope between servers and subscribers, in bytes: a bound on the memory that a peer can take.
+/// The longest envelope between servers and subscribers, in bytes. The limit bounds the memory that a peer can use.
 pub const MAX_SUBSCRIBER_FRAME: usize = 1024 * 1024;
-/// The longest envelope of an operator, in bytes: enough for the largest batch of changes.
+/// The longest envelope of an operator, in bytes, which is enough for the largest batch of changes.
 pub const MAX_OPERATOR_FRAME: usize = 16 * 1024 * 1024;
-/// A varint of 64 bits has at most so many bytes.
+/// The longest encoding of a varint of 64 bits.
 const MAX_VARINT_BYTES: usize = 10;
 
-/// Why nothing more can be read from a stream.
+/// The reason why no more messages can be read from a stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length of a message is above the bound.
-    #[error("a message of {length} bytes, {limit} at most are taken")]
+    /// A message is longer than the limit.
+    #[error("a message of {length} bytes exceeds the limit of {limit} bytes")]
     TooLong {
-        /// The length that was announced, in bytes.
+        /// The announced length, in bytes.
         length: u64,
-        /// The bound, in bytes.
+        /// The limit, in bytes.
         limit: usize,
     },
-    /// The bytes are no message.
-    #[error("a message that cannot be decoded")]
+    /// The bytes are not a valid message.
+    #[error("malformed message")]
     Malformed,
 }
 
-/// Appends a message with its length to `out`.
+/// Appends a message, prefixed with its length, to `out`.
 pub fn encode(body: Body, out: &mut Vec<u8>) {
     let envelope = Envelope { body: Some(body) };
     out.append(&mut envelope.encode_length_delimited_to_vec());
 }
 
-/// Joins bytes into messages, however they were split.
+/// Assembles messages from received bytes, regardless of how the bytes were split.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that were decoded already.
+    /// The number of bytes of `buffer` that were already decoded.
     consumed: usize,
     limit: usize,
 }
 
 impl FrameDecoder {
-    /// Accepts messages of at most `limit` bytes.
+    /// Creates a decoder that accepts messages of at most `limit` bytes.
     pub fn new(limit: usize) -> FrameDecoder {
         FrameDecoder { buffer: Vec::new(), consumed: 0, limit }
     }
 
-    /// Adds bytes that were received.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete message; none where more bytes are needed. An envelope whose body is not known to this version is
-    /// skipped.
+    /// Returns the next complete message, or `None` if more bytes are needed. An envelope whose body this version does
+    /// not know is skipped.
     ///
     /// # Errors
     ///
-    /// Where the bytes are no message, or the message is too long. Nothing after it can be read.
+    /// Returns an error if the bytes are not a valid message, or the message is too long. No later message can be read
+    /// then.
     pub fn next_message(&mut self) -> Result<Option<Body>, FrameError> {
         loop {
             let Some((start, end)) = self.next_frame()? else {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Where the next message begins and ends in the buffer, once all of it is there.
+    /// Returns the start and end of the next message in the buffer, or `None` until the message is complete.
     fn next_frame(&self) -> Result<Option<(usize, usize)>, FrameError> {
         let rest = &self.buffer[self.consumed..];
         let has_length = rest.iter().take(MAX_VARINT_BYTES).any(|byte| byte & 0x80 == 0);
@@ -95,7 +97,7 @@
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
         if self.buffer.is_empty() {
-            // A large message is seldom followed by another: its memory is released.
+            // Large messages rarely follow one another, so that the memory of the buffer is released.
             self.buffer = Vec::new();
         }
     }
