--- a/crates/ochrewalk-control-plane/src/control.rs
+++ b/crates/ochrewalk-control-plane/src/control.rs
@@ -1,5 +1,5 @@
-//! The publisher's control socket: operators of the same user send requests there, one a connection. A thread of its own
-//! waits for them, so that a client that connects and sends nothing does not delay the event loop.
+//! The publisher's control socket: operators of the same user send requests to it, one per connection. A separate thread
+//! accepts the connections, so that a client that connects and sends nothing does not delay the event loop.
 
 use crate::frame::{self, FrameDecoder, MAX_OPERATOR_FRAME};
 use mio::Waker;
@@ -13,30 +13,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a client may take to write its request or to read the reply.
+/// The time within which a client has to write its request or to read the reply.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// The most requests at a time: each has a thread while it lasts.
+/// The most concurrent requests; each one uses a thread.
 const MAX_REQUESTS: usize = 16;
 const READ_CHUNK: usize = 64 * 1024;
 
 /// A request of an operator.
 #[derive(Debug)]
 pub struct Request {
-    /// The request.
+    /// The content of the request.
     pub body: Body,
-    /// Takes the reply; only one is read.
+    /// The channel for the reply; only one reply is read.
     pub reply: Sender<Body>,
 }
 
-/// Why a request got no reply.
+/// The reason why a request got no reply.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     /// The socket cannot be used.
     #[error("{path}: {source}")]
     Io {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The publisher closed the connection without a reply.
@@ -44,40 +44,40 @@
     NoReply(PathBuf),
 }
 
-/// Listens at `path`, in place of a socket that a killed publisher left. Requests arrive at the receiver, and the event loop
-/// is woken for each.
+/// Listens at `path`, and replaces a socket that a killed publisher left behind. Requests are sent to the returned
+/// receiver, and the event loop is woken for each of them.
 ///
 /// # Errors
 ///
-/// Where the socket or its thread cannot be made.
+/// Returns an error if the socket or its thread cannot be created.
 pub fn listen(path: &Path, waker: Arc<Waker>) -> io::Result<Receiver<Request>> {
     let listener = bind(path)?;
     let (sender, receiver) = channel();
     std::thread::Builder::new().name("control".into()).spawn(move || {
-        let slots = Arc::new(());
+        let active_requests = Arc::new(());
         for stream in listener.incoming().flatten() {
-            if Arc::strong_count(&slots) > MAX_REQUESTS {
+            if Arc::strong_count(&active_requests) > MAX_REQUESTS {
                 continue;
             }
-            let (sender, waker, slot) = (sender.clone(), waker.clone(), slots.clone());
+            let (sender, waker, slot) = (sender.clone(), waker.clone(), active_requests.clone());
             let served = std::thread::Builder::new().spawn(move || {
                 let _ = serve(stream, &sender, &waker);
                 drop(slot);
             });
             if served.is_err() {
-                tracing::warn!(part = "config", "no thread for a request of an operator");
+                tracing::warn!(part = "config", "cannot start a thread for an operator's request");
             }
         }
     })?;
     Ok(receiver)
 }
 
-/// A socket for this user alone, in the place of one that may still be there from a process that was killed or has handed
-/// over.
+/// Binds a socket that only this user may use, and replaces one that was left behind by a process that was killed or has
+/// handed over.
 ///
 /// # Errors
 ///
-/// Where the socket cannot be made at `path`.
+/// Returns an error if the socket cannot be created at `path`.
 pub fn bind(path: &Path) -> io::Result<UnixListener> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(".new");
@@ -95,8 +95,8 @@
     let reply = if is_owner(&stream) {
         let Some(body) = read_message(&mut stream)? else { return Ok(()) };
         let (reply, reply_receiver) = channel();
-        let not_running = io::Error::from(io::ErrorKind::BrokenPipe);
-        requests.send(Request { body, reply }).map_err(|_| not_running)?;
+        let broken_pipe = io::Error::from(io::ErrorKind::BrokenPipe);
+        requests.send(Request { body, reply }).map_err(|_| broken_pipe)?;
         waker.wake()?;
         match reply_receiver.recv_timeout(TIMEOUT) {
             Ok(reply) => reply,
@@ -110,7 +110,7 @@
     stream.write_all(&out)
 }
 
-/// Whether the other side is a process of this user, or of root.
+/// Whether the peer is a process of this user, or of root.
 pub fn is_owner(stream: &UnixStream) -> bool {
     let own = rustix::process::geteuid();
     socket_peercred(stream).is_ok_and(|peer| peer.uid == own || peer.uid.is_root())
@@ -136,14 +136,14 @@
 ///
 /// # Errors
 ///
-/// Where the socket cannot be used, or no reply arrives in time.
+/// Returns an error if the socket cannot be used, or no reply arrives in time.
 pub fn send_request(path: &Path, body: Body) -> Result<Body, ControlError> {
-    let fault = |source| ControlError::Io { path: path.into(), source };
-    let mut stream = UnixStream::connect(path).map_err(fault)?;
-    stream.set_read_timeout(Some(2 * TIMEOUT)).map_err(fault)?;
-    stream.set_write_timeout(Some(TIMEOUT)).map_err(fault)?;
+    let io_error = |source| ControlError::Io { path: path.into(), source };
+    let mut stream = UnixStream::connect(path).map_err(io_error)?;
+    stream.set_read_timeout(Some(2 * TIMEOUT)).map_err(io_error)?;
+    stream.set_write_timeout(Some(TIMEOUT)).map_err(io_error)?;
     let mut out = Vec::new();
     frame::encode(body, &mut out);
-    stream.write_all(&out).map_err(fault)?;
-    read_message(&mut stream).map_err(fault)?.ok_or_else(|| ControlError::NoReply(path.into()))
+    stream.write_all(&out).map_err(io_error)?;
+    read_message(&mut stream).map_err(io_error)?.ok_or_else(|| ControlError::NoReply(path.into()))
 }
--- a/crates/ochrewalk-control-plane/src/publisher.rs
+++ b/crates/ochrewalk-control-plane/src/publisher.rs
@@ -1,6 +1,5 @@
-//! The publisher as a program: one event loop over its subscribers and the requests of operators. A batch is durable before
-//! any subscriber is sent it; where that fails, the batch is refused, and so is any further one until the program is started
-//! again.
+//! The publisher process: one event loop for its subscribers and the requests of operators. A batch is durable before any
+//! subscriber is sent it. If the write fails, the publisher refuses that batch and all later ones until it is restarted.
 
 use crate::clock::{unix_ms, Clock};
 use crate::control::{self, Request};
@@ -23,65 +22,65 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The token by which requests wake the event loop.
+/// The token with which requests wake the event loop.
 const WAKER: Token = Token(1);
 const MAX_EVENTS: usize = 1024;
-/// What catching up may take of the publisher's link, a quarter of a gigabit: its subscribers are a few dozen relays that
-/// each lack everything after a start, where a relay's are hundreds of nodes that lack little.
+/// The bandwidth for catching up, a quarter of a gigabit per second. The publisher's subscribers are a few dozen relays
+/// that each lack the complete state after a start, whereas a relay's subscribers are hundreds of nodes that lack little.
 const CATCH_UP_BYTES_PER_SECOND: u64 = 32_000_000;
-/// Rejections that a status lists for each region.
+/// The most rejections that a status lists for each region.
 const MAX_REJECTIONS: usize = 100;
-/// Reasons that a refusal lists.
+/// The most reasons that a refusal lists.
 const MAX_REASONS: usize = 100;
 
-/// Where a publisher listens and persists its state.
+/// The addresses and files of a publisher.
 #[derive(Clone, Debug)]
 pub struct PublisherSettings {
-    /// Where relays connect to.
+    /// The address to which relays connect.
     pub listen: SocketAddr,
-    /// The socket of operators.
+    /// The path of the control socket for operators.
     pub control: PathBuf,
-    /// The file of the durable log.
+    /// The path of the durable log.
     pub log: PathBuf,
-    /// Whether to begin an epoch above all others: this publisher takes over from another one.
+    /// Whether the publisher takes over from another one, and therefore begins an epoch above all others.
     pub takes_over: bool,
-    /// The most connections of relays at a time.
+    /// The most concurrent connections of relays.
     pub max_connections: usize,
 }
 
-/// Why a publisher cannot start or continue.
+/// The reason why a publisher cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum PublisherError {
     /// The log cannot be used.
     #[error("{path}: {source}")]
     Log {
-        /// The log.
+        /// The path of the log.
         path: PathBuf,
-        /// Why.
+        /// The error of the log.
         source: LogError,
     },
-    /// The listener of relays cannot be opened.
+    /// The listener for relays cannot be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Its address.
+        /// The address of the listener.
         address: SocketAddr,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The socket of operators cannot be opened.
+    /// The control socket cannot be opened.
     #[error("{path}: {source}")]
     Control {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The event loop failed.
-    #[error("the event loop: {0}")]
+    #[error("the event loop failed: {0}")]
     EventLoop(#[from] io::Error),
 }
 
-/// Why a request of an operator is refused.
+/// The reason why a request of an operator is refused.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error("{}", .0.join("; "))]
@@ -114,7 +113,7 @@
     requests: Receiver<Request>,
     waker: Arc<Waker>,
     clock: Clock,
-    /// The highest epoch that the log knows of.
+    /// The highest epoch that the log contains.
     logged_epoch: u64,
 }
 
@@ -123,50 +122,45 @@
     ///
     /// # Errors
     ///
-    /// Where the log, a listener or the event loop cannot be opened.
+    /// Returns an error if the log, a listener or the event loop cannot be opened.
     pub fn open(settings: &PublisherSettings) -> Result<Publisher, PublisherError> {
-        let log_fault = |source| PublisherError::Log { path: settings.log.clone(), source };
-        let (mut log, recovered) = PublisherLog::open(&settings.log).map_err(log_fault)?;
+        let log_error = |source| PublisherError::Log { path: settings.log.clone(), source };
+        let (mut log, recovered) = PublisherLog::open(&settings.log).map_err(log_error)?;
         let names = recovered.resources.len();
-        let mut store = recovered_store(recovered, &mut log).map_err(log_fault)?;
+        let mut store = recovered_store(recovered, &mut log).map_err(log_error)?;
         // An empty log begins the first epoch; a publisher that takes over begins the next one.
         if store.position().epoch == 0 || settings.takes_over {
-            let begun = store.new_epoch();
-            log.append(&begun, &store.order(), unix_ms()).map_err(log_fault)?;
+            let epoch_batch = store.new_epoch();
+            log.append(&epoch_batch, &store.order(), unix_ms()).map_err(log_error)?;
         }
         let (position, logged_epoch) = (store.position(), store.highest_epoch());
-        tracing::info!(
-            part = "config",
-            "{names} names restored, at {}.{}",
-            position.epoch,
-            position.revision
-        );
+        tracing::info!(part = "config", "restored {names} names at {}.{}", position.epoch, position.revision);
         let poll = Poll::new()?;
         let catch_up =
             CatchUpLimits { bytes_per_second: CATCH_UP_BYTES_PER_SECOND, ..CatchUpLimits::default() };
         let limits =
             ServerLimits { max_subscribers: settings.max_connections, catch_up, ..ServerLimits::default() };
         let server = Server::new("publisher", "", store, limits);
-        let listen_fault = |source| PublisherError::Listen { address: settings.listen, source };
+        let listen_error = |source| PublisherError::Listen { address: settings.listen, source };
         let subscribers =
             SubscriberServer::listen(settings.listen, server, settings.max_connections, poll.registry())
-                .map_err(listen_fault)?;
+                .map_err(listen_error)?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-        let control_fault = |source| PublisherError::Control { path: settings.control.clone(), source };
-        let requests = control::listen(&settings.control, waker.clone()).map_err(control_fault)?;
+        let control_error = |source| PublisherError::Control { path: settings.control.clone(), source };
+        let requests = control::listen(&settings.control, waker.clone()).map_err(control_error)?;
         Ok(Publisher { poll, subscribers, log, requests, waker, clock: Clock::start(), logged_epoch })
     }
 
-    /// Where relays connect to.
+    /// Returns the address to which relays connect.
     ///
     /// # Errors
     ///
-    /// Where the operating system does not say.
+    /// Returns an error if the operating system does not report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.subscribers.address()
     }
 
-    /// Wakes the event loop, so that it looks at `stop`.
+    /// Returns the waker of the event loop, which makes the loop check `stop`.
     pub fn waker(&self) -> Arc<Waker> {
         self.waker.clone()
     }
@@ -175,7 +169,7 @@
     ///
     /// # Errors
     ///
-    /// Where the event loop fails.
+    /// Returns an error if the event loop fails.
     pub fn run(&mut self, stop: &AtomicBool) -> Result<(), PublisherError> {
         let mut events = Events::with_capacity(MAX_EVENTS);
         while !stop.load(Ordering::Relaxed) {
@@ -199,21 +193,17 @@
         Ok(())
     }
 
-    /// A later epoch that was observed is persisted, so that a publisher that was fenced stays so after a restart.
+    /// Persists a later epoch that was observed, so that a fenced publisher remains fenced after a restart.
     fn persist_fence(&mut self) {
         let store = self.subscribers.server.store();
         if store.highest_epoch() == self.logged_epoch {
             return;
         }
         self.logged_epoch = store.highest_epoch();
-        tracing::warn!(
-            part = "config",
-            "fenced off: another publisher has begun epoch {}",
-            self.logged_epoch
-        );
-        let nothing = Batch { position: store.position(), resources: Vec::new(), previous: Vec::new() };
-        if let Err(error) = self.log.append(&nothing, &store.order(), unix_ms()) {
-            tracing::error!(part = "config", "the log: {error}");
+        tracing::warn!(part = "config", "fenced: another publisher has begun epoch {}", self.logged_epoch);
+        let empty_batch = Batch { position: store.position(), resources: Vec::new(), previous: Vec::new() };
+        if let Err(error) = self.log.append(&empty_batch, &store.order(), unix_ms()) {
+            tracing::error!(part = "config", "cannot persist the observed epoch: {error}");
         }
     }
 
@@ -227,7 +217,7 @@
         };
         reply.unwrap_or_else(|error| {
             let reasons: Vec<String> = error.reasons().into_iter().take(MAX_REASONS).collect();
-            tracing::warn!(part = "config", "refused: {}", reasons.join("; "));
+            tracing::warn!(part = "config", "request refused: {}", reasons.join("; "));
             Body::Refused(Refused { reasons })
         })
     }
@@ -258,22 +248,22 @@
         let order =
             ochrewalk_distribution::ChangeOrder { revision: batch.position.revision, ..store.order() };
         self.log.append(&batch, &order, unix_ms())?;
-        self.serve(&batch);
+        self.apply_durable(&batch);
         let Position { epoch, revision } = batch.position;
         tracing::info!(part = "config", "accepted {} changes as {epoch}.{revision}", changes.len());
         Ok(batch.position)
     }
 
-    fn serve(&mut self, batch: &Batch) {
+    fn apply_durable(&mut self, batch: &Batch) {
         let replayed = self.subscribers.server.store_mut().replay(batch);
-        // It was prepared from this very state.
+        // The batch was prepared from exactly this state.
         debug_assert!(replayed.is_ok());
         self.subscribers.state_changed();
     }
 
     fn status(&self) -> Status {
         let store = self.subscribers.server.store();
-        // The relays themselves are listed as subscribers of the publisher, under no region.
+        // The relays themselves are listed as the publisher's subscribers, in the region without a name.
         let relays = self.subscribers.server.status();
         let regions =
             merge_region_statuses(self.subscribers.regions().cloned().chain([relays]), MAX_REJECTIONS);
@@ -291,7 +281,7 @@
     Body::Published(Published { position })
 }
 
-/// The state as it was persisted. Deletions that it no longer remembers are removed from the log, too.
+/// Restores the persisted state. Deletions whose tombstones the state dropped are also removed from the log.
 fn recovered_store(
     recovered: crate::publisher_log::Recovered,
     log: &mut PublisherLog,
--- a/crates/ochrewalk-control-plane/src/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/src/publisher_log.rs
@@ -1,5 +1,6 @@
-//! The publisher's durable log, on an embedded store: each accepted batch and the state that it leads to are committed in
-//! one transaction before the batch is acknowledged. Killed at any instant, a publisher recovers all that it acknowledged.
+//! The publisher's durable log, in an embedded database. Each accepted batch and the resulting state are committed in one
+//! transaction before the batch is acknowledged. A publisher that was killed at any time recovers all batches that it
+//! acknowledged.
 
 use crate::records::{StoredBatch, StoredOrder};
 use ochrewalk_distribution::messages::{Resource, ResourceName};
@@ -10,17 +11,18 @@
 
 /// The newest change of each name, deletions included.
 const RESOURCES: TableDefinition<&[u8], &[u8]> = TableDefinition::new("resources");
-/// Batches by revision, for rollbacks.
+/// The batches by revision, for rollbacks.
 const BATCHES: TableDefinition<u64, &[u8]> = TableDefinition::new("batches");
-/// The order of changes as a whole, under one key.
+/// The order of all changes, under one key.
 const ORDER: TableDefinition<&str, &[u8]> = TableDefinition::new("order");
 const ORDER_KEY: &str = "order";
-/// How many batches are recorded for rollbacks: a day of them at 0.8 a second.
+/// The number of batches recorded for rollbacks: one day at 0.8 batches per second.
 pub const HISTORY_BATCHES: u64 = 70_000;
-/// Memory for pages of the store.
+/// The memory for cached pages of the database.
 const CACHE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why the log cannot be used. After one of these no batch may be acknowledged until the log was opened again.
+/// The reason why the log cannot be used. After such an error no batch may be acknowledged until the log was opened
+/// again.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The file is damaged, or another process has it open.
@@ -29,10 +31,10 @@
     /// A transaction failed.
     #[error("the log cannot be written or read: {0}")]
     Storage(#[source] redb::Error),
-    /// A record was written by something else, or is damaged.
+    /// A record is damaged, or was written by another program.
     #[error("the log holds a record that cannot be decoded ({0}); restore it from a copy")]
     Damaged(&'static str),
-    /// What is on the disk is not known since an earlier write failed.
+    /// The content of the disk is unknown, because an earlier write failed.
     #[error("an earlier write failed; open the log anew")]
     Failed,
 }
@@ -48,16 +50,16 @@
 }
 storage_errors!(redb::TransactionError, redb::TableError, redb::StorageError, redb::CommitError);
 
-/// The state found in a log when it was opened.
+/// The state that a log contained when it was opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
-    /// The order of all changes; the default one in an empty log.
+    /// The order of all changes; the default order if the log is empty.
     pub order: ChangeOrder,
     /// The newest change of each name, deletions included.
     pub resources: Vec<Resource>,
 }
 
-/// An open log. Only one process can have a log open.
+/// An open log. Only one process can have the log open.
 #[derive(Debug)]
 pub struct PublisherLog {
     database: Database,
@@ -69,16 +71,16 @@
     ///
     /// # Errors
     ///
-    /// Where the file cannot be opened, or what it contains cannot be decoded.
+    /// Returns an error if the file cannot be opened, or its content cannot be decoded.
     pub fn open(path: &Path) -> Result<(PublisherLog, Recovered), LogError> {
         PublisherLog::from_database(Database::builder().set_cache_size(CACHE_BYTES).create(path)?)
     }
 
-    /// Opens a log on another storage than a file.
+    /// Opens a log on a storage backend other than a file.
     ///
     /// # Errors
     ///
-    /// Where the storage cannot be opened, or what it contains cannot be decoded.
+    /// Returns an error if the storage cannot be opened, or its content cannot be decoded.
     pub fn open_with_backend(storage: impl StorageBackend) -> Result<(PublisherLog, Recovered), LogError> {
         let mut builder = Database::builder();
         PublisherLog::from_database(builder.set_cache_size(CACHE_BYTES).create_with_backend(storage)?)
@@ -94,16 +96,18 @@
         Ok((PublisherLog { database, has_failed: false }, recovered))
     }
 
-    /// Makes a batch durable, with the order of changes after it. Once this returns, the batch may be acknowledged.
+    /// Makes a batch durable, together with the order of changes after it. The batch may be acknowledged once this method
+    /// returns.
     ///
     /// # Errors
     ///
-    /// Where the transaction failed, or an earlier one did: the log accepts nothing more until it is opened again.
+    /// Returns an error if the transaction failed, or an earlier one did: the log accepts no further batches until it is
+    /// opened again.
     pub fn append(&mut self, batch: &Batch, order: &ChangeOrder, unix_ms: u64) -> Result<(), LogError> {
         if self.has_failed {
             return Err(LogError::Failed);
         }
-        // After a write or a sync that failed it is unknown what is on the disk: it is not retried.
+        // After a failed write or sync the content of the disk is unknown, so that the write is not retried.
         self.write(batch, order, unix_ms).inspect_err(|_| self.has_failed = true)
     }
 
@@ -129,11 +133,11 @@
         Ok(())
     }
 
-    /// Removes deletions that the state no longer remembers.
+    /// Removes deletions whose tombstones the state has dropped.
     ///
     /// # Errors
     ///
-    /// Where the transaction failed; the log is as it was.
+    /// Returns an error if the transaction failed; the log is unchanged.
     pub fn forget(&mut self, names: &[ResourceName]) -> Result<(), LogError> {
         let transaction = self.database.begin_write()?;
         {
@@ -146,11 +150,11 @@
         Ok(())
     }
 
-    /// The batches after a revision, oldest first, as far as they are still recorded.
+    /// Returns the batches after a revision that are still recorded, oldest first.
     ///
     /// # Errors
     ///
-    /// Where the log cannot be read or a record cannot be decoded.
+    /// Returns an error if the log cannot be read or a record cannot be decoded.
     pub fn batches_after(&self, revision: u64) -> Result<Vec<Batch>, LogError> {
         let transaction = self.database.begin_read()?;
         let batches = transaction.open_table(BATCHES)?;
