--- a/crates/ochrewalk-control-plane/src/relay.rs
+++ b/crates/ochrewalk-control-plane/src/relay.rs
@@ -1,5 +1,6 @@
-//! A relay as a program: a subscriber of everything at its publisher, and a server of it to the nodes of its region. It
-//! persists nothing: after a restart it fetches everything, and nodes continue with what they have meanwhile.
+//! The relay process: a subscriber to all resources of its publisher, and a server of them to the nodes of its region. A
+//! relay persists nothing: after a restart it fetches the complete state, and meanwhile the nodes continue with the state
+//! that they have.
 
 use crate::agent::{Agent, AgentSettings, ConfigurationSink};
 use crate::clock::Clock;
@@ -15,48 +16,48 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The agent's tokens: this one and the next.
+/// The first of the agent's two tokens.
 const UPSTREAM: Token = Token(FIRST_PEER - 2);
 const MAX_EVENTS: usize = 1024;
 /// The shortest time between two reports on the region to the publisher.
 const STATUS_INTERVAL_US: u64 = 500_000;
-/// The longest time between two attempts to connect to a publisher. It is short, because a few dozen relays that retry at
-/// once are no load, and thousands of nodes wait behind each.
+/// The longest time between two attempts to connect to a publisher. The time is short, because a few dozen relays that
+/// retry at once cause little load, and thousands of nodes wait for each relay.
 const MAX_BACKOFF_US: u64 = 1_000_000;
 
-/// Where a relay listens, and which publishers it may follow.
+/// The address of a relay, and the publishers that it may follow.
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
     /// The name of the relay, unique in the fleet.
     pub name: String,
     /// The region that it serves.
     pub region: String,
-    /// Where nodes connect to.
+    /// The address to which nodes connect.
     pub listen: SocketAddr,
-    /// The publisher, and others that may take over from it.
+    /// The publisher, and the publishers that may take over from it.
     pub publishers: Vec<SocketAddr>,
-    /// The most connections of nodes at a time.
+    /// The most concurrent connections of nodes.
     pub max_connections: usize,
     /// The seed of the random times between attempts.
     pub seed: u64,
 }
 
-/// Why a relay cannot start or continue.
+/// The reason why a relay cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum RelayError {
-    /// The listener of nodes cannot be opened.
+    /// The listener for nodes cannot be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Its address.
+        /// The address of the listener.
         address: SocketAddr,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The settings name no publisher.
-    #[error("no publisher is named")]
+    #[error("the settings name no publisher")]
     NoPublisher,
     /// The event loop failed.
-    #[error("the event loop: {0}")]
+    #[error("the event loop failed: {0}")]
     EventLoop(#[from] io::Error),
 }
 
@@ -81,7 +82,11 @@
         self.subscribers.server.store_mut().apply(update)?;
         self.subscribers.state_changed();
         let Position { epoch, revision } = update.position;
-        tracing::debug!(part = "config", "{} changes lead to {epoch}.{revision}", update.resources.len());
+        tracing::debug!(
+            part = "config",
+            "applied {} changes, now at {epoch}.{revision}",
+            update.resources.len()
+        );
         Ok(())
     }
 }
@@ -91,16 +96,16 @@
     ///
     /// # Errors
     ///
-    /// Where the listener or the event loop cannot be opened, or no publisher is named.
+    /// Returns an error if the listener or the event loop cannot be opened, or the settings name no publisher.
     pub fn open(settings: &RelaySettings) -> Result<Relay, RelayError> {
         let poll = Poll::new()?;
         let limits = ServerLimits { max_subscribers: settings.max_connections, ..ServerLimits::default() };
         let store = Store::new(0, StoreLimits::default());
         let server = Server::new(settings.name.as_str(), settings.region.as_str(), store, limits);
-        let listen_fault = |source| RelayError::Listen { address: settings.listen, source };
+        let listen_error = |source| RelayError::Listen { address: settings.listen, source };
         let subscribers =
             SubscriberServer::listen(settings.listen, server, settings.max_connections, poll.registry())
-                .map_err(listen_fault)?;
+                .map_err(listen_error)?;
         let agent = AgentSettings {
             node: settings.name.clone(),
             region: settings.region.clone(),
@@ -115,20 +120,20 @@
         Ok(Relay { poll, subscribers, upstream, clock: Clock::start(), last_status_us: 0 })
     }
 
-    /// Where nodes connect to.
+    /// Returns the address to which nodes connect.
     ///
     /// # Errors
     ///
-    /// Where the operating system does not say.
+    /// Returns an error if the operating system does not report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.subscribers.address()
     }
 
-    /// Serves until `stop` is set; it is checked at least twice a second.
+    /// Serves until `stop` is set, which is checked at least twice per second.
     ///
     /// # Errors
     ///
-    /// Where the event loop fails.
+    /// Returns an error if the event loop fails.
     pub fn run(&mut self, stop: &AtomicBool) -> Result<(), RelayError> {
         let mut events = Events::with_capacity(MAX_EVENTS);
         while !stop.load(Ordering::Relaxed) {
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -1,12 +1,12 @@
-//! The sockets of a publisher or relay towards its subscribers. What is sent is decided by the state machine [`Server`]. A
-//! subscriber that does not read costs its own connection and the memory of one part of an update.
+//! The sockets of a publisher or relay for its subscribers. The state machine [`Server`] decides which messages are sent.
+//! A subscriber that does not read affects only its own connection, and uses the memory of one part of an update.
 //!
 //! | role of a peer | event | next role |
 //! | --- | --- | --- |
 //! | unknown | a `Subscribe` that is accepted | subscriber |
-//! | unknown | a `Subscribe` that is refused, or to be retried later | closing |
-//! | unknown | any other message, or nothing for 5 s | connection closed |
-//! | subscriber | does not read for 5 s, or sends what subscribers do not send | connection closed |
+//! | unknown | a `Subscribe` that is refused, or has to be retried later | closing |
+//! | unknown | any other message, or no message for 5 s | connection closed |
+//! | subscriber | does not read for 5 s, or sends a message that subscribers do not send | connection closed |
 //! | closing | 1 s has passed | connection closed |
 
 use crate::connection::{Connection, ConnectionError};
@@ -19,27 +19,27 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The token of the listener; tokens of peers begin at [`FIRST_PEER`].
+/// The token of the listener; the tokens of peers begin at [`FIRST_PEER`].
 pub const LISTENER: Token = Token(0);
-/// The token of the first peer. Lower ones are for the owner of the event loop.
+/// The token of the first peer. The owner of the event loop may use lower ones.
 pub const FIRST_PEER: usize = 16;
-/// The time after which a subscriber that was sent nothing else is sent a heartbeat, in microseconds.
+/// The time after which a subscriber that was sent no other message is sent a heartbeat, in microseconds.
 pub const HEARTBEAT_US: u64 = 500_000;
-/// How long a peer may take to send its first message, or to read what it was sent.
+/// The time within which a peer has to send its first message, or to read the messages sent to it.
 const PEER_TIMEOUT_US: u64 = 5_000_000;
-/// How long a peer that is not served is still read from: closing a connection with unread bytes would reset it, and the
-/// peer might lose the reply.
+/// The time for which messages of a peer that is not served are still read. Closing a connection with unread bytes would
+/// reset it, and the peer might lose the reply.
 const CLOSE_DELAY_US: u64 = 1_000_000;
-/// Reads of one connection in turn before the others are read.
-const MAX_READS_IN_TURN: usize = 8;
+/// The most reads of one connection per turn before other connections are read.
+const MAX_READS_PER_TURN: usize = 8;
 
-/// The role of a peer, by what it has sent.
+/// The role of a peer, which depends on the messages that it has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    /// It has sent nothing yet.
+    /// The peer has sent no message yet.
     Unknown,
     Subscriber(SubscriberId),
-    /// It was sent the reason why it is not served; what it still sends is ignored.
+    /// The peer was sent the reason why it is not served; its further messages are ignored.
     Closing,
 }
 
@@ -47,30 +47,30 @@
 struct Peer {
     connection: Connection,
     role: Role,
-    /// When this role began, or the connection last took what was written.
+    /// The time at which this role began, or at which the connection last had no unwritten output.
     since_us: u64,
     last_sent_us: u64,
-    /// When to look at it again although nothing happens.
+    /// The time at which to check the peer if no event occurs before.
     due_us: u64,
     relay: Option<String>,
 }
 
 impl Peer {
-    /// The connection ends with `error` at `end_us`; until then nothing is sent on it.
-    fn wait_until(
+    /// Closes the connection with `error` at `close_at_us`; until then nothing is sent on it.
+    fn close_at(
         &mut self,
-        end_us: u64,
+        close_at_us: u64,
         now_us: u64,
         error: ConnectionError,
     ) -> Result<(), ConnectionError> {
-        if now_us >= end_us {
+        if now_us >= close_at_us {
             return Err(error);
         }
-        self.due_us = end_us;
+        self.due_us = close_at_us;
         Ok(())
     }
 
-    /// Sends parts of updates as long as the system takes each at once.
+    /// Sends parts of updates as long as the operating system accepts each one at once.
     fn send_updates(
         &mut self,
         server: &mut Server,
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    /// Sends a heartbeat where nothing else was sent for long enough.
+    /// Sends a heartbeat if no other message was sent for the heartbeat interval.
     fn send_heartbeat(&mut self, heartbeat: Heartbeat, now_us: u64) -> Result<(), ConnectionError> {
         if self.connection.is_flushed() && now_us >= self.last_sent_us + HEARTBEAT_US {
             self.connection.send(Body::Heartbeat(heartbeat))?;
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    /// Ends the connection of a peer that does not read, or sets when to look at it again.
+    /// Closes the connection of a peer that does not read, or sets the time of the next check.
     fn schedule_check(&mut self, now_us: u64) -> Result<(), ConnectionError> {
         let is_flushed = self.connection.is_flushed();
         if !is_flushed && now_us >= self.since_us + PEER_TIMEOUT_US {
@@ -117,7 +117,7 @@
     }
 }
 
-/// All subscribers of a publisher or relay, on their sockets.
+/// All subscribers of a publisher or relay, with their sockets.
 #[derive(Debug)]
 pub struct SubscriberServer {
     /// The state machine, with the state that is served.
@@ -126,11 +126,11 @@
     peers: HashMap<Token, Peer>,
     next_token: usize,
     max_peers: usize,
-    /// Peers to look at: something was received from them, or there may be something to send.
+    /// The peers to check: a message was received from them, or an update may have to be sent.
     ready: HashSet<Token>,
-    /// Peers that may have more to be read.
+    /// The peers that may have more to read.
     unread: HashSet<Token>,
-    /// The latest reports of relays, by their names.
+    /// The latest reports of relays, by the names of the relays.
     regions: BTreeMap<String, RegionStatus>,
 }
 
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     ///
-    /// Where the listener cannot be opened.
+    /// Returns an error if the listener cannot be opened.
     pub fn listen(
         address: SocketAddr,
         server: Server,
@@ -160,26 +160,26 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     ///
     /// # Errors
     ///
-    /// Where the operating system does not say.
+    /// Returns an error if the operating system does not report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The latest reports of relays on their regions.
+    /// Returns the latest reports of relays on their regions.
     pub fn regions(&self) -> impl Iterator<Item = &RegionStatus> {
         self.regions.values()
     }
 
-    /// The state has changed: there may be something to send to each subscriber.
+    /// Records that the state has changed, so that updates may have to be sent to all subscribers.
     pub fn state_changed(&mut self) {
         self.ready.extend(self.peers.keys());
     }
 
-    /// The event loop reports an event of `token`.
+    /// Handles an event of `token` that the event loop reports.
     pub fn on_event(&mut self, token: Token, registry: &Registry, now_us: u64) {
         if token == LISTENER {
             self.accept(registry, now_us);
@@ -189,8 +189,9 @@
         }
     }
 
-    /// Reads, writes and closes what can be now. `source_age_ms` is the time since the source of the state last sent anything,
-    /// in milliseconds. Returns the time at which to call again although nothing happens, in microseconds.
+    /// Reads, writes and closes connections as far as possible without blocking. `source_age_ms` is the time since the
+    /// source of the state last sent a message, in milliseconds. Returns the time of the next call if no event occurs
+    /// before, in microseconds.
     pub fn drive(&mut self, registry: &Registry, now_us: u64, source_age_ms: u64) -> u64 {
         for token in std::mem::take(&mut self.unread) {
             self.read(token, registry, now_us);
@@ -211,7 +212,7 @@
     }
 
     fn accept(&mut self, registry: &Registry, now_us: u64) {
-        // Edge-triggered: all waiting connections have to be accepted, or no further event is reported.
+        // The events are edge-triggered: all waiting connections have to be accepted, or no further event is reported.
         while let Ok((stream, _)) = self.listener.accept() {
             if self.peers.len() >= self.max_peers {
                 drop(stream);
@@ -234,7 +235,7 @@
         let Some(peer) = self.peers.get_mut(&token) else { return };
         let mut bodies = Vec::new();
         let mut outcome = Ok(true);
-        for _ in 0..MAX_READS_IN_TURN {
+        for _ in 0..MAX_READS_PER_TURN {
             outcome = peer.connection.receive(|body| bodies.push(body));
             if !matches!(outcome, Ok(true)) {
                 break;
@@ -287,8 +288,8 @@
                 self.regions.insert(status.relay.clone(), status);
                 Ok(())
             }
-            // A message that neither a node nor a relay sends.
-            (_, other) => Err(ConnectionError::UnexpectedFromSubscriber { kind: kind_of(&other) }),
+            // Neither a node nor a relay sends this message.
+            (_, other) => Err(ConnectionError::UnexpectedFromSubscriber { kind: message_kind(&other) }),
         }
     }
 
@@ -297,9 +298,9 @@
         peer.connection.flush()?;
         match peer.role {
             Role::Unknown => {
-                peer.wait_until(peer.since_us + PEER_TIMEOUT_US, now_us, ConnectionError::ReceiveTimeout)
+                peer.close_at(peer.since_us + PEER_TIMEOUT_US, now_us, ConnectionError::ReceiveTimeout)
             }
-            Role::Closing => peer.wait_until(peer.since_us + CLOSE_DELAY_US, now_us, ConnectionError::Closed),
+            Role::Closing => peer.close_at(peer.since_us + CLOSE_DELAY_US, now_us, ConnectionError::Closed),
             Role::Subscriber(id) => {
                 peer.send_updates(&mut self.server, id, now_us)?;
                 let position = self.server.store().position();
@@ -316,7 +317,7 @@
         }
         if let Some(relay) = &peer.relay {
             self.regions.remove(relay);
-            tracing::info!(part = "config", "relay {relay} is gone: {error}");
+            tracing::info!(part = "config", "relay {relay} disconnected: {error}");
         }
         self.ready.remove(&token);
         self.unread.remove(&token);
@@ -324,7 +325,7 @@
     }
 }
 
-fn kind_of(body: &Body) -> &'static str {
+fn message_kind(body: &Body) -> &'static str {
     match body {
         Body::Subscribe(_) => "subscribe",
         Body::Watch(_) => "watch",
