--- a/crates/ochrewalk-control-plane/src/lib.rs
+++ b/crates/ochrewalk-control-plane/src/lib.rs
@@ -1,31 +1,34 @@
-//! Distribution of configuration on sockets and disk: the publisher with its durable log, relays, and the agent in each
-//! node. What is sent, applied and refused is decided by the state machines of `ochrewalk-distribution`; this crate moves
-//! bytes between them, TCP connections, a control socket and files.
+//! Distribution of configuration over sockets and disk: the publisher with its durable log, the relays, and the agent in
+//! each node. The state machines of `ochrewalk-distribution` decide which updates are sent, applied and refused; this
+//! crate transfers bytes between them, TCP connections, a control socket and files.
 //!
 //! # Guarantees
 //!
-//! * A batch is acknowledged, and sent to subscribers, only once it is durable ([`publisher_log`]). A publisher that was killed
-//!   at any instant recovers all that it acknowledged.
-//! * A publisher that has observed a later epoch accepts nothing more, also after a restart.
-//! * A node's state file ([`state_file`]) is read as a state that was in force, whatever part of it was lost or damaged.
-//! * A peer that sends noise, sends nothing or does not read costs its own connection alone ([`subscriber_server`]).
-//! * The control socket ([`control`]) serves processes of the same user and of root only.
+//! * A batch is acknowledged, and sent to subscribers, only once it is durable ([`publisher_log`]). A publisher that was
+//!   killed at any time recovers all batches that it acknowledged.
+//! * A publisher that has observed a later epoch accepts no further changes, even after a restart.
+//! * A node's state file ([`state_file`]) is always read as a state that was in force, whichever part of the file was
+//!   lost or damaged.
+//! * A peer that sends malformed input, sends nothing or does not read affects only its own connection
+//!   ([`subscriber_server`]).
+//! * The control socket ([`control`]) serves only processes of the same user and of root.
 //!
 //! # States
 //!
-//! The connection of an [`agent`] and the peers of a [`subscriber_server`] have their tables on those pages. A publisher:
+//! The module [`agent`] documents the states of its connection, and [`subscriber_server`] the roles of its peers. The
+//! states of a publisher:
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | starting | its log is empty, or it is to take over | serving, in an epoch above all that it has observed |
+//! | starting | its log is empty, or it takes over | serving, in an epoch above all observed ones |
 //! | starting | its log has a state | serving, in the epoch of that state; fenced if it had observed a later one |
-//! | serving | a subscriber has observed a later epoch | fenced: it serves what it has, and refuses changes |
-//! | serving | a write to the log fails | it serves what it has, and refuses changes until it is started again |
+//! | serving | a subscriber has observed a later epoch | fenced: it serves its state, and refuses changes |
+//! | serving | a write to the log fails | it serves its state, and refuses changes until it is restarted |
 //!
-//! # What is left to the caller
+//! # Responsibilities of the caller
 //!
-//! A node drives its [`agent::Agent`] on an event loop of its own, applies updates as a [`agent::ConfigurationSink`], and writes
-//! its state file. Programs set up logging, and stop a [`publisher::Publisher`] or [`relay::Relay`] by its flag.
+//! A node drives its [`agent::Agent`] on its own event loop, applies updates as a [`agent::ConfigurationSink`], and
+//! writes its state file. Programs set up logging, and stop a [`publisher::Publisher`] or [`relay::Relay`] with its flag.
 
 #![warn(missing_docs)]
 
--- a/crates/ochrewalk-control-plane/src/records.rs
+++ b/crates/ochrewalk-control-plane/src/records.rs
@@ -10,7 +10,7 @@
     /// The change, at its revision.
     #[prost(message, required, tag = "1")]
     pub resource: Resource,
-    /// The resource with its value before; none where there was none.
+    /// The resource with its previous value; `None` if the resource did not exist.
     #[prost(message, optional, tag = "2")]
     pub previous: Option<Resource>,
 }
@@ -18,19 +18,19 @@
 /// An accepted batch.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredBatch {
-    /// Its position.
+    /// The position of the batch.
     #[prost(message, required, tag = "1")]
     pub position: Position,
-    /// Its changes, in the order of the request.
+    /// The changes of the batch, in the order of the request.
     #[prost(message, repeated, tag = "2")]
     pub changes: Vec<StoredChange>,
-    /// When it was accepted, in milliseconds of Unix time; shown to operators, never compared.
+    /// The time at which the batch was accepted, in milliseconds of Unix time; shown to operators, never compared.
     #[prost(uint64, tag = "3")]
     pub unix_ms: u64,
 }
 
 impl StoredBatch {
-    /// The record of `batch`, accepted at `unix_ms` milliseconds of Unix time.
+    /// Creates the record of `batch`, accepted at `unix_ms` milliseconds of Unix time.
     pub fn new(batch: &Batch, unix_ms: u64) -> StoredBatch {
         let changes = batch.resources.iter().zip(&batch.previous).map(|(resource, previous)| StoredChange {
             resource: resource.clone(),
@@ -51,13 +51,13 @@
     }
 }
 
-/// The revision after which an epoch's own changes follow.
+/// An epoch and the revision after which its changes begin.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct StoredEpoch {
     /// The number of the epoch.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// The last revision before it.
+    /// The last revision before the epoch.
     #[prost(uint64, tag = "2")]
     pub after_revision: u64,
 }
@@ -68,13 +68,13 @@
     /// The revision of the last batch.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Where each epoch began, oldest first.
+    /// The start of each epoch, oldest first.
     #[prost(message, repeated, tag = "2")]
     pub epochs: Vec<StoredEpoch>,
     /// The oldest revision from which differences are complete.
     #[prost(uint64, tag = "3")]
     pub horizon: u64,
-    /// The highest epoch observed: one above the last of `epochs` means that another publisher has taken over.
+    /// The highest epoch observed. An epoch higher than the last of `epochs` means that another publisher has taken over.
     #[prost(uint64, tag = "4")]
     pub highest_epoch: u64,
 }
@@ -105,28 +105,28 @@
     }
 }
 
-/// One record of a state file: an update that was applied, or names that are no longer watched.
+/// A record of a state file: an update that was applied, or names that are no longer watched.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredUpdate {
-    /// The position in force after it.
+    /// The position in force after the update.
     #[prost(message, required, tag = "1")]
     pub position: Position,
-    /// Whether it replaces everything before.
+    /// Whether the update replaces all earlier records.
     #[prost(bool, tag = "2")]
     pub is_snapshot: bool,
-    /// Changed resources; those without a value are deleted.
+    /// The changed resources; a resource without a value is deleted.
     #[prost(message, repeated, tag = "3")]
     pub resources: Vec<Resource>,
-    /// Names that were requested, and of which there is nothing.
+    /// The requested names that have no resource.
     #[prost(message, repeated, tag = "4")]
     pub absent: Vec<ResourceName>,
-    /// The node that it belongs to.
+    /// The node that owns the record.
     #[prost(string, tag = "5")]
     pub node: String,
-    /// When it was written, in milliseconds of Unix time.
+    /// The time at which the record was written, in milliseconds of Unix time.
     #[prost(uint64, tag = "6")]
     pub unix_ms: u64,
-    /// Names that are no longer watched; the record is no update where there are any.
+    /// The names that are no longer watched. A record with such names is not an update.
     #[prost(message, repeated, tag = "7")]
     pub forgotten: Vec<ResourceName>,
 }
--- a/crates/ochrewalk-control-plane/src/state_file.rs
+++ b/crates/ochrewalk-control-plane/src/state_file.rs
@@ -1,7 +1,7 @@
-//! What a node has in force, persisted in a file for its next start: a snapshot, then each update since, every one with its
-//! length and checksum. Reading stops at a record that is torn or damaged: the updates before it are an older state, from
-//! which the node continues by differences; nothing after it is used. Once updates take more than the snapshot, a new file
-//! is written under a temporary name and renamed.
+//! The state in force at a node, persisted in a file for the next start. The file contains a snapshot and each later
+//! update, every record with its length and checksum. Reading stops at a record that is torn or damaged: the updates
+//! before it form an older state, from which the node continues by differences, and the records after it are ignored.
+//! Once the updates are larger than the snapshot, a new file is written under a temporary name and renamed.
 
 use crate::records::StoredUpdate;
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
@@ -12,54 +12,54 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The first bytes of a file: its kind, and the version of its format.
+/// The first bytes of a file: the file type, and the version of the format.
 const MAGIC: &[u8; 8] = b"OCHRCFG1";
-/// Before each record: its length and its CRC-32, four bytes each, most significant first.
+/// The size of a record header: the length and the CRC-32 of the record, four bytes each, most significant byte first.
 const RECORD_HEADER_BYTES: usize = 8;
-/// Updates are appended until they take this much, and more than the snapshot before them.
+/// The size up to which updates are appended even if they are larger than the snapshot before them.
 const MIN_REWRITE_BYTES: u64 = 64 * 1024;
 
-/// Why a file is not used.
+/// The reason why a file is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFileError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     Io {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is no state file, or of another version.
+    /// The file is not a state file, or has another version.
     #[error("{0}: no state of this version")]
     UnknownFormat(PathBuf),
     /// The file belongs to another node.
-    #[error("{path}: the state of node {node}")]
+    #[error("{path}: the state file belongs to node {node}")]
     OtherNode {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// That node.
+        /// The name of that node.
         node: String,
     },
 }
 
-/// One record of a state file.
+/// A record of a state file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PersistedStep {
     /// An update that was applied.
     Update(CompleteUpdate),
-    /// Names that were no longer watched from then on.
+    /// The names that were no longer watched from this record on.
     Forgotten(Vec<ResourceName>),
 }
 
 /// The content of a state file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// All records, oldest first; the first one is a snapshot.
+    /// All records, oldest first; the first record is a snapshot.
     pub steps: Vec<PersistedStep>,
-    /// When the last one was written, in milliseconds of Unix time.
+    /// The time at which the last record was written, in milliseconds of Unix time.
     pub unix_ms: u64,
-    /// Bytes at the end that are no complete record.
+    /// The number of bytes at the end of the file that do not form a complete record.
     pub damaged_bytes: u64,
 }
 
@@ -74,36 +74,37 @@
 }
 
 impl StateFile {
-    /// Reads the file at `path`, if there is one. Nothing is written before the first snapshot.
+    /// Reads the file at `path`, if it exists. Nothing is written before the first snapshot.
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read, is of another version, or belongs to another node.
+    /// Returns an error if the file cannot be read, has another version, or belongs to another node.
     pub fn open(path: &Path, node: &str) -> Result<(StateFile, PersistedState), StateFileError> {
         let state = match std::fs::read(path) {
-            Ok(bytes) => read(path, node, &bytes)?,
+            Ok(bytes) => decode_state(path, node, &bytes)?,
             Err(err) if err.kind() == io::ErrorKind::NotFound => PersistedState::default(),
             Err(source) => return Err(StateFileError::Io { path: path.into(), source }),
         };
         Ok((StateFile::new(path, node), state))
     }
 
-    /// A file whose old content, if any, is replaced with the first snapshot.
+    /// Creates a state file whose previous content, if any, is replaced with the first snapshot.
     pub fn new(path: &Path, node: &str) -> StateFile {
         let (path, node) = (path.to_path_buf(), node.to_string());
         StateFile { path, node, file: None, snapshot_bytes: 0, appended_bytes: 0 }
     }
 
-    /// Whether a snapshot is to be written next: none was yet, or updates take more than the last one.
+    /// Whether a snapshot has to be written next, because none was written yet or the updates are larger than the last
+    /// one.
     pub fn needs_snapshot(&self) -> bool {
         self.file.is_none() || self.appended_bytes > self.snapshot_bytes.max(MIN_REWRITE_BYTES)
     }
 
-    /// Writes all that is in force, in place of the file that is there.
+    /// Writes the complete state in force, and replaces the existing file.
     ///
     /// # Errors
     ///
-    /// Where the file cannot be written; the earlier one is still there.
+    /// Returns an error if the file cannot be written; the previous file still exists.
     pub fn write_snapshot<'a>(
         &mut self,
         position: Position,
@@ -134,11 +135,11 @@
         Ok(())
     }
 
-    /// Adds an update that was applied. Does nothing before the first snapshot.
+    /// Appends an update that was applied. Does nothing before the first snapshot.
     ///
     /// # Errors
     ///
-    /// Where the record cannot be written. A snapshot is to be written next.
+    /// Returns an error if the record cannot be written. The caller writes a snapshot next.
     pub fn append(&mut self, update: &CompleteUpdate, unix_ms: u64) -> io::Result<()> {
         self.append_record(&StoredUpdate {
             position: update.position,
@@ -151,11 +152,11 @@
         })
     }
 
-    /// Adds that names are no longer watched. Does nothing before the first snapshot.
+    /// Appends a record of names that are no longer watched. Does nothing before the first snapshot.
     ///
     /// # Errors
     ///
-    /// Where the record cannot be written. A snapshot is to be written next.
+    /// Returns an error if the record cannot be written. The caller writes a snapshot next.
     pub fn append_forgotten(
         &mut self,
         position: Position,
@@ -196,7 +197,7 @@
     Ok(record.len() as u64)
 }
 
-fn read(path: &Path, node: &str, bytes: &[u8]) -> Result<PersistedState, StateFileError> {
+fn decode_state(path: &Path, node: &str, bytes: &[u8]) -> Result<PersistedState, StateFileError> {
     let Some(mut rest) = bytes.strip_prefix(MAGIC) else {
         return Err(StateFileError::UnknownFormat(path.into()));
     };
