--- a/crates/ochrewalk-control-plane/tests/common/mod.rs
+++ b/crates/ochrewalk-control-plane/tests/common/mod.rs
@@ -13,10 +13,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Far longer than anything takes that works.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// A timeout that is far longer than any successful operation.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub struct Running {
+pub struct RunningPublisher {
     pub address: SocketAddr,
     pub control: PathBuf,
     stop: Arc<AtomicBool>,
@@ -24,8 +24,8 @@
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
-    pub fn start(folder: &Path) -> Running {
+impl RunningPublisher {
+    pub fn start(folder: &Path) -> RunningPublisher {
         let control = folder.join("control");
         let settings = PublisherSettings {
             listen: "127.0.0.1:0".parse().unwrap(),
@@ -39,7 +39,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let stop_flag = stop.clone();
         let thread = std::thread::spawn(move || publisher.run(&stop_flag).unwrap());
-        Running { address, control, stop, waker, thread: Some(thread) }
+        RunningPublisher { address, control, stop, waker, thread: Some(thread) }
     }
 
     pub fn publish(&self, changes: &str) -> Body {
@@ -55,7 +55,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningPublisher {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.waker.wake();
--- a/crates/ochrewalk-control-plane/tests/control_socket.rs
+++ b/crates/ochrewalk-control-plane/tests/control_socket.rs
@@ -1,9 +1,9 @@
-//! The requests of operators on the control socket, and the publisher's replies: both as recorded, byte for byte.
+//! The requests of operators on the control socket, and the publisher's replies, compared with recordings byte for byte.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
-use common::{Running, PATIENCE};
+use common::{RunningPublisher, TEST_TIMEOUT};
 use ochrewalk_control_plane::frame::{encode, FrameDecoder, MAX_OPERATOR_FRAME};
 use ochrewalk_distribution::messages::{
     Body, Fetch, Fetched, Heartbeat, Position, PositionCount, Publish, Published, Refused, RegionStatus,
@@ -21,7 +21,7 @@
 fn decode(bytes: &[u8]) -> Body {
     let mut decoder = FrameDecoder::new(MAX_OPERATOR_FRAME);
     decoder.push(bytes);
-    decoder.next_message().unwrap().expect("one whole message")
+    decoder.next_message().unwrap().expect("one complete message")
 }
 
 fn encoded(body: &Body) -> Vec<u8> {
@@ -30,10 +30,10 @@
     bytes
 }
 
-/// What the publisher replies to the bytes of a request.
-fn ask_with_bytes(socket: &Path, request: &[u8]) -> Vec<u8> {
+/// Sends the bytes of a request to the publisher. Returns the bytes of the reply.
+fn send_raw_request(socket: &Path, request: &[u8]) -> Vec<u8> {
     let mut stream = UnixStream::connect(socket).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(request).unwrap();
     let mut reply = Vec::new();
     stream.read_to_end(&mut reply).unwrap();
@@ -60,15 +60,15 @@
     Body::Refused(Refused { reasons: vec![reason.into()] })
 }
 
-/// The status of a publisher that nobody subscribes to.
+/// Returns the status of a publisher without subscribers.
 fn status(revision: u64, resources: u64) -> Body {
     let position = at(revision);
     let in_force: Vec<PositionCount> = Vec::new();
-    let itself = RegionStatus { relay: "publisher".into(), in_force, position, ..RegionStatus::default() };
-    Body::Status(Status { position, resources, regions: vec![itself] })
+    let region = RegionStatus { relay: "publisher".into(), in_force, position, ..RegionStatus::default() };
+    Body::Status(Status { position, resources, regions: vec![region] })
 }
 
-/// One conversation with a publisher that begins anew: a name, the request, and the reply.
+/// Returns a conversation with a publisher whose log is empty: the name, the request and the reply of each exchange.
 fn conversation() -> Vec<(&'static str, Body, Body)> {
     let status_request = Body::StatusRequest(StatusRequest {});
     let [acme, _, route] = &changes("quota acme 12.5\nquota gone 1\nroute shop GET /orders look")[..] else {
@@ -116,7 +116,7 @@
 #[test]
 fn each_request_and_reply_is_as_recorded() {
     let folder = tempfile::tempdir().unwrap();
-    let publisher = Running::start(folder.path());
+    let publisher = RunningPublisher::start(folder.path());
     for (name, request, reply) in conversation() {
         let recorded_request = std::fs::read(fixture(&format!("{name}.request"))).expect(name);
         let recorded_reply = std::fs::read(fixture(&format!("{name}.reply"))).expect(name);
@@ -124,6 +124,6 @@
         assert_eq!(encoded(&request), recorded_request, "{name}");
         assert_eq!(decode(&recorded_reply), reply, "{name}");
         assert_eq!(encoded(&reply), recorded_reply, "{name}");
-        assert_eq!(ask_with_bytes(&publisher.control, &recorded_request), recorded_reply, "{name}");
+        assert_eq!(send_raw_request(&publisher.control, &recorded_request), recorded_reply, "{name}");
     }
 }
--- a/crates/ochrewalk-control-plane/tests/frames.rs
+++ b/crates/ochrewalk-control-plane/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Envelopes on a stream, however their bytes are parted.
+//! Envelopes on a stream, regardless of how their bytes are split.
 
 use ochrewalk_control_plane::frame::{encode, FrameDecoder, FrameError};
 use ochrewalk_distribution::messages::{Body, Heartbeat, Position, RetryLater};
@@ -28,28 +28,28 @@
                 decoder.push(part);
                 received.extend(decode_all(&mut decoder).unwrap());
             }
-            assert_eq!(received, sent, "parted at {first} and {second}");
+            assert_eq!(received, sent, "split at {first} and {second}");
         }
     }
 }
 
 #[test]
-fn what_cannot_be_a_message_is_refused_before_it_is_buffered() {
+fn malformed_or_too_long_messages_are_refused_before_they_are_buffered() {
     let cases: [(&[u8], FrameError); 3] = [
         (&[0x80, 0x80, 0x04], FrameError::TooLong { length: 65_536, limit: 64 }),
         (&[0xff; 10], FrameError::Malformed),
-        // A field that runs over the message's end.
+        // The length of the field exceeds that of the message.
         (&[0x02, 0x0a, 0x05], FrameError::Malformed),
     ];
-    for (bytes, wanted) in cases {
+    for (bytes, expected) in cases {
         let mut decoder = FrameDecoder::new(64);
         decoder.push(bytes);
-        assert_eq!(decode_all(&mut decoder), Err(wanted), "{bytes:x?}");
+        assert_eq!(decode_all(&mut decoder), Err(expected), "{bytes:x?}");
     }
 }
 
 #[test]
-fn a_message_of_a_later_version_is_passed_over() {
+fn a_message_of_a_later_version_is_skipped() {
     let mut bytes = Vec::new();
     // Field 900 of an envelope, with two bytes.
     bytes.extend([0x05, 0xa2, 0x38, 0x02, 0x01, 0x02]);
@@ -59,7 +59,7 @@
     assert_eq!(decode_all(&mut decoder), Ok(vec![heartbeat(7)]));
 }
 
-/// The frames that the distribution's own tests record, one of each message.
+/// The frames are those that the tests of the distribution record, one of each message.
 #[test]
 fn each_recorded_frame_is_decoded_and_encoded_again_byte_for_byte() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../ochrewalk-distribution/tests/fixtures/messages");
--- a/crates/ochrewalk-control-plane/tests/publisher.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher.rs
@@ -1,9 +1,9 @@
-//! A publisher on real sockets, against subscribers that do what they should not.
+//! A publisher on real sockets, with subscribers that violate the protocol.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
-use common::{Running, PATIENCE};
+use common::{RunningPublisher, TEST_TIMEOUT};
 use ochrewalk_control_plane::control::send_request;
 use ochrewalk_control_plane::frame::{encode, FrameDecoder};
 use ochrewalk_distribution::messages::{
@@ -19,9 +19,9 @@
 }
 
 impl Subscriber {
-    fn subscribe(publisher: &Running, highest_epoch: u64) -> Subscriber {
+    fn subscribe(publisher: &RunningPublisher, highest_epoch: u64) -> Subscriber {
         let stream = TcpStream::connect(publisher.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut subscriber = Subscriber { stream, decoder: FrameDecoder::new(1 << 20) };
         subscriber.send(Body::Subscribe(Subscribe {
             version: PROTOCOL_VERSION,
@@ -39,7 +39,7 @@
         self.stream.write_all(&bytes).unwrap();
     }
 
-    /// The next message; none at the end.
+    /// Returns the next message, or `None` once the connection is closed.
     fn receive(&mut self) -> Option<Body> {
         let mut chunk = [0; 4096];
         loop {
@@ -50,16 +50,16 @@
                 Ok(0) => return None,
                 Ok(count) => self.decoder.push(&chunk[..count]),
                 Err(err) if err.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(err) => panic!("nothing received: {err}"),
+                Err(err) => panic!("cannot receive: {err}"),
             }
         }
     }
 
-    /// Takes updates until there is one at this position, and reports each.
+    /// Receives and reports updates up to the one of this position. Returns their resources.
     fn follow_to(&mut self, position: Position) -> Vec<Resource> {
         let mut resources = Vec::new();
         loop {
-            match self.receive().expect("the stream goes on") {
+            match self.receive().expect("the stream is open") {
                 Body::Update(update) => {
                     resources.extend(update.resources);
                     if update.is_last {
@@ -81,35 +81,35 @@
 }
 
 #[test]
-fn a_publisher_that_observes_a_later_epoch_accepts_nothing_also_after_a_restart() {
+fn a_publisher_that_observes_a_later_epoch_accepts_no_changes_even_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
-    let publisher = Running::start(folder.path());
+    let publisher = RunningPublisher::start(folder.path());
     assert!(matches!(publisher.publish("quota acme 1"), Body::Published(_)));
     let mut relay = Subscriber::subscribe(&publisher, 2);
     assert!(is_fenced(&relay.receive().unwrap()));
     assert_eq!(relay.receive(), None);
     assert!(is_fenced(&publisher.publish("quota acme 2")));
     drop(publisher);
-    let again = Running::start(folder.path());
-    assert!(is_fenced(&again.publish("quota acme 2")));
-    // What was accepted is still served.
-    assert_eq!(again.status().position, Position { epoch: 1, revision: 1 });
+    let restarted = RunningPublisher::start(folder.path());
+    assert!(is_fenced(&restarted.publish("quota acme 2")));
+    // The accepted changes are still served.
+    assert_eq!(restarted.status().position, Position { epoch: 1, revision: 1 });
 }
 
 #[test]
-fn peers_that_send_noise_or_never_read_cost_their_own_connection_alone() {
+fn peers_that_send_malformed_input_or_never_read_affect_only_their_own_connection() {
     let folder = tempfile::tempdir().unwrap();
-    let publisher = Running::start(folder.path());
-    let mut noisy = TcpStream::connect(publisher.address).unwrap();
-    noisy.set_read_timeout(Some(PATIENCE)).unwrap();
-    noisy.write_all(&[0xff; 64]).unwrap();
+    let publisher = RunningPublisher::start(folder.path());
+    let mut malformed = TcpStream::connect(publisher.address).unwrap();
+    malformed.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    malformed.write_all(&[0xff; 64]).unwrap();
     let mut rest = Vec::new();
-    let _ = noisy.read_to_end(&mut rest);
+    let _ = malformed.read_to_end(&mut rest);
     assert_eq!(rest, []);
-    // Operators' requests are not taken from the network.
-    let mut stranger = Subscriber::subscribe(&publisher, 0);
-    stranger.send(Body::Publish(Publish::default()));
-    while stranger.receive().is_some() {}
+    // Requests of operators are not accepted from the network.
+    let mut unauthorized = Subscriber::subscribe(&publisher, 0);
+    unauthorized.send(Body::Publish(Publish::default()));
+    while unauthorized.receive().is_some() {}
     let never_reads = Subscriber::subscribe(&publisher, 0);
     let mut follower = Subscriber::subscribe(&publisher, 0);
     let mut revision = 0;
@@ -128,7 +128,7 @@
 #[test]
 fn a_batch_with_an_invalid_change_is_refused_with_each_reason() {
     let folder = tempfile::tempdir().unwrap();
-    let publisher = Running::start(folder.path());
+    let publisher = RunningPublisher::start(folder.path());
     let mut changes = read_changes("quota good 1\nquota bad 1\nroute shop GET /a look", "changes").unwrap();
     changes[1].value = None;
     changes[2].name.name = "GET /b".into();
--- a/crates/ochrewalk-control-plane/tests/publisher_log.rs
+++ b/crates/ochrewalk-control-plane/tests/publisher_log.rs
@@ -1,4 +1,4 @@
-//! The publisher's log on a storage that fails: what was acknowledged is there again, whenever it was killed.
+//! The publisher's log on a storage that fails: acknowledged batches are recovered, whenever the publisher was killed.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::publisher_log::{LogError, PublisherLog, Recovered};
@@ -9,17 +9,17 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// A disk: what is on it for good, and what was written since the last sync.
+/// A disk: its durable content, and the content with the writes since the last sync.
 #[derive(Debug, Default)]
 struct Disk {
     synced: Vec<u8>,
     current: Vec<u8>,
     operations: u64,
-    /// After so many operations the power goes.
-    dies_after: u64,
-    /// No file may be longer than this.
+    /// The number of operations after which the power fails.
+    fails_after: u64,
+    /// The longest file that the disk can store.
     capacity: u64,
-    /// This sync fails, once.
+    /// The number of the one sync that fails.
     failing_sync: Option<u64>,
     syncs: u64,
 }
@@ -28,24 +28,24 @@
 struct FaultyStorage(Arc<Mutex<Disk>>);
 
 impl FaultyStorage {
-    fn new(content: Vec<u8>, dies_after: u64, capacity: u64) -> FaultyStorage {
+    fn new(content: Vec<u8>, fails_after: u64, capacity: u64) -> FaultyStorage {
         let disk =
-            Disk { synced: content.clone(), current: content, dies_after, capacity, ..Disk::default() };
+            Disk { synced: content.clone(), current: content, fails_after, capacity, ..Disk::default() };
         FaultyStorage(Arc::new(Mutex::new(disk)))
     }
 
-    /// What is on the disk after the power went: what was synced, and of the rest, written in whole sectors, what `chance`
-    /// lets through.
-    fn after_power_loss(&self, chance: &mut fastrand::Rng) -> Vec<u8> {
+    /// Returns the content of the disk after a power loss: the synced content, with a random subset of the sectors
+    /// written since.
+    fn after_power_loss(&self, rng: &mut fastrand::Rng) -> Vec<u8> {
         const SECTOR: usize = 512;
         let disk = self.0.lock().unwrap();
         let mut content = disk.synced.clone();
-        if chance.bool() {
+        if rng.bool() {
             content.resize(disk.current.len(), 0);
         }
         for start in (0..content.len().min(disk.current.len())).step_by(SECTOR) {
             let end = (start + SECTOR).min(content.len()).min(disk.current.len());
-            if chance.bool() {
+            if rng.bool() {
                 content[start..end].copy_from_slice(&disk.current[start..end]);
             }
         }
@@ -55,8 +55,8 @@
     fn operate<T>(&self, act: impl FnOnce(&mut Disk) -> io::Result<T>) -> io::Result<T> {
         let mut disk = self.0.lock().unwrap();
         disk.operations += 1;
-        if disk.operations > disk.dies_after {
-            return Err(io::Error::other("the power is gone"));
+        if disk.operations > disk.fails_after {
+            return Err(io::Error::other("the power has failed"));
         }
         act(&mut disk)
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// The tenth tenant's quota is set anew with each batch, and another one is set and deleted in turn.
+/// Returns changes that set the quota of the tenant `ten` in each batch, and set and delete another quota alternately.
 fn changes(store: &Store) -> Vec<Resource> {
     let next = store.position().revision + 1;
     let set = |tenant: String| Resource {
@@ -126,7 +126,8 @@
     changes
 }
 
-/// Publishes until something fails or `batches` were acknowledged. Gives how many were.
+/// Publishes until an error occurs or `batches` were acknowledged. Returns the number of acknowledged batches, and the
+/// error.
 fn publish(log: &mut PublisherLog, store: &mut Store, batches: u64) -> (u64, Option<LogError>) {
     for acknowledged in 0..batches {
         let batch = store.prepare(&changes(store), None).unwrap();
@@ -140,20 +141,20 @@
     (batches, None)
 }
 
-fn fresh() -> Store {
+fn empty_store() -> Store {
     Store::new(1, StoreLimits::default())
 }
 
-fn restored(recovered: Recovered) -> Store {
+fn restored_store(recovered: Recovered) -> Store {
     if recovered.order.epochs.is_empty() {
-        return fresh();
+        return empty_store();
     }
     Store::restore(&recovered.order, recovered.resources, StoreLimits::default())
 }
 
-/// The state that so many batches lead to.
+/// Returns the state after this number of batches.
 fn state_after(batches: u64) -> Store {
-    let mut store = fresh();
+    let mut store = empty_store();
     for _ in 0..batches {
         let changes = changes(&store);
         store.publish(&changes, None).unwrap();
@@ -166,58 +167,58 @@
 }
 
 #[test]
-fn killed_at_any_operation_it_has_what_it_acknowledged_and_nothing_half() {
-    let unharmed = FaultyStorage::new(Vec::new(), u64::MAX, u64::MAX);
-    let (mut log, recovered) = PublisherLog::open_with_backend(unharmed.clone()).unwrap();
-    publish(&mut log, &mut restored(recovered), 6);
+fn a_log_killed_at_any_operation_contains_acknowledged_batches_and_no_partial_one() {
+    let reliable = FaultyStorage::new(Vec::new(), u64::MAX, u64::MAX);
+    let (mut log, recovered) = PublisherLog::open_with_backend(reliable.clone()).unwrap();
+    publish(&mut log, &mut restored_store(recovered), 6);
     drop(log);
-    let operations = unharmed.0.lock().unwrap().operations;
-    let mut chance = fastrand::Rng::with_seed(7);
-    for dies_after in 1..operations {
-        let storage = FaultyStorage::new(Vec::new(), dies_after, u64::MAX);
+    let operations = reliable.0.lock().unwrap().operations;
+    let mut rng = fastrand::Rng::with_seed(7);
+    for fails_after in 1..operations {
+        let storage = FaultyStorage::new(Vec::new(), fails_after, u64::MAX);
         let mut acknowledged = 0;
         if let Ok((mut log, recovered)) = PublisherLog::open_with_backend(storage.clone()) {
-            acknowledged = publish(&mut log, &mut restored(recovered), 6).0;
+            acknowledged = publish(&mut log, &mut restored_store(recovered), 6).0;
         }
-        let left = storage.after_power_loss(&mut chance);
+        let left = storage.after_power_loss(&mut rng);
         let after = FaultyStorage::new(left, u64::MAX, u64::MAX);
         let (_, recovered) = match PublisherLog::open_with_backend(after) {
             Ok(opened) => opened,
-            // Before the file was ever whole there is nothing to lose.
+            // Before the file was complete for the first time, no data can be lost.
             Err(_) if acknowledged == 0 => continue,
-            Err(error) => panic!("after operation {dies_after}, {acknowledged} acknowledged: {error}"),
+            Err(error) => panic!("after operation {fails_after}, {acknowledged} acknowledged: {error}"),
         };
-        let store = restored(recovered);
+        let store = restored_store(recovered);
         let revision = store.position().revision;
-        // The last batch may be durable although nobody was told.
-        assert!((acknowledged..=acknowledged + 1).contains(&revision), "after operation {dies_after}");
-        assert_eq!(contents(&store), contents(&state_after(revision)), "after operation {dies_after}");
+        // The last batch may be durable although it was not acknowledged.
+        assert!((acknowledged..=acknowledged + 1).contains(&revision), "after operation {fails_after}");
+        assert_eq!(contents(&store), contents(&state_after(revision)), "after operation {fails_after}");
     }
 }
 
 #[test]
-fn a_full_disk_refuses_a_batch_and_what_was_acknowledged_stays() {
+fn a_full_disk_refuses_a_batch_and_acknowledged_batches_are_preserved() {
     let storage = FaultyStorage::new(Vec::new(), u64::MAX, 1536 * 1024);
     let (mut log, recovered) = PublisherLog::open_with_backend(storage.clone()).unwrap();
-    let mut store = restored(recovered);
+    let mut store = restored_store(recovered);
     let (acknowledged, failed) = publish(&mut log, &mut store, 5_000);
     assert!(matches!(failed, Some(LogError::Storage(_))), "{acknowledged} fit: {failed:?}");
     assert!(acknowledged > 0);
-    // It is not simply tried again: what is on the disk is not known any more.
+    // The log does not retry, because the content of the disk is unknown.
     assert!(matches!(publish(&mut log, &mut store, 1), (0, Some(LogError::Failed))));
     drop(log);
     let left = storage.0.lock().unwrap().current.clone();
     let (_, recovered) =
         PublisherLog::open_with_backend(FaultyStorage::new(left, u64::MAX, u64::MAX)).unwrap();
-    let store = restored(recovered);
+    let store = restored_store(recovered);
     assert_eq!(contents(&store), contents(&state_after(acknowledged)));
 }
 
 #[test]
-fn a_sync_that_fails_once_is_the_last_thing_the_log_does() {
+fn a_log_accepts_no_batch_after_a_sync_has_failed_once() {
     let storage = FaultyStorage::new(Vec::new(), u64::MAX, u64::MAX);
     let (mut log, recovered) = PublisherLog::open_with_backend(storage.clone()).unwrap();
-    let mut store = restored(recovered);
+    let mut store = restored_store(recovered);
     assert!(publish(&mut log, &mut store, 2).1.is_none());
     {
         let mut disk = storage.0.lock().unwrap();
@@ -232,12 +233,12 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("log");
     let (mut log, recovered) = PublisherLog::open(&path).unwrap();
-    let mut store = restored(recovered);
+    let mut store = restored_store(recovered);
     publish(&mut log, &mut store, 5);
     assert!(matches!(PublisherLog::open(&path), Err(LogError::Open(_))));
     drop(log);
     let (log, recovered) = PublisherLog::open(&path).unwrap();
-    let mut store = restored(recovered);
+    let mut store = restored_store(recovered);
     let to = state_after(2).position();
     let undo = rollback_changes(&log.batches_after(to.revision).unwrap(), to).unwrap();
     store.publish(&undo, None).unwrap();
--- a/crates/ochrewalk-control-plane/tests/state_file.rs
+++ b/crates/ochrewalk-control-plane/tests/state_file.rs
@@ -1,4 +1,4 @@
-//! What a node keeps for its next start, and what damage to it leads to.
+//! The state that a node persists for its next start, and the effect of damage to its file.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_control_plane::state_file::{PersistedStep, StateFile, StateFileError};
@@ -25,7 +25,7 @@
     }
 }
 
-fn written(path: &std::path::Path) -> Vec<PersistedStep> {
+fn write_steps(path: &std::path::Path) -> Vec<PersistedStep> {
     let mut file = StateFile::new(path, "node-1");
     assert!(file.needs_snapshot());
     file.write_snapshot(at(3), [quota("a", 1), quota("b", 3)].iter(), vec![quota_name("c")], 10).unwrap();
@@ -49,50 +49,51 @@
 }
 
 #[test]
-fn what_is_written_is_read_again_in_its_order() {
+fn written_records_are_read_in_order() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("state");
-    let (_, kept) = StateFile::open(&path, "node-1").unwrap();
-    assert_eq!(kept.steps, []);
-    let steps = written(&path);
-    let (_, kept) = StateFile::open(&path, "node-1").unwrap();
-    assert_eq!((kept.steps, kept.unix_ms, kept.damaged_bytes), (steps, 13, 0));
+    let (_, restored) = StateFile::open(&path, "node-1").unwrap();
+    assert_eq!(restored.steps, []);
+    let steps = write_steps(&path);
+    let (_, restored) = StateFile::open(&path, "node-1").unwrap();
+    assert_eq!((restored.steps, restored.unix_ms, restored.damaged_bytes), (steps, 13, 0));
     assert!(matches!(StateFile::open(&path, "node-2"), Err(StateFileError::OtherNode { .. })));
 }
 
-/// A file cut off at any byte, and one with any bit turned over: what is read is always the first steps, whole, or nothing.
+/// Truncates the file at each byte, and flips one bit in each byte: the steps that are read are always a prefix of those
+/// that were write_steps, or none.
 #[test]
 fn damage_at_any_byte_leaves_an_older_state_or_none() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("state");
-    let steps = written(&path);
-    let whole = std::fs::read(&path).unwrap();
-    for length in 0..whole.len() {
-        std::fs::write(&path, &whole[..length]).unwrap();
-        check_prefix(&path, &steps, &format!("cut off at {length}"));
+    let steps = write_steps(&path);
+    let complete = std::fs::read(&path).unwrap();
+    for length in 0..complete.len() {
+        std::fs::write(&path, &complete[..length]).unwrap();
+        check_prefix(&path, &steps, &format!("truncated at {length}"));
     }
-    for byte in 0..whole.len() {
-        let mut damaged = whole.clone();
+    for byte in 0..complete.len() {
+        let mut damaged = complete.clone();
         damaged[byte] ^= 1 << (byte % 8);
         std::fs::write(&path, &damaged).unwrap();
-        let kept = check_prefix(&path, &steps, &format!("bit turned over in byte {byte}"));
-        assert!(kept < steps.len(), "byte {byte} is covered by no checksum");
+        let restored = check_prefix(&path, &steps, &format!("bit flipped in byte {byte}"));
+        assert!(restored < steps.len(), "no checksum covers byte {byte}");
     }
 }
 
-fn check_prefix(path: &std::path::Path, steps: &[PersistedStep], what: &str) -> usize {
+fn check_prefix(path: &std::path::Path, steps: &[PersistedStep], damage: &str) -> usize {
     match StateFile::open(path, "node-1") {
-        Ok((_, kept)) => {
-            assert_eq!(kept.steps, steps[..kept.steps.len()], "{what}");
-            kept.steps.len()
+        Ok((_, restored)) => {
+            assert_eq!(restored.steps, steps[..restored.steps.len()], "{damage}");
+            restored.steps.len()
         }
         Err(StateFileError::UnknownFormat(_)) => 0,
-        Err(other) => panic!("{what}: {other}"),
+        Err(other) => panic!("{damage}: {other}"),
     }
 }
 
 #[test]
-fn a_file_whose_updates_take_more_than_its_snapshot_is_rewritten() {
+fn a_file_whose_updates_are_larger_than_its_snapshot_is_rewritten() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("state");
     let mut file = StateFile::new(&path, "node-1");
@@ -101,7 +102,7 @@
     while !file.needs_snapshot() {
         appended += 1;
         file.append(&update(appended), 0).unwrap();
-        assert!(appended < 10_000, "it grows without a bound");
+        assert!(appended < 10_000, "the file grows without a bound");
     }
     let before = std::fs::metadata(&path).unwrap().len();
     file.write_snapshot(at(appended), [quota("a", 1)].iter(), Vec::new(), 0).unwrap();
--- a/crates/ochrewalk-control-plane/tests/stored_formats.rs
+++ b/crates/ochrewalk-control-plane/tests/stored_formats.rs
@@ -1,4 +1,4 @@
-//! What stands on disk: a publisher's log and a node's state file that were recorded once are read, and written again as
+//! The formats on disk: a recorded log of a publisher and a recorded state file of a node are read, and written again as
 //! the same records.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,7 +12,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Deletions that the state remembers: the log holds one more, which the store has forgotten.
+/// The limits of the store, which has at most one tombstone: the log contains one more deletion, whose tombstone the store has
+/// dropped.
 const LIMITS: StoreLimits = StoreLimits { tombstones: 1 };
 
 fn fixture(name: &str) -> PathBuf {
@@ -44,7 +45,7 @@
     Resource::set(name, Value::Limit(Limit { amount: 4e9 }))
 }
 
-/// What a publisher's log is told: the batches, and with each the order that it leads to.
+/// The batches appended to a publisher's log, each with the resulting order of changes.
 struct History {
     store: Store,
     appended: Vec<(Batch, ChangeOrder, u64)>,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Two epochs, resources of all kinds, two deletions, and a later epoch that was heard of.
+/// Returns a history with two epochs, resources of all kinds, two deletions, and a later epoch that was observed.
 fn history() -> History {
     let store = Store::restore(&ChangeOrder::default(), [], LIMITS);
     let mut history = History { store, appended: Vec::new() };
@@ -89,7 +90,7 @@
     }
 }
 
-/// All keys and values of all tables, as bytes.
+/// Returns all keys and values of all tables, as bytes.
 fn records(path: &Path) -> Vec<(&'static str, Vec<u8>, Vec<u8>)> {
     let database = Database::open(path).unwrap();
     let transaction = database.begin_read().unwrap();
@@ -112,7 +113,8 @@
     records
 }
 
-/// The log was killed while it wrote a further batch, which had not been acknowledged: that batch is not there.
+/// The publisher was killed while it wrote a further batch that was not acknowledged: the log does not contain that
+/// batch.
 #[test]
 fn a_recorded_log_with_a_torn_last_batch_is_read_and_written_again_as_the_same_records() {
     let folder = tempfile::tempdir().unwrap();
@@ -161,7 +163,8 @@
     Resource { revision, ..resource }
 }
 
-/// A snapshot, an update with a deletion, names that are no longer watched, and an update that is torn in the file.
+/// Returns a snapshot, an update with a deletion, names that are no longer watched, and an update that is torn in the
+/// file.
 fn steps() -> [PersistedStep; 4] {
     let snapshot = vec![at(1, quota("alpha", 1.0)), at(2, route()), at(3, endpoint())];
     let changes = vec![at(4, deleted_quota("alpha")), at(5, limit())];
@@ -191,7 +194,7 @@
 
 #[test]
 fn a_recorded_state_file_with_a_torn_last_record_is_read_and_written_again_byte_for_byte() {
-    /// Bytes that the last record lacks in the file that was recorded.
+    /// The number of bytes that the last record lacks in the recorded file.
     const TORN_BYTES: usize = 5;
     let recorded = std::fs::read(fixture("node-state")).unwrap();
     let (_, state) = StateFile::open(&fixture("node-state"), "node-1").unwrap();
@@ -202,9 +205,9 @@
     write_state(&path);
     let written = std::fs::read(&path).unwrap();
     assert_eq!(written[..written.len() - TORN_BYTES], recorded);
-    // Whole, it has the last step, too.
-    let (_, whole) = StateFile::open(&path, "node-1").unwrap();
-    assert_eq!((whole.steps, whole.damaged_bytes), (steps().to_vec(), 0));
+    // The complete file also contains the last step.
+    let (_, complete) = StateFile::open(&path, "node-1").unwrap();
+    assert_eq!((complete.steps, complete.damaged_bytes), (steps().to_vec(), 0));
     let last_record = state.damaged_bytes as usize + TORN_BYTES;
     assert_eq!(written.len() - last_record, recorded.len() - state.damaged_bytes as usize);
 }
