--- a/crates/ochrewalk-control-plane/src/agent/mod.rs
+++ b/crates/ochrewalk-control-plane/src/agent/mod.rs
@@ -57,7 +57,7 @@
     Subscribed { connection: Connection },
 }
 
-/// One subscriber on an event loop.
+/// A subscriber on an event loop.
 #[derive(Debug)]
 pub struct Agent {
     token: Token,
--- a/crates/ochrewalk-control-plane/src/clock.rs
+++ b/crates/ochrewalk-control-plane/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time for the state machines: whole microseconds of a monotonic clock, and Unix time for logs and records.
+//! Time for the state machines: integer microseconds of a monotonic clock, and Unix time for logs and records.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/ochrewalk-control-plane/src/connection.rs
+++ b/crates/ochrewalk-control-plane/src/connection.rs
@@ -55,7 +55,7 @@
     Io(#[from] io::Error),
 }
 
-/// One framed connection, registered with an event loop under its token.
+/// A framed connection, registered with an event loop under its token.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
--- a/crates/ochrewalk-control-plane/src/records.rs
+++ b/crates/ochrewalk-control-plane/src/records.rs
@@ -4,7 +4,7 @@
 use ochrewalk_distribution::{Batch, ChangeOrder, EpochStart};
 use prost::Message;
 
-/// One change of a batch, with the resource that it replaced.
+/// A change of a batch, with the resource that it replaced.
 #[derive(Clone, PartialEq, Message)]
 pub struct StoredChange {
     /// The change, at its revision.
--- a/crates/ochrewalk-control-plane/src/subscriber_server.rs
+++ b/crates/ochrewalk-control-plane/src/subscriber_server.rs
@@ -56,7 +56,8 @@
 }
 
 impl Peer {
-    /// Closes the connection with `error` at `close_at_us`; until then nothing is sent on it.
+    /// Returns `error` once `close_at_us` has come, so that the caller closes the connection; until then nothing is sent on
+    /// it.
     fn close_at(
         &mut self,
         close_at_us: u64,
@@ -104,7 +105,8 @@
         Ok(())
     }
 
-    /// Closes the connection of a peer that does not read, or sets the time of the next check.
+    /// Returns an error for a peer that does not read, so that the caller closes the connection. Sets the time of the next
+    /// check for other peers.
     fn schedule_check(&mut self, now_us: u64) -> Result<(), ConnectionError> {
         let is_flushed = self.connection.is_flushed();
         if !is_flushed && now_us >= self.since_us + PEER_TIMEOUT_US {
--- a/crates/ochrewalk-distribution/src/catch_up.rs
+++ b/crates/ochrewalk-distribution/src/catch_up.rs
@@ -11,7 +11,7 @@
 
 /// The shortest time until a subscriber retries.
 const MIN_RETRY_MS: u64 = 500;
-/// The longest time until a subscriber retries.
+/// The longest time until a subscriber retries, without the jitter.
 const MAX_RETRY_MS: u64 = 120_000;
 /// The time for which a subscriber that does not retry when it should still counts as waiting.
 const WAITING_GRACE_US: u64 = 10_000_000;
@@ -140,7 +140,7 @@
         wait_ms + node_hash.0 % (wait_ms / 4)
     }
 
-    /// Admits `subscriber` with `bytes` left to send.
+    /// Begins to catch up `subscriber`, which has `bytes` to fetch.
     pub(crate) fn begin(&mut self, subscriber: SubscriberId, bytes: u64) {
         self.admitted.insert(subscriber, bytes);
     }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Removes `subscriber`, which has caught up or disconnected.
+    /// Ends the catching up of `subscriber`, which has all changes or has disconnected.
     pub(crate) fn end(&mut self, subscriber: SubscriberId) {
         self.admitted.remove(&subscriber);
     }
--- a/crates/ochrewalk-distribution/src/lib.rs
+++ b/crates/ochrewalk-distribution/src/lib.rs
@@ -44,7 +44,7 @@
 //! # Responsibilities of the caller
 //!
 //! The state machines do no I/O and read no clock. The caller carries values of [`messages`] over connections, in order
-//! and without loss while a connection lasts; passes times as whole microseconds of a monotonic clock; writes a [`Batch`]
+//! and without loss while a connection lasts; passes times as integer microseconds of a monotonic clock; writes a [`Batch`]
 //! to durable storage before [`Store::replay`]; makes the batch of [`Store::new_epoch`] durable before it serves; and
 //! closes a connection after an error. The caller has to call [`Server::next`] for each subscriber whenever the store has
 //! changed, the subscriber has sent a message, or the time of [`NextUpdate::Wait`] has come.
--- a/crates/ochrewalk-distribution/src/messages/mod.rs
+++ b/crates/ochrewalk-distribution/src/messages/mod.rs
@@ -17,7 +17,7 @@
 /// The version of this set of messages; a subscriber that needs a newer version is refused.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// One message on a stream.
+/// A message on a stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
     /// The message; `None` if a later version added it.
--- a/crates/ochrewalk-distribution/src/messages/resource.rs
+++ b/crates/ochrewalk-distribution/src/messages/resource.rs
@@ -10,7 +10,7 @@
     Unknown = 0,
     /// An HTTP method and path of the AJP listener, and the RPC method that they map to.
     Route = 1,
-    /// The rate at which a tenant may send RPCs over the whole fleet.
+    /// The rate at which a tenant may send RPCs over the entire fleet.
     Quota = 2,
     /// An address of the upstream that receives calls.
     Endpoint = 3,
@@ -46,7 +46,7 @@
     pub method: String,
 }
 
-/// The quota of a tenant over the whole fleet.
+/// The quota of a tenant over the entire fleet.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Quota {
     /// RPCs per second, finite and not negative.
--- a/crates/ochrewalk-distribution/src/relay_choice.rs
+++ b/crates/ochrewalk-distribution/src/relay_choice.rs
@@ -55,7 +55,7 @@
     Unhealthy,
 }
 
-/// The list of relays is empty.
+/// The error for an empty list of relays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a node needs at least one relay")]
 pub struct NoRelays;
--- a/crates/ochrewalk-distribution/src/server/mod.rs
+++ b/crates/ochrewalk-distribution/src/server/mod.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// The number of a subscriber of a [`Server`]. Numbers are not reused.
+/// The identifier of a subscriber of a [`Server`]. Identifiers are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SubscriberId(u64);
 
@@ -68,7 +68,7 @@
     },
     /// The subscriber cannot be served, now or later.
     Refused {
-        /// The reason for the refusal_reason.
+        /// The reason for the refusal.
         reason: SubscribeError,
     },
 }
--- a/crates/ochrewalk-distribution/src/server/subscriber.rs
+++ b/crates/ochrewalk-distribution/src/server/subscriber.rs
@@ -54,7 +54,8 @@
         self.activity = Activity::Applying { position, answers };
     }
 
-    /// Records that the subscriber has the state of `in_force`. Returns whether that is the update that was sent last.
+    /// Records that the subscriber applied the update that was sent last, if that update leads to `in_force`. Returns
+    /// whether it does.
     pub(super) fn finish_applying(&mut self, in_force: Position) -> bool {
         let is_awaited =
             matches!(&self.activity, Activity::Applying { position, .. } if *position == in_force);
--- a/crates/ochrewalk-distribution/src/store/mod.rs
+++ b/crates/ochrewalk-distribution/src/store/mod.rs
@@ -204,7 +204,7 @@
         for resource in resources {
             store.index.insert(Arc::new(resource));
         }
-        store.forget_tombstones();
+        store.drop_excess_tombstones();
         store
     }
 
@@ -251,7 +251,7 @@
         for resource in &batch.resources {
             self.index.insert(Arc::new(resource.clone()));
         }
-        self.forget_tombstones();
+        self.drop_excess_tombstones();
     }
 
     /// Applies a recorded batch.
@@ -318,7 +318,7 @@
         for resource in &update.resources {
             self.index.insert(Arc::clone(resource));
         }
-        self.forget_tombstones();
+        self.drop_excess_tombstones();
         Ok(())
     }
 
@@ -334,7 +334,7 @@
         self.index.remove(name);
     }
 
-    fn forget_tombstones(&mut self) {
+    fn drop_excess_tombstones(&mut self) {
         while self.index.tombstone_count() > self.limits.tombstones {
             let Some(oldest) = self.index.oldest_tombstone() else { return };
             self.horizon = self.horizon.max(oldest.revision);
--- a/crates/ochrewalk-distribution/src/update_builder.rs
+++ b/crates/ochrewalk-distribution/src/update_builder.rs
@@ -105,8 +105,8 @@
         std::mem::take(&mut self.answers)
     }
 
-    /// Whether the store can still complete this update. It cannot after it has moved to another history or has forgotten
-    /// deletions that were not sent.
+    /// Whether the store can still complete this update. The store cannot do so after it has moved to another history or
+    /// has dropped the tombstones of deletions that were not sent.
     pub(crate) fn can_continue(&self, store: &Store) -> bool {
         let is_within_revision = matches!(self.stage, Stage::Changes { after: Some(_) });
         let revision = self.cursor - u64::from(is_within_revision);
--- a/crates/ochrewalk-distribution/src/validation.rs
+++ b/crates/ochrewalk-distribution/src/validation.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// One reason for which a batch is refused.
+/// A reason for which a batch is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RefusalReason {
     /// The batch contains no changes.
--- a/crates/ochrewalk-distribution/tests/admission.rs
+++ b/crates/ochrewalk-distribution/tests/admission.rs
@@ -136,7 +136,7 @@
     assert!(matches!(relay.subscribe(0, everything), Admission::Accepted(_)));
 }
 
-/// One of the subscribers of a relay that was restarted.
+/// A subscriber of a relay that was restarted.
 struct WaitingSubscriber {
     node: Node,
     scope: usize,
--- a/crates/ochrewalk-distribution/tests/explore.rs
+++ b/crates/ochrewalk-distribution/tests/explore.rs
@@ -33,7 +33,7 @@
     repeats: u8,
     breaks: u8,
     restarts: u8,
-    /// The number of followers that take part.
+    /// The number of followers that participate.
     followers: usize,
     /// Whether all followers have the state of the first publisher at the start.
     starts_caught_up: bool,
--- a/crates/ochrewalk-distribution/tests/memory.rs
+++ b/crates/ochrewalk-distribution/tests/memory.rs
@@ -1,5 +1,5 @@
 //! The allocated memory, counted by the allocator: of a server with subscribers that do not read, and of a relay with the
-//! state of the whole fleet.
+//! state of the entire fleet.
 
 mod common;
 
