--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -8,7 +8,6 @@
 pub use files::Files;
 
 use crate::configuration::handle::ConfigurationHandle;
-use crate::core::Core;
 use crate::handover::counter_report::CounterReport;
 use crate::handover::hand_over_control::{HandOverControl, Interruption};
 use crate::handover::hand_over_stream::HandOverStream;
@@ -17,12 +16,13 @@
 use crate::handover::supervisor;
 use crate::handover::supervisor_link::{supervised, Supervised, SupervisorLink};
 use crate::handover::supervisor_protocol::ChildLine;
-use crate::logger::Logs;
-use crate::net::ajp_below::AjpBelow;
-use crate::net::ajp_front::AjpFront;
-use crate::net::below::Below;
+use crate::logger::LogSettings;
+use crate::method_counters::ReportedCalls;
+use crate::net::ajp_ingress::AjpIngress;
+use crate::net::ajp_upstream::AjpUpstreamClient;
 use crate::net::dispatchers::Dispatchers;
-use crate::tally::ReportedCalls;
+use crate::net::line_upstream::LineUpstreamClient;
+use crate::shared_state::SharedState;
 use assembly::{begin, build};
 use leaving::{leave, END_MS};
 use may::sync::mpsc::channel;
@@ -52,10 +52,10 @@
 
 /// What signals and hand-overs act on.
 pub struct Node {
-    pub core: Arc<Core>,
-    store: Option<Below>,
-    by_ajp: Option<AjpBelow>,
-    pub ajp: Option<Arc<AjpFront>>,
+    pub core: Arc<SharedState>,
+    store: Option<LineUpstreamClient>,
+    by_ajp: Option<AjpUpstreamClient>,
+    pub ajp: Option<Arc<AjpIngress>>,
     /// Where the directory is.
     directory: Mutex<SocketAddr>,
     pub dispatchers: Arc<Dispatchers>,
@@ -74,7 +74,7 @@
 /// Serves as the node of those files until SIGTERM or SIGINT, then ends the process. SIGHUP has them read again. Where
 /// the operators' file allows upgrades, another process serves and this one keeps it. An error comes back before any
 /// RPC is taken.
-pub fn serve(files: &Files, logs: Logs) -> Result<(), String> {
+pub fn serve(files: &Files, logs: LogSettings) -> Result<(), String> {
     // Before anything else: guards against a SIGHUP that ends a process which has only begun.
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])
         .map_err(|err| format!("cannot wait for signals: {err}"))?;
@@ -96,7 +96,7 @@
         std::process::exit(status.code().unwrap_or(70));
     }
     crate::logger::start(logs);
-    crate::panics::end_on_others();
+    crate::panics::exit_on_uncontained_panics();
     // One core is ours: one worker runs all coroutines, so that none of them ever waits for a lock for long.
     may::config()
         .set_workers(1)
@@ -219,10 +219,14 @@
 /// Reports to the supervisor for ever, for whoever conducts a change.
 fn report_counters(node: &Node, link: &SupervisorLink, reads_changes: bool) {
     let (mut pulse, mut reported) = (Pulse::default(), ReportedCalls::default());
-    let Core { tally, deployment, .. } = &*node.core;
+    let SharedState { method_counters, deployment, .. } = &*node.core;
     let names = &deployment.method_names;
     loop {
-        let methods = if reads_changes { tally.changed(names, &mut reported) } else { tally.all(names) };
+        let methods = if reads_changes {
+            method_counters.changed(names, &mut reported)
+        } else {
+            method_counters.all(names)
+        };
         let tally = ServingCounters { methods, ..condition(node, pulse.is_felt()) };
         let report = if reads_changes { CounterReport::Changed(tally) } else { CounterReport::All(tally) };
         link.send(&ChildLine::Counters(report));
@@ -235,7 +239,7 @@
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
     ServingCounters {
-        is_healthy: hears && node.core.gate.posture().healthy == Some(true),
+        is_healthy: hears && node.core.coordinator.health_state().is_healthy == Some(true),
         memory_kb: resident * 4,
         methods: Vec::new(),
         settings_fingerprint: node.settings.load(Ordering::Relaxed),
--- a/crates/ochrewalk-node/src/core.rs
+++ b/crates/ochrewalk-node/src/shared_state.rs
@@ -2,12 +2,12 @@
 //! RPC from its protocol and hands it over here; from then on it is the same for all of them.
 
 use crate::clock::Clock;
-use crate::gate::{Gate, Incoming, Ticket, Token};
-use crate::life::Life;
-use crate::live::{go_on, live, Living};
+use crate::coordinator::{IdempotencyKey, IncomingRequest, RequestCoordinator, RequestHandle};
+use crate::interfaces::{Answer, DownstreamClient, UpstreamClient};
+use crate::method_counters::PerMethodCounters;
 use crate::net::executor::Executor;
-use crate::seam::{Answer, Asker, Beneath};
-use crate::tally::Tally;
+use crate::request_state::RequestState;
+use crate::request_task::{run_to_completion, submit_and_run, OpenRequest};
 use ochrewalk::deployment::Deployment;
 use ochrewalk::host::{Effect, RpcId, Tenant};
 use siphasher::sip::SipHasher13;
@@ -21,60 +21,60 @@
 /// The farthest that a stamp may be from our clock.
 const STAMP_MS: u64 = 3_600_000;
 
-pub struct Core {
+pub struct SharedState {
     pub clock: Clock,
-    pub gate: Gate,
+    pub coordinator: RequestCoordinator,
     pub deployment: Deployment,
-    pub tally: Tally,
+    pub method_counters: PerMethodCounters,
     /// The methods' names as JSON strings.
-    pub lanes: Vec<String>,
+    pub method_names_json: Vec<String>,
     pub executor: Executor,
-    pub below: Option<Arc<dyn Beneath>>,
+    pub upstream: Option<Arc<dyn UpstreamClient>>,
     /// Prints of RPCs' work, by a key that no stranger knows.
     prints: SipHasher13,
     /// Those that the gate knows of.
-    living: Mutex<HashMap<RpcId, Arc<Living>>>,
+    living: Mutex<HashMap<RpcId, Arc<OpenRequest>>>,
     /// RPCs whose coroutines live, and how many may.
     lives: AtomicUsize,
     most_lives: usize,
 }
 
 /// An RPC as a front has read it.
-pub struct Asked<'a> {
+pub struct ParsedRequest<'a> {
     pub id: &'a str,
     /// Position in the deployment's list.
     pub method: usize,
-    pub kb: f64,
-    pub ts_ms: u64,
+    pub memory_kb: f64,
+    pub arrived_unix_ms: u64,
     /// How long its caller still waits, where that is conveyed.
-    pub left_us: Option<u64>,
-    pub token: Option<&'a str>,
+    pub time_left_us: Option<u64>,
+    pub idempotency_key: Option<&'a str>,
     /// The quota that it counts against, where its protocol names a tenant.
     pub tenant: Option<Tenant>,
     /// A JSON string of base64.
     pub body: &'a str,
 }
 
-impl Core {
+impl SharedState {
     /// `bytes` of memory are the program's own.
     pub fn new(
         clock: Clock,
-        gate: Gate,
+        gate: RequestCoordinator,
         deployment: Deployment,
         executor: Executor,
-        below: Option<Arc<dyn Beneath>>,
+        below: Option<Arc<dyn UpstreamClient>>,
         bytes: usize,
         print_key: (u64, u64),
-    ) -> Core {
+    ) -> SharedState {
         let lanes = deployment.method_names.iter().map(|name| serde_json::Value::from(name).to_string());
-        Core {
+        SharedState {
             clock,
-            gate,
-            tally: Tally::new(deployment.methods.len()),
-            lanes: lanes.collect(),
+            coordinator: gate,
+            method_counters: PerMethodCounters::new(deployment.methods.len()),
+            method_names_json: lanes.collect(),
             deployment,
             executor,
-            below,
+            upstream: below,
             prints: SipHasher13::new_with_keys(print_key.0, print_key.1),
             living: Mutex::default(),
             lives: AtomicUsize::new(0),
@@ -83,22 +83,30 @@
     }
 
     /// Checks what no protocol can check alone. The error says in a few words what is wrong.
-    pub fn check(&self, asked: &Asked) -> Result<Incoming, &'static str> {
-        if self.clock.unix_ms().abs_diff(asked.ts_ms) > STAMP_MS {
+    pub fn validate(&self, asked: &ParsedRequest) -> Result<IncomingRequest, &'static str> {
+        if self.clock.unix_ms().abs_diff(asked.arrived_unix_ms) > STAMP_MS {
             return Err("ts is out of range");
         }
         let tokened = self.deployment.methods[asked.method].effect == Effect::WithKey;
-        let token = asked.token.filter(|_| tokened).map(|key| Token {
+        let token = asked.idempotency_key.filter(|_| tokened).map(|key| IdempotencyKey {
             key: key.into(),
             // Some escape the solidus: the work is the same by any protocol.
-            work: self.print(asked.method, &asked.body.replace('\\', "")),
+            fingerprint: self.print(asked.method, &asked.body.replace('\\', "")),
         });
         if tokened && token.is_none() {
             return Err("no token");
         }
         let id: RpcId = asked.id.into();
-        let Asked { method, kb, ts_ms, left_us, tenant, .. } = *asked;
-        Ok(Incoming { id, method, kb, ts_ms, left_us, token, tenant })
+        let ParsedRequest { method, memory_kb, arrived_unix_ms, time_left_us, tenant, .. } = *asked;
+        Ok(IncomingRequest {
+            id,
+            method,
+            memory_kb,
+            arrived_unix_ms,
+            time_left_us,
+            idempotency_key: token,
+            tenant,
+        })
     }
 
     fn print(&self, method: usize, body: &str) -> u64 {
@@ -108,40 +116,51 @@
     }
 
     /// The key of the prints, for whoever goes on.
-    pub fn print_key(&self) -> (u64, u64) {
+    pub fn fingerprint_key(&self) -> (u64, u64) {
         self.prints.keys()
     }
 
     /// The RPCs that the gate knows of.
-    pub fn living(&self) -> MutexGuard<'_, HashMap<RpcId, Arc<Living>>> {
+    pub fn open_requests(&self) -> MutexGuard<'_, HashMap<RpcId, Arc<OpenRequest>>> {
         self.living.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// Goes on with the life of an RPC that another process began.
-    pub fn go_on(self: &Arc<Core>, living: Arc<Living>, ticket: Ticket) {
+    pub fn resume_request(self: &Arc<SharedState>, living: Arc<OpenRequest>, ticket: RequestHandle) {
         self.lives.fetch_add(1, Ordering::Relaxed);
-        self.living().insert(living.rpc.id.clone(), living.clone());
+        self.open_requests().insert(living.rpc.id.clone(), living.clone());
         let core = self.clone();
         may::go!(move || {
-            go_on(&core, &living, &ticket);
+            run_to_completion(&core, &living, &ticket);
             core.lives.fetch_sub(1, Ordering::Relaxed);
         });
     }
 
     /// Starts the life of an RPC that its front has entered as owed an answer.
-    pub fn begin(self: &Arc<Core>, rpc: Incoming, body: &str, asker: impl Asker + 'static) {
+    pub fn start_request(
+        self: &Arc<SharedState>,
+        rpc: IncomingRequest,
+        body: &str,
+        asker: impl DownstreamClient + 'static,
+    ) {
         // Guards the program's own memory against a flood: long before this many RPCs are open, the module's
         // hold is full.
         if self.lives.fetch_add(1, Ordering::Relaxed) >= self.most_lives {
             self.lives.fetch_sub(1, Ordering::Relaxed);
-            self.tally.answered(&self.clock, &self.deployment, &rpc, &Answer::UNSEEN);
-            return asker.answer(Answer::UNSEEN, self.gate.posture().signal);
+            self.method_counters.record_answer(
+                &self.clock,
+                &self.deployment,
+                &rpc,
+                &Answer::REJECTED_WITHOUT_ADVICE,
+            );
+            return asker
+                .answer(Answer::REJECTED_WITHOUT_ADVICE, self.coordinator.health_state().load_signal);
         }
-        let living = Arc::new(Living::new(self, rpc, body, Box::new(asker), Life::begin()));
+        let living = Arc::new(OpenRequest::new(self, rpc, body, Box::new(asker), RequestState::submitted()));
         let core = self.clone();
-        self.gate.unrest.more();
+        self.coordinator.pending_work.increment();
         may::go!(move || {
-            live(&core, &living);
+            submit_and_run(&core, &living);
             core.lives.fetch_sub(1, Ordering::Relaxed);
         });
     }
