--- a/crates/ochrewalk-node/examples/flawed.rs
+++ b/crates/ochrewalk-node/examples/flawed.rs
@@ -1,7 +1,7 @@
 //! The real node's library with a flaw, chosen by name in `OCHREWALK_FLAW`, as a new program that a rolling change has to
 //! stop. For tests and the laboratory alone.
 
-use ochrewalk_node::logger::{LogFormat, LogSettings};
+use ochrewalk_node::logger::{Form, LogSettings};
 use ochrewalk_node::node::{serve, Files};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -40,7 +40,7 @@
         "leak" => later(Duration::ZERO, leak),
         _ => {}
     }
-    let logs = LogSettings { level: LevelFilter::ERROR, format: LogFormat::Plain };
+    let logs = LogSettings { level: LevelFilter::ERROR, format: Form::Plain };
     if let Err(why) = serve(&Files { node, operators: file("--operators") }, logs) {
         eprintln!("{why}");
         std::process::exit(1);
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use ochrewalk_distribution::messages::Position;
-use ochrewalk_node::logger::LogFormat;
+use ochrewalk_node::logger::Form;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tracing::level_filters::LevelFilter;
@@ -18,7 +18,7 @@
     pub(crate) log: LevelFilter,
     /// How lines are written
     #[arg(long, env = "OCHREWALK_LOG_FORMAT", default_value = "plain", value_enum)]
-    pub(crate) log_format: LogFormat,
+    pub(crate) log_format: Form,
     #[command(subcommand)]
     pub(crate) command: ConfigCommand,
 }
--- a/crates/ochrewalk-node/src/logger.rs
+++ b/crates/ochrewalk-node/src/logger.rs
@@ -24,7 +24,7 @@
 
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
-pub enum LogFormat {
+pub enum Form {
     /// Time, level, message and fields
     #[default]
     Plain,
@@ -38,7 +38,7 @@
     /// The most verbose level that is logged.
     pub level: LevelFilter,
     /// The format of lines.
-    pub format: LogFormat,
+    pub format: Form,
 }
 
 /// Writes all queued lines when it is dropped.
@@ -52,11 +52,11 @@
     let limit = RateLimit { level: settings.level, repeated: repeated.clone(), call_sites: Mutex::default() };
     let layer = fmt::layer().with_ansi(false).with_target(false).with_writer(writer);
     let set = match settings.format {
-        LogFormat::Plain => {
+        Form::Plain => {
             let lines = tracing_subscriber::registry().with(layer.with_filter(limit));
             tracing::subscriber::set_global_default(lines)
         }
-        LogFormat::Json => {
+        Form::Json => {
             let objects = layer.json().flatten_event(true);
             tracing::subscriber::set_global_default(
                 tracing_subscriber::registry().with(objects.with_filter(limit)),
--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use ochrewalk_node::handover::supervisor::request_upgrade;
 use ochrewalk_node::handover::supervisor_protocol::AttemptOutcome;
-use ochrewalk_node::logger::{LogFormat, LogSettings};
+use ochrewalk_node::logger::{Form, LogSettings};
 use ochrewalk_node::node::Files;
 use ochrewalk_node::rollout::operator_socket::{send_to_controller, ControllerCommand};
 use ochrewalk_node::rollout::{self, RolloutEnd, RolloutError, StartMode};
@@ -36,7 +36,7 @@
         log: LevelFilter,
         /// How lines are written
         #[arg(long, env = "OCHREWALK_LOG_FORMAT", default_value = "plain", value_enum)]
-        log_format: LogFormat,
+        log_format: Form,
     },
     /// Check a node's file and the operators' own, and say which key or line is at fault
     Check {
