--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -52,7 +52,7 @@
 /// successor takes over, this process ends here.
 pub fn hand_over(node: &Arc<Node>, control: &HandOverControl, link: &SupervisorLink, stream: HandOverStream) {
     let interruptions = control.begin();
-    let clock = node.core.clock;
+    let clock = node.shared.clock;
     let limits = LIMITS.with_reading_time(node.reading_us.load(Ordering::Relaxed));
     let mut predecessor = Predecessor::new(clock.now_us(), limits, state_summary(node));
     let mut actions =
@@ -173,7 +173,7 @@
 
     /// Sends idempotency keys: they stay as they are for most of their time, while all else changes with every RPC.
     fn transfer_ahead(&mut self, _now_us: u64) -> TransferredAhead {
-        let gate = &self.node.core.coordinator;
+        let gate = &self.node.shared.coordinator;
         let (mut chunks, mut after) = (0, None);
         self.keys_went_ahead = true;
         // An interruption ends the attempt anyway.
@@ -186,7 +186,7 @@
             }
             (chunks, after) = (chunks + 1, Some(last));
         }
-        TransferredAhead { chunks, finished_us: self.node.core.clock.now_us() }
+        TransferredAhead { chunks, finished_us: self.node.shared.clock.now_us() }
     }
 
     fn pause_and_transfer(&mut self) -> u64 {
@@ -232,7 +232,7 @@
             Err(error) => AttemptOutcome::Failed(error.to_string()),
         };
         tracing::warn!(part = "upgrade", "{outcome}");
-        self.node.core.coordinator.stop_tracking_keys();
+        self.node.shared.coordinator.stop_tracking_keys();
         self.link.send(&ChildLine::AttemptEnded(outcome));
     }
 }
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -47,13 +47,13 @@
 /// Ends the pause, and has every connection looked at again.
 pub(super) fn resume_node(node: &Node) {
     resume();
-    if let Some(below) = &node.core.upstream {
+    if let Some(below) = &node.shared.upstream {
         below.set_calls_paused(false);
         below.recheck_connections();
     }
-    node.core.executor.recheck_connection();
+    node.shared.executor.recheck_connection();
     node.dispatchers.recheck_connections();
-    if let Some(front) = &node.ajp {
+    if let Some(front) = &node.ajp_ingress {
         front.recheck_connections();
     }
 }
@@ -73,9 +73,9 @@
     if !pending.is_awaited() {
         return None;
     }
-    let clock = node.core.clock;
+    let clock = node.shared.clock;
     let deadline_us = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
-    if let Some(below) = &node.core.upstream {
+    if let Some(below) = &node.shared.upstream {
         below.set_calls_paused(true);
         let deadline_us = deadline_us(MAX_UNMOVABLE_WAIT);
         while below.has_unmovable_calls() && clock.now_us() < deadline_us {
@@ -108,11 +108,11 @@
 /// All sections; none while something that was read is still being dealt with, or a connection is coming or going.
 fn sections_at_rest(node: &Node, keys_went_ahead: bool) -> Option<Vec<SectionState>> {
     let json = node.dispatchers.snapshot()?;
-    let ajp = match &node.ajp {
+    let ajp = match &node.ajp_ingress {
         Some(front) => Some(front.snapshot()?),
         None => None,
     };
-    node.core.coordinator.is_quiescent().then(|| sections(node, keys_went_ahead, json, ajp))
+    node.shared.coordinator.is_quiescent().then(|| sections(node, keys_went_ahead, json, ajp))
 }
 
 fn sections(
@@ -121,14 +121,14 @@
     (json, json_descriptors): Connections<JsonRpcConnectionRecords>,
     ajp: Option<Connections<AjpConnectionRecords>>,
 ) -> Vec<SectionState> {
-    let core = &node.core;
+    let core = &node.shared;
     let node_record = node_record(node, keys_went_ahead);
     let rpcs = RpcRecords { rpcs: core.open_requests().values().map(|rpc| rpc_record(rpc)).collect() };
     let (executor, link) = core.executor.snapshot();
     let (below, links) = core.upstream.as_ref().map(|below| below.snapshot()).unwrap_or_default();
     let listeners = [
         node.dispatchers.listener_descriptor(),
-        node.ajp.as_ref().and_then(|front| front.listener_descriptor()),
+        node.ajp_ingress.as_ref().and_then(|front| front.listener_descriptor()),
     ];
     let listeners = listeners.into_iter().flatten().collect();
     let mut sections = vec![
@@ -146,11 +146,11 @@
 }
 
 fn node_record(node: &Node, keys_went_ahead: bool) -> NodeRecord {
-    let (fingerprint_key, fingerprint_key_more) = node.core.fingerprint_key();
-    let clock_base_ns = node.core.clock.base_ns();
+    let (fingerprint_key, fingerprint_key_more) = node.shared.fingerprint_key();
+    let clock_base_ns = node.shared.clock.base_ns();
     let mut record =
         NodeRecord { clock_base_ns, fingerprint_key, fingerprint_key_more, ..NodeRecord::default() };
-    node.core.coordinator.snapshot(&mut record, keys_went_ahead);
+    node.shared.coordinator.snapshot(&mut record, keys_went_ahead);
     record
 }
 
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -1,4 +1,4 @@
-//! The parts of a node: put together from its files, and from what a predecessor held, then started.
+//! Assembles the parts of a node from its files and from the state of a predecessor, and starts them.
 
 use super::Node;
 use crate::clock::Clock;
@@ -35,239 +35,289 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
 
-/// Descriptors that are not dispatchers' connections, nor below: the listener, two links and their successors,
-/// the runtime's own, the standard streams.
-const OWN_DESCRIPTORS: usize = 24;
-/// Beside its connections: the AJP front's listener, twice, and those that are ending.
-const AJP_DESCRIPTORS: usize = 10;
-/// One in so many descriptors may be a connection below; dispatchers take half of them at most.
-const OF_BELOW: usize = 8;
-/// Fewer connections than this make no front.
-const LEAST_DISPATCHERS: usize = 8;
+/// The descriptors reserved for anything but connections of dispatchers and of the upstream: the listener, two links
+/// and their replacements, the runtime's own descriptors, and the standard streams.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// The descriptors reserved for the AJP ingress in addition to its connections: its listener, twice, and connections
+/// that are closing.
+const AJP_RESERVED_DESCRIPTORS: usize = 10;
+/// The divisor that gives the share of all descriptors that upstream connections may use. Dispatchers use half of all
+/// descriptors at most.
+const UPSTREAM_DESCRIPTOR_DIVISOR: usize = 8;
+/// The minimal number of dispatcher connections for which a node starts.
+const MIN_DISPATCHER_CONNECTIONS: usize = 8;
 
-/// May lets processes share a port. Guards against two nodes on one address, each with half of the callers.
-pub(super) fn listen(at: SocketAddr) -> Result<TcpListener, String> {
-    let alone = std::net::TcpListener::bind(at);
-    alone
-        .and_then(|alone| {
-            drop(alone);
-            TcpListener::bind(at)
+/// Binds a listener to an address that no other process listens on. The runtime's listeners may share a port between
+/// processes; the exclusive bind before guards against two nodes on one address, each with half of the callers.
+pub(super) fn listen(address: SocketAddr) -> Result<TcpListener, String> {
+    let exclusive = std::net::TcpListener::bind(address);
+    exclusive
+        .and_then(|exclusive| {
+            drop(exclusive);
+            TcpListener::bind(address)
         })
-        .map_err(|err| format!("cannot listen on {at}: {err}"))
+        .map_err(|err| format!("cannot listen on {address}: {err}"))
 }
 
-/// A node that is put together and does nothing yet.
-pub(super) struct Built {
+/// A node that is assembled and not started yet.
+pub(super) struct AssembledNode {
     node: Arc<Node>,
     name: String,
-    stirred: CoordinatorNotifications,
+    notifications: CoordinatorNotifications,
     listener: TcpListener,
     ajp_listener: Option<TcpListener>,
-    status: Option<PathBuf>,
-    resumed: Resumed,
+    status_socket: Option<PathBuf>,
+    resumed: ResumedState,
     agent: Option<PreparedAgent>,
 }
 
-/// What goes on from the process before.
+/// The connections and requests of the predecessor that this process continues.
 #[derive(Default)]
-pub(super) struct Resumed {
-    json: Vec<(Arc<dispatchers::Connection>, OwnedFd)>,
-    ajp: Vec<(Arc<ajp_ingress::Connection>, OwnedFd)>,
-    lives: Vec<(Arc<OpenRequest>, RequestHandle)>,
-    /// News for lives whose calls did not come along.
-    ends: Vec<(EventSender, CallResult)>,
-    link: Option<OwnedFd>,
-    below: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, EventSender>)>,
+pub(super) struct ResumedState {
+    json_connections: Vec<(Arc<dispatchers::Connection>, OwnedFd)>,
+    ajp_connections: Vec<(Arc<ajp_ingress::Connection>, OwnedFd)>,
+    requests: Vec<(Arc<OpenRequest>, RequestHandle)>,
+    /// The results of calls that were not handed over, for the requests that wait for them.
+    call_results: Vec<(EventSender, CallResult)>,
+    executor_link: Option<OwnedFd>,
+    upstream: Option<(UpstreamRecord, Vec<OwnedFd>, HashMap<RpcId, EventSender>)>,
 }
 
-/// Puts every part together, from what another process held where there is something.
-pub(super) fn build(
+/// Assembles all parts of a node, from the state of a predecessor where there is one.
+pub(super) fn assemble(
     placement: &Placement,
     operators: OperatorConfig,
     digest: u64,
-    mut taken: Option<ReceivedState>,
-) -> Result<Built, String> {
-    let mut listeners =
-        taken.as_mut().map(|taken| std::mem::take(&mut taken.listeners)).unwrap_or_default().into_iter();
-    let mut listener = |at: SocketAddr| match listeners.next() {
-        // SAFETY: the descriptor came for this use alone.
+    mut received: Option<ReceivedState>,
+) -> Result<AssembledNode, String> {
+    let mut listeners = received
+        .as_mut()
+        .map(|received| std::mem::take(&mut received.listeners))
+        .unwrap_or_default()
+        .into_iter();
+    let mut listener = |address: SocketAddr| match listeners.next() {
+        // SAFETY: the predecessor passed this descriptor for this listener only, and nothing else owns it.
         Some(passed) => Ok(unsafe { TcpListener::from_raw_fd(passed.into_raw_fd()) }),
-        None => listen(at),
+        None => listen(address),
     };
     let json_listener = listener(placement.listen)?;
     let ajp_listener =
         operators.ajp_listener.as_ref().map(|settings| listener(settings.listen)).transpose()?;
-    let clock = taken.as_ref().map_or_else(Clock::start, |taken| Clock::resume(taken.node.clock_base_ns));
-    let bytes = placement.memory_mb as usize * 1024 * 1024;
+    let clock =
+        received.as_ref().map_or_else(Clock::start, |received| Clock::resume(received.node.clock_base_ns));
+    let memory_bytes = placement.memory_mb as usize * 1024 * 1024;
     let deployment = placement.deployment.clone();
-    let pauses = deployment.machine.stopping == Stopping::Pause;
-    let print_key = taken.as_ref().map_or_else(
+    let can_pause = deployment.machine.stopping == Stopping::Pause;
+    let fingerprint_key = received.as_ref().map_or_else(
         || (fastrand::u64(..), fastrand::u64(..)),
-        |t| (t.node.fingerprint_key, t.node.fingerprint_key_more),
+        |received| (received.node.fingerprint_key, received.node.fingerprint_key_more),
     );
-    let rpcs = taken.as_mut().map(|taken| std::mem::take(&mut taken.rpcs.rpcs)).unwrap_or_default();
-    let known = deployment.methods.len();
-    if rpcs.iter().any(|rpc| rpc.method as usize >= known) {
+    let rpcs = received.as_mut().map(|received| std::mem::take(&mut received.rpcs.rpcs)).unwrap_or_default();
+    let method_count = deployment.methods.len();
+    if rpcs.iter().any(|rpc| rpc.method as usize >= method_count) {
         return Err("an RPC of an unknown method".into());
     }
-    let incoming: Vec<IncomingRequest> = rpcs.iter().map(incoming).collect();
+    let incoming: Vec<IncomingRequest> = rpcs.iter().map(incoming_request).collect();
     let ids: HashSet<RpcId> = incoming.iter().map(|rpc| rpc.id.clone()).collect();
-    let (gate, stirred, tickets) = match &mut taken {
-        Some(taken) => {
-            let ahead = std::mem::replace(&mut taken.keys, IdempotencyKeyStore::new(0));
+    let (coordinator, notifications, handles) = match &mut received {
+        Some(received) => {
+            let keys_sent_ahead = std::mem::replace(&mut received.keys, IdempotencyKeyStore::new(0));
             RequestCoordinator::resume(
                 clock,
                 deployment.clone(),
                 placement.seed,
-                bytes / 8,
-                &mut taken.node,
-                ahead,
+                memory_bytes / 8,
+                &mut received.node,
+                keys_sent_ahead,
                 &incoming,
             )?
         }
         None => {
-            let (gate, stirred) =
-                RequestCoordinator::new(clock, deployment.clone(), placement.seed, bytes / 8);
-            (gate, stirred, Vec::new())
+            let (coordinator, notifications) =
+                RequestCoordinator::new(clock, deployment.clone(), placement.seed, memory_bytes / 8);
+            (coordinator, notifications, Vec::new())
         }
     };
-    let most_links = operators
+    let max_upstream_connections = operators
         .ajp_upstream
         .as_ref()
-        .map_or(placement.descriptors / OF_BELOW, |upstream| upstream.max_connections);
-    let runs = incoming.iter().zip(&rpcs).zip(&tickets).filter(|((_, rpc), _)| rpc.running);
-    let again = |rpc: &IncomingRequest| deployment.methods[rpc.method].effect == Effect::Idempotent;
-    let runs = runs.map(|((rpc, _), ticket)| (rpc.id.clone(), again(rpc), ticket.event_sender())).collect();
-    let (executor, link) = match &mut taken {
-        Some(taken) => {
-            let (kept, link) = (std::mem::take(&mut taken.executor), taken.executor_link.take());
-            (Executor::resume(placement.executor, pauses, kept, runs), link)
+        .map_or(placement.descriptors / UPSTREAM_DESCRIPTOR_DIVISOR, |upstream| upstream.max_connections);
+    let runs = incoming.iter().zip(&rpcs).zip(&handles).filter(|((_, rpc), _)| rpc.running);
+    let may_repeat = |rpc: &IncomingRequest| deployment.methods[rpc.method].effect == Effect::Idempotent;
+    let runs =
+        runs.map(|((rpc, _), handle)| (rpc.id.clone(), may_repeat(rpc), handle.event_sender())).collect();
+    let (executor, executor_link) = match &mut received {
+        Some(received) => {
+            let (record, link) = (std::mem::take(&mut received.executor), received.executor_link.take());
+            (Executor::resume(placement.executor, can_pause, record, runs), link)
         }
-        None => (Executor::new(placement.executor, pauses), None),
+        None => (Executor::new(placement.executor, can_pause), None),
     };
-    let status = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.status_socket.clone());
-    let by_ajp = operators
+    let status_socket = operators.ajp_upstream.as_ref().and_then(|upstream| upstream.status_socket.clone());
+    let ajp_upstream = operators
         .ajp_upstream
         .clone()
         .map(|settings| AjpUpstreamClient::new(settings, clock, placement.seed));
-    let store = placement
+    let line_upstream = placement
         .upstream
-        .filter(|_| by_ajp.is_none())
-        .map(|at| LineUpstreamClient::new(at, clock, most_links));
-    let below: Option<Arc<dyn UpstreamClient>> = match (&by_ajp, &store) {
-        (Some(by_ajp), _) => Some(Arc::new(by_ajp.clone())),
-        (None, Some(store)) => Some(Arc::new(store.clone())),
+        .filter(|_| ajp_upstream.is_none())
+        .map(|address| LineUpstreamClient::new(address, clock, max_upstream_connections));
+    let upstream: Option<Arc<dyn UpstreamClient>> = match (&ajp_upstream, &line_upstream) {
+        (Some(ajp_upstream), _) => Some(Arc::new(ajp_upstream.clone())),
+        (None, Some(line_upstream)) => Some(Arc::new(line_upstream.clone())),
         (None, None) => None,
     };
-    let core = Arc::new(SharedState::new(clock, gate, deployment, executor, below, bytes, print_key));
-    // Each front has descriptors of its own, so that neither can take the other's: its connections, a few that
-    // are ending, its listener.
-    let of_ajp =
-        operators.ajp_listener.as_ref().map_or(0, |listener| listener.max_connections + AJP_DESCRIPTORS);
-    let most = placement.descriptors.saturating_sub(OWN_DESCRIPTORS + most_links + of_ajp);
-    if most < LEAST_DISPATCHERS {
-        return Err(format!("{most} descriptors are left for dispatchers, {LEAST_DISPATCHERS} are needed"));
+    let shared = Arc::new(SharedState::new(
+        clock,
+        coordinator,
+        deployment,
+        executor,
+        upstream,
+        memory_bytes,
+        fingerprint_key,
+    ));
+    // Each ingress has descriptors of its own, so that neither can use up those of the other: its connections, a few
+    // that are closing, and its listener.
+    let ajp_descriptors = operators
+        .ajp_listener
+        .as_ref()
+        .map_or(0, |listener| listener.max_connections + AJP_RESERVED_DESCRIPTORS);
+    let max_dispatchers = placement
+        .descriptors
+        .saturating_sub(RESERVED_DESCRIPTORS + max_upstream_connections + ajp_descriptors);
+    if max_dispatchers < MIN_DISPATCHER_CONNECTIONS {
+        return Err(format!(
+            "{max_dispatchers} descriptors are left for dispatchers, {MIN_DISPATCHER_CONNECTIONS} are needed"
+        ));
     }
-    let dispatchers = Arc::new(Dispatchers::new(core.clone(), most));
-    let directory = Mutex::new(placement.directory);
-    let ajp = operators.ajp_listener.clone().map(|settings| {
-        let open = ReloadableConfig {
+    let dispatchers = Arc::new(Dispatchers::new(shared.clone(), max_dispatchers));
+    let directory_address = Mutex::new(placement.directory);
+    let ajp_ingress = operators.ajp_listener.clone().map(|settings| {
+        let config = ReloadableConfig {
             allowed_peers: settings.allowed_peers,
             rules: settings.rules,
             quotas: Arc::default(),
         };
-        let (packet, idle_us) = (settings.max_packet_bytes, settings.idle_timeout_us);
-        AjpIngress::new(core.clone(), open, packet, settings.max_connections, idle_us, placement.seed)
+        let (max_packet_bytes, idle_us) = (settings.max_packet_bytes, settings.idle_timeout_us);
+        AjpIngress::new(
+            shared.clone(),
+            config,
+            max_packet_bytes,
+            settings.max_connections,
+            idle_us,
+            placement.seed,
+        )
     });
-    let agent = prepare_configuration(placement, &operators, ajp.as_ref(), by_ajp.as_ref())
+    let agent = prepare_configuration(placement, &operators, ajp_ingress.as_ref(), ajp_upstream.as_ref())
         .map_err(|error| error.to_string())?;
     let configuration = agent.as_ref().map(|agent| agent.handle().clone());
-    let mut resumed = Resumed { link, ..Resumed::default() };
-    if let Some(taken) = taken {
-        resumed.json = dispatchers.resume(taken.json.record, taken.json.descriptors, &ids);
-        if let Some(front) = &ajp {
-            resumed.ajp = front.resume(taken.ajp.record, taken.ajp.descriptors, &ids);
+    let mut resumed = ResumedState { executor_link, ..ResumedState::default() };
+    if let Some(received) = received {
+        resumed.json_connections = dispatchers.resume(received.json.record, received.json.descriptors, &ids);
+        if let Some(ingress) = &ajp_ingress {
+            resumed.ajp_connections = ingress.resume(received.ajp.record, received.ajp.descriptors, &ids);
         }
-        let moved: HashSet<&String> =
-            taken.upstream.record.links.iter().flat_map(|link| &link.calls).collect();
-        for ((rpc, kept), ticket) in incoming.into_iter().zip(rpcs).zip(tickets) {
-            let placed = kept.call.as_ref().is_some_and(|call| call.placed);
-            if placed && !moved.contains(&kept.id) {
-                let lost = taken.upstream.record.lost.contains(&kept.id);
-                let end =
-                    if lost { CallResult::ConnectionClosed(CloseReason::Moved) } else { CallResult::Unsent };
-                resumed.ends.push((ticket.event_sender(), end));
+        let moved_calls: HashSet<&String> =
+            received.upstream.record.links.iter().flat_map(|link| &link.calls).collect();
+        for ((rpc, record), handle) in incoming.into_iter().zip(rpcs).zip(handles) {
+            let is_placed = record.call.as_ref().is_some_and(|call| call.placed);
+            if is_placed && !moved_calls.contains(&record.id) {
+                let is_lost = received.upstream.record.lost.contains(&record.id);
+                let result = if is_lost {
+                    CallResult::ConnectionClosed(CloseReason::Moved)
+                } else {
+                    CallResult::Unsent
+                };
+                resumed.call_results.push((handle.event_sender(), result));
             }
-            let asker = kept.client.as_ref().and_then(|at| match (&ajp, at.by_ajp) {
-                (Some(front), true) => front.client_at(at),
+            let client = record.client.as_ref().and_then(|address| match (&ajp_ingress, address.by_ajp) {
+                (Some(ingress), true) => ingress.client_at(address),
                 (None, true) => None,
-                (_, false) => dispatchers.client_at(at),
+                (_, false) => dispatchers.client_at(address),
             });
-            let life = RequestState {
-                awaits_answer: kept.owed && asker.is_some(),
-                is_running: kept.running,
-                call: kept.call.map(call),
+            let state = RequestState {
+                awaits_answer: record.owed && client.is_some(),
+                is_running: record.running,
+                call: record.call.map(upstream_call),
             };
-            let living =
-                OpenRequest::new(&core, rpc, &kept.body, asker.unwrap_or_else(|| Box::new(Nobody)), life);
-            resumed.lives.push((Arc::new(living), ticket));
+            let request = OpenRequest::new(
+                &shared,
+                rpc,
+                &record.body,
+                client.unwrap_or_else(|| Box::new(DisconnectedClient)),
+                state,
+            );
+            resumed.requests.push((Arc::new(request), handle));
         }
-        let posts = resumed
-            .lives
+        let event_senders = resumed
+            .requests
             .iter()
-            .map(|(living, ticket)| (living.rpc.id.clone(), ticket.event_sender()))
+            .map(|(request, handle)| (request.rpc.id.clone(), handle.event_sender()))
             .collect();
-        resumed.below = Some((taken.upstream.record, taken.upstream.descriptors, posts));
+        resumed.upstream = Some((received.upstream.record, received.upstream.descriptors, event_senders));
     }
-    let (memory_bytes, descriptors) = (bytes, placement.descriptors);
+    let descriptors = placement.descriptors;
     let node = Arc::new(Node {
-        core,
-        store,
-        by_ajp,
-        ajp,
-        directory,
+        shared,
+        line_upstream,
+        ajp_upstream,
+        ajp_ingress,
+        directory_address,
         dispatchers,
         memory_bytes,
         descriptors,
         digest,
-        settings: AtomicU64::new(0),
+        settings_fingerprint: AtomicU64::new(0),
         reading_us: AtomicU64::new(0),
         configuration,
     });
     let name = placement.name.clone();
-    Ok(Built { node, name, stirred, listener: json_listener, ajp_listener, status, resumed, agent })
+    Ok(AssembledNode {
+        node,
+        name,
+        notifications,
+        listener: json_listener,
+        ajp_listener,
+        status_socket,
+        resumed,
+        agent,
+    })
 }
 
-pub(super) fn incoming(kept: &RpcRecord) -> IncomingRequest {
-    let token =
-        kept.token.as_ref().map(|key| IdempotencyKey { key: key.as_str().into(), fingerprint: kept.work });
-    let (method, left_us) = (kept.method as usize, kept.left_us);
-    // The module has counted it already.
-    let (id, tenant) = (kept.id.as_str().into(), None);
+/// Converts the record of an open RPC to the request that is resumed at the coordinator.
+pub(super) fn incoming_request(record: &RpcRecord) -> IncomingRequest {
+    let idempotency_key = record
+        .token
+        .as_ref()
+        .map(|key| IdempotencyKey { key: key.as_str().into(), fingerprint: record.work });
+    let (method, time_left_us) = (record.method as usize, record.left_us);
+    // The tenant is left out: the admission controller has charged the RPC to its quota already.
+    let (id, tenant) = (record.id.as_str().into(), None);
     IncomingRequest {
         id,
         method,
-        memory_kb: kept.kb,
-        arrived_unix_ms: kept.ts_ms,
-        time_left_us: left_us,
-        idempotency_key: token,
+        memory_kb: record.kb,
+        arrived_unix_ms: record.ts_ms,
+        time_left_us,
+        idempotency_key,
         tenant,
     }
 }
 
-pub(super) fn call(kept: CallRecord) -> UpstreamCall {
-    let placed = PlacedCall { placed_at_us: kept.at_us, until_us: kept.until_us };
-    UpstreamCall { pos: kept.pos, body: kept.body, placed: kept.placed.then_some(placed) }
+/// Converts the record of an upstream call to the call that the request's state machine continues.
+pub(super) fn upstream_call(record: CallRecord) -> UpstreamCall {
+    let placed = PlacedCall { placed_at_us: record.at_us, until_us: record.until_us };
+    UpstreamCall { pos: record.pos, body: record.body, placed: record.placed.then_some(placed) }
 }
 
-/// Whoever asked is not there any more.
-pub(super) struct Nobody;
+/// The client of a request whose connection is closed.
+pub(super) struct DisconnectedClient;
 
-impl DownstreamClient for Nobody {
+impl DownstreamClient for DisconnectedClient {
     fn awaits_answer(&self) -> bool {
         false
     }
-    fn answer(&self, _answer: Answer, _signal: Option<f64>) {}
+    fn answer(&self, _answer: Answer, _load_signal: Option<f64>) {}
     fn address(&self) -> ClientAddress {
         ClientAddress::default()
     }
@@ -275,66 +325,78 @@
     fn mark_trusted(&self) {}
 }
 
-/// Starts every part. What is sent to the sender makes the directory hear of the present health at once.
-pub(super) fn begin(built: Built, placement: &Placement) -> (Arc<Node>, Sender<()>) {
-    let Built { node, name, stirred, listener, ajp_listener, status, resumed, agent } = built;
-    if let Some(Err(why)) = agent.map(PreparedAgent::start) {
-        tracing::error!(part = "config", "no changes come: {why}");
+/// Starts all parts of a node. A message to the returned sender has the present health reported to the directory at
+/// once.
+pub(super) fn start(assembled: AssembledNode, placement: &Placement) -> (Arc<Node>, Sender<()>) {
+    let AssembledNode { node, name, notifications, listener, ajp_listener, status_socket, resumed, agent } =
+        assembled;
+    if let Some(Err(error)) = agent.map(PreparedAgent::start) {
+        tracing::error!(
+            part = "config",
+            "configuration agent not started, no updates will be received: {error}"
+        );
     }
     tracing::info!(part = "json-rpc", place = %placement.listen, "node {name} listens");
-    if let (Some(front), Some(listener)) = (node.ajp.clone(), ajp_listener) {
+    if let (Some(ingress), Some(listener)) = (node.ajp_ingress.clone(), ajp_listener) {
         tracing::info!(part = "ajp", "node {name} listens");
-        let of = front.clone();
-        may::go!(move || of.sweep());
-        may::go!(move || accept_connections(&front, &listener));
+        let swept = ingress.clone();
+        may::go!(move || swept.sweep());
+        may::go!(move || accept_connections(&ingress, &listener));
     }
-    if let Some(by_ajp) = node.by_ajp.clone() {
-        if let Some(status) = status {
-            status::serve(&status, by_ajp.clone());
+    if let Some(ajp_upstream) = node.ajp_upstream.clone() {
+        if let Some(status_socket) = status_socket {
+            status::serve(&status_socket, ajp_upstream.clone());
         }
-        may::go!(move || by_ajp.maintain());
+        may::go!(move || ajp_upstream.maintain());
     }
-    let core = node.core.clone();
-    let (report_now, changed) = channel();
-    let (of, report) = (core.clone(), report_now.clone());
-    let link = resumed.link.map(stream_from_descriptor);
-    may::go!(move || of.executor.maintain_connection(&of.coordinator, &report, link));
-    if let Some(store) = node.store.clone() {
-        if let Some((kept, descriptors, posts)) = resumed.below {
-            store.resume(kept, descriptors, &posts);
+    let shared = node.shared.clone();
+    let (report_now, report_requests) = channel();
+    let (for_executor, health_changed) = (shared.clone(), report_now.clone());
+    let executor_link = resumed.executor_link.map(stream_from_descriptor);
+    may::go!(move || for_executor.executor.maintain_connection(
+        &for_executor.coordinator,
+        &health_changed,
+        executor_link
+    ));
+    if let Some(line_upstream) = node.line_upstream.clone() {
+        if let Some((record, descriptors, event_senders)) = resumed.upstream {
+            line_upstream.resume(record, descriptors, &event_senders);
         }
-        may::go!(move || store.maintain());
+        may::go!(move || line_upstream.maintain());
     }
-    for (living, ticket) in resumed.lives {
-        core.resume_request(living, ticket);
+    for (request, handle) in resumed.requests {
+        shared.resume_request(request, handle);
     }
-    resumed.ends.into_iter().for_each(|(post, end)| post.send(RequestEvent::CallEnded(end)));
-    node.dispatchers.serve_resumed(resumed.json);
-    if let Some(front) = &node.ajp {
-        front.serve_resumed(resumed.ajp);
+    resumed
+        .call_results
+        .into_iter()
+        .for_each(|(events, result)| events.send(RequestEvent::CallEnded(result)));
+    node.dispatchers.serve_resumed(resumed.json_connections);
+    if let Some(ingress) = &node.ajp_ingress {
+        ingress.serve_resumed(resumed.ajp_connections);
     }
-    let of = core.clone();
+    let for_decisions = shared.clone();
     may::go!(move || loop {
-        of.coordinator.decide_when_notified(&stirred.state_changed);
+        for_decisions.coordinator.decide_when_notified(&notifications.state_changed);
     });
-    let of = core;
+    let for_timer = shared;
     may::go!(move || {
-        let rows = gauge_channel();
+        let gauge_replies = gauge_channel();
         loop {
-            of.coordinator.wait_for_timer(&stirred.timer_moved);
-            let row = of.executor.gauges(&rows).unwrap_or_default();
-            of.coordinator.tick(of.deployment.gauges(|at| row.get(at).copied()));
+            for_timer.coordinator.wait_for_timer(&notifications.timer_moved);
+            let gauges = for_timer.executor.gauges(&gauge_replies).unwrap_or_default();
+            for_timer.coordinator.tick(for_timer.deployment.gauges(|index| gauges.get(index).copied()));
         }
     });
-    let of = node.clone();
+    let reported = node.clone();
     may::go!(move || {
-        let at = || *of.directory.lock().expect("never held over a panic");
-        let healthy = || of.core.coordinator.health_state().is_healthy;
-        directory::report_periodically(at, &name, healthy, &changed);
+        let address = || *reported.directory_address.lock().expect("no panic occurs under this lock");
+        let is_healthy = || reported.shared.coordinator.health_state().is_healthy;
+        directory::report_periodically(address, &name, is_healthy, &report_requests);
     });
-    let of = node.dispatchers.clone();
-    may::go!(move || of.sweep());
-    let of = node.dispatchers.clone();
-    may::go!(move || accept_connections(&of, &listener));
+    let swept = node.dispatchers.clone();
+    may::go!(move || swept.sweep());
+    let dispatchers = node.dispatchers.clone();
+    may::go!(move || accept_connections(&dispatchers, &listener));
     (node, report_now)
 }
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! One node: its parts put together, started, and brought to an end on a signal.
+//! Runs one node: assembles and starts its parts, acts on signals, and drains the node before the process exits.
 
 mod assembly;
+mod drain;
 mod files;
-mod leaving;
 mod reload;
 
 pub use files::Files;
@@ -23,59 +23,68 @@
 use crate::net::dispatchers::Dispatchers;
 use crate::net::line_upstream::LineUpstreamClient;
 use crate::shared_state::SharedState;
-use assembly::{begin, build};
-use leaving::{leave, END_MS};
+use assembly::{assemble, start};
+use drain::{drain, EXIT_MS};
 use may::sync::mpsc::channel;
 use ochrewalk_rollout::messages::ServingCounters;
-use reload::read_again;
+use reload::reload;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Words of a coroutine's stack: 128 KiB, of which only what is used takes memory.
+/// The size of a coroutine's stack in words: 128 KiB, of which only touched pages occupy memory.
 const STACK_WORDS: usize = 0x4000;
-/// Stacks kept for later coroutines. may keeps a thousand of its own accord, and hands them round in turn, so
-/// that all of them grow to the deepest use over the first minutes of a day.
+/// The number of stacks retained for later coroutines. The runtime's default is a thousand stacks that are reused in
+/// turn, so that within minutes each of them occupies as much memory as the deepest use.
 const POOLED_STACKS: usize = 64;
-/// A file that cannot be used on SIGHUP may be only half written: it is read so many times, so far apart.
-const READINGS: u32 = 20;
-const BETWEEN_READINGS: Duration = Duration::from_millis(100);
-/// How often the supervisor is told what was counted: well within a conductor's moment, so that counts of nodes that tell
-/// theirs at different times can be compared.
-const BETWEEN_TALLIES: Duration = Duration::from_millis(100);
-/// A worker that has run no coroutine for so long hears nobody.
-const HELD: Duration = Duration::from_secs(2);
-/// Beyond `stop_ms`, what the supervisor waits for a program that was told to leave.
-const AFTER_STOP: Duration = Duration::from_secs(1);
+/// The number of attempts to reload the files after a SIGHUP. A file that cannot be used may be only half written.
+const RELOAD_ATTEMPTS: u32 = 20;
+/// The interval between two attempts to reload.
+const RELOAD_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between reports of counters to the supervisor. The interval is much shorter than the rollout
+/// controller's sample interval, so that counts of nodes that report at different times can be compared.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// The time after which a worker that has run no coroutine counts as blocked.
+const BLOCKED_WORKER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time that the supervisor allows a draining child in addition to `stop_ms`.
+const EXTRA_DRAIN_TIME: Duration = Duration::from_secs(1);
 
-/// What signals and hand-overs act on.
+/// A running node, on which signals and hand-overs act.
 pub struct Node {
-    pub core: Arc<SharedState>,
-    store: Option<LineUpstreamClient>,
-    by_ajp: Option<AjpUpstreamClient>,
-    pub ajp: Option<Arc<AjpIngress>>,
-    /// Where the directory is.
-    directory: Mutex<SocketAddr>,
+    /// The state that all ingress protocols and request tasks use.
+    pub shared: Arc<SharedState>,
+    line_upstream: Option<LineUpstreamClient>,
+    ajp_upstream: Option<AjpUpstreamClient>,
+    /// The AJP ingress, where the operators' file has one.
+    pub ajp_ingress: Option<Arc<AjpIngress>>,
+    directory_address: Mutex<SocketAddr>,
+    /// The JSON-RPC ingress.
     pub dispatchers: Arc<Dispatchers>,
-    /// The limits of its file, and a digest of what of both files cannot change while it runs.
+    /// The memory that this process and a successor may use together.
     pub memory_bytes: usize,
+    /// The number of descriptors that this process and a successor may have open together.
     pub descriptors: usize,
+    /// A digest of the settings in both files that cannot change while the node runs.
     pub digest: u64,
-    /// What comes from the control plane, where there is one.
+    /// The configuration from the control plane, where the operators' file names relays.
     pub configuration: Option<ConfigurationHandle>,
-    /// A print of the operators' file that it goes by, 0 where there is none or parts of it wait.
-    settings: AtomicU64,
-    /// How long it took to read its files at the start.
+    /// The fingerprint of the operators' file in force; 0 where there is no file or parts of it are not in force yet.
+    settings_fingerprint: AtomicU64,
+    /// The longest time that a successful read of both files took, in microseconds.
     pub reading_us: AtomicU64,
 }
 
-/// Serves as the node of those files until SIGTERM or SIGINT, then ends the process. SIGHUP has them read again. Where
-/// the operators' file allows upgrades, another process serves and this one keeps it. An error comes back before any
-/// RPC is taken.
+/// Serves as the node that these files describe until SIGTERM or SIGINT, drains, and ends the process. SIGHUP reloads
+/// the files. Where the operators' file allows upgrades and no supervisor started this process, this process becomes the
+/// supervisor and a child process serves.
+///
+/// # Errors
+///
+/// The node cannot start. No RPC has been accepted in this case.
 pub fn serve(files: &Files, logs: LogSettings) -> Result<(), String> {
-    // Before anything else: guards against a SIGHUP that ends a process which has only begun.
+    // Registered before anything else: guards against a SIGHUP that ends the process while it starts.
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])
         .map_err(|err| format!("cannot wait for signals: {err}"))?;
     let mut supervised = supervised();
@@ -83,21 +92,21 @@
     if let Some(file) = supervised.as_mut().and_then(|by| by.operators.take()) {
         files.operators = Some(file);
     }
-    let takes = supervised.as_mut().and_then(|by| by.predecessor.take()).map(HandOverStream::new);
+    let predecessor = supervised.as_mut().and_then(|by| by.predecessor.take()).map(HandOverStream::new);
     let reading = Instant::now();
     let (mut placement, operators) = files.read().inspect_err(|why| {
-        if let Some(stream) = &takes {
+        if let Some(stream) = &predecessor {
             refuse(stream, why);
         }
     })?;
     if let (None, Some(control)) = (&supervised, &operators.upgrade_control) {
-        let status = supervisor::run(control, Duration::from_millis(placement.stop_ms) + AFTER_STOP)
+        let status = supervisor::run(control, Duration::from_millis(placement.stop_ms) + EXTRA_DRAIN_TIME)
             .map_err(|error| error.to_string())?;
         std::process::exit(status.code().unwrap_or(70));
     }
     crate::logger::start(logs);
     crate::panics::exit_on_uncontained_panics();
-    // One core is ours: one worker runs all coroutines, so that none of them ever waits for a lock for long.
+    // The node uses one core: a single worker runs all coroutines, so that none of them waits long for a lock.
     may::config()
         .set_workers(1)
         .set_stack_size(STACK_WORDS)
@@ -105,48 +114,49 @@
         .set_worker_pin(false);
     let digest = files.digest(&operators)?;
     let reading_us = reading.elapsed().as_micros() as u64;
-    let (mut operators_text, settings) = files.operators_text();
-    let mut told_to_end = None;
-    let taken = match (takes, &supervised) {
+    let (mut operators_text, settings_fingerprint) = files.operators_text();
+    let mut drain_signal = None;
+    let assembled = match (predecessor, &supervised) {
         (Some(stream), Some(by)) => {
             let limits = TakeOverLimits {
                 digest,
                 bytes: placement.memory_mb * 1024 * 1024 / 2,
                 descriptors: placement.descriptors as u32,
             };
-            let end = |signals: &mut signal_hook::iterator::Signals| signals.pending().find(|s| *s != SIGHUP);
-            let interrupted = std::cell::RefCell::new((&mut signals, &mut told_to_end));
-            let begin = take_over(
+            let pending_drain_signal =
+                |signals: &mut signal_hook::iterator::Signals| signals.pending().find(|s| *s != SIGHUP);
+            let interruption = std::cell::RefCell::new((&mut signals, &mut drain_signal));
+            let mode = take_over(
                 stream,
                 &by.link,
                 &limits,
                 || {
-                    let (signals, told) = &mut *interrupted.borrow_mut();
-                    **told = told.or_else(|| end(signals));
-                    told.is_some()
+                    let (signals, drain_signal) = &mut *interruption.borrow_mut();
+                    **drain_signal = drain_signal.or_else(|| pending_drain_signal(signals));
+                    drain_signal.is_some()
                 },
-                |taken| build(&placement, operators.clone(), digest, Some(taken)),
+                |received| assemble(&placement, operators.clone(), digest, Some(received)),
             )
             .map_err(|error| error.to_string())?;
-            match begin {
-                StartMode::WithState(built) => Some(built),
+            match mode {
+                StartMode::WithState(assembled) => Some(assembled),
                 StartMode::Fresh => None,
             }
         }
         _ => None,
     };
-    let built = match taken {
-        Some(built) => built,
-        None => build(&placement, operators, digest, None)?,
+    let assembled = match assembled {
+        Some(assembled) => assembled,
+        None => assemble(&placement, operators, digest, None)?,
     };
-    let (node, report_now) = begin(built, &placement);
-    node.settings.store(settings, Ordering::Relaxed);
+    let (node, report_now) = start(assembled, &placement);
+    node.settings_fingerprint.store(settings_fingerprint, Ordering::Relaxed);
     node.reading_us.store(reading_us, Ordering::Relaxed);
     let control = Arc::new(HandOverControl::default());
     if let Some(Supervised { link, successors, reads_changes, .. }) = supervised {
         let link = Arc::new(link);
-        let (of, to) = (node.clone(), link.clone());
-        std::thread::spawn(move || report_counters(&of, &to, reads_changes));
+        let (reported, supervisor) = (node.clone(), link.clone());
+        std::thread::spawn(move || report_counters(&reported, &supervisor, reads_changes));
         let (node, control) = (node.clone(), control.clone());
         std::thread::spawn(move || {
             for stream in successors {
@@ -154,72 +164,75 @@
             }
         });
     }
-    let mut readings = 0;
+    let mut attempts_left = 0;
     let signal = loop {
-        if let Some(signal) = told_to_end {
+        if let Some(signal) = drain_signal {
             break signal;
         }
-        let came: Vec<i32> = if readings == 0 {
+        let received: Vec<i32> = if attempts_left == 0 {
             signals.wait().collect()
         } else {
-            std::thread::sleep(BETWEEN_READINGS);
+            std::thread::sleep(RELOAD_INTERVAL);
             signals.pending().collect()
         };
-        if !came.is_empty() {
+        if !received.is_empty() {
             control.interrupt(Interruption::Signal);
         }
-        if let Some(end) = came.iter().find(|signal| **signal != SIGHUP) {
-            break *end;
+        if let Some(signal) = received.iter().find(|signal| **signal != SIGHUP) {
+            break *signal;
         }
-        if came.contains(&SIGHUP) {
-            readings = READINGS;
+        if received.contains(&SIGHUP) {
+            attempts_left = RELOAD_ATTEMPTS;
         }
-        if readings > 0 {
-            let done = read_again(&node, &report_now, &files, &mut placement, &mut operators_text, readings);
-            readings = if done { 0 } else { readings - 1 };
+        if attempts_left > 0 {
+            let is_done =
+                reload(&node, &report_now, &files, &mut placement, &mut operators_text, attempts_left);
+            attempts_left = if is_done { 0 } else { attempts_left - 1 };
         }
     };
     let stop_ms = placement.stop_ms;
-    tracing::info!("signal {signal}: leaving within {stop_ms} ms");
-    let (left, over) = channel();
+    tracing::info!("signal {signal}: draining for at most {stop_ms} ms");
+    let (done, drained) = channel();
     may::go!(move || {
-        leave(&node, stop_ms, &report_now);
-        let _ = left.send(());
+        drain(&node, stop_ms, &report_now);
+        let _ = done.send(());
     });
-    let _ = over.recv_timeout(Duration::from_millis(stop_ms.saturating_sub(END_MS / 2)));
-    tracing::info!("over");
+    let _ = drained.recv_timeout(Duration::from_millis(stop_ms.saturating_sub(EXIT_MS / 2)));
+    tracing::info!("drain is over, the process exits");
     crate::logger::flush();
-    // Coroutines that still wait for others end with the process.
+    // Coroutines that are still waiting end with the process.
     std::process::exit(0)
 }
 
-/// Whether the runtime's worker still runs coroutines: one is sent through it again and again.
-struct Pulse {
-    passed: Arc<AtomicBool>,
-    sent: Instant,
+/// Probes whether the runtime's worker still runs coroutines, by starting a coroutine again and again.
+struct WorkerProbe {
+    has_run: Arc<AtomicBool>,
+    started: Instant,
 }
 
-impl Default for Pulse {
-    fn default() -> Pulse {
-        Pulse { passed: Arc::new(AtomicBool::new(true)), sent: Instant::now() }
+impl Default for WorkerProbe {
+    fn default() -> WorkerProbe {
+        WorkerProbe { has_run: Arc::new(AtomicBool::new(true)), started: Instant::now() }
     }
 }
 
-impl Pulse {
-    fn is_felt(&mut self) -> bool {
-        if self.passed.swap(false, Ordering::Relaxed) {
-            self.sent = Instant::now();
-            let passed = self.passed.clone();
-            may::go!(move || passed.store(true, Ordering::Relaxed));
+impl WorkerProbe {
+    /// Whether the worker is not blocked. Starts the next coroutine once the previous one has run.
+    fn is_worker_responsive(&mut self) -> bool {
+        if self.has_run.swap(false, Ordering::Relaxed) {
+            self.started = Instant::now();
+            let has_run = self.has_run.clone();
+            may::go!(move || has_run.store(true, Ordering::Relaxed));
         }
-        self.sent.elapsed() < HELD
+        self.started.elapsed() < BLOCKED_WORKER_TIMEOUT
     }
 }
 
-/// Reports to the supervisor for ever, for whoever conducts a change.
+/// Reports the counters and the health to the supervisor for ever, for rollout controllers. Where `reads_changes` is
+/// set, reports after the first one have only the counters that have changed.
 fn report_counters(node: &Node, link: &SupervisorLink, reads_changes: bool) {
-    let (mut pulse, mut reported) = (Pulse::default(), ReportedCalls::default());
-    let SharedState { method_counters, deployment, .. } = &*node.core;
+    let (mut probe, mut reported) = (WorkerProbe::default(), ReportedCalls::default());
+    let SharedState { method_counters, deployment, .. } = &*node.shared;
     let names = &deployment.method_names;
     loop {
         let methods = if reads_changes {
@@ -227,21 +240,22 @@
         } else {
             method_counters.all(names)
         };
-        let tally = ServingCounters { methods, ..condition(node, pulse.is_felt()) };
-        let report = if reads_changes { CounterReport::Changed(tally) } else { CounterReport::All(tally) };
+        let counters = ServingCounters { methods, ..process_status(node, probe.is_worker_responsive()) };
+        let report =
+            if reads_changes { CounterReport::Changed(counters) } else { CounterReport::All(counters) };
         link.send(&ChildLine::Counters(report));
-        std::thread::sleep(BETWEEN_TALLIES);
+        std::thread::sleep(REPORT_INTERVAL);
     }
 }
 
-/// How this program is, without its counters.
-fn condition(node: &Node, hears: bool) -> ServingCounters {
+/// Returns the health, the memory and the settings of this process, without counters.
+fn process_status(node: &Node, is_worker_responsive: bool) -> ServingCounters {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let resident = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
+    let resident_pages = pages.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
     ServingCounters {
-        is_healthy: hears && node.core.coordinator.health_state().is_healthy == Some(true),
-        memory_kb: resident * 4,
+        is_healthy: is_worker_responsive && node.shared.coordinator.health_state().is_healthy == Some(true),
+        memory_kb: resident_pages * 4,
         methods: Vec::new(),
-        settings_fingerprint: node.settings.load(Ordering::Relaxed),
+        settings_fingerprint: node.settings_fingerprint.load(Ordering::Relaxed),
     }
 }
