--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the real node.
+//! The program `ochrewalk`: serves as a node, and has the commands by which operators check, upgrade and roll out.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use ochrewalk_node::handover::supervisor::request_upgrade;
@@ -15,7 +15,11 @@
 use tracing::level_filters::LevelFilter;
 
 #[derive(Parser)]
-#[command(name = "ochrewalk", version, about = "Decides what a server of a fleet takes, runs and turns away")]
+#[command(
+    name = "ochrewalk",
+    version,
+    about = "Decides which requests a server of a fleet admits, runs and rejects"
+)]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -28,29 +32,29 @@
         /// The node's file, JSON
         #[arg(long, env = "PROXY_CONFIG", value_name = "FILE")]
         config: PathBuf,
-        /// The operators' own file: AJP in front and below
+        /// The operators' file: AJP listener, AJP upstream, upgrades and distributed configuration
         #[arg(long, env = "OCHREWALK_OPERATORS", value_name = "FILE")]
         operators: Option<PathBuf>,
         /// The least serious lines that are logged: error, warn, info, debug
         #[arg(long, env = "OCHREWALK_LOG", default_value = "info", value_name = "LEVEL")]
         log: LevelFilter,
-        /// How lines are written
+        /// The format of log lines
         #[arg(long, env = "OCHREWALK_LOG_FORMAT", default_value = "plain", value_enum)]
         log_format: Form,
     },
-    /// Check a node's file and the operators' own, and say which key or line is at fault
+    /// Check a node's file and the operators' file, and print each key or line at fault
     Check {
         /// The node's file, JSON
         #[arg(env = "PROXY_CONFIG", value_name = "FILE")]
         config: PathBuf,
-        /// The operators' own file
+        /// The operators' file
         #[arg(long, env = "OCHREWALK_OPERATORS", value_name = "FILE")]
         operators: Option<PathBuf>,
-        /// The operators' own file that is in force: what differs, and what it takes to bring it into force
+        /// The operators' file in force: print each difference, and what puts it into force
         #[arg(long, value_name = "FILE", requires = "operators")]
         against: Option<PathBuf>,
     },
-    /// Have another program take over from the running one, with all that it holds
+    /// Have a new program take over the state and connections of the running one
     Upgrade {
         /// The socket that the operators' file names
         #[arg(long, value_name = "PATH")]
@@ -59,50 +63,52 @@
         #[arg(long, value_name = "FILE")]
         program: PathBuf,
     },
-    /// Change the program of many nodes in stages, and stop where a stage does worse
+    /// Change the program or the settings of many nodes in stages, and revert where canary analysis finds harm
     Rollout {
         #[arg(value_enum)]
         what: Rollout,
-        /// The plan of the change
+        /// The file of the rollout plan
         plan: PathBuf,
     },
-    /// Show how the places below stand, by a running node
+    /// Print the state of the upstream endpoints of a running node
     Places {
         /// The socket that `below status` in the operators' file names
         #[arg(long, value_name = "PATH")]
         control: PathBuf,
     },
-    /// Publish configuration to a fleet, relay it, and see what is in force where
+    /// Publish configuration to a fleet, relay it, and show which revision is in force
     #[command(disable_help_flag = true)]
     Config {
-        /// What the program ochrewalk-config beside this one is given
+        /// The arguments of the program ochrewalk-config in the same directory
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         words: Vec<OsString>,
     },
-    /// Say which version this is
+    /// Print the version
     Version,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Rollout {
-    /// Read the plan, and ask all nodes whether they are ready for it
+    /// Read the plan, and check that all nodes are ready for it
     Check,
-    /// Begin the rollout, or go on with it
+    /// Begin the rollout, or continue it
     Run,
-    /// Say how it stands
+    /// Print the status of the rollout
     Status,
-    /// Have the running controller stop where it is
+    /// Have the running controller pause at the current stage
     Pause,
-    /// Go on from where it waits; a stage whose analysis was inconclusive passes
+    /// Continue a waiting rollout; a stage whose analysis was inconclusive passes
     GoOn,
     /// Revert all changed nodes
     Back,
 }
 
-/// The statuses of a rollout that waits for the operator, and of one that was rolled back.
+/// The exit status of a rollout that waits for the operator.
 const WAITING: u8 = 3;
+/// The exit status of a rollout that was rolled back.
 const ROLLED_BACK: u8 = 4;
 
+/// Runs a subcommand of `rollout`, prints its result, and returns the exit status.
 fn rollout(what: Rollout, plan: &Path) -> Result<ExitCode, RolloutError> {
     let plan = rollout::read_plan(plan)?;
     let text = match what {
@@ -111,7 +117,7 @@
         Rollout::Pause => send_to_controller(&plan, ControllerCommand::Pause)?,
         Rollout::Run => return run_rollout(&plan, StartMode::Run),
         Rollout::GoOn => return run_rollout(&plan, StartMode::PassStage),
-        // A controller that runs is told; where none does, one is begun.
+        // Sent to the running controller; where none runs, this process becomes the controller.
         Rollout::Back => match send_to_controller(&plan, ControllerCommand::RollBack) {
             Ok(text) => text,
             Err(_) => return run_rollout(&plan, StartMode::RollBack),
@@ -124,34 +130,35 @@
 fn run_rollout(plan: &RolloutPlan, mode: StartMode) -> Result<ExitCode, RolloutError> {
     let (text, status) = match rollout::run(plan, mode)? {
         RolloutEnd::Done => ("done".to_string(), ExitCode::SUCCESS),
-        RolloutEnd::RolledBack(reason) => (format!("changed back: {reason}"), ExitCode::from(ROLLED_BACK)),
-        RolloutEnd::Waiting(reason) => (format!("waits for you: {reason}"), ExitCode::from(WAITING)),
+        RolloutEnd::RolledBack(reason) => (format!("rolled back: {reason}"), ExitCode::from(ROLLED_BACK)),
+        RolloutEnd::Waiting(reason) => (format!("waits for the operator: {reason}"), ExitCode::from(WAITING)),
         RolloutEnd::Replaced => return Err(RolloutError::Replaced),
     };
     println!("{text}");
     Ok(status)
 }
 
-/// What differs between two operators' files, a line each.
+/// Returns the differences between two operators' files, one line each.
 fn differences(before: &Path, after: &Path) -> Result<String, String> {
     let read =
         |file: &Path| std::fs::read_to_string(file).map_err(|err| format!("{}: {err}", file.display()));
-    let found = ochrewalk_operator_config::changes(&read(before)?, &read(after)?);
-    Ok(found.iter().map(|change| format!("{change}\n")).collect())
+    let changes = ochrewalk_operator_config::changes(&read(before)?, &read(after)?);
+    Ok(changes.iter().map(|change| format!("{change}\n")).collect())
 }
 
-/// Puts the program of the control plane in the place of this one; what comes back is why not.
-fn become_config(words: &[OsString]) -> String {
-    let beside = match std::env::current_exe() {
-        Ok(program) => program.with_file_name("ochrewalk-config"),
-        Err(why) => return format!("where this program stands cannot be told: {why}"),
+/// Replaces this process by the control plane's program in the same directory. Returns only if that fails, with the
+/// reason.
+fn exec_config_program(arguments: &[OsString]) -> String {
+    let program = match std::env::current_exe() {
+        Ok(own) => own.with_file_name("ochrewalk-config"),
+        Err(error) => return format!("the path of the running program is unknown: {error}"),
     };
-    let why = std::process::Command::new(&beside).args(words).exec();
-    format!("{}: {why}", beside.display())
+    let error = std::process::Command::new(&program).args(arguments).exec();
+    format!("{}: {error}", program.display())
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let outcome = match Line::parse().command {
         Command::Version => {
             println!("ochrewalk {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -166,34 +173,34 @@
         Command::Places { control } => {
             ochrewalk_node::net::status::query(&control).map(|table| print!("{table}"))
         }
-        Command::Config { words } => Err(become_config(&words)),
+        Command::Config { words } => Err(exec_config_program(&words)),
         Command::Check { config, operators, against } => {
             let files = Files { node: config, operators };
             files.read().and_then(|(placement, operators)| {
                 let (name, listen) = (&placement.name, placement.listen);
-                println!("{}: good: node {name} would listen on {listen}", files.node.display());
+                println!("{}: valid: node {name} would listen on {listen}", files.node.display());
                 if let Some(file) = &files.operators {
-                    let front = operators
+                    let listener = operators
                         .ajp_listener
-                        .map_or("no AJP in front".into(), |f| format!("AJP on {}", f.listen));
-                    let places = operators.ajp_upstream.map_or(0, |upstream| upstream.endpoints.len());
-                    println!("{}: good: {front}, {places} places below by AJP", file.display());
-                    if let Some(before) = &against {
-                        print!("{}", differences(before, file)?);
+                        .map_or("no AJP listener".into(), |listener| format!("AJP on {}", listener.listen));
+                    let endpoints = operators.ajp_upstream.map_or(0, |upstream| upstream.endpoints.len());
+                    println!("{}: valid: {listener}, {endpoints} places below by AJP", file.display());
+                    if let Some(in_force) = &against {
+                        print!("{}", differences(in_force, file)?);
                     }
                 }
                 Ok(())
             })
         }
         Command::Serve { config, operators, log, log_format } => {
-            let logs = LogSettings { level: log, format: log_format };
-            ochrewalk_node::node::serve(&Files { node: config, operators }, logs)
+            let log_settings = LogSettings { level: log, format: log_format };
+            ochrewalk_node::node::serve(&Files { node: config, operators }, log_settings)
         }
     };
-    match done {
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -62,9 +62,9 @@
     directory_address: Mutex<SocketAddr>,
     /// The JSON-RPC ingress.
     pub dispatchers: Arc<Dispatchers>,
-    /// The memory that this process and a successor may use together.
+    /// The memory limit in bytes, which this process and a successor share during a hand-over.
     pub memory_bytes: usize,
-    /// The number of descriptors that this process and a successor may have open together.
+    /// The limit of open descriptors, which this process and a successor share during a hand-over.
     pub descriptors: usize,
     /// A digest of the settings in both files that cannot change while the node runs.
     pub digest: u64,
