--- a/crates/ochrewalk-node/src/handover/counter_report.rs
+++ b/crates/ochrewalk-node/src/handover/counter_report.rs
@@ -1,14 +1,14 @@
-//! What a supervisor knows of a child's counters by method: from reports of all of them or of those that changed, and
-//! added up over the children that served one after another. No I/O.
+//! Reports of a child's counters by method to its supervisor, and their sum over the children that served one after
+//! another. A report has all counters, or only those that have changed. Does no I/O.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_rollout::messages::{MethodCounters, ServingCounters};
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// What begins a line with all counters: all that supervisors of earlier versions read.
+/// The prefix of a line with all counters. Supervisors of earlier versions read no other reports.
 const ALL: &str = "tally ";
-/// What begins a line with changed counters.
+/// The prefix of a line with changed counters.
 const CHANGED: &str = "tally+ ";
 
 /// A child's report to its supervisor.
@@ -16,12 +16,12 @@
 pub enum CounterReport {
     /// All counters.
     All(ServingCounters),
-    /// Counters that changed since the report before. What is not of one method stands in each.
+    /// The counters of methods that changed since the previous report. All other values are in every report.
     Changed(ServingCounters),
 }
 
 impl CounterReport {
-    /// The line, without its line feed.
+    /// Formats the report as a line, without its line feed.
     pub fn to_line(&self) -> String {
         let (prefix, counters) = match self {
             CounterReport::All(counters) => (ALL, counters),
@@ -30,7 +30,7 @@
         format!("{prefix}{}", BASE64_STANDARD.encode(counters.encode_to_vec()))
     }
 
-    /// The report of a line; none where the line has no report that can be read.
+    /// Parses the report of a line. Returns none where the line has no valid report.
     pub fn of_line(line: &str) -> Option<CounterReport> {
         if let Some(text) = line.strip_prefix(ALL) {
             return decode(text).map(CounterReport::All);
@@ -51,15 +51,15 @@
     /// Adds the counters of another child.
     pub fn add(&mut self, others: &CountersByMethod) {
         for (name, other) in &others.0 {
-            let none = || MethodCounters { name: name.clone(), ..MethodCounters::default() };
-            let own = self.0.entry(name.clone()).or_insert_with(none);
+            let zeroed = || MethodCounters { name: name.clone(), ..MethodCounters::default() };
+            let own = self.0.entry(name.clone()).or_insert_with(zeroed);
             own.calls += other.calls;
             own.missed += other.missed;
             own.failed += other.failed;
         }
     }
 
-    /// One entry for each method, by name.
+    /// Returns one entry for each method, ordered by name.
     pub fn into_methods(self) -> Vec<MethodCounters> {
         self.0.into_values().collect()
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// What one child has reported.
+/// The counters that one child has reported.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportedCounters {
     /// The newest report, without its methods.
@@ -79,7 +79,7 @@
 }
 
 impl ReportedCounters {
-    /// Takes the next report.
+    /// Applies the next report.
     pub fn take(&mut self, report: CounterReport) {
         let mut counters = match report {
             CounterReport::All(counters) => {
--- a/crates/ochrewalk-node/src/handover/descriptor_socket.rs
+++ b/crates/ochrewalk-node/src/handover/descriptor_socket.rs
@@ -1,5 +1,5 @@
-//! Unix streams on which descriptors are passed beside bytes, and lines on them. All calls block: they are made by
-//! threads, never by coroutines.
+//! Sends and receives bytes, lines and descriptors on Unix streams. All calls block, so that threads make them and never
+//! coroutines.
 
 use ochrewalk_handover::messages::MAX_DESCRIPTORS;
 use rustix::net::{
@@ -12,16 +12,16 @@
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use std::os::unix::net::UnixStream;
 
-/// Bytes that are read at once.
+/// The maximal number of bytes per read.
 pub(super) const READ_BYTES: usize = 64 * 1024;
-/// Room for the descriptors of one message.
+/// The size of the control-message buffer, enough for the descriptors of one message.
 const ANCILLARY_BYTES: usize = rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS));
 
-/// Writes bytes, with descriptors beside the first.
+/// Writes bytes, and passes descriptors with the first byte.
 ///
 /// # Errors
 ///
-/// More than [`MAX_DESCRIPTORS`] descriptors, or what the operating system reports.
+/// There are more than [`MAX_DESCRIPTORS`] descriptors, or the operating system reports an error.
 pub fn send(stream: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd]) -> std::io::Result<()> {
     let mut space = [MaybeUninit::uninit(); ANCILLARY_BYTES];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -33,12 +33,12 @@
     stream.write_all(&bytes[sent..])
 }
 
-/// Reads bytes into `buffer`, and appends the descriptors that came beside them; gives the number of bytes, 0 at the
-/// stream's end.
+/// Reads bytes into `buffer`, and appends the descriptors that were passed with them. Returns the number of bytes, 0 at
+/// the end of the stream.
 ///
 /// # Errors
 ///
-/// Descriptors got lost as this process may open no more, or what the operating system reports.
+/// Descriptors were lost because this process may open no more, or the operating system reports an error.
 pub(super) fn receive(
     stream: &UnixStream,
     buffer: &mut [u8],
@@ -53,29 +53,34 @@
             descriptors.extend(passed);
         }
     }
-    // Guards against descriptors that the system dropped for lack of room: which belongs to what would not be known.
+    // Guards against descriptors that the system has dropped at the limit: the remaining ones could no longer be matched
+    // with their messages.
     if received.flags.contains(rustix::net::ReturnFlags::CTRUNC) {
-        return Err(Error::new(ErrorKind::OutOfMemory, "no descriptor is free for what was passed"));
+        return Err(Error::new(
+            ErrorKind::OutOfMemory,
+            "too few free descriptors for those that were passed",
+        ));
     }
     Ok(received.bytes)
 }
 
-/// Writes a line, with a descriptor beside its first byte where there is one.
+/// Writes a line, and passes the descriptor, if any, with its first byte.
 ///
 /// # Errors
 ///
-/// What the operating system reports.
+/// The operating system reports an error.
 pub fn send_line(stream: &UnixStream, line: &str, descriptor: Option<BorrowedFd>) -> std::io::Result<()> {
     let descriptors: Vec<BorrowedFd> = descriptor.into_iter().collect();
     send(stream, format!("{line}\n").as_bytes(), &descriptors)
 }
 
-/// Reads lines until the stream's end, and gives each to `on_line` without its line feed. Descriptors go with the lines
-/// in the order in which they came.
+/// Reads lines until the end of the stream, and passes each to `on_line` without its line feed. Descriptors are assigned
+/// to lines in the order in which they arrive.
 pub fn read_lines(stream: &UnixStream, mut on_line: impl FnMut(&str, Option<OwnedFd>)) {
     let (mut input, mut descriptors) = (Vec::new(), VecDeque::new());
     let mut buffer = vec![0; READ_BYTES];
-    // Bytes of `input` that hold no line feed: each is looked at once, however long a line is.
+    // The number of bytes of `input` known to hold no line feed, so that each byte is searched once, however long a line
+    // is.
     let mut searched = 0;
     loop {
         match receive(stream, &mut buffer, &mut descriptors) {
@@ -95,7 +100,7 @@
     }
 }
 
-/// A copy of a descriptor that stays open in a program started from here.
+/// Returns a copy of a descriptor that stays open in programs that this process starts.
 ///
 /// # Errors
 ///
--- a/crates/ochrewalk-node/src/handover/failure_injection.rs
+++ b/crates/ochrewalk-node/src/handover/failure_injection.rs
@@ -1,22 +1,22 @@
-//! Lets tests have a successor crash or hang at a step of the hand-over.
+//! Injects failures for tests: a successor crashes or hangs at a given step of the hand-over.
 
 use std::time::Duration;
 
-/// Names the step, and whether to crash or to hang there, as in `crash:ready`.
+/// The environment variable that names the failure and the step, as in `crash:ready`.
 const VARIABLE: &str = "OCHREWALK_TAKE_FAILS";
 
-/// Steps at which a successor can be made to fail.
+/// The steps at which a successor can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// Before it has sent anything.
+    /// The successor has sent nothing yet.
     BeforeHello,
-    /// It has sent `Hello`.
+    /// The successor has sent `Hello`.
     HelloSent,
-    /// It has received what was transferred ahead.
+    /// The successor has received the sections that are transferred ahead of the pause.
     Ready,
-    /// It has loaded all of the state.
+    /// The successor has loaded the complete state.
     Loaded,
-    /// It has sent `Started`, and done nothing yet.
+    /// The successor has sent `Started`, and has not acted yet.
     Started,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// Crashes or hangs where the environment asks for that at this step.
-pub(super) fn fail_if_asked(step: Step) {
-    let Ok(asked) = std::env::var(VARIABLE) else { return };
-    match asked.split_once(':') {
+/// Crashes or hangs if the environment variable requests a failure at this step.
+pub(super) fn fail_if_requested(step: Step) {
+    let Ok(requested) = std::env::var(VARIABLE) else { return };
+    match requested.split_once(':') {
         Some(("crash", name)) if name == step.name() => std::process::abort(),
         Some(("hang", name)) if name == step.name() => loop {
             std::thread::sleep(Duration::from_secs(1));
--- a/crates/ochrewalk-node/src/handover/fingerprint.rs
+++ b/crates/ochrewalk-node/src/handover/fingerprint.rs
@@ -1,12 +1,12 @@
-//! Fingerprints of files: by them a rollout recognises what a node runs.
+//! Fingerprints of files, by which a rollout recognises the program and the settings that a node runs.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// How much of a file is read at once.
+/// The number of bytes that are read at once.
 const CHUNK_BYTES: usize = 1 << 20;
 
-/// Why a file may not be run or used.
+/// The reason why a file may not be run or used.
 #[derive(Debug, thiserror::Error)]
 pub enum ContentError {
     /// The file cannot be read.
@@ -14,10 +14,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error of the read.
         source: std::io::Error,
     },
-    /// The file holds something else than it did when its fingerprint was taken.
+    /// The content of the file has changed since its fingerprint was taken.
     #[error("{} is another file by now", path.display())]
     Changed {
         /// The file.
@@ -25,7 +25,7 @@
     },
 }
 
-/// The fingerprint of a file: its length in bytes in the upper half, the CRC-32 of its content in the lower one.
+/// Computes the fingerprint of a file: the length in bytes in the upper half, the CRC-32 of the content in the lower one.
 ///
 /// # Errors
 /// The file cannot be read.
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether a file still has that fingerprint.
+/// Verifies that a file still has this fingerprint.
 ///
 /// # Errors
 /// The file cannot be read, or has another fingerprint.
--- a/crates/ochrewalk-node/src/handover/hand_over_control.rs
+++ b/crates/ochrewalk-node/src/handover/hand_over_control.rs
@@ -1,4 +1,4 @@
-//! How other threads end an attempt to hand over.
+//! Lets other threads interrupt an attempt to hand over.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -6,29 +6,29 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How often whoever waits for an attempt's end looks whether it has ended.
+/// The interval at which an interruption is repeated until the attempt has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why an attempt is ended from outside.
+/// The reason why an attempt is interrupted.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Interruption {
-    /// This process is to drain, or to read its files again.
+    /// This process has to drain, or to reload its files.
     #[error("the running program got a signal")]
     Signal,
 }
 
-/// What the thread that waits for signals shares with the one that hands over.
+/// The state shared by the thread that waits for signals and the thread that hands over.
 #[derive(Default)]
 pub struct HandOverControl {
-    /// Where the attempt under way hears of interruptions.
+    /// The sender of interruptions to the attempt under way; none without an attempt.
     attempt: Mutex<Option<Sender<Interruption>>>,
     ended: Condvar,
     is_interrupted: AtomicBool,
 }
 
 impl HandOverControl {
-    /// Ends an attempt that is under way, and returns once this process serves again. Where it has released its state,
-    /// this does not return unless the successor ends before it starts.
+    /// Interrupts the attempt under way, and returns once this process serves again. Where this process has already
+    /// released its state, the call returns only if the successor ends before it starts to serve.
     pub fn interrupt(&self, reason: Interruption) {
         self.is_interrupted.store(true, Ordering::Relaxed);
         let mut attempt = self.lock();
@@ -44,7 +44,7 @@
         self.is_interrupted.load(Ordering::Relaxed)
     }
 
-    /// An attempt begins; its interruptions come by what is returned.
+    /// Registers an attempt, and returns the receiver of its interruptions.
     pub(super) fn begin(&self) -> Receiver<Interruption> {
         let (sender, interruptions) = channel();
         self.is_interrupted.store(false, Ordering::Relaxed);
@@ -52,7 +52,7 @@
         interruptions
     }
 
-    /// The attempt has ended, and this process serves.
+    /// Marks the attempt as ended: this process serves.
     pub(super) fn end(&self) {
         *self.lock() = None;
         self.ended.notify_all();
--- a/crates/ochrewalk-node/src/handover/hand_over_stream.rs
+++ b/crates/ochrewalk-node/src/handover/hand_over_stream.rs
@@ -1,4 +1,4 @@
-//! The stream between predecessor and successor: messages with descriptors beside them.
+//! The stream between predecessor and successor, which carries messages and descriptors.
 
 use super::descriptor_socket::{receive, send, READ_BYTES};
 use ochrewalk_handover::framing::{self, Decoded};
@@ -9,51 +9,51 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// The shortest time-out that a socket takes: none at all would block for ever.
+/// The minimal read time-out: a socket without a time-out would block for ever.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// One side's end of the stream.
+/// One end of the stream.
 pub struct HandOverStream {
     stream: UnixStream,
-    /// Bytes that make up no complete message yet.
+    /// Bytes that were received and are not a complete message yet.
     input: Vec<u8>,
-    /// Descriptors that no message has taken yet.
+    /// Descriptors that were received and are not assigned to a chunk yet.
     descriptors: VecDeque<OwnedFd>,
 }
 
-/// What came from the other side.
+/// The result of waiting for the other process.
 #[derive(Debug)]
 pub enum Received {
     /// A message.
     Message(Message),
     /// A message that a newer program has added.
     Unknown,
-    /// Nothing, within the time-out.
+    /// No message arrived within the time-out.
     TimedOut,
-    /// The stream's end: the other process has ended.
+    /// The end of the stream: the other process has ended.
     Ended,
 }
 
 impl HandOverStream {
-    /// Over a stream that is connected with the other process.
+    /// Returns a hand-over stream on a stream that is connected with the other process.
     pub fn new(stream: UnixStream) -> HandOverStream {
         HandOverStream { stream, input: Vec::new(), descriptors: VecDeque::new() }
     }
 
-    /// Writes a message, with descriptors beside its first byte.
+    /// Writes a message, and passes descriptors with its first byte.
     ///
     /// # Errors
     ///
-    /// The other process has ended, or what the operating system reports.
+    /// The other process has ended, or the operating system reports another error.
     pub fn send(&self, message: Message, descriptors: &[BorrowedFd]) -> std::io::Result<()> {
         send(&self.stream, &framing::encode(message), descriptors)
     }
 
-    /// The next message, within a time of at least a millisecond.
+    /// Waits for the next message, for at least a millisecond.
     ///
     /// # Errors
     ///
-    /// What came is not of the protocol, or what the operating system reports. Nothing more can be read then.
+    /// The received bytes violate the protocol, or the operating system reports an error. Nothing more can be read then.
     pub fn receive(&mut self, timeout: Duration) -> std::io::Result<Received> {
         self.stream.set_read_timeout(Some(timeout.max(MIN_TIMEOUT)))?;
         loop {
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Takes the descriptors that came with a chunk, in the order in which they were sent; none if fewer have come.
+    /// Takes the descriptors of a chunk, in the order in which they were sent. Returns none if fewer were received.
     pub fn take_descriptors(&mut self, count: usize) -> Option<Vec<OwnedFd>> {
         (self.descriptors.len() >= count).then(|| self.descriptors.drain(..count).collect())
     }
 
-    /// The next message of the input, where it is complete.
+    /// Decodes the next message of the input. Returns none while it is incomplete.
     fn next_decoded(&mut self) -> std::io::Result<Option<Received>> {
         let decoded = framing::decode(&self.input);
         let (received, length) = match decoded.map_err(|error| Error::new(ErrorKind::InvalidData, error))? {
--- a/crates/ochrewalk-node/src/handover/mod.rs
+++ b/crates/ochrewalk-node/src/handover/mod.rs
@@ -1,14 +1,15 @@
-//! How this process hands its state over to a successor, takes it over from a predecessor, and is supervised meanwhile.
+//! Hands the state of this process over to a successor, takes it over from a predecessor, and supervises both processes.
 //!
-//! The state machines of both sides are in `ochrewalk-handover`. Here they get sockets, a clock and the node:
+//! The state machines of both sides are in `ochrewalk-handover`. This module connects them with sockets, a clock and the node:
 //! [`predecessor`] pauses the node and sends a snapshot of all [`records`]; [`successor`] collects them as a
-//! [`received_state`] and starts from it. Both speak over a [`hand_over_stream`] with descriptors beside the messages.
+//! [`received_state`] and starts from it. Both communicate on a [`hand_over_stream`], which also passes descriptors.
 //!
-//! The [`supervisor`] is the process that the platform started: it starts, ends and replaces its children, and says by its
-//! [`process_guard`] which of them may act. [`supervisor_protocol`] has the lines between the two, [`supervisor_link`] a
-//! child's end of them, [`counter_report`] what a child reports. [`rollout_agent`] is the supervisor's side of a rollout.
+//! The [`supervisor`] is the process that the platform started. The supervisor starts, ends and replaces its children, and
+//! decides with its [`process_guard`] which of them may act. [`supervisor_protocol`] defines the lines between supervisor and
+//! child, [`supervisor_link`] is the child's end of the stream, and [`counter_report`] defines a child's reports.
+//! [`rollout_agent`] is the supervisor's side of a rollout.
 
-// Those of the workspace, until all of this crate takes them.
+// The workspace's lints, enabled here until the whole crate satisfies them.
 #![warn(
     missing_docs,
     clippy::unwrap_used,
--- a/crates/ochrewalk-node/src/handover/pause.rs
+++ b/crates/ochrewalk-node/src/handover/pause.rs
@@ -1,9 +1,9 @@
-//! Whether this process is paused, for everything that reads, writes, accepts or calls.
+//! The pause of this process, which everything that reads, writes, accepts or calls checks first.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// While it is set nothing is read, written, accepted or called, so that a snapshot stays true until the successor goes
-/// on from it.
+/// Set while this process is paused. Nothing is read, written, accepted or called then, so that a snapshot stays valid
+/// until the successor continues from it.
 static PAUSED: AtomicBool = AtomicBool::new(false);
 
 /// Whether this process is paused.
@@ -16,7 +16,7 @@
     PAUSED.store(true, Ordering::Relaxed);
 }
 
-/// Ends the pause. Connections that were left alone meanwhile have to be looked at again.
+/// Ends the pause. The caller has to have all connections checked again, as none was served during the pause.
 pub fn resume() {
     PAUSED.store(false, Ordering::Relaxed);
 }
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -1,4 +1,5 @@
-//! The side that serves: it pauses, hands all of its state over, and resumes where the successor does not take over.
+//! The predecessor's side of a hand-over: pauses this process, hands its complete state over, and resumes where the
+//! successor does not take over.
 
 use super::hand_over_control::HandOverControl;
 use super::hand_over_stream::{HandOverStream, Received};
@@ -20,43 +21,44 @@
 use thiserror::Error;
 
 const LIMITS: Limits = Limits { prepare_us: 5_000_000, pause_us: 2_000_000, start_us: 1_000_000 };
-/// Idempotency keys in one chunk ahead of the pause: some 200 KB, and a fraction of a millisecond in which no RPC is
-/// decided.
+/// The number of idempotency keys in one chunk ahead of the pause. Such a chunk is about 200 KB, and delays the decisions
+/// on RPCs by a fraction of a millisecond.
 const KEYS_PER_CHUNK: usize = 1_000;
-/// Bytes of a section in one chunk.
+/// The maximal number of a section's bytes in one chunk.
 const CHUNK_BYTES: usize = 256 * 1024;
-/// How often interruptions are looked at beside messages.
+/// The interval at which interruptions are checked while this process waits for messages.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long the runtime's worker may take for a snapshot. One that is held by something else runs no coroutine.
+/// The time limit for a snapshot. A worker that is blocked runs no coroutine and takes none.
 const MAX_SNAPSHOT_WAIT: Duration = Duration::from_secs(1);
-/// How long the supervisor may take to allow this process to resume. Without its answer another may act in its place.
+/// The time limit for the supervisor's permission to resume. Without the permission another process may act in place of
+/// this one.
 const MAX_RESUME_WAIT: Duration = Duration::from_secs(60);
-/// The status of a process that may not resume.
+/// The exit status of a process that may not resume.
 const EXIT_STATUS_REPLACED: i32 = 71;
-/// Bytes of a page of memory.
+/// The size of a page of memory in bytes.
 const PAGE_BYTES: u64 = 4_096;
 const MIB: u64 = 1024 * 1024;
 
-/// Why this process cannot pause and hand over.
+/// The reason why this process cannot pause and hand over.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum PauseError {
     #[error("the supervisor does not allow the pause")]
     NotAllowed,
-    #[error("the running program hears nobody")]
+    #[error("the worker of the running program is blocked")]
     WorkerBlocked,
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
 }
 
-/// Hands over to the successor at the other end of `stream`, or goes on as if nothing had been tried. Where the
-/// successor takes over, this process ends here.
+/// Hands over to the successor at the other end of `stream`. Where the successor takes over, this process exits here;
+/// otherwise it continues to serve with its state unchanged.
 pub fn hand_over(node: &Arc<Node>, control: &HandOverControl, link: &SupervisorLink, stream: HandOverStream) {
     let interruptions = control.begin();
     let clock = node.shared.clock;
     let limits = LIMITS.with_reading_time(node.reading_us.load(Ordering::Relaxed));
     let mut predecessor = Predecessor::new(clock.now_us(), limits, state_summary(node));
     let mut actions =
-        ProcessActions { node, control, link, stream, keys_went_ahead: false, pause_error: None };
+        ProcessActions { node, control, link, stream, keys_sent_ahead: false, pause_error: None };
     while !predecessor.is_ended() {
         if let Ok(interruption) = interruptions.try_recv() {
             predecessor.interrupt(&interruption.to_string(), &mut actions);
@@ -66,8 +68,11 @@
             Ok(Received::Ended) => predecessor.peer_ended(&mut actions),
             Ok(Received::Unknown | Received::TimedOut) => predecessor.tick(clock.now_us(), &mut actions),
             Err(error) => {
-                predecessor.interrupt(&format!("its words cannot be read: {error}"), &mut actions);
-                // Where the state is released already only the successor's end counts now.
+                predecessor.interrupt(
+                    &format!("the messages of the successor cannot be read: {error}"),
+                    &mut actions,
+                );
+                // Where the state is released already, only the end of the successor has an effect.
                 actions.kill_peer();
                 std::thread::sleep(POLL_INTERVAL);
                 predecessor.tick(clock.now_us(), &mut actions);
@@ -80,7 +85,7 @@
     control.end();
 }
 
-/// What there is to hand over, and whether two processes fit the limits.
+/// Summarises the state to hand over, and whether two processes fit the limits.
 fn state_summary(node: &Node) -> StateSummary {
     let open_descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count());
     let resident_bytes = resident_bytes();
@@ -103,35 +108,35 @@
     }
 }
 
-/// Resident memory of this process.
+/// Returns the resident memory of this process.
 fn resident_bytes() -> u64 {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let resident_pages = pages.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
     resident_pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// What the state machine has this process do.
+/// The actions of the state machine on this process.
 struct ProcessActions<'a> {
     node: &'a Arc<Node>,
     control: &'a HandOverControl,
     link: &'a SupervisorLink,
     stream: HandOverStream,
-    keys_went_ahead: bool,
-    /// Why the pause came to nothing, until the state machine has been told.
+    keys_sent_ahead: bool,
+    /// The reason why the pause failed, until the state machine is notified of it.
     pause_error: Option<PauseError>,
 }
 
 impl ProcessActions<'_> {
-    /// Pauses, and takes a snapshot of all sections in a coroutine.
+    /// Pauses this process, and has a coroutine take a snapshot of all sections.
     fn pause_and_take_snapshot(&self) -> Result<Vec<SectionState>, PauseError> {
         let timeout = Duration::from_micros(LIMITS.pause_us);
         if self.link.ask(Question::MayPause, timeout) != Some(true) {
             return Err(PauseError::NotAllowed);
         }
         let pending = Arc::new(PendingSnapshot::default());
-        let (node, delivery, keys_went_ahead) = (self.node.clone(), pending.clone(), self.keys_went_ahead);
+        let (node, delivery, keys_sent_ahead) = (self.node.clone(), pending.clone(), self.keys_sent_ahead);
         may::go!(move || {
-            let Some(result) = take_snapshot(&node, keys_went_ahead, &delivery) else { return };
+            let Some(result) = take_snapshot(&node, keys_sent_ahead, &delivery) else { return };
             let is_awaited = delivery.deliver(result);
             if !is_awaited {
                 resume_node(&node);
@@ -141,13 +146,13 @@
         Ok(result?)
     }
 
-    /// Sends one section in chunks, and counts them.
+    /// Sends one section in chunks, and adds their number to `chunks`.
     fn send_section(&self, section: &SectionState, chunks: &mut u64) -> std::io::Result<()> {
         let (mut bytes, mut descriptors) = (section.bytes.as_slice(), section.descriptors.as_slice());
         loop {
             let (chunk_bytes, later_bytes) = bytes.split_at(bytes.len().min(CHUNK_BYTES));
             let (passed, later_descriptors) = descriptors.split_at(descriptors.len().min(MAX_DESCRIPTORS));
-            // SAFETY: this process is paused, so that none of its streams is closed before this is over.
+            // SAFETY: this process is paused, so that none of its streams is closed while the descriptors are borrowed.
             let borrowed: Vec<BorrowedFd> =
                 passed.iter().map(|fd| unsafe { BorrowedFd::borrow_raw(*fd) }).collect();
             let chunk = Chunk {
@@ -167,18 +172,18 @@
 
 impl Actions for ProcessActions<'_> {
     fn send(&mut self, message: Message) {
-        // Where it cannot be written the successor has ended, which is reported next.
+        // A failed write states that the successor has ended, which is reported next.
         let _ = self.stream.send(message, &[]);
     }
 
-    /// Sends idempotency keys: they stay as they are for most of their time, while all else changes with every RPC.
+    /// Sends the idempotency keys. They rarely change, while all other state changes with every RPC.
     fn transfer_ahead(&mut self, _now_us: u64) -> TransferredAhead {
-        let gate = &self.node.shared.coordinator;
+        let coordinator = &self.node.shared.coordinator;
         let (mut chunks, mut after) = (0, None);
-        self.keys_went_ahead = true;
+        self.keys_sent_ahead = true;
         // An interruption ends the attempt anyway.
         while !self.control.is_interrupted() {
-            let Some((keys, last)) = gate.export_keys(after.as_ref(), KEYS_PER_CHUNK) else { break };
+            let Some((keys, last)) = coordinator.export_keys(after.as_ref(), KEYS_PER_CHUNK) else { break };
             let bytes = IdempotencyKeyRecords { keys }.encode_to_vec();
             let chunk = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
             if self.stream.send(Message::Chunk(chunk), &[]).is_err() {
@@ -199,7 +204,7 @@
         };
         let mut chunks = 0;
         for section in &sections {
-            // Where it cannot be written the successor has ended, which is reported next.
+            // A failed write states that the successor has ended, which is reported next.
             if self.send_section(section, &mut chunks).is_err() {
                 break;
             }
@@ -209,7 +214,10 @@
 
     fn resume(&mut self) {
         if self.link.ask(Question::MayResume, MAX_RESUME_WAIT) != Some(true) {
-            tracing::error!(part = "upgrade", "another acts in this node's place; this process ends");
+            tracing::error!(
+                part = "upgrade",
+                "resume not allowed, another process may act in place of this one; this process exits"
+            );
             crate::logger::flush();
             std::process::exit(EXIT_STATUS_REPLACED);
         }
@@ -221,7 +229,7 @@
     }
 
     fn retire(&mut self) {
-        tracing::info!(part = "upgrade", "handed over; this process ends");
+        tracing::info!(part = "upgrade", "handed over; this process exits");
         crate::logger::flush();
         std::process::exit(0);
     }
--- a/crates/ochrewalk-node/src/handover/process_guard.rs
+++ b/crates/ochrewalk-node/src/handover/process_guard.rs
@@ -1,8 +1,8 @@
-//! Decides which of two children may act, and which of them may be killed: the supervisor's part without processes and
-//! sockets.
+//! Decides which of two children may act, and which of them may be killed. The supervisor applies these decisions to its
+//! processes; this module has no processes and sockets.
 //!
-//! At most one child may act. In one attempt at most one child is killed, and only while neither acts, as the other may
-//! be the last one alive.
+//! At most one child may act. In one attempt at most one child is killed, and only while neither acts, as the other
+//! child may be the last one that is alive.
 
 use std::fmt;
 
@@ -16,15 +16,15 @@
     }
 }
 
-/// Which child may act, and the attempt under way.
+/// The right to act, and the attempt under way.
 #[derive(Debug, Default)]
 pub struct ProcessGuard {
-    /// None while the state passes from one child to the other.
+    /// The child that may act; none while the state passes from one child to the other.
     acting: Option<ChildId>,
     attempt: Option<Attempt>,
 }
 
-/// A hand-over that is under way.
+/// A hand-over under way.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     predecessor: ChildId,
@@ -32,22 +32,22 @@
     has_killed: bool,
 }
 
-/// What a child asks for.
+/// The action for which a child requests permission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
-    /// To pause: nobody acts from then on.
+    /// Pause: no child acts from then on.
     Pause,
-    /// To act: to resume, or to start.
+    /// Act: resume, or start.
     Act,
 }
 
 impl ProcessGuard {
-    /// A child was started while no other one ran: it may act.
+    /// Gives the right to act to a child that was started while no other one ran.
     pub fn started_alone(&mut self, child: ChildId) {
         self.acting = Some(child);
     }
 
-    /// The child that would be the predecessor of an attempt; none while an attempt is under way or nobody acts.
+    /// Returns the child that would be the predecessor of an attempt; none while an attempt is under way or no child acts.
     ///
     /// ```
     /// use ochrewalk_node::handover::process_guard::{ChildId, ProcessAction, ProcessGuard};
@@ -69,17 +69,17 @@
         self.acting.filter(|_| self.attempt.is_none())
     }
 
-    /// The child that acts.
+    /// Returns the child that acts.
     pub fn acting(&self) -> Option<ChildId> {
         self.acting
     }
 
-    /// An attempt begins.
+    /// Records that an attempt begins.
     pub fn begin_attempt(&mut self, predecessor: ChildId, successor: ChildId) {
         self.attempt = Some(Attempt { predecessor, successor, has_killed: false });
     }
 
-    /// Whether a child may do what it asks for; if so, it does.
+    /// Decides whether a child may perform an action. If so, the action counts as performed.
     pub fn allow(&mut self, child: ChildId, action: ProcessAction) -> bool {
         let is_allowed = self.acting.is_none_or(|acting| acting == child);
         if is_allowed {
@@ -91,15 +91,15 @@
         is_allowed
     }
 
-    /// A child asks for the other one of its attempt to be killed: which one that is, if it may be.
+    /// Decides whether a child may have its peer in the attempt killed. Returns the peer if so.
     pub fn allow_kill(&mut self, child: ChildId) -> Option<ChildId> {
-        let nobody_acts = self.acting.is_none();
-        let attempt = self.attempt.as_mut().filter(|attempt| !attempt.has_killed && nobody_acts)?;
+        let no_child_acts = self.acting.is_none();
+        let attempt = self.attempt.as_mut().filter(|attempt| !attempt.has_killed && no_child_acts)?;
         attempt.has_killed = true;
         Some(if child == attempt.predecessor { attempt.successor } else { attempt.predecessor })
     }
 
-    /// A child has ended; whether it was the one that acted.
+    /// Records that a child has ended. Returns whether that child acted.
     pub fn child_ended(&mut self, child: ChildId) -> bool {
         let acted = self.acting == Some(child);
         if acted {
@@ -113,7 +113,7 @@
         self.attempt.is_some_and(|attempt| attempt.predecessor == child)
     }
 
-    /// The attempt has ended; the child that is to be killed, where the predecessor goes on.
+    /// Records that the attempt has ended. Returns the successor, which is to be killed, if the predecessor still acts.
     pub fn end_attempt(&mut self) -> Option<ChildId> {
         let attempt = self.attempt.take()?;
         (self.acting == Some(attempt.predecessor)).then_some(attempt.successor)
--- a/crates/ochrewalk-node/src/handover/received_state.rs
+++ b/crates/ochrewalk-node/src/handover/received_state.rs
@@ -1,4 +1,4 @@
-//! What a predecessor has sent: collected chunk by chunk, then put together as records and descriptors.
+//! Collects the chunks that a predecessor sends, and assembles them to records and descriptors.
 
 use super::records::{
     self, AjpConnectionRecords, ExecutorRecord, IdempotencyKeyRecords, JsonRpcConnectionRecords, NodeRecord,
@@ -10,13 +10,13 @@
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 
-/// All of a predecessor's state.
+/// The complete state of a predecessor.
 pub struct ReceivedState {
-    /// What belongs to no other section.
+    /// The state that belongs to no other section.
     pub node: NodeRecord,
-    /// Listeners: that of JSON-RPC, then that of AJP where there is one.
+    /// The listeners: that of JSON-RPC, then that of AJP where there is one.
     pub listeners: Vec<OwnedFd>,
-    /// RPCs that are open.
+    /// The open RPCs.
     pub rpcs: RpcRecords,
     /// Connections by JSON-RPC.
     pub json: ReceivedSection<JsonRpcConnectionRecords>,
@@ -28,7 +28,7 @@
     pub executor_link: Option<OwnedFd>,
     /// Calls upstream, and the connections that carry them.
     pub upstream: ReceivedSection<UpstreamRecord>,
-    /// Idempotency keys that were transferred ahead.
+    /// The idempotency keys that were transferred ahead of the pause.
     pub keys: IdempotencyKeyStore,
 }
 
@@ -37,41 +37,41 @@
 pub struct ReceivedSection<R> {
     /// The record.
     pub record: R,
-    /// The descriptors.
+    /// The descriptors of the connections.
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// Why the state that came cannot be restored.
+/// The reason why the received state cannot be restored.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// Something that was announced is missing.
-    #[error("fewer descriptors came than were announced, or tokens that cannot be read")]
+    /// Announced descriptors are missing, or idempotency keys cannot be decoded.
+    #[error("fewer descriptors were received than announced, or idempotency keys cannot be decoded")]
     Incomplete,
-    /// A section is not of its format.
+    /// A section cannot be decoded.
     #[error("section {name}: {error}")]
     Section {
         /// The section's name.
         name: &'static str,
-        /// What is wrong with its bytes.
+        /// The error of the decoder.
         error: prost::DecodeError,
     },
-    /// A section names more connections than descriptors came with it, or fewer.
+    /// A section has another number of connections than of descriptors.
     #[error("streams and descriptors differ in number")]
     DescriptorCount,
-    /// The node cannot be put together from the state.
+    /// The node cannot be assembled from the state.
     #[error("{reason}")]
     Assembly {
-        /// What does not fit.
+        /// The reason, as reported by the assembly.
         reason: String,
     },
 }
 
-/// Chunks as they come.
+/// The chunks received so far.
 pub(super) struct ChunkStore {
     sections: HashMap<String, ReceivedSection<Vec<u8>>>,
-    /// Put together as they come: there may be a million of them.
+    /// Imported chunk by chunk, as there may be a million keys.
     keys: IdempotencyKeyStore,
-    /// Something that was announced is missing or cannot be read.
+    /// Whether announced descriptors are missing or keys cannot be decoded.
     is_incomplete: bool,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Stores a chunk; `descriptors` are none where fewer came with it than were announced.
+    /// Stores a chunk. `descriptors` is none where fewer were received than announced.
     pub(super) fn store(&mut self, section: &str, bytes: &[u8], descriptors: Option<Vec<OwnedFd>>) {
         self.is_incomplete |= descriptors.is_none();
         if section == records::AHEAD.0 {
@@ -99,11 +99,11 @@
         stored.descriptors.extend(descriptors.unwrap_or_default());
     }
 
-    /// Puts all chunks together; nothing is left of them.
+    /// Assembles the state from all chunks, and leaves the store empty.
     ///
     /// # Errors
     ///
-    /// Something is missing or cannot be read.
+    /// A part of the state is missing or cannot be decoded.
     pub(super) fn take_state(&mut self) -> Result<ReceivedState, LoadError> {
         if self.is_incomplete {
             return Err(LoadError::Incomplete);
--- a/crates/ochrewalk-node/src/handover/rollout_agent.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_agent.rs
@@ -1,5 +1,5 @@
-//! Decides, for a supervisor, what is done with the requests of a rollout, and when an unconfirmed change is reverted. It starts
-//! and ends nothing itself: that is the supervisor's.
+//! Decides, for a supervisor, how the requests of a rollout are handled, and when an unconfirmed change is reverted. The
+//! supervisor starts and ends the processes.
 
 use super::counter_report::CountersByMethod;
 use super::fingerprint::{verify_content, ContentError};
@@ -11,20 +11,20 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Whether a child is being replaced, by whomever.
+/// Whether a child is being replaced, on any request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Replacement {
-    /// None is.
+    /// No child is being replaced.
     Idle,
-    /// One is: no command may begin another.
+    /// A child is being replaced: no command may begin another replacement.
     InProgress,
 }
 
-/// What the supervisor is to do with a request.
+/// The supervisor's response to a request.
 pub enum AgentAction {
-    /// To send this reply.
+    /// Sends this reply.
     Reply(Reply),
-    /// To replace the child that serves, and to call [`RolloutAgent::command_finished`] with what came of it.
+    /// Replaces the child that serves, and then calls [`RolloutAgent::command_finished`] with the outcome.
     ReplaceChild(ChildSpec, AcceptedCommand),
 }
 
@@ -32,30 +32,31 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedCommand {
     token: FencingToken,
-    /// How long the change stays unconfirmed; 0 for good.
+    /// The time after which an unconfirmed change is reverted; 0 for a change that needs no confirmation.
     lease_us: u64,
-    /// Whether the child that serves has to end before the next one is started, in place of a hand-over.
+    /// Whether the child is replaced by a restart rather than by a hand-over.
     pub restart: bool,
 }
 
-/// What has to run again, as a change was not confirmed in time, and how it comes to run.
+/// A revert that is due as a change was not confirmed in time: the child to start, and the method.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DueRevert {
-    /// The child that serves hands over to one of this kind.
+    /// The child that serves hands over to a child with this specification.
     HandOver(ChildSpec),
-    /// The child that serves is ended, and one of this kind is started.
+    /// The child that serves is ended, and a child with this specification is started.
     Restart(ChildSpec),
 }
 
-/// What a supervisor remembers of rollouts. It starts with nothing: a supervisor that was restarted has forgotten the tokens.
+/// The rollout state of a supervisor. The state is not persisted: a supervisor that was restarted has forgotten the fencing
+/// tokens.
 pub struct RolloutAgent {
     fence: Fence,
     commit_confirm: CommitConfirm,
-    /// What ran before the unconfirmed change.
+    /// The program and settings that ran before the unconfirmed change.
     revert_to: Option<ChildIdentity>,
     started_at: Instant,
     incarnation: u64,
-    /// Counters of the children that served before the one that does.
+    /// The counters of all children that served before the present one.
     previous_counters: CountersByMethod,
 }
 
@@ -77,8 +78,8 @@
         self.started_at.elapsed().as_micros() as u64
     }
 
-    /// Decides what is done with a request of the socket's owner. While a child is being replaced no command is
-    /// begun, and the status is unhealthy.
+    /// Decides how a request of the socket's owner is handled. While a child is being replaced no command is begun, and the
+    /// status is unhealthy.
     pub fn handle_request(
         &mut self,
         request: &Request,
@@ -119,7 +120,7 @@
         AgentAction::Reply(reply)
     }
 
-    /// Carries out a command that was admitted, as far as that can be done without the supervisor.
+    /// Carries out an admitted command, as far as that is possible without the supervisor.
     fn execute(&mut self, command: &CommandMessage, serving: Option<&ServingChild>) -> AgentAction {
         let accepted = AcceptedCommand {
             token: command.token(),
@@ -130,7 +131,7 @@
             let reason = "nothing is wanted, or no program serves";
             return AgentAction::Reply(self.command_finished(accepted, None, Outcome::Failed(reason.into())));
         };
-        // What runs already stays, for good or under the same lease.
+        // A target that runs already is not replaced; the lease of the command applies to it.
         if serving.runs(target) {
             return AgentAction::Reply(self.command_finished(accepted, None, Outcome::Done));
         }
@@ -143,8 +144,8 @@
         }
     }
 
-    /// A command has been carried out, or could not be: the reply to it. `previous` is what ran until then, where the child was
-    /// replaced.
+    /// Records the outcome of a command, and returns the reply to it. `previous` is the identity of the replaced child, where
+    /// the child was replaced.
     pub fn command_finished(
         &mut self,
         accepted: AcceptedCommand,
@@ -162,28 +163,28 @@
         if lease_us == 0 {
             self.confirm();
         } else if previous.is_some() || self.commit_confirm.is_pending() {
-            // What ran before the first unconfirmed change is what a revert goes back to.
+            // A revert restores the program and settings from before the first unconfirmed change.
             self.revert_to = self.revert_to.take().or(previous);
             self.commit_confirm.start(self.now_us(), lease_us);
         }
-        // Else the child runs what was asked for, and for good already: it is not made unconfirmed by being asked for again.
+        // Otherwise the child runs the target already, and confirmed: a repeated command does not make it unconfirmed.
     }
 
-    /// What runs now stays for good.
+    /// Confirms the program and settings that run now: they are not reverted any more.
     pub fn confirm(&mut self) {
         self.commit_confirm.confirm();
         self.revert_to = None;
     }
 
-    /// What an unconfirmed change needs now. A revert that is due is under way from then on, until [`RolloutAgent::revert_succeeded`]
-    /// or [`RolloutAgent::revert_failed`].
+    /// Returns the revert that is due now, if any. The revert counts as under way until [`RolloutAgent::revert_succeeded`] or
+    /// [`RolloutAgent::revert_failed`] is called.
     pub fn due_revert(&mut self) -> Option<DueRevert> {
         let action = self.commit_confirm.next_action(self.now_us());
         let ChildIdentity { spec, fingerprint } = self.revert_to.clone()?;
         match action {
             RevertAction::None => None,
             RevertAction::HandOver => Some(DueRevert::HandOver(spec)),
-            // The unconfirmed child still serves: it is not ended where what ran before is not there any more.
+            // The unconfirmed child still serves, and is not ended where the previous program is no longer available.
             RevertAction::Restart if verify_content(&spec.program, fingerprint).is_err() => {
                 self.revert_failed();
                 None
@@ -192,24 +193,24 @@
         }
     }
 
-    /// What was due is done: the node runs again what it ran before the change.
+    /// Records that the revert succeeded: the node runs the program and settings from before the change.
     pub fn revert_succeeded(&mut self) {
         self.commit_confirm.revert_succeeded();
         self.revert_to = None;
     }
 
-    /// What was due failed, or could not be begun.
+    /// Records that the revert failed, or could not be begun.
     pub fn revert_failed(&mut self) {
         self.commit_confirm.revert_failed(self.now_us());
     }
 
-    /// For how long nothing is due; none where nothing will be until the next request.
+    /// Returns the time until the next action is due; none where no action is due before the next request.
     pub fn time_to_next_action(&self) -> Option<Duration> {
         let next_us = self.commit_confirm.next_us()?;
         Some(Duration::from_micros(next_us.saturating_sub(self.now_us())))
     }
 
-    /// The child that served is followed by another, whose counters begin at nothing.
+    /// Retains the counters of a child that was replaced, as those of its successor begin at zero.
     pub fn child_replaced(&mut self, previous: &ServingChild) {
         if let Some(counters) = previous.counters_by_method() {
             self.previous_counters.add(counters);
@@ -229,8 +230,8 @@
     }
 }
 
-/// What runs the target beside what the node has. Both the target and the program have to be what they were when the plan was made,
-/// and when the program was started.
+/// Returns the specification of a child that runs the target, together with the present program or settings. The target must
+/// have the fingerprint from the plan, and a program that is started again must have the one of the running process.
 fn next_child(target: &Target, serving: &ServingChild) -> Result<ChildSpec, ContentError> {
     let path = PathBuf::from(&target.path);
     verify_content(&path, target.fingerprint)?;
--- a/crates/ochrewalk-node/src/handover/rollout_socket.rs
+++ b/crates/ochrewalk-node/src/handover/rollout_socket.rs
@@ -1,4 +1,4 @@
-//! Requests and replies of a rollout on a supervisor's control socket.
+//! Exchanges requests and replies of a rollout on a supervisor's control socket.
 
 use ochrewalk_rollout::framing::{encode_message, read_message, FramingError};
 use ochrewalk_rollout::messages::{Reply, Request, Response, PROTOCOL_VERSION};
@@ -7,19 +7,19 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The line before a request, which tells it from what operators ask on the same socket.
+/// The line before a request, which distinguishes it from requests of operators on the same socket.
 pub const REQUEST_LINE: &str = "rollout";
 
-/// Replies to a request. A controller that does not wait any more hears nothing, and asks again.
+/// Replies to a request. A controller that no longer waits does not receive the reply, and sends its request again.
 pub fn send_reply(stream: &mut UnixStream, reply: Reply) {
     let response = Response { protocol_version: PROTOCOL_VERSION, reply: Some(reply) };
     let _ = stream.write_all(&encode_message(&response));
 }
 
-/// Sends a request to a node, and waits for its response. `timeout` bounds each read and write.
+/// Sends a request to a node, and waits for the response. `timeout` bounds each read and write.
 ///
 /// # Errors
-/// The node cannot be reached, does not respond in time, or responds with something else.
+/// The node cannot be reached, does not respond in time, or sends an invalid response.
 pub fn send_request(control: &Path, request: &Request, timeout: Duration) -> Result<Response, FramingError> {
     let mut stream = UnixStream::connect(control)?;
     stream.set_read_timeout(Some(timeout))?;
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a paused process writes down for its successor.
+//! Takes a snapshot of the state of a paused process, for its successor.
 
 use super::pause::{pause, resume};
 use super::pending_snapshot::{PendingSnapshot, SnapshotResult};
@@ -12,26 +12,26 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long calls on connections that cannot be handed over may take to end.
+/// The time limit for calls to end on connections that cannot be handed over.
 const MAX_UNMOVABLE_WAIT: Duration = Duration::from_millis(150);
-/// How long everything that was read may take to be dealt with.
-const MAX_REST_WAIT: Duration = Duration::from_millis(250);
-/// How often these are looked at.
+/// The time limit for the node to process everything that it has read.
+const MAX_QUIESCENCE_WAIT: Duration = Duration::from_millis(250);
+/// The interval at which both are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Why no snapshot can be taken.
+/// The reason why no snapshot can be taken.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum SnapshotError {
-    /// Something that was read was not dealt with in time.
-    #[error("it does not come to rest")]
-    NotAtRest,
+    /// Input that was read was not processed in time.
+    #[error("the running program did not become quiescent in time")]
+    NotQuiescent,
 }
 
 /// One section as it is handed over.
 pub(super) struct SectionState {
     pub(super) name: &'static str,
     pub(super) bytes: Vec<u8>,
-    /// Valid as long as this process is paused.
+    /// The descriptors to pass, valid as long as this process is paused.
     pub(super) descriptors: Vec<RawFd>,
 }
 
@@ -41,33 +41,33 @@
     }
 }
 
-/// Connections of one protocol, and their descriptors in the same order.
+/// The connections of one protocol, and their descriptors in the same order.
 type Connections<R> = (R, Vec<RawFd>);
 
-/// Ends the pause, and has every connection looked at again.
+/// Ends the pause, and has every connection checked for work.
 pub(super) fn resume_node(node: &Node) {
     resume();
-    if let Some(below) = &node.shared.upstream {
-        below.set_calls_paused(false);
-        below.recheck_connections();
+    if let Some(upstream) = &node.shared.upstream {
+        upstream.set_calls_paused(false);
+        upstream.recheck_connections();
     }
     node.shared.executor.recheck_connection();
     node.dispatchers.recheck_connections();
-    if let Some(front) = &node.ajp_ingress {
-        front.recheck_connections();
+    if let Some(ingress) = &node.ajp_ingress {
+        ingress.recheck_connections();
     }
 }
 
-/// Pauses and writes all of the state down, in a coroutine: no other one runs between the first look and the last.
-/// `keys_went_ahead` says that only idempotency keys that changed since are to be written. None where nobody waits for
-/// the result any more; then the node goes on.
+/// Pauses this process and takes a snapshot of its complete state. Must run in a coroutine, as no other coroutine runs
+/// while the state is checked and written. Where `keys_sent_ahead` is set, only the idempotency keys that have changed
+/// since are written. Returns none, and lets the node continue, where the thread no longer waits for the result.
 ///
-/// The thread that waits may give up at any moment. It resumes the node then, and may come again with another attempt,
-/// whose coroutine runs only while this one sleeps. So what is set here after that thread gave up is taken back before
-/// the next sleep, and nothing is touched after a sleep in which it gave up.
+/// The thread that waits may give up at any time. The thread then resumes the node, and may begin another attempt, whose
+/// coroutine runs only while this one sleeps. Therefore everything that this function has set after the thread gave up is
+/// reverted before the next sleep, and nothing is changed after a sleep in which the thread gave up.
 pub(super) fn take_snapshot(
     node: &Node,
-    keys_went_ahead: bool,
+    keys_sent_ahead: bool,
     pending: &PendingSnapshot,
 ) -> Option<SnapshotResult> {
     if !pending.is_awaited() {
@@ -75,27 +75,27 @@
     }
     let clock = node.shared.clock;
     let deadline_us = |wait: Duration| clock.now_us() + wait.as_micros() as u64;
-    if let Some(below) = &node.shared.upstream {
-        below.set_calls_paused(true);
+    if let Some(upstream) = &node.shared.upstream {
+        upstream.set_calls_paused(true);
         let deadline_us = deadline_us(MAX_UNMOVABLE_WAIT);
-        while below.has_unmovable_calls() && clock.now_us() < deadline_us {
+        while upstream.has_unmovable_calls() && clock.now_us() < deadline_us {
             sleep_while_awaited(node, pending)?;
         }
     }
     pause();
-    let deadline_us = deadline_us(MAX_REST_WAIT);
+    let deadline_us = deadline_us(MAX_QUIESCENCE_WAIT);
     loop {
-        if let Some(sections) = sections_at_rest(node, keys_went_ahead) {
+        if let Some(sections) = sections_if_quiescent(node, keys_sent_ahead) {
             return Some(Ok(sections));
         }
         if clock.now_us() >= deadline_us {
-            return Some(Err(SnapshotError::NotAtRest));
+            return Some(Err(SnapshotError::NotQuiescent));
         }
         sleep_while_awaited(node, pending)?;
     }
 }
 
-/// Lets other coroutines run. None where nobody waits for the snapshot any more.
+/// Lets other coroutines run. Returns none where the thread no longer waits for the snapshot.
 fn sleep_while_awaited(node: &Node, pending: &PendingSnapshot) -> Option<()> {
     if !pending.is_awaited() {
         resume_node(node);
@@ -105,30 +105,31 @@
     pending.is_awaited().then_some(())
 }
 
-/// All sections; none while something that was read is still being dealt with, or a connection is coming or going.
-fn sections_at_rest(node: &Node, keys_went_ahead: bool) -> Option<Vec<SectionState>> {
+/// Returns all sections; none while input that was read is still being processed, or a connection is opening or closing.
+fn sections_if_quiescent(node: &Node, keys_sent_ahead: bool) -> Option<Vec<SectionState>> {
     let json = node.dispatchers.snapshot()?;
     let ajp = match &node.ajp_ingress {
-        Some(front) => Some(front.snapshot()?),
+        Some(ingress) => Some(ingress.snapshot()?),
         None => None,
     };
-    node.shared.coordinator.is_quiescent().then(|| sections(node, keys_went_ahead, json, ajp))
+    node.shared.coordinator.is_quiescent().then(|| sections(node, keys_sent_ahead, json, ajp))
 }
 
 fn sections(
     node: &Node,
-    keys_went_ahead: bool,
+    keys_sent_ahead: bool,
     (json, json_descriptors): Connections<JsonRpcConnectionRecords>,
     ajp: Option<Connections<AjpConnectionRecords>>,
 ) -> Vec<SectionState> {
-    let core = &node.shared;
-    let node_record = node_record(node, keys_went_ahead);
-    let rpcs = RpcRecords { rpcs: core.open_requests().values().map(|rpc| rpc_record(rpc)).collect() };
-    let (executor, link) = core.executor.snapshot();
-    let (below, links) = core.upstream.as_ref().map(|below| below.snapshot()).unwrap_or_default();
+    let shared = &node.shared;
+    let node_record = node_record(node, keys_sent_ahead);
+    let rpcs = RpcRecords { rpcs: shared.open_requests().values().map(|rpc| rpc_record(rpc)).collect() };
+    let (executor, executor_link) = shared.executor.snapshot();
+    let (upstream, upstream_descriptors) =
+        shared.upstream.as_ref().map(|upstream| upstream.snapshot()).unwrap_or_default();
     let listeners = [
         node.dispatchers.listener_descriptor(),
-        node.ajp_ingress.as_ref().and_then(|front| front.listener_descriptor()),
+        node.ajp_ingress.as_ref().and_then(|ingress| ingress.listener_descriptor()),
     ];
     let listeners = listeners.into_iter().flatten().collect();
     let mut sections = vec![
@@ -136,8 +137,8 @@
         SectionState { name: "listeners", bytes: Vec::new(), descriptors: listeners },
         SectionState::new("rpcs", &rpcs, Vec::new()),
         SectionState::new("json", &json, json_descriptors),
-        SectionState::new("executor", &executor, link.into_iter().collect()),
-        SectionState::new("below", &below, links),
+        SectionState::new("executor", &executor, executor_link.into_iter().collect()),
+        SectionState::new("below", &upstream, upstream_descriptors),
     ];
     if let Some((ajp, descriptors)) = ajp {
         sections.push(SectionState::new("ajp", &ajp, descriptors));
@@ -145,31 +146,31 @@
     sections
 }
 
-fn node_record(node: &Node, keys_went_ahead: bool) -> NodeRecord {
+fn node_record(node: &Node, keys_sent_ahead: bool) -> NodeRecord {
     let (fingerprint_key, fingerprint_key_more) = node.shared.fingerprint_key();
     let clock_base_ns = node.shared.clock.base_ns();
     let mut record =
         NodeRecord { clock_base_ns, fingerprint_key, fingerprint_key_more, ..NodeRecord::default() };
-    node.shared.coordinator.snapshot(&mut record, keys_went_ahead);
+    node.shared.coordinator.snapshot(&mut record, keys_sent_ahead);
     record
 }
 
-fn rpc_record(living: &OpenRequest) -> RpcRecord {
-    let life = living.lock();
-    let token = living.rpc.idempotency_key.as_ref();
+fn rpc_record(request: &OpenRequest) -> RpcRecord {
+    let state = request.lock();
+    let idempotency_key = request.rpc.idempotency_key.as_ref();
     RpcRecord {
-        id: living.rpc.id.to_string(),
-        method: living.rpc.method as u32,
-        kb: living.rpc.memory_kb,
-        ts_ms: living.rpc.arrived_unix_ms,
-        left_us: living.rpc.time_left_us,
-        token: token.map(|token| token.key.to_string()),
-        work: token.map_or(0, |token| token.fingerprint),
-        body: living.body.to_string(),
-        owed: life.awaits_answer,
-        running: life.is_running,
-        call: life.call.as_ref().map(call_record),
-        client: life.awaits_answer.then(|| living.client.address()),
+        id: request.rpc.id.to_string(),
+        method: request.rpc.method as u32,
+        kb: request.rpc.memory_kb,
+        ts_ms: request.rpc.arrived_unix_ms,
+        left_us: request.rpc.time_left_us,
+        token: idempotency_key.map(|key| key.key.to_string()),
+        work: idempotency_key.map_or(0, |key| key.fingerprint),
+        body: request.body.to_string(),
+        owed: state.awaits_answer,
+        running: state.is_running,
+        call: state.call.as_ref().map(call_record),
+        client: state.awaits_answer.then(|| request.client.address()),
     }
 }
 
--- a/crates/ochrewalk-node/src/handover/successor.rs
+++ b/crates/ochrewalk-node/src/handover/successor.rs
@@ -1,7 +1,7 @@
-//! The side that is to take over: it receives all of the predecessor's state, restores it without acting on any of it,
-//! and starts once the predecessor has released it.
+//! The successor's side of a hand-over: receives the predecessor's complete state, restores it without acting on it, and
+//! starts once the predecessor has released the state.
 
-use super::failure_injection::{fail_if_asked, Step};
+use super::failure_injection::{fail_if_requested, Step};
 use super::hand_over_stream::{HandOverStream, Received};
 use super::received_state::{ChunkStore, LoadError, ReceivedState};
 use super::records;
@@ -14,73 +14,75 @@
 use thiserror::Error;
 
 const LIMITS: Limits = Limits { answer_us: 5_000_000, pause_us: 3_000_000 };
-/// How often the supervisor is asked for the right to start: that the predecessor has ended it may hear a moment later.
+/// The number of requests to the supervisor for the right to start: the supervisor may notice the predecessor's end later
+/// than this process.
 const MAX_START_ATTEMPTS: u32 = 100;
-/// How long each answer may take.
+/// The time limit for each answer.
 const MAX_START_WAIT: Duration = Duration::from_secs(60);
-/// How often interruptions are looked at beside messages, and between two questions to the supervisor.
+/// The interval at which interruptions are checked while this process waits for messages, and the interval between two
+/// questions to the supervisor.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How this process is to start.
+/// The way in which this process starts.
 pub enum StartMode<N> {
-    /// With a node that was put together from the predecessor's state.
+    /// With a node that was assembled from the predecessor's state.
     WithState(N),
-    /// As after any start: the predecessor ended with its state.
+    /// Without state: the predecessor has ended, and its state is lost.
     Fresh,
 }
 
-/// What this process can take over.
+/// The limits of the state that this process can take over.
 pub struct TakeOverLimits {
-    /// A digest of the settings that only a start can change.
+    /// A digest of the settings that only a restart can change.
     pub digest: u64,
-    /// The most memory that the predecessor's state may take, in bytes.
+    /// The maximal memory of the predecessor's state, in bytes.
     pub bytes: u64,
-    /// The most descriptors that the predecessor may have open.
+    /// The maximal number of descriptors that the predecessor may have open.
     pub descriptors: u32,
 }
 
-/// Why nothing was taken over. The predecessor goes on.
+/// The reason why nothing was taken over. The predecessor continues to serve.
 #[derive(Debug, Error)]
 pub enum TakeOverError {
-    /// The hand-over came to nothing.
+    /// The hand-over failed.
     #[error(transparent)]
     Ended(#[from] SuccessorError),
     /// The supervisor did not allow this process to start.
-    #[error("the running program goes on")]
+    #[error("the supervisor did not allow the start; the running program continues")]
     StartDenied,
-    /// The stream from the predecessor is broken, or what came is not of the protocol.
-    #[error("what is passed on cannot be read: {0}")]
+    /// The stream from the predecessor is broken, or its bytes violate the protocol.
+    #[error("the stream from the running program cannot be read: {0}")]
     Stream(#[source] std::io::Error),
 }
 
-/// Tells the predecessor that nothing is taken over, as this process cannot use its files.
+/// Notifies the predecessor that nothing is taken over, as this process cannot use its files.
 pub fn refuse(stream: &HandOverStream, reason: &str) {
     let _ = stream.send(Message::Refuse(Refusal { reason: reason.replace('\n', "; ") }), &[]);
 }
 
-/// Takes over from the predecessor at the other end of `stream`. `is_interrupted` says whether this process is to drain;
-/// `build` puts the node together from the predecessor's state, without acting on any of it.
+/// Takes over from the predecessor at the other end of `stream`. `is_interrupted` returns whether this process has to
+/// drain; `assemble` assembles the node from the predecessor's state, without acting on any of it.
 ///
 /// # Errors
 ///
-/// Nothing was taken over; this process is to end.
+/// Nothing was taken over; the caller has to end this process.
 pub fn take_over<N>(
     stream: HandOverStream,
     link: &SupervisorLink,
     limits: &TakeOverLimits,
     is_interrupted: impl Fn() -> bool,
-    build: impl FnMut(ReceivedState) -> Result<N, String>,
+    assemble: impl FnMut(ReceivedState) -> Result<N, String>,
 ) -> Result<StartMode<N>, TakeOverError> {
-    fail_if_asked(Step::BeforeHello);
+    fail_if_requested(Step::BeforeHello);
     let clock = Clock::start();
     let chunks = ChunkStore::new();
-    let mut actions = ProcessActions { stream, link, build, chunks, built: None, outcome: None };
+    let mut actions = ProcessActions { stream, link, assemble, chunks, assembled: None, outcome: None };
     let mut successor = Successor::new(clock.now_us(), LIMITS, capabilities(limits), &mut actions);
-    fail_if_asked(Step::HelloSent);
+    fail_if_requested(Step::HelloSent);
     loop {
         if let Some(outcome) = actions.outcome.take() {
             if outcome.is_ok() {
-                fail_if_asked(Step::Started);
+                fail_if_requested(Step::Started);
             }
             return outcome;
         }
@@ -92,8 +94,8 @@
                 let before = successor.state();
                 successor.message(clock.now_us(), &message, &mut actions);
                 match (before, successor.state()) {
-                    (State::Receiving, State::Ready) => fail_if_asked(Step::Ready),
-                    (State::Ready, State::Loaded) => fail_if_asked(Step::Loaded),
+                    (State::Receiving, State::Ready) => fail_if_requested(Step::Ready),
+                    (State::Ready, State::Loaded) => fail_if_requested(Step::Loaded),
                     _ => {}
                 }
             }
@@ -116,14 +118,14 @@
     }
 }
 
-/// What the state machine has this process do.
+/// The actions of the state machine on this process.
 struct ProcessActions<'a, N, B> {
     stream: HandOverStream,
     link: &'a SupervisorLink,
-    build: B,
+    assemble: B,
     chunks: ChunkStore,
-    built: Option<N>,
-    /// How the hand-over ended, once it has.
+    assembled: Option<N>,
+    /// The outcome of the hand-over, once it has ended.
     outcome: Option<Result<StartMode<N>, TakeOverError>>,
 }
 
@@ -141,13 +143,13 @@
 
     fn load(&mut self) -> Result<(), LoadError> {
         let state = self.chunks.take_state()?;
-        let built = (self.build)(state).map_err(|reason| LoadError::Assembly { reason })?;
-        self.built = Some(built);
+        let assembled = (self.assemble)(state).map_err(|reason| LoadError::Assembly { reason })?;
+        self.assembled = Some(assembled);
         Ok(())
     }
 
     fn start(&mut self) {
-        let mode = self.built.take().map_or(StartMode::Fresh, StartMode::WithState);
+        let mode = self.assembled.take().map_or(StartMode::Fresh, StartMode::WithState);
         self.start_if_allowed(mode);
     }
 
@@ -165,7 +167,8 @@
 }
 
 impl<N, B> ProcessActions<'_, N, B> {
-    /// The supervisor, which started both processes, has the last word on which of them acts.
+    /// Ends the hand-over with `mode` if the supervisor allows the start. The supervisor started both processes, and decides
+    /// which of them acts.
     fn start_if_allowed(&mut self, mode: StartMode<N>) {
         let is_allowed = (0..MAX_START_ATTEMPTS).any(|attempt| {
             if attempt > 0 {
--- a/crates/ochrewalk-node/src/handover/supervisor_link.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor_link.rs
@@ -1,4 +1,4 @@
-//! A child's end of the stream to its supervisor: what it reports there, and what it asks before it acts.
+//! A child's end of the stream to its supervisor, on which the child reports and asks for permission to act.
 
 use super::descriptor_socket::{read_lines, send_line};
 use super::supervisor_protocol::{
@@ -12,16 +12,16 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Answers come in the order of the questions.
+/// The supervisor's answers, which arrive in the order of the questions.
 struct Answers {
     received: Receiver<bool>,
-    /// Answers still to come to questions whose time-out has passed.
+    /// The number of answers still expected to questions whose time-out has passed.
     abandoned: usize,
 }
 
 /// The stream to the supervisor, shared by the threads that report and ask.
 pub struct SupervisorLink {
-    /// A line is written completely before the next begins, as a long one goes out in pieces.
+    /// Locked until a line is written completely, as a long line is written in several pieces.
     writer: Mutex<UnixStream>,
     answers: Mutex<Answers>,
 }
@@ -31,9 +31,8 @@
 }
 
 impl SupervisorLink {
-    /// Over a stream that is connected with the supervisor. The second value has the descriptors of streams to
-    /// successors that wait for this process's state. `on_end` is called, by a thread of its own, once the supervisor has
-    /// ended.
+    /// Returns a link on a stream that is connected with the supervisor, and a receiver of the descriptors of streams to
+    /// successors that wait for this process's state. A separate thread calls `on_end` once the supervisor has ended.
     ///
     /// # Errors
     ///
@@ -57,19 +56,19 @@
         Ok((SupervisorLink { writer: Mutex::new(stream), answers }, successors))
     }
 
-    /// Writes one line, without line feeds of its own. Nothing comes of it where the supervisor has ended, which is
-    /// reported by `on_end`.
+    /// Writes one line, with its line feeds replaced by spaces. Has no effect where the supervisor has ended, which
+    /// `on_end` reports.
     pub fn report(&self, line: &str) {
         let _ = send_line(&lock(&self.writer), &line.replace('\n', " "), None);
     }
 
-    /// Says something to the supervisor, as [`SupervisorLink::report`] does.
+    /// Sends a line to the supervisor, as [`SupervisorLink::report`] does.
     pub fn send(&self, line: &ChildLine) {
         self.report(&line.to_line());
     }
 
-    /// Asks, and waits for the answer: whether this process may. None where no answer came within the time-out, or the
-    /// supervisor has ended.
+    /// Asks the supervisor for a permission, and returns the answer. Returns none where no answer arrives within the time-out,
+    /// or the supervisor has ended.
     pub fn ask(&self, question: Question, timeout: Duration) -> Option<bool> {
         let mut answers = lock(&self.answers);
         self.send(&ChildLine::Question(question));
@@ -88,27 +87,27 @@
     }
 }
 
-/// What a supervisor started this process with.
+/// The streams and settings with which a supervisor started this process.
 pub struct Supervised {
     /// The stream to the supervisor.
     pub link: SupervisorLink,
-    /// The stream to the predecessor, where this process is to take over from one.
+    /// The stream to the predecessor, where this process takes over from one.
     pub predecessor: Option<UnixStream>,
     /// Descriptors of streams to successors that wait for this process's state.
     pub successors: Receiver<OwnedFd>,
-    /// The operators' file to go by, where it is not the one on the command line.
+    /// The operators' file to use in place of the one on the command line.
     pub operators: Option<PathBuf>,
-    /// Whether changed counters may be reported in place of all of them.
+    /// Whether the supervisor reads reports of changed counters.
     pub reads_changes: bool,
 }
 
-/// What a supervisor started this process with; none where no supervisor did. To be called once: the descriptors are
-/// this call's from then on.
+/// Returns the streams and settings with which a supervisor started this process; none where no supervisor started it.
+/// Must be called only once, as the call takes ownership of the descriptors.
 pub fn supervised() -> Option<Supervised> {
     let descriptor = |name: &str| -> Option<UnixStream> {
         let number = std::env::var(name).ok()?.parse::<i32>().ok()?;
         std::env::remove_var(name);
-        // SAFETY: the supervisor passed this descriptor on for this use alone, and nobody else finds its name any more.
+        // SAFETY: the supervisor passed this descriptor for this use only, and its name was removed from the environment.
         let owned = unsafe { OwnedFd::from_raw_fd(number) };
         rustix::io::fcntl_setfd(&owned, rustix::io::FdFlags::CLOEXEC).ok()?;
         Some(UnixStream::from(owned))
@@ -117,7 +116,7 @@
     let predecessor = descriptor(PREDECESSOR);
     let operators = std::env::var_os(OPERATORS).map(PathBuf::from);
     let reads_changes = std::env::var_os(READS_CHANGES).is_some();
-    // For the platform this node has ended with its supervisor.
+    // The platform regards this node as ended when its supervisor has ended, so that this process drains.
     let drain = || drop(signal_hook::low_level::raise(SIGTERM));
     let (link, successors) = SupervisorLink::new(stream, drain).ok()?;
     Some(Supervised { link, predecessor, successors, operators, reads_changes })
--- a/crates/ochrewalk-node/src/handover/supervisor_protocol.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor_protocol.rs
@@ -1,42 +1,43 @@
-//! What passes between a supervisor and the children that it starts: names in the environment, and lines on the stream
-//! between the two. Supervisors and programs of different versions run together, so that none of these may change.
+//! The protocol between a supervisor and its children: names of environment variables, and lines on the stream between the
+//! two. Supervisors and children of different versions run together, so that none of these texts may change.
 
 use super::counter_report::CounterReport;
 use std::fmt;
 
-/// The descriptor of a child's stream to its supervisor.
+/// The environment variable with the descriptor of a child's stream to its supervisor.
 pub(super) const LINK: &str = "OCHREWALK_KEPT";
-/// The descriptor of a child's stream to its predecessor.
+/// The environment variable with the descriptor of a child's stream to its predecessor.
 pub(super) const PREDECESSOR: &str = "OCHREWALK_TAKES";
-/// The operators' file that a child goes by, where that is not the one that the node was started with.
+/// The environment variable with the operators' file that a child uses in place of the one that the node was started with.
 pub(super) const OPERATORS: &str = "OCHREWALK_KEPT_OPERATORS";
-/// Set by supervisors that read changed counters; those before them take every report for all counters.
+/// The environment variable that is set by supervisors that read changed counters. Earlier supervisors take every report as
+/// one of all counters.
 pub(super) const READS_CHANGES: &str = "OCHREWALK_KEPT_READS_CHANGES";
 
 const MAY_PAUSE: &str = "still?";
 const MAY_RESUME: &str = "on?";
 const MAY_BEGIN: &str = "begin?";
 const KILL_PEER: &str = "end other";
-/// What begins the line that says how an attempt ended.
+/// The prefix of the line with the outcome of an attempt.
 const ATTEMPT_ENDED: &str = "told ";
 const HANDED_OVER: &str = "handed over";
 const HAND_OVER: &str = "give";
 const YES: &str = "yes";
 const NO: &str = "no";
 
-/// What a child asks its supervisor before it does it.
+/// A permission for which a child asks its supervisor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// To pause, so that its state can be written down.
+    /// Pause, so that a snapshot of the state can be taken.
     MayPause,
-    /// To go on after a pause.
+    /// Resume after a pause.
     MayResume,
-    /// To serve in the predecessor's place.
+    /// Begin to serve in place of the predecessor.
     MayBegin,
 }
 
 impl Question {
-    /// The line, without its line feed.
+    /// Formats the line, without its line feed.
     pub(super) fn as_line(self) -> &'static str {
         match self {
             Question::MayPause => MAY_PAUSE,
@@ -46,12 +47,12 @@
     }
 }
 
-/// How an attempt to hand over ended.
+/// The outcome of an attempt to hand over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The successor serves.
     HandedOver,
-    /// The predecessor goes on, or the successor takes over what it can; the text says why.
+    /// The hand-over failed, for this reason: the predecessor continues to serve, or the successor starts without its state.
     Failed(String),
 }
 
@@ -73,21 +74,21 @@
     }
 }
 
-/// What a child says to its supervisor.
+/// A line from a child to its supervisor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChildLine {
-    /// The child waits for an answer.
+    /// A question; the child waits for the answer.
     Question(Question),
-    /// The other child of the attempt hangs and is to be killed.
+    /// A request to kill the other child of the attempt, which hangs.
     KillPeer,
-    /// The attempt that the child was told to begin has ended.
+    /// The outcome of the attempt that the supervisor has requested.
     AttemptEnded(AttemptOutcome),
-    /// Counters.
+    /// A report of counters.
     Counters(CounterReport),
 }
 
 impl ChildLine {
-    /// The line, without its line feed.
+    /// Formats the line, without its line feed.
     pub fn to_line(&self) -> String {
         match self {
             ChildLine::Question(question) => question.as_line().into(),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// What a line says; none where a newer program has added it, or it cannot be read.
+    /// Parses a line. Returns none for a line that is invalid or that a newer program has added.
     pub fn of_line(line: &str) -> Option<ChildLine> {
         Some(match line {
             MAY_PAUSE => ChildLine::Question(Question::MayPause),
@@ -112,19 +113,19 @@
     }
 }
 
-/// What a supervisor says to a child.
+/// A line from a supervisor to a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SupervisorLine {
-    /// Hand over to the successor at the other end of the descriptor that comes beside the line.
+    /// Requests a hand-over to the successor at the other end of the descriptor that is passed with the line.
     HandOver,
-    /// The answer to a question: it may.
+    /// The answer to a question: permission granted.
     Allowed,
-    /// The answer to a question: it may not.
+    /// The answer to a question: permission denied.
     Denied,
 }
 
 impl SupervisorLine {
-    /// The line, without its line feed.
+    /// Formats the line, without its line feed.
     pub fn as_line(self) -> &'static str {
         match self {
             SupervisorLine::HandOver => HAND_OVER,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// What a line says; none where a newer supervisor has added it.
+    /// Parses a line. Returns none for a line that a newer supervisor has added.
     pub fn of_line(line: &str) -> Option<SupervisorLine> {
         match line {
             HAND_OVER => Some(SupervisorLine::HandOver),
