--- a/crates/ochrewalk-node/src/handover/records/connections.rs
+++ b/crates/ochrewalk-node/src/handover/records/connections.rs
@@ -1,31 +1,32 @@
-//! Streams, and what belongs to each: connections of clients, the link to the executor, connections upstream.
+//! Records of streams and their protocols' state: connections of clients, the link to the executor, and upstream
+//! connections.
 
 use prost::Message;
 
-/// One stream between any two bytes.
+/// The state of one stream, which may be handed over between any two bytes.
 #[derive(Clone, PartialEq, Message)]
 pub struct StreamRecord {
-    /// Bytes that were read and are no complete message yet.
+    /// Bytes that were read and are not a complete message yet.
     #[prost(bytes = "vec", tag = "1")]
     pub input: Vec<u8>,
     /// Messages that wait to be written.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub unsent: Vec<Vec<u8>>,
-    /// How many bytes of the first of them are written already.
+    /// The number of bytes of the first unsent message that are written already.
     #[prost(uint64, tag = "3")]
     pub sent: u64,
-    /// Whether this side has been shut.
+    /// Whether this side has shut down its writes.
     #[prost(bool, tag = "4")]
     pub half_closed: bool,
-    /// Why it is asked to close: 0 not at all, then 1 and up in the order of the type.
+    /// The close reason: 0 where no close is requested, then from 1 in the order of the type's variants.
     #[prost(uint32, tag = "5")]
     pub close_reason: u32,
-    /// Messages that were written and are not confirmed.
+    /// Messages that were written and are not confirmed yet.
     #[prost(bytes = "vec", repeated, tag = "6")]
     pub unconfirmed: Vec<Vec<u8>>,
 }
 
-/// All connections by JSON-RPC.
+/// All JSON-RPC connections.
 #[derive(Clone, PartialEq, Message)]
 pub struct JsonRpcConnectionRecords {
     /// The connections.
@@ -36,45 +37,45 @@
     pub next_number: u64,
 }
 
-/// One connection by JSON-RPC.
+/// One JSON-RPC connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct JsonRpcConnectionRecord {
-    /// Its number.
+    /// The connection's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Its stream.
+    /// The connection's stream.
     #[prost(message, required, tag = "2")]
     pub stream: StreamRecord,
-    /// RPCs that are owed an answer there.
+    /// RPCs that are not answered yet on this connection.
     #[prost(message, repeated, tag = "3")]
     pub open: Vec<OpenRpcRecord>,
-    /// When it carried something last.
+    /// The time at which the connection last carried a message.
     #[prost(uint64, tag = "4")]
     pub used_us: u64,
-    /// Whether a complete line has come.
+    /// Whether a complete line was received.
     #[prost(bool, tag = "5")]
     pub spoke: bool,
-    /// Whether a valid message has come.
+    /// Whether a valid message was received.
     #[prost(bool, tag = "6")]
     pub good: bool,
-    /// Faults of its client.
+    /// The number of faults of the client.
     #[prost(uint32, tag = "7")]
     pub faults: u32,
-    /// Messages that were read since the faults were too many.
+    /// The number of messages read since the client exceeded the limit of faults.
     #[prost(uint32, tag = "8")]
     pub after_faults: u32,
-    /// Since when an incomplete line has been under way.
+    /// The time at which the incomplete line began.
     #[prost(uint64, optional, tag = "9")]
     pub partial_us: Option<u64>,
-    /// Whether it has carried an RPC, not health checks alone.
+    /// Whether the connection has carried an RPC, not only health checks.
     #[prost(bool, tag = "10")]
     pub rpcs: bool,
-    /// When it closes at the latest, where it was asked to.
+    /// The latest time at which the connection closes, where a close was requested.
     #[prost(uint64, optional, tag = "11")]
     pub end_by_us: Option<u64>,
 }
 
-/// An RPC that is owed an answer on a connection by JSON-RPC.
+/// An RPC that is not answered yet on a JSON-RPC connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct OpenRpcRecord {
     /// The message's id.
@@ -85,7 +86,7 @@
     pub rpc: String,
 }
 
-/// All connections by AJP.
+/// All AJP connections.
 #[derive(Clone, PartialEq, Message)]
 pub struct AjpConnectionRecords {
     /// The connections.
@@ -96,142 +97,143 @@
     pub next_number: u64,
 }
 
-/// One connection by AJP.
+/// One AJP connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct AjpConnectionRecord {
-    /// Its number.
+    /// The connection's number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Its stream.
+    /// The connection's stream.
     #[prost(message, required, tag = "2")]
     pub stream: StreamRecord,
-    /// The state of its protocol, by the order in the type.
+    /// The state of the protocol, in the order of the type's variants.
     #[prost(uint32, tag = "3")]
     pub state: u32,
-    /// Since when it has been in that state.
+    /// The time at which the connection entered that state.
     #[prost(uint64, tag = "4")]
     pub since_us: u64,
-    /// How many bytes of the body have come.
+    /// The number of bytes of the body that were received.
     #[prost(uint64, tag = "5")]
     pub got: u64,
-    /// The stated length of the body that is coming; none where it comes without.
+    /// The stated length of the body that is being received; none where no length is stated.
     #[prost(uint64, optional, tag = "6")]
     pub stated: Option<u64>,
-    /// While a request is in flight: whether it was malformed. While it is answered: whether the connection is reused.
+    /// While a request is in flight: whether it was malformed. While a request is answered: whether the connection is
+    /// reused.
     #[prost(bool, tag = "7")]
     pub flag: bool,
-    /// Whether a complete packet has come.
+    /// Whether a complete packet was received.
     #[prost(bool, tag = "8")]
     pub spoke: bool,
-    /// Faults of its client.
+    /// The number of faults of the client.
     #[prost(uint32, tag = "9")]
     pub faults: u32,
-    /// The request in flight, or the one whose body is coming.
+    /// The request in flight, or the one whose body is being received.
     #[prost(message, optional, tag = "10")]
     pub request: Option<AjpRequestRecord>,
-    /// The body as far as it has come.
+    /// The part of the body that was received.
     #[prost(bytes = "vec", tag = "11")]
     pub body: Vec<u8>,
-    /// The RPC that is owed an answer.
+    /// The RPC that is not answered yet.
     #[prost(string, optional, tag = "12")]
     pub rpc: Option<String>,
-    /// How many requests came before that one.
+    /// The number of earlier requests on the connection.
     #[prost(uint64, tag = "13")]
     pub serial: u64,
-    /// When it carried something last.
+    /// The time at which the connection last carried a message.
     #[prost(uint64, tag = "14")]
     pub used_us: u64,
-    /// Whether an RPC of its client has run.
+    /// Whether an RPC of this client has run.
     #[prost(bool, tag = "15")]
     pub good: bool,
 }
 
-/// What a request by AJP asks for.
+/// One AJP request.
 #[derive(Clone, PartialEq, Message)]
 pub struct AjpRequestRecord {
-    /// Whether it is a health check; only its time counts then.
+    /// Whether the request is a health check, of which only the time is used.
     #[prost(bool, tag = "1")]
     pub health: bool,
-    /// Its method, by the position in the deployment's list.
+    /// The position of the method in the deployment's list.
     #[prost(uint32, tag = "2")]
     pub method: u32,
-    /// The RPC's id, where the client names one.
+    /// The RPC's id, where the client gave one.
     #[prost(string, optional, tag = "3")]
     pub id: Option<String>,
-    /// Its idempotency key.
+    /// The idempotency key.
     #[prost(string, optional, tag = "4")]
     pub token: Option<String>,
-    /// How long its client still waits, in microseconds, where that is conveyed.
+    /// The time for which the client still waits, in microseconds, where the request conveys it.
     #[prost(uint64, optional, tag = "5")]
     pub left_us: Option<u64>,
-    /// The memory that it needs, in KB.
+    /// The memory that the RPC needs, in KB.
     #[prost(double, tag = "6")]
     pub kb: f64,
-    /// When its head was read.
+    /// The time at which the head of the request was read.
     #[prost(uint64, tag = "7")]
     pub ts_ms: u64,
-    /// Its tenant.
+    /// The tenant.
     #[prost(string, optional, tag = "8")]
     pub tenant: Option<String>,
 }
 
-/// The link to the executor, and how far its notices and commands are.
+/// The link to the executor, and the progress of its notices and commands.
 #[derive(Clone, PartialEq, Message)]
 pub struct ExecutorRecord {
-    /// Its stream; none while there is no link.
+    /// The stream of the link; none while the executor is not connected.
     #[prost(message, optional, tag = "1")]
     pub stream: Option<StreamRecord>,
-    /// Commands that wait for a link.
+    /// Commands that are queued until the executor is connected.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub waiting: Vec<Vec<u8>>,
-    /// The last notice that was read.
+    /// The position of the last notice that was read.
     #[prost(uint64, tag = "3")]
     pub read: u64,
     /// Whether the executor has welcomed the link.
     #[prost(bool, tag = "4")]
     pub welcomed: bool,
-    /// The tag of the last request for gauges.
+    /// The tag of the latest request for gauges.
     #[prost(uint64, tag = "5")]
     pub asked: u64,
-    /// Commands whose link broke before they were confirmed.
+    /// Commands whose link was closed before they were confirmed.
     #[prost(bytes = "vec", repeated, tag = "6")]
     pub doubtful: Vec<Vec<u8>>,
-    /// An answer to a request for gauges after this one settles them.
+    /// The tag of a request for gauges. The answer to a later request settles whether the unconfirmed commands were
+    /// received.
     #[prost(uint64, tag = "7")]
     pub doubt_until: u64,
-    /// RPCs whose runs were paused to settle whether they had begun.
+    /// RPCs whose runs were paused to find out whether they had begun.
     #[prost(string, repeated, tag = "8")]
     pub paused: Vec<String>,
 }
 
-/// Calls upstream.
+/// The upstream calls.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpstreamRecord {
-    /// The connections that carry them.
+    /// The connections that carry the calls.
     #[prost(message, repeated, tag = "1")]
     pub links: Vec<UpstreamConnectionRecord>,
-    /// RPCs whose calls are on connections that cannot be handed over: they were sent, and nothing more is heard of
-    /// them.
+    /// RPCs whose calls were sent on connections that cannot be handed over. Their replies cannot be received any more.
     #[prost(string, repeated, tag = "2")]
     pub lost: Vec<String>,
 }
 
-/// One connection upstream.
+/// One upstream connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpstreamConnectionRecord {
     /// The endpoint's address.
     #[prost(string, tag = "1")]
     pub endpoint: String,
-    /// Its stream.
+    /// The connection's stream.
     #[prost(message, required, tag = "2")]
     pub stream: StreamRecord,
-    /// RPCs whose calls it carries.
+    /// RPCs whose calls the connection carries.
     #[prost(string, repeated, tag = "3")]
     pub calls: Vec<String>,
-    /// When it carried something last.
+    /// The time at which the connection last carried a message.
     #[prost(uint64, tag = "4")]
     pub used_us: u64,
-    /// Since when an incomplete reply has been under way.
+    /// The time at which the incomplete reply began.
     #[prost(uint64, optional, tag = "5")]
     pub partial_us: Option<u64>,
 }
--- a/crates/ochrewalk-node/src/handover/records/mod.rs
+++ b/crates/ochrewalk-node/src/handover/records/mod.rs
@@ -1,7 +1,7 @@
-//! What one process writes for the next, in protobuf. A field that a newer program adds is skipped by an older one; what
-//! an older program has to understand gets a new version of its section.
+//! The records that a predecessor writes for its successor, in protobuf. An older program skips a field that a newer one
+//! has added; a change that an older program has to understand needs a new version of its section.
 //!
-//! Times in `_us` are microseconds of the node's clock, which the successor goes on with; times in `_ms` are Unix time.
+//! Times in `_us` are microseconds of the node's clock, which the successor continues; times in `_ms` are Unix time.
 
 mod connections;
 mod rpcs;
@@ -15,24 +15,24 @@
 use ochrewalk_handover::messages::Section;
 use prost::Message;
 
-/// The sections that are sent in the pause, and the version of each that this program writes and the newest that it
-/// reads.
+/// The sections that are sent during the pause, each with the version that this program writes, which is also the newest
+/// version that it reads.
 pub const SECTIONS: [(&str, u32); 7] =
     [("node", 1), ("listeners", 1), ("rpcs", 1), ("json", 1), ("ajp", 1), ("executor", 1), ("below", 1)];
 
-/// The section that is sent ahead of the pause, to programs that know how to receive it.
+/// The section that is sent ahead of the pause, to programs that support it, with its version.
 pub const AHEAD: (&str, u32) = ("tokens", 1);
 
-/// The sections of any hand-over, and those that are sent ahead.
+/// Returns the sections that are sent during the pause, and those that are sent ahead of it.
 pub fn sections() -> (Vec<Section>, Vec<Section>) {
     let section = |(name, version): &(&str, u32)| Section { name: (*name).into(), version: *version };
     (SECTIONS.iter().map(section).collect(), vec![section(&AHEAD)])
 }
 
-/// The decisions, the idempotency keys, and what belongs to no other section.
+/// The admission controller, the idempotency keys, and all state that belongs to no other section.
 #[derive(Clone, PartialEq, Message)]
 pub struct NodeRecord {
-    /// Where the node's clock counts from, in nanoseconds of the system's monotonic clock.
+    /// The origin of the node's clock, in nanoseconds of the system's monotonic clock.
     #[prost(int64, tag = "1")]
     pub clock_base_ns: i64,
     /// The first half of the key of the fingerprints of RPCs' work.
@@ -41,33 +41,33 @@
     /// The second half of that key.
     #[prost(fixed64, tag = "3")]
     pub fingerprint_key_more: u64,
-    /// The state of the decisions; none where the executor has never been up.
+    /// The state of the admission controller; none where the executor has never been up.
     #[prost(message, optional, tag = "4")]
     pub decisions: Option<ochrewalk::admission::snapshot::AdmissionSnapshot>,
-    /// Whether health checks pass; none before there are decisions.
+    /// Whether health checks pass; none before the admission controller has started.
     #[prost(bool, optional, tag = "5")]
     pub healthy: Option<bool>,
-    /// The value that goes back with every answer.
+    /// The load signal that is sent with every answer.
     #[prost(double, optional, tag = "6")]
     pub signal: Option<f64>,
-    /// Connections that carry nothing for so long are closed, in microseconds.
+    /// The time after which idle connections are closed, in microseconds.
     #[prost(uint64, tag = "7")]
     pub idle_us: u64,
-    /// When the decisions want to be woken.
+    /// The time of the admission controller's timer.
     #[prost(uint64, tag = "8")]
     pub wake_us: u64,
-    /// What they know that wake-up by.
+    /// The token by which the admission controller recognises that timer.
     #[prost(uint64, tag = "9")]
     pub wake_token: u64,
-    /// All idempotency keys, or those that have changed since the others were sent ahead.
+    /// All idempotency keys, or those that have changed since the keys were sent ahead.
     #[prost(message, repeated, tag = "10")]
     pub keys: Vec<IdempotencyKeyRecord>,
-    /// Idempotency keys that were sent ahead and have been dropped since.
+    /// Idempotency keys that were sent ahead and have been removed since.
     #[prost(string, repeated, tag = "11")]
     pub removed_keys: Vec<String>,
 }
 
-/// Idempotency keys that are sent ahead of the pause: one chunk of them.
+/// One chunk of the idempotency keys that are sent ahead of the pause.
 #[derive(Clone, PartialEq, Message)]
 pub struct IdempotencyKeyRecords {
     /// The keys.
@@ -75,22 +75,22 @@
     pub keys: Vec<IdempotencyKeyRecord>,
 }
 
-/// An idempotency key, and what became of the RPC that holds it.
+/// An idempotency key, and the outcome of the RPC that holds it.
 #[derive(Clone, PartialEq, Message)]
 pub struct IdempotencyKeyRecord {
     /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// The RPC that runs, or ran, under it.
+    /// The RPC that runs, or ran, with this key.
     #[prost(string, tag = "2")]
     pub holder: String,
-    /// The fingerprint of the work: all attempts of one RPC have the same.
+    /// The fingerprint of the RPC's method and body, which all attempts of one RPC share.
     #[prost(fixed64, tag = "3")]
     pub work: u64,
-    /// When the key expires.
+    /// The time at which the key expires.
     #[prost(uint64, tag = "4")]
     pub until_ms: u64,
-    /// 0 open, 1 served, 2 failed.
+    /// The state: 0 open, 1 served, 2 failed.
     #[prost(uint32, tag = "5")]
     pub state: u32,
     /// The result of an RPC that was served.
--- a/crates/ochrewalk-node/src/handover/records/rpcs.rs
+++ b/crates/ochrewalk-node/src/handover/records/rpcs.rs
@@ -1,8 +1,8 @@
-//! RPCs that are open, and who waits for them.
+//! Records of open RPCs, and of the clients that wait for their answers.
 
 use prost::Message;
 
-/// All RPCs that are open.
+/// All open RPCs.
 #[derive(Clone, PartialEq, Message)]
 pub struct RpcRecords {
     /// The RPCs.
@@ -13,68 +13,68 @@
 /// One open RPC.
 #[derive(Clone, PartialEq, Message)]
 pub struct RpcRecord {
-    /// Its id.
+    /// The RPC's id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Its method, by the position in the deployment's list.
+    /// The position of the method in the deployment's list.
     #[prost(uint32, tag = "2")]
     pub method: u32,
-    /// The memory that it needs, in KB.
+    /// The memory that the RPC needs, in KB.
     #[prost(double, tag = "3")]
     pub kb: f64,
-    /// When it came to the machine.
+    /// The time at which the RPC reached the machine.
     #[prost(uint64, tag = "4")]
     pub ts_ms: u64,
-    /// How long its client still waits, in microseconds, where that is conveyed.
+    /// The time for which the client still waits, in microseconds, where the request conveys it.
     #[prost(uint64, optional, tag = "5")]
     pub left_us: Option<u64>,
-    /// Its idempotency key.
+    /// The idempotency key.
     #[prost(string, optional, tag = "6")]
     pub token: Option<String>,
-    /// The fingerprint of its work; 0 without an idempotency key.
+    /// The fingerprint of the RPC's method and body; 0 without an idempotency key.
     #[prost(fixed64, tag = "7")]
     pub work: u64,
-    /// Its body, a JSON string as it came.
+    /// The body, a JSON string as received.
     #[prost(string, tag = "8")]
     pub body: String,
-    /// Whether an answer is still owed.
+    /// Whether the client still waits for an answer.
     #[prost(bool, tag = "9")]
     pub owed: bool,
-    /// Whether the executor runs it.
+    /// Whether the executor runs the RPC.
     #[prost(bool, tag = "10")]
     pub running: bool,
-    /// The call upstream that its run waits for.
+    /// The upstream call that the run waits for.
     #[prost(message, optional, tag = "11")]
     pub call: Option<CallRecord>,
-    /// Who waits for the answer; none where none is owed.
+    /// The client that waits for the answer; none where no client waits.
     #[prost(message, optional, tag = "12")]
     pub client: Option<ClientAddress>,
 }
 
-/// A call upstream.
+/// An upstream call.
 #[derive(Clone, PartialEq, Message)]
 pub struct CallRecord {
-    /// The executor's notice that asked for it.
+    /// The position of the executor's notice that requested the call.
     #[prost(uint64, tag = "1")]
     pub pos: u64,
-    /// What is sent.
+    /// The payload of the call.
     #[prost(bytes = "vec", tag = "2")]
     pub body: Vec<u8>,
-    /// Whether it was sent; the times below are 0 otherwise.
+    /// Whether the call was sent; the following times are 0 otherwise.
     #[prost(bool, tag = "3")]
     pub placed: bool,
-    /// When it was sent.
+    /// The time at which the call was sent.
     #[prost(uint64, tag = "4")]
     pub at_us: u64,
-    /// Its deadline.
+    /// The deadline of the call.
     #[prost(uint64, tag = "5")]
     pub until_us: u64,
 }
 
-/// Where the client that waits for an answer is found again.
+/// The address by which a successor finds the client that waits for an answer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ClientAddress {
-    /// Whether the connection is one by AJP, else one by JSON-RPC.
+    /// Whether the connection is an AJP connection; otherwise it is a JSON-RPC connection.
     #[prost(bool, tag = "1")]
     pub by_ajp: bool,
     /// The connection's number.
@@ -83,7 +83,7 @@
     /// JSON-RPC: the message's id.
     #[prost(string, tag = "3")]
     pub message_id: String,
-    /// AJP: how many requests came before it on the connection.
+    /// AJP: the number of earlier requests on the connection.
     #[prost(uint64, tag = "4")]
     pub serial: u64,
 }
--- a/crates/ochrewalk-node/src/handover/supervisor/children.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/children.rs
@@ -1,4 +1,4 @@
-//! The supervisor's children as processes: started, signalled and waited for.
+//! Starts, signals and waits for the supervisor's child processes.
 
 use super::signals::ChildSignal;
 use super::Event;
@@ -13,26 +13,26 @@
 use std::sync::mpsc::Sender;
 use std::thread::JoinHandle;
 
-/// A child that has not ended.
+/// A child process that has not ended.
 pub(super) struct RunningChild {
     pid: u32,
     stream: UnixStream,
-    /// What it runs, and what it has reported.
+    /// The program and settings that the child runs, and its latest report.
     pub(super) serving: ServingChild,
 }
 
 impl RunningChild {
-    /// Says something to the child, with a descriptor beside it where there is one.
+    /// Sends a line to the child, and passes the descriptor, if any, with it.
     pub(super) fn send(&self, line: SupervisorLine, descriptor: Option<BorrowedFd>) -> std::io::Result<()> {
         send_line(&self.stream, line.as_line(), descriptor)
     }
 }
 
-/// All children that have not ended.
+/// All child processes that have not ended.
 pub(super) struct Children {
     running: BTreeMap<ChildId, RunningChild>,
     last_id: u64,
-    /// Where their lines and ends are reported.
+    /// The channel on which lines and ends of children are reported.
     events: Sender<Event>,
 }
 
@@ -53,12 +53,12 @@
         self.running.get_mut(&child)
     }
 
-    /// Forgets a child that has ended.
+    /// Removes a child that has ended.
     pub(super) fn remove(&mut self, child: ChildId) {
         self.running.remove(&child);
     }
 
-    /// Signals a child; one that has ended is passed over.
+    /// Signals a child. Has no effect on a child that has ended.
     pub(super) fn signal(&self, child: ChildId, signal: ChildSignal) {
         if let Some(child) = self.running.get(&child) {
             signal.send(child.pid);
@@ -69,7 +69,7 @@
         self.running.values().for_each(|child| signal.send(child.pid));
     }
 
-    /// Starts a child with the arguments of this process. One that is to take over gets the stream to its predecessor.
+    /// Starts a child with the arguments of this process. A successor is given the stream to its `predecessor`.
     pub(super) fn start(
         &mut self,
         spec: &ChildSpec,
@@ -98,7 +98,7 @@
     }
 }
 
-/// How a child is started: its streams and its operators' file are named in its environment.
+/// Returns the command that starts a child, with its streams and its operators' file named in environment variables.
 fn command(spec: &ChildSpec, link: &OwnedFd, predecessor: Option<&OwnedFd>) -> Command {
     let mut command = Command::new(&spec.program);
     command.args(std::env::args_os().skip(1));
@@ -116,7 +116,7 @@
 }
 
 /// Waits until a child has ended and all of its lines have been read. Guards against an end that is reported before the
-/// last lines: a child that has handed over would seem to have ended in the middle of it.
+/// last lines: a child that has handed over would appear to have ended during the hand-over.
 fn wait(mut child: Child, reader: JoinHandle<()>) -> Option<ExitStatus> {
     let status = child.wait().ok();
     let _ = reader.join();
--- a/crates/ochrewalk-node/src/handover/supervisor/control_socket.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/control_socket.rs
@@ -1,4 +1,4 @@
-//! The control socket: requests of operators and rollouts, and the operators' side of a request.
+//! The control socket: the server side for requests of operators and rollouts, and the operators' client side.
 
 use super::error::RequestError;
 use super::requester::Requester;
@@ -14,22 +14,22 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// What begins a request for an upgrade; the program's path follows.
+/// The prefix of a request for an upgrade; the program's path follows.
 const UPGRADE: &str = "upgrade ";
-/// How long whoever connects may take to say what for.
+/// The time limit for a client to send its request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest request, in bytes.
+/// The maximal length of a request in bytes.
 const MAX_REQUEST_BYTES: u64 = 4096;
-/// How long whoever asks for an upgrade waits for its outcome.
+/// The time for which a client waits for the outcome of an upgrade.
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(60);
-/// Mode bits that the socket is made without.
+/// The umask while the socket is created: no access for group and others.
 const UMASK: u32 = 0o177;
-/// The socket is its owner's alone.
+/// The mode of the socket: access for its owner only.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Listens at the control socket, and reports connections from here on by a thread of its own.
+/// Listens at the control socket, and starts a thread that reports connections.
 pub(super) fn report_connections(control: &Path, events: Sender<Event>) -> Result<(), SupervisorError> {
-    // A socket that nobody listens at was left by a supervisor that was killed.
+    // A socket without a listener was left by a supervisor that was killed, and is replaced.
     if UnixStream::connect(control).is_ok() {
         return Err(SupervisorError::AlreadyRunning { path: control.into() });
     }
@@ -43,7 +43,8 @@
     Ok(())
 }
 
-/// A socket for its owner alone. It is made under another name and renamed, so that at no moment others can connect.
+/// Creates a socket that only its owner can connect to. The socket is created under a temporary name and renamed, so that
+/// other users can connect at no time.
 fn listen(control: &Path) -> io::Result<UnixListener> {
     let _ = std::fs::remove_file(control);
     let temporary = PathBuf::from(format!("{}.{}", control.display(), std::process::id()));
@@ -57,15 +58,15 @@
     Ok(listener)
 }
 
-/// What is asked for at the control socket.
+/// A request at the control socket.
 enum ControlRequest {
-    /// An operator asks for another program.
+    /// An operator's request to run another program.
     Upgrade { program: String },
-    /// A rollout's message follows.
+    /// A request of a rollout, whose message follows in `input`.
     Rollout { input: BufReader<io::Take<UnixStream>> },
 }
 
-/// Reads what is asked for; none where the connection cannot be read for lack of descriptors.
+/// Reads a request. Returns none where the connection cannot be read for lack of descriptors.
 fn read_request(stream: &UnixStream) -> Result<Option<ControlRequest>, RequestError> {
     if !is_owner(stream) {
         return Err(RequestError::AnotherUser);
@@ -83,7 +84,7 @@
 }
 
 impl Supervisor {
-    /// Somebody has connected to the control socket.
+    /// Handles a connection to the control socket.
     pub(super) fn handle_request(&mut self, mut stream: UnixStream) {
         let handled = match read_request(&stream) {
             Ok(None) => Ok(()),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// An operator asks for another program; the operators' file stays the one of the child that serves.
+    /// Begins an upgrade that an operator has requested. The new child uses the same operators' file as the present one.
     fn begin_upgrade(&mut self, stream: &UnixStream, program: String) -> Result<(), RequestError> {
         let child = self.available_predecessor().ok_or(RequestError::Busy)?;
         let operators = self.children.get(child).and_then(|child| child.serving.spec.operators.clone());
@@ -110,11 +111,11 @@
     }
 }
 
-/// Asks the supervisor at a control socket for an upgrade to a program, and waits until it has handed over.
+/// Requests an upgrade to a program from the supervisor at a control socket, and waits until the new program serves.
 ///
 /// # Errors
 ///
-/// The upgrade has not come about; the program before serves on.
+/// The upgrade failed; the previous program continues to serve.
 pub fn request_upgrade(control: &Path, program: &Path) -> Result<(), UpgradeError> {
     let program = std::fs::canonicalize(program)
         .map_err(|error| UpgradeError::Program { path: program.into(), error })?;
@@ -129,7 +130,7 @@
     }
 }
 
-/// Sends a request for an upgrade; gives the line that answers it.
+/// Sends a request for an upgrade, and returns the line that answers it.
 fn exchange(control: &Path, program: &Path) -> io::Result<String> {
     let mut stream = UnixStream::connect(control)?;
     stream.set_read_timeout(Some(OUTCOME_TIMEOUT))?;
--- a/crates/ochrewalk-node/src/handover/supervisor/error.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/error.rs
@@ -1,30 +1,30 @@
-//! Why a supervisor cannot run, and why an upgrade does not come about.
+//! Errors of a supervisor, and reasons why an upgrade fails.
 
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a supervisor does not run.
+/// The reason why a supervisor cannot run.
 #[derive(Debug, Error)]
 pub enum SupervisorError {
     /// Signals cannot be received.
     #[error("cannot wait for signals: {0}")]
     Signals(#[source] io::Error),
-    /// The control socket cannot be made.
+    /// The control socket cannot be created.
     #[error("{}: {error}", path.display())]
     ControlSocket {
         /// The socket's path.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error that the operating system reports.
         error: io::Error,
     },
-    /// The control socket is that of a supervisor that runs.
+    /// Another running supervisor listens at the control socket.
     #[error("{}: another supervisor listens there", path.display())]
     AlreadyRunning {
         /// The socket's path.
         path: PathBuf,
     },
-    /// The program that this process runs cannot be found.
+    /// The path of this process's program cannot be determined.
     #[error(transparent)]
     OwnProgram(io::Error),
     /// The first child cannot be started.
@@ -32,15 +32,15 @@
     Start {
         /// The child's program.
         program: PathBuf,
-        /// What the operating system reports.
+        /// The error that the operating system reports.
         error: io::Error,
     },
-    /// The status of the child that acted last could not be learnt.
-    #[error("the program that served cannot be waited for")]
+    /// The exit status of the child that acted last is not known.
+    #[error("the exit status of the program that served is not known")]
     UnknownStatus,
 }
 
-/// Why an upgrade that was asked for has not come about.
+/// The reason why a requested upgrade failed.
 #[derive(Debug, Error)]
 pub enum UpgradeError {
     /// The new program cannot be found.
@@ -48,7 +48,7 @@
     Program {
         /// The program's path.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error that the operating system reports.
         error: io::Error,
     },
     /// The supervisor cannot be reached, or does not answer.
@@ -56,11 +56,11 @@
     ControlSocket {
         /// The socket's path.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error that the operating system reports.
         error: io::Error,
     },
     /// The supervisor closed the connection without an answer.
-    #[error("the supervisor ended without a word")]
+    #[error("the supervisor closed the connection without an answer")]
     NoAnswer,
     /// The supervisor refused, or the hand-over failed.
     #[error("{reason}")]
@@ -70,21 +70,21 @@
     },
 }
 
-/// Why an upgrade that had begun failed.
+/// The reason why an upgrade failed after it had begun.
 #[derive(Debug, Error)]
 pub(super) enum UpgradeFailure {
     /// The hand-over failed.
     #[error("{reason}")]
     HandOver { reason: String },
-    /// The child that was to follow on a restart cannot be started.
+    /// The new child of a restart cannot be started.
     #[error("{}: {error}", program.display())]
     Start { program: PathBuf, error: io::Error },
     /// The node drains.
-    #[error("the node was told to leave")]
+    #[error("the node is draining")]
     Draining,
 }
 
-/// Why a request at the control socket is refused.
+/// The reason why a request at the control socket is refused.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
     #[error("refused: another user")]
--- a/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
@@ -1,4 +1,4 @@
-//! Attempts to replace the child that serves by a hand-over.
+//! Replaces the child that serves by a hand-over to a successor.
 
 use super::error::UpgradeFailure;
 use super::requester::Requester;
@@ -11,7 +11,7 @@
 use std::os::fd::AsFd;
 use std::os::unix::net::UnixStream;
 
-/// An attempt that failed, and whose requester hears of it once the successor has ended.
+/// A failed attempt that is reported to its requester once the successor has ended.
 pub(super) struct FailedAttempt {
     successor: ChildId,
     requester: Requester,
@@ -19,7 +19,7 @@
 }
 
 impl Supervisor {
-    /// The child that could be replaced now; none while another upgrade is under way.
+    /// Returns the child that can be replaced now; none while another upgrade is under way.
     pub(super) fn available_predecessor(&self) -> Option<ChildId> {
         self.process_guard.available_predecessor().filter(|_| self.pending_restart.is_none())
     }
@@ -33,7 +33,8 @@
     ) -> std::io::Result<()> {
         let (predecessors_end, successors_end) = UnixStream::pair()?;
         let successor = self.children.start(spec, Some(&successors_end))?;
-        // From here on only the two of them hold an end, so that each sees the stream's end once the other has ended.
+        // From here on only the two children have an end open, so that each sees the end of the stream once the other has
+        // ended.
         drop(successors_end);
         self.process_guard.begin_attempt(predecessor, successor);
         self.requester = Some(requester);
@@ -41,8 +42,8 @@
         predecessor.send(SupervisorLine::HandOver, Some(predecessors_end.as_fd()))
     }
 
-    /// An attempt has ended. A successor that has not taken over is killed, as it may hang; an operator hears of the
-    /// failure once it has ended.
+    /// Handles the end of an attempt. A successor that has not taken over is killed, as it may hang; the failure is reported
+    /// to an operator once the successor has ended.
     pub(super) fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         let replaced = self.children.get(self.reported_child).map(|child| child.serving.identity());
         let outcome = match outcome {
@@ -58,8 +59,8 @@
             (None, _) => None,
         };
         self.report_counters_of_acting();
-        let left = self.process_guard.end_attempt();
-        match (left.filter(|successor| self.children.get(*successor).is_some()), unreported) {
+        let remaining = self.process_guard.end_attempt();
+        match (remaining.filter(|successor| self.children.get(*successor).is_some()), unreported) {
             (Some(successor), unreported) => {
                 self.children.signal(successor, ChildSignal::Kill);
                 let failed = |(requester, failure)| FailedAttempt { successor, requester, failure };
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A successor has ended: the failure of its attempt is reported.
+    /// Reports the failed attempts whose successor was this child, which has ended.
     pub(super) fn report_failed_attempts_of(&mut self, child: ChildId) {
         while let Some(at) = self.failed_attempts.iter().position(|failed| failed.successor == child) {
             let FailedAttempt { requester, failure, .. } = self.failed_attempts.swap_remove(at);
@@ -78,21 +79,21 @@
         }
     }
 
-    /// A child has ended. Where it was the predecessor of an attempt, the successor takes over by itself; that a
-    /// successor has ended is reported by the predecessor.
+    /// Ends the attempt whose predecessor was this child, which has ended; the successor then starts by itself.
+    /// The end of a successor is reported by its predecessor.
     pub(super) fn predecessor_may_have_ended(&mut self, child: ChildId) {
         if self.process_guard.is_predecessor(child) {
-            let reason = "the running program ended in the middle; the new one takes over";
+            let reason = "the running program ended during the hand-over; the new one takes over";
             self.attempt_ended(AttemptOutcome::Failed(reason.into()));
         }
     }
 
-    /// From here on the counters of the child that acts are reported, on top of what the child before has counted.
+    /// Reports the counters of the child that acts from here on, added to those of the previous child.
     pub(super) fn report_counters_of_acting(&mut self) {
         let acting = self.process_guard.acting().filter(|acting| *acting != self.reported_child);
         let Some(acting) = acting else { return };
-        if let Some(before) = self.children.get(self.reported_child) {
-            self.rollout_agent.child_replaced(&before.serving);
+        if let Some(previous) = self.children.get(self.reported_child) {
+            self.rollout_agent.child_replaced(&previous.serving);
         }
         self.reported_child = acting;
     }
--- a/crates/ochrewalk-node/src/handover/supervisor/mod.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/mod.rs
@@ -1,8 +1,8 @@
-//! The supervisor: the process that the platform started and watches, where the operators' file allows upgrades. It
-//! starts the child that serves, starts another beside it when asked to, passes signals on, and says which of the two
-//! may act. It serves nothing itself, so that little can go wrong with it.
+//! The supervisor: the process that the platform started and watches, where the operators' file allows upgrades. The
+//! supervisor starts the child that serves, starts a second child on request, forwards signals, and decides which of the
+//! two may act. To keep the risk of failures low, the supervisor itself serves nothing.
 //!
-//! One thread owns all of its state and handles one event after another; the others only wait and report.
+//! One thread owns the complete state and handles one event after another; all other threads only wait and report.
 
 mod children;
 mod control_socket;
@@ -31,44 +31,44 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
-/// What the supervisor's threads report.
+/// An event that the supervisor's threads report.
 enum Event {
     /// A child has written a line.
     ChildLine { child: ChildId, line: String },
     /// A child has ended, and all of its lines have been reported.
     ChildEnded { child: ChildId, status: Option<ExitStatus> },
-    /// Somebody has connected to the control socket.
+    /// A client has connected to the control socket.
     Connected(UnixStream),
     /// The platform or an operator has sent a signal.
     Signal(NodeSignal),
-    /// A child that was told to drain should have ended by now.
+    /// The time limit for a child to drain has passed.
     DrainOverdue(ChildId),
 }
 
 struct Supervisor {
     children: Children,
     process_guard: ProcessGuard,
-    /// Who waits to hear of the attempt under way.
+    /// The requester of the attempt under way.
     requester: Option<Requester>,
-    /// Attempts that failed and whose requesters hear of it once the successor has ended.
+    /// Failed attempts that are reported to their requesters once the successor has ended.
     failed_attempts: Vec<FailedAttempt>,
     rollout_agent: RolloutAgent,
     pending_restart: Option<PendingRestart>,
-    /// How long a child that is told to drain may take.
+    /// The time limit for a child to drain.
     drain_timeout: Duration,
-    /// The child whose counters are reported. A successor's are only from the end of the attempt on, so that no call is
-    /// counted twice.
+    /// The child whose counters are reported. A successor's counters are reported only from the end of the attempt on, so
+    /// that no call is counted twice.
     reported_child: ChildId,
     last_status: Option<ExitStatus>,
     events: Sender<Event>,
 }
 
-/// Starts the program that this process runs as a child, and supervises children until none is left. The status is that
-/// of the child that acted last. A child that is told to drain may take `drain_timeout`.
+/// Starts the program of this process as a child, and supervises children until none is left. Returns the exit status of
+/// the child that acted last. A child may take up to `drain_timeout` to drain.
 ///
 /// # Errors
 ///
-/// No child was started, or the status of the last one is unknown.
+/// No child was started, or the exit status of the last one is unknown.
 pub fn run(control: &Path, drain_timeout: Duration) -> Result<ExitStatus, SupervisorError> {
     let (sender, events) = channel();
     signals::report_signals(sender.clone())?;
@@ -164,7 +164,8 @@
     fn child_ended(&mut self, child: ChildId, status: Option<ExitStatus>) {
         self.children.remove(child);
         self.report_failed_attempts_of(child);
-        // The node's end is that of the child that acted: one that has handed over ends well beside it.
+        // The node's exit status is that of the child that acted: a child that has handed over ends successfully while its
+        // successor serves.
         let acted = self.process_guard.child_ended(child);
         if acted || self.last_status.is_none() {
             self.last_status = status;
--- a/crates/ochrewalk-node/src/handover/supervisor/requester.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/requester.rs
@@ -1,4 +1,4 @@
-//! Who waits for the outcome of an upgrade, and how each is told.
+//! Reports the outcome of an upgrade to its requester.
 
 use super::error::UpgradeFailure;
 use super::Supervisor;
@@ -10,18 +10,18 @@
 use std::io::Write;
 use std::os::unix::net::UnixStream;
 
-/// Who waits for the outcome of an upgrade.
+/// The requester of an upgrade, which waits for the outcome.
 pub(super) enum Requester {
     /// An operator, on a connection to the control socket.
     Operator(UnixStream),
     /// A rollout, on a connection to the control socket.
     Rollout(UnixStream, AcceptedCommand),
-    /// The supervisor itself, as a commit-confirmed change was not confirmed.
+    /// The supervisor itself, as a commit-confirmed change was not confirmed in time.
     Revert,
 }
 
 impl Supervisor {
-    /// Reports how an upgrade ended. `replaced` is what ran until then.
+    /// Reports the outcome of an upgrade. `replaced` is the identity of the child that served before.
     pub(super) fn report_outcome(
         &mut self,
         requester: Requester,
@@ -30,7 +30,7 @@
     ) {
         match (requester, outcome) {
             (Requester::Operator(mut stream), Ok(())) => {
-                // An operator who asks for a program wants it for good.
+                // An operator's upgrade needs no confirmation, and confirms a change of a rollout, too.
                 self.rollout_agent.confirm();
                 let _ = writeln!(stream, "{}", AttemptOutcome::HandedOver);
             }
--- a/crates/ochrewalk-node/src/handover/supervisor/restart.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/restart.rs
@@ -1,4 +1,4 @@
-//! Restarts: the child that serves ends, then another is started in its place, as it cannot hand over.
+//! Replaces the child that serves by a restart, where it cannot hand over: the child ends before the next one is started.
 
 use super::error::UpgradeFailure;
 use super::requester::Requester;
@@ -8,7 +8,7 @@
 use crate::handover::serving_child::{ChildIdentity, ChildSpec};
 use std::io::ErrorKind;
 
-/// A restart that waits for the child before to end.
+/// A restart that waits for the previous child to end.
 pub(super) struct PendingRestart {
     spec: ChildSpec,
     replaced: ChildIdentity,
@@ -16,7 +16,7 @@
 }
 
 impl Supervisor {
-    /// Has the child that serves drain; the next one is started once it has ended.
+    /// Begins a restart: signals the child that serves to drain. The next child is started once that child has ended.
     pub(super) fn begin_restart(
         &mut self,
         child: ChildId,
@@ -27,7 +27,7 @@
         let replaced = running.serving.identity();
         self.children.signal(child, ChildSignal::Node(NodeSignal::Terminate));
         self.pending_restart = Some(PendingRestart { spec, replaced, requester });
-        // Guards against a child that does not act on signals either.
+        // Guards against a child that does not respond to signals, as it may hang.
         let (events, drain_timeout) = (self.events.clone(), self.drain_timeout);
         std::thread::spawn(move || {
             std::thread::sleep(drain_timeout);
@@ -36,7 +36,7 @@
         Ok(())
     }
 
-    /// The child before has ended: the next one is started.
+    /// Starts the next child, after the previous one has ended.
     pub(super) fn finish_restart(&mut self, restart: PendingRestart) {
         let PendingRestart { spec, replaced, requester } = restart;
         let outcome = match self.children.start(&spec, None) {
@@ -50,7 +50,7 @@
         self.report_outcome(requester, Some(replaced), outcome);
     }
 
-    /// The node drains: nothing is started in the place of the child that ends.
+    /// Cancels a pending restart as the node drains: no child is started in place of the one that ends.
     pub(super) fn cancel_restart(&mut self) {
         if let Some(PendingRestart { replaced, requester, .. }) = self.pending_restart.take() {
             self.report_outcome(requester, Some(replaced), Err(UpgradeFailure::Draining));
--- a/crates/ochrewalk-node/src/handover/supervisor/rollout.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/rollout.rs
@@ -1,4 +1,4 @@
-//! Requests of rollouts, and reverts of commit-confirmed changes that were not confirmed.
+//! Handles requests of rollouts, and reverts commit-confirmed changes that were not confirmed in time.
 
 use super::requester::Requester;
 use super::Supervisor;
@@ -12,7 +12,7 @@
 use std::os::unix::net::UnixStream;
 
 impl Supervisor {
-    /// A rollout has connected to the control socket.
+    /// Handles the request of a rollout on a connection to the control socket.
     pub(super) fn handle_rollout_request(&mut self, mut stream: UnixStream, input: &mut impl Read) {
         let Ok(request) = read_message::<Request>(input) else { return };
         if self.children.get(self.reported_child).is_none() {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Carries out a command to run something else. The reply follows once that has come to its end.
+    /// Carries out a command to replace the child that serves. The reply is sent once the replacement has ended.
     fn replace_child(&mut self, mut stream: UnixStream, spec: ChildSpec, accepted: AcceptedCommand) {
         let program = spec.program.clone();
         let begun = match (self.available_predecessor(), stream.try_clone()) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Reverts a change where its controller has not confirmed it in time.
+    /// Reverts a change that its controller has not confirmed in time.
     pub(super) fn revert_if_due(&mut self) {
         let Some(revert) = self.rollout_agent.due_revert() else { return };
         let begun = match (self.available_predecessor(), revert) {
--- a/crates/ochrewalk-node/src/handover/supervisor/signals.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that the supervisor gets, and those that it sends to its children.
+//! Receives signals to the node, and sends signals to the supervisor's children.
 
 use super::{Event, SupervisorError};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -10,7 +10,7 @@
 pub(super) enum NodeSignal {
     Terminate,
     Interrupt,
-    /// The files are to be read again.
+    /// SIGHUP: the node reloads its files.
     Reload,
 }
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whether the node is to drain and end.
+    /// Whether the signal has the node drain and end.
     pub(super) fn is_to_drain(self) -> bool {
         self != NodeSignal::Reload
     }
@@ -33,9 +33,9 @@
 /// A signal to a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChildSignal {
-    /// As the node got it.
+    /// A signal to the node, which is forwarded.
     Node(NodeSignal),
-    /// The child ends at once.
+    /// SIGKILL: the child ends at once.
     Kill,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl ChildSignal {
-    /// Sends it to a process. One that has ended already is passed over.
+    /// Sends the signal to a process. Has no effect where the process has ended.
     pub(super) fn send(self, pid: u32) {
         let signal = match self {
             ChildSignal::Node(NodeSignal::Terminate) => rustix::process::Signal::TERM,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reports signals from here on, by a thread of its own.
+/// Starts a thread that reports signals to the node.
 pub(super) fn report_signals(events: Sender<Event>) -> Result<(), SupervisorError> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(SupervisorError::Signals)?;
     std::thread::spawn(move || {
--- a/crates/ochrewalk-node/src/handover/supervisor_protocol.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor_protocol.rs
@@ -52,7 +52,8 @@
 pub enum AttemptOutcome {
     /// The successor serves.
     HandedOver,
-    /// The hand-over failed, for this reason: the predecessor continues to serve, or the successor starts without its state.
+    /// The hand-over failed, for this reason: the predecessor continues to serve, or the successor starts with the state
+    /// that it has received.
     Failed(String),
 }
 
