--- a/crates/ochrewalk-node/src/configuration/activation.rs
+++ b/crates/ochrewalk-node/src/configuration/activation.rs
@@ -1,4 +1,4 @@
-//! Puts the configuration in force in the listener and the upstream of the running node.
+//! Activates the configuration in the listener and the upstream of the running node.
 
 use super::agent::{PrepareError, PreparedAgent};
 use super::file_configuration::FileConfiguration;
@@ -15,9 +15,9 @@
 struct ActivationTarget {
     listener: Option<Arc<AjpIngress>>,
     upstream: Option<AjpUpstreamClient>,
-    /// The endpoints that `upstream` has.
+    /// The endpoints that `upstream` uses.
     endpoints: Mutex<Option<Vec<UpstreamEndpoint>>>,
-    /// Rules and quotas that are no longer in force, while requests still use them.
+    /// Rules and quotas that are no longer in force and that requests may still use.
     retired: Mutex<Vec<Arc<ReloadableConfig>>>,
 }
 
@@ -31,8 +31,8 @@
         self.replace_endpoints(endpoints);
     }
 
-    /// Frees what no request uses any more. It is freed here, by the agent's thread, as that takes a while where there are
-    /// many routes.
+    /// Frees the retired configurations that no request uses any more. The agent's thread frees them, as the deallocation of
+    /// many routes takes too long for a request.
     fn retire(&self, replaced: Arc<ReloadableConfig>) {
         let mut retired = self.retired.lock().unwrap_or_else(PoisonError::into_inner);
         retired.push(replaced);
@@ -50,12 +50,12 @@
     }
 }
 
-/// The agent of the control plane; none where the operators' file names no relays. What was persisted is active when this
-/// returns.
+/// Prepares the configuration agent, and activates the persisted configuration. Returns none where the operators' file names
+/// no relays.
 ///
 /// # Errors
 ///
-/// Where the agent cannot be prepared.
+/// The agent cannot be prepared.
 pub(crate) fn prepare_configuration(
     placement: &Placement,
     operators: &OperatorConfig,
@@ -81,6 +81,7 @@
     Ok(Some(agent))
 }
 
+/// Returns the positions of the deployment's methods by name, and whether each is idempotent.
 fn methods_by_name(deployment: &Deployment) -> MethodsByName {
     let target = |(position, effect)| RouteTarget { position, is_idempotent: effect == Effect::Idempotent };
     let targets = deployment.methods.iter().map(|method| method.effect).enumerate().map(target);
--- a/crates/ochrewalk-node/src/configuration/agent.rs
+++ b/crates/ochrewalk-node/src/configuration/agent.rs
@@ -1,5 +1,6 @@
-//! The node's agent of the control plane: a thread of its own with an event loop. It applies updates, persists them
-//! for the next start, and requests quotas of tenants that RPCs name. Without any relay the node serves on with what it has.
+//! The node's configuration agent, a thread with an event loop. The agent applies updates, persists them for the next start,
+//! and requests the quotas of tenants that RPCs name. Without any relay the node continues to serve with the configuration in
+//! force.
 
 use super::cached_quotas::CachedQuotaName;
 use super::handle::{Activate, ConfigurationHandle};
@@ -19,28 +20,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The agent's token; it also uses the one after it.
+/// The first of the two consecutive tokens that the agent uses.
 const AGENT_TOKEN: Token = Token(0);
 const WAKER_TOKEN: Token = Token(2);
-/// Events that one turn of the event loop takes.
+/// The maximal number of events per turn of the event loop.
 const MAX_EVENTS: usize = 64;
-/// Tenants whose quotas wait to be requested; the quota of a further one is requested by its next RPC.
+/// The maximal number of tenants whose quotas wait to be requested. The quota of a further tenant is requested at its next
+/// RPC.
 const MAX_REQUESTED_TENANTS: usize = 1024;
-/// How often the log says how old the configuration is, while no relay is heard.
+/// The interval at which the age of the configuration is logged while no relay is connected.
 const AGE_LOG_INTERVAL_US: u64 = 60_000_000;
 
-/// Why an agent cannot be prepared.
+/// The reason why an agent cannot be prepared.
 #[derive(Debug, thiserror::Error)]
 pub enum PrepareError {
     /// The operators' file names no relay.
     #[error(transparent)]
     NoRelays(#[from] NoRelays),
-    /// The operating system gives no event loop.
+    /// The event loop cannot be created.
     #[error("config: {0}")]
     EventLoop(#[from] io::Error),
 }
 
-/// A configuration with its agent, not started yet.
+/// An agent that is not started yet, with the configuration in force.
 pub struct PreparedAgent {
     handle: ConfigurationHandle,
     agent: Agent,
@@ -51,14 +53,14 @@
 }
 
 impl PreparedAgent {
-    /// Adds the persisted state to `state`, which says what the node's files say, and prepares an agent that follows one of
-    /// the relays of `config`. `activate` is called with what is in force: at once, and after each change.
+    /// Adds the persisted state to `state`, which has the configuration of the node's files, and prepares an agent that follows
+    /// one of the relays of `config`. `activate` is called with the configuration in force: at once, and after each change.
     ///
-    /// A state file that cannot be read or no longer fits is logged, and as much of it as fits is restored.
+    /// A state file that cannot be read or no longer fits the node is logged, and the part before the fault is restored.
     ///
     /// # Errors
     ///
-    /// Where `config` names no relay, or the operating system gives no event loop.
+    /// `config` names no relay, or the event loop cannot be created.
     pub fn new(
         node: &str,
         config: &ConfigAgent,
@@ -77,20 +79,23 @@
         Ok(PreparedAgent { handle, agent, poll, requested_tenants, file, clock })
     }
 
-    /// What other parts of the node use the configuration by.
+    /// Returns the handle by which other parts of the node use the configuration.
     pub fn handle(&self) -> &ConfigurationHandle {
         &self.handle
     }
 
-    /// Runs the agent by a thread of its own until the process ends.
+    /// Starts a thread that runs the agent until the process ends.
     ///
     /// # Errors
     ///
-    /// Where the thread cannot be started. The node then serves with what is in force and receives no updates.
+    /// The thread cannot be started. The node then serves with the configuration in force and receives no updates.
     pub fn start(mut self) -> io::Result<()> {
         std::thread::Builder::new().name("config".into()).spawn(move || {
             if let Err(error) = self.run() {
-                tracing::error!(part = "config", "no changes come any more: {error}");
+                tracing::error!(
+                    part = "config",
+                    "configuration agent stopped, no updates will be received: {error}"
+                );
             }
         })?;
         Ok(())
@@ -116,7 +121,7 @@
         }
     }
 
-    /// Requests the quotas that wait to be requested, and forgets those that they replace.
+    /// Requests the quotas that wait to be requested, and removes those that they replace in the cache.
     fn request_quotas(&mut self, now_us: u64) {
         let mut replaced: Vec<ResourceName> = Vec::new();
         while let Ok(tenant) = self.requested_tenants.try_recv() {
@@ -133,12 +138,12 @@
         self.handle.activate(in_force);
         if let Some(file) = &mut self.file {
             if let Err(error) = persist_forgotten(file, &state, names) {
-                tracing::warn!(part = "config", "not persisted for the next start: {error}");
+                tracing::warn!(part = "config", "removal of quotas is in force but not persisted: {error}");
             }
         }
     }
 
-    /// Logs how old the configuration is, unless a relay is heard.
+    /// Logs the age of the configuration, unless a relay is connected.
     fn log_age(&self, now_us: u64) {
         if self.agent.is_connected() {
             return;
@@ -147,16 +152,19 @@
         let Some(age_ms) = self.agent.age_ms(now_us) else {
             tracing::warn!(
                 part = "config",
-                "no relay was heard since the start; {epoch}.{revision} is restored"
+                "no relay has been connected since the start; the restored revision {epoch}.{revision} is in force"
             );
             return;
         };
         let age_s = age_ms / 1_000;
-        tracing::warn!(part = "config", "no relay is heard; {epoch}.{revision} is {age_s} s old");
+        tracing::warn!(
+            part = "config",
+            "no relay is connected; revision {epoch}.{revision} is {age_s} s old"
+        );
     }
 }
 
-/// An agent that goes on from the position of `state` and watches the quotas that are cached there.
+/// Returns an agent that continues from the position of `state` and watches the quotas that are cached there.
 fn new_agent(
     node: &str,
     config: &ConfigAgent,
--- a/crates/ochrewalk-node/src/configuration/cached_quotas.rs
+++ b/crates/ochrewalk-node/src/configuration/cached_quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants, as far as RPCs of this node have named them.
+//! A cache of the quotas of tenants that RPCs of this node have named.
 
 use ochrewalk::host::Tenant;
 use ochrewalk_distribution::messages::{ResourceKind, ResourceName, Value};
@@ -7,24 +7,24 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A tenant's quota that was requested and answered.
+/// The cached reply to a request for a tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedQuota {
-    /// The tenant's number here, as long as its quota is cached.
+    /// The tenant's number on this node, valid as long as the quota is cached.
     tenant_id: u32,
-    /// RPCs a second over the whole fleet; none where the tenant is known to have no quota.
+    /// The quota in RPCs per second over the whole fleet; none where the tenant is known to have no quota.
     per_second: Option<f64>,
 }
 
 impl CachedQuota {
-    /// The quota that the admission controller charges an RPC of this tenant to; none where the tenant has no quota.
+    /// Returns the quota to which the admission controller charges RPCs of this tenant; none where the tenant has no quota.
     pub fn quota(&self) -> Option<Tenant> {
         self.per_second.map(|per_second| Tenant { id: self.tenant_id, per_second })
     }
 }
 
-/// Quotas by tenant. A tenant that is not there was not requested yet: its RPCs count as within their quota until the answer
-/// arrives.
+/// Quotas by tenant. The quota of a tenant without an entry is not known yet: its RPCs count as within the quota until the
+/// reply to the request arrives.
 pub type CachedQuotas = BTreeMap<Arc<str>, CachedQuota>;
 
 /// The name of a cached quota.
@@ -32,7 +32,7 @@
 pub struct CachedQuotaName {
     /// The name of the resource.
     pub name: ResourceName,
-    /// Whether the tenant has a quota; if not, that is what is cached.
+    /// Whether the tenant has a quota; otherwise the cached entry states that it has none.
     pub is_present: bool,
 }
 
@@ -40,12 +40,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct QuotaCache {
     quotas: Arc<CachedQuotas>,
-    /// The number of the next tenant: none is given twice.
+    /// The number of the next tenant. No number is assigned twice.
     next_tenant_id: u32,
 }
 
 impl QuotaCache {
-    /// An empty cache, whose tenants are numbered from `first_tenant_id` on.
+    /// Returns an empty cache, whose tenants are numbered from `first_tenant_id` on.
     pub(super) fn new(first_tenant_id: u32) -> QuotaCache {
         QuotaCache { quotas: Arc::default(), next_tenant_id: first_tenant_id }
     }
@@ -54,7 +54,7 @@
         self.quotas.clone()
     }
 
-    /// The names of the first `limit` quotas.
+    /// Returns the names of the first `limit` quotas.
     pub(super) fn names(&self, limit: usize) -> Vec<CachedQuotaName> {
         let to_name = |(tenant, quota): (&Arc<str>, &CachedQuota)| CachedQuotaName {
             name: quota_name(tenant),
@@ -63,7 +63,7 @@
         self.quotas.iter().take(limit).map(to_name).collect()
     }
 
-    /// Tenants that are known to have no quota.
+    /// Returns the names of the quotas that are known not to exist.
     pub(super) fn absent(&self) -> Vec<ResourceName> {
         let absent = self.quotas.iter().filter(|(_, quota)| quota.per_second.is_none());
         absent.map(|(tenant, _)| quota_name(tenant)).collect()
@@ -73,7 +73,7 @@
         Arc::make_mut(&mut self.quotas).remove(tenant);
     }
 
-    /// The cache after an update. It shares its quotas with this one where the update changes none.
+    /// Returns the cache after an update. Both caches share their quotas where the update changes none.
     pub(super) fn after(&self, update: &CompleteUpdate) -> QuotaCache {
         let mut changed = changed_quotas(update).peekable();
         if !update.is_snapshot && changed.peek().is_none() {
@@ -82,7 +82,7 @@
         let mut quotas = if update.is_snapshot { CachedQuotas::new() } else { (*self.quotas).clone() };
         let mut next_tenant_id = self.next_tenant_id;
         for (tenant, per_second) in changed {
-            // A tenant keeps its number over a change, and with it what the admission controller has charged to its quota.
+            // A tenant keeps its number over a change, so that the charges of the admission controller to its quota remain.
             let tenant_id = self.quotas.get(tenant).map_or(next_tenant_id, |quota| quota.tenant_id);
             if tenant_id == next_tenant_id {
                 next_tenant_id = next_tenant_id.wrapping_add(1);
@@ -93,7 +93,8 @@
     }
 }
 
-/// Tenants whose quota an update changes, with the RPCs a second; none where there is no quota any more, or was none.
+/// Returns the tenants whose quota an update changes, with the RPCs per second; none where the quota was deleted or does not
+/// exist.
 fn changed_quotas(update: &CompleteUpdate) -> impl Iterator<Item = (&str, Option<f64>)> {
     let is_quota = |name: &ResourceName| name.kind() == ResourceKind::Quota;
     let changed = update.resources.iter().filter(move |resource| is_quota(&resource.name));
--- a/crates/ochrewalk-node/src/configuration/file_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/file_configuration.rs
@@ -4,12 +4,12 @@
 use ochrewalk_ingress::judge::Rules;
 use ochrewalk_operator_config::{OperatorConfig, UpstreamEndpoint};
 
-/// What the node's own files say; distributed resources are added to it.
+/// The configuration from the node's own files, to which distributed resources are added.
 #[derive(Clone, Debug, Default)]
 pub struct FileConfiguration {
     /// The networks whose clients may connect.
     pub allowed_peers: AllowedPeers,
-    /// The routes of the file, and how requests are read.
+    /// The routes of the file, and the rules for parsing requests.
     pub rules: Rules,
     /// The endpoints of the upstream; none where it is not called by AJP.
     pub endpoints: Option<Vec<UpstreamEndpoint>>,
--- a/crates/ochrewalk-node/src/configuration/mod.rs
+++ b/crates/ochrewalk-node/src/configuration/mod.rs
@@ -8,11 +8,11 @@
 //! * What was applied is added to the state file, where the operators' file names one, and is in force again after a restart
 //!   before the node accepts connections. Of a state file that is damaged or no longer fits the node's files, the part before
 //!   the fault is restored. A write that fails is logged; the update stays in force.
-//! * Without any relay the node serves on with what is in force, and logs once a minute how old that is.
+//! * Without any relay the node continues to serve with the configuration in force, and logs its age once a minute.
 //! * A request never waits for the control plane. RPCs of a tenant whose quota is not cached yet count as within it.
 //!
-//! Which relay the agent follows, and when it tries another one, is decided in `ochrewalk-control-plane` and
-//! `ochrewalk-distribution`. The caller starts the agent, and hands over the files when they were read again.
+//! `ochrewalk-control-plane` and `ochrewalk-distribution` decide which relay the agent follows, and when it tries another
+//! one. The caller starts the agent, and passes on the files when they were reloaded.
 //!
 //! # States
 //!
@@ -23,19 +23,19 @@
 //! | restored | an update that fits | up to date |
 //! | up to date | an update that fits | up to date, at its position |
 //! | any | an update that does not fit | the same; the rejection is reported, and the next update has the resources again |
-//! | any | the files were read again | the same position; distributed routes that the files have, too, are overridden |
-//! | any | no relay is heard | the same |
+//! | any | the files were reloaded | the same position; distributed routes that the files also have are overridden |
+//! | any | no relay is connected | the same |
 //!
 //! # Who calls whom
 //!
 //! At the start:
 //!
 //! 1. `node/assembly.rs` calls [`activation`] with the listener and the upstream.
-//! 2. [`file_configuration`] takes from the operators' file what distributed configuration adds to; [`node_configuration`]
-//!    begins with that.
+//! 2. [`file_configuration`] takes the part of the operators' file that distributed configuration adds to;
+//!    [`node_configuration`] starts with that part.
 //! 3. [`agent`] restores the state file by `persistence.rs`, activates the result, and makes a [`handle`], by which the
 //!    listener requests quotas from then on.
-//! 4. `node/assembly.rs` starts the agent, which runs in a thread of its own until the process ends.
+//! 4. `node/assembly.rs` starts the agent, which runs in a separate thread until the process ends.
 //!
 //! When an update arrives:
 //!
@@ -46,24 +46,23 @@
 //! 4. `persistence.rs` adds the update to the state file.
 //!
 //! When an RPC names a tenant: `net/ajp_ingress/` looks it up in the quotas in force and sends the name through the [`handle`].
-//! The agent's thread requests a quota that is not cached, and forgets the one that was used least recently where there are too
-//! many.
+//! The agent's thread requests a quota that is not cached, and removes the least recently used one where there are too many.
 //!
-//! When the files were read again: `node/reload.rs` calls [`handle::ConfigurationHandle::replace_file`].
+//! When the files were reloaded: `node/reload.rs` calls [`handle::ConfigurationHandle::replace_file`].
 //!
 //! # Locks
 //!
 //! | lock | held | by |
 //! | --- | --- | --- |
-//! | state, in [`handle`] | over a change, its activation and its record in the state file | the agent's thread; a reload, without the record |
-//! | activation function, in [`handle`] | over an activation, under the state's lock | the same |
+//! | state, in [`handle`] | during a change, its activation and its record in the state file | the agent's thread; a reload, without the record |
+//! | activation function, in [`handle`] | during an activation, under the state's lock | the same |
 //! | retired rules, then endpoints, in [`activation`] | within an activation, one after the other | the same |
 //! | rules and quotas, in `net/ajp_ingress/` | for an exchange of a pointer | an activation; each request, to copy the pointer |
 //! | table of endpoints, in `net/ajp_upstream.rs` | while endpoints are replaced | an activation; each upstream call |
 //!
 //! The first two are taken in this order. Requests take only the last two, so that none waits for a check or for the disk.
 
-// Those of the workspace, until all of this crate takes them.
+// The workspace's lints, enabled here until the whole crate satisfies them.
 #![warn(
     missing_docs,
     clippy::unwrap_used,
--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -1,5 +1,5 @@
-//! Decides what an update of the distributed configuration changes in this node: it is checked as a whole against the node's
-//! methods and its own file, and either all of it is in force or nothing of it.
+//! Decides what an update of the distributed configuration changes in this node. An update is checked as a whole against the
+//! node's methods and its own file, and is applied completely or not at all.
 
 use super::cached_quotas::{CachedQuotaName, CachedQuotas, QuotaCache};
 use super::file_configuration::FileConfiguration;
@@ -16,17 +16,17 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A node serves no differences, so that it remembers no deletions.
+/// The limits of the node's store. A node serves no incremental updates, so that its store retains no deletions.
 const STORE_LIMITS: StoreLimits = StoreLimits { tombstones: 0 };
 
-/// The configuration in force, which is activated as one.
+/// The configuration in force, which is activated in one step.
 #[derive(Clone, Debug)]
 pub struct ConfigurationInForce {
     /// The networks whose clients may connect; distributed configuration does not change them.
     pub allowed_peers: AllowedPeers,
-    /// The routes of the files and the distributed ones, and how requests are read.
+    /// The routes of the files and the distributed ones, and the rules for parsing requests.
     pub rules: Rules,
-    /// Quotas of tenants that RPCs have named.
+    /// The quotas of tenants that RPCs have named.
     pub quotas: Arc<CachedQuotas>,
     /// The endpoints of the upstream; none where it is not called by AJP.
     pub endpoints: Option<Vec<UpstreamEndpoint>>,
@@ -35,26 +35,26 @@
 /// The node's methods by name: their positions, and whether each is idempotent.
 pub type MethodsByName = HashMap<String, RouteTarget>;
 
-/// The configuration of a node: what its files say, what was distributed to it, and what is in force of both.
+/// The configuration of a node: that of its files, the distributed resources, and the result of both that is in force.
 ///
-/// The files win over a distributed route of the same HTTP method and path; a distributed endpoint or limit wins over that of
-/// the files. A limit that several scopes set has the lowest of their values.
+/// A route of the files overrides a distributed route of the same HTTP method and path; a distributed endpoint or limit
+/// overrides that of the files. A limit that several scopes set has the lowest of their values.
 #[derive(Debug)]
 pub struct NodeConfiguration {
     methods: MethodsByName,
     file: FileConfiguration,
     distributed: Store,
-    /// Routes in force, of the files and distributed ones.
+    /// The routes in force, of the files and distributed ones.
     routes: Routes,
-    /// Distributed routes that the node's file overrides: the file's are in force.
+    /// The distributed routes that routes of the node's file override.
     overridden: BTreeSet<ResourceName>,
     quotas: QuotaCache,
 }
 
-/// What a change of the node's files led to.
+/// The result of a change of the node's files.
 #[derive(Debug)]
 pub struct ReplacedFile {
-    /// What is in force now.
+    /// The configuration in force now.
     pub in_force: ConfigurationInForce,
     /// An error for each distributed route that the files now override.
     pub overridden: Vec<UpdateError>,
@@ -68,8 +68,8 @@
 }
 
 impl NodeConfiguration {
-    /// The configuration before anything was distributed. Tenants of quotas are numbered from `first_tenant_id` on; lower numbers
-    /// belong to tenants of the node's file.
+    /// Returns the configuration before any update. Tenants of distributed quotas are numbered from `first_tenant_id` on; lower
+    /// numbers belong to tenants of the node's file.
     pub fn new(methods: MethodsByName, file: FileConfiguration, first_tenant_id: u32) -> NodeConfiguration {
         let routes = file.rules.routes.clone();
         let distributed = Store::new(0, STORE_LIMITS);
@@ -83,31 +83,31 @@
         }
     }
 
-    /// The position in force.
+    /// Returns the position of the configuration in force.
     pub fn position(&self) -> Position {
         self.distributed.position()
     }
 
-    /// Resources that were distributed to this node.
+    /// Returns the resources that were distributed to this node.
     pub fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.distributed.iter()
     }
 
-    /// Tenants that are known to have no quota.
+    /// Returns the names of the quotas that are known not to exist.
     pub fn absent_quotas(&self) -> Vec<ResourceName> {
         self.quotas.absent()
     }
 
-    /// The names of the first `limit` cached quotas.
+    /// Returns the names of the first `limit` cached quotas.
     pub fn cached_quotas(&self, limit: usize) -> Vec<CachedQuotaName> {
         self.quotas.names(limit)
     }
 
-    /// Checks an update and applies it as a whole, or leaves all as it is.
+    /// Checks an update and applies it as a whole, or leaves the configuration unchanged.
     ///
     /// # Errors
     ///
-    /// Where a resource does not fit this node, or the update is older than what is in force.
+    /// A resource does not fit this node, or the update is older than the configuration in force.
     pub fn apply(&mut self, update: &CompleteUpdate) -> Result<ConfigurationInForce, UpdateError> {
         let staged = self.stage(update)?;
         self.distributed.apply(update)?;
@@ -122,7 +122,7 @@
         Ok(self.in_force())
     }
 
-    /// What is in force now.
+    /// Returns the configuration in force.
     pub fn in_force(&self) -> ConfigurationInForce {
         let mut rules = Rules { routes: self.routes.clone(), ..self.file.rules.clone() };
         if let Some(amount) = self.limit(LIMIT_USUAL_MEMORY) {
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Removes the quotas of these tenants, which are no longer watched and would go stale.
+    /// Removes the quotas of these tenants, which are no longer watched and would become stale. Returns the configuration in
+    /// force.
     pub fn forget_quotas<'a>(&mut self, tenants: impl IntoIterator<Item = &'a str>) -> ConfigurationInForce {
         for tenant in tenants {
             self.quotas.remove(tenant);
@@ -145,7 +146,7 @@
         self.in_force()
     }
 
-    /// Replaces what the node's files say. A distributed route that the files now have, too, is overridden.
+    /// Replaces the configuration of the node's files. A distributed route that the files now also have is overridden.
     pub fn replace_file(&mut self, file: FileConfiguration) -> ReplacedFile {
         let mut routes = file.rules.routes.clone();
         let mut errors = Vec::new();
@@ -162,7 +163,7 @@
         ReplacedFile { in_force: self.in_force(), overridden: errors }
     }
 
-    /// Checks an update against this node, and builds what it leads to.
+    /// Checks an update against this node, and builds the resulting routes and quotas.
     fn stage(&self, update: &CompleteUpdate) -> Result<StagedUpdate, UpdateError> {
         for resource in &update.resources {
             self.check(resource)?;
@@ -192,11 +193,11 @@
         }
     }
 
-    /// Removes the route that `resource` had in force until now.
+    /// Removes the route that the previous value of `resource` has in force.
     fn remove_route(&self, routes: &mut Routes, resource: &Resource) {
-        let before = self.distributed.get(&resource.name).and_then(|before| before.value.as_ref());
+        let previous = self.distributed.get(&resource.name).and_then(|previous| previous.value.as_ref());
         let is_in_force = !self.overridden.contains(&resource.name);
-        if let (Some(Value::Route(route)), true) = (before, is_in_force) {
+        if let (Some(Value::Route(route)), true) = (previous, is_in_force) {
             routes.remove(&route.http_method, &route.path);
         }
     }
@@ -209,7 +210,7 @@
         added.map_err(|reason| UpdateError::RouteConflict { route: resource.name.clone(), reason })
     }
 
-    /// The lowest value that any scope sets for a limit.
+    /// Returns the lowest value that any scope sets for a limit.
     fn limit(&self, limit: &str) -> Option<f64> {
         let amount = |resource: &Resource| match &resource.value {
             Some(Value::Limit(value)) if resource.name.name == limit => Some(value.amount),
--- a/crates/ochrewalk-node/src/configuration/persistence.rs
+++ b/crates/ochrewalk-node/src/configuration/persistence.rs
@@ -1,4 +1,4 @@
-//! The node's state file: what is restored at the start, and what is added.
+//! Restores the configuration from the node's state file at the start, and adds updates to the file.
 
 use super::node_configuration::NodeConfiguration;
 use super::update_error::UpdateError;
@@ -9,8 +9,8 @@
 use std::io;
 use std::path::Path;
 
-/// Opens a node's state file and applies its content to `state`. The node starts without a file that cannot be read; such a
-/// file is overwritten by the next update.
+/// Opens a node's state file and applies its content to `state`. The node starts without a file that cannot be read, and the
+/// next update overwrites such a file.
 pub(super) fn open_and_restore(path: &Path, node: &str, state: &mut NodeConfiguration) -> StateFile {
     match StateFile::open(path, node) {
         Ok((file, persisted)) => {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Applies a persisted state as far as it still fits the node's files.
+/// Applies a persisted state up to the first step that no longer fits the node's files.
 fn restore(state: &mut NodeConfiguration, persisted: PersistedState) {
     let PersistedState { steps, unix_ms: persisted_ms, damaged_bytes } = persisted;
     if damaged_bytes > 0 {
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Persists an update that was applied to `state`: as a record, or as a snapshot of all where one is due.
+/// Persists an update that was applied to `state`: as a record, or as a snapshot of the complete state where one is due.
 pub(super) fn persist(
     file: &mut StateFile,
     state: &NodeConfiguration,
--- a/crates/ochrewalk-node/src/configuration/sink.rs
+++ b/crates/ochrewalk-node/src/configuration/sink.rs
@@ -8,7 +8,7 @@
 use ochrewalk_distribution::messages::Position;
 use ochrewalk_distribution::CompleteUpdate;
 
-/// Applies an update as a whole, or leaves all as it is.
+/// Applies each update as a whole or not at all, and adds it to the state file.
 pub(super) struct NodeSink<'a> {
     pub(super) handle: &'a ConfigurationHandle,
     pub(super) file: Option<&'a mut StateFile>,
@@ -21,14 +21,14 @@
         let Position { epoch, revision } = update.position;
         let mut state = self.handle.state();
         let in_force = state.apply(update).inspect_err(|error| {
-            tracing::warn!(part = "config", "{epoch}.{revision} is rejected: {error}");
+            tracing::warn!(part = "config", "update {epoch}.{revision} is rejected: {error}");
         })?;
         self.handle.activate(in_force);
         let changes = update.resources.len();
-        tracing::debug!(part = "config", "{epoch}.{revision} is in force, {changes} changes");
+        tracing::debug!(part = "config", "update {epoch}.{revision} is in force, {changes} changes");
         if let Some(file) = &mut self.file {
             if let Err(error) = persist(file, &state, update) {
-                tracing::warn!(part = "config", "not persisted for the next start: {error}");
+                tracing::warn!(part = "config", "update is in force but not persisted: {error}");
             }
         }
         Ok(())
