--- a/crates/ochrewalk-node/src/rollout/actions.rs
+++ b/crates/ochrewalk-node/src/rollout/actions.rs
@@ -1,4 +1,4 @@
-//! Does what the controller decides: persists, sends commands, and notes that an analysis has to begin.
+//! Carries out the controller's actions: persists the record, sends commands, and records that an analysis has to begin.
 
 use super::command_sender::send_until_answered;
 use super::error::RolloutError;
@@ -12,26 +12,26 @@
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc::Sender;
 
-/// What other threads tell the run.
+/// An event that another thread reports to the run.
 pub(super) enum Event {
     CommandAnswered { node: usize, token: FencingToken, reply: CommandReply },
-    OperatorAsked { command: ControllerCommand, stream: UnixStream },
+    OperatorCommand { command: ControllerCommand, stream: UnixStream },
 }
 
-/// Does what the controller decides.
-pub(super) struct Surroundings<'a> {
+/// The controller's actions on files and nodes.
+pub(super) struct ProcessActions<'a> {
     pub(super) plan: &'a RolloutPlan,
     pub(super) fingerprints: PlanFingerprints,
     pub(super) record_file: &'a RecordFile,
     pub(super) events: Sender<Event>,
     pub(super) log: RolloutLog,
-    /// A stage whose analysis has to begin.
+    /// The stage whose analysis has to begin, if any.
     pub(super) analysis_to_begin: Option<usize>,
-    /// Why the record cannot be written: no further command may be sent.
+    /// The error of a write of the record; no command is sent after it.
     pub(super) persist_error: Option<RolloutError>,
 }
 
-impl ControllerActions for Surroundings<'_> {
+impl ControllerActions for ProcessActions<'_> {
     fn persist(&mut self, record: &RolloutRecord) {
         if let Err(error) = self.record_file.save(record) {
             self.persist_error = Some(error);
@@ -59,8 +59,8 @@
     }
 }
 
-impl Surroundings<'_> {
-    /// The file of that version on a node.
+impl ProcessActions<'_> {
+    /// Returns the file of a version on a node, with its expected fingerprint.
     fn target(&self, node: usize, version: Version) -> Target {
         let plan_version = match version {
             Version::Old => PlanVersion::Old,
--- a/crates/ochrewalk-node/src/rollout/error.rs
+++ b/crates/ochrewalk-node/src/rollout/error.rs
@@ -1,11 +1,11 @@
-//! Why a rollout cannot begin or go on.
+//! The reasons why a rollout cannot begin or continue.
 
 use super::polling::PollError;
 use ochrewalk_operator_config::Diagnostic;
 use ochrewalk_rollout::{RecordError, StagePlanError};
 use std::path::PathBuf;
 
-/// Why a rollout cannot begin or go on. The text is for operators.
+/// The reason why a rollout cannot begin or continue. The text is for operators.
 #[derive(Debug, thiserror::Error)]
 pub enum RolloutError {
     /// A file or socket cannot be read, written or created.
@@ -13,28 +13,28 @@
     File {
         /// The file or socket.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The plan has faults; a line each.
+    /// The plan has faults; the text has a line for each.
     #[error("{}", lines(.0))]
     Plan(Vec<Diagnostic>),
-    /// The plan's nodes, stages and bound do not fit together.
+    /// The plan's nodes, stages and maximal number of unavailable nodes are not consistent.
     #[error("the plan cannot be carried out: {0}")]
     Stages(#[from] StagePlanError),
-    /// Nothing would change on this node.
+    /// The plan's two files have the same content for this node, so that nothing would change.
     #[error("both files of the plan hold the same for {node}")]
     SameContent {
         /// The node's name.
         node: String,
     },
-    /// The two files of settings differ in nothing that counts.
+    /// The two files of settings have no difference in effect.
     #[error("both files of the plan mean the same")]
     SameMeaning,
-    /// These changes of settings need a restart, so that no running node can take them over; a line each.
+    /// These changes of settings need a restart, so that no running node can apply them; the text has a line for each.
     #[error("{}", lines(.0))]
     NeedsRestart(Vec<String>),
-    /// Nodes stand in the way of a rollout; a line each.
+    /// Nodes are not ready for a rollout; the text has a line for each.
     #[error("{}", lines(.0))]
     NotReady(Vec<NodeFault>),
     /// The lock beside the record is held.
@@ -42,29 +42,29 @@
     AnotherController {
         /// The lock's file.
         lock: PathBuf,
-        /// Why it cannot be taken.
+        /// The reason why the lock cannot be taken.
         source: rustix::io::Errno,
     },
-    /// The record cannot be used.
+    /// The record cannot be decoded.
     #[error("{}: {source}", path.display())]
     Record {
         /// The record's file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error of the decoder.
         source: RecordError,
     },
-    /// The record could not be written in the middle of the rollout.
+    /// The record could not be written during the rollout.
     #[error("{0}; no further command was sent")]
     NotPersisted(Box<RolloutError>),
-    /// Another controller has a higher number, and acts.
+    /// Another controller with a higher number has taken over.
     #[error("another controller has taken over")]
     Replaced,
-    /// No thread is left that could hear of replies or operators.
-    #[error("replies and operators cannot be heard any more")]
+    /// The channel of replies and operators' commands is closed.
+    #[error("the channel of replies and operators' commands is closed")]
     ChannelClosed,
 }
 
-/// A node that stands in the way of a rollout.
+/// The reason why a node is not ready for a rollout.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeFault {
     /// The node's status is not known.
@@ -72,24 +72,24 @@
     Unknown {
         /// The node's name.
         node: String,
-        /// Why not.
+        /// The reason why the status is not known.
         source: PollError,
     },
-    /// The node runs another program than the two of the plan.
+    /// The node runs neither program of the plan.
     #[error("{node}: it runs {program}, which is neither program of the plan")]
     OtherProgram {
         /// The node's name.
         node: String,
-        /// The path of what it runs.
+        /// The path of the program that the node runs.
         program: String,
     },
-    /// The node uses other settings than the two of the plan.
+    /// The node uses neither file of settings of the plan.
     #[error("{node}: it uses neither file of the plan")]
     OtherSettings {
         /// The node's name.
         node: String,
     },
-    /// The node does not serve.
+    /// The node is unhealthy.
     #[error("{node}: it is unhealthy")]
     Unhealthy {
         /// The node's name.
--- a/crates/ochrewalk-node/src/rollout/fingerprints.rs
+++ b/crates/ochrewalk-node/src/rollout/fingerprints.rs
@@ -1,4 +1,4 @@
-//! Which of a plan's two versions a node runs, by the fingerprints of the plan's files.
+//! Determines which of a plan's two versions a node runs, by the fingerprints of the plan's files.
 
 use super::error::RolloutError;
 use crate::handover::fingerprint::fingerprint_of_file;
@@ -16,17 +16,17 @@
 }
 
 impl PlanFingerprints {
-    /// Reads the plan's files.
+    /// Computes the fingerprints of the plan's files.
     ///
     /// # Errors
-    /// A file cannot be read, or both files of a node hold the same.
+    /// A file cannot be read, or both files of a node have the same content.
     pub(super) fn of(plan: &RolloutPlan) -> Result<PlanFingerprints, RolloutError> {
         let mut files = FileFingerprints::default();
         let nodes = plan.nodes.iter().map(|node| files.of_node(plan, node)).collect::<Result<_, _>>()?;
         Ok(PlanFingerprints { subject: plan.subject, nodes })
     }
 
-    /// The version that a node runs; none where it is neither of the two.
+    /// Returns the version that a node runs; none where the node runs neither version of the plan.
     pub(super) fn version_of(&self, node: usize, status: &NodeStatus) -> Option<Version> {
         let fingerprint = match self.subject {
             Subject::Program => status.fingerprint,
@@ -35,13 +35,13 @@
         self.nodes[node].version_of(fingerprint)
     }
 
-    /// The fingerprint that a node's file of that version has to have.
+    /// Returns the fingerprint that a node's file of this version must have.
     pub(super) fn expected(&self, node: usize, version: Version) -> u64 {
         self.nodes[node].of(version)
     }
 }
 
-/// Fingerprints that are known already: most often all nodes have the same files.
+/// A cache of fingerprints by path, as most plans have the same files for all nodes.
 #[derive(Default)]
 struct FileFingerprints(BTreeMap<PathBuf, u64>);
 
--- a/crates/ochrewalk-node/src/rollout/log.rs
+++ b/crates/ochrewalk-node/src/rollout/log.rs
@@ -1,5 +1,5 @@
-//! The log of a rollout: a line of JSON for each event, for `ochrewalk-rollout-report` and whoever looks on. Logs of other versions are
-//! read, too: keys and texts stay.
+//! The log of a rollout: a line of JSON for each event, for `ochrewalk-rollout-report` and for operators. Keys and texts must
+//! not change, as logs of other versions are read, too.
 
 use super::error::RolloutError;
 use super::run::RolloutEnd;
@@ -12,14 +12,14 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How many nodes run which version.
+/// The numbers of nodes by version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionCounts {
-    /// Nodes that run the old version.
+    /// The number of nodes that run the old version.
     pub old: usize,
-    /// Nodes that run the new version.
+    /// The number of nodes that run the new version.
     pub new: usize,
-    /// Nodes of which it is not known.
+    /// The number of nodes whose version is not known.
     pub unknown: usize,
 }
 
@@ -28,23 +28,23 @@
 pub enum LogEntry<'a> {
     /// A controller has begun.
     Begun {
-        /// Its number.
+        /// The controller's number.
         controller: ControllerNumber,
     },
     /// A command is sent.
     CommandSent {
         /// The node's name.
         node: &'a str,
-        /// What it is to run.
+        /// The version that the node is to run.
         version: Version,
-        /// How it comes to run it.
+        /// The method of the change.
         method: ChangeMethod,
     },
-    /// A command was answered, or given up.
+    /// A command was answered, or was given up.
     CommandAnswered {
         /// The node's name.
         node: &'a str,
-        /// What came back.
+        /// The reply, or the reason why there is none.
         reply: &'a CommandReply,
     },
     /// The analysis of a stage begins.
@@ -52,22 +52,22 @@
         /// The stage, counted from 0.
         stage: usize,
     },
-    /// What the analysis was given.
+    /// A sample was passed to the analysis.
     Sampled {
         /// The sample.
         sample: &'a Sample,
-        /// The names of its methods, in its order.
+        /// The names of the sample's methods, in the same order.
         methods: &'a [String],
-        /// How many nodes the plan has.
+        /// The number of nodes of the plan.
         nodes: usize,
     },
-    /// What the analysis said.
+    /// The analysis reached a verdict.
     Concluded(&'a Verdict),
-    /// The phase, or what is known of a node, has changed.
-    Moved {
-        /// The phase now.
+    /// The phase, or the known state of a node, has changed.
+    StateChanged {
+        /// The present phase.
         phase: &'a Phase,
-        /// What nodes run now.
+        /// The present numbers of nodes by version.
         versions: VersionCounts,
     },
     /// The controller's run has ended.
@@ -75,7 +75,7 @@
 }
 
 impl LogEntry<'_> {
-    /// The event as it stands under the line's `what`.
+    /// Returns the value of the key `what` in the event's line.
     pub fn to_json(&self) -> Value {
         match *self {
             LogEntry::Begun { controller } => json!({"begun": controller.0}),
@@ -88,7 +88,7 @@
                 json!({"moment": sample_json(sample, methods, nodes)})
             }
             LogEntry::Concluded(verdict) => json!({"verdict": verdict.to_string()}),
-            LogEntry::Moved { phase, versions: VersionCounts { old, new, unknown } } => {
+            LogEntry::StateChanged { phase, versions: VersionCounts { old, new, unknown } } => {
                 json!({"phase": phase.to_string(), "nodes": [old, new, unknown]})
             }
             LogEntry::Ended(end) => json!({"end": end_text(end)}),
@@ -112,7 +112,8 @@
     }
 }
 
-/// By version the counts of each method and the memory of the largest node; and the calls of each node, if it reported.
+/// Returns the JSON of a sample: by version the counts of each method and the memory of the largest node, and the calls of
+/// each node, null where the node has not reported.
 fn sample_json(sample: &Sample, methods: &[String], nodes: usize) -> Value {
     let mut calls = vec![None; nodes];
     for node in &sample.nodes {
@@ -122,18 +123,19 @@
         sample.nodes.iter().partition(|node| node.is_changed);
     json!({
         "methods": methods,
-        "old": side_json(&unchanged, methods.len()),
-        "new": side_json(&changed, methods.len()),
+        "old": version_json(&unchanged, methods.len()),
+        "new": version_json(&changed, methods.len()),
         "calls": calls,
     })
 }
 
-fn side_json(nodes: &[&NodeSample], methods: usize) -> Value {
+/// Returns the JSON of the nodes that run one version.
+fn version_json(nodes: &[&NodeSample], methods: usize) -> Value {
     let sums: Vec<[u32; 3]> = (0..methods).map(|method| sum(nodes, method)).collect();
     json!({"nodes": nodes.len(), "methods": sums, "memory_kb": nodes.iter().map(|node| node.memory_kb).max()})
 }
 
-/// Calls, missed and failed of one method.
+/// Sums the calls, missed and failed requests of one method over nodes.
 fn sum(nodes: &[&NodeSample], method: usize) -> [u32; 3] {
     let counts = nodes.iter().filter_map(|node| node.methods.get(method));
     counts.fold([0; 3], |[calls, missed, failed], counts| {
@@ -141,7 +143,7 @@
     })
 }
 
-/// The log's file, which is only ever appended to.
+/// The file of a log, which is only appended to.
 #[derive(Debug)]
 pub struct RolloutLog(File);
 
@@ -155,7 +157,7 @@
         file.map(RolloutLog).map_err(|source| RolloutError::File { path: path.into(), source })
     }
 
-    /// Appends a line, with the time of the calendar in milliseconds. A log that cannot be written does not stop a rollout.
+    /// Appends a line, with the Unix time in milliseconds. A log that cannot be written does not stop a rollout.
     pub fn append(&mut self, entry: LogEntry) {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let now_ms = since_epoch.map_or(0, |since| since.as_millis() as u64);
--- a/crates/ochrewalk-node/src/rollout/mod.rs
+++ b/crates/ochrewalk-node/src/rollout/mod.rs
@@ -1,19 +1,19 @@
-//! The rollout controller as a process: reads a plan, polls nodes, sends commands, persists the record, writes the log and obeys
-//! the operator. What is done when is decided by `ochrewalk-rollout`; the side of the nodes is
-//! [`crate::handover::rollout_agent`].
+//! Runs the rollout controller as a process: reads a plan, polls nodes, sends commands, persists the record, writes the log and
+//! carries out commands of operators. `ochrewalk-rollout` decides on all actions; [`crate::handover::rollout_agent`] is the
+//! nodes' side.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `plan` | the operators' plan as stages, policy and thresholds of the analysis |
-//! | `fingerprints` | which version a node runs |
+//! | `plan` | the operators' plan as stages, policy and analysis thresholds |
+//! | `fingerprints` | the version that a node runs |
 //! | `polling` | the status of all nodes |
-//! | `readiness`, `settings_changes` | whether a plan may begin |
-//! | `status` | how a rollout stands, for operators |
-//! | `operator_socket` | what operators tell a running controller |
-//! | `record_file`, `log` | what outlives the controller |
-//! | `actions`, `command_sender` | what the controller decides is done; commands to nodes, until they are answered |
+//! | `readiness`, `settings_changes` | checks whether a plan may begin |
+//! | `status` | the status of a rollout, for operators |
+//! | `operator_socket` | commands of operators to a running controller |
+//! | `record_file`, `log` | files that outlive the controller |
+//! | `actions`, `command_sender` | the controller's actions; commands to nodes, until they are answered |
 //! | `sampling` | samples for the analysis |
-//! | `run` | the loop that puts these together |
+//! | `run` | the loop that connects these modules |
 
 mod actions;
 mod command_sender;
--- a/crates/ochrewalk-node/src/rollout/operator_socket.rs
+++ b/crates/ochrewalk-node/src/rollout/operator_socket.rs
@@ -1,4 +1,5 @@
-//! What operators tell a running controller, by a socket beside the record: one line there, some lines of text back.
+//! Commands of operators to a running controller, on a socket in the record's folder: one line per command, and lines of
+//! text as the reply.
 
 use super::error::RolloutError;
 use super::plan::operator_socket_path;
@@ -9,24 +10,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long the controller may take to reply.
+/// The time limit for the controller to reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an operator's program may take to send its line.
+/// The time limit for an operator's program to send its line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an operator tells a running controller. Each is replied to by how the rollout stands.
+/// A command of an operator to a running controller. The reply to each command is the status of the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerCommand {
-    /// Only to say how the rollout stands.
+    /// Requests only the status of the rollout.
     Status,
-    /// To stop where it is.
+    /// Pauses the rollout at the current stage.
     Pause,
-    /// To revert all changed nodes.
+    /// Reverts all changed nodes.
     RollBack,
 }
 
 impl ControllerCommand {
-    /// The line on the socket.
+    /// Returns the line on the socket.
     pub fn line(self) -> &'static str {
         match self {
             ControllerCommand::Status => "status",
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The command of that line. A line that is not known here changes nothing, as `status` does.
+    /// Parses a line. An unknown line changes nothing, like `status`.
     pub fn of_line(line: &str) -> ControllerCommand {
         match line {
             "pause" => ControllerCommand::Pause,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Tells the controller of that plan, and returns its reply.
+/// Sends a command to the controller of a plan, and returns the reply.
 ///
 /// # Errors
 /// No controller runs, or it does not reply in time.
@@ -62,22 +63,22 @@
     exchange().map_err(|source| RolloutError::File { path: path.clone(), source })
 }
 
-/// Listens on a thread of its own. `take` is given each command, and the stream to reply on.
+/// Listens on a separate thread. `handle` is called with each command and the stream for the reply.
 ///
 /// # Errors
 /// The socket cannot be created.
 pub(super) fn listen(
     socket: &Path,
-    mut take: impl FnMut(ControllerCommand, UnixStream) + Send + 'static,
+    mut handle: impl FnMut(ControllerCommand, UnixStream) + Send + 'static,
 ) -> Result<(), RolloutError> {
-    // The record's lock is held, so that a socket that is there was left by a controller that was killed.
+    // The caller has locked the record, so that an existing socket was left by a controller that was killed.
     let _ = std::fs::remove_file(socket);
     let listener =
         UnixListener::bind(socket).map_err(|source| RolloutError::File { path: socket.into(), source })?;
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten().filter(is_owner) {
             if let Ok(command) = read_command(&stream) {
-                take(command, stream);
+                handle(command, stream);
             }
         }
     });
--- a/crates/ochrewalk-node/src/rollout/plan.rs
+++ b/crates/ochrewalk-node/src/rollout/plan.rs
@@ -1,4 +1,4 @@
-//! The operators' plan as the rollout's parts need it.
+//! Reads the operators' plan, and converts it to the settings of the controller and of the analysis.
 
 use super::error::RolloutError;
 use ochrewalk_operator_config::RolloutPlan;
@@ -15,7 +15,7 @@
     RolloutPlan::parse(&text, &file.display().to_string()).map_err(RolloutError::Plan)
 }
 
-/// The stages, with the plan's zones numbered by their names' order.
+/// Returns the stages, with the plan's zones numbered in the order of their names.
 pub(super) fn stage_plan(plan: &RolloutPlan) -> Result<StagePlan, RolloutError> {
     let mut names: Vec<&String> = plan.nodes.iter().map(|node| &node.zone).collect();
     names.sort();
@@ -25,6 +25,7 @@
     Ok(StagePlan::new(zones, plan.stages.clone(), plan.max_unavailable)?)
 }
 
+/// Returns the policy of the plan.
 pub(super) fn policy(plan: &RolloutPlan) -> RolloutPolicy {
     RolloutPolicy {
         commit_confirmed: plan.confirm_timeout_us > 0,
@@ -32,7 +33,7 @@
     }
 }
 
-/// The thresholds of the analysis, with times as numbers of samples.
+/// Returns the thresholds of the analysis, with times converted to numbers of samples.
 pub(super) fn analysis_settings(plan: &RolloutPlan) -> AnalysisSettings {
     let samples = |time_us: u64| (time_us / plan.sample_interval_us).max(1) as u32;
     AnalysisSettings {
@@ -44,23 +45,24 @@
     }
 }
 
-/// The operator's control socket of a running controller.
+/// Returns the path of the socket for commands to a running controller.
 pub(super) fn operator_socket_path(plan: &RolloutPlan) -> PathBuf {
-    beside_record(plan, ".sock")
+    with_record_suffix(plan, ".sock")
 }
 
-/// The log of the rollout.
+/// Returns the path of the rollout's log.
 pub(super) fn log_path(plan: &RolloutPlan) -> PathBuf {
-    beside_record(plan, ".log")
+    with_record_suffix(plan, ".log")
 }
 
-/// The file that is locked while a controller runs.
+/// Returns the path of the file that is locked while a controller runs.
 pub(super) fn lock_path(plan: &RolloutPlan) -> PathBuf {
-    beside_record(plan, ".lock")
+    with_record_suffix(plan, ".lock")
 }
 
-fn beside_record(plan: &RolloutPlan, ending: &str) -> PathBuf {
+/// Returns the record's path with a suffix.
+fn with_record_suffix(plan: &RolloutPlan, suffix: &str) -> PathBuf {
     let mut name = plan.record.as_os_str().to_owned();
-    name.push(ending);
+    name.push(suffix);
     PathBuf::from(name)
 }
--- a/crates/ochrewalk-node/src/rollout/polling.rs
+++ b/crates/ochrewalk-node/src/rollout/polling.rs
@@ -1,4 +1,4 @@
-//! Asks nodes for their status by their control sockets.
+//! Polls the status of nodes at their control sockets.
 
 use super::fingerprints::PlanFingerprints;
 use crate::handover::rollout_socket::send_request;
@@ -9,10 +9,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long a node may take to reply to a status request.
+/// The time limit for a node to reply to a status request.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why a node's status is not known.
+/// The reason why a node's status is not known.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
     /// The node cannot be reached, or does not reply in time.
@@ -21,22 +21,22 @@
     /// The node rejected the request.
     #[error("{0}")]
     Rejected(String),
-    /// The node replied in a way that is not known here.
-    #[error("an answer of version {protocol_version} that is not known here")]
+    /// The node sent a reply of an unknown kind.
+    #[error("unknown reply of protocol version {protocol_version}")]
     UnknownReply {
         /// The node's protocol version.
         protocol_version: u32,
     },
-    /// The thread that asked has panicked.
+    /// The thread that polled the node has panicked.
     #[error("polling has panicked")]
     Panicked,
 }
 
-/// What came of polling one node.
+/// The result of polling one node.
 pub(super) type Polled = Result<NodeStatus, PollError>;
 
-/// The status of all nodes in the order of the plan, asked at the same time. `controller` is the number of the controller that
-/// asks, or that of an onlooker.
+/// Polls all nodes at the same time, and returns their status in the order of the plan. `controller` is the number of the
+/// controller that polls, or that of an observer.
 pub(super) fn poll_all(plan: &RolloutPlan, controller: ControllerNumber) -> Vec<Polled> {
     std::thread::scope(|scope| {
         let polls: Vec<_> =
@@ -55,7 +55,7 @@
     }
 }
 
-/// A node's status as the controller uses it; none where the node runs neither version of the plan.
+/// Converts a node's status to the controller's report. Returns none where the node runs neither version of the plan.
 pub(super) fn report(
     node: usize,
     status: &NodeStatus,
--- a/crates/ochrewalk-node/src/rollout/readiness.rs
+++ b/crates/ochrewalk-node/src/rollout/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether all nodes of a plan are ready for a rollout.
+//! Checks whether all nodes of a plan are ready for a rollout.
 
 use super::error::{NodeFault, RolloutError};
 use super::fingerprints::PlanFingerprints;
@@ -7,10 +7,10 @@
 use ochrewalk_operator_config::{RolloutPlan, Subject};
 use ochrewalk_rollout::ControllerNumber;
 
-/// What the rollout will change, and that all nodes are ready for it, as text for operators.
+/// Checks that all nodes are ready for the rollout, and returns the changes as text for operators.
 ///
 /// # Errors
-/// The plan's files cannot be used, or nodes stand in the way; all of them are named.
+/// The plan's files cannot be used, or nodes are not ready; the error names all of them.
 pub fn check(plan: &RolloutPlan) -> Result<String, RolloutError> {
     let fingerprints = PlanFingerprints::of(plan)?;
     let changes = settings_changes(plan)?;
@@ -27,6 +27,7 @@
     Ok(format!("{changes}{nodes} nodes, {stages} stages: all answer and are healthy"))
 }
 
+/// Returns the reason why a node is not ready; none where the node is ready.
 fn fault(
     plan: &RolloutPlan,
     fingerprints: &PlanFingerprints,
--- a/crates/ochrewalk-node/src/rollout/record_file.rs
+++ b/crates/ochrewalk-node/src/rollout/record_file.rs
@@ -1,4 +1,4 @@
-//! The record on disk: one small file, replaced as a whole, and one beside it that is locked while a controller runs.
+//! The record on disk: a small file that is replaced as a whole, and a second file that is locked while a controller runs.
 
 use super::error::RolloutError;
 use super::plan::lock_path;
@@ -9,7 +9,7 @@
 use std::io::{ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// The record of a plan, locked for as long as this lives.
+/// The record of a plan, locked until this value is dropped.
 #[derive(Debug)]
 pub struct RecordFile {
     path: PathBuf,
@@ -29,10 +29,10 @@
         Ok(RecordFile { path: plan.record.clone(), _lock: lock })
     }
 
-    /// The record; none where the rollout has not begun.
+    /// Loads the record. Returns none where the rollout has not begun.
     ///
     /// # Errors
-    /// The file cannot be read, or is no record.
+    /// The file cannot be read, or is not a valid record.
     pub fn load(&self) -> Result<Option<RolloutRecord>, RolloutError> {
         match std::fs::read(&self.path) {
             Ok(bytes) => RolloutRecord::decode(&bytes)
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Replaces the record. It is on disk when this returns; a crash leaves the former one or this one, complete.
+    /// Replaces the record. The new record is on disk when this returns; a crash leaves either the previous or the new record
+    /// complete.
     ///
     /// # Errors
     /// The file, or its folder, cannot be written.
@@ -53,11 +54,11 @@
     }
 
     fn replace(&self, bytes: &[u8]) -> std::io::Result<()> {
-        let fresh = self.path.with_extension("fresh");
-        let mut file = File::create(&fresh)?;
+        let temporary = self.path.with_extension("fresh");
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        std::fs::rename(&fresh, &self.path)?;
+        std::fs::rename(&temporary, &self.path)?;
         let folder = self.path.parent().unwrap_or(Path::new("/"));
         File::open(folder)?.sync_all()
     }
--- a/crates/ochrewalk-node/src/rollout/run.rs
+++ b/crates/ochrewalk-node/src/rollout/run.rs
@@ -1,6 +1,6 @@
 //! Runs a rollout to its end, or until it waits for an operator.
 
-use super::actions::{Event, Surroundings};
+use super::actions::{Event, ProcessActions};
 use super::error::RolloutError;
 use super::fingerprints::PlanFingerprints;
 use super::log::{LogEntry, RolloutLog, VersionCounts};
@@ -20,30 +20,30 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Samples that are taken before the first node is changed, so that the analysis knows what each node usually does.
-const SAMPLES_BEFORE: u32 = 8;
+/// The number of samples taken before the first node is changed, as the analysis compares each node with its own baseline.
+const BASELINE_SAMPLES: u32 = 8;
 
-/// How a run of the controller ended.
+/// The outcome of a run of the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutEnd {
     /// All nodes are changed.
     Done,
-    /// All nodes are reverted; why, in plain words.
+    /// All nodes are reverted, for this reason.
     RolledBack(String),
-    /// An operator has to decide.
+    /// The rollout waits for a decision of an operator.
     Waiting(WaitReason),
     /// Another controller has taken over.
     Replaced,
 }
 
-/// What the operator wants of the run.
+/// The operator's command at the start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
-    /// To begin the rollout, or go on with it.
+    /// Begin the rollout, or continue it.
     Run,
-    /// To go on, and to let the stage that is analysed pass.
+    /// Continue, and let the stage under analysis pass.
     PassStage,
-    /// To revert all changed nodes.
+    /// Revert all changed nodes.
     RollBack,
 }
 
@@ -61,11 +61,11 @@
     let stage_plan = stage_plan(plan)?;
     let log = RolloutLog::open(&log_path(plan))?;
     let (sender, events) = channel();
-    let to_run = sender.clone();
+    let operator_events = sender.clone();
     listen(&operator_socket_path(plan), move |command, stream| {
-        let _ = to_run.send(Event::OperatorAsked { command, stream });
+        let _ = operator_events.send(Event::OperatorCommand { command, stream });
     })?;
-    let mut surroundings = Surroundings {
+    let mut actions = ProcessActions {
         plan,
         fingerprints,
         record_file: &record_file,
@@ -75,26 +75,26 @@
         persist_error: None,
     };
     let number = controller_number(record.as_ref());
-    surroundings.log.append(LogEntry::Begun { controller: number });
+    actions.log.append(LogEntry::Begun { controller: number });
     let controller = RolloutController::new(stage_plan, policy(plan), record, number);
-    let mut run = Run::new(plan, controller, surroundings, mode);
+    let mut run = Run::new(plan, controller, actions, mode);
     let end = run.drive(&events);
-    // While the record is locked: from then on the socket may be another controller's.
+    // The socket is removed while the record is locked, as it may belong to another controller afterwards.
     let _ = std::fs::remove_file(operator_socket_path(plan));
     let end = end?;
-    run.surroundings.log.append(LogEntry::Ended(&end));
+    run.actions.log.append(LogEntry::Ended(&end));
     Ok(end)
 }
 
-/// A number above any that an earlier controller has had, whatever became of the clock, and that no other takes that begins at
-/// the same time.
+/// Returns a number above that of every earlier controller, even if the clock was set back, and different from that of a
+/// controller that begins at the same time.
 fn controller_number(record: Option<&RolloutRecord>) -> ControllerNumber {
     let now_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
     let above_the_record = record.map_or(ControllerNumber::default(), |record| record.controller).next();
     above_the_record.max(ControllerNumber(now_us))
 }
 
-/// When something last changed, by a text of all that counts.
+/// The time of the last change, with a text of the complete state for comparison.
 struct Progress {
     last_state: String,
     since: Instant,
@@ -104,8 +104,8 @@
 struct Run<'a> {
     plan: &'a RolloutPlan,
     controller: RolloutController,
-    surroundings: Surroundings<'a>,
-    /// What the operator wants, until it is done.
+    actions: ProcessActions<'a>,
+    /// The operator's command, until it is carried out.
     mode: StartMode,
     sampler: Sampler,
     /// Created with the methods of the first sample.
@@ -117,13 +117,13 @@
     fn new(
         plan: &'a RolloutPlan,
         controller: RolloutController,
-        surroundings: Surroundings<'a>,
+        actions: ProcessActions<'a>,
         mode: StartMode,
     ) -> Run<'a> {
         Run {
             plan,
             controller,
-            surroundings,
+            actions,
             mode,
             sampler: Sampler::new(plan),
             analysis: None,
@@ -133,14 +133,14 @@
 
     fn drive(&mut self, events: &Receiver<Event>) -> Result<RolloutEnd, RolloutError> {
         if self.controller.record().changed_nodes.is_empty() {
-            self.observe_before_the_first_change();
+            self.collect_baseline();
         }
         loop {
             let next_poll = Instant::now() + self.sample_interval();
             self.poll_and_analyze();
-            self.look_for_progress();
-            self.take_events(events, next_poll)?;
-            if let Some(error) = self.surroundings.persist_error.take() {
+            self.check_progress();
+            self.handle_events(events, next_poll)?;
+            if let Some(error) = self.actions.persist_error.take() {
                 return Err(RolloutError::NotPersisted(Box::new(error)));
             }
             if let Some(end) = self.end() {
@@ -153,8 +153,9 @@
         Duration::from_micros(self.plan.sample_interval_us)
     }
 
-    fn observe_before_the_first_change(&mut self) {
-        for _ in 0..SAMPLES_BEFORE {
+    /// Takes samples of the unchanged nodes as the baseline of the analysis.
+    fn collect_baseline(&mut self) {
+        for _ in 0..BASELINE_SAMPLES {
             let polled = poll_all(self.plan, self.controller.record().controller);
             let methods = method_names(&polled);
             let sample = self.sampler.sample(&self.controller.node_states(), &polled, &methods);
@@ -172,20 +173,20 @@
         let polled = poll_all(self.plan, self.controller.record().controller);
         for (node, status) in polled.iter().enumerate() {
             let report =
-                status.as_ref().ok().and_then(|status| report(node, status, &self.surroundings.fingerprints));
-            self.controller.node_reported(node, report.as_ref(), &mut self.surroundings);
+                status.as_ref().ok().and_then(|status| report(node, status, &self.actions.fingerprints));
+            self.controller.node_reported(node, report.as_ref(), &mut self.actions);
         }
         if self.mode == StartMode::RollBack && self.controller.phase() != &Phase::Polling {
             self.mode = StartMode::Run;
-            self.controller.roll_back(&mut self.surroundings);
+            self.controller.roll_back(&mut self.actions);
         }
-        if let Some(stage) = self.surroundings.analysis_to_begin.take() {
-            self.surroundings.log.append(LogEntry::AnalysisBegun { stage });
+        if let Some(stage) = self.actions.analysis_to_begin.take() {
+            self.actions.log.append(LogEntry::AnalysisBegun { stage });
             self.analysis.iter_mut().for_each(CanaryAnalysis::begin_stage);
         }
         if self.mode == StartMode::PassStage && matches!(self.controller.phase(), Phase::Analyzing { .. }) {
             self.mode = StartMode::Run;
-            self.controller.analysis_concluded(Verdict::Pass, &mut self.surroundings);
+            self.controller.analysis_concluded(Verdict::Pass, &mut self.actions);
         }
         self.analyze(&polled);
     }
@@ -202,21 +203,22 @@
             return;
         }
         let nodes = self.plan.nodes.len();
-        self.surroundings.log.append(LogEntry::Sampled { sample: &sample, methods: &methods, nodes });
+        self.actions.log.append(LogEntry::Sampled { sample: &sample, methods: &methods, nodes });
         let verdict = self.analysis_of(&methods).add_sample(&sample);
         if verdict != Verdict::Pending {
-            self.surroundings.log.append(LogEntry::Concluded(&verdict));
+            self.actions.log.append(LogEntry::Concluded(&verdict));
         }
-        self.controller.analysis_concluded(verdict, &mut self.surroundings);
+        self.controller.analysis_concluded(verdict, &mut self.actions);
     }
 
-    /// Logs what has changed. Where nothing has for too long, and no command is pending, the rollout waits for an operator.
-    fn look_for_progress(&mut self) {
+    /// Logs a change of the state. Where the state has not changed for too long, and no command is pending, the rollout waits
+    /// for an operator.
+    fn check_progress(&mut self) {
         let state = format!("{:?} {:?}", self.controller.phase(), self.controller.node_states());
         if state != self.progress.last_state {
             let phase = self.controller.phase();
             let versions = version_counts(&self.controller);
-            self.surroundings.log.append(LogEntry::Moved { phase, versions });
+            self.actions.log.append(LogEntry::StateChanged { phase, versions });
             self.progress = Progress { last_state: state, since: Instant::now() };
         }
         let unchanged_us = self.progress.since.elapsed().as_micros() as u64;
@@ -226,14 +228,16 @@
         }
     }
 
-    /// Takes events until it is time for the next poll, or the rollout has stopped.
-    fn take_events(&mut self, events: &Receiver<Event>, until: Instant) -> Result<(), RolloutError> {
+    /// Handles events until it is time for the next poll, or the rollout has stopped.
+    fn handle_events(&mut self, events: &Receiver<Event>, until: Instant) -> Result<(), RolloutError> {
         while !self.controller.has_stopped() {
             match events.recv_timeout(until.saturating_duration_since(Instant::now())) {
                 Ok(Event::CommandAnswered { node, token, reply }) => {
                     self.command_answered(node, token, reply);
                 }
-                Ok(Event::OperatorAsked { command, stream }) => self.operator_asked(command, stream),
+                Ok(Event::OperatorCommand { command, stream }) => {
+                    self.handle_operator_command(command, stream)
+                }
                 Err(RecvTimeoutError::Timeout) => return Ok(()),
                 Err(RecvTimeoutError::Disconnected) => return Err(RolloutError::ChannelClosed),
             }
@@ -243,18 +247,18 @@
 
     fn command_answered(&mut self, node: usize, token: FencingToken, reply: CommandReply) {
         let name = &self.plan.nodes[node].name;
-        self.surroundings.log.append(LogEntry::CommandAnswered { node: name, reply: &reply });
+        self.actions.log.append(LogEntry::CommandAnswered { node: name, reply: &reply });
         if reply == CommandReply::Finished(Outcome::Done) {
             self.sampler.node_changed(node);
         }
-        self.controller.command_answered(node, token, reply, &mut self.surroundings);
+        self.controller.command_answered(node, token, reply, &mut self.actions);
     }
 
-    fn operator_asked(&mut self, command: ControllerCommand, mut stream: UnixStream) {
+    fn handle_operator_command(&mut self, command: ControllerCommand, mut stream: UnixStream) {
         match command {
             ControllerCommand::Status => {}
             ControllerCommand::Pause => self.controller.pause(),
-            ControllerCommand::RollBack => self.controller.roll_back(&mut self.surroundings),
+            ControllerCommand::RollBack => self.controller.roll_back(&mut self.actions),
         }
         let VersionCounts { old, new, unknown } = version_counts(&self.controller);
         let phase = self.controller.phase();
--- a/crates/ochrewalk-node/src/rollout/sampling.rs
+++ b/crates/ochrewalk-node/src/rollout/sampling.rs
@@ -1,4 +1,4 @@
-//! Makes samples for the analysis out of what nodes report when they are polled.
+//! Computes samples for the analysis from the reports of polled nodes.
 
 use super::polling::Polled;
 use ochrewalk_operator_config::RolloutPlan;
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What is remembered of a node from one sample to the next.
+/// The state of a node from one sample to the next.
 #[derive(Default)]
 struct NodeHistory {
     last_status: Option<NodeStatus>,
@@ -15,9 +15,9 @@
     changed_at: Option<Instant>,
 }
 
-/// Takes samples: what nodes have counted since the sample before.
+/// Computes samples, which have the increase of the nodes' counters since the previous sample.
 pub(super) struct Sampler {
-    /// A number for each node's zone.
+    /// The number of each node's zone.
     zones: Vec<u32>,
     warm_up: Duration,
     nodes: Vec<NodeHistory>,
@@ -34,13 +34,13 @@
         }
     }
 
-    /// A node has just changed what it runs: it warms up from now on.
+    /// Records that a node has just changed its version. The node counts as warming up from now on.
     pub(super) fn node_changed(&mut self, node: usize) {
         self.nodes[node].changed_at = Some(Instant::now());
     }
 
-    /// The next sample. `states` is what the controller knows of the nodes, `polled` what they have just reported, `methods` the
-    /// names to count by. A node is part of it from its second report on.
+    /// Computes the next sample, from the controller's `states` of the nodes, the `polled` reports and the names of `methods`. A
+    /// node is part of samples from its second report on.
     pub(super) fn sample(&mut self, states: &[NodeState], polled: &[Polled], methods: &[String]) -> Sample {
         let count = |version| states.iter().filter(|state| state.version == Some(version)).count();
         let mut sample =
@@ -52,7 +52,7 @@
         sample
     }
 
-    /// None for the first report of a node, which there is nothing to compare with.
+    /// Computes the sample of one node. Returns none for its first report, which has no previous report to compare with.
     fn node_sample(
         &mut self,
         node: usize,
@@ -76,7 +76,7 @@
     }
 }
 
-/// The names of all methods that nodes have counted, in order.
+/// Returns the names of all methods that nodes have counted, in alphabetical order.
 pub(super) fn method_names(polled: &[Polled]) -> Vec<String> {
     let counters = polled.iter().flatten().filter_map(|status| status.counters.as_ref());
     let methods = counters.flat_map(|counters| &counters.methods);
@@ -86,7 +86,7 @@
     names
 }
 
-/// What was counted between two reports, by method.
+/// Returns the increase of the counters between two reports, by method.
 fn increases(now: &ServingCounters, earlier: &ServingCounters, methods: &[String]) -> Vec<CallCounts> {
     let (now, earlier) = (by_name(now), by_name(earlier));
     let increase = |name: &String| {
--- a/crates/ochrewalk-node/src/rollout/settings_changes.rs
+++ b/crates/ochrewalk-node/src/rollout/settings_changes.rs
@@ -1,4 +1,4 @@
-//! What changes with the settings of a plan, and whether running nodes can take it over.
+//! Determines the changes of a plan's settings, and whether running nodes can apply them.
 
 use super::error::RolloutError;
 use ochrewalk_operator_config::{
@@ -6,10 +6,10 @@
 };
 use std::collections::BTreeSet;
 
-/// The changes of all nodes, each once, a line each; nothing where the plan is of a program.
+/// Returns the changes of all nodes as distinct lines; an empty text where the plan changes the program.
 ///
 /// # Errors
-/// A file cannot be read, a change needs a restart, or nothing changes.
+/// A file cannot be read, a change needs a restart, or nothing would change.
 pub(super) fn settings_changes(plan: &RolloutPlan) -> Result<String, RolloutError> {
     if plan.subject == Subject::Program {
         return Ok(String::new());
--- a/crates/ochrewalk-node/src/rollout/status.rs
+++ b/crates/ochrewalk-node/src/rollout/status.rs
@@ -1,4 +1,4 @@
-//! How a rollout stands, as text for operators.
+//! The status of a rollout, as text for operators.
 
 use super::fingerprints::PlanFingerprints;
 use super::operator_socket::{send_to_controller, ControllerCommand};
@@ -6,8 +6,8 @@
 use ochrewalk_operator_config::RolloutPlan;
 use ochrewalk_rollout::{ControllerNumber, Version};
 
-/// How the rollout stands by the controller, where one runs, and by each node, a line each. It says so, too, where the plan's files
-/// or nodes cannot be read.
+/// Returns the status of the rollout: a line of the controller, where one runs, and a line for each node. The text also
+/// states which nodes do not answer. Without readable files of the plan, versions are not recognised.
 pub fn status(plan: &RolloutPlan) -> String {
     let fingerprints = PlanFingerprints::of(plan).ok();
     let mut text =
--- a/crates/ochrewalk-node/tests/rollout_files.rs
+++ b/crates/ochrewalk-node/tests/rollout_files.rs
@@ -89,7 +89,7 @@
         (LogEntry::Concluded(&Verdict::FleetUnhealthy), r#"{"verdict":"Ill"}"#),
         (LogEntry::Concluded(&Verdict::Harm("slow".into())), r#"{"verdict":"Harm(\"slow\")"}"#),
         (
-            LogEntry::Moved { phase: &Phase::Analyzing { stage: 0 }, versions },
+            LogEntry::StateChanged { phase: &Phase::Analyzing { stage: 0 }, versions },
             r#"{"nodes":[5,2,1],"phase":"Judged { stage: 0 }"}"#,
         ),
         (LogEntry::Ended(&RolloutEnd::Done), r#"{"end":"Done"}"#),
