--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `ochrewalk config`.
 
 use clap::{Args, Parser, Subcommand};
 use ochrewalk_distribution::messages::Position;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use tracing::level_filters::LevelFilter;
 
-/// Connections that a publisher or relay takes unless told otherwise.
+/// The default limit of connections to a publisher or relay.
 pub(crate) const DEFAULT_CONNECTIONS: usize = 4_000;
 
 #[derive(Parser)]
@@ -16,7 +16,7 @@
     /// The least serious lines that are logged: error, warn, info, debug
     #[arg(long, env = "OCHREWALK_LOG", default_value = "info", value_name = "LEVEL")]
     pub(crate) log: LevelFilter,
-    /// How lines are written
+    /// The format of log lines
     #[arg(long, env = "OCHREWALK_LOG_FORMAT", default_value = "plain", value_enum)]
     pub(crate) log_format: Form,
     #[command(subcommand)]
@@ -32,9 +32,9 @@
     Relay(RelayArguments),
     /// Publish the changes of a file, all of them or none
     Publish(ChangeArguments),
-    /// Say what the changes of a file would change
+    /// Print what the changes of a file would change
     Diff(ChangeArguments),
-    /// Say which revision is in force where, and who rejected one
+    /// Print the revisions in force in each region, and the nodes that rejected one
     Status {
         /// The publisher's control socket
         #[arg(long, value_name = "PATH")]
@@ -56,7 +56,7 @@
     /// Where relays connect to
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub(crate) listen: SocketAddr,
-    /// The socket that operators ask at
+    /// The control socket for operators' requests
     #[arg(long, value_name = "PATH")]
     pub(crate) control: PathBuf,
     /// The durable log
@@ -69,7 +69,7 @@
 
 #[derive(Args, Debug)]
 pub(crate) struct RelayArguments {
-    /// The relay's name, of its own in the fleet
+    /// The relay's name, unique in the fleet
     #[arg(long)]
     pub(crate) name: String,
     #[arg(long)]
@@ -80,7 +80,7 @@
     /// The publisher, and any that may take over from it
     #[arg(long, value_name = "ADDRESS:PORT", required = true)]
     pub(crate) publisher: Vec<SocketAddr>,
-    /// Nodes that are served at a time
+    /// The maximal number of nodes that are served at a time
     #[arg(long, default_value_t = DEFAULT_CONNECTIONS)]
     pub(crate) connections: usize,
 }
@@ -97,12 +97,12 @@
     pub(crate) file: PathBuf,
 }
 
-/// A text that is no revision.
+/// The error for a text that is not a revision.
 #[derive(Debug, thiserror::Error)]
 #[error("{0} is no revision; write one such as 1.42")]
 pub(crate) struct InvalidRevision(String);
 
-/// Reads `EPOCH.REVISION`.
+/// Parses `EPOCH.REVISION`.
 fn parse_position(text: &str) -> Result<Position, InvalidRevision> {
     let parsed = text.split_once('.').and_then(|(epoch, revision)| {
         Some(Position { epoch: epoch.parse().ok()?, revision: revision.parse().ok()? })
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/changes.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/changes.rs
@@ -1,4 +1,4 @@
-//! Publishing the changes of a file, what they would change, and undoing changes.
+//! Publishes the changes of a file, compares them with the published configuration, and rolls changes back.
 
 use crate::arguments::ChangeArguments;
 use crate::error::ConfigCommandError;
@@ -17,7 +17,7 @@
     Ok(format!("published {count} changes as {}\n", format_position(position)))
 }
 
-/// Undoes all changes after a position, by a new one.
+/// Undoes all changes after a position, by publishing a new revision.
 pub(crate) fn rollback(control: &Path, to: Position) -> Result<String, ConfigCommandError> {
     let position = request_change(control, Body::Rollback(Rollback { to }))?;
     Ok(format!("published as {}\n", format_position(position)))
@@ -39,7 +39,7 @@
     read_changes(&text, &path.display().to_string()).map_err(ConfigCommandError::InvalidChanges)
 }
 
-/// A line for each resource that would change.
+/// Formats a line for each resource that would change.
 fn format_diff(changes: &[Resource], published: &Fetched) -> String {
     let resources = published.resources.iter();
     let values: HashMap<_, _> = resources.map(|resource| (&resource.name, resource.value.as_ref())).collect();
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/error.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! The reasons why a command fails.
 
 use ochrewalk_control_plane::control::ControlError;
 use ochrewalk_control_plane::publisher::PublisherError;
@@ -6,7 +6,7 @@
 use ochrewalk_operator_config::Diagnostic;
 use std::path::PathBuf;
 
-/// Why a command failed. Its text is what the operator reads on standard error.
+/// The reason why a command failed. The text is printed to standard error for the operator.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigCommandError {
     /// The publisher cannot start, or its event loop fails.
@@ -23,7 +23,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error that the operating system reports.
         source: std::io::Error,
     },
     /// The file has invalid lines; each diagnostic names one.
@@ -32,13 +32,13 @@
     /// The publisher refuses the request.
     #[error("refused: {}", .reasons.join("\n"))]
     Refused {
-        /// The reasons that it gives.
+        /// The reasons that the publisher gives.
         reasons: Vec<String>,
     },
-    /// The publisher's reply is not one to this request.
-    #[error("the publisher answered what was not asked")]
+    /// The publisher's reply does not match the request.
+    #[error("the publisher's reply does not match the request")]
     UnexpectedReply,
-    /// SIGTERM and SIGINT cannot be waited for.
+    /// The handlers of SIGTERM and SIGINT cannot be installed.
     #[error("cannot wait for signals: {0}")]
     Signals(std::io::Error),
 }
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/main.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/main.rs
@@ -6,9 +6,9 @@
 //! | --- | --- |
 //! | 0 | done; the result is on standard output |
 //! | 1 | failed or refused; the reason is on standard error |
-//! | 2 | the command line is wrong |
+//! | 2 | the command line is invalid |
 
-// Those of the workspace, until all of this crate takes them.
+// The workspace's lints, enabled here until the whole crate satisfies them.
 #![warn(
     missing_docs,
     clippy::unwrap_used,
@@ -33,7 +33,7 @@
 use ochrewalk_node::logger::{self, LogSettings};
 use std::process::ExitCode;
 
-/// Runs a command and returns what is to be printed.
+/// Runs a command and returns its output.
 fn run(command: ConfigCommand) -> Result<String, ConfigCommandError> {
     match command {
         ConfigCommand::Serve(arguments) => processes::serve(arguments).map(|()| String::new()),
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/processes.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/processes.rs
@@ -1,4 +1,4 @@
-//! Publisher and relay, which run in the foreground until a signal ends them.
+//! Runs a publisher or a relay in the foreground until a signal ends it.
 
 use crate::arguments::{RelayArguments, ServeArguments, DEFAULT_CONNECTIONS};
 use crate::error::ConfigCommandError;
@@ -35,13 +35,13 @@
         seed: fastrand::u64(..),
     };
     let mut relay = Relay::open(&settings)?;
-    // A relay checks the flag twice a second without being woken.
+    // No wake-up is needed, as a relay checks the flag twice a second.
     let stop = stop_on_signal(|| ())?;
     tracing::info!(part = "config", place = %settings.listen, "relay {} listens", settings.name);
     Ok(relay.run(&stop)?)
 }
 
-/// A flag that SIGTERM or SIGINT sets. `wake` is called after that.
+/// Returns a flag that SIGTERM or SIGINT sets. `wake` is called after the flag is set.
 fn stop_on_signal(wake: impl Fn() + Send + 'static) -> Result<Arc<AtomicBool>, ConfigCommandError> {
     let stop = Arc::new(AtomicBool::new(false));
     let mut signals =
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/publisher_request.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/publisher_request.rs
@@ -1,4 +1,4 @@
-//! Requests to a running publisher, at its control socket.
+//! Sends requests to a running publisher at its control socket.
 
 use crate::error::ConfigCommandError;
 use ochrewalk_control_plane::control::send_request;
@@ -21,7 +21,7 @@
     }
 }
 
-/// A position as operators read and write it: `EPOCH.REVISION`.
+/// Formats a position as `EPOCH.REVISION`.
 pub(crate) fn format_position(position: Position) -> String {
     format!("{}.{}", position.epoch, position.revision)
 }
--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/status.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/status.rs
@@ -1,11 +1,11 @@
-//! The status of the fleet as operators read it.
+//! Formats the status of the fleet for operators.
 
 use crate::error::ConfigCommandError;
 use crate::publisher_request::{format_position, request};
 use ochrewalk_distribution::messages::{Body, Position, RegionStatus, Rejection, Status, StatusRequest};
 use std::path::Path;
 
-/// Asks which revision is in force where, and which nodes have rejected one.
+/// Requests the status of the fleet: the revisions in force in each region, and the nodes that rejected one.
 pub(crate) fn status(control: &Path) -> Result<String, ConfigCommandError> {
     match request(control, Body::StatusRequest(StatusRequest {}))? {
         Body::Status(status) => Ok(format_status(&status)),
@@ -13,7 +13,7 @@
     }
 }
 
-/// A line for each region, then one for each rejection.
+/// Formats a line for each region, then one for each rejection.
 fn format_status(status: &Status) -> String {
     let position = format_position(status.position);
     let published = format!("published: {position}, {} resources\n", status.resources);
@@ -23,7 +23,7 @@
 }
 
 fn format_region(region: &RegionStatus, published: Position) -> String {
-    // The publisher's own subscribers are relays, of no region.
+    // The publisher's own subscribers are relays, which report no region.
     let name = if region.region.is_empty() { "relays" } else { region.region.as_str() };
     let nodes: u64 = region.in_force.iter().map(|count| count.nodes).sum();
     let behind = || region.in_force.iter().filter(|count| count.position < published);
--- a/crates/ochrewalk-node/tests/configuration/commands.rs
+++ b/crates/ochrewalk-node/tests/configuration/commands.rs
@@ -160,7 +160,11 @@
         let heartbeat = Body::Heartbeat(Heartbeat { position: position(1, 1), age_ms: 0 });
         let socket = reply_once(Some(heartbeat));
         let ended = config(&[&[command, "--control", socket.path()], more].concat());
-        assert_eq!(ended, Ended::with_error("the publisher answered what was not asked\n"), "{command}");
+        assert_eq!(
+            ended,
+            Ended::with_error("the publisher's reply does not match the request\n"),
+            "{command}"
+        );
         let socket = reply_once(None);
         let ended = config(&[&[command, "--control", socket.path()], more].concat());
         let error = format!("{}: no answer that can be read\n", socket.path());
