--- a/crates/ochrewalk-node/benches/configuration.rs
+++ b/crates/ochrewalk-node/benches/configuration.rs
@@ -1,5 +1,5 @@
-//! How long an update takes to be checked and put together at a node, by the thread of its agent, and how long the swap
-//! takes that requests may meet: by the number of routes and tenants that the node holds.
+//! Measures, by the number of routes and tenants of a node, how long its agent's thread takes to check and apply an update,
+//! and how long the exchange of the rules takes, which may delay requests.
 
 use ochrewalk_distribution::messages::{Position, Resource};
 use ochrewalk_distribution::CompleteUpdate;
@@ -13,7 +13,7 @@
 const UPDATES: u64 = 200;
 
 fn update(revision: u64, is_snapshot: bool, changes: &str) -> CompleteUpdate {
-    let changes = read_changes(changes, "changes").expect("sound").into_iter();
+    let changes = read_changes(changes, "changes").expect("the changes are valid").into_iter();
     CompleteUpdate {
         position: Position { epoch: 1, revision },
         is_snapshot,
@@ -37,9 +37,9 @@
         let mut text = String::new();
         (0..routes).for_each(|route| text.push_str(&format!("route shop GET /shop/{route}/items look\n")));
         (0..tenants).for_each(|tenant| text.push_str(&format!("quota tenant-{tenant} 5\n")));
-        let began = Instant::now();
-        let first = node.apply(&update(1, true, &text)).expect("fits");
-        let snapshot = began.elapsed();
+        let started = Instant::now();
+        let first = node.apply(&update(1, true, &text)).expect("the update fits the node");
+        let snapshot = started.elapsed();
         let in_force: Mutex<Arc<Rules>> = Mutex::new(Arc::new(first.rules));
         let (mut updates, mut swaps) = (Vec::new(), Vec::new());
         for revision in 2..UPDATES + 2 {
@@ -49,12 +49,13 @@
                 revision % tenants
             );
             let update = update(revision, false, &changes);
-            let began = Instant::now();
-            let next = Arc::new(node.apply(&update).expect("fits").rules);
-            updates.push(began.elapsed());
-            let began = Instant::now();
-            let before = std::mem::replace(&mut *in_force.lock().expect("not broken"), next);
-            swaps.push(began.elapsed());
+            let started = Instant::now();
+            let next = Arc::new(node.apply(&update).expect("the update fits the node").rules);
+            updates.push(started.elapsed());
+            let started = Instant::now();
+            let before =
+                std::mem::replace(&mut *in_force.lock().expect("no panic occurs under this lock"), next);
+            swaps.push(started.elapsed());
             drop(before);
         }
         println!(
--- a/crates/ochrewalk-node/benches/pause.rs
+++ b/crates/ochrewalk-node/benches/pause.rs
@@ -1,5 +1,6 @@
-//! What tokens add to an upgrade's pause: all of them written down and taken in it, against those that changed since the
-//! others went ahead; and the longest moment that a piece sent ahead holds everybody up.
+//! Measures how long idempotency keys extend the pause of an upgrade: all keys exported and imported during the pause,
+//! compared with only those that changed since the others were sent ahead; and the longest time for which the export of a
+//! batch ahead of the pause delays all RPCs.
 //! `cargo bench -p ochrewalk-node`
 
 use ochrewalk_node::handover::records::{IdempotencyKeyRecord, IdempotencyKeyRecords};
@@ -7,13 +8,13 @@
 use prost::Message;
 use std::time::Instant;
 
-/// Settled between the first piece and the pause.
+/// The number of keys that change between the first batch and the pause.
 const CHANGED: u64 = 1_000;
-const PIECE: usize = 1_000;
+const BATCH_KEYS: usize = 1_000;
 const RESULT: &str =
     "\"0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890\"";
 
-fn filled(count: u64) -> IdempotencyKeyStore {
+fn store_with(count: u64) -> IdempotencyKeyStore {
     let mut keys = IdempotencyKeyStore::new(usize::MAX);
     for number in 0..count {
         settle(&mut keys, number);
@@ -22,16 +23,19 @@
 }
 
 fn settle(keys: &mut IdempotencyKeyStore, number: u64) {
-    let token: std::sync::Arc<str> = format!("{number:032x}").into();
+    let key: std::sync::Arc<str> = format!("{number:032x}").into();
     let holder = format!("{number:016x}");
-    keys.remember(token.clone(), number, holder.as_str().into(), 1_764_576_000_000 + number);
-    keys.record_outcome(&token, &holder, KeyState::Served(RESULT.into()));
+    keys.remember(key.clone(), number, holder.as_str().into(), 1_764_576_000_000 + number);
+    keys.record_outcome(&key, &holder, KeyState::Served(RESULT.into()));
 }
 
-/// Through bytes and into the next program's table.
-fn pass(tokens: Vec<IdempotencyKeyRecord>, gone: &[String], to: &mut IdempotencyKeyStore) {
-    let bytes = IdempotencyKeyRecords { keys: tokens }.encode_to_vec();
-    to.import(IdempotencyKeyRecords::decode(bytes.as_slice()).expect("just written").keys, gone);
+/// Encodes and decodes records, and imports them into the store of the successor.
+fn transfer(keys: Vec<IdempotencyKeyRecord>, removed: &[String], to: &mut IdempotencyKeyStore) {
+    let bytes = IdempotencyKeyRecords { keys }.encode_to_vec();
+    to.import(
+        IdempotencyKeyRecords::decode(bytes.as_slice()).expect("the bytes were just encoded").keys,
+        removed,
+    );
 }
 
 fn ms(from: Instant) -> f64 {
@@ -39,33 +43,35 @@
 }
 
 fn main() {
-    println!("tokens     all at once ms   ahead ms   longest piece ms   at the pause ms   sweep us");
+    println!("keys       all at once ms   ahead ms   longest batch ms   in the pause ms   sweep us");
     for count in [1_000, 10_000, 100_000, 1_000_000] {
-        let mut keys = filled(count);
+        let mut keys = store_with(count);
         let from = Instant::now();
         let mut next = IdempotencyKeyStore::new(usize::MAX);
-        pass(keys.export_all(), &[], &mut next);
+        transfer(keys.export_all(), &[], &mut next);
         let at_once = ms(from);
         let (mut next, mut after, mut longest, from) =
             (IdempotencyKeyStore::new(usize::MAX), None, 0.0f64, Instant::now());
         loop {
-            let held = Instant::now();
-            let piece = keys.export_batch(after.as_ref(), PIECE);
-            longest = longest.max(ms(held));
-            let Some((tokens, last)) = piece else { break };
-            pass(tokens, &[], &mut next);
+            let started = Instant::now();
+            let batch = keys.export_batch(after.as_ref(), BATCH_KEYS);
+            longest = longest.max(ms(started));
+            let Some((records, last)) = batch else { break };
+            transfer(records, &[], &mut next);
             after = Some(last);
         }
         let ahead = ms(from);
         (count..count + CHANGED).for_each(|number| settle(&mut keys, number));
         let from = Instant::now();
-        let (changed, gone) = keys.export_changed();
-        pass(changed, &gone, &mut next);
-        let still = ms(from);
+        let (changed, removed) = keys.export_changed();
+        transfer(changed, &removed, &mut next);
+        let in_pause = ms(from);
         let from = Instant::now();
         (0..100).for_each(|_| keys.remove_expired(1_764_576_000_000));
         let sweep_us = ms(from) * 10.0;
-        println!("{count:<10} {at_once:>14.1} {ahead:>10.1} {longest:>18.2} {still:>22.1} {sweep_us:>10.2}");
+        println!(
+            "{count:<10} {at_once:>14.1} {ahead:>10.1} {longest:>18.2} {in_pause:>22.1} {sweep_us:>10.2}"
+        );
         assert_eq!(next.export_all().len(), keys.export_all().len());
     }
 }
