--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -1,4 +1,4 @@
-//! The agent inside this process: what it starts with from the state file, what it applies, and what it reports.
+//! Tests the agent inside the test process: the state restored from the state file, and the updates applied and reported.
 
 use crate::control_plane::wait_until;
 use crate::helper::{file, listener, unix_ms};
@@ -23,11 +23,12 @@
 const NODE: &str = "n3";
 const SEED: u64 = 7;
 const MAX_TENANTS: usize = 2;
-/// How long ago the state files of these tests were written, and how much later a busy machine may get to reading them.
-const WRITTEN_AGO_S: u64 = 100;
-const LATE_S: u64 = 60;
+/// The age of the state files that these tests write.
+const STATE_AGE_S: u64 = 100;
+/// The delay after which a busy machine may read a state file.
+const MAX_DELAY_S: u64 = 60;
 
-/// A folder for a state file, removed at the end.
+/// A folder for a state file, which is removed when this value is dropped.
 struct StateFolder(PathBuf);
 
 impl StateFolder {
@@ -69,19 +70,19 @@
 }
 
 fn written_ms() -> u64 {
-    unix_ms() - WRITTEN_AGO_S * 1_000
+    unix_ms() - STATE_AGE_S * 1_000
 }
 
-/// The log with `AGE` in the place of the age of the state file, which is checked.
+/// Checks the age of the state file in the log, and replaces it by `AGE`.
 fn without_age(log: &str) -> String {
     let (before, after) = log.split_once(" s ago").unwrap();
     let (before, age_s) = before.rsplit_once(' ').unwrap();
     let age_s: u64 = age_s.parse().unwrap();
-    assert!((WRITTEN_AGO_S..WRITTEN_AGO_S + LATE_S).contains(&age_s), "{log}");
+    assert!((STATE_AGE_S..STATE_AGE_S + MAX_DELAY_S).contains(&age_s), "{log}");
     format!("{before} AGE s ago{after}")
 }
 
-/// A state file with a snapshot of revision 1, of which `text` is the content.
+/// Writes a state file with a snapshot of revision 1 and the resources of `text`.
 fn written(path: &Path, text: &str) -> StateFile {
     let mut state = StateFile::new(path, NODE);
     let resources = changes(1, text);
@@ -104,7 +105,7 @@
     NodeConfiguration::new(methods, node_file("/file"), 100)
 }
 
-/// An agent that follows `relays`, and what it applied in its order.
+/// Returns an agent that follows `relays`, and a receiver of the configurations that it activates.
 fn prepared(
     relays: &[&TcpListener],
     snapshot: Option<PathBuf>,
@@ -126,7 +127,7 @@
     matches!(in_force.rules.routes.find(b"GET", path.as_bytes()).unwrap(), Found::Method(_))
 }
 
-/// What is logged by this thread while `run` runs.
+/// Returns the lines that this thread logs while `run` runs.
 fn logged(run: impl FnOnce()) -> String {
     #[derive(Clone, Default)]
     struct Lines(Arc<Mutex<Vec<u8>>>);
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_persisted_state_is_applied_at_once_as_one() {
+fn a_persisted_state_is_applied_at_once_in_one_step() {
     let (first, second) = (listener(), listener());
     let folder = StateFolder::new();
     let mut state = written(&folder.state(), "route shop GET /a look\nquota acme 5\nquota other 1\n");
@@ -337,7 +338,7 @@
 }
 
 #[test]
-fn a_quota_that_makes_room_for_another_is_forgotten_in_force_and_in_the_state_file() {
+fn a_quota_that_is_replaced_in_the_cache_is_removed_in_force_and_in_the_state_file() {
     let (first, second) = (listener(), listener());
     let folder = StateFolder::new();
     written(&folder.state(), "quota a 1\nquota b 2\n");
@@ -347,7 +348,7 @@
     agent.start().unwrap();
     let mut relay = accept_from_either(&first, &second);
     relay.receive_subscribe();
-    // The state file is written anew, with a snapshot, once something is applied.
+    // The state file is replaced, with a snapshot, by the first update that is applied.
     relay.send(update(2, Some(at(1)), "route shop GET /a look\n"));
     assert_eq!(report(&mut relay).applied, at(2));
     assert!(is_routed(&applied.recv_timeout(TIMEOUT).unwrap(), "/a"));
@@ -363,7 +364,7 @@
 }
 
 #[test]
-fn a_replaced_file_is_applied_beside_what_was_distributed() {
+fn a_replaced_file_is_applied_together_with_distributed_resources() {
     let (first, second) = (listener(), listener());
     let folder = StateFolder::new();
     written(&folder.state(), "route shop GET /a look\nroute shop GET /b look\n");
--- a/crates/ochrewalk-node/tests/configuration/commands.rs
+++ b/crates/ochrewalk-node/tests/configuration/commands.rs
@@ -1,4 +1,4 @@
-//! What each command of `ochrewalk config` prints, to which stream, and the code that it exits with.
+//! Tests the output of each command of `ochrewalk config`, its stream and its exit code.
 
 use crate::control_plane::{wait_until, ControlPlane, Process};
 use crate::helper::{file, own_address, program};
@@ -9,36 +9,36 @@
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 
-/// What the clap library exits with where the command line is wrong.
-const WRONG_COMMAND_LINE: i32 = 2;
+/// The exit code of the clap library for an invalid command line.
+const INVALID_COMMAND_LINE: i32 = 2;
 
-/// How a command ended.
+/// The exit code and output of a command.
 #[derive(Debug, PartialEq, Eq)]
-struct Ended {
+struct Exited {
     code: i32,
     stdout: String,
     stderr: String,
 }
 
-impl Ended {
-    fn with_output(stdout: &str) -> Ended {
-        Ended { code: 0, stdout: stdout.into(), stderr: String::new() }
+impl Exited {
+    fn with_output(stdout: &str) -> Exited {
+        Exited { code: 0, stdout: stdout.into(), stderr: String::new() }
     }
 
-    fn with_error(stderr: &str) -> Ended {
-        Ended { code: 1, stdout: String::new(), stderr: stderr.into() }
+    fn with_error(stderr: &str) -> Exited {
+        Exited { code: 1, stdout: String::new(), stderr: stderr.into() }
     }
 }
 
 /// Runs `ochrewalk config` with these arguments until it ends.
-fn config(arguments: &[&str]) -> Ended {
+fn config(arguments: &[&str]) -> Exited {
     let mut command = program(&[&["config"], arguments].concat());
     let output = command.env_remove("OCHREWALK_LOG").env_remove("OCHREWALK_LOG_FORMAT").output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    Ended { code: output.status.code().unwrap(), stdout: text(output.stdout), stderr: text(output.stderr) }
+    Exited { code: output.status.code().unwrap(), stdout: text(output.stdout), stderr: text(output.stderr) }
 }
 
-/// A file that a test made, or wants another program to make; removed at the end.
+/// A file that a test or a program under test creates. Removed when this value is dropped.
 struct TestFile(PathBuf);
 
 impl TestFile {
@@ -46,7 +46,7 @@
         TestFile(file(text))
     }
 
-    /// A path at which there is nothing yet.
+    /// Returns a path without a file.
     fn missing() -> TestFile {
         let path = file("");
         std::fs::remove_file(&path).unwrap();
@@ -72,7 +72,7 @@
     Position { epoch, revision }
 }
 
-/// The commands that send a request to the publisher, without its socket.
+/// Returns the commands that send a request to the publisher, without the option for its socket.
 fn requests(changes: &TestFile) -> [Vec<&str>; 4] {
     let path = changes.path();
     [vec!["publish", path], vec!["diff", path], vec!["status"], vec!["rollback", "--to", "1.1"]]
@@ -82,7 +82,7 @@
 fn each_command_prints_its_result_and_exits_with_0() {
     let control_plane = ControlPlane::start();
     let control = control(&control_plane);
-    let ask = |command, path: &str| config(&[command, "--control", &control, path]);
+    let run = |command, path: &str| config(&[command, "--control", &control, path]);
     let first = TestFile::with(
         "route shop GET /a look\nquota acme 5\nendpoint shop 10.0.0.1:80 1.5 east\n\
          limit shop usual-memory-kb 20\n",
@@ -91,9 +91,9 @@
         "against 1.0:\nroute shop GET /a: nothing becomes look\nquota acme: nothing becomes 5 a second\n\
                 endpoint shop 10.0.0.1:80: nothing becomes weight 1.5 in east\n\
                 limit shop usual-memory-kb: nothing becomes 20\n";
-    assert_eq!(ask("diff", first.path()), Ended::with_output(diff));
-    assert_eq!(ask("publish", first.path()), Ended::with_output("published 4 changes as 1.1\n"));
-    assert_eq!(ask("diff", first.path()), Ended::with_output("against 1.1:\n"));
+    assert_eq!(run("diff", first.path()), Exited::with_output(diff));
+    assert_eq!(run("publish", first.path()), Exited::with_output("published 4 changes as 1.1\n"));
+    assert_eq!(run("diff", first.path()), Exited::with_output("against 1.1:\n"));
     let second = TestFile::with(
         "route shop GET /a sale\nquota acme 7.25\ndelete endpoint shop 10.0.0.1:80\n\
          limit shop usual-memory-kb 30\n",
@@ -102,19 +102,19 @@
                 quota acme: 5 a second becomes 7.25 a second\n\
                 endpoint shop 10.0.0.1:80: weight 1.5 in east becomes nothing\n\
                 limit shop usual-memory-kb: 20 becomes 30\n";
-    assert_eq!(ask("diff", second.path()), Ended::with_output(diff));
+    assert_eq!(run("diff", second.path()), Exited::with_output(diff));
     let expecting = ["publish", "--control", &control, "--expect", "1.1", second.path()];
-    assert_eq!(config(&expecting), Ended::with_output("published 4 changes as 1.2\n"));
+    assert_eq!(config(&expecting), Exited::with_output("published 4 changes as 1.2\n"));
     let rollback = ["rollback", "--control", &control, "--to", "1.1"];
-    assert_eq!(config(&rollback), Ended::with_output("published as 1.3\n"));
+    assert_eq!(config(&rollback), Exited::with_output("published as 1.3\n"));
     let caught_up = "published: 1.3, 4 resources\nrelays: 2 nodes at 1.3\n";
     wait_until("both relays have 1.3", || {
-        config(&["status", "--control", &control]) == Ended::with_output(caught_up)
+        config(&["status", "--control", &control]) == Exited::with_output(caught_up)
     });
 }
 
 #[test]
-fn a_file_with_faults_is_refused_with_all_of_them_before_the_publisher_is_asked() {
+fn a_file_with_faults_is_refused_with_all_of_them_before_a_request_is_sent() {
     let changes = TestFile::with("route shop get /b look\nquota acme 5\nquota\n");
     let no_publisher = TestFile::missing();
     let path = changes.path();
@@ -123,15 +123,15 @@
          {path}:3: quota with 1 words; write quota TENANT PER-SECOND\n"
     );
     for command in ["publish", "diff"] {
-        let ended = config(&[command, "--control", no_publisher.path(), path]);
-        assert_eq!(ended, Ended::with_error(&faults), "{command}");
+        let exited = config(&[command, "--control", no_publisher.path(), path]);
+        assert_eq!(exited, Exited::with_error(&faults), "{command}");
     }
 }
 
 #[test]
 fn a_missing_file_or_socket_is_named() {
     let (changes, missing) = (TestFile::with("quota acme 5\n"), TestFile::missing());
-    let error = Ended::with_error(&format!("{}: No such file or directory (os error 2)\n", missing.path()));
+    let error = Exited::with_error(&format!("{}: No such file or directory (os error 2)\n", missing.path()));
     for command in ["publish", "diff"] {
         assert_eq!(config(&[command, "--control", "/nowhere", missing.path()]), error, "{command}");
         assert_eq!(config(&[command, "--control", missing.path(), changes.path()]), error, "{command}");
@@ -147,8 +147,8 @@
         let reasons = vec!["the first reason".into(), "the second".into()];
         let socket = reply_once(Some(Body::Refused(Refused { reasons })));
         let (command, more) = arguments.split_first().unwrap();
-        let ended = config(&[&[command, "--control", socket.path()], more].concat());
-        assert_eq!(ended, Ended::with_error("refused: the first reason\nthe second\n"), "{command}");
+        let exited = config(&[&[command, "--control", socket.path()], more].concat());
+        assert_eq!(exited, Exited::with_error("refused: the first reason\nthe second\n"), "{command}");
     }
 }
 
@@ -159,31 +159,31 @@
         let (command, more) = arguments.split_first().unwrap();
         let heartbeat = Body::Heartbeat(Heartbeat { position: position(1, 1), age_ms: 0 });
         let socket = reply_once(Some(heartbeat));
-        let ended = config(&[&[command, "--control", socket.path()], more].concat());
+        let exited = config(&[&[command, "--control", socket.path()], more].concat());
         assert_eq!(
-            ended,
-            Ended::with_error("the publisher's reply does not match the request\n"),
+            exited,
+            Exited::with_error("the publisher's reply does not match the request\n"),
             "{command}"
         );
         let socket = reply_once(None);
-        let ended = config(&[&[command, "--control", socket.path()], more].concat());
+        let exited = config(&[&[command, "--control", socket.path()], more].concat());
         let error = format!("{}: no answer that can be read\n", socket.path());
-        assert_eq!(ended, Ended::with_error(&error), "{command}");
+        assert_eq!(exited, Exited::with_error(&error), "{command}");
     }
 }
 
 #[test]
-fn a_request_says_what_the_command_line_and_the_file_say() {
+fn a_request_has_the_values_of_the_command_line_and_the_file() {
     let changes = TestFile::with("quota acme 5\ndelete quota other\n");
     let published = || Body::Published(Published { position: position(3, 9) });
     let socket = reply_once(Some(published()));
-    let ended = config(&["publish", "--control", socket.path(), "--expect", "3.8", changes.path()]);
-    assert_eq!(ended, Ended::with_output("published 2 changes as 3.9\n"));
+    let exited = config(&["publish", "--control", socket.path(), "--expect", "3.8", changes.path()]);
+    assert_eq!(exited, Exited::with_output("published 2 changes as 3.9\n"));
     let Body::Publish(publish) = socket.request() else { panic!("another request") };
     assert_eq!((publish.changes.len(), publish.expected), (2, Some(position(3, 8))));
     let socket = reply_once(Some(published()));
-    let ended = config(&["rollback", "--control", socket.path(), "--to", "3.7"]);
-    assert_eq!(ended, Ended::with_output("published as 3.9\n"));
+    let exited = config(&["rollback", "--control", socket.path(), "--to", "3.7"]);
+    assert_eq!(exited, Exited::with_output("published as 3.9\n"));
     let Body::Rollback(rollback) = socket.request() else { panic!("another request") };
     assert_eq!(rollback.to, position(3, 7));
 }
@@ -218,12 +218,12 @@
                 rejected: 2.7 by n3: route shop GET /a: lok is no method here\n\
                 rejected: 2.7 by n8: route shop GET /a: lok is no method here\n\
                 rejected: 2.7 by n9: route shop GET /a: lok is no method here\n";
-    assert_eq!(config(&["status", "--control", socket.path()]), Ended::with_output(text));
+    assert_eq!(config(&["status", "--control", socket.path()]), Exited::with_output(text));
 }
 
 #[test]
-fn a_wrong_command_line_is_explained_and_exits_with_2() {
-    let wrong_position = |text: &str, option| {
+fn an_invalid_command_line_is_explained_and_exits_with_2() {
+    let invalid_position = |text: &str, option| {
         format!(
             "error: invalid value '{text}' for '{option} <EPOCH.REVISION>': {text} is no revision; \
              write one such as 1.42\n\nFor more information, try '--help'.\n"
@@ -231,17 +231,17 @@
     };
     for text in ["1", "x.1", "1.x", "1.2.3", "-1.2"] {
         let to = format!("--to={text}");
-        let ended = config(&["rollback", "--control", "/nowhere", &to]);
-        assert_eq!((ended.code, ended.stdout.as_str()), (WRONG_COMMAND_LINE, ""), "{text}");
-        assert_eq!(ended.stderr, wrong_position(text, "--to"));
+        let exited = config(&["rollback", "--control", "/nowhere", &to]);
+        assert_eq!((exited.code, exited.stdout.as_str()), (INVALID_COMMAND_LINE, ""), "{text}");
+        assert_eq!(exited.stderr, invalid_position(text, "--to"));
         let expect = format!("--expect={text}");
-        let ended = config(&["publish", "--control", "/nowhere", &expect, "/nowhere"]);
-        assert_eq!(ended.code, WRONG_COMMAND_LINE, "{text}");
-        assert_eq!(ended.stderr, wrong_position(text, "--expect"));
+        let exited = config(&["publish", "--control", "/nowhere", &expect, "/nowhere"]);
+        assert_eq!(exited.code, INVALID_COMMAND_LINE, "{text}");
+        assert_eq!(exited.stderr, invalid_position(text, "--expect"));
     }
     for arguments in [&[][..], &["bogus"], &["serve"], &["relay", "--name", "east-1"], &["status"]] {
-        let ended = config(arguments);
-        assert_eq!((ended.code, ended.stdout.as_str()), (WRONG_COMMAND_LINE, ""), "{arguments:?}");
+        let exited = config(arguments);
+        assert_eq!((exited.code, exited.stdout.as_str()), (INVALID_COMMAND_LINE, ""), "{arguments:?}");
     }
 }
 
@@ -249,16 +249,16 @@
 fn the_help_names_each_command_and_option_as_before() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/config_help");
     let help = |name: &str| std::fs::read_to_string(folder.join(name).with_extension("txt")).unwrap();
-    assert_eq!(config(&["--help"]), Ended::with_output(&help("all")));
+    assert_eq!(config(&["--help"]), Exited::with_output(&help("all")));
     for command in ["serve", "relay", "publish", "diff", "status", "rollback"] {
-        assert_eq!(config(&[command, "--help"]), Ended::with_output(&help(command)), "{command}");
+        assert_eq!(config(&[command, "--help"]), Exited::with_output(&help(command)), "{command}");
     }
     let version = concat!("ochrewalk config ", env!("CARGO_PKG_VERSION"), "\n");
-    assert_eq!(config(&["--version"]), Ended::with_output(version));
+    assert_eq!(config(&["--version"]), Exited::with_output(version));
 }
 
 #[test]
-fn a_publisher_or_relay_that_cannot_start_says_why_and_exits_with_1() {
+fn a_publisher_or_relay_that_cannot_start_prints_the_reason_and_exits_with_1() {
     let control_plane = ControlPlane::start();
     let (taken, free) = (control_plane.publisher_address.as_str(), own_address(7103));
     let path = |name: &str| control_plane.folder.join(name).to_str().unwrap().to_string();
@@ -267,23 +267,23 @@
         config(&["--log", "error", "serve", "--listen", listen, "--control", control, "--log-file", log])
     };
     let address_in_use = format!("cannot listen on {taken}: Address already in use (os error 98)\n");
-    assert_eq!(serve(taken, &control, &log), Ended::with_error(&address_in_use));
+    assert_eq!(serve(taken, &control, &log), Exited::with_error(&address_in_use));
     let nowhere = path("no-folder/file");
     let no_control = format!("{nowhere}: No such file or directory (os error 2)\n");
-    assert_eq!(serve(&free, &nowhere, &log), Ended::with_error(&no_control));
+    assert_eq!(serve(&free, &nowhere, &log), Exited::with_error(&no_control));
     let no_log =
         format!("{nowhere}: the log cannot be opened: I/O error: No such file or directory (os error 2)\n");
-    assert_eq!(serve(&free, &control, &nowhere), Ended::with_error(&no_log));
+    assert_eq!(serve(&free, &control, &nowhere), Exited::with_error(&no_log));
     let log_in_use = path("log");
     let is_open =
         format!("{log_in_use}: the log cannot be opened: Database already open. Cannot acquire lock.\n");
-    assert_eq!(serve(&free, &control, &log_in_use), Ended::with_error(&is_open));
+    assert_eq!(serve(&free, &control, &log_in_use), Exited::with_error(&is_open));
     let relay = ["--log", "error", "relay", "--name", "east-3", "--region", "east"];
-    let ended = config(&[&relay[..], &["--listen", taken, "--publisher", taken]].concat());
-    assert_eq!(ended, Ended::with_error(&address_in_use));
+    let exited = config(&[&relay[..], &["--listen", taken, "--publisher", taken]].concat());
+    assert_eq!(exited, Exited::with_error(&address_in_use));
 }
 
-/// Starts a process, waits until its standard error has `line`, sends the signal, and gives its exit code.
+/// Starts a process, waits until its standard error has `line`, sends the signal, and returns the exit code.
 fn exit_code_after(signal: &str, arguments: &[&str], line: &str) -> Option<i32> {
     let log = TestFile::with("");
     let stderr = std::fs::File::create(&log.0).unwrap();
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn publisher_and_relay_log_where_they_listen_and_exit_with_0_on_a_signal() {
+fn publisher_and_relay_log_their_addresses_and_exit_with_0_on_a_signal() {
     let (control, log) = (TestFile::missing(), TestFile::missing());
     for signal in ["-TERM", "-INT"] {
         let listen = own_address(7104);
--- a/crates/ochrewalk-node/tests/configuration/control_plane.rs
+++ b/crates/ochrewalk-node/tests/configuration/control_plane.rs
@@ -1,25 +1,25 @@
-//! A publisher and its relays as processes.
+//! Runs a publisher and its relays as processes.
 
 use crate::helper::{file, own_address, program};
 use std::path::PathBuf;
 use std::process::{Child, Output, Stdio};
 use std::time::Duration;
 
-/// How often a condition is checked, 20 ms apart, before a test fails: for half a minute.
+/// The number of checks of a condition, 20 ms apart, before a test fails: half a minute in total.
 pub const MAX_CHECKS: u32 = 1_500;
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-pub fn wait_until(what: &str, mut is_true: impl FnMut() -> bool) {
+pub fn wait_until(condition: &str, mut is_true: impl FnMut() -> bool) {
     for _ in 0..MAX_CHECKS {
         if is_true() {
             return;
         }
         std::thread::sleep(CHECK_INTERVAL);
     }
-    panic!("not seen in time: {what}");
+    panic!("not reached in time: {condition}");
 }
 
-/// A process of the control plane, killed at the end.
+/// A process of the control plane, which is killed when this value is dropped.
 pub struct Process(pub Child);
 
 impl Process {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A publisher and two relays of region east.
+/// A publisher and two relays of the region east.
 pub struct ControlPlane {
     pub folder: PathBuf,
     pub publisher_address: String,
@@ -85,7 +85,7 @@
         program(&all).output().unwrap()
     }
 
-    /// Runs a command with a file of changes. Returns what it printed, and whether it succeeded.
+    /// Runs a command with a file of changes. Returns the output, and whether the command succeeded.
     pub fn run_with_changes(&self, command: &str, changes: &str) -> (String, bool) {
         let path = file(changes);
         let output = self.run(&[command, path.to_str().unwrap()]);
@@ -104,7 +104,7 @@
         String::from_utf8(self.run(&["status"]).stdout).unwrap()
     }
 
-    /// The lines by which a node follows this control plane.
+    /// Returns the directives by which a node follows this control plane.
     pub fn directives(&self, more: &str) -> String {
         let [first, second] = &self.relay_addresses;
         format!("config relay {first}\nconfig relay {second}\nconfig region east\nconfig scope shop\n{more}")
--- a/crates/ochrewalk-node/tests/configuration/main.rs
+++ b/crates/ochrewalk-node/tests/configuration/main.rs
@@ -1,5 +1,5 @@
-//! The real program and a control plane of real processes on loopback: what is published is in force in a running node,
-//! what is wrong is rejected and seen, and without any relay the node serves on.
+//! Tests a node process with a control plane of processes on loopback: published changes are in force in the node, invalid
+//! ones are rejected and reported, and the node continues to serve without any relay.
 
 #[path = "../helper/mod.rs"]
 mod helper;
--- a/crates/ochrewalk-node/tests/configuration/node.rs
+++ b/crates/ochrewalk-node/tests/configuration/node.rs
@@ -1,10 +1,10 @@
-//! A node that follows a control plane, and its clients.
+//! Starts a node that follows a control plane, and sends requests to it.
 
 use crate::helper::{req, Peer, Stand};
 use ochrewalk_lab::ajp::{Call, Peer as Ajp};
 use std::time::Duration;
 
-/// Far longer than anything takes that works.
+/// The time limit of every wait, far longer than any successful operation takes.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 pub const LISTENER_DIRECTIVES: &str = "
@@ -28,7 +28,7 @@
     Call { method, uri, headers: vec![("x-request-id", req(number))], secret: None, body: b"" }
 }
 
-/// Whether a path is routed for GET: another HTTP method is then turned down as such, and reaches no executor.
+/// Whether a path is routed for GET. The node then rejects another HTTP method, which reaches no executor.
 pub fn is_routed(stand: &Stand, uri: &str) -> bool {
     let answer = connect(stand).call(&request("PATCH", uri, 1)).unwrap();
     assert!(matches!(answer.status, 404 | 405), "{answer:?}");
--- a/crates/ochrewalk-node/tests/configuration/operator_socket.rs
+++ b/crates/ochrewalk-node/tests/configuration/operator_socket.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a publisher's control socket: it takes one request and replies what the test wants.
+//! A stand-in for a publisher's control socket, which accepts one request and sends the reply that a test specifies.
 
 use crate::helper::file;
 use ochrewalk_control_plane::frame::{encode, FrameDecoder};
@@ -10,7 +10,7 @@
 
 const MAX_REQUEST: usize = 1024 * 1024;
 
-/// The socket, and the request once it came.
+/// The socket, and the thread that returns the request.
 pub struct OperatorSocket {
     path: PathBuf,
     request: JoinHandle<Body>,
@@ -21,7 +21,7 @@
         self.path.to_str().unwrap()
     }
 
-    /// The request that it took.
+    /// Waits for the request.
     pub fn request(self) -> Body {
         self.request.join().unwrap()
     }
@@ -55,7 +55,7 @@
             return body;
         }
         let count = stream.read(&mut chunk).unwrap();
-        assert!(count > 0, "the request is cut off");
+        assert!(count > 0, "the request is truncated");
         decoder.push(&chunk[..count]);
     }
 }
--- a/crates/ochrewalk-node/tests/configuration/outages.rs
+++ b/crates/ochrewalk-node/tests/configuration/outages.rs
@@ -1,11 +1,11 @@
-//! Publishers, relays and nodes that are killed, stopped or replaced.
+//! Tests with publishers, relays and nodes that are killed, stopped or replaced.
 
 use crate::control_plane::{wait_until, ControlPlane, Process};
 use crate::helper::program;
 use crate::node::{is_routed, start_node};
 
 #[test]
-fn a_restarted_publisher_has_all_that_it_acknowledged() {
+fn a_restarted_publisher_has_all_acknowledged_changes() {
     let mut control_plane = ControlPlane::start();
     let (stand, _executor) = start_node(&control_plane.directives(""));
     control_plane.publish("route shop GET /a look\n");
@@ -23,7 +23,8 @@
     let (stand, _executor) = start_node(&control_plane.directives(""));
     control_plane.publish("route shop GET /a look\n");
     wait_until("the first route", || is_routed(&stand, "/a"));
-    // Whichever relay serves: the first is killed, then comes back and the second is stopped.
+    // The first relay is killed; then it is restarted and the second is stopped. Thus the relay that the node follows fails
+    // at least once.
     control_plane.relays[0].kill();
     control_plane.publish("route shop GET /b look\n");
     wait_until("the second route", || is_routed(&stand, "/b"));
@@ -40,7 +41,9 @@
         "--publisher",
         &control_plane.publisher_address,
     ]);
-    wait_until("the relay is back", || control_plane.status().contains("relays: 2 nodes at 1.2\n"));
+    wait_until("the restarted relay catches up", || {
+        control_plane.status().contains("relays: 2 nodes at 1.2\n")
+    });
     let stopped = control_plane.relays[1].0.id().to_string();
     assert!(std::process::Command::new("kill").args(["-STOP", &stopped]).status().unwrap().success());
     control_plane.publish("route shop GET /c look\n");
@@ -48,7 +51,7 @@
 }
 
 #[test]
-fn without_any_relay_a_node_serves_on_also_after_a_restart_and_then_catches_up() {
+fn without_any_relay_a_node_continues_to_serve_also_after_a_restart_and_then_catches_up() {
     let mut control_plane = ControlPlane::start();
     let state = control_plane.folder.join("state");
     let (stand, _executor) =
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn a_successor_has_in_force_what_its_predecessor_had() {
+fn a_successor_has_the_configuration_of_its_predecessor_in_force() {
     let control_plane = ControlPlane::start();
     let path = |name: &str| control_plane.folder.join(name).to_str().unwrap().to_string();
     let (state, control) = (path("state"), path("upgrade"));
--- a/crates/ochrewalk-node/tests/configuration/quotas.rs
+++ b/crates/ochrewalk-node/tests/configuration/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants are fetched by name, on first use.
+//! Tests that quotas of tenants are requested by name at their first use.
 
 use crate::helper::{exec, file, listener, req};
 use crate::node::{connect, start_node};
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpListener};
 
 #[test]
-fn a_tenants_quota_is_fetched_on_first_use_and_known_after_a_restart() {
+fn a_tenants_quota_is_requested_at_first_use_and_restored_after_a_restart() {
     let first = listener();
     let second = listener();
     let at = |listener: &TcpListener| listener.local_addr().unwrap();
@@ -40,7 +40,7 @@
         position,
         base: Some(position),
         resources: vec![resource.clone()],
-        // It answers the one watch of this stream.
+        // The update answers the one watch of this stream.
         watches: 1,
         is_last: true,
         ..Update::default()
@@ -53,7 +53,8 @@
     let stand = stand.again();
     let mut relay = accept_from_either(&first, &second);
     let mut subscribe = relay.receive_subscribe();
-    // The process that was killed may have connected to the other relay before, and named nothing that it had applied.
+    // The process that was killed may have left an earlier connection to the other relay, whose subscription has no applied
+    // position.
     if subscribe.applied.is_none() {
         relay = accept_from_either(&first, &second);
         subscribe = relay.receive_subscribe();
--- a/crates/ochrewalk-node/tests/configuration/relay_stand_in.rs
+++ b/crates/ochrewalk-node/tests/configuration/relay_stand_in.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a relay, which a test drives message by message.
+//! A stand-in for a relay, which a test controls message by message.
 
 use crate::control_plane::{CHECK_INTERVAL, MAX_CHECKS};
 use crate::node::TIMEOUT;
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// A stand-in for a relay, for one node.
+/// The connection of a stand-in for a relay to one node.
 pub struct RelayStandIn {
     stream: TcpStream,
     decoder: FrameDecoder,
@@ -27,7 +27,7 @@
                 return body;
             }
             let count = self.stream.read(&mut chunk).unwrap();
-            assert!(count > 0, "the node has gone");
+            assert!(count > 0, "the node closed the connection");
             self.decoder.push(&chunk[..count]);
         }
     }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Receives the next watch, and passes over reports before it.
+    /// Receives the next watch, and skips reports before it.
     pub fn receive_watch(&mut self) -> Watch {
         loop {
             match self.receive() {
--- a/crates/ochrewalk-node/tests/configuration/updates.rs
+++ b/crates/ochrewalk-node/tests/configuration/updates.rs
@@ -1,4 +1,4 @@
-//! What is published is in force in the nodes that it fits, and in no other.
+//! Tests that published changes are in force in the nodes that they fit, and in no other node.
 
 use crate::control_plane::{wait_until, ControlPlane};
 use crate::helper::{exit, file};
@@ -20,7 +20,7 @@
     peer.send(&request("GET", "/look", 7).whole()).unwrap();
     executor.hear_of(r#""uid":"0000000000000007""#);
     control_plane.publish("delete route shop GET /look\n");
-    wait_until("the route is gone", || !is_routed(&stand, "/look"));
+    wait_until("the route is deleted", || !is_routed(&stand, "/look"));
     executor.say(&exit(1, 7, "complete"));
     let answer = peer.answer().unwrap();
     assert_eq!((answer.status, answer.text().as_str()), (200, "RES"));
@@ -49,7 +49,7 @@
         control_plane.status()
     );
     assert!(is_routed(&stand, "/good") && !is_routed(&stand, "/more") && !is_routed(&stand, "/bad"));
-    // The next batch mends it.
+    // The next batch corrects the route.
     control_plane.publish("route shop GET /bad look\n");
     wait_until("both routes", || is_routed(&stand, "/bad") && is_routed(&stand, "/more"));
     wait_until("the rejection is over", || {
@@ -71,7 +71,7 @@
     assert_eq!(String::from_utf8_lossy(&output.stdout), "published as 1.3\n");
     let (printed, _) = control_plane.run_with_changes("diff", "quota acme 5\nroute shop GET /a look\n");
     assert_eq!(printed, "against 1.3:\n");
-    wait_until("the route is back", || is_routed(&stand, "/a"));
+    wait_until("the route is restored", || is_routed(&stand, "/a"));
     // An operator who expects another revision is refused.
     let path = file("quota acme 9\n");
     let output = control_plane.run(&["publish", "--expect", "1.2", path.to_str().unwrap()]);
--- a/crates/ochrewalk-node/tests/handover_records.rs
+++ b/crates/ochrewalk-node/tests/handover_records.rs
@@ -1,5 +1,5 @@
-//! The records that one process writes for the next, as programs of earlier versions write them: each is read from a
-//! committed file, compared field by field, and written back to the same bytes.
+//! Tests that the records of a hand-over keep the format of earlier versions: each record is decoded from a committed file,
+//! compared field by field, and encoded to the same bytes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,7 +13,7 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-/// Reads a record from its file, and demands that it is written to the same bytes.
+/// Decodes a record from its file, and asserts that it is encoded to the same bytes.
 fn record<M: Message + Default>(name: &str) -> M {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/handover").join(name);
     let bytes = std::fs::read(&path).unwrap_or_else(|err| panic!("{}: {err}", path.display()));
@@ -26,7 +26,7 @@
     assert_eq!(&record::<M>(name), expected, "{name}");
 }
 
-/// A stream between any two bytes, with a value in every field.
+/// Returns a stream record with a value in every field.
 fn stream() -> StreamRecord {
     StreamRecord {
         input: b"half a li".to_vec(),
@@ -38,7 +38,7 @@
     }
 }
 
-fn token(key: &str, state: u32) -> IdempotencyKeyRecord {
+fn key_record(key: &str, state: u32) -> IdempotencyKeyRecord {
     IdempotencyKeyRecord {
         key: key.into(),
         holder: "00000000000000a1".into(),
@@ -50,11 +50,11 @@
     }
 }
 
-/// The sections and their versions are what a successor of another version refuses by.
+/// Guards against a change of the sections and their versions, by which a successor of another version refuses to take over.
 #[test]
 fn the_sections_are_those_of_earlier_programs() {
-    let (at_the_pause, ahead) = records::sections();
-    let named: Vec<(&str, u32)> = at_the_pause.iter().map(|s| (s.name.as_str(), s.version)).collect();
+    let (in_the_pause, ahead) = records::sections();
+    let named: Vec<(&str, u32)> = in_the_pause.iter().map(|s| (s.name.as_str(), s.version)).collect();
     let expected =
         [("node", 1), ("listeners", 1), ("rpcs", 1), ("json", 1), ("ajp", 1), ("executor", 1), ("below", 1)];
     assert_eq!(named, expected);
@@ -62,9 +62,10 @@
     assert_eq!(named, [("tokens", 1)]);
 }
 
-/// The decisions inside have a snapshot test of their own; here their bytes are carried as they are.
+/// Tests the node's record. A separate test covers the snapshot of the admission controller in it, whose bytes are only
+/// copied here.
 #[test]
-fn the_nodes_own_record_keeps_its_format() {
+fn the_record_of_the_node_keeps_its_format() {
     let node: NodeRecord = record("node.bin");
     assert_eq!(node.decisions.as_ref().unwrap().encoded_len(), 2_171);
     let expected = NodeRecord {
@@ -77,15 +78,18 @@
         idle_us: 1_000_001,
         wake_us: 2_000_002,
         wake_token: 42,
-        keys: vec![token("t0", 0), token("t1", 1), token("t2", 2)],
+        keys: vec![key_record("t0", 0), key_record("t1", 1), key_record("t2", 2)],
         removed_keys: vec!["lapsed".into()],
     };
     assert_eq!(node, expected);
 }
 
 #[test]
-fn idempotency_keys_that_go_ahead_keep_their_format() {
-    assert_record("tokens.bin", &IdempotencyKeyRecords { keys: vec![token("a", 0), token("b", 1)] });
+fn idempotency_keys_that_are_sent_ahead_keep_their_format() {
+    assert_record(
+        "tokens.bin",
+        &IdempotencyKeyRecords { keys: vec![key_record("a", 0), key_record("b", 1)] },
+    );
 }
 
 #[test]
@@ -120,9 +124,9 @@
         call: None,
         client: Some(ClientAddress { by_ajp: true, connection: 4, message_id: String::new(), serial: 12 }),
     };
-    // Its caller is gone: nothing is owed, and its run has not ended.
-    let unowed = RpcRecord { id: "00000000000000a3".into(), running: true, ..RpcRecord::default() };
-    assert_record("rpcs.bin", &RpcRecords { rpcs: vec![by_json, by_ajp, unowed] });
+    // The client has disconnected, so that no answer is awaited, and the run has not ended.
+    let without_client = RpcRecord { id: "00000000000000a3".into(), running: true, ..RpcRecord::default() };
+    assert_record("rpcs.bin", &RpcRecords { rpcs: vec![by_json, by_ajp, without_client] });
 }
 
 #[test]
@@ -174,11 +178,11 @@
         good: true,
     };
     let health = AjpRequestRecord { health: true, ts_ms: 1_796_000_000_789, ..AjpRequestRecord::default() };
-    let asked_for_health =
+    let with_health_check =
         AjpConnectionRecord { number: 5, state: 4, request: Some(health), ..AjpConnectionRecord::default() };
     assert_record(
         "ajp.bin",
-        &AjpConnectionRecords { connections: vec![in_body, asked_for_health], next_number: 6 },
+        &AjpConnectionRecords { connections: vec![in_body, with_health_check], next_number: 6 },
     );
 }
 
@@ -195,7 +199,7 @@
         paused: vec!["look".into(), "sale".into()],
     };
     assert_record("executor.bin", &linked);
-    // Without a link only commands that wait for one.
+    // Without a link the record has only commands that are queued for one.
     let unlinked = ExecutorRecord { waiting: vec![b"{}\n".to_vec()], ..ExecutorRecord::default() };
     assert_record("executor-unlinked.bin", &unlinked);
 }
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -1,4 +1,4 @@
-//! What an update of the distributed configuration changes in a node, and what is refused as a whole.
+//! Tests the effects of updates of the distributed configuration on a node, and the updates that are rejected as a whole.
 
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
 use ochrewalk_distribution::CompleteUpdate;
@@ -65,7 +65,7 @@
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
     assert_eq!(finds(&in_force, "POST", "/b"), Found::Method(1));
     assert_eq!(finds(&in_force, "GET", "/file"), Found::Method(0));
-    // One goes, and another takes its path in the same update.
+    // A route is deleted, and another one with the same path is added in the same update.
     let in_force = node.apply(&update(2, "delete route shop GET /a\nroute till GET /a/ look")).unwrap();
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
     let in_force = node.apply(&update(3, "delete route till GET /a/\nroute shop POST /b look")).unwrap();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_update_with_one_wrong_change_changes_nothing() {
+fn an_update_with_one_invalid_change_changes_nothing() {
     let good = "route shop GET /a look\nquota acme 5\n";
     for (wrong, text) in [
         (
@@ -120,7 +120,7 @@
         UpdateError::NoEndpoints { endpoint: endpoint_name("shop", "10.0.0.1:80".parse().unwrap()) }
     );
     assert!(node.apply(&snapshot(1, "quota acme 1")).is_ok());
-    // Nothing ever leads back.
+    // An older update is rejected.
     assert!(matches!(node.apply(&update(0, "quota acme 2")), Err(UpdateError::Apply(_))));
 }
 
@@ -142,12 +142,12 @@
     let ids: std::collections::BTreeSet<u32> =
         ["acme", "other", "nobody"].iter().map(|tenant| quota(&in_force, tenant).unwrap().id).collect();
     assert_eq!(ids.len(), 3);
-    // Deleted and made again: the number stays, so that what was charged stays, too.
+    // A quota that is deleted and added again keeps its number, so that the charges to it remain.
     let in_force = node.apply(&update(3, "delete quota acme")).unwrap();
     assert_eq!(quota(&in_force, "acme"), None);
     let in_force = node.apply(&update(4, "quota acme 2")).unwrap();
     assert_eq!(quota(&in_force, "acme").unwrap().id, acme.id);
-    // One that is let go is not there any more, and its number is not given to another.
+    // A removed quota is no longer cached, and its number is not assigned to another tenant.
     let in_force = node.forget_quotas(["acme"]);
     assert!(!in_force.quotas.contains_key("acme"));
     let in_force = node.apply(&update(5, "quota late 1")).unwrap();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_changed_file_leaves_what_was_distributed_in_force_and_names_what_it_overrides() {
+fn a_changed_file_leaves_distributed_resources_in_force_and_reports_those_that_it_overrides() {
     let mut node = node();
     node.apply(&snapshot(1, "route shop GET /a look\nroute shop GET /b look")).unwrap();
     let ReplacedFile { in_force, overridden } =
@@ -190,7 +190,7 @@
         assert_eq!(finds(&in_force, "GET", path), Found::Method(0), "{path}");
     }
     assert_eq!(finds(&in_force, "GET", "/file"), Found::NoRoute);
-    // What is left out does not take the file's route with it when it goes.
+    // The deletion of an overridden route does not remove the file's route.
     let in_force = node.apply(&update(2, "delete route shop GET /a\ndelete route shop GET /b")).unwrap();
     assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
     assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn cached_quotas_are_listed_up_to_a_number_and_say_whether_there_is_one() {
+fn cached_quotas_are_listed_up_to_a_limit_and_state_whether_there_is_a_quota() {
     let mut node = node();
     let mut first = snapshot(1, "quota acme 5\nquota other 1");
     first.absent = vec![quota_name("nobody")];
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_snapshot_forgets_which_routes_the_file_overrode() {
+fn a_snapshot_resets_which_routes_the_file_overrides() {
     let mut node = node();
     node.apply(&snapshot(1, "route shop GET /a look")).unwrap();
     let ReplacedFile { overridden, .. } = node.replace_file(file(&[("GET", "/a", 0)]));
--- a/crates/ochrewalk-node/tests/rollout.rs
+++ b/crates/ochrewalk-node/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! Rollouts of real processes, with the controller as a process of its own and faults between them: every call has one answer,
-//! nothing runs twice that may not, and the rollout ends as it should. Counts and rules are asserted, no times.
+//! Tests rollouts of node processes by a controller process, with injected faults: every call has one answer, no RPC runs
+//! twice that must not, and the rollout has the expected end. The tests assert counts and rules, and no times.
 
 use ochrewalk_lab::changes::{another, play, Outcome, Plan, Subject, Trouble};
 use std::path::{Path, PathBuf};
@@ -10,8 +10,8 @@
 const OLD: &str = env!("CARGO_BIN_EXE_ochrewalk");
 const NODES: usize = 8;
 
-/// The same program in another file, made once.
-fn new() -> &'static Path {
+/// Creates a copy of the program with another fingerprint, once for all tests.
+fn new_program() -> &'static Path {
     static NEW: OnceLock<PathBuf> = OnceLock::new();
     NEW.get_or_init(|| {
         let to = Path::new(env!("CARGO_TARGET_TMPDIR")).join("another");
@@ -20,8 +20,8 @@
     })
 }
 
-/// The real node's library with flaws: an example, which `cargo test --test` alone does not build.
-fn flawed() -> &'static Path {
+/// Builds the example with injected faults, which `cargo test --test` alone does not build.
+fn flawed_program() -> &'static Path {
     static FLAWED: OnceLock<PathBuf> = OnceLock::new();
     FLAWED.get_or_init(|| {
         let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -35,7 +35,7 @@
     })
 }
 
-/// Plays a rollout; how it has to end is asserted by the caller.
+/// Runs a rollout, and returns its outcome; the caller asserts its end.
 fn run(change: impl FnOnce(&mut Plan)) -> Outcome {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let mut plan = Plan {
@@ -53,7 +53,7 @@
         apart: NEXT.fetch_add(1, Ordering::Relaxed),
     };
     change(&mut plan);
-    let program = if plan.flaw.is_empty() { new() } else { flawed() };
+    let program = if plan.flaw.is_empty() { new_program() } else { flawed_program() };
     let outcome = play(Path::new(OLD), program, &plan).unwrap();
     println!("{} {:?} {:?}: {:.1} s", plan.flaw, plan.subject, plan.trouble, outcome.seconds);
     assert_eq!(outcome.broken, Vec::<String>::new(), "{plan:?}");
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_rollout_without_harm_reaches_all_nodes_also_with_its_controller_killed_again_and_again() {
+fn a_rollout_without_harm_reaches_all_nodes_although_its_controller_is_killed_repeatedly() {
     let outcome = run(|plan| plan.trouble = Trouble::ConductorKilled);
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
     assert!(outcome.kills > 3, "{outcome:?}");
 }
 
 #[test]
-fn of_two_controllers_the_later_one_brings_it_to_its_end_and_links_that_break_lose_nothing() {
+fn the_later_of_two_controllers_completes_a_rollout_and_broken_links_lose_nothing() {
     for trouble in [Trouble::TwoConductors, Trouble::LinksBreak] {
         let outcome = run(|plan| plan.trouble = trouble);
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
@@ -82,35 +82,35 @@
 }
 
 #[test]
-fn a_flawed_program_is_stopped_and_rolled_back_whatever_its_flaw() {
-    for (flaw, most, why) in [
+fn a_rollout_of_a_flawed_program_is_stopped_and_rolled_back() {
+    for (flaw, max_changed, reason) in [
         ("crash-at-start", 0.0, "the new program ended"),
         ("crash-on-hand-over", 0.0, "the new program ended"),
         ("hang-on-hand-over", 0.0, "took too long"),
         ("crash-later", 0.25, "restarts of changed nodes without a command"),
-        // Its worker thread is blocked for good: it can neither hand over nor answer, and is restarted.
+        // The worker thread is blocked permanently: the node can neither hand over nor answer, and is restarted.
         ("deaf", 0.25, "hardly any calls"),
     ] {
         let outcome = run(|plan| plan.flaw = flaw.into());
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("back", 0), "{flaw}: {outcome:?}");
-        assert!(outcome.said.contains(why) && outcome.changed <= most, "{flaw}: {outcome:?}");
+        assert!(outcome.said.contains(reason) && outcome.changed <= max_changed, "{flaw}: {outcome:?}");
     }
 }
 
 #[test]
-fn settings_are_done_only_once_all_nodes_have_confirmed() {
+fn a_change_of_settings_is_done_once_all_nodes_are_confirmed() {
     let outcome = run(|plan| settings(plan, Subject::Settings));
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
 }
 
 #[test]
-fn unconfirmed_nodes_whose_controller_is_gone_or_not_heard_revert_by_themselves() {
+fn unconfirmed_nodes_whose_controller_has_ended_or_is_unreachable_revert_by_themselves() {
     let outcome = run(|plan| {
         settings(plan, Subject::Settings);
         plan.trouble = Trouble::ConductorGone;
     });
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("gone", 0), "{outcome:?}");
-    // Cut off for longer than the lease, and heard again: they are changed again.
+    // Nodes that are unreachable for longer than the lease revert, and are changed again once they are reachable.
     let outcome = run(|plan| {
         settings(plan, Subject::Settings);
         plan.trouble = Trouble::LinksSilent;
@@ -120,11 +120,11 @@
 }
 
 #[test]
-fn settings_that_do_harm_or_cannot_be_read_are_rolled_back_and_a_lost_file_is_left_to_the_operator() {
-    for (subject, why) in [(Subject::HarmfulSettings, "of sale"), (Subject::UnusableSettings, "no unit")] {
+fn harmful_or_unreadable_settings_are_rolled_back_and_a_replaced_file_is_left_to_the_operator() {
+    for (subject, reason) in [(Subject::HarmfulSettings, "of sale"), (Subject::UnusableSettings, "no unit")] {
         let outcome = run(|plan| settings(plan, subject));
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("back", 0), "{outcome:?}");
-        assert!(outcome.said.contains(why), "{outcome:?}");
+        assert!(outcome.said.contains(reason), "{outcome:?}");
     }
     let outcome = run(|plan| {
         settings(plan, Subject::HarmfulSettings);
--- a/crates/ochrewalk-node/tests/rollout_agent.rs
+++ b/crates/ochrewalk-node/tests/rollout_agent.rs
@@ -1,4 +1,4 @@
-//! A supervisor's side of a rollout: which commands it obeys, what a node's status says, and when a change is reverted.
+//! Tests a supervisor's side of a rollout: the commands that it accepts, the status of a node, and the revert of a change.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_node::handover::counter_report::CounterReport;
@@ -15,14 +15,14 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A file of this test's own with that content.
+/// Writes a file with this content, separate for each test.
 fn file(name: &str, content: &str) -> PathBuf {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("rollout-agent-{name}"));
     std::fs::write(&file, content).unwrap();
     file
 }
 
-/// This process as a child that serves.
+/// Returns this process as a child that serves.
 fn child() -> ServingChild {
     let spec =
         ChildSpec { program: std::env::current_exe().unwrap(), operators: Some("/etc/old.conf".into()) };
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_status_has_the_child_its_counters_and_those_of_children_before() {
+fn a_status_has_the_child_and_its_counters_with_those_of_previous_children() {
     let (mut agent, mut child) = (RolloutAgent::default(), child());
     let silent = status(&mut agent, &child);
     assert_eq!((silent.is_healthy, silent.counters), (false, None), "nothing was reported yet");
@@ -91,7 +91,7 @@
         Some(&child),
         Replacement::InProgress,
     ));
-    assert!(matches!(busy, Reply::Status(status) if !status.is_healthy), "while something changes");
+    assert!(matches!(busy, Reply::Status(status) if !status.is_healthy), "while the child is being replaced");
     agent.child_replaced(&child);
     let mut next = self::child();
     next.take(CounterReport::All(counters(3, 7)));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn requests_of_another_protocol_version_are_rejected_with_ones_own() {
+fn requests_of_another_protocol_version_are_rejected_with_the_supported_one() {
     let request =
         Request { protocol_version: PROTOCOL_VERSION + 1, ..Request::status(ControllerNumber::OBSERVER) };
     let reply = reply(RolloutAgent::default().handle_request(&request, Some(&child()), Replacement::Idle));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_command_acts_once_and_a_late_or_a_busy_one_not_at_all() {
+fn a_command_is_executed_once_and_a_stale_or_a_busy_one_not_at_all() {
     let (mut agent, child, new) = (RolloutAgent::default(), child(), file("acts", "new"));
     let request = |number| Request::command(command(7, number, Some(target(&new))));
     let busy = reply(agent.handle_request(&request(1), Some(&child), Replacement::InProgress));
@@ -128,17 +128,17 @@
         done,
         "the same reply"
     );
-    let late = reply(agent.handle_request(&request(0), Some(&child), Replacement::Idle));
-    assert_eq!(late, Reply::Stale(FencingTokenMessage { controller: 7, command: 1 }));
-    // A later controller that polls is enough to make earlier ones' commands late.
+    let stale = reply(agent.handle_request(&request(0), Some(&child), Replacement::Idle));
+    assert_eq!(stale, Reply::Stale(FencingTokenMessage { controller: 7, command: 1 }));
+    // A poll of a later controller makes the commands of earlier ones stale.
     reply(agent.handle_request(&Request::status(ControllerNumber(8)), Some(&child), Replacement::Idle));
     let replaced = reply(agent.handle_request(&request(9), Some(&child), Replacement::Idle));
     assert_eq!(replaced, Reply::Stale(FencingTokenMessage { controller: 8, command: 0 }));
-    assert_eq!(agent.time_to_next_action(), None, "a change for good is never reverted");
+    assert_eq!(agent.time_to_next_action(), None, "a confirmed change is never reverted");
 }
 
 #[test]
-fn a_command_without_a_usable_target_fails_and_one_for_what_runs_is_done() {
+fn a_command_without_a_usable_target_fails_and_one_for_a_running_target_is_done() {
     let (mut agent, mut child, new) = (RolloutAgent::default(), child(), file("unusable", "new"));
     let mut finished = |number, target| {
         let request = Request::command(command(7, number, target));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn settings_come_into_force_with_the_program_that_runs() {
+fn settings_are_changed_with_the_program_that_runs() {
     let (mut agent, child, new) = (RolloutAgent::default(), child(), file("settings", "new settings"));
     let settings = Target { is_settings: true, ..target(&new) };
     let message = CommandMessage { restart: true, ..command(7, 1, Some(settings)) };
@@ -167,7 +167,7 @@
     assert!(accepted.restart);
 }
 
-/// An agent whose child was replaced, unconfirmed and with a lease that has passed already.
+/// Returns an agent whose child was replaced by an unconfirmed change, with a lease that has expired.
 fn unconfirmed(child: &ServingChild, new: &Path) -> RolloutAgent {
     let mut agent = RolloutAgent::default();
     let message = CommandMessage { lease_ms: 1, ..command(7, 1, Some(target(new))) };
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn an_unconfirmed_change_is_reverted_to_what_ran_before() {
+fn an_unconfirmed_change_is_reverted_to_the_previous_child() {
     let (child, new) = (child(), file("reverted", "new"));
     let mut agent = unconfirmed(&child, &new);
     assert!(status(&mut agent, &child).is_unconfirmed);
@@ -203,7 +203,7 @@
     assert_eq!(failure(reply(agent.handle_request(&confirm, Some(&running), Replacement::Idle))), "");
     assert!(!status(&mut agent, &child).is_unconfirmed);
     assert_eq!((agent.due_revert(), agent.time_to_next_action()), (None, None));
-    // So does one whose program an operator asked for by hand.
+    // An upgrade by an operator confirms the change, too.
     let mut agent = unconfirmed(&child, &new);
     agent.confirm();
     assert_eq!((agent.due_revert(), agent.time_to_next_action()), (None, None));
--- a/crates/ochrewalk-node/tests/rollout_files.rs
+++ b/crates/ochrewalk-node/tests/rollout_files.rs
@@ -1,4 +1,4 @@
-//! What a rollout leaves on disk, and what operators tell a controller: the log's lines word for word, the record, its lock.
+//! Tests the files of a rollout and the operators' socket: the exact lines of the log, the record, and its lock.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use ochrewalk_node::rollout::log::{LogEntry, RolloutLog, VersionCounts};
@@ -12,7 +12,7 @@
 };
 use std::path::{Path, PathBuf};
 
-/// An empty folder of this test's own.
+/// Creates an empty folder, separate for each test.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("rollout-files-{name}"));
     let _ = std::fs::remove_dir_all(&folder);
@@ -20,7 +20,7 @@
     folder
 }
 
-/// A plan of two nodes that do not run, with files of these contents.
+/// Writes a plan of two nodes that do not run, with files of these contents.
 fn plan(name: &str, old: &str, new: &str) -> (PathBuf, Result<RolloutPlan, RolloutError>) {
     let folder = folder(name);
     std::fs::write(folder.join("old"), old).unwrap();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_plan_that_cannot_be_used_is_named_with_all_that_is_wrong() {
+fn a_plan_that_cannot_be_used_is_reported_with_all_of_its_faults() {
     let missing = read_plan(Path::new("/nonexistent/plan")).unwrap_err();
     assert!(matches!(missing, RolloutError::File { .. }), "{missing}");
     assert!(missing.to_string().starts_with("/nonexistent/plan: "), "{missing}");
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_status_says_that_no_controller_runs_and_which_nodes_do_not_answer() {
+fn a_status_reports_that_no_controller_runs_and_which_nodes_do_not_answer() {
     let (_, plan) = plan("status", "a", "b");
     let plan = plan.unwrap();
     let text = status(&plan);
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -1,5 +1,5 @@
-//! What passes between a supervisor and the programs that it starts, byte for byte: an old supervisor runs a new program,
-//! and the other way round.
+//! Tests the protocol between a supervisor and its children byte for byte, as supervisors and children of different versions
+//! run together.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -21,8 +21,8 @@
 use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything takes that works.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The time limit of every wait, far longer than any successful operation takes.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/handover").join(name)
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn each_line_of_a_program_is_read_as_what_it_says_and_written_as_it_was() {
+fn each_line_of_a_program_is_parsed_and_written_back_unchanged() {
     let text = String::from_utf8(fixture("program-lines.txt")).unwrap();
     let read: Vec<ChildLine> = text.lines().filter_map(ChildLine::of_line).collect();
     let reason = "its files set what only a start can change".to_string();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn each_line_of_a_supervisor_is_read_as_what_it_says_and_written_as_it_was() {
+fn each_line_of_a_supervisor_is_parsed_and_written_back_unchanged() {
     let text = String::from_utf8(fixture("supervisor-lines.txt")).unwrap();
     let read: Vec<Option<SupervisorLine>> = text.lines().map(SupervisorLine::of_line).collect();
     let known = [SupervisorLine::Allowed, SupervisorLine::Denied, SupervisorLine::HandOver];
@@ -106,36 +106,35 @@
     let (ours, mut supervisors) = UnixStream::pair().unwrap();
     let (link, successors) = SupervisorLink::new(ours, || ()).unwrap();
     supervisors.write_all(&fixture("supervisor-lines.txt")).unwrap();
-    assert_eq!(link.ask(Question::MayPause, PATIENCE), Some(true));
-    assert_eq!(link.ask(Question::MayResume, PATIENCE), Some(false));
-    // Without a descriptor beside it nobody is handed anything, and a word of a newer supervisor is passed over.
+    assert_eq!(link.ask(Question::MayPause, TIMEOUT), Some(true));
+    assert_eq!(link.ask(Question::MayResume, TIMEOUT), Some(false));
+    // A hand-over without a descriptor has no effect, and a line of a newer supervisor is skipped.
     assert!(successors.try_recv().is_err());
-    let (gives, mut takes) = UnixStream::pair().unwrap();
-    send_line(&supervisors, "give", Some(gives.as_fd())).unwrap();
-    let mut passed = UnixStream::from(successors.recv_timeout(PATIENCE).unwrap());
+    let (predecessors_end, mut successors_end) = UnixStream::pair().unwrap();
+    send_line(&supervisors, "give", Some(predecessors_end.as_fd())).unwrap();
+    let mut passed = UnixStream::from(successors.recv_timeout(TIMEOUT).unwrap());
     passed.write_all(b"x").unwrap();
-    takes.read_exact(&mut [0]).unwrap();
+    successors_end.read_exact(&mut [0]).unwrap();
 }
 
 #[test]
-fn a_line_is_written_with_its_descriptor_beside_its_first_byte() {
+fn a_line_is_written_with_its_descriptor_at_its_first_byte() {
     let (sender, receiver) = UnixStream::pair().unwrap();
     let (passed, mut other_end) = UnixStream::pair().unwrap();
     send_line(&sender, "give", Some(passed.as_fd())).unwrap();
     send_line(&sender, "yes", None).unwrap();
     drop(sender);
-    let mut heard = Vec::new();
-    read_lines(&receiver, |line, descriptor| heard.push((line.to_string(), descriptor)));
-    let [(give, descriptor), (yes, none)] = &mut heard[..] else { panic!("{heard:?}") };
+    let mut lines = Vec::new();
+    read_lines(&receiver, |line, descriptor| lines.push((line.to_string(), descriptor)));
+    let [(give, descriptor), (yes, none)] = &mut lines[..] else { panic!("{lines:?}") };
     assert_eq!((give.as_str(), yes.as_str(), none.is_none()), ("give", "yes", true));
     UnixStream::from(descriptor.take().unwrap()).write_all(b"x").unwrap();
     other_end.read_exact(&mut [0]).unwrap();
 }
 
-/// A new program finds its streams by the names in its environment, and is told that it may not begin while the one before
-/// serves.
+/// A new program finds its streams by the environment variables, and may not begin while the previous one serves.
 #[test]
-fn a_supervisor_passes_streams_by_the_names_that_earlier_programs_look_for() {
+fn a_supervisor_passes_streams_in_the_variables_that_earlier_programs_read() {
     let (control, output) = (file("").with_extension("sock"), file(""));
     let operators = format!("upgrade control {}\n", control.display());
     let stand = Stand::with_all(|_| (), &operators, &[("PROBE_OUTPUT", output.to_str().unwrap())]);
@@ -160,10 +159,10 @@
 }
 
 impl SupervisorEnd {
-    /// That end, and the one that a program is started with.
+    /// Returns the supervisor's end, and the end that a program is started with.
     fn pair() -> (SupervisorEnd, std::os::fd::OwnedFd) {
         let (stream, theirs) = UnixStream::pair().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let input = BufReader::new(stream.try_clone().unwrap());
         (SupervisorEnd { stream, input }, inherit(theirs.as_fd()).unwrap())
     }
@@ -174,8 +173,8 @@
         line
     }
 
-    /// The next line that reports no counters.
-    fn line_but_counters(&mut self) -> String {
+    /// Returns the next line that is not a report of counters.
+    fn line_without_counters(&mut self) -> String {
         loop {
             let line = self.line();
             if !line.starts_with("tally") {
@@ -185,27 +184,27 @@
     }
 }
 
-/// The next message on a stream of a hand-over.
-fn hear(wire: &mut HandOverStream) -> Message {
-    let until = Instant::now() + PATIENCE;
-    while Instant::now() < until {
-        match wire.receive(Duration::from_millis(100)).unwrap() {
+/// Receives the next message on the stream of a hand-over.
+fn receive_message(stream: &mut HandOverStream) -> Message {
+    let deadline = Instant::now() + TIMEOUT;
+    while Instant::now() < deadline {
+        match stream.receive(Duration::from_millis(100)).unwrap() {
             Received::Message(message) => return message,
             Received::TimedOut => {}
             other => panic!("{other:?}"),
         }
     }
-    panic!("nothing came");
+    panic!("no message arrived in time");
 }
 
-/// A program that is to succeed another one: what it greets with, before it is ended.
-fn greeting_of_a_successor(stand: &Stand) -> Hello {
+/// Starts a program as a successor, and returns its `Hello` after ending the program.
+fn hello_of_a_successor(stand: &Stand) -> Hello {
     let (_supervisor, link) = SupervisorEnd::pair();
     let (ours, theirs) = UnixStream::pair().unwrap();
     let theirs = inherit(theirs.as_fd()).unwrap();
     let config = file(&stand.config().to_string());
-    let words = ["serve", "--config", config.to_str().unwrap()];
-    let mut child: Child = program(&words)
+    let arguments = ["serve", "--config", config.to_str().unwrap()];
+    let mut child: Child = program(&arguments)
         .args(["--operators", stand.operators.to_str().unwrap()])
         .env("OCHREWALK_KEPT", link.as_raw_fd().to_string())
         .env("OCHREWALK_TAKES", theirs.as_raw_fd().to_string())
@@ -213,17 +212,19 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let Message::Hello(hello) = hear(&mut HandOverStream::new(ours)) else { panic!("no greeting") };
+    let Message::Hello(hello) = receive_message(&mut HandOverStream::new(ours)) else {
+        panic!("another message")
+    };
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(config).unwrap();
     hello
 }
 
-/// A program that serves hands over to a successor of any version, by the messages and lines that both sides know. Here
-/// the test is supervisor and successor, and gives up at the last moment.
+/// A program that serves hands over to a successor of any version with the messages and lines that both sides support. The
+/// test acts as supervisor and successor, and aborts before it takes over.
 #[test]
-fn a_program_that_serves_keeps_to_the_conversation_of_earlier_programs() {
+fn a_program_that_serves_follows_the_protocol_of_earlier_programs() {
     let (mut supervisor, link) = SupervisorEnd::pair();
     let stand = Stand::with_all(|_| (), "", &[("OCHREWALK_KEPT", &link.as_raw_fd().to_string())]);
     drop(link);
@@ -231,52 +232,53 @@
     executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
     stand.caller().wait_healthy();
     std::thread::spawn(move || executor.hear_out());
-    // A supervisor that does not say that it reads changes gets all counters.
+    // A supervisor that does not set the variable for changed counters receives all counters.
     let report = supervisor.line();
     assert!(report.starts_with("tally ") && CounterReport::of_line(report.trim_end()).is_some(), "{report}");
 
     let begin = |supervisor: &SupervisorEnd, hello: Hello| {
-        let (gives, takes) = UnixStream::pair().unwrap();
-        send_line(&supervisor.stream, "give", Some(gives.as_fd())).unwrap();
-        drop(gives);
-        let mut wire = HandOverStream::new(takes);
-        wire.send(Message::Hello(hello), &[]).unwrap();
-        let answer = hear(&mut wire);
-        (wire, answer)
+        let (predecessors_end, successors_end) = UnixStream::pair().unwrap();
+        send_line(&supervisor.stream, "give", Some(predecessors_end.as_fd())).unwrap();
+        drop(predecessors_end);
+        let mut stream = HandOverStream::new(successors_end);
+        stream.send(Message::Hello(hello), &[]).unwrap();
+        let answer = receive_message(&mut stream);
+        (stream, answer)
     };
-    let hello = greeting_of_a_successor(&stand);
+    let hello = hello_of_a_successor(&stand);
     assert_eq!((hello.oldest, hello.newest, hello.program.as_str()), (1, 2, "0.1.0"));
     let (_, answer) = begin(&supervisor, Hello { digest: !hello.digest, ..hello.clone() });
     assert_eq!(framing::encode(answer), fixture("refused-files.bin"));
-    assert_eq!(supervisor.line_but_counters(), "told its files set what only a start can change\n");
+    assert_eq!(supervisor.line_without_counters(), "told its files set what only a start can change\n");
 
-    let (mut wire, answer) = begin(&supervisor, hello);
+    let (mut stream, answer) = begin(&supervisor, hello);
     let Message::Offer(offer) = answer else { panic!("{answer:?}") };
     let offered: Vec<&str> = offer.sections.iter().map(|section| section.name.as_str()).collect();
     let expected = ["node", "listeners", "rpcs", "json", "ajp", "executor", "below", "tokens"];
     assert_eq!((offer.version, offered.as_slice()), (2, expected.as_slice()));
-    wire.send(Message::Prepare(Prepare {}), &[]).unwrap();
-    assert_eq!(hear(&mut wire), Message::AheadComplete(ChunkCount { chunks: 0 }));
-    wire.send(Message::Ready(Empty {}), &[]).unwrap();
-    assert_eq!(supervisor.line_but_counters(), "still?\n");
+    stream.send(Message::Prepare(Prepare {}), &[]).unwrap();
+    assert_eq!(receive_message(&mut stream), Message::AheadComplete(ChunkCount { chunks: 0 }));
+    stream.send(Message::Ready(Empty {}), &[]).unwrap();
+    assert_eq!(supervisor.line_without_counters(), "still?\n");
     supervisor.stream.write_all(b"yes\n").unwrap();
-    let sections = parts_until_the_last(&mut wire);
+    let sections = receive_sections(&mut stream);
     assert_eq!(sections, ["node", "listeners", "rpcs", "json", "executor", "below"]);
-    wire.send(Message::Abort(Refusal { reason: "a spoilt section".into() }), &[]).unwrap();
-    assert_eq!(supervisor.line_but_counters(), "on?\n");
+    stream.send(Message::Abort(Refusal { reason: "a corrupted section".into() }), &[]).unwrap();
+    assert_eq!(supervisor.line_without_counters(), "on?\n");
     supervisor.stream.write_all(b"yes\n").unwrap();
-    assert_eq!(supervisor.line_but_counters(), "told the new program refused: a spoilt section\n");
+    assert_eq!(supervisor.line_without_counters(), "told the new program refused: a corrupted section\n");
     stand.caller().wait_healthy();
 }
 
-/// The sections of the parts that come, each with its announced descriptors; the last message counts them.
-fn parts_until_the_last(wire: &mut HandOverStream) -> Vec<String> {
+/// Receives chunks until the transfer is complete, and returns their sections. Each chunk has its announced descriptors, and
+/// the last message has the number of chunks.
+fn receive_sections(stream: &mut HandOverStream) -> Vec<String> {
     let mut sections = Vec::new();
     loop {
-        match hear(wire) {
-            Message::Chunk(part) => {
-                assert!(wire.take_descriptors(part.descriptors as usize).is_some(), "{}", part.section);
-                sections.push(part.section);
+        match receive_message(stream) {
+            Message::Chunk(chunk) => {
+                assert!(stream.take_descriptors(chunk.descriptors as usize).is_some(), "{}", chunk.section);
+                sections.push(chunk.section);
             }
             Message::TransferComplete(count) => {
                 assert_eq!(count.chunks, sections.len() as u64);
--- a/crates/ochrewalk-node/tests/upgrade.rs
+++ b/crates/ochrewalk-node/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! A running program is replaced by another, on the real program: with everything under way, and with everything that
-//! may fail.
+//! Tests the replacement of a running node program by another: with requests in every state, and with failures at every
+//! step of the hand-over.
 
 mod helper;
 
@@ -11,7 +11,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The time limit of every wait, far longer than any successful operation takes.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 struct SupervisedNode {
     stand: Stand,
@@ -19,20 +20,20 @@
 }
 
 impl SupervisedNode {
-    /// A node under a supervisor, its executor up; `fails` is what a program that takes over does wrong.
-    fn up(fails: &str) -> (SupervisedNode, Peer) {
-        SupervisedNode::up_with(|_| (), fails)
+    /// Starts a node under a supervisor, with its executor up. `failure` is the injected failure of a successor.
+    fn up(failure: &str) -> (SupervisedNode, Peer) {
+        SupervisedNode::up_with(|_| (), failure)
     }
 
-    /// The same with changes to its file.
-    fn up_with(change: impl FnOnce(&mut serde_json::Value), fails: &str) -> (SupervisedNode, Peer) {
+    /// Starts such a node with changes to its file.
+    fn up_with(change: impl FnOnce(&mut serde_json::Value), failure: &str) -> (SupervisedNode, Peer) {
         let control = file("").with_extension("sock");
         let operators = format!(
             "ajp listen AJP\najp allow 127.0.0.0/8\najp memory 20.5\najp header token X-Sale\najp route GET /look look\n\
              ajp route POST /sale sale\nupgrade control {}\n",
             control.display()
         );
-        let stand = Stand::with_all(change, &operators, &[("OCHREWALK_TAKE_FAILS", fails)]);
+        let stand = Stand::with_all(change, &operators, &[("OCHREWALK_TAKE_FAILS", failure)]);
         let mut executor = stand.executor();
         executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
         stand.caller().wait_healthy();
@@ -46,7 +47,7 @@
     }
 
     fn ajp(&self) -> Ajp {
-        Ajp::connect(self.stand.ajp.parse().unwrap(), PATIENCE).unwrap()
+        Ajp::connect(self.stand.ajp.parse().unwrap(), TIMEOUT).unwrap()
     }
 }
 
@@ -64,37 +65,37 @@
     }
 }
 
-/// An answer with the load signal of an idle node: on a busy machine it falls, as it should, but stays in its range.
-fn idle_signal(answer: &str) -> String {
+/// Checks the range of an answer's load signal, and replaces it by that of an idle node, as the signal falls on a busy machine.
+fn with_idle_signal(answer: &str) -> String {
     let mut answer: serde_json::Value = serde_json::from_str(answer).unwrap();
-    let signal = answer["result"]["signal"].as_f64().expect("an answer carries the load signal");
+    let signal = answer["result"]["signal"].as_f64().expect("an answer has the load signal");
     assert!((0.4..=1.0).contains(&signal), "{answer}");
     answer["result"]["signal"] = 1.into();
     answer.to_string()
 }
 
 #[test]
-fn all_that_is_under_way_goes_on_in_the_next_program() {
+fn requests_in_every_state_continue_in_the_next_program() {
     let (node, mut executor) = SupervisedNode::up("");
     let stand = &node.stand;
     let mut json = stand.caller();
     let mut pos = 0;
-    // Again and again, with the same connections and the same executor's link.
+    // Repeated hand-overs, with the same connections and the same link to the executor.
     for round in 0..4u64 {
         let base = 100 * round;
         let mut by_ajp = node.ajp();
-        // Running, one by each protocol; a third is held, a fourth is a repeat that waits for the first.
+        // Two requests run, one by each protocol; a third is queued, and a fourth is a repeat that waits for the first.
         json.say(&sale(base + 1, &format!("t{round}")));
         executor.hear_of(&exec(base + 1, "sale"));
         by_ajp.send(&ajp_look(base + 2).whole()).unwrap();
         executor.hear_of(&exec(base + 2, "look"));
         json.say(&rpc(base + 3, "look"));
         json.say(&sale(base + 4, &format!("t{round}")));
-        // A call below is under way, and a line, a head and a body are half here.
+        // An upstream call is in flight, and a line, a head and a body are half received.
         executor.say(&callout(pos + 1, base + 1));
-        let mut below = Peer::accept(&stand.below);
-        assert!(below.hear().starts_with(&format!("CALL {} ", req(base + 1))));
-        // One waits for its call, so that the third has a core.
+        let mut upstream = Peer::accept(&stand.below);
+        assert!(upstream.hear().starts_with(&format!("CALL {} ", req(base + 1))));
+        // The first waits for its call, so that a core is free for the third.
         executor.hear_of(&exec(base + 3, "look"));
         let (line, head) = (rpc(base + 5, "look") + "\n", ajp_look(base + 6).whole());
         json.stream.write_all(&line.as_bytes()[..50]).unwrap();
@@ -105,13 +106,14 @@
         body.send(&late.head()).unwrap();
         assert!(node.ajp().is_alive());
         assert_eq!(node.upgrade(), "handed over");
-        // The rest of each comes to the next program.
+        // The next program receives the rest of each.
         json.stream.write_all(&line.as_bytes()[50..]).unwrap();
         half.send(&head[30..]).unwrap();
         body.send(&piece(late.body)).unwrap();
-        assert_eq!(below.hear_bytes(5), b"\x00\x01\x02\r\n");
-        below.say(&format!("{} OK 1\r\nB\r", req(base + 1)));
-        // On a slow machine the concurrency limit grows meanwhile, and some of those that came in two pieces start already.
+        assert_eq!(upstream.hear_bytes(5), b"\x00\x01\x02\r\n");
+        upstream.say(&format!("{} OK 1\r\nB\r", req(base + 1)));
+        // On a slow machine the concurrency limit grows meanwhile, so that some requests that were sent in two pieces start
+        // already.
         let mut started = Vec::new();
         loop {
             let line = executor.hear();
@@ -126,103 +128,109 @@
         executor.say(&exit(pos + 3, base + 2, "complete"));
         executor.say(&exit(pos + 4, base + 3, "complete"));
         assert_eq!(by_ajp.answer().unwrap().text(), "RES");
-        // Those that came in two pieces run now, each once.
-        let mut heard = Vec::new();
-        while heard.len() < 3 {
+        // The requests that were sent in two pieces run now, each once.
+        let mut runs = Vec::new();
+        while runs.len() < 3 {
             let line = started.pop().unwrap_or_else(|| executor.hear_of("EXEC"));
-            heard.push(line.clone());
+            runs.push(line.clone());
             let number = (5..8).map(|n| base + n).find(|n| line == exec(*n, "look")).expect("one of ours");
-            executor.say(&exit(pos + 4 + heard.len() as u64, number, "complete"));
+            executor.say(&exit(pos + 4 + runs.len() as u64, number, "complete"));
         }
-        heard.sort();
-        heard.dedup();
-        assert_eq!(heard.len(), 3);
-        let mut answers: Vec<String> = (0..4).map(|_| idle_signal(&json.hear())).collect();
+        runs.sort();
+        runs.dedup();
+        assert_eq!(runs.len(), 3);
+        let mut answers: Vec<String> = (0..4).map(|_| with_idle_signal(&json.hear())).collect();
         answers.sort();
-        let mut wanted: Vec<String> = [1, 3, 4, 5].iter().map(|n| idle_signal(&served(base + n))).collect();
+        let mut wanted: Vec<String> =
+            [1, 3, 4, 5].iter().map(|n| with_idle_signal(&served(base + n))).collect();
         wanted.sort();
         assert_eq!(answers, wanted);
         assert_eq!(half.answer().unwrap().text(), "RES");
         assert_eq!(body.answer().unwrap().text(), "RES");
-        // The token is known for its window.
+        // The idempotency key is retained for its window.
         let repeat = json.ask(&sale(base + 8, &format!("t{round}")));
-        assert_eq!(idle_signal(&repeat), idle_signal(&served(base + 8)));
-        // A connection that was just used is trusted for a moment: the node has to have seen the end of this one before
-        // the next round's call, or it would be written there and lost.
-        below.stream.shutdown(std::net::Shutdown::Write).unwrap();
-        assert_eq!(below.hear(), "", "the node closes its side");
+        assert_eq!(with_idle_signal(&repeat), with_idle_signal(&served(base + 8)));
+        // The node reuses a recently used connection without a check. Therefore it must have received the close of this
+        // connection before the next round's call, which would otherwise be written there and lost.
+        upstream.stream.shutdown(std::net::Shutdown::Write).unwrap();
+        assert_eq!(upstream.hear(), "", "the node closes its side");
         pos += 7;
     }
 }
 
 #[test]
-fn whatever_fails_before_the_word_leaves_the_running_program_as_it_was() {
-    for fails in ["crash:start", "crash:greet", "crash:ready", "crash:commit", "hang:ready", "hang:commit"] {
-        let (node, mut executor) = SupervisedNode::up(fails);
+fn a_failure_before_the_successor_starts_leaves_the_running_program_unchanged() {
+    for failure in ["crash:start", "crash:greet", "crash:ready", "crash:commit", "hang:ready", "hang:commit"]
+    {
+        let (node, mut executor) = SupervisedNode::up(failure);
         let mut json = node.stand.caller();
         json.say(&sale(1, "aa"));
         executor.hear_of(&exec(1, "sale"));
         json.stream.write_all(&rpc(2, "look").as_bytes()[..40]).unwrap();
-        let how = node.upgrade();
-        match fails {
-            "crash:commit" => assert!(how == "the new program ended before it began", "{fails}: {how}"),
-            "hang:commit" => assert!(how == "the new program ended before it began", "{fails}: {how}"),
-            _ if fails.starts_with("crash") => assert_eq!(how, "the new program ended", "{fails}"),
-            _ => assert_eq!(how, "the new program took too long", "{fails}"),
+        let outcome = node.upgrade();
+        match failure {
+            "crash:commit" => {
+                assert!(outcome == "the new program ended before it began", "{failure}: {outcome}")
+            }
+            "hang:commit" => {
+                assert!(outcome == "the new program ended before it began", "{failure}: {outcome}")
+            }
+            _ if failure.starts_with("crash") => assert_eq!(outcome, "the new program ended", "{failure}"),
+            _ => assert_eq!(outcome, "the new program took too long", "{failure}"),
         }
         json.stream.write_all((rpc(2, "look")[40..].to_string() + "\n").as_bytes()).unwrap();
         executor.hear_of(&exec(2, "look"));
         executor.say(&exit(1, 1, "complete"));
         executor.say(&exit(2, 2, "complete"));
-        assert_eq!(json.hear(), served(1), "{fails}");
-        assert_eq!(json.hear(), served(2), "{fails}");
-        assert_eq!(json.ask(&sale(3, "aa")), served(3), "{fails}");
+        assert_eq!(json.hear(), served(1), "{failure}");
+        assert_eq!(json.hear(), served(2), "{failure}");
+        assert_eq!(json.ask(&sale(3, "aa")), served(3), "{failure}");
         node.stand.caller().wait_healthy();
     }
 }
 
 #[test]
-fn a_program_that_dies_at_its_first_act_is_the_nodes_end_and_said_so() {
+fn a_successor_that_crashes_once_it_has_started_ends_the_node_with_a_failure() {
     let (mut node, mut executor) = SupervisedNode::up("crash:done");
     std::thread::spawn(move || executor.hear_out());
     assert_eq!(node.upgrade(), "handed over");
-    // The platform sees that its process has ended, and not well.
+    // The platform sees that its process has ended with a failure.
     assert!(!node.stand.wait().success());
 }
 
 #[test]
-fn a_notice_to_leave_or_new_files_in_the_middle_are_obeyed() {
-    // While the new program hangs, the running one hears the signal, takes itself back and leaves.
-    for (fails, signal) in [("hang:greet", "-TERM"), ("hang:ready", "-TERM"), ("hang:commit", "-TERM")] {
-        let (mut node, mut executor) = SupervisedNode::up(fails);
+fn signals_to_drain_or_reload_during_a_hand_over_take_effect() {
+    // While the new program hangs, the running one receives the signal, resumes and drains.
+    for (failure, signal) in [("hang:greet", "-TERM"), ("hang:ready", "-TERM"), ("hang:commit", "-TERM")] {
+        let (mut node, mut executor) = SupervisedNode::up(failure);
         let mut json = node.stand.caller();
         json.say(&rpc(1, "look"));
         executor.hear_of(&exec(1, "look"));
         let (control, own) = (node.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
-        let asked = std::thread::spawn(move || {
+        let upgrade = std::thread::spawn(move || {
             program(&["upgrade", "--control", control.to_str().unwrap(), "--program", own]).output().unwrap()
         });
         std::thread::sleep(Duration::from_millis(400));
         node.stand.signal(signal);
         json.hear_of("noMore");
         executor.say(&exit(1, 1, "complete"));
-        assert!(json.hear().contains(r#""id":1,"result":{"body":"UkVT""#), "{fails}");
+        assert!(json.hear().contains(r#""id":1,"result":{"body":"UkVT""#), "{failure}");
         std::thread::spawn(move || executor.hear_out());
-        assert!(!asked.join().unwrap().status.success(), "{fails}");
+        assert!(!upgrade.join().unwrap().status.success(), "{failure}");
         node.stand.wait();
     }
     let (node, mut executor) = SupervisedNode::up("hang:greet");
     let (control, own) = (node.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
-    let asked = std::thread::spawn(move || {
+    let upgrade = std::thread::spawn(move || {
         program(&["upgrade", "--control", control.to_str().unwrap(), "--program", own]).output().unwrap()
     });
-    // Before the attempt has begun a signal is none of its business: until it is over there may be more of them.
-    while !asked.is_finished() {
+    // A signal before the attempt has begun does not interrupt it, so that signals are repeated until the attempt has ended.
+    while !upgrade.is_finished() {
         node.stand.signal("-HUP");
         std::thread::sleep(Duration::from_millis(50));
     }
-    let said = String::from_utf8(asked.join().unwrap().stderr).unwrap();
-    assert!(said.contains("the running program got a signal"), "{said}");
+    let printed = String::from_utf8(upgrade.join().unwrap().stderr).unwrap();
+    assert!(printed.contains("the running program got a signal"), "{printed}");
     let mut json = node.stand.caller();
     json.say(&rpc(1, "look"));
     executor.hear_of(&exec(1, "look"));
@@ -231,35 +239,38 @@
 }
 
 #[test]
-fn what_cannot_take_over_is_refused_and_the_node_serves_on() {
+fn an_invalid_request_or_successor_is_refused_and_the_node_continues_to_serve() {
     let (node, _executor) = SupervisedNode::up("");
-    let ask = |words: &[u8]| {
+    let send_request = |request: &[u8]| {
         let mut stream = UnixStream::connect(&node.control).unwrap();
-        stream.write_all(words).unwrap();
+        stream.write_all(request).unwrap();
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
         line
     };
-    assert_eq!(ask(b"GET / HTTP/1.1\r\n\r\n"), "refused: write upgrade PROGRAM\n");
-    assert_eq!(ask(b"\xff\xfe\n"), "refused: nothing was asked for\n");
-    assert_eq!(ask(b""), "refused: write upgrade PROGRAM\n");
-    assert!(ask(b"upgrade /nowhere/at-all\n").starts_with("refused: /nowhere/at-all: "));
-    assert!(ask(&[b'x'; 9_000]).starts_with("refused: write"));
-    // Another program ends without a word of ours.
-    assert_eq!(ask(b"upgrade /bin/true\n"), "the new program ended\n");
-    // Files that set what no running node can change, and files that cannot be used.
+    assert_eq!(send_request(b"GET / HTTP/1.1\r\n\r\n"), "refused: write upgrade PROGRAM\n");
+    assert_eq!(send_request(b"\xff\xfe\n"), "refused: nothing was asked for\n");
+    assert_eq!(send_request(b""), "refused: write upgrade PROGRAM\n");
+    assert!(send_request(b"upgrade /nowhere/at-all\n").starts_with("refused: /nowhere/at-all: "));
+    assert!(send_request(&[b'x'; 9_000]).starts_with("refused: write"));
+    // A program that does not support the protocol ends without a message.
+    assert_eq!(send_request(b"upgrade /bin/true\n"), "the new program ended\n");
+    // Files with settings that no running node can change, and files that cannot be used.
     let text = std::fs::read_to_string(&node.stand.operators).unwrap();
     std::fs::write(&node.stand.operators, text.replace(":8009", ":8010")).unwrap();
     assert_eq!(node.upgrade(), "its files set what only a start can change");
-    // What else they set comes into force with the hand-over.
+    // All other settings are in force after the hand-over.
     std::fs::write(&node.stand.operators, format!("{text}ajp idle 30s\n")).unwrap();
     assert_eq!(node.upgrade(), "handed over");
     std::fs::write(&node.stand.operators, "ajp idle 3\n").unwrap();
-    let how = node.upgrade();
-    assert!(how.starts_with("the new program refused: ") && how.contains("3 has no unit"), "{how}");
+    let outcome = node.upgrade();
+    assert!(
+        outcome.starts_with("the new program refused: ") && outcome.contains("3 has no unit"),
+        "{outcome}"
+    );
     std::fs::write(&node.stand.operators, text).unwrap();
-    // The socket is its owner's alone.
+    // Only the owner of the socket may connect to it.
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(std::fs::metadata(&node.control).unwrap().permissions().mode() & 0o777, 0o600);
     assert_eq!(node.upgrade(), "handed over");
@@ -270,12 +281,12 @@
 }
 
 #[test]
-fn when_the_running_program_is_killed_in_the_middle_the_new_one_takes_over() {
+fn hand_overs_that_fail_leave_no_process_behind_and_the_programs_end_is_the_nodes_end() {
     let (mut node, mut executor) = SupervisedNode::up("hang:commit");
     let mut json = node.stand.caller();
     json.say(&rpc(1, "look"));
     executor.hear_of(&exec(1, "look"));
-    // The supervisor itself is the platform's process: its children are the programs that serve.
+    // The process that the platform started is the supervisor, and its children are the programs that serve.
     let children = || -> Vec<String> {
         let path = format!("/proc/{0}/task/{0}/children", node.stand.pid());
         let text = std::fs::read_to_string(path).unwrap();
@@ -285,25 +296,26 @@
     assert_eq!(before.len(), 1);
     for _ in 0..3 {
         assert_eq!(node.upgrade(), "the new program ended before it began");
-        assert_eq!(children(), before, "nothing is left behind");
+        assert_eq!(children(), before, "no process is left behind");
     }
     executor.say(&exit(1, 1, "complete"));
     assert_eq!(json.hear(), served(1));
     let kill = std::process::Command::new("kill").args(["-KILL", &before[0]]).status().unwrap();
     assert!(kill.success());
-    // Without another beside it, its end is the node's.
+    // Without another child, the end of this one is the end of the node.
     assert!(!node.stand.wait().success());
 }
 
-/// A node of a large fleet knows tens of thousands of methods. Its reports to the supervisor once were megabytes long, and
-/// the question whether it may pause got lost among them: no upgrade came about, and no signal ended it.
+/// Guards against hand-overs that fail on nodes with tens of thousands of methods. Their reports to the supervisor were
+/// megabytes long, and the question whether the node may pause was lost among them: every upgrade failed, and no signal
+/// ended the node.
 #[test]
-fn a_node_with_many_methods_hands_over_again_and_again() {
-    // With such names all counters take as many bytes as those of 49,000 methods with short ones.
+fn a_node_with_many_methods_hands_over_repeatedly() {
+    // With names of this length all counters take as many bytes as those of 49,000 methods with short names.
     const METHODS: usize = 6_000;
     const UPGRADES: u64 = 4;
     let name_of = |number: usize| format!("method-{number:0>200}");
-    let many = |config: &mut serde_json::Value| {
+    let add_methods = |config: &mut serde_json::Value| {
         let methods = config["settings"]["categories"].as_array_mut().unwrap();
         let usual = methods[0].clone();
         for number in methods.len()..METHODS {
@@ -314,7 +326,7 @@
         let skips = config["settings"]["extra"]["class-skip-worth"].as_array_mut().unwrap();
         skips.resize(METHODS, 0.0.into());
     };
-    let (mut node, mut executor) = SupervisedNode::up_with(many, "");
+    let (mut node, mut executor) = SupervisedNode::up_with(add_methods, "");
     let last = name_of(METHODS - 1);
     for number in 1..=UPGRADES {
         let mut caller = node.stand.caller();
