--- a/crates/ochrewalk-node/src/coordinator.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -341,8 +341,8 @@
         };
         node.decisions = snapshot;
         let HealthState { is_healthy, load_signal, max_idle_us } = host.health;
-        (node.healthy, node.signal, node.idle_us) = (is_healthy, load_signal, max_idle_us);
-        (node.wake_us, node.wake_token) = (host.timer_due_us, host.timer_token);
+        (node.is_healthy, node.load_signal, node.max_idle_us) = (is_healthy, load_signal, max_idle_us);
+        (node.timer_us, node.timer_token) = (host.timer_due_us, host.timer_token);
         (node.keys, node.removed_keys) =
             if keys_sent_ahead { host.keys.export_changed() } else { (host.keys.export_all(), Vec::new()) };
     }
@@ -371,9 +371,10 @@
             let CoordinatorState::Inactive(host) = &mut *state else {
                 unreachable!("a new coordinator is inactive")
             };
-            let (is_healthy, load_signal, max_idle_us) = (node.healthy, node.signal, node.idle_us);
+            let (is_healthy, load_signal, max_idle_us) =
+                (node.is_healthy, node.load_signal, node.max_idle_us);
             host.health = HealthState { is_healthy, load_signal, max_idle_us };
-            (host.timer_due_us, host.timer_token) = (node.wake_us, node.wake_token);
+            (host.timer_due_us, host.timer_token) = (node.timer_us, node.timer_token);
             host.keys = keys_sent_ahead;
             host.keys.import(std::mem::take(&mut node.keys), &node.removed_keys);
             host.keys.set_max_result_bytes(max_result_bytes);
--- a/crates/ochrewalk-node/src/handover/received_state.rs
+++ b/crates/ochrewalk-node/src/handover/received_state.rs
@@ -140,7 +140,7 @@
     fn has_descriptor_for_each_connection(&self) -> bool {
         self.json.record.connections.len() == self.json.descriptors.len()
             && self.ajp.record.connections.len() == self.ajp.descriptors.len()
-            && self.upstream.record.links.len() == self.upstream.descriptors.len()
+            && self.upstream.record.connections.len() == self.upstream.descriptors.len()
             && self.executor.stream.is_some() == self.executor_link.is_some()
     }
 }
--- a/crates/ochrewalk-node/src/handover/records/connections.rs
+++ b/crates/ochrewalk-node/src/handover/records/connections.rs
@@ -14,10 +14,10 @@
     pub unsent: Vec<Vec<u8>>,
     /// The number of bytes of the first unsent message that are written already.
     #[prost(uint64, tag = "3")]
-    pub sent: u64,
+    pub sent_bytes: u64,
     /// Whether this side has shut down its writes.
     #[prost(bool, tag = "4")]
-    pub half_closed: bool,
+    pub is_half_closed: bool,
     /// The close reason: 0 where no close is requested, then from 1 in the order of the type's variants.
     #[prost(uint32, tag = "5")]
     pub close_reason: u32,
@@ -48,31 +48,31 @@
     pub stream: StreamRecord,
     /// RPCs that are not answered yet on this connection.
     #[prost(message, repeated, tag = "3")]
-    pub open: Vec<OpenRpcRecord>,
+    pub open_rpcs: Vec<OpenRpcRecord>,
     /// The time at which the connection last carried a message.
     #[prost(uint64, tag = "4")]
     pub used_us: u64,
     /// Whether a complete line was received.
     #[prost(bool, tag = "5")]
-    pub spoke: bool,
+    pub has_line: bool,
     /// Whether a valid message was received.
     #[prost(bool, tag = "6")]
-    pub good: bool,
+    pub has_valid_message: bool,
     /// The number of faults of the client.
     #[prost(uint32, tag = "7")]
     pub faults: u32,
     /// The number of messages read since the client exceeded the limit of faults.
     #[prost(uint32, tag = "8")]
-    pub after_faults: u32,
+    pub messages_after_faults: u32,
     /// The time at which the incomplete line began.
     #[prost(uint64, optional, tag = "9")]
-    pub partial_us: Option<u64>,
+    pub partial_since_us: Option<u64>,
     /// Whether the connection has carried an RPC, not only health checks.
     #[prost(bool, tag = "10")]
-    pub rpcs: bool,
+    pub has_carried_rpc: bool,
     /// The latest time at which the connection closes, where a close was requested.
     #[prost(uint64, optional, tag = "11")]
-    pub end_by_us: Option<u64>,
+    pub close_deadline_us: Option<u64>,
 }
 
 /// An RPC that is not answered yet on a JSON-RPC connection.
@@ -145,7 +145,7 @@
     pub used_us: u64,
     /// Whether an RPC of this client has run.
     #[prost(bool, tag = "15")]
-    pub good: bool,
+    pub is_proven: bool,
 }
 
 /// One AJP request.
@@ -185,23 +185,23 @@
     pub stream: Option<StreamRecord>,
     /// Commands that are queued until the executor is connected.
     #[prost(bytes = "vec", repeated, tag = "2")]
-    pub waiting: Vec<Vec<u8>>,
+    pub queued: Vec<Vec<u8>>,
     /// The position of the last notice that was read.
     #[prost(uint64, tag = "3")]
-    pub read: u64,
+    pub last_read: u64,
     /// Whether the executor has welcomed the link.
     #[prost(bool, tag = "4")]
-    pub welcomed: bool,
+    pub is_welcomed: bool,
     /// The tag of the latest request for gauges.
     #[prost(uint64, tag = "5")]
-    pub asked: u64,
+    pub last_gauge_tag: u64,
     /// Commands whose link was closed before they were confirmed.
     #[prost(bytes = "vec", repeated, tag = "6")]
-    pub doubtful: Vec<Vec<u8>>,
+    pub unconfirmed: Vec<Vec<u8>>,
     /// The tag of a request for gauges. The answer to a later request settles whether the unconfirmed commands were
     /// received.
     #[prost(uint64, tag = "7")]
-    pub doubt_until: u64,
+    pub unconfirmed_until: u64,
     /// RPCs whose runs were paused to find out whether they had begun.
     #[prost(string, repeated, tag = "8")]
     pub paused: Vec<String>,
@@ -212,10 +212,10 @@
 pub struct UpstreamRecord {
     /// The connections that carry the calls.
     #[prost(message, repeated, tag = "1")]
-    pub links: Vec<UpstreamConnectionRecord>,
+    pub connections: Vec<UpstreamConnectionRecord>,
     /// RPCs whose calls were sent on connections that cannot be handed over. Their replies cannot be received any more.
     #[prost(string, repeated, tag = "2")]
-    pub lost: Vec<String>,
+    pub lost_calls: Vec<String>,
 }
 
 /// One upstream connection.
@@ -235,5 +235,5 @@
     pub used_us: u64,
     /// The time at which the incomplete reply began.
     #[prost(uint64, optional, tag = "5")]
-    pub partial_us: Option<u64>,
+    pub partial_since_us: Option<u64>,
 }
--- a/crates/ochrewalk-node/src/handover/records/mod.rs
+++ b/crates/ochrewalk-node/src/handover/records/mod.rs
@@ -40,25 +40,25 @@
     pub fingerprint_key: u64,
     /// The second half of that key.
     #[prost(fixed64, tag = "3")]
-    pub fingerprint_key_more: u64,
+    pub fingerprint_key_second_half: u64,
     /// The state of the admission controller; none where the executor has never been up.
     #[prost(message, optional, tag = "4")]
     pub decisions: Option<ochrewalk::admission::snapshot::AdmissionSnapshot>,
     /// Whether health checks pass; none before the admission controller has started.
     #[prost(bool, optional, tag = "5")]
-    pub healthy: Option<bool>,
+    pub is_healthy: Option<bool>,
     /// The load signal that is sent with every answer.
     #[prost(double, optional, tag = "6")]
-    pub signal: Option<f64>,
+    pub load_signal: Option<f64>,
     /// The time after which idle connections are closed, in microseconds.
     #[prost(uint64, tag = "7")]
-    pub idle_us: u64,
+    pub max_idle_us: u64,
     /// The time of the admission controller's timer.
     #[prost(uint64, tag = "8")]
-    pub wake_us: u64,
+    pub timer_us: u64,
     /// The token by which the admission controller recognises that timer.
     #[prost(uint64, tag = "9")]
-    pub wake_token: u64,
+    pub timer_token: u64,
     /// All idempotency keys, or those that have changed since the keys were sent ahead.
     #[prost(message, repeated, tag = "10")]
     pub keys: Vec<IdempotencyKeyRecord>,
@@ -86,7 +86,7 @@
     pub holder: String,
     /// The fingerprint of the RPC's method and body, which all attempts of one RPC share.
     #[prost(fixed64, tag = "3")]
-    pub work: u64,
+    pub fingerprint: u64,
     /// The time at which the key expires.
     #[prost(uint64, tag = "4")]
     pub until_ms: u64,
--- a/crates/ochrewalk-node/src/handover/records/rpcs.rs
+++ b/crates/ochrewalk-node/src/handover/records/rpcs.rs
@@ -21,28 +21,28 @@
     pub method: u32,
     /// The memory that the RPC needs, in KB.
     #[prost(double, tag = "3")]
-    pub kb: f64,
+    pub memory_kb: f64,
     /// The time at which the RPC reached the machine.
     #[prost(uint64, tag = "4")]
-    pub ts_ms: u64,
+    pub arrived_unix_ms: u64,
     /// The time for which the client still waits, in microseconds, where the request conveys it.
     #[prost(uint64, optional, tag = "5")]
-    pub left_us: Option<u64>,
+    pub time_left_us: Option<u64>,
     /// The idempotency key.
     #[prost(string, optional, tag = "6")]
-    pub token: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The fingerprint of the RPC's method and body; 0 without an idempotency key.
     #[prost(fixed64, tag = "7")]
-    pub work: u64,
+    pub fingerprint: u64,
     /// The body, a JSON string as received.
     #[prost(string, tag = "8")]
     pub body: String,
     /// Whether the client still waits for an answer.
     #[prost(bool, tag = "9")]
-    pub owed: bool,
+    pub awaits_answer: bool,
     /// Whether the executor runs the RPC.
     #[prost(bool, tag = "10")]
-    pub running: bool,
+    pub is_running: bool,
     /// The upstream call that the run waits for.
     #[prost(message, optional, tag = "11")]
     pub call: Option<CallRecord>,
@@ -62,10 +62,10 @@
     pub body: Vec<u8>,
     /// Whether the call was sent; the following times are 0 otherwise.
     #[prost(bool, tag = "3")]
-    pub placed: bool,
+    pub is_placed: bool,
     /// The time at which the call was sent.
     #[prost(uint64, tag = "4")]
-    pub at_us: u64,
+    pub placed_at_us: u64,
     /// The deadline of the call.
     #[prost(uint64, tag = "5")]
     pub until_us: u64,
@@ -76,7 +76,7 @@
 pub struct ClientAddress {
     /// Whether the connection is an AJP connection; otherwise it is a JSON-RPC connection.
     #[prost(bool, tag = "1")]
-    pub by_ajp: bool,
+    pub is_ajp: bool,
     /// The connection's number.
     #[prost(uint64, tag = "2")]
     pub connection: u64,
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -149,8 +149,12 @@
 fn node_record(node: &Node, keys_sent_ahead: bool) -> NodeRecord {
     let (fingerprint_key, fingerprint_key_more) = node.shared.fingerprint_key();
     let clock_base_ns = node.shared.clock.base_ns();
-    let mut record =
-        NodeRecord { clock_base_ns, fingerprint_key, fingerprint_key_more, ..NodeRecord::default() };
+    let mut record = NodeRecord {
+        clock_base_ns,
+        fingerprint_key,
+        fingerprint_key_second_half: fingerprint_key_more,
+        ..NodeRecord::default()
+    };
     node.shared.coordinator.snapshot(&mut record, keys_sent_ahead);
     record
 }
@@ -161,14 +165,14 @@
     RpcRecord {
         id: request.rpc.id.to_string(),
         method: request.rpc.method as u32,
-        kb: request.rpc.memory_kb,
-        ts_ms: request.rpc.arrived_unix_ms,
-        left_us: request.rpc.time_left_us,
-        token: idempotency_key.map(|key| key.key.to_string()),
-        work: idempotency_key.map_or(0, |key| key.fingerprint),
+        memory_kb: request.rpc.memory_kb,
+        arrived_unix_ms: request.rpc.arrived_unix_ms,
+        time_left_us: request.rpc.time_left_us,
+        idempotency_key: idempotency_key.map(|key| key.key.to_string()),
+        fingerprint: idempotency_key.map_or(0, |key| key.fingerprint),
         body: request.body.to_string(),
-        owed: state.awaits_answer,
-        running: state.is_running,
+        awaits_answer: state.awaits_answer,
+        is_running: state.is_running,
         call: state.call.as_ref().map(call_record),
         client: state.awaits_answer.then(|| request.client.address()),
     }
@@ -179,8 +183,8 @@
     CallRecord {
         pos: call.pos,
         body: call.body.clone(),
-        placed: call.placed.is_some(),
-        at_us: placed.placed_at_us,
+        is_placed: call.placed.is_some(),
+        placed_at_us: placed.placed_at_us,
         until_us: placed.until_us,
     }
 }
--- a/crates/ochrewalk-node/src/idempotency_keys.rs
+++ b/crates/ochrewalk-node/src/idempotency_keys.rs
@@ -224,7 +224,7 @@
                 _ => KeyState::Failed,
             };
             let waiting = record.waiting.into_iter().map(RpcId::from).collect();
-            let IdempotencyKeyRecord { work: fingerprint, until_ms, .. } = record;
+            let IdempotencyKeyRecord { fingerprint, until_ms, .. } = record;
             self.insert(
                 record.key.into(),
                 Entry { holder: record.holder.into(), fingerprint, until_ms, state, waiting },
@@ -263,7 +263,7 @@
     IdempotencyKeyRecord {
         key: key.to_string(),
         holder: entry.holder.to_string(),
-        work: entry.fingerprint,
+        fingerprint: entry.fingerprint,
         until_ms: entry.until_ms,
         state,
         result,
--- a/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -56,7 +56,7 @@
                 rpc: state.rpc.as_ref().map(|id| id.to_string()),
                 serial: state.serial,
                 used_us: state.used_us,
-                good: state.is_proven,
+                is_proven: state.is_proven,
             });
             descriptors.push(fd);
         }
@@ -95,7 +95,7 @@
                 rpc: record.rpc.map(id),
                 serial: record.serial,
                 used_us: record.used_us,
-                is_proven: record.good,
+                is_proven: record.is_proven,
                 is_evicted: false,
                 is_closed: false,
             };
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -370,7 +370,7 @@
 
     fn address(&self) -> ClientAddress {
         ClientAddress {
-            by_ajp: true,
+            is_ajp: true,
             connection: self.connection.number,
             message_id: String::new(),
             serial: self.serial,
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -277,7 +277,10 @@
             |connection: &Connection| connection.call.filter(|_| connection.state_machine.wrote());
         let lost = state.transport.connections.values().filter_map(written_call);
         let rpc_id = |call: CallId| state.transport.calls.get(&call).map(|call| call.id.to_string());
-        (UpstreamRecord { links: Vec::new(), lost: lost.filter_map(rpc_id).collect() }, Vec::new())
+        (
+            UpstreamRecord { connections: Vec::new(), lost_calls: lost.filter_map(rpc_id).collect() },
+            Vec::new(),
+        )
     }
 
     fn recheck_connections(&self) {
--- a/crates/ochrewalk-node/src/net/buffered_connection.rs
+++ b/crates/ochrewalk-node/src/net/buffered_connection.rs
@@ -119,8 +119,8 @@
         let record = StreamRecord {
             input: state.input.clone(),
             unsent: lines,
-            sent: if *sent < line.len() { *sent as u64 } else { 0 },
-            half_closed: *is_half_closed,
+            sent_bytes: if *sent < line.len() { *sent as u64 } else { 0 },
+            is_half_closed: *is_half_closed,
             close_reason: close_request as u32,
             unconfirmed: queue.unconfirmed.iter().flatten().cloned().collect(),
         };
@@ -136,9 +136,10 @@
     /// [`SendQueue::retaining_unconfirmed`] describes.
     pub fn resume(record: StreamRecord, retain_unconfirmed: bool) -> SendQueue {
         let mut lines: VecDeque<Vec<u8>> = record.unsent.into();
-        let mut writing = WriteState { is_half_closed: record.half_closed, ..WriteState::default() };
-        if record.sent > 0 {
-            (writing.line, writing.sent) = (lines.pop_front().unwrap_or_default(), record.sent as usize);
+        let mut writing = WriteState { is_half_closed: record.is_half_closed, ..WriteState::default() };
+        if record.sent_bytes > 0 {
+            (writing.line, writing.sent) =
+                (lines.pop_front().unwrap_or_default(), record.sent_bytes as usize);
         }
         let queue = Queue {
             bytes: lines.iter().map(Vec::len).sum(),
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -184,19 +184,19 @@
             connections.push(JsonRpcConnectionRecord {
                 number: *number,
                 stream,
-                open: state
+                open_rpcs: state
                     .open_rpcs
                     .iter()
                     .map(|(id, rpc)| OpenRpcRecord { message_id: id.to_string(), rpc: rpc.to_string() })
                     .collect(),
                 used_us: state.used_us,
-                spoke: state.has_line,
-                good: state.has_valid_message,
+                has_line: state.has_line,
+                has_valid_message: state.has_valid_message,
                 faults: state.faults,
-                after_faults: state.messages_after_faults,
-                partial_us: state.partial_since_us,
-                rpcs: state.has_carried_rpc,
-                end_by_us: state.close_by_us,
+                messages_after_faults: state.messages_after_faults,
+                partial_since_us: state.partial_since_us,
+                has_carried_rpc: state.has_carried_rpc,
+                close_deadline_us: state.close_by_us,
             });
             descriptors.push(fd);
         }
@@ -215,18 +215,18 @@
         let id = |rpc: String| ids.get(rpc.as_str()).cloned().unwrap_or_else(|| rpc.into());
         let mut resumed = Vec::new();
         for (record, descriptor) in records.connections.into_iter().zip(descriptors) {
-            let open_rpcs = record.open.into_iter().map(|o| (o.message_id.into(), id(o.rpc)));
+            let open_rpcs = record.open_rpcs.into_iter().map(|o| (o.message_id.into(), id(o.rpc)));
             let state = ConnectionState {
                 open_rpcs: open_rpcs.collect(),
                 used_us: record.used_us,
-                has_line: record.spoke,
-                has_valid_message: record.good,
+                has_line: record.has_line,
+                has_valid_message: record.has_valid_message,
                 faults: record.faults,
-                messages_after_faults: record.after_faults,
+                messages_after_faults: record.messages_after_faults,
                 is_evicted: false,
-                partial_since_us: record.partial_us,
-                has_carried_rpc: record.rpcs,
-                close_by_us: record.end_by_us,
+                partial_since_us: record.partial_since_us,
+                has_carried_rpc: record.has_carried_rpc,
+                close_by_us: record.close_deadline_us,
                 is_read_closed: false,
                 is_closed: false,
             };
@@ -355,7 +355,7 @@
 
     fn address(&self) -> ClientAddress {
         let (connection, message_id) = (self.connection.number, self.id.to_string());
-        ClientAddress { by_ajp: false, connection, message_id, serial: 0 }
+        ClientAddress { is_ajp: false, connection, message_id, serial: 0 }
     }
 
     fn record_fault(&self) {
--- a/crates/ochrewalk-node/src/net/executor.rs
+++ b/crates/ochrewalk-node/src/net/executor.rs
@@ -98,14 +98,14 @@
             let mut state = executor.lock();
             state.runs = runs.into_iter().map(run).collect();
             (state.last_read, state.gauge_tag, state.unconfirmed_until) =
-                (record.read, record.asked, record.doubt_until);
-            state.is_welcomed = record.welcomed && record.stream.is_some();
-            state.unconfirmed = record.doubtful;
+                (record.last_read, record.last_gauge_tag, record.unconfirmed_until);
+            state.is_welcomed = record.is_welcomed && record.stream.is_some();
+            state.unconfirmed = record.unconfirmed;
             state.paused = record.paused.into_iter().map(RpcId::from).collect();
         }
         match record.stream {
             Some(stream) => executor.send_queue = SendQueue::resume(stream, true),
-            None => record.waiting.into_iter().for_each(|line| executor.send_queue.push(line)),
+            None => record.queued.into_iter().for_each(|line| executor.send_queue.push(line)),
         }
         executor
     }
@@ -115,12 +115,12 @@
         let stream = self.send_queue.snapshot();
         let state = self.lock();
         let record = ExecutorRecord {
-            waiting: if stream.is_none() { self.send_queue.queued_lines() } else { Vec::new() },
-            read: state.last_read,
-            welcomed: state.is_welcomed,
-            asked: state.gauge_tag,
-            doubtful: state.unconfirmed.clone(),
-            doubt_until: state.unconfirmed_until,
+            queued: if stream.is_none() { self.send_queue.queued_lines() } else { Vec::new() },
+            last_read: state.last_read,
+            is_welcomed: state.is_welcomed,
+            last_gauge_tag: state.gauge_tag,
+            unconfirmed: state.unconfirmed.clone(),
+            unconfirmed_until: state.unconfirmed_until,
             paused: state.paused.iter().map(|id| id.to_string()).collect(),
             stream: None,
         };
--- a/crates/ochrewalk-node/src/net/line_upstream.rs
+++ b/crates/ochrewalk-node/src/net/line_upstream.rs
@@ -113,11 +113,11 @@
                 stream,
                 calls: inner.calls.keys().map(|id| id.to_string()).collect(),
                 used_us: inner.used_us,
-                partial_us: inner.partial_since_us,
+                partial_since_us: inner.partial_since_us,
             });
             descriptors.push(fd);
         }
-        (UpstreamRecord { links: connections, lost: Vec::new() }, descriptors)
+        (UpstreamRecord { connections, lost_calls: Vec::new() }, descriptors)
     }
 
     fn recheck_connections(&self) {
@@ -134,7 +134,7 @@
         event_senders: &HashMap<RpcId, EventSender>,
     ) {
         let mut state = self.0.lock();
-        for (record, descriptor) in record.links.into_iter().zip(descriptors) {
+        for (record, descriptor) in record.connections.into_iter().zip(descriptors) {
             let call = |id: String| {
                 event_senders.get_key_value(id.as_str()).map(|(id, events)| (id.clone(), events.clone()))
             };
@@ -142,7 +142,7 @@
             let connection_state = ConnectionState {
                 calls,
                 used_us: record.used_us,
-                partial_since_us: record.partial_us,
+                partial_since_us: record.partial_since_us,
                 is_closed: false,
             };
             let address = record.endpoint.parse().unwrap_or(state.address);
--- a/crates/ochrewalk-node/src/node/assembly.rs
+++ b/crates/ochrewalk-node/src/node/assembly.rs
@@ -110,7 +110,7 @@
     let can_pause = deployment.machine.stopping == Stopping::Pause;
     let fingerprint_key = received.as_ref().map_or_else(
         || (fastrand::u64(..), fastrand::u64(..)),
-        |received| (received.node.fingerprint_key, received.node.fingerprint_key_more),
+        |received| (received.node.fingerprint_key, received.node.fingerprint_key_second_half),
     );
     let rpcs = received.as_mut().map(|received| std::mem::take(&mut received.rpcs.rpcs)).unwrap_or_default();
     let method_count = deployment.methods.len();
@@ -142,7 +142,7 @@
         .ajp_upstream
         .as_ref()
         .map_or(placement.descriptors / UPSTREAM_DESCRIPTOR_DIVISOR, |upstream| upstream.max_connections);
-    let runs = incoming.iter().zip(&rpcs).zip(&handles).filter(|((_, rpc), _)| rpc.running);
+    let runs = incoming.iter().zip(&rpcs).zip(&handles).filter(|((_, rpc), _)| rpc.is_running);
     let may_repeat = |rpc: &IncomingRequest| deployment.methods[rpc.method].effect == Effect::Idempotent;
     let runs =
         runs.map(|((rpc, _), handle)| (rpc.id.clone(), may_repeat(rpc), handle.event_sender())).collect();
@@ -218,11 +218,11 @@
             resumed.ajp_connections = ingress.resume(received.ajp.record, received.ajp.descriptors, &ids);
         }
         let moved_calls: HashSet<&String> =
-            received.upstream.record.links.iter().flat_map(|link| &link.calls).collect();
+            received.upstream.record.connections.iter().flat_map(|connection| &connection.calls).collect();
         for ((rpc, record), handle) in incoming.into_iter().zip(rpcs).zip(handles) {
-            let is_placed = record.call.as_ref().is_some_and(|call| call.placed);
+            let is_placed = record.call.as_ref().is_some_and(|call| call.is_placed);
             if is_placed && !moved_calls.contains(&record.id) {
-                let is_lost = received.upstream.record.lost.contains(&record.id);
+                let is_lost = received.upstream.record.lost_calls.contains(&record.id);
                 let result = if is_lost {
                     CallResult::ConnectionClosed(CloseReason::Moved)
                 } else {
@@ -230,14 +230,14 @@
                 };
                 resumed.call_results.push((handle.event_sender(), result));
             }
-            let client = record.client.as_ref().and_then(|address| match (&ajp_ingress, address.by_ajp) {
+            let client = record.client.as_ref().and_then(|address| match (&ajp_ingress, address.is_ajp) {
                 (Some(ingress), true) => ingress.client_at(address),
                 (None, true) => None,
                 (_, false) => dispatchers.client_at(address),
             });
             let state = RequestState {
-                awaits_answer: record.owed && client.is_some(),
-                is_running: record.running,
+                awaits_answer: record.awaits_answer && client.is_some(),
+                is_running: record.is_running,
                 call: record.call.map(upstream_call),
             };
             let request = OpenRequest::new(
@@ -287,17 +287,17 @@
 /// Converts the record of an open RPC to the request that is resumed at the coordinator.
 pub(super) fn incoming_request(record: &RpcRecord) -> IncomingRequest {
     let idempotency_key = record
-        .token
+        .idempotency_key
         .as_ref()
-        .map(|key| IdempotencyKey { key: key.as_str().into(), fingerprint: record.work });
-    let (method, time_left_us) = (record.method as usize, record.left_us);
+        .map(|key| IdempotencyKey { key: key.as_str().into(), fingerprint: record.fingerprint });
+    let (method, time_left_us) = (record.method as usize, record.time_left_us);
     // The tenant is left out: the admission controller has charged the RPC to its quota already.
     let (id, tenant) = (record.id.as_str().into(), None);
     IncomingRequest {
         id,
         method,
-        memory_kb: record.kb,
-        arrived_unix_ms: record.ts_ms,
+        memory_kb: record.memory_kb,
+        arrived_unix_ms: record.arrived_unix_ms,
         time_left_us,
         idempotency_key,
         tenant,
@@ -306,8 +306,8 @@
 
 /// Converts the record of an upstream call to the call that the request's state machine continues.
 pub(super) fn upstream_call(record: CallRecord) -> UpstreamCall {
-    let placed = PlacedCall { placed_at_us: record.at_us, until_us: record.until_us };
-    UpstreamCall { pos: record.pos, body: record.body, placed: record.placed.then_some(placed) }
+    let placed = PlacedCall { placed_at_us: record.placed_at_us, until_us: record.until_us };
+    UpstreamCall { pos: record.pos, body: record.body, placed: record.is_placed.then_some(placed) }
 }
 
 /// The client of a request whose connection is closed.
--- a/crates/ochrewalk-node/src/rollout/error.rs
+++ b/crates/ochrewalk-node/src/rollout/error.rs
@@ -37,7 +37,7 @@
     /// Nodes are not ready for a rollout; the text has a line for each.
     #[error("{}", lines(.0))]
     NotReady(Vec<NodeFault>),
-    /// The lock beside the record is held.
+    /// Another controller holds the lock of the record.
     #[error("{}: another controller runs: {source}", lock.display())]
     AnotherController {
         /// The lock's file.
--- a/crates/ochrewalk-node/tests/handover_records.rs
+++ b/crates/ochrewalk-node/tests/handover_records.rs
@@ -31,8 +31,8 @@
     StreamRecord {
         input: b"half a li".to_vec(),
         unsent: vec![b"first\n".to_vec(), b"second\n".to_vec()],
-        sent: 3,
-        half_closed: true,
+        sent_bytes: 3,
+        is_half_closed: true,
         close_reason: 2,
         unconfirmed: vec![b"unconfirmed\n".to_vec()],
     }
@@ -42,7 +42,7 @@
     IdempotencyKeyRecord {
         key: key.into(),
         holder: "00000000000000a1".into(),
-        work: 0xfedc_ba98_7654_3210,
+        fingerprint: 0xfedc_ba98_7654_3210,
         until_ms: 1_796_000_000_000,
         state,
         result: "UkVT".into(),
@@ -71,13 +71,13 @@
     let expected = NodeRecord {
         clock_base_ns: -1_234_567_890_123,
         fingerprint_key: 0x0123_4567_89ab_cdef,
-        fingerprint_key_more: 0xfedc_ba98_7654_3210,
+        fingerprint_key_second_half: 0xfedc_ba98_7654_3210,
         decisions: node.decisions.clone(),
-        healthy: Some(true),
-        signal: Some(0.75),
-        idle_us: 1_000_001,
-        wake_us: 2_000_002,
-        wake_token: 42,
+        is_healthy: Some(true),
+        load_signal: Some(0.75),
+        max_idle_us: 1_000_001,
+        timer_us: 2_000_002,
+        timer_token: 42,
         keys: vec![key_record("t0", 0), key_record("t1", 1), key_record("t2", 2)],
         removed_keys: vec!["lapsed".into()],
     };
@@ -94,38 +94,44 @@
 
 #[test]
 fn open_rpcs_of_both_protocols_keep_their_format() {
-    let call =
-        CallRecord { pos: 17, body: vec![0, 1, 2, 255], placed: true, at_us: 5_000_001, until_us: 6_000_002 };
+    let call = CallRecord {
+        pos: 17,
+        body: vec![0, 1, 2, 255],
+        is_placed: true,
+        placed_at_us: 5_000_001,
+        until_us: 6_000_002,
+    };
     let by_json = RpcRecord {
         id: "00000000000000a1".into(),
         method: 2,
-        kb: 20.5,
-        ts_ms: 1_796_000_000_123,
-        left_us: Some(3_999_999),
-        token: Some("t0".into()),
-        work: 0x8877_6655_4433_2211,
+        memory_kb: 20.5,
+        arrived_unix_ms: 1_796_000_000_123,
+        time_left_us: Some(3_999_999),
+        idempotency_key: Some("t0".into()),
+        fingerprint: 0x8877_6655_4433_2211,
         body: "QUJD".into(),
-        owed: true,
-        running: true,
+        awaits_answer: true,
+        is_running: true,
         call: Some(call),
-        client: Some(ClientAddress { by_ajp: false, connection: 9, message_id: "\"a-7\"".into(), serial: 0 }),
+        client: Some(ClientAddress { is_ajp: false, connection: 9, message_id: "\"a-7\"".into(), serial: 0 }),
     };
     let by_ajp = RpcRecord {
         id: "00000000000000a2".into(),
         method: 1,
-        kb: 0.5,
-        ts_ms: 1_796_000_000_456,
-        left_us: None,
-        token: None,
-        work: 0,
+        memory_kb: 0.5,
+        arrived_unix_ms: 1_796_000_000_456,
+        time_left_us: None,
+        idempotency_key: None,
+        fingerprint: 0,
         body: String::new(),
-        owed: true,
-        running: false,
+        awaits_answer: true,
+        is_running: false,
         call: None,
-        client: Some(ClientAddress { by_ajp: true, connection: 4, message_id: String::new(), serial: 12 }),
+        client: Some(ClientAddress { is_ajp: true, connection: 4, message_id: String::new(), serial: 12 }),
     };
     // The client has disconnected, so that no answer is awaited, and the run has not ended.
-    let without_client = RpcRecord { id: "00000000000000a3".into(), running: true, ..RpcRecord::default() };
+    let without_client =
+        RpcRecord { id: "00000000000000a3".into(), is_running: true, ..RpcRecord::default() };
     assert_record("rpcs.bin", &RpcRecords { rpcs: vec![by_json, by_ajp, without_client] });
 }
 
@@ -134,15 +140,15 @@
     let full = JsonRpcConnectionRecord {
         number: 9,
         stream: stream(),
-        open: vec![OpenRpcRecord { message_id: "\"a-7\"".into(), rpc: "00000000000000a1".into() }],
+        open_rpcs: vec![OpenRpcRecord { message_id: "\"a-7\"".into(), rpc: "00000000000000a1".into() }],
         used_us: 7_000_007,
-        spoke: true,
-        good: true,
+        has_line: true,
+        has_valid_message: true,
         faults: 3,
-        after_faults: 31,
-        partial_us: Some(6_999_999),
-        rpcs: true,
-        end_by_us: Some(8_000_008),
+        messages_after_faults: 31,
+        partial_since_us: Some(6_999_999),
+        has_carried_rpc: true,
+        close_deadline_us: Some(8_000_008),
     };
     let fresh = JsonRpcConnectionRecord { number: 10, ..JsonRpcConnectionRecord::default() };
     assert_record("json.bin", &JsonRpcConnectionRecords { connections: vec![full, fresh], next_number: 11 });
@@ -175,7 +181,7 @@
         rpc: Some("00000000000000a2".into()),
         serial: 12,
         used_us: 7_000_002,
-        good: true,
+        is_proven: true,
     };
     let health = AjpRequestRecord { health: true, ts_ms: 1_796_000_000_789, ..AjpRequestRecord::default() };
     let with_health_check =
@@ -190,17 +196,17 @@
 fn the_link_to_the_executor_keeps_its_format() {
     let linked = ExecutorRecord {
         stream: Some(stream()),
-        waiting: vec![b"{\"action\":\"KILL\"}\n".to_vec()],
-        read: 1_234,
-        welcomed: true,
-        asked: 77,
-        doubtful: vec![b"{\"action\":\"EXEC\"}\n".to_vec()],
-        doubt_until: 9_000_009,
+        queued: vec![b"{\"action\":\"KILL\"}\n".to_vec()],
+        last_read: 1_234,
+        is_welcomed: true,
+        last_gauge_tag: 77,
+        unconfirmed: vec![b"{\"action\":\"EXEC\"}\n".to_vec()],
+        unconfirmed_until: 9_000_009,
         paused: vec!["look".into(), "sale".into()],
     };
     assert_record("executor.bin", &linked);
     // Without a link the record has only commands that are queued for one.
-    let unlinked = ExecutorRecord { waiting: vec![b"{}\n".to_vec()], ..ExecutorRecord::default() };
+    let unlinked = ExecutorRecord { queued: vec![b"{}\n".to_vec()], ..ExecutorRecord::default() };
     assert_record("executor-unlinked.bin", &unlinked);
 }
 
@@ -211,7 +217,10 @@
         stream: stream(),
         calls: vec!["00000000000000a1".into()],
         used_us: 7_000_003,
-        partial_us: Some(6_500_000),
+        partial_since_us: Some(6_500_000),
     };
-    assert_record("below.bin", &UpstreamRecord { links: vec![link], lost: vec!["00000000000000a2".into()] });
+    assert_record(
+        "below.bin",
+        &UpstreamRecord { connections: vec![link], lost_calls: vec!["00000000000000a2".into()] },
+    );
 }
