--- a/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
+++ b/crates/ochrewalk-node/src/bin/ochrewalk-config/arguments.rs
@@ -53,7 +53,7 @@
 
 #[derive(Args, Debug)]
 pub(crate) struct ServeArguments {
-    /// Where relays connect to
+    /// The address that relays connect to
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub(crate) listen: SocketAddr,
     /// The control socket for operators' requests
@@ -74,7 +74,7 @@
     pub(crate) name: String,
     #[arg(long)]
     pub(crate) region: String,
-    /// Where nodes connect to
+    /// The address that nodes connect to
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub(crate) listen: SocketAddr,
     /// The publisher, and any that may take over from it
--- a/crates/ochrewalk-node/src/handover/descriptor_socket.rs
+++ b/crates/ochrewalk-node/src/handover/descriptor_socket.rs
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 ///
-/// There are more than [`MAX_DESCRIPTORS`] descriptors, or the operating system reports an error.
+/// The message has more than [`MAX_DESCRIPTORS`] descriptors, or the operating system reports an error.
 pub fn send(stream: &UnixStream, bytes: &[u8], descriptors: &[BorrowedFd]) -> std::io::Result<()> {
     let mut space = [MaybeUninit::uninit(); ANCILLARY_BYTES];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -89,8 +89,8 @@
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return,
         }
-        while let Some(at) = input[searched..].iter().position(|byte| *byte == b'\n') {
-            let end = searched + at;
+        while let Some(offset) = input[searched..].iter().position(|byte| *byte == b'\n') {
+            let end = searched + offset;
             let line = String::from_utf8_lossy(&input[..end]).into_owned();
             input.drain(..=end);
             searched = 0;
--- a/crates/ochrewalk-node/src/handover/hand_over_stream.rs
+++ b/crates/ochrewalk-node/src/handover/hand_over_stream.rs
@@ -12,7 +12,7 @@
 /// The minimal read time-out: a socket without a time-out would block for ever.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// One end of the stream.
+/// An end of the stream between predecessor and successor.
 pub struct HandOverStream {
     stream: UnixStream,
     /// Bytes that were received and are not a complete message yet.
--- a/crates/ochrewalk-node/src/handover/predecessor.rs
+++ b/crates/ochrewalk-node/src/handover/predecessor.rs
@@ -72,7 +72,7 @@
                     &format!("the messages of the successor cannot be read: {error}"),
                     &mut actions,
                 );
-                // Where the state is released already, only the end of the successor has an effect.
+                // If the state is released already, only the end of the successor has an effect.
                 actions.kill_peer();
                 std::thread::sleep(POLL_INTERVAL);
                 predecessor.tick(clock.now_us(), &mut actions);
@@ -179,17 +179,19 @@
     /// Sends the idempotency keys. They rarely change, while all other state changes with every RPC.
     fn transfer_ahead(&mut self, _now_us: u64) -> TransferredAhead {
         let coordinator = &self.node.shared.coordinator;
-        let (mut chunks, mut after) = (0, None);
+        let (mut chunks, mut last_key) = (0, None);
         self.keys_sent_ahead = true;
         // An interruption ends the attempt anyway.
         while !self.control.is_interrupted() {
-            let Some((keys, last)) = coordinator.export_keys(after.as_ref(), KEYS_PER_CHUNK) else { break };
+            let Some((keys, last)) = coordinator.export_keys(last_key.as_ref(), KEYS_PER_CHUNK) else {
+                break;
+            };
             let bytes = IdempotencyKeyRecords { keys }.encode_to_vec();
             let chunk = Chunk { section: records::AHEAD.0.into(), bytes, descriptors: 0 };
             if self.stream.send(Message::Chunk(chunk), &[]).is_err() {
                 break;
             }
-            (chunks, after) = (chunks + 1, Some(last));
+            (chunks, last_key) = (chunks + 1, Some(last));
         }
         TransferredAhead { chunks, finished_us: self.node.shared.clock.now_us() }
     }
--- a/crates/ochrewalk-node/src/handover/records/connections.rs
+++ b/crates/ochrewalk-node/src/handover/records/connections.rs
@@ -37,7 +37,7 @@
     pub next_number: u64,
 }
 
-/// One JSON-RPC connection.
+/// The record of a JSON-RPC connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct JsonRpcConnectionRecord {
     /// The connection's number.
@@ -97,7 +97,7 @@
     pub next_number: u64,
 }
 
-/// One AJP connection.
+/// The record of an AJP connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct AjpConnectionRecord {
     /// The connection's number.
@@ -148,7 +148,7 @@
     pub is_proven: bool,
 }
 
-/// One AJP request.
+/// The record of an AJP request.
 #[derive(Clone, PartialEq, Message)]
 pub struct AjpRequestRecord {
     /// Whether the request is a health check, of which only the time is used.
@@ -218,7 +218,7 @@
     pub lost_calls: Vec<String>,
 }
 
-/// One upstream connection.
+/// The record of an upstream connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpstreamConnectionRecord {
     /// The endpoint's address.
--- a/crates/ochrewalk-node/src/handover/records/mod.rs
+++ b/crates/ochrewalk-node/src/handover/records/mod.rs
@@ -67,7 +67,7 @@
     pub removed_keys: Vec<String>,
 }
 
-/// One chunk of the idempotency keys that are sent ahead of the pause.
+/// A chunk of the idempotency keys that are sent ahead of the pause.
 #[derive(Clone, PartialEq, Message)]
 pub struct IdempotencyKeyRecords {
     /// The keys.
--- a/crates/ochrewalk-node/src/handover/records/rpcs.rs
+++ b/crates/ochrewalk-node/src/handover/records/rpcs.rs
@@ -10,7 +10,7 @@
     pub rpcs: Vec<RpcRecord>,
 }
 
-/// One open RPC.
+/// The record of an open RPC.
 #[derive(Clone, PartialEq, Message)]
 pub struct RpcRecord {
     /// The RPC's id.
--- a/crates/ochrewalk-node/src/handover/serving_child.rs
+++ b/crates/ochrewalk-node/src/handover/serving_child.rs
@@ -29,7 +29,7 @@
 
 /// The counters of all reports, and the time of the latest one.
 struct LatestReport {
-    at: Instant,
+    received_at: Instant,
     counters: ReportedCounters,
 }
 
@@ -58,17 +58,18 @@
     /// Applies a report of the child.
     pub fn take(&mut self, report: CounterReport) {
         let latest = self.report.get_or_insert_with(|| LatestReport {
-            at: Instant::now(),
+            received_at: Instant::now(),
             counters: ReportedCounters::default(),
         });
-        latest.at = Instant::now();
+        latest.received_at = Instant::now();
         latest.counters.take(report);
     }
 
     /// Whether the latest report is recent and states that the child is healthy.
     pub(super) fn is_healthy(&self) -> bool {
-        let is_healthy =
-            |report: &LatestReport| report.at.elapsed() < MAX_REPORT_AGE && report.counters.latest.is_healthy;
+        let is_healthy = |report: &LatestReport| {
+            report.received_at.elapsed() < MAX_REPORT_AGE && report.counters.latest.is_healthy
+        };
         self.report.as_ref().is_some_and(is_healthy)
     }
 
--- a/crates/ochrewalk-node/src/handover/snapshot.rs
+++ b/crates/ochrewalk-node/src/handover/snapshot.rs
@@ -27,7 +27,7 @@
     NotQuiescent,
 }
 
-/// One section as it is handed over.
+/// A section of the state, as it is handed over.
 pub(super) struct SectionState {
     pub(super) name: &'static str,
     pub(super) bytes: Vec<u8>,
--- a/crates/ochrewalk-node/src/handover/successor.rs
+++ b/crates/ochrewalk-node/src/handover/successor.rs
@@ -91,9 +91,9 @@
         }
         match actions.stream.receive(POLL_INTERVAL).map_err(TakeOverError::Stream)? {
             Received::Message(message) => {
-                let before = successor.state();
+                let previous_state = successor.state();
                 successor.message(clock.now_us(), &message, &mut actions);
-                match (before, successor.state()) {
+                match (previous_state, successor.state()) {
                     (State::Receiving, State::Ready) => fail_if_requested(Step::Ready),
                     (State::Ready, State::Loaded) => fail_if_requested(Step::Loaded),
                     _ => {}
--- a/crates/ochrewalk-node/src/handover/supervisor/children.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/children.rs
@@ -75,17 +75,17 @@
         spec: &ChildSpec,
         predecessor: Option<&UnixStream>,
     ) -> std::io::Result<ChildId> {
-        let (ours, theirs) = UnixStream::pair()?;
-        let link = inherit(theirs.as_fd())?;
+        let (supervisors_end, childs_end) = UnixStream::pair()?;
+        let link = inherit(childs_end.as_fd())?;
         let predecessor = predecessor.map(|stream| inherit(stream.as_fd())).transpose()?;
         let child = command(spec, &link, predecessor.as_ref()).spawn()?;
         self.last_id += 1;
         let (id, pid) = (ChildId(self.last_id), child.id());
         let serving = ServingChild::of(spec.clone(), pid);
-        self.running.insert(id, RunningChild { pid, stream: ours.try_clone()?, serving });
+        self.running.insert(id, RunningChild { pid, stream: supervisors_end.try_clone()?, serving });
         let on_line = self.events.clone();
         let reader = std::thread::spawn(move || {
-            read_lines(&ours, |line, _| {
+            read_lines(&supervisors_end, |line, _| {
                 let _ = on_line.send(Event::ChildLine { child: id, line: line.into() });
             });
         });
--- a/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/hand_over.rs
@@ -73,8 +73,8 @@
 
     /// Reports the failed attempts whose successor was this child, which has ended.
     pub(super) fn report_failed_attempts_of(&mut self, child: ChildId) {
-        while let Some(at) = self.failed_attempts.iter().position(|failed| failed.successor == child) {
-            let FailedAttempt { requester, failure, .. } = self.failed_attempts.swap_remove(at);
+        while let Some(index) = self.failed_attempts.iter().position(|failed| failed.successor == child) {
+            let FailedAttempt { requester, failure, .. } = self.failed_attempts.swap_remove(index);
             self.report_outcome(requester, None, Err(failure));
         }
     }
--- a/crates/ochrewalk-node/src/handover/supervisor/mod.rs
+++ b/crates/ochrewalk-node/src/handover/supervisor/mod.rs
@@ -2,7 +2,7 @@
 //! supervisor starts the child that serves, starts a second child on request, forwards signals, and decides which of the
 //! two may act. To keep the risk of failures low, the supervisor itself serves nothing.
 //!
-//! One thread owns the complete state and handles one event after another; all other threads only wait and report.
+//! A single thread owns the complete state and handles one event after another; all other threads only wait and report.
 
 mod children;
 mod control_socket;
--- a/crates/ochrewalk-node/src/node/mod.rs
+++ b/crates/ochrewalk-node/src/node/mod.rs
@@ -89,14 +89,15 @@
         .map_err(|err| format!("cannot wait for signals: {err}"))?;
     let mut supervised = supervised();
     let mut files = files.clone();
-    if let Some(file) = supervised.as_mut().and_then(|by| by.operators.take()) {
+    if let Some(file) = supervised.as_mut().and_then(|supervised| supervised.operators.take()) {
         files.operators = Some(file);
     }
-    let predecessor = supervised.as_mut().and_then(|by| by.predecessor.take()).map(HandOverStream::new);
+    let predecessor =
+        supervised.as_mut().and_then(|supervised| supervised.predecessor.take()).map(HandOverStream::new);
     let reading = Instant::now();
-    let (mut placement, operators) = files.read().inspect_err(|why| {
+    let (mut placement, operators) = files.read().inspect_err(|reason| {
         if let Some(stream) = &predecessor {
-            refuse(stream, why);
+            refuse(stream, reason);
         }
     })?;
     if let (None, Some(control)) = (&supervised, &operators.upgrade_control) {
@@ -117,7 +118,7 @@
     let (mut operators_text, settings_fingerprint) = files.operators_text();
     let mut drain_signal = None;
     let assembled = match (predecessor, &supervised) {
-        (Some(stream), Some(by)) => {
+        (Some(stream), Some(supervised)) => {
             let limits = TakeOverLimits {
                 digest,
                 bytes: placement.memory_mb * 1024 * 1024 / 2,
@@ -128,7 +129,7 @@
             let interruption = std::cell::RefCell::new((&mut signals, &mut drain_signal));
             let mode = take_over(
                 stream,
-                &by.link,
+                &supervised.link,
                 &limits,
                 || {
                     let (signals, drain_signal) = &mut *interruption.borrow_mut();
--- a/crates/ochrewalk-node/src/node/reload.rs
+++ b/crates/ochrewalk-node/src/node/reload.rs
@@ -55,7 +55,8 @@
     if not_in_force.is_empty() {
         *operators_text = text;
     }
-    // Allowed peers, routes and rules, and upstream endpoints change now; all other settings change at the next start.
+    // Of the operators' file, allowed peers, routes and rules, and upstream endpoints change now; all other settings
+    // change at the next start.
     match &node.configuration {
         Some(configuration) => {
             for error in configuration.replace_file(operators.into()) {
--- a/crates/ochrewalk-node/tests/configuration/updates.rs
+++ b/crates/ochrewalk-node/tests/configuration/updates.rs
@@ -34,7 +34,7 @@
     let (stand, _executor) = start_node(&control_plane.directives(""));
     control_plane.publish("route shop GET /good look\n");
     wait_until("the route", || is_routed(&stand, "/good"));
-    // One line is invalid: nothing of the batch is published.
+    // The batch has an invalid line, so that none of its changes is published.
     let (printed, succeeded) =
         control_plane.run_with_changes("publish", "route shop GET /a look\nroute shop get /b look\n");
     assert!(!succeeded && printed.contains(":2: get is no HTTP method"), "{printed}");
