--- a/crates/ochrewalk-node/src/coordinator.rs
+++ b/crates/ochrewalk-node/src/coordinator.rs
@@ -705,7 +705,7 @@
         self.send_event(id, RequestEvent::Abort);
     }
 
-    fn place_call(&mut self, id: &str, until_us: u64) {
+    fn issue_call(&mut self, id: &str, until_us: u64) {
         self.send_event(id, RequestEvent::PlaceCall { until_us });
     }
 
@@ -725,7 +725,7 @@
         }
     }
 
-    fn share_outcome(&mut self, id: &str) {
+    fn answer_repeat(&mut self, id: &str) {
         let Some(idempotency_key) = self.idempotency_key(id) else { return };
         let repeat: RpcId = id.into();
         match self.keys.share(&idempotency_key.key, &repeat) {
--- a/crates/ochrewalk-simulator-adapter/src/wire.rs
+++ b/crates/ochrewalk-simulator-adapter/src/wire.rs
@@ -65,8 +65,8 @@
         }
         let parts = Parts::read("batch", document, &["parts"])?;
         let batch = parts.fields();
-        let now_us = batch.whole("wall-ns")? / NS_PER_US;
-        let mut reply = format!("{{\"frame\":{},\"parts\":[", batch.whole("frame")?);
+        let now_us = batch.integer("wall-ns")? / NS_PER_US;
+        let mut reply = format!("{{\"frame\":{},\"parts\":[", batch.integer("frame")?);
         let mut is_first = true;
         parts.required("parts")?;
         parts.for_each("parts", |part: &RawValue| -> Result<(), WireError> {
@@ -84,7 +84,7 @@
     /// controller requests none.
     fn part(&mut self, now_us: u64, part: &RawValue) -> Result<Option<(u64, String)>, WireError> {
         let part = Parts::read("batch part", part, &["inbox"])?;
-        let i = part.fields().whole("i")?;
+        let i = part.fields().integer("i")?;
         let mut has_events = false;
         part.required("inbox")?;
         part.for_each("inbox", |event: &RawValue| {
@@ -119,7 +119,7 @@
     fn open(&mut self, instance: u64, now_us: u64, message: &str, parts: &Parts) -> Result<(), WireError> {
         let name = format!("{message} options");
         let deployment = Deployment::read(&name, parts.object_text("options")?)?;
-        let seed = parts.fields().whole("random-seed")?;
+        let seed = parts.fields().integer("random-seed")?;
         let controller = deployment.start(Output::default(), now_us, seed);
         self.servers.insert(instance, Server { controller, deployment });
         Ok(())
@@ -142,15 +142,15 @@
             "HANGUP" => self.controller.caller_left(fields.text("handle")?),
             "NEEDS" => self.controller.call_needed(now_us, fields.text("handle")?),
             "CALL_RESULT" => {
-                let took_us = fields.optional_whole("lag-ns")?.unwrap_or(0) / NS_PER_US;
+                let took_us = fields.optional_integer("lag-ns")?.unwrap_or(0) / NS_PER_US;
                 self.controller.call_ended(now_us, fields.text("handle")?, fields.outcome()?, took_us);
             }
             "SETTLED" => self.controller.run_ended(now_us, fields.text("handle")?, fields.outcome()?),
             "RETIRE_SOON" => {
-                self.controller.drain(now_us, fields.whole("expires-in-ns")? / NS_PER_US);
+                self.controller.drain(now_us, fields.integer("expires-in-ns")? / NS_PER_US);
             }
             _ => {
-                let token = fields.whole("token")?;
+                let token = fields.integer("token")?;
                 let row = fields.optional_list("health-info")?;
                 let gauges = self.deployment.gauges(|position| row.get(position)?.as_f64());
                 self.controller.timer_fired(now_us, token, gauges);
@@ -160,20 +160,20 @@
     }
 
     fn arrival(&self, fields: &Fields) -> Result<Arrival, FieldError> {
-        let bits = fields.whole("bits")?;
+        let bits = fields.integer("bits")?;
         let kind = fields.text("kind")?;
         let deployment = &self.deployment;
         Ok(Arrival {
             id: fields.text("handle")?.into(),
             method: deployment.method(kind).ok_or_else(|| fields.invalid("kind", "a known class"))?,
             memory_kb: fields.number("size-kb")?,
-            queued_us: fields.optional_whole("queued-for-ns")?.unwrap_or(0) / NS_PER_US,
+            queued_us: fields.optional_integer("queued-for-ns")?.unwrap_or(0) / NS_PER_US,
             time_left_us: fields
-                .optional_whole("expires-in-ns")?
+                .optional_integer("expires-in-ns")?
                 .filter(|_| deployment.conveys_time_left)
                 .map(|ns| ns / NS_PER_US),
             work_hint_us: fields
-                .optional_whole("effort-ns")?
+                .optional_integer("effort-ns")?
                 .filter(|hint_ns| *hint_ns > 0 && bits & HAS_WORK_HINT != 0)
                 .map(|ns| ns / NS_PER_US),
             repeats: fields.optional_text("repeats")?.map(Into::into),
@@ -223,7 +223,7 @@
         self.write_action_with_handle("LOSE", id);
     }
 
-    fn place_call(&mut self, id: &str, until_us: u64) {
+    fn issue_call(&mut self, id: &str, until_us: u64) {
         let id = quoted(id);
         self.write_action("GO_CALL", format_args!(",\"handle\":{id},\"until-ns\":{}", until_us * NS_PER_US));
     }
@@ -241,7 +241,7 @@
         self.write_action_with_handle("DROP_KEY", id);
     }
 
-    fn share_outcome(&mut self, id: &str) {
+    fn answer_repeat(&mut self, id: &str) {
         self.write_action_with_handle("SHARE", id);
     }
 
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -27,8 +27,8 @@
         ConcurrencyLimit { cores: f64::from(cores), survivable, started_us, above_cores: 0.0 }
     }
 
-    /// Returns the minimum share of its full speed that the server has at this time.
-    pub fn warm_share(&self, now_us: u64) -> f64 {
+    /// Returns the minimum speed of the server at this time, as a fraction of its full speed.
+    pub fn min_speed(&self, now_us: u64) -> f64 {
         if !self.survivable.is_cold {
             return 1.0;
         }
@@ -39,7 +39,7 @@
 
     /// Returns the maximum number of requests that may be on the cores or return to them from upstream calls.
     pub fn ceiling(&self, now_us: u64) -> usize {
-        let survivable_per_core = 1.0 + (self.survivable.requests_per_core - 1.0) * self.warm_share(now_us);
+        let survivable_per_core = 1.0 + (self.survivable.requests_per_core - 1.0) * self.min_speed(now_us);
         ((survivable_per_core * self.cores * USABLE_SHARE) as usize).max(1)
     }
 
--- a/src/admission/integral_controller.rs
+++ b/src/admission/integral_controller.rs
@@ -7,7 +7,7 @@
 //! | --- | --- | --- |
 //! | `call_setpoint` | r | the target number of upstream calls per period |
 //! | `admission_limit` | u | the number of requests that may start per period |
-//! | `observed_calls` | y | the number of upstream calls placed in this period |
+//! | `observed_calls` | y | the number of upstream calls issued in this period |
 //! | `INTEGRAL_GAIN` | K_I | the change of u per unit of the error e = r - y |
 
 /// The controller's period. The project's design page says to start with 1 s.
@@ -63,8 +63,8 @@
         IntegralController { period_ends_us: now_us + PERIOD_US, ..IntegralController::default() }
     }
 
-    /// Counts an upstream call that was placed.
-    pub fn call_placed(&mut self) {
+    /// Counts an upstream call that was issued.
+    pub fn call_issued(&mut self) {
         self.observed_calls += 1.0;
     }
 
--- a/src/admission/load_signal.rs
+++ b/src/admission/load_signal.rs
@@ -53,8 +53,8 @@
     }
 
     /// Returns the wanted share to announce. A cold server wants no more than its present share of full speed.
-    pub fn share_to_announce(&self, warm_share: f64) -> f64 {
-        (self.wanted_share.min(warm_share) * 100.0).round() / 100.0
+    pub fn share_to_announce(&self, min_speed: f64) -> f64 {
+        (self.wanted_share.min(min_speed) * 100.0).round() / 100.0
     }
 
     /// Returns the load signal for a wanted share, in the deployment's unit, or `None` if the share was sent already or
@@ -76,7 +76,7 @@
     /// Records that a request was started or rejected. Callers pick servers at random, so the outcome of retries from
     /// other servers here predicts the outcome of this server's retries there.
     pub fn request_decided(&mut self, is_retry: bool, is_rejected: bool) {
-        if is_retry || !self.callers.mark_retries {
+        if is_retry || !self.callers.flags_retries {
             let rejected = f64::from(u8::from(is_rejected));
             self.retries_rejected += (rejected - self.retries_rejected) / RETRY_WEIGHT_DIVISOR;
         }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -15,7 +15,7 @@
 //! | `service_time` | estimates of run times and call times |
 //! | `request`, `request_table` | the requests at this server, and the state of each |
 //! | `request_queue` | the start order of queued requests, and evictions from the queue |
-//! | `upstream_calls` | the decision to place, delay or skip an upstream call |
+//! | `upstream_calls` | the decision to issue, delay or skip an upstream call |
 //! | `memory_budget` | the limit on the memory of requests and keys |
 //! | [`load_signal`] | the load signal and the advice that callers receive |
 //! | `draining` | the period between the notice to drain and the end of the process |
@@ -195,8 +195,8 @@
             return;
         }
         if is_repeat {
-            // A repeat shares the outcome of the first request and never runs: this prevents a second effect.
-            self.host.share_outcome(&id);
+            // A repeat is answered with the outcome of the first request and never runs: this prevents a second effect.
+            self.host.answer_repeat(&id);
         } else {
             let time_to_live_us = idempotency::time_to_live_us(arrived_us, window_us, now_us);
             self.host.remember_key(&id, time_to_live_us);
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Reports that a running request waits to make an upstream call; [`AdmissionController::decide`] places or skips
+    /// Reports that a running request waits to make an upstream call; [`AdmissionController::decide`] issues or skips
     /// the call.
     pub fn call_needed(&mut self, now_us: u64, id: &str) {
         let Some(sequence) = self.requests.sequence_of(id) else { return };
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Reports that an upstream call has ended, `took_us` after it was placed.
+    /// Reports that an upstream call has ended, `took_us` after it was issued.
     pub fn call_ended(&mut self, now_us: u64, id: &str, outcome: Outcome, took_us: u64) {
         self.count_upstream_calls(now_us);
         if outcome == Outcome::TimedOut {
@@ -311,8 +311,8 @@
         }
         self.load_signal.adjust(self.queue.pressure);
         if !self.draining.has_begun() {
-            let warm_share = self.concurrency_limit.warm_share(now_us);
-            self.send_load_signal(self.load_signal.share_to_announce(warm_share));
+            let min_speed = self.concurrency_limit.min_speed(now_us);
+            self.send_load_signal(self.load_signal.share_to_announce(min_speed));
         }
     }
 
@@ -328,7 +328,7 @@
         self.evict_for_others(now_us);
         self.start_requests(now_us);
         // Requests that have started get their upstream calls, oldest first.
-        self.place_calls(now_us);
+        self.issue_calls(now_us);
         self.set_timer(now_us);
     }
 }
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -5,8 +5,8 @@
 //! | `Queued` | its arrival | a start, a rejection, or the caller's disconnection |
 //! | `AwaitingOutcome` | the arrival of a repeat of a remembered request | the outcome of the request that it repeats |
 //! | `Started`, `OnCore` | a start, or a call that succeeded or is skipped | the need for a call, or the end of the run |
-//! | `Started`, `AwaitingCall` | the need for a call, or a failed call that may be retried | a call that is placed or skipped |
-//! | `Started`, `Calling` | a call that is placed | the end of the call |
+//! | `Started`, `AwaitingCall` | the need for a call, or a failed call that may be retried | a call that is issued or skipped |
+//! | `Started`, `Calling` | a call that is issued | the end of the call |
 //!
 //! A started request remains in the table until its run ends, even after its answer: until then the run occupies a core
 //! or memory.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunPhase {
     OnCore,
-    /// Waits for its call to be placed, not earlier than the given time.
+    /// Waits for its call to be issued, not earlier than the given time.
     AwaitingCall {
         not_before_us: u64,
     },
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes the run off its core to wait for a call that may be placed immediately.
+    /// Takes the run off its core to wait for a call that may be issued immediately.
     pub fn await_call(&mut self, now_us: u64) {
         self.core_time_us += now_us - self.on_core_since_us;
         self.calls += 1;
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -70,7 +70,7 @@
         self.in_phase(|phase| phase == RunPhase::Calling)
     }
 
-    /// Returns the number of requests that wait for their call to be placed.
+    /// Returns the number of requests that wait for their call to be issued.
     pub fn awaiting_call(&self) -> usize {
         self.in_phase(|phase| matches!(phase, RunPhase::AwaitingCall { .. }))
     }
--- a/src/admission/size_classes.rs
+++ b/src/admission/size_classes.rs
@@ -74,8 +74,8 @@
     /// The probability that a large request starts before a small one that has waited less.
     pub release_probability: f64,
     pub(super) draw: ReleaseDraw,
-    /// Whether a small request was held back in this period because the integral controller had no capacity.
-    pub has_held_back_small: bool,
+    /// Whether a small request was blocked in this period because the integral controller had no capacity.
+    pub has_blocked_small: bool,
 }
 
 impl SizeClasses {
@@ -86,7 +86,7 @@
             mean_calls: [0.0; 2],
             release_probability: 1.0,
             draw: ReleaseDraw::default(),
-            has_held_back_small: false,
+            has_blocked_small: false,
         };
         classes.divide(statistics);
         classes
@@ -134,15 +134,15 @@
 
     /// Adapts the release probability at the end of a period to the waiting times of the first request of each class,
     /// in microseconds. The probability rises if the large request has waited longer than the small one, and also if no
-    /// small request was held back in the period. Otherwise it falls.
+    /// small request was blocked in the period. Otherwise it falls.
     pub fn adapt(&mut self, small_wait_us: Option<u64>, large_wait_us: Option<u64>) {
-        if self.has_held_back_small && small_wait_us >= large_wait_us {
+        if self.has_blocked_small && small_wait_us >= large_wait_us {
             let decreased = self.release_probability * RELEASE_PROBABILITY_FALL;
             self.release_probability = decreased.max(MIN_RELEASE_PROBABILITY);
         } else {
             let increased = self.release_probability + RELEASE_PROBABILITY_RISE;
             self.release_probability = increased.min(1.0);
         }
-        self.has_held_back_small = false;
+        self.has_blocked_small = false;
     }
 }
--- a/src/admission/snapshot/conversions.rs
+++ b/src/admission/snapshot/conversions.rs
@@ -116,7 +116,7 @@
             draw_sequence: classes.draw.sequence,
             drawn_us: classes.draw.drawn_us,
             draw_may_start: classes.draw.may_start,
-            has_held_back_small: classes.has_held_back_small,
+            has_blocked_small: classes.has_blocked_small,
         }
     }
 }
@@ -133,7 +133,7 @@
             mean_calls: [self.small_mean_calls, self.large_mean_calls],
             release_probability: self.release_probability,
             draw,
-            has_held_back_small: self.has_held_back_small,
+            has_blocked_small: self.has_blocked_small,
         })
     }
 }
--- a/src/admission/snapshot/records.rs
+++ b/src/admission/snapshot/records.rs
@@ -128,7 +128,7 @@
     #[prost(bool, tag = "7")]
     pub(super) draw_may_start: bool,
     #[prost(bool, tag = "8")]
-    pub(super) has_held_back_small: bool,
+    pub(super) has_blocked_small: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
--- a/src/admission/steps.rs
+++ b/src/admission/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a decision: giving up overdue requests, starting queued ones, placing upstream calls, and setting the
+//! The steps of a decision: giving up overdue requests, starting queued ones, issuing upstream calls, and setting the
 //! timer for the next time-based event.
 
 use super::request::{AnswerState, Request, RequestState, Run, RunPhase};
@@ -228,7 +228,7 @@
             return Start::WithCalls;
         }
         if self.size_classes.class_of(method) == SizeClass::Small {
-            self.size_classes.has_held_back_small = true;
+            self.size_classes.has_blocked_small = true;
         }
         let request = self.requests.get(sequence);
         let has_waited_half = 2 * now_us >= request.arrived_us + self.latest_start_us(request);
@@ -257,8 +257,8 @@
         }
     }
 
-    /// Places or skips the calls that runs wait for, oldest request first.
-    pub(super) fn place_calls(&mut self, now_us: u64) {
+    /// Issues or skips the calls that runs wait for, oldest request first.
+    pub(super) fn issue_calls(&mut self, now_us: u64) {
         self.count_upstream_calls(now_us);
         let expected = self.upstream_calls.expected_times();
         let unanswered: Vec<u64> = self.requests.unanswered().map(|(sequence, _)| sequence).collect();
@@ -271,18 +271,18 @@
             match self.upstream_calls.decide(now_us, &call, expected, &self.requests) {
                 CallDecision::Wait => {}
                 CallDecision::Skip => self.skip_call(now_us, sequence),
-                CallDecision::Place { until_us } => self.place_call(sequence, until_us),
+                CallDecision::Issue { until_us } => self.issue_call(sequence, until_us),
             }
         }
     }
 
-    fn place_call(&mut self, sequence: u64, until_us: u64) {
+    fn issue_call(&mut self, sequence: u64, until_us: u64) {
         let request = self.requests.get_mut(sequence);
         if let RequestState::Started(run) = &mut request.state {
             run.phase = RunPhase::Calling;
         }
-        self.host.place_call(&request.id, until_us);
-        self.integral_controller.call_placed();
+        self.host.issue_call(&request.id, until_us);
+        self.integral_controller.call_issued();
     }
 
     /// Resumes a run without its call.
--- a/src/admission/upstream_calls.rs
+++ b/src/admission/upstream_calls.rs
@@ -1,4 +1,4 @@
-//! The decision to place, delay or skip upstream calls. This protects the upstream that all servers share: the upstream
+//! The decision to issue, delay or skip upstream calls. This protects the upstream that all servers share: the upstream
 //! slows down long before it fails, so few calls are in flight at the same time, and the others wait here without a
 //! core.
 
@@ -30,8 +30,8 @@
     Wait,
     /// Resumes the run without the call.
     Skip,
-    /// Places the call, which is abandoned at the given time.
-    Place {
+    /// Issues the call, which is abandoned at the given time.
+    Issue {
         until_us: u64,
     },
 }
@@ -86,10 +86,10 @@
         self.mean_wanted > max && in_flight + awaiting > max
     }
 
-    /// Records an abandoned call, which remains in flight at the upstream for the configured linger time.
+    /// Records an abandoned call, which remains in flight at the upstream for the configured time.
     pub fn abandoned(&mut self, now_us: u64) {
-        if let Upstream::Shared { linger_us, .. } = self.upstream {
-            self.lingering.push_back(now_us + linger_us);
+        if let Upstream::Shared { abandoned_call_us, .. } = self.upstream {
+            self.lingering.push_back(now_us + abandoned_call_us);
         }
     }
 
@@ -135,7 +135,7 @@
         if now_us < call.not_before_us || !self.has_capacity(requests) {
             return CallDecision::Wait;
         }
-        CallDecision::Place { until_us: until_us.max(now_us + MIN_CALL_TIMEOUT_US) }
+        CallDecision::Issue { until_us: until_us.max(now_us + MIN_CALL_TIMEOUT_US) }
     }
 }
 
--- a/src/deployment/fields.rs
+++ b/src/deployment/fields.rs
@@ -170,19 +170,19 @@
         self.optional(field, expected, read)?.ok_or_else(|| self.invalid(field, expected))
     }
 
-    /// Reads a whole number, if present.
+    /// Reads a non-negative integer, if present.
     ///
     /// # Errors
     /// Returns an error if the field has another type or range.
-    pub fn optional_whole(&self, field: &str) -> Result<Option<u64>, FieldError> {
+    pub fn optional_integer(&self, field: &str) -> Result<Option<u64>, FieldError> {
         self.optional(field, "a whole number", Value::as_u64)
     }
 
-    /// Reads a whole number.
+    /// Reads a non-negative integer.
     ///
     /// # Errors
     /// Returns an error if the field is missing, or has another type or range.
-    pub fn whole(&self, field: &str) -> Result<u64, FieldError> {
+    pub fn integer(&self, field: &str) -> Result<u64, FieldError> {
         self.required(field, "a whole number", Value::as_u64)
     }
 
@@ -246,7 +246,7 @@
         Ok(self.part(field, value))
     }
 
-    /// Reads a whole number above 0.
+    /// Reads a positive integer.
     ///
     /// # Errors
     /// Returns an error if the field is missing, or has another type or range.
@@ -259,7 +259,7 @@
     ///
     /// # Errors
     /// Returns an error if the field is missing, or has another type or range.
-    pub fn at_least(&self, field: &str, min: f64) -> Result<f64, FieldError> {
+    pub fn number_at_least(&self, field: &str, min: f64) -> Result<f64, FieldError> {
         let in_range = |value: &Value| value.as_f64().filter(|number| *number >= min);
         self.required(field, &format!("a number of {min} or more"), in_range)
     }
@@ -268,7 +268,7 @@
     ///
     /// # Errors
     /// Returns an error if the field is missing, or has another type or range.
-    pub fn above(&self, field: &str, bound: f64) -> Result<f64, FieldError> {
+    pub fn number_above(&self, field: &str, bound: f64) -> Result<f64, FieldError> {
         let in_range = |value: &Value| value.as_f64().filter(|number| *number > bound);
         self.required(field, &format!("a number above {bound}"), in_range)
     }
@@ -299,7 +299,7 @@
     /// # Errors
     /// Returns an error if the field is missing or not the code of an outcome.
     pub fn outcome(&self) -> Result<Outcome, FieldError> {
-        Ok(match self.whole("state-code")? {
+        Ok(match self.integer("state-code")? {
             100 => Outcome::Ok,
             301 => Outcome::Error,
             302 => Outcome::Rejected,
--- a/src/deployment/placement.rs
+++ b/src/deployment/placement.rs
@@ -79,7 +79,7 @@
             return Err(file.invalid("name", "made of letters, digits, '-', '_' and '.'"));
         }
         let limits = file.object("limits")?;
-        limits.above("cores", 0.0)?;
+        limits.number_above("cores", 0.0)?;
         let placement = Placement {
             name,
             listen: file.address("listen")?,
--- a/src/deployment/schema.rs
+++ b/src/deployment/schema.rs
@@ -37,7 +37,7 @@
     Ok(Deployment {
         gauge_names: gauge_names.collect(),
         conveys_time_left: extra.optional_bool("passes-deadline")?.unwrap_or(false),
-        drain_grace_us: rules.whole("drain-grace-ns")? / NS_PER_US,
+        drain_grace_us: rules.integer("drain-grace-ns")? / NS_PER_US,
         machine,
         survivable_load,
         methods: methods.into(),
@@ -52,9 +52,9 @@
 fn upstream(extra: &Fields) -> Result<Upstream, FieldError> {
     Ok(match extra.optional_text("below")? {
         Some("shared") => Upstream::Shared {
-            max_calls_in_flight: extra.at_least("call-share", 0.0)?,
-            window_us: extra.whole("dep-window-ns")? / NS_PER_US,
-            linger_us: extra.optional_whole("stays-for-ns")?.unwrap_or(0) / NS_PER_US,
+            max_calls_in_flight: extra.number_at_least("call-share", 0.0)?,
+            window_us: extra.integer("dep-window-ns")? / NS_PER_US,
+            abandoned_call_us: extra.optional_integer("stays-for-ns")?.unwrap_or(0) / NS_PER_US,
         },
         Some("tier") => Upstream::Tier,
         Some("silent") | None => Upstream::None,
@@ -67,7 +67,7 @@
     let mut tenants = TenantTable::default();
     parts.for_each("tenants", |tenant: Value| -> Result<(), FieldError> {
         let tenant = options.part("tenants", &tenant);
-        tenants.push(tenant.text("name")?, tenant.at_least("allowance-per-s", 0.0)?);
+        tenants.push(tenant.text("name")?, tenant.number_at_least("allowance-per-s", 0.0)?);
         Ok(())
     })?;
     tenants.shrink_to_fit();
@@ -77,8 +77,8 @@
 fn machine(extra: &Fields) -> Result<Machine, FieldError> {
     Ok(Machine {
         cores: extra.positive("cores")? as u32,
-        memory_kb: extra.at_least("memory-kb", 1.0)?,
-        run_memory_factor: extra.at_least("run-mem-factor", 1.0)?,
+        memory_kb: extra.number_at_least("memory-kb", 1.0)?,
+        run_memory_factor: extra.number_at_least("run-mem-factor", 1.0)?,
         key_kb: extra.optional_number("key-kb")?.unwrap_or(0.0),
         stopping: match extra.optional_text("stop-mode")? {
             Some("pause") => Stopping::Pause,
@@ -86,20 +86,20 @@
             Some("silent") | None => Stopping::Never,
             Some(_) => return Err(extra.invalid("stop-mode", "silent, drop or pause")),
         },
-        max_connection_idle_us: extra.optional_whole("keepalive-max-ns")?.unwrap_or(0) / NS_PER_US,
+        max_connection_idle_us: extra.optional_integer("keepalive-max-ns")?.unwrap_or(0) / NS_PER_US,
     })
 }
 
 fn survivable_load(rules: &Fields, extra: &Fields) -> Result<SurvivableLoad, FieldError> {
-    let min_cold_speed = rules.at_least("cold-from", 0.0)?;
+    let min_cold_speed = rules.number_at_least("cold-from", 0.0)?;
     if min_cold_speed > 1.0 {
         return Err(rules.invalid("cold-from", "a share of 0 to 1"));
     }
     Ok(SurvivableLoad {
-        requests_per_core: rules.at_least("fall-multiple", 1.0)?,
+        requests_per_core: rules.number_at_least("fall-multiple", 1.0)?,
         is_cold: extra.optional_bool("cold")?.unwrap_or(false),
         min_cold_speed,
-        warm_within_us: rules.whole("warm-within-ns")? / NS_PER_US,
+        warm_within_us: rules.integer("warm-within-ns")? / NS_PER_US,
     })
 }
 
@@ -110,7 +110,7 @@
     respects_retry_after: bool,
 ) -> Result<Callers, FieldError> {
     let clients = options.optional("clients", "an object", |value| value.is_object().then_some(value))?;
-    let mark_retries = clients.and_then(|clients| clients.get("marks-retry")).and_then(Value::as_bool);
+    let flags_retries = clients.and_then(|clients| clients.get("marks-retry")).and_then(Value::as_bool);
     Ok(Callers {
         signal: match extra.optional_text("signal")? {
             Some("level") => SignalKind::Level,
@@ -119,9 +119,9 @@
             Some("silent") | None => SignalKind::None,
             Some(_) => return Err(extra.invalid("signal", "level, credit, weight or silent")),
         },
-        count: extra.optional_whole("callers")?.unwrap_or(1) as u32,
-        mark_retries: mark_retries.unwrap_or(false),
-        max_retry_after_us: match limits.optional_whole("max-retry-after-ns")? {
+        count: extra.optional_integer("callers")?.unwrap_or(1) as u32,
+        flags_retries: flags_retries.unwrap_or(false),
+        max_retry_after_us: match limits.optional_integer("max-retry-after-ns")? {
             Some(max_ns) if respects_retry_after => max_ns / NS_PER_US,
             _ => 0,
         },
@@ -132,7 +132,7 @@
     Ok(QuotaSettings {
         counts_by_work: options.optional_text("value-by")? == Some("work"),
         over_quota_value: options.optional_number("over-share-worth")?.unwrap_or(1.0),
-        servers: options.optional_whole("servers")?.unwrap_or(1) as u32,
+        servers: options.optional_integer("servers")?.unwrap_or(1) as u32,
     })
 }
 
@@ -170,7 +170,7 @@
 /// Reads the properties of a method from its category.
 fn method(category: &Fields) -> Result<Method, FieldError> {
     Ok(Method {
-        criticality: category.at_least("worth", 0.0)?,
+        criticality: category.number_at_least("worth", 0.0)?,
         latency_target_us: category.positive("on-time-ns")? / NS_PER_US,
         target_stretch: category.optional_number("aim-stretch")?.unwrap_or(0.0),
         deadline_us: category.positive("deadline-ns")? / NS_PER_US,
@@ -180,7 +180,7 @@
             "single_shot" => Effect::NonIdempotent,
             _ => return Err(category.invalid("idempotency", "free, guarded or single_shot")),
         },
-        key_window_us: category.optional_whole("window-ns")?.unwrap_or(0) / NS_PER_US,
+        key_window_us: category.optional_integer("window-ns")?.unwrap_or(0) / NS_PER_US,
         makes_calls: false,
         value_without_call: 0.0,
     })
--- a/src/host.rs
+++ b/src/host.rs
@@ -18,16 +18,16 @@
     fn reject(&mut self, id: &str, rejection: Rejection);
     /// Sends the final answer that the request is aborted, which leaves open whether it ran.
     fn abort(&mut self, id: &str);
-    /// Places the upstream call that a running request waits for. The call is abandoned at `until_us`.
-    fn place_call(&mut self, id: &str, until_us: u64);
+    /// Issues the upstream call that a running request waits for. The call is abandoned at `until_us`.
+    fn issue_call(&mut self, id: &str, until_us: u64);
     /// Resumes a running request without its call. Used only if the method's `value_without_call` is above 0.
     fn skip_call(&mut self, id: &str);
     /// Remembers a request's idempotency key for `ttl_us`, so that its repeats are recognised.
     fn remember_key(&mut self, id: &str, ttl_us: u64);
     /// Forgets the key of a remembered request.
     fn forget_key(&mut self, id: &str);
-    /// Answers a queued request with the outcome of the request that it repeats.
-    fn share_outcome(&mut self, id: &str);
+    /// Answers a queued repeat with the outcome of the request that it repeats.
+    fn answer_repeat(&mut self, id: &str);
     /// Sets the answer to health checks, which are answered without real work.
     fn set_readiness(&mut self, readiness: Readiness);
     /// Sets the load signal that is sent with every answer. Used only if [`Callers::signal`] is not
@@ -83,11 +83,11 @@
 pub struct Method {
     /// The priority weight of the method.
     pub criticality: f64,
-    /// The latency objective: the time within which an answer is wanted.
+    /// The latency objective: the time within which an answer is due.
     pub latency_target_us: u64,
     /// The multiple of a request's own work that is added to the latency target.
     pub target_stretch: f64,
-    /// The time after which clients give up.
+    /// The time after which clients stop waiting for an answer.
     pub deadline_us: u64,
     /// Whether requests may run again.
     pub effect: Effect,
@@ -95,7 +95,7 @@
     pub key_window_us: u64,
     /// Whether requests may make upstream calls.
     pub makes_calls: bool,
-    /// The share of its value that an answer without the upstream call has; 0 forbids skipping the call.
+    /// The fraction of its value that an answer without the upstream call has; 0 forbids skipping the call.
     pub value_without_call: f64,
 }
 
@@ -134,7 +134,7 @@
     pub requests_per_core: f64,
     /// Whether the server starts cold.
     pub is_cold: bool,
-    /// The minimum share of its full speed that a cold server has.
+    /// The minimum speed of a cold server, as a fraction of its full speed.
     pub min_cold_speed: f64,
     /// The time after which the server is warm at the latest.
     pub warm_within_us: u64,
@@ -151,8 +151,8 @@
         max_calls_in_flight: f64,
         /// The length of that window, in microseconds.
         window_us: u64,
-        /// The time for which an abandoned call stays in flight, in microseconds.
-        linger_us: u64,
+        /// The time for which an abandoned call remains in flight at the dependency, in microseconds.
+        abandoned_call_us: u64,
     },
     /// A tier of servers that make the same decisions as this one.
     Tier,
@@ -178,8 +178,8 @@
     pub signal: SignalKind,
     /// The number of callers.
     pub count: u32,
-    /// Whether callers mark retries as such.
-    pub mark_retries: bool,
+    /// Whether callers flag retries as such.
+    pub flags_retries: bool,
     /// The longest Retry-After that callers respect, in microseconds; 0 if they respect none.
     pub max_retry_after_us: u64,
 }
@@ -198,7 +198,7 @@
 pub struct QuotaSettings {
     /// Whether criticality is the value of a unit of work, and not that of a request.
     pub counts_by_work: bool,
-    /// The share of its value that a request beyond its tenant's quota has.
+    /// The fraction of its value that a request beyond its tenant's quota has.
     pub over_quota_value: f64,
     /// The number of servers in this tier, between which quotas are divided.
     pub servers: u32,
@@ -221,7 +221,7 @@
     pub work_hint_us: Option<u64>,
     /// The remembered request that this one repeats.
     pub repeats: Option<RpcId>,
-    /// Whether the request is marked as a retry.
+    /// Whether the request is flagged as a retry.
     pub is_retry: bool,
     /// The tenant of the request, if the deployment distinguishes tenants.
     pub tenant: Option<Tenant>,
@@ -230,7 +230,7 @@
 /// The present values of the server's gauges, as far as available.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// The busy share of the cores over the last half second.
+    /// The utilization of the cores over the last half second.
     pub busy: Option<f64>,
     /// The total present demand for cores, by running and waiting work.
     pub runnable: Option<f64>,
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn the_integral_controller_follows_its_control_law() {
-    // Each period: calls placed, requests started (each predicted to make one call), signs of overload; then r and u at
+    // Each period: calls issued, requests started (each predicted to make one call), signs of overload; then r and u at
     // its end.
     let table = [
         (8, 8, 0, 0.0, 0.0),     // no limit before the first sign
@@ -58,7 +58,7 @@
     ];
     let mut controller = IntegralController::new(0);
     for (k, (calls, started, signs, r, u)) in table.into_iter().enumerate() {
-        (0..calls).for_each(|_| controller.call_placed());
+        (0..calls).for_each(|_| controller.call_issued());
         (0..started).for_each(|_| controller.request_started(1.0));
         (0..signs).for_each(|_| controller.upstream_overloaded());
         let ends = (k as u64 + 1) * SECOND_US;
@@ -70,7 +70,7 @@
 #[test]
 fn starts_end_when_the_prediction_reaches_the_setpoint() {
     let mut controller = IntegralController::new(0);
-    (0..3).for_each(|_| controller.call_placed());
+    (0..3).for_each(|_| controller.call_issued());
     (0..9).for_each(|_| controller.request_started(0.5));
     assert!(controller.has_capacity(100.0), "no limit before the first sign");
     controller.upstream_overloaded();
@@ -84,7 +84,7 @@
         })
         .count();
     assert_eq!(started, 3);
-    assert!(controller.has_capacity(0.0), "requests that never call are not held back");
+    assert!(controller.has_capacity(0.0), "requests that never call are not blocked");
     controller.end_period(2 * SECOND_US); // starts stopped at r, so the period counts as near r: r 4.5
     assert_eq!(controller.call_setpoint, 4.5);
 }
@@ -102,7 +102,7 @@
     while controller.call_setpoint < 20.0 && k < 99 {
         k += 1;
         while controller.has_capacity(1.0) {
-            controller.call_placed();
+            controller.call_issued();
             controller.request_started(1.0);
         }
         controller.end_period(k * SECOND_US);
@@ -134,15 +134,15 @@
 fn the_release_probability_falls_while_small_wait_and_rises_while_large_wait_longer() {
     let mut classes = SizeClasses::new(&statistics(&[(1.0, 0.0), (1.0, 1.0)]));
     assert_eq!(classes.release_probability, 1.0);
-    classes.has_held_back_small = true;
+    classes.has_blocked_small = true;
     classes.adapt(Some(900), Some(100));
     let decreased = classes.release_probability;
     assert!(decreased < 1.0);
-    classes.has_held_back_small = true;
+    classes.has_blocked_small = true;
     classes.adapt(Some(100), Some(900));
     assert!(classes.release_probability > decreased, "large requests that wait longer do not starve");
     (0..20).for_each(|_| classes.adapt(None, None));
-    assert_eq!(classes.release_probability, 1.0, "recovers to 1 when no small request is held back");
+    assert_eq!(classes.release_probability, 1.0, "recovers to 1 when no small request is blocked");
 }
 
 #[test]
@@ -168,7 +168,7 @@
     let mut classes = SizeClasses::new(&statistics(&[(1.0, 1.0); 2]));
     classes.divide(&statistics(&[(10.0, 10.0), (10.0, 20.0)]));
     let mut controller = IntegralController::new(0);
-    (0..2).for_each(|_| controller.call_placed());
+    (0..2).for_each(|_| controller.call_issued());
     (0..2).for_each(|_| controller.request_started(1.0));
     controller.upstream_overloaded();
     controller.end_period(SECOND_US);
@@ -325,7 +325,7 @@
 #[test]
 fn the_setpoint_starts_at_the_decayed_maximum_of_recent_periods() {
     let mut controller = IntegralController::new(0);
-    (0..20).for_each(|_| controller.call_placed());
+    (0..20).for_each(|_| controller.call_issued());
     controller.end_period(SECOND_US);
     controller.end_period(2 * SECOND_US);
     controller.upstream_overloaded();
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -90,7 +90,7 @@
     fn abort(&mut self, id: &str) {
         self.record(&format!("abort {id}"));
     }
-    fn place_call(&mut self, id: &str, until_us: u64) {
+    fn issue_call(&mut self, id: &str, until_us: u64) {
         self.record(&format!("call {id} {until_us}"));
         self.rpcs.insert(id.into(), Phase::Calling);
     }
@@ -106,7 +106,7 @@
         self.record(&format!("forget {id}"));
         self.remembered.retain(|remembered| remembered != id);
     }
-    fn share_outcome(&mut self, id: &str) {
+    fn answer_repeat(&mut self, id: &str) {
         self.record(&format!("share {id}"));
     }
     fn set_readiness(&mut self, readiness: Readiness) {
@@ -128,7 +128,8 @@
 /// Returns the deployment of a seed. Together the seeds cover every variant of every setting.
 fn deployment(seed: u64) -> AdmissionConfig {
     let stopping = [Stopping::Never, Stopping::Drop, Stopping::Pause][seed as usize % 3];
-    let shared = Upstream::Shared { max_calls_in_flight: 4.0, window_us: 2_000_000, linger_us: 300_000 };
+    let shared =
+        Upstream::Shared { max_calls_in_flight: 4.0, window_us: 2_000_000, abandoned_call_us: 300_000 };
     let upstream = [shared, Upstream::Tier, shared, Upstream::None][seed as usize % 4];
     let makes_calls = upstream != Upstream::None;
     let method_with = |effect, value_without_call, criticality| Method {
@@ -165,7 +166,7 @@
         callers: Callers {
             signal: signals[(seed as usize / 3) % 4],
             count: 1 + (seed % 7) as u32,
-            mark_retries: !seed.is_multiple_of(3),
+            flags_retries: !seed.is_multiple_of(3),
             max_retry_after_us: 1_000_000 * (seed % 3),
         },
         quotas: QuotaSettings { counts_by_work: seed.is_multiple_of(5), over_quota_value: 0.2, servers: 2 },
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -22,7 +22,7 @@
     fn abort(&mut self, id: &str) {
         self.0.push(format!("abort {id}"));
     }
-    fn place_call(&mut self, id: &str, until_us: u64) {
+    fn issue_call(&mut self, id: &str, until_us: u64) {
         self.2 = until_us;
         self.0.push(format!("call {id}"));
     }
@@ -35,7 +35,7 @@
     fn forget_key(&mut self, id: &str) {
         self.0.push(format!("forget {id}"));
     }
-    fn share_outcome(&mut self, id: &str) {
+    fn answer_repeat(&mut self, id: &str) {
         self.0.push(format!("share {id}"));
     }
     fn set_readiness(&mut self, readiness: Readiness) {
@@ -85,7 +85,7 @@
     pub methods: Vec<Method>,
     pub upstream: Upstream,
     pub signal: SignalKind,
-    pub mark_retries: bool,
+    pub flags_retries: bool,
 }
 
 impl Default for TestConfig {
@@ -113,7 +113,7 @@
             ],
             upstream: Upstream::Tier,
             signal: SignalKind::Weight,
-            mark_retries: true,
+            flags_retries: true,
         }
     }
 }
@@ -123,7 +123,7 @@
         let callers = Callers {
             signal: self.signal,
             count: 4,
-            mark_retries: self.mark_retries,
+            flags_retries: self.flags_retries,
             max_retry_after_us: 1_000_000,
         };
         let quotas = QuotaSettings { counts_by_work: true, over_quota_value: 0.1, servers: 10 };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -220,11 +220,11 @@
 
 #[test]
 fn calls_in_flight_stay_within_the_configured_share() {
-    // With a share below one, one call at a time is placed, and then none until the mean has capacity. An abandoned
-    // call stays in flight for the linger time.
+    // With a limit under one, one call at a time is issued, and then none until the mean has capacity. An abandoned
+    // call remains in flight for `abandoned_call_us`.
     for (share, second, after_window) in [(5.0, vec!["call b"], vec!["call c"]), (0.5, vec![], vec![])] {
         let upstream =
-            Upstream::Shared { max_calls_in_flight: share, window_us: 5_000_000, linger_us: 200_000 };
+            Upstream::Shared { max_calls_in_flight: share, window_us: 5_000_000, abandoned_call_us: 200_000 };
         let mut server = TestConfig { upstream, ..TestConfig::default() }.start();
         for (id, want) in [("a", vec!["call a"]), ("b", second), ("c", vec![])] {
             server.arrive(id, IDEMPOTENT);
@@ -330,13 +330,13 @@
 
 #[test]
 fn a_first_attempt_is_advised_not_to_retry_while_retries_are_rejected_here() {
-    for (mark_retries, is_retry, rejections, want) in [
+    for (flags_retries, is_retry, rejections, want) in [
         (true, true, 20, "reject a last"),
         (true, true, 5, "reject a"),
         (true, false, 20, "reject a"),
         (false, false, 20, "reject a last"),
     ] {
-        let mut server = TestConfig { mark_retries, ..TestConfig::default() }.start();
+        let mut server = TestConfig { flags_retries, ..TestConfig::default() }.start();
         for i in 0..rejections {
             server.arrive_with(Arrival {
                 time_left_us: Some(0),
@@ -345,7 +345,7 @@
             });
         }
         let first = server.arrive_with(Arrival { time_left_us: Some(0), ..rpc("a", IDEMPOTENT) });
-        assert_eq!(first, [want], "{mark_retries} {is_retry} {rejections}");
+        assert_eq!(first, [want], "{flags_retries} {is_retry} {rejections}");
         let retry =
             server.arrive_with(Arrival { time_left_us: Some(0), is_retry: true, ..rpc("b", IDEMPOTENT) });
         assert_eq!(retry, ["reject b last"], "a retry is always advised not to retry");
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -16,7 +16,8 @@
 
 fn config(seed: u64) -> AdmissionConfig {
     let stopping = [Stopping::Never, Stopping::Drop, Stopping::Pause][seed as usize % 3];
-    let shared = Upstream::Shared { max_calls_in_flight: 3.0, window_us: 2_000_000, linger_us: 300_000 };
+    let shared =
+        Upstream::Shared { max_calls_in_flight: 3.0, window_us: 2_000_000, abandoned_call_us: 300_000 };
     AdmissionConfig {
         machine: Machine {
             cores: 2,
@@ -43,7 +44,7 @@
         callers: Callers {
             signal: [SignalKind::Weight, SignalKind::Level, SignalKind::Credit][seed as usize / 3 % 3],
             count: 3,
-            mark_retries: seed % 2 == 1,
+            flags_retries: seed % 2 == 1,
             max_retry_after_us: 1_000_000,
         },
         quotas: QuotaSettings { counts_by_work: seed.is_multiple_of(4), over_quota_value: 0.25, servers: 2 },
