--- a/crates/ochrewalk-load-balancer/src/config.rs
+++ b/crates/ochrewalk-load-balancer/src/config.rs
@@ -29,7 +29,7 @@
     pub policy: BalancingPolicy,
     /// The selection of the endpoints that the node calls.
     pub subsetting: Subsetting,
-    /// Whether shares are adapted to the endpoints' latencies and failures.
+    /// Whether effective weights are adapted to the endpoints' latencies and failures.
     pub uses_learned_weights: bool,
     /// The settings of ejection and slow start.
     pub ejection: OutlierEjection,
--- a/crates/ochrewalk-load-balancer/src/load_balancer.rs
+++ b/crates/ochrewalk-load-balancer/src/load_balancer.rs
@@ -213,7 +213,7 @@
             | CallOutcome::ConnectionBroken
             | CallOutcome::ConnectFailed => self.zone_overflow.record_unserved(now_us),
         }
-        self.state.overflow_share = self.zone_overflow.share();
+        self.state.remote_factor = self.zone_overflow.remote_factor();
     }
 
     /// Records a failure of an endpoint outside of a call, for example an unanswered ping.
--- a/crates/ochrewalk-load-balancer/src/policy/mod.rs
+++ b/crates/ochrewalk-load-balancer/src/policy/mod.rs
@@ -33,20 +33,20 @@
         }
     }
 
-    /// Chooses one of these slots at random, with probabilities proportional to their shares.
+    /// Chooses one of these slots at random, with probabilities proportional to their effective weights.
     fn weighted_random(&self, among: &[usize], rng: &mut fastrand::Rng) -> Option<usize> {
-        let total: f64 = among.iter().map(|slot| self.share(*slot)).sum();
+        let total: f64 = among.iter().map(|slot| self.effective_weight(*slot)).sum();
         let mut remaining = rng.f64() * total;
         let chosen = among.iter().find(|slot| {
-            remaining -= self.share(**slot);
+            remaining -= self.effective_weight(**slot);
             remaining < 0.0
         });
         // Rounding errors may leave a small remainder after the last slot.
         chosen.or(among.last()).copied()
     }
 
-    fn share(&self, slot: usize) -> f64 {
-        self.state.share(slot, self.now_us)
+    fn effective_weight(&self, slot: usize) -> f64 {
+        self.state.effective_weight(slot, self.now_us)
     }
 
     fn in_flight(&self, slot: usize) -> usize {
--- a/crates/ochrewalk-load-balancer/src/policy/round_robin.rs
+++ b/crates/ochrewalk-load-balancer/src/policy/round_robin.rs
@@ -1,5 +1,5 @@
-//! Weighted round robin: each endpoint gets at most one call per round, in proportion to its share. A fraction of a call is
-//! credited to the endpoint for later rounds.
+//! Weighted round robin: each endpoint gets at most one call per round, in proportion to its effective weight. A fraction
+//! of a call is credited to the endpoint for later rounds.
 //!
 //! With a lookahead of several turns, the endpoint with the shortest expected wait among them is called first. Latencies
 //! thus change only the order within a round and not the number of calls, so that nodes that see the same latencies do not
@@ -13,8 +13,8 @@
 const POSTPONE_FACTOR: f64 = 6.0;
 /// The maximum number of passes of a choice over the remaining turns; a round may start between them.
 const MAX_PASSES: usize = 3;
-/// The lower bound of the largest share as a divisor, for the case that all shares are close to 0.
-const MIN_LARGEST_SHARE: f64 = 1e-6;
+/// The lower bound of the largest effective weight as a divisor, for the case that all are close to 0.
+const MIN_LARGEST_WEIGHT: f64 = 1e-6;
 
 /// An endpoint's turn in the current round.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
     /// The order of the subset in each round, shuffled once per subset. The order is the same in all rounds, so that the calls
     /// of an endpoint are as far apart as possible.
     order: Vec<usize>,
-    /// The fraction of a call that remains from the endpoint's share in earlier rounds, by slot.
+    /// The fraction of a call that remains from the endpoint's effective weight in earlier rounds, by slot.
     credit: Vec<f64>,
     /// The number of further turns that suspect endpoints may lose in this round, at first half of all its turns. If more
     /// endpoints seem suspect, the cause is probably on this node (a timer fired late, or its network link failed), and the
@@ -62,13 +62,13 @@
             self.order.clone_from(&pick.state.subset);
             rng.shuffle(&mut self.order);
         }
-        // The largest share counts as a complete call: otherwise rounds would be empty if all shares are small.
-        let shares = pick.state.subset.iter().map(|slot| pick.share(*slot));
-        let largest = shares.fold(0.0, f64::max).max(MIN_LARGEST_SHARE);
+        // The largest weight counts as a complete call: otherwise rounds would be empty if all weights are small.
+        let weights = pick.state.subset.iter().map(|slot| pick.effective_weight(*slot));
+        let largest = weights.fold(0.0, f64::max).max(MIN_LARGEST_WEIGHT);
         // In reverse, as turns are taken from the end.
         for slot in self.order.iter().rev() {
             let credit = &mut self.credit[*slot];
-            *credit += pick.share(*slot) / largest;
+            *credit += pick.effective_weight(*slot) / largest;
             if *credit >= 1.0 {
                 *credit -= 1.0;
                 self.turns.push(Turn { slot: *slot, is_postponed: false });
@@ -139,7 +139,7 @@
                 None => self.start_round(pick, rng),
             }
         }
-        // The only endpoint is the one to avoid, or all shares are small.
+        // The only endpoint is the one to avoid, or all effective weights are small.
         rng.choice(pick.candidates())
     }
 
--- a/crates/ochrewalk-load-balancer/src/probe.rs
+++ b/crates/ochrewalk-load-balancer/src/probe.rs
@@ -97,10 +97,10 @@
         self.remote += weight;
     }
 
-    /// The share of the node's calls that an endpoint of that weight would get, where remote endpoints get `overflow_share`
+    /// The share of the node's calls that an endpoint of that weight would get, where remote endpoints get `remote_factor`
     /// of the share of a local one.
-    pub fn load_share(&self, weight: f64, overflow_share: f64) -> f64 {
-        let total = self.local + overflow_share * self.remote;
+    pub fn load_share(&self, weight: f64, remote_factor: f64) -> f64 {
+        let total = self.local + remote_factor * self.remote;
         (weight / total.max(f64::MIN_POSITIVE)).min(1.0)
     }
 }
--- a/crates/ochrewalk-load-balancer/src/probe_schedule.rs
+++ b/crates/ochrewalk-load-balancer/src/probe_schedule.rs
@@ -62,11 +62,11 @@
         self.allowance = (self.allowance + 1.0 / CALLS_PER_PROBE).min(1.0);
         let last_call_us = std::mem::replace(&mut self.last_call_us, now_us);
         let since_last_call_us = now_us.saturating_sub(last_call_us);
-        let overflow_share = state.overflow_share;
+        let remote_factor = state.remote_factor;
         for (until_us, slot) in &self.ejected {
             let endpoint = state.endpoint_mut(*slot);
             let weight = endpoint.weight * endpoint.subset_fraction;
-            let load_share = self.accepting_weight.load_share(weight, overflow_share);
+            let load_share = self.accepting_weight.load_share(weight, remote_factor);
             if now_us < *until_us {
                 endpoint.probe.earn_while_ejected(load_share, since_last_call_us);
             } else {
--- a/crates/ochrewalk-load-balancer/src/state.rs
+++ b/crates/ochrewalk-load-balancer/src/state.rs
@@ -1,5 +1,5 @@
-//! The state that a node keeps for all endpoints, as policies read it: the slots in use, those in the subset, the share of
-//! calls of each endpoint, and the expected wait of a call there.
+//! The state that a node keeps for all endpoints, as policies read it: the slots in use, those in the subset, the
+//! effective weight of each endpoint, and the expected wait of a call there.
 
 use crate::endpoint_state::EndpointState;
 use crate::health::{EjectionCause, EndpointHealth};
@@ -27,12 +27,12 @@
     pub subset: Vec<usize>,
     pub(crate) latencies: LatencyHistogram,
     pub(crate) averages: EndpointAverages,
-    /// The share of a remote endpoint relative to that of a local one, from 0 to 1.
-    pub overflow_share: f64,
+    /// The factor of the weight of remote endpoints relative to local ones, from 0 to 1.
+    pub remote_factor: f64,
     /// Whether more than half of the subset is ejected. A fault of this node is then more likely than a fault of all those
     /// endpoints, so that endpoints that were ejected because calls failed are used nevertheless.
     pub is_in_panic_mode: bool,
-    /// Whether shares are adapted to the endpoints' latencies and failures.
+    /// Whether effective weights are adapted to the endpoints' latencies and failures.
     pub uses_learned_weights: bool,
 }
 
@@ -71,11 +71,12 @@
         health.accepts_calls() || self.is_in_panic_mode && is_used_in_panic
     }
 
-    /// The endpoint's share of calls, from 0 to 1. The share is 1 for the endpoint of the largest weight if it is local,
-    /// healthy, past its slow start and completely assigned to this node.
-    pub fn share(&self, slot: usize, now_us: u64) -> f64 {
+    /// The effective weight of the endpoint, from 0 to 1, to which its number of calls is proportional. The effective weight
+    /// is 1 for the endpoint of the largest configured weight if the endpoint is local, healthy, past its slow start and
+    /// completely assigned to this node.
+    pub fn effective_weight(&self, slot: usize, now_us: u64) -> f64 {
         let endpoint = self.endpoint(slot);
-        let zone_factor = if endpoint.is_local_zone { 1.0 } else { self.overflow_share };
+        let zone_factor = if endpoint.is_local_zone { 1.0 } else { self.remote_factor };
         let learned_factor = if self.uses_learned_weights {
             endpoint.learned_weight.factor(now_us, &self.averages)
         } else {
--- a/crates/ochrewalk-load-balancer/tests/choice_trace.rs
+++ b/crates/ochrewalk-load-balancer/tests/choice_trace.rs
@@ -168,17 +168,17 @@
     fn record_state(&mut self) {
         let state = self.balancer.state();
         let mut lines =
-            vec![format!("{:?} {} {:.9}", state.subset, state.is_in_panic_mode, state.overflow_share)];
+            vec![format!("{:?} {} {:.9}", state.subset, state.is_in_panic_mode, state.remote_factor)];
         for (slot, endpoint) in state.endpoints.iter().enumerate() {
             let status = self.balancer.status(slot, self.now_us).name();
             self.states.insert(status);
             let Some(endpoint) = endpoint else { continue };
             let cause = endpoint.health.ejection_cause().map(EjectionCause::description);
             let (since_us, until_us) = (endpoint.health.since_us(), endpoint.health.ejected_until_us());
-            let (share, slow_start_factor) =
-                (state.share(slot, self.now_us), endpoint.health.slow_start_factor(self.now_us));
+            let (effective_weight, slow_start_factor) =
+                (state.effective_weight(slot, self.now_us), endpoint.health.slow_start_factor(self.now_us));
             lines.push(format!(
-                "{slot} {} {status} {cause:?} {since_us} {until_us:?} {share:.9} {slow_start_factor:.9} {} {} {:.6}",
+                "{slot} {} {status} {cause:?} {since_us} {until_us:?} {effective_weight:.9} {slow_start_factor:.9} {} {} {:.6}",
                 endpoint.key,
                 endpoint.in_flight(),
                 endpoint.calls_started,
--- a/crates/ochrewalk-load-balancer/tests/invariants.rs
+++ b/crates/ochrewalk-load-balancer/tests/invariants.rs
@@ -105,8 +105,8 @@
                 }
                 Event::AdvanceTime(us) => now += us,
             }
-            let shares = balancer.state().subset.iter().map(|slot| balancer.state().share(*slot, now));
-            prop_assert!(shares.into_iter().all(|share| (0.0..=1.0).contains(&share)));
+            let weights = balancer.state().subset.iter().map(|slot| balancer.state().effective_weight(*slot, now));
+            prop_assert!(weights.into_iter().all(|weight| (0.0..=1.0).contains(&weight)));
         }
         for (call, (slot, _)) in in_flight {
             balancer.call_ended(now, slot, call, CallOutcome::Inconclusive);
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -176,7 +176,8 @@
         let now_us = self.0.clock.now_us();
         self.0.with(|pool, transport| {
             let balancer = pool.load_balancer().state();
-            let total_share: f64 = balancer.subset.iter().map(|slot| balancer.share(*slot, now_us)).sum();
+            let total_share: f64 =
+                balancer.subset.iter().map(|slot| balancer.effective_weight(*slot, now_us)).sum();
             let mut text = format!(
                 "{:<22} {:<8} {:>9} {:>7} {:>7} {:>9} {:>9}  {}\n",
                 "place", "state", "for s", "share", "in hand", "last ms", "calls", "cause"
@@ -188,7 +189,7 @@
                 .filter_map(|(slot, endpoint)| Some((slot, endpoint.as_ref()?)))
             {
                 let share = if balancer.subset.contains(&slot) {
-                    balancer.share(slot, now_us) / total_share.max(1e-9)
+                    balancer.effective_weight(slot, now_us) / total_share.max(1e-9)
                 } else {
                     0.0
                 };
