--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -1,12 +1,12 @@
 //! The limit on the number of requests that run at the same time. The limit starts at the number of cores and grows
-//! while cores idle with work queued. The limit stays below the load that the server survives, which is lower while the
+//! while cores idle with work queued. The limit remains under the load that the server survives, which is lower while the
 //! server is cold (slow start).
 
 use super::core_usage::CoreUsage;
 use crate::host::SurvivableLoad;
 
-/// The share of the survivable number of requests that is used. The rest is a margin, as gauges arrive late.
-const USABLE_SHARE: f64 = 0.9;
+/// The fraction of the survivable number of requests that is used. The rest is a margin, as gauges arrive late.
+const USABLE_FRACTION: f64 = 0.9;
 /// The increase and the decrease of the limit per gauge reading, in requests. The limit falls by only a quarter,
 /// because runs that wait for disk cannot be distinguished from others.
 const INCREASE: f64 = 1.0;
@@ -33,14 +33,14 @@
             return 1.0;
         }
         let warm_within_us = self.survivable.warm_within_us.max(1);
-        let warmed_part = (now_us - self.started_us) as f64 / warm_within_us as f64;
-        self.survivable.min_cold_speed + (1.0 - self.survivable.min_cold_speed) * warmed_part.min(1.0)
+        let warmed_up_fraction = (now_us - self.started_us) as f64 / warm_within_us as f64;
+        self.survivable.min_cold_speed + (1.0 - self.survivable.min_cold_speed) * warmed_up_fraction.min(1.0)
     }
 
     /// Returns the maximum number of requests that may be on the cores or return to them from upstream calls.
     pub fn ceiling(&self, now_us: u64) -> usize {
         let survivable_per_core = 1.0 + (self.survivable.requests_per_core - 1.0) * self.min_speed(now_us);
-        ((survivable_per_core * self.cores * USABLE_SHARE) as usize).max(1)
+        ((survivable_per_core * self.cores * USABLE_FRACTION) as usize).max(1)
     }
 
     /// Returns the maximum number of requests that may run at the same time.
--- a/src/admission/core_usage.rs
+++ b/src/admission/core_usage.rs
@@ -4,9 +4,9 @@
 
 /// The interval between readings. Gauges cover half a second, so more frequent readings add no information.
 const READ_INTERVAL_US: u64 = 250_000;
-/// The busy share from which cores count as moderately busy.
+/// The utilization from which cores count as moderately busy.
 const MODERATELY_BUSY: f64 = 0.5;
-/// The busy share from which cores count as fully busy.
+/// The utilization from which cores count as fully busy.
 const BUSY: f64 = 0.92;
 /// The ratio of runnable work to cores above which the cores count as oversubscribed.
 const OVERSUBSCRIBED: f64 = 2.0;
--- a/src/admission/integral_controller.rs
+++ b/src/admission/integral_controller.rs
@@ -14,8 +14,8 @@
 pub(super) const PERIOD_US: u64 = 1_000_000;
 /// The paper's K_I (2.1).
 const INTEGRAL_GAIN: f64 = 1.0;
-/// The share of the setpoint that the calls of a period must reach for the setpoint to grow.
-const NEAR_SETPOINT_SHARE: f64 = 0.9;
+/// The ratio of a period's calls to the setpoint from which the setpoint grows.
+const NEAR_SETPOINT_RATIO: f64 = 0.9;
 /// The factor by which the setpoint grows, and the divisor that reduces it after overload. The setpoint grows by half
 /// and is halved, so that it recovers within a few periods.
 const SETPOINT_GROWTH: f64 = 1.5;
@@ -49,8 +49,8 @@
     pub(super) max_started: f64,
     /// The number of calls that the requests started in this period are expected to make.
     pub(super) predicted_calls: f64,
-    /// Whether a start was held back in this period because the predicted calls reached the setpoint. Such a period
-    /// counts as near the setpoint, even though the number of calls placed is a whole number and may be lower.
+    /// Whether a start was blocked in this period because the predicted calls reached the setpoint. Such a period
+    /// counts as near the setpoint, even though the number of issued calls is an integer and may be lower.
     pub(super) has_reached_setpoint: bool,
     pub(super) overload_signs: f64,
     pub(super) overloaded_periods: u32,
@@ -69,7 +69,7 @@
     }
 
     /// Counts a started request, whose class makes `mean_calls` calls on average. Classes that never call do not count
-    /// against the limit (ours): the paper notes that such requests were delayed for nothing.
+    /// against the limit (not in the paper): the paper notes that the limit delayed such requests without any benefit.
     pub fn request_started(&mut self, mean_calls: f64) {
         self.predicted_calls += mean_calls;
         if mean_calls > 0.0 {
@@ -78,7 +78,7 @@
     }
 
     /// Counts a sign of upstream overload. The first sign sets the setpoint and the limit to the maxima of recent
-    /// periods, because calls that hang become signs only seconds later, when few calls succeed any more.
+    /// periods, because calls that hang become signs only seconds later, when only few calls still succeed.
     pub fn upstream_overloaded(&mut self) {
         self.overload_signs += 1.0;
         if self.is_limiting {
@@ -94,9 +94,9 @@
         if !self.is_limiting || mean_calls <= 0.0 {
             return true;
         }
-        let is_below_setpoint = self.predicted_calls + mean_calls <= self.call_setpoint.max(mean_calls);
-        self.has_reached_setpoint |= !is_below_setpoint;
-        is_below_setpoint && self.started < self.admission_limit
+        let is_within_setpoint = self.predicted_calls + mean_calls <= self.call_setpoint.max(mean_calls);
+        self.has_reached_setpoint |= !is_within_setpoint;
+        is_within_setpoint && self.started < self.admission_limit
     }
 
     /// Returns the interval at which the controller lets requests of such a class start, in microseconds.
@@ -128,7 +128,7 @@
             self.overload_signs >= 1.0 && self.overload_signs >= OVERLOAD_SIGN_RATIO * self.observed_calls;
         self.overloaded_periods = if is_overloaded { self.overloaded_periods + 1 } else { 0 };
         let is_near_setpoint =
-            self.has_reached_setpoint || self.observed_calls >= NEAR_SETPOINT_SHARE * self.call_setpoint;
+            self.has_reached_setpoint || self.observed_calls >= NEAR_SETPOINT_RATIO * self.call_setpoint;
         if self.overloaded_periods >= OVERLOADED_PERIODS {
             self.overloaded_periods = 0;
             self.call_setpoint = (self.call_setpoint / SETPOINT_DIVISOR).max(1.0);
--- a/src/admission/load_signal.rs
+++ b/src/admission/load_signal.rs
@@ -7,29 +7,30 @@
 
 /// The target of the queue's pressure, which is the ratio of its waiting time to the time that its requests can wait.
 const TARGET_PRESSURE: f64 = 0.4;
-/// The decrease and the increase of the wanted share of traffic per tick and unit of error, and the minimum of the
-/// share.
-const WANTED_FALL: f64 = 0.04;
-const WANTED_RISE: f64 = 0.01;
-const MIN_WANTED: f64 = 0.4;
-/// The maximum of the signal as a level. A level of 1 would keep all callers away, so the signal stays below it.
+/// The decrease and the increase of the target traffic per tick and unit of error, and the minimum of the target.
+const TARGET_TRAFFIC_DECREASE: f64 = 0.04;
+const TARGET_TRAFFIC_INCREASE: f64 = 0.01;
+const MIN_TARGET_TRAFFIC: f64 = 0.4;
+/// The maximum of the signal as a level. A level of 1 would stop all callers from sending requests, so the signal is
+/// limited to a lower one.
 const MAX_LEVEL: f64 = 0.9;
 /// The credit per core, in requests, which is divided between the callers.
 const CREDIT_PER_CORE: f64 = 4.0;
-/// The share of rejected retries above which rejections advise the caller not to retry.
+/// The fraction of rejected retries above which rejections advise the caller not to retry.
 const MAX_RETRIES_REJECTED: f64 = 0.65;
-/// The divisor that gives the weight of one retry in that share.
+/// The divisor that gives the weight of one retry in that fraction.
 const RETRY_WEIGHT_DIVISOR: f64 = 16.0;
 
 /// The load signal of one server.
 pub(super) struct LoadSignal {
     callers: Callers,
     cores: f64,
-    /// The wanted share of the usual traffic.
-    pub wanted_share: f64,
-    /// The wanted share that was last sent to the callers; below 0 before the first one is sent.
-    pub last_sent_share: f64,
-    /// The moving share of rejections among decided retries, or among all decided requests if retries are not marked.
+    /// The target for traffic, as a fraction of the usual traffic.
+    pub target_traffic: f64,
+    /// The target traffic that was last sent to the callers; negative before the first one is sent.
+    pub last_sent_target: f64,
+    /// The moving fraction of rejections among decided retries, or among all decided requests if callers do not flag
+    /// retries.
     pub retries_rejected: f64,
 }
 
@@ -38,38 +39,42 @@
         LoadSignal {
             callers,
             cores: f64::from(cores),
-            wanted_share: 1.0,
-            last_sent_share: -1.0,
+            target_traffic: 1.0,
+            last_sent_target: -1.0,
             retries_rejected: 0.0,
         }
     }
 
-    /// Adjusts the wanted share by an integral step on the error of the queue's pressure. The share falls faster than
-    /// it rises.
+    /// Adjusts the target traffic by an integral step on the error of the queue's pressure. The target falls faster
+    /// than it rises.
     pub fn adjust(&mut self, pressure: f64) {
         let error = TARGET_PRESSURE - pressure;
-        let step = if error < 0.0 { WANTED_FALL * error.max(-1.0) } else { WANTED_RISE * error };
-        self.wanted_share = (self.wanted_share + step).clamp(MIN_WANTED, 1.0);
+        let step = if error < 0.0 {
+            TARGET_TRAFFIC_DECREASE * error.max(-1.0)
+        } else {
+            TARGET_TRAFFIC_INCREASE * error
+        };
+        self.target_traffic = (self.target_traffic + step).clamp(MIN_TARGET_TRAFFIC, 1.0);
     }
 
-    /// Returns the wanted share to announce. A cold server wants no more than its present share of full speed.
-    pub fn share_to_announce(&self, min_speed: f64) -> f64 {
-        (self.wanted_share.min(min_speed) * 100.0).round() / 100.0
+    /// Returns the target traffic to announce, which for a cold server is at most its present fraction of full speed.
+    pub fn target_to_announce(&self, min_speed: f64) -> f64 {
+        (self.target_traffic.min(min_speed) * 100.0).round() / 100.0
     }
 
-    /// Returns the load signal for a wanted share, in the deployment's unit, or `None` if the share was sent already or
-    /// the callers accept no signal.
-    pub fn value_to_send(&mut self, wanted_share: f64) -> Option<f64> {
-        if wanted_share == self.last_sent_share {
+    /// Returns the load signal for a target traffic, in the deployment's unit, or `None` if that target was sent
+    /// already or the callers accept no signal.
+    pub fn value_to_send(&mut self, target_traffic: f64) -> Option<f64> {
+        if target_traffic == self.last_sent_target {
             return None;
         }
-        self.last_sent_share = wanted_share;
+        self.last_sent_target = target_traffic;
         let credit = self.cores * CREDIT_PER_CORE / f64::from(self.callers.count.max(1));
         match self.callers.signal {
             SignalKind::None => None,
-            SignalKind::Weight => Some(wanted_share),
-            SignalKind::Level => Some(MAX_LEVEL * (1.0 - wanted_share)),
-            SignalKind::Credit => Some(credit * wanted_share),
+            SignalKind::Weight => Some(target_traffic),
+            SignalKind::Level => Some(MAX_LEVEL * (1.0 - target_traffic)),
+            SignalKind::Credit => Some(credit * target_traffic),
         }
     }
 
--- a/src/admission/memory_budget.rs
+++ b/src/admission/memory_budget.rs
@@ -5,8 +5,8 @@
 use super::request_table::RequestTable;
 use crate::host::Machine;
 
-/// The share of the memory limit that is used.
-const USABLE_SHARE: f64 = 0.95;
+/// The fraction of the memory limit that is used.
+const USABLE_FRACTION: f64 = 0.95;
 
 /// The memory budget of one server, in KB.
 pub(super) struct MemoryBudget {
@@ -19,7 +19,7 @@
 impl MemoryBudget {
     pub fn new(machine: &Machine) -> MemoryBudget {
         let Machine { memory_kb, run_memory_factor, key_kb, .. } = *machine;
-        MemoryBudget { limit_kb: memory_kb * USABLE_SHARE, run_memory_factor, key_kb }
+        MemoryBudget { limit_kb: memory_kb * USABLE_FRACTION, run_memory_factor, key_kb }
     }
 
     /// Returns the memory of all requests and keys.
@@ -42,9 +42,9 @@
     }
 }
 
-/// Returns the request to give up first when memory is short: the queued request with the lowest value, or else one
-/// that waits for a shared outcome. The latter comes last because it can only be aborted.
-pub(super) fn first_to_give_up(requests: &RequestTable) -> Option<u64> {
+/// Returns the request to evict first when memory is short: the queued request with the lowest value, or else a repeat
+/// that waits for the outcome of another request. Repeats come last because they can only be aborted.
+pub(super) fn first_to_evict(requests: &RequestTable) -> Option<u64> {
     let value = |request: &Request| match request.state {
         RequestState::Queued => Some(request.value),
         RequestState::AwaitingOutcome => Some(f64::MAX),
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -23,8 +23,8 @@
 //! | `steps` | the steps of [`AdmissionController::decide`], which combine the other modules |
 //! | [`snapshot`] | the complete state as records, for a successor |
 //!
-//! The cost of a decision is bounded by the number of requests at this server. Comments that say "paper" or "ours"
-//! refer to docs/design.md.
+//! The cost of a decision is bounded by the number of requests at this server. The paper that comments refer to, and the
+//! parts that they call "not in the paper", are described in docs/design.md.
 
 pub mod concurrency_limit;
 pub mod core_usage;
@@ -65,7 +65,8 @@
 
 /// The interval between ticks, at which gauges are read and the load signal is updated.
 pub(crate) const TICK_US: u64 = 50_000;
-/// The time before its due time at which a request is given up at the latest, so that its answer is sent in time.
+/// The time before the due time of a request at which the request is rejected or aborted at the latest, so that its
+/// answer is sent in time.
 pub(crate) const ANSWER_MARGIN_US: u64 = 25_000;
 /// The value of `timer_us` while no timer is set.
 const NO_TIMER: u64 = u64::MAX;
@@ -198,9 +199,9 @@
             // A repeat is answered with the outcome of the first request and never runs: this prevents a second effect.
             self.host.answer_repeat(&id);
         } else {
-            let time_to_live_us = idempotency::time_to_live_us(arrived_us, window_us, now_us);
-            self.host.remember_key(&id, time_to_live_us);
-            self.keys.insert(now_us, time_to_live_us, id);
+            let ttl_us = idempotency::ttl_us(arrived_us, window_us, now_us);
+            self.host.remember_key(&id, ttl_us);
+            self.keys.insert(now_us, ttl_us, id);
         }
     }
 
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Skips or retries a failed call, or gives up its request. A call that may be skipped is skipped, unless the
+    /// Skips or retries a failed call, or aborts its request. A call that may be skipped is skipped, unless the
     /// method is idempotent and the connection broke: a broken connection is not a sign of upstream load, so the call
     /// is retried. Any other call is retried if it never ran or the method is idempotent, because the retry is harmless
     /// then.
@@ -267,7 +268,7 @@
         if can_skip && !(is_idempotent && outcome == Outcome::Interrupted) {
             self.skip_call(now_us, sequence);
         } else if !outcome.never_ran() && !is_idempotent {
-            self.give_up(sequence);
+            self.reject_or_abort(sequence);
         }
     }
 
@@ -312,7 +313,7 @@
         self.load_signal.adjust(self.queue.pressure);
         if !self.draining.has_begun() {
             let min_speed = self.concurrency_limit.min_speed(now_us);
-            self.send_load_signal(self.load_signal.share_to_announce(min_speed));
+            self.send_load_signal(self.load_signal.target_to_announce(min_speed));
         }
     }
 
@@ -322,8 +323,8 @@
         if self.integral_controller.end_period(now_us) {
             self.adapt_size_classes(now_us);
         }
-        // Requests that can no longer be answered or started in time are given up first.
-        self.give_up_overdue(now_us);
+        // Requests that can no longer be answered or started in time are rejected or aborted first.
+        self.reject_or_abort_overdue(now_us);
         self.fit_memory(now_us);
         self.evict_for_others(now_us);
         self.start_requests(now_us);
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -115,7 +115,7 @@
         self.answer != AnswerState::Pending
     }
 
-    /// Marks the answer as settled: the caller expects nothing any more.
+    /// Records that the answer is settled: the caller no longer expects one.
     pub fn settle(&mut self) {
         if self.answer == AnswerState::Pending {
             self.answer = AnswerState::Settled;
--- a/src/admission/request_queue.rs
+++ b/src/admission/request_queue.rs
@@ -82,8 +82,8 @@
     Heads { small: head(SizeClass::Small), large: head(SizeClass::Large) }
 }
 
-/// Walks the queue in the order of starting. If a request would start too late, the least valuable request up to it is
-/// evicted, provided that its value is lower. Criticality thus determines which requests are rejected, and age which
+/// Walks the queue in the order of starting. If a request would start too late, the request of the lowest value up to it
+/// is evicted, provided that its value is lower. Criticality thus determines which requests are rejected, and age which
 /// ones start.
 pub(super) fn walk(now_us: u64, queue: &[QueuedRequest]) -> Walk {
     let mut evicted = Vec::new();
@@ -94,11 +94,11 @@
     for request in queue {
         total_allowed_wait_us += request.latest_start_us.saturating_sub(request.arrived_us);
         remaining.push(request);
-        if request.can_be_helped() && now_us + wait_us > request.latest_start_us {
+        if request.can_benefit_from_evictions() && now_us + wait_us > request.latest_start_us {
             is_full = true;
-            let least = least_valuable(&remaining);
-            if remaining[least].value < request.value {
-                let removed = remaining.remove(least);
+            let lowest = lowest_value_index(&remaining);
+            if remaining[lowest].value < request.value {
+                let removed = remaining.remove(lowest);
                 wait_us -= removed.start_interval_us;
                 evicted.push(removed.sequence);
             }
@@ -112,12 +112,12 @@
 impl QueuedRequest {
     /// Whether evictions can make this request meet its target. Without this check, a request that is too long for its
     /// target in any case would cause many evictions.
-    fn can_be_helped(&self) -> bool {
+    fn can_benefit_from_evictions(&self) -> bool {
         self.latest_start_us > self.arrived_us + self.latency_target_us / MIN_ALLOWED_WAIT_DIVISOR
     }
 }
 
-fn least_valuable(requests: &[&QueuedRequest]) -> usize {
+fn lowest_value_index(requests: &[&QueuedRequest]) -> usize {
     let by_value = |one: &usize, other: &usize| requests[*one].value.total_cmp(&requests[*other].value);
     (0..requests.len()).min_by(by_value).unwrap_or(0)
 }
--- a/src/admission/size_classes.rs
+++ b/src/admission/size_classes.rs
@@ -112,15 +112,15 @@
         let max_mean = statistics.iter().map(CallStatistics::mean_calls).fold(0.0, f64::max);
         let min_mean = statistics.iter().map(CallStatistics::mean_calls).fold(f64::MAX, f64::min);
         let has_two_classes = max_mean >= MIN_CLASS_RATIO * min_mean.max(0.1);
-        let mut sums = [CallStatistics { runs: 0.0, calls: 0.0 }; 2];
+        let mut totals = [CallStatistics { runs: 0.0, calls: 0.0 }; 2];
         for (method, method_statistics) in statistics.iter().enumerate() {
             let is_large = has_two_classes && method_statistics.mean_calls() > (max_mean + min_mean) / 2.0;
             self.is_large[method] = is_large;
-            let sum = &mut sums[usize::from(is_large)];
-            sum.runs += method_statistics.runs;
-            sum.calls += method_statistics.calls;
+            let total = &mut totals[usize::from(is_large)];
+            total.runs += method_statistics.runs;
+            total.calls += method_statistics.calls;
         }
-        self.mean_calls = sums.map(|sum| if sum.runs > 0.0 { sum.calls / sum.runs } else { 0.0 });
+        self.mean_calls = totals.map(|total| if total.runs > 0.0 { total.calls / total.runs } else { 0.0 });
     }
 
     /// Whether the large request with this sequence number may start before small ones.
--- a/src/admission/snapshot/conversions.rs
+++ b/src/admission/snapshot/conversions.rs
@@ -141,9 +141,9 @@
 impl From<&UpstreamCalls> for UpstreamCallsRecord {
     fn from(calls: &UpstreamCalls) -> UpstreamCallsRecord {
         UpstreamCallsRecord {
-            lingering: calls.lingering.iter().copied().collect(),
+            abandoned_call_ends_us: calls.abandoned_call_ends_us.iter().copied().collect(),
             mean_in_flight: calls.mean_in_flight,
-            mean_wanted: calls.mean_wanted,
+            mean_demand: calls.mean_demand,
             counted_us: calls.counted_us,
         }
     }
@@ -285,9 +285,9 @@
         record: UpstreamCallsRecord,
         times: &HistogramRecord,
     ) -> Result<(), SnapshotError> {
-        self.lingering = record.lingering.into();
+        self.abandoned_call_ends_us = record.abandoned_call_ends_us.into();
         self.mean_in_flight = record.mean_in_flight;
-        self.mean_wanted = record.mean_wanted;
+        self.mean_demand = record.mean_demand;
         self.counted_us = record.counted_us;
         self.times = times.try_into()?;
         Ok(())
--- a/src/admission/snapshot/mod.rs
+++ b/src/admission/snapshot/mod.rs
@@ -80,8 +80,8 @@
                 .map(|(expires_us, id)| KeyRecord { expires_us: *expires_us, id: id.to_string() })
                 .collect(),
             full_since_us: self.queue.full_since_us,
-            wanted_share: self.load_signal.wanted_share,
-            last_sent_share: self.load_signal.last_sent_share,
+            target_traffic: self.load_signal.target_traffic,
+            last_sent_target: self.load_signal.last_sent_target,
             queue_wait_us: self.queue.wait_us,
             pressure: self.queue.pressure,
             retries_rejected: self.load_signal.retries_rejected,
@@ -127,8 +127,8 @@
         controller.queue.full_since_us = snapshot.full_since_us;
         controller.queue.wait_us = snapshot.queue_wait_us;
         controller.queue.pressure = snapshot.pressure;
-        controller.load_signal.wanted_share = snapshot.wanted_share;
-        controller.load_signal.last_sent_share = snapshot.last_sent_share;
+        controller.load_signal.target_traffic = snapshot.target_traffic;
+        controller.load_signal.last_sent_target = snapshot.last_sent_target;
         controller.load_signal.retries_rejected = snapshot.retries_rejected;
         controller.next_tick_us = snapshot.next_tick_us;
         controller.timer_us = snapshot.timer_us;
--- a/src/admission/snapshot/records.rs
+++ b/src/admission/snapshot/records.rs
@@ -53,9 +53,9 @@
     #[prost(uint64, optional, tag = "17")]
     pub(super) full_since_us: Option<u64>,
     #[prost(double, tag = "18")]
-    pub(super) wanted_share: f64,
+    pub(super) target_traffic: f64,
     #[prost(double, tag = "19")]
-    pub(super) last_sent_share: f64,
+    pub(super) last_sent_target: f64,
     #[prost(uint64, tag = "20")]
     pub(super) queue_wait_us: u64,
     #[prost(double, tag = "21")]
@@ -148,11 +148,11 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct UpstreamCallsRecord {
     #[prost(uint64, repeated, tag = "1")]
-    pub(super) lingering: Vec<u64>,
+    pub(super) abandoned_call_ends_us: Vec<u64>,
     #[prost(double, tag = "2")]
     pub(super) mean_in_flight: f64,
     #[prost(double, tag = "3")]
-    pub(super) mean_wanted: f64,
+    pub(super) mean_demand: f64,
     #[prost(uint64, tag = "4")]
     pub(super) counted_us: u64,
 }
--- a/src/admission/steps.rs
+++ b/src/admission/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of a decision: giving up overdue requests, starting queued ones, issuing upstream calls, and setting the
-//! timer for the next time-based event.
+//! The steps of a decision: rejecting or aborting overdue requests, starting queued ones, issuing upstream calls, and
+//! setting the timer for the next time-based event.
 
 use super::request::{AnswerState, Request, RequestState, Run, RunPhase};
 use super::request_queue::{self, Heads, QueuedRequest};
@@ -71,11 +71,11 @@
         arrival.time_left_us.map_or(0, |left_us| longest_us.saturating_sub(left_us))
     }
 
-    // ---- Giving up.
+    // ---- Rejections and aborts.
 
-    /// Gives up requests that are due, requests that arrived too late in a drain, and queued requests that cannot start
-    /// in time.
-    pub(super) fn give_up_overdue(&mut self, now_us: u64) {
+    /// Rejects or aborts requests that are due, requests that arrived too late in a drain, and queued requests that
+    /// cannot start in time.
+    pub(super) fn reject_or_abort_overdue(&mut self, now_us: u64) {
         let last_arrival_us = self.draining.last_arrival_us();
         let cannot_start = |request: &Request| {
             request.arrived_us > last_arrival_us || now_us > self.latest_start_us(request)
@@ -89,15 +89,16 @@
             .filter(|(_, request)| is_overdue(request))
             .map(|(sequence, _)| sequence)
             .collect();
-        overdue.into_iter().for_each(|sequence| self.give_up(sequence));
+        overdue.into_iter().for_each(|sequence| self.reject_or_abort(sequence));
     }
 
-    /// Gives up waiting requests until the rest fits the memory limit, so that the server does not run out of memory.
+    /// Rejects or aborts waiting requests until the rest fits the memory limit, so that the server does not run out of
+    /// memory.
     pub(super) fn fit_memory(&mut self, now_us: u64) {
         self.keys.expire(now_us);
         while !self.memory.fits(self.memory.used_kb(&self.requests, self.keys.len())) {
-            let Some(sequence) = memory_budget::first_to_give_up(&self.requests) else { return };
-            self.give_up(sequence);
+            let Some(sequence) = memory_budget::first_to_evict(&self.requests) else { return };
+            self.reject_or_abort(sequence);
         }
     }
 
@@ -110,7 +111,7 @@
             .map(|(sequence, request)| self.queued_request(sequence, request, limit))
             .collect();
         let walk = request_queue::walk(now_us, &queued);
-        walk.evicted.iter().for_each(|sequence| self.give_up(*sequence));
+        walk.evicted.iter().for_each(|sequence| self.reject_or_abort(*sequence));
         self.queue.update(now_us, &walk);
     }
 
@@ -127,9 +128,9 @@
         }
     }
 
-    /// Gives up a request and sends its final answer immediately. A request that never ran is rejected with a
+    /// Rejects or aborts a request with an immediate final answer. A request that never ran is rejected with a
     /// retry-after time. Any other request is aborted, because it may have had its effect, and its run is stopped.
-    pub(super) fn give_up(&mut self, sequence: u64) {
+    pub(super) fn reject_or_abort(&mut self, sequence: u64) {
         let request = self.requests.get_mut(sequence);
         match &mut request.state {
             RequestState::Queued => self.reject(sequence),
@@ -338,8 +339,8 @@
         }
     }
 
-    pub(super) fn send_load_signal(&mut self, wanted_share: f64) {
-        if let Some(value) = self.load_signal.value_to_send(wanted_share) {
+    pub(super) fn send_load_signal(&mut self, target_traffic: f64) {
+        if let Some(value) = self.load_signal.value_to_send(target_traffic) {
             self.host.send_load_signal(value);
         }
     }
--- a/src/admission/upstream_calls.rs
+++ b/src/admission/upstream_calls.rs
@@ -9,10 +9,10 @@
 use crate::host::{Method, Outcome, Upstream};
 use std::collections::VecDeque;
 
-/// The used share of the number of calls in flight that the upstream survives from this server: on average, and at any
-/// one time.
-const MAX_MEAN_SHARE: f64 = 0.8;
-const MAX_SHARE_AT_ONCE: f64 = 0.4;
+/// The used fraction of the number of calls in flight that the upstream survives from this server: of their mean, and
+/// of their present number.
+const MAX_MEAN_FRACTION: f64 = 0.8;
+const MAX_PRESENT_FRACTION: f64 = 0.4;
 /// The quantile of call times that counts as the usual call time.
 const USUAL_QUANTILE: f64 = 0.9;
 /// The shortest time before a call that may not be skipped is abandoned, as a multiple of the usual call time.
@@ -42,11 +42,11 @@
     /// The times of successful calls.
     pub times: LatencyHistogram,
     /// The times at which abandoned calls end at the upstream.
-    pub lingering: VecDeque<u64>,
+    pub abandoned_call_ends_us: VecDeque<u64>,
     /// Moving means over half of the upstream's window: of the calls in flight, and of the calls in flight or waiting
     /// here.
     pub mean_in_flight: f64,
-    pub mean_wanted: f64,
+    pub mean_demand: f64,
     pub counted_us: u64,
 }
 
@@ -55,15 +55,15 @@
         UpstreamCalls {
             upstream,
             times: LatencyHistogram::default(),
-            lingering: VecDeque::new(),
+            abandoned_call_ends_us: VecDeque::new(),
             mean_in_flight: 0.0,
-            mean_wanted: 0.0,
+            mean_demand: 0.0,
             counted_us: now_us,
         }
     }
 
     fn in_flight(&self, requests: &RequestTable) -> usize {
-        requests.calling() + self.lingering.len()
+        requests.calling() + self.abandoned_call_ends_us.len()
     }
 
     /// Updates the means up to now, and is called before any event changes the number of calls. Returns whether more
@@ -78,23 +78,23 @@
         let in_flight = self.in_flight(requests) as f64;
         let awaiting = requests.awaiting_call() as f64;
         self.mean_in_flight += (in_flight - self.mean_in_flight) * weight;
-        self.mean_wanted += (in_flight + awaiting - self.mean_wanted) * weight;
+        self.mean_demand += (in_flight + awaiting - self.mean_demand) * weight;
         self.counted_us = now_us;
-        while self.lingering.front().is_some_and(|ends_us| *ends_us <= now_us) {
-            self.lingering.pop_front();
+        while self.abandoned_call_ends_us.front().is_some_and(|ends_us| *ends_us <= now_us) {
+            self.abandoned_call_ends_us.pop_front();
         }
-        self.mean_wanted > max && in_flight + awaiting > max
+        self.mean_demand > max && in_flight + awaiting > max
     }
 
     /// Records an abandoned call, which remains in flight at the upstream for the configured time.
     pub fn abandoned(&mut self, now_us: u64) {
         if let Upstream::Shared { abandoned_call_us, .. } = self.upstream {
-            self.lingering.push_back(now_us + abandoned_call_us);
+            self.abandoned_call_ends_us.push_back(now_us + abandoned_call_us);
         }
     }
 
     /// Whether the outcome of a call is a sign of upstream overload. A time-out counts only if the call had at least
-    /// twice its usual time: a call that this server cut short says nothing about the upstream (ours).
+    /// twice its usual time: after a shorter time limit, a time-out does not indicate a slow upstream (not in the paper).
     pub fn shows_overload(&self, outcome: Outcome, took_us: u64) -> bool {
         let min_timeout_us = self.times.quantile(USUAL_QUANTILE).map_or(0, |usual_us| 2 * usual_us);
         match outcome {
@@ -106,8 +106,8 @@
 
     fn has_capacity(&self, requests: &RequestTable) -> bool {
         let Upstream::Shared { max_calls_in_flight: max, .. } = self.upstream else { return true };
-        (self.in_flight(requests) as f64) < (MAX_SHARE_AT_ONCE * max).max(1.0)
-            && self.mean_in_flight < MAX_MEAN_SHARE * max
+        (self.in_flight(requests) as f64) < (MAX_PRESENT_FRACTION * max).max(1.0)
+            && self.mean_in_flight < MAX_MEAN_FRACTION * max
     }
 
     /// Returns the expected call times.
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -50,7 +50,7 @@
         (8, 8, 3, 8.0, 8.0),     // limited to the calls of the period; e = 8 - 8
         (8, 8, 0, 12.0, 12.0),   // near r: r grows by half; u = 8 + (12 - 8)
         (6, 6, 0, 12.0, 18.0),   // not near r; u = 12 + (12 - 6)
-        (14, 12, 4, 18.0, 22.0), // four signs among 14 calls are no overload; u = 18 + (18 - 14)
+        (14, 12, 4, 18.0, 22.0), // 4 signs to 14 calls do not count as overload; u = 18 + (18 - 14)
         (12, 12, 4, 18.0, 28.0), // first overloaded period: r stays; u = 22 + (18 - 12)
         (12, 12, 4, 9.0, 25.0),  // second overloaded period in a row: r halves; u = 28 + (9 - 12)
         (0, 0, 0, 9.0, 34.0),
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -174,7 +174,7 @@
     }
 }
 
-/// One server with its controller, and the events that a seed draws for it.
+/// A simulated run of one server: its controller, and the events that are generated from a seed.
 struct Run {
     controller: AdmissionController<Recorder>,
     rng: fastrand::Rng,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -219,12 +219,14 @@
 }
 
 #[test]
-fn calls_in_flight_stay_within_the_configured_share() {
+fn calls_in_flight_stay_within_the_configured_limit() {
     // With a limit under one, one call at a time is issued, and then none until the mean has capacity. An abandoned
     // call remains in flight for `abandoned_call_us`.
-    for (share, second, after_window) in [(5.0, vec!["call b"], vec!["call c"]), (0.5, vec![], vec![])] {
+    for (max_calls_in_flight, second, after_window) in
+        [(5.0, vec!["call b"], vec!["call c"]), (0.5, vec![], vec![])]
+    {
         let upstream =
-            Upstream::Shared { max_calls_in_flight: share, window_us: 5_000_000, abandoned_call_us: 200_000 };
+            Upstream::Shared { max_calls_in_flight, window_us: 5_000_000, abandoned_call_us: 200_000 };
         let mut server = TestConfig { upstream, ..TestConfig::default() }.start();
         for (id, want) in [("a", vec!["call a"]), ("b", second), ("c", vec![])] {
             server.arrive(id, IDEMPOTENT);
@@ -234,7 +236,7 @@
         assert_eq!(server.decide_at(199_999), [""; 0]);
         assert_eq!(server.decide_at(200_001), ["call a"]);
         server.now = 5_000_000;
-        assert_eq!(server.end_call("a", Outcome::Ok), after_window, "{share}");
+        assert_eq!(server.end_call("a", Outcome::Ok), after_window, "{max_calls_in_flight}");
     }
 }
 
