--- a/tests/external_names.rs
+++ b/tests/external_names.rs
@@ -88,7 +88,7 @@
     (blanked, literals)
 }
 
-/// Where a raw string ends that begins the text.
+/// Returns the end of the raw string that begins the text, if the text begins with one.
 fn raw_literal_end(text: &str) -> Option<usize> {
     let hashes = text.strip_prefix('r')?.chars().take_while(|c| *c == '#').count();
     let open = 1 + hashes;
@@ -97,7 +97,7 @@
     Some(open + 1 + text[open + 1..].find(&close)? + close.len())
 }
 
-/// Where a string ends that begins the text.
+/// Returns the end of the string that begins the text.
 fn quoted_end(text: &str) -> usize {
     let mut is_escaped = false;
     for (at, c) in text.char_indices().skip(1) {
@@ -111,7 +111,7 @@
     text.len()
 }
 
-/// Where a character literal ends that begins the text; none at a lifetime.
+/// Returns the end of the character literal that begins the text; `None` if the text begins with a lifetime.
 fn char_literal_end(text: &str) -> Option<usize> {
     let inner = text.strip_prefix('\'')?;
     let close =
@@ -119,7 +119,7 @@
     inner[close..].starts_with('\'').then_some(close + 2)
 }
 
-/// What stands between the first opening character and the one that closes it.
+/// Returns the text between the first opening character and the one that closes it.
 fn enclosed(text: &str, open: char, close: char) -> &str {
     let Some(start) = text.find(open) else { return "" };
     let mut depth = 0;
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -86,7 +86,7 @@
         (&(three.to_string() + LINE), vec![BAD], 101, "more than three"),
     ] {
         let (passed, printed) = played(Some(known), &tests(&lines), status);
-        assert!(!passed && printed.contains(why), "{known}: {why} wanted, not: {printed}");
+        assert!(!passed && printed.contains(why), "{known}: expected {why}, printed: {printed}");
     }
 }
 
