--- a/crates/ochrewalk-load-balancer/src/call.rs
+++ b/crates/ochrewalk-load-balancer/src/call.rs
@@ -24,6 +24,6 @@
     ConnectionBroken,
     /// No connection could be established.
     ConnectFailed,
-    /// The call ended for a reason that is no evidence about the endpoint.
+    /// The call ended for a reason that does not indicate the health of the endpoint.
     Inconclusive,
 }
--- a/crates/ochrewalk-load-balancer/src/health.rs
+++ b/crates/ochrewalk-load-balancer/src/health.rs
@@ -14,7 +14,7 @@
     pub base_ejection_us: u64,
     /// The maximum duration of an ejection, before jitter.
     pub max_ejection_us: u64,
-    /// The duration of slow start, after which a new or readmitted endpoint gets its full share.
+    /// The duration of slow start, after which a new or readmitted endpoint gets calls by its full weight.
     pub slow_start_us: u64,
 }
 
@@ -80,7 +80,7 @@
     next_ejection_us: u64,
 }
 
-/// The width of the jitter, from the shortest to the longest ejection time, as a share of the time before jitter.
+/// The width of the jitter, from the shortest to the longest ejection time, as a fraction of the time before jitter.
 const JITTER: f64 = 0.5;
 /// The factor at the beginning of slow start: enough calls to learn from, and few enough not to harm a cold endpoint.
 const INITIAL_SLOW_START_FACTOR: f64 = 0.1;
@@ -110,7 +110,7 @@
         matches!(self.state, State::Accepting { .. })
     }
 
-    /// The part of its full share that the endpoint gets now, from 0.1 at the beginning of slow start to 1.
+    /// The factor of the endpoint's weight at this time, from 0.1 at the beginning of slow start to 1.
     pub fn slow_start_factor(&self, now_us: u64) -> f64 {
         let left_us = self.slow_start_ends_us.saturating_sub(now_us);
         if left_us == 0 {
--- a/crates/ochrewalk-load-balancer/src/latency_histogram.rs
+++ b/crates/ochrewalk-load-balancer/src/latency_histogram.rs
@@ -65,8 +65,8 @@
         self.p95_us
     }
 
-    fn quantile(&self, share: f64) -> f64 {
-        let mut remaining = self.total as f64 * share;
+    fn quantile(&self, fraction: f64) -> f64 {
+        let mut remaining = self.total as f64 * fraction;
         for (bucket, count) in self.counts.iter().enumerate() {
             remaining -= f64::from(*count);
             if remaining < 0.0 {
--- a/crates/ochrewalk-load-balancer/src/learned_weight.rs
+++ b/crates/ochrewalk-load-balancer/src/learned_weight.rs
@@ -29,7 +29,7 @@
 /// The moving averages over the calls to all endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointAverages {
-    /// The share of calls that succeed.
+    /// The fraction of calls that succeed.
     pub success_rate: f64,
     /// The average of latencies divided by their median; at least 1, and more if some calls take very long.
     pub latency_ratio: f64,
@@ -87,8 +87,8 @@
         self.timed_calls += 1.0;
         let ratio = latency_ratio(took_us, median_us);
         self.latency_ratio_sum += ratio;
-        // An ordinary reply outweighs earlier slow ones and failures, so that an endpoint gets its share soon after it has
-        // recovered.
+        // An ordinary reply outweighs earlier slow ones and failures, so that the weight of an endpoint rises soon after it
+        // has recovered.
         if ratio <= ORDINARY_RATIO {
             self.latency_ratio_sum -= (self.latency_ratio_sum - self.timed_calls).max(0.0) * RECOVERY_RATE;
             self.calls -= (self.calls - self.successes) * RECOVERY_RATE;
--- a/crates/ochrewalk-load-balancer/src/lib.rs
+++ b/crates/ochrewalk-load-balancer/src/lib.rs
@@ -17,8 +17,8 @@
 //!
 //! | state | name in the operators' table | calls | ends with |
 //! | --- | --- | --- | --- |
-//! | accepting | `in` | full share | consecutive failures, or removal |
-//! | accepting, in slow start | `joining` when new, `back` after an ejection | from a tenth of its share up to its full share | the end of slow start, consecutive failures, or removal |
+//! | accepting | `in` | full weight | consecutive failures, or removal |
+//! | accepting, in slow start | `joining` when new, `back` after an ejection | from a tenth of its weight up to its full weight | the end of slow start, consecutive failures, or removal |
 //! | suspect | `suspect` | with the default policy none while others accept calls | the end of the unanswered call |
 //! | ejected | `out` | none until its ejection time ends; then probes | a probe, a reply to an earlier call, or removal |
 //! | probing | `trying` | only the one probe | the end of the probe, or removal |
--- a/crates/ochrewalk-load-balancer/src/load_balancer.rs
+++ b/crates/ochrewalk-load-balancer/src/load_balancer.rs
@@ -266,7 +266,7 @@
         } else {
             endpoint.probe = ProbeProgress::random(&mut self.rng);
         }
-        // Samples from before an ejection are no evidence about the endpoint after it.
+        // Samples from before an ejection do not indicate the performance of the endpoint after it.
         endpoint.learned_weight = LearnedWeight::default();
         self.rebuild_subset();
     }
--- a/crates/ochrewalk-load-balancer/src/probe.rs
+++ b/crates/ochrewalk-load-balancer/src/probe.rs
@@ -1,28 +1,28 @@
 //! Limits the rate at which a node may probe an ejected endpoint, so that the probes of all nodes together stay within the
 //! slow start of an endpoint that has just recovered.
 //!
-//! A node knows neither when an endpoint recovered nor the number of other nodes, but it knows the share of its own calls
-//! that the endpoint would get. Each call therefore earns the endpoint a fixed part of that share, and a complete call
-//! earned allows one probe. Over all nodes, probes thus amount to that part of the load of a warm endpoint, whatever the
+//! A node knows neither when an endpoint recovered nor the number of other nodes, but it knows the fraction of its own
+//! calls that the endpoint would get. Each call therefore earns the endpoint a fixed part of that fraction, and a complete
+//! call earned allows one probe. Over all nodes, probes thus amount to that part of the load of a warm endpoint, for any
 //! number of nodes, because each node begins at a random point.
 //!
 //! A node with few calls waits a long time for its probe, and the endpoint may have recovered during that wait: on average
 //! halfway through it. The node's own slow start therefore begins half the wait earlier. The total load stays within the
 //! slow start: assume that nodes probe within `w` seconds after their ejection times, and that the endpoint recovers `x`
-//! seconds into that window. `t` seconds later the share `t / w` of the nodes sends calls to the endpoint, and with a slow
+//! seconds into that window. `t` seconds later the fraction `t / w` of the nodes sends calls to the endpoint, and with a slow
 //! start of `0.1 + 0.3 * t` the load of all nodes is at most `0.1 + 0.225 * t`, provided that probes come at
-//! `PROBE_SHARE` alone.
+//! `PROBE_LOAD_FRACTION` alone.
 
-/// The load of all probes, as a share of a warm endpoint's load: the slow start factor at the beginning.
-const PROBE_SHARE: f64 = 0.1;
+/// The load of all probes, as a fraction of a warm endpoint's load: the slow start factor at the beginning.
+const PROBE_LOAD_FRACTION: f64 = 0.1;
 /// The additional probes per second that a node may send, so that a node with few calls notices a recovery within seconds.
 /// If a node sends several calls a second to each endpoint, these probes are few compared with its slow start.
 const EXTRA_PROBES_PER_SECOND: f64 = 0.1;
 /// The maximum of both together. A slow start of 3 s allows `0.1 * t + 0.15 * t * t` of a warm endpoint's load in its first
-/// `t` seconds, so that this share stays within the slow start from half a second on.
-const MAX_PROBE_SHARE: f64 = 0.175;
+/// `t` seconds, so that this fraction stays within the slow start from half a second on.
+const MAX_PROBE_LOAD_FRACTION: f64 = 0.175;
 /// The maximum gap between two calls that counts as waiting for a probe, in microseconds. A longer gap means that the node
-/// was idle, not that it made too few calls for a probe; such a node must not send its full share immediately.
+/// was idle, not that it made too few calls for a probe; such a node must not skip the slow start.
 const MAX_COUNTED_GAP_US: u64 = 1_000_000;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -46,16 +46,16 @@
         self.waited_us = 0;
     }
 
-    /// Records another call of the node during the ejection time, where the endpoint would get `load_share` of the node's
-    /// calls if it were warm. A probe that is earned here is discarded: otherwise all nodes would send theirs when the
-    /// ejection time ends.
-    pub fn earn_while_ejected(&mut self, load_share: f64, since_last_call_us: u64) {
-        self.earned = (self.earned + probe_share(load_share, since_last_call_us)).fract();
+    /// Records another call of the node during the ejection time, where the endpoint would get the fraction `load_fraction`
+    /// of the node's calls if it were warm. A probe that is earned in this time is discarded: otherwise all nodes would send
+    /// their probes when the ejection time ends.
+    pub fn earn_while_ejected(&mut self, load_fraction: f64, since_last_call_us: u64) {
+        self.earned = (self.earned + earned_fraction(load_fraction, since_last_call_us)).fract();
     }
 
     /// Records another call of the node after the ejection time, up to one complete probe.
-    pub fn earn(&mut self, load_share: f64, since_last_call_us: u64) {
-        self.earned = (self.earned + probe_share(load_share, since_last_call_us)).min(1.0);
+    pub fn earn(&mut self, load_fraction: f64, since_last_call_us: u64) {
+        self.earned = (self.earned + earned_fraction(load_fraction, since_last_call_us)).min(1.0);
     }
 
     /// Adds the time between two calls, or from the end of the ejection time to the first call after it, to the wait.
@@ -79,7 +79,7 @@
     }
 }
 
-/// The total weight of the endpoints that accept calls, from which the load share of an endpoint is computed.
+/// The total weight of the endpoints that accept calls, from which the load fraction of an endpoint is computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AcceptingWeight {
     local: f64,
@@ -97,16 +97,16 @@
         self.remote += weight;
     }
 
-    /// The share of the node's calls that an endpoint of that weight would get, where remote endpoints get `remote_factor`
-    /// of the share of a local one.
-    pub fn load_share(&self, weight: f64, remote_factor: f64) -> f64 {
+    /// Returns the fraction of the node's calls that an endpoint of that weight would get, where the weight of remote
+    /// endpoints is multiplied by `remote_factor`.
+    pub fn load_fraction(&self, weight: f64, remote_factor: f64) -> f64 {
         let total = self.local + remote_factor * self.remote;
         (weight / total.max(f64::MIN_POSITIVE)).min(1.0)
     }
 }
 
-/// The part of a probe that one call earns.
-fn probe_share(load_share: f64, since_last_call_us: u64) -> f64 {
+/// Returns the fraction of a probe that one call earns.
+fn earned_fraction(load_fraction: f64, since_last_call_us: u64) -> f64 {
     let extra = EXTRA_PROBES_PER_SECOND * since_last_call_us as f64 / MICROSECONDS_PER_SECOND;
-    (PROBE_SHARE * load_share + extra).min(MAX_PROBE_SHARE * load_share)
+    (PROBE_LOAD_FRACTION * load_fraction + extra).min(MAX_PROBE_LOAD_FRACTION * load_fraction)
 }
--- a/crates/ochrewalk-load-balancer/src/probe_schedule.rs
+++ b/crates/ochrewalk-load-balancer/src/probe_schedule.rs
@@ -66,12 +66,12 @@
         for (until_us, slot) in &self.ejected {
             let endpoint = state.endpoint_mut(*slot);
             let weight = endpoint.weight * endpoint.subset_fraction;
-            let load_share = self.accepting_weight.load_share(weight, remote_factor);
+            let load_fraction = self.accepting_weight.load_fraction(weight, remote_factor);
             if now_us < *until_us {
-                endpoint.probe.earn_while_ejected(load_share, since_last_call_us);
+                endpoint.probe.earn_while_ejected(load_fraction, since_last_call_us);
             } else {
                 endpoint.probe.wait(now_us.saturating_sub(last_call_us.max(*until_us)));
-                endpoint.probe.earn(load_share, since_last_call_us);
+                endpoint.probe.earn(load_fraction, since_last_call_us);
             }
         }
     }
--- a/crates/ochrewalk-load-balancer/src/status.rs
+++ b/crates/ochrewalk-load-balancer/src/status.rs
@@ -5,7 +5,7 @@
 /// The state of an endpoint as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointStatus {
-    /// The endpoint gets its full share of calls.
+    /// The endpoint gets calls by its full weight.
     Accepting,
     /// The endpoint is new, and in slow start.
     Added,
--- a/crates/ochrewalk-load-balancer/src/subset.rs
+++ b/crates/ochrewalk-load-balancer/src/subset.rs
@@ -2,11 +2,11 @@
 //! large enough to tolerate the loss of some, and all endpoints are called by equally many nodes.
 //!
 //! Deterministic subsetting (*Site Reliability Engineering*, chapter 20) divides the nodes into groups that each cover all
-//! endpoints. Each group orders the endpoints on a ring of its own, and its nodes divide the ring into arcs of equal weight,
-//! fractions of an endpoint included. All endpoints therefore get exactly the same load, even from the last group, which may
-//! have fewer nodes with longer arcs. The order follows from hashes, so that an added or removed endpoint moves the ends of
-//! each arc only slightly and causes little churn. A node without a number selects a random subset by the same hashes; the
-//! load then varies at random.
+//! endpoints. Each group has a separate ring, on which the endpoints are ordered, and its nodes divide the ring into arcs of
+//! equal weight, fractions of an endpoint included. All endpoints therefore get exactly the same load, even from the last
+//! group, which may have fewer nodes with longer arcs. The order follows from hashes, so that an added or removed endpoint
+//! moves the ends of each arc only slightly and causes little churn. A node without a number selects a random subset by the
+//! same hashes; the load then varies at random.
 
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
--- a/crates/ochrewalk-load-balancer/src/subset_multiplier.rs
+++ b/crates/ochrewalk-load-balancer/src/subset_multiplier.rs
@@ -3,7 +3,7 @@
 
 /// The interval at which the multiplier is computed, in microseconds.
 const UPDATE_US: u64 = 1_000_000;
-/// The number of consecutive updates that must need at most half the multiplier before it is halved.
+/// The number of consecutive updates that must need at most half the multiplier before the multiplier is halved.
 const UPDATES_BEFORE_HALVING: u32 = 10;
 /// The mean number of calls in flight that a node may have at one endpoint.
 const CALLS_PER_ENDPOINT: f64 = 0.5;
@@ -18,7 +18,8 @@
     /// The time up to which `in_flight_us` is summed.
     summed_until_us: u64,
     updated_us: u64,
-    updates_below: u32,
+    /// The number of consecutive updates that needed at most half the multiplier.
+    consecutive_low_updates: u32,
 }
 
 impl Default for SubsetMultiplier {
@@ -29,7 +30,7 @@
             in_flight_us: 0.0,
             summed_until_us: 0,
             updated_us: 0,
-            updates_below: 0,
+            consecutive_low_updates: 0,
         }
     }
 }
@@ -68,11 +69,12 @@
         (self.in_flight_us, self.updated_us) = (0.0, now_us);
         let needed = (mean_in_flight / CALLS_PER_ENDPOINT / subset_size as f64).ceil().max(1.0) as usize;
         let before = self.multiplier;
-        self.updates_below = if needed * 2 <= self.multiplier { self.updates_below + 1 } else { 0 };
+        self.consecutive_low_updates =
+            if needed * 2 <= self.multiplier { self.consecutive_low_updates + 1 } else { 0 };
         if needed > self.multiplier {
             self.multiplier *= 2;
-        } else if self.updates_below >= UPDATES_BEFORE_HALVING {
-            (self.multiplier, self.updates_below) = (self.multiplier / 2, 0);
+        } else if self.consecutive_low_updates >= UPDATES_BEFORE_HALVING {
+            (self.multiplier, self.consecutive_low_updates) = (self.multiplier / 2, 0);
         }
         self.multiplier != before
     }
