--- a/crates/ochrewalk-concurrency-limits/src/adaptive_limit.rs
+++ b/crates/ochrewalk-concurrency-limits/src/adaptive_limit.rs
@@ -3,7 +3,7 @@
 //!
 //! The integral controller is that of admission (docs/design.md), applied once per period: u(k) = u(k-1) + K_I e(k). Here u is
 //! the logarithm of the limit, and the error e is the distance of the period from the target, computed from latencies relative
-//! to their baseline and from the share of rejected calls.
+//! to their baseline and from the ratio of rejected calls.
 
 /// The sample of a pool's calls in one period.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -49,7 +49,7 @@
 
 /// The target latency ratio of a pool that uses the reserve: its limit falls only after those of all other pools.
 const PRIORITY_TARGET_RATIO: f64 = 2.0;
-/// The weight of the share of rejected calls in the error, relative to that of the latency ratio.
+/// The weight of the ratio of rejected calls in the error, relative to that of the latency ratio.
 const REJECTION_WEIGHT: f64 = 4.0;
 /// The integral gain.
 const INTEGRAL_GAIN: f64 = 0.25;
@@ -127,7 +127,7 @@
     fn integral(&self, sample: &PeriodSample) -> f64 {
         let target = self.target_ratio;
         let error =
-            (target - sample.ratio_or_baseline() - REJECTION_WEIGHT * sample.rejected_share()) / target;
+            (target - sample.ratio_or_baseline() - REJECTION_WEIGHT * sample.rejection_ratio()) / target;
         let weight = (f64::from(sample.ended) / FULL_WEIGHT_CALLS).min(1.0);
         let step = if error.abs() < DEAD_BAND {
             0.0
@@ -152,7 +152,7 @@
 
     fn gradient(&self, sample: &PeriodSample) -> f64 {
         let gradient = (1.0 / sample.ratio_or_baseline()).clamp(MIN_GRADIENT, 1.0);
-        let target = self.value * gradient * (1.0 - sample.rejected_share()) + self.value.sqrt();
+        let target = self.value * gradient * (1.0 - sample.rejection_ratio()) + self.value.sqrt();
         if target > self.value && !sample.is_utilized() {
             return self.value;
         }
@@ -166,7 +166,7 @@
         self.latency_ratio.unwrap_or(1.0)
     }
 
-    fn rejected_share(&self) -> f64 {
+    fn rejection_ratio(&self) -> f64 {
         f64::from(self.rejected) / f64::from(self.ended)
     }
 
--- a/crates/ochrewalk-concurrency-limits/src/concurrency_limits.rs
+++ b/crates/ochrewalk-concurrency-limits/src/concurrency_limits.rs
@@ -78,7 +78,7 @@
         self.pools[pool].call_rejected();
     }
 
-    /// Records a call whose end is no evidence about the upstream.
+    /// Records a call whose end does not indicate the load of the upstream.
     pub fn call_ignored(&mut self, pool: usize) {
         self.capacity.release(pool);
     }
--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -93,8 +93,8 @@
     pub max_idle_us: u64,
 }
 
-/// The number of times that one call may be assigned to a connection, whatever the retry budget: stops a call that would
-/// otherwise move from one failing connection to the next without end.
+/// The maximum number of times that one call may be assigned to a connection, for any retry budget. Without this bound, a
+/// call could move endlessly from one failing connection to the next.
 const MAX_ATTEMPTS: u32 = 4;
 
 struct Connection {
@@ -136,7 +136,7 @@
     pub fn new(
         config: PoolConfig,
         balancing: BalancingConfig,
-        retry_share: f64,
+        retry_ratio: f64,
         seed: u64,
     ) -> ConnectionPool {
         ConnectionPool {
@@ -147,7 +147,7 @@
             idle_by_slot: Vec::new(),
             calls: BTreeMap::new(),
             waiting: VecDeque::new(),
-            retry_budget: RetryBudget::new(retry_share),
+            retry_budget: RetryBudget::new(retry_ratio),
             last_connection_id: 0,
         }
     }
--- a/crates/ochrewalk-connection-pool/tests/connection_pool.rs
+++ b/crates/ochrewalk-connection-pool/tests/connection_pool.rs
@@ -40,14 +40,14 @@
 }
 
 /// Creates a pool with the least-latency policy, whose choices follow from the reported events and not from a seed.
-fn pool_with(count: u64, retry_share: f64, seed: u64) -> ConnectionPool {
+fn pool_with(count: u64, retry_ratio: f64, seed: u64) -> ConnectionPool {
     let balancing = BalancingConfig {
         policy: BalancingPolicy::LeastLatency,
         subsetting: Subsetting::All,
         uses_learned_weights: false,
         ejection: EJECTION,
     };
-    let mut pool = ConnectionPool::new(CONFIG, balancing, retry_share, seed);
+    let mut pool = ConnectionPool::new(CONFIG, balancing, retry_ratio, seed);
     pool.set_endpoints(
         0,
         &(0..count).map(Endpoint::new).collect::<Vec<_>>(),
