--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -285,7 +285,7 @@
         self.remove_idle(slot, last_used_us, id);
         let outcome = match disconnect {
             Disconnect::ConnectFailed => CallOutcome::ConnectFailed,
-            // The peer may close an idle connection at any time: its end says nothing about the endpoint.
+            // The peer may close an idle connection at any time: its end does not indicate the health of the endpoint.
             Disconnect::BeforeWrite => CallOutcome::Inconclusive,
             Disconnect::PingTimedOut | Disconnect::AfterWrite => CallOutcome::ConnectionBroken,
         };
@@ -402,7 +402,7 @@
         self.connections.len() < self.config.max_connections || !self.idle.is_empty()
     }
 
-    /// Marks an established connection as idle, or closes it if its endpoint was removed.
+    /// Adds an established connection to the idle ones, or closes it if its endpoint was removed.
     fn release(&mut self, id: ConnectionId, transport: &mut impl Transport) {
         let Connection { slot, last_used_us, .. } = self.connections[&id];
         if self.load_balancer.is_listed(slot) {
--- a/crates/ochrewalk-load-balancer/tests/fleet.rs
+++ b/crates/ochrewalk-load-balancer/tests/fleet.rs
@@ -33,12 +33,12 @@
 fn no_endpoint_is_idle_or_overloaded_and_long_waits_are_shorter_than_with_random_choice() {
     for seed in 1..=3 {
         let fleet = measured_load(BalancingPolicy::LatencyAwareRoundRobin, seed);
-        let (ours, random) = (play(&fleet), play(&measured_load(BalancingPolicy::Random, seed)));
-        let evenness = ours.evenness(&fleet.listed, 1);
-        assert_eq!((evenness.idle, ours.served), (0, ours.calls));
+        let (latency_aware, random) = (play(&fleet), play(&measured_load(BalancingPolicy::Random, seed)));
+        let evenness = latency_aware.evenness(&fleet.listed, 1);
+        assert_eq!((evenness.idle, latency_aware.served), (0, latency_aware.calls));
         assert!(evenness.dispersion < 0.4, "seed {seed}: {evenness:?}");
         assert!(evenness.max_over_mean < 1.3, "seed {seed}: {evenness:?}");
-        let (p99, random_p99) = (ours.quantile_ms(0.99), random.quantile_ms(0.99));
+        let (p99, random_p99) = (latency_aware.quantile_ms(0.99), random.quantile_ms(0.99));
         assert!(p99 < 0.85 * random_p99, "seed {seed}: {p99} ms against {random_p99} ms");
         assert!(random.evenness(&fleet.listed, 1).dispersion > 0.7, "the measure distinguishes the policies");
     }
@@ -128,14 +128,19 @@
         ),
     ];
     for (name, change, dispersion) in cases {
-        let (fleet, ours) = play_with(BalancingPolicy::LatencyAwareRoundRobin, change);
+        let (fleet, latency_aware) = play_with(BalancingPolicy::LatencyAwareRoundRobin, change);
         let (_, random) = play_with(BalancingPolicy::Random, change);
         let listed = fleet.relists.last().map_or(&fleet.listed, |relist| &relist.places);
-        let after = ours.evenness(listed, 4);
+        let after = latency_aware.evenness(listed, 4);
         assert!(after.idle == 0 && after.dispersion < dispersion, "{name}: {after:?}");
-        let (served, random_served) = (ours.served_between(FROM, UNTIL), random.served_between(FROM, UNTIL));
+        let (served, random_served) =
+            (latency_aware.served_between(FROM, UNTIL), random.served_between(FROM, UNTIL));
         assert!(served > random_served - 0.003, "{name}: {served} against {random_served}");
-        assert_eq!(ours.served + ours.lost.len(), ours.calls, "{name}: each call ends once");
+        assert_eq!(
+            latency_aware.served + latency_aware.lost.len(),
+            latency_aware.calls,
+            "{name}: each call ends once"
+        );
     }
 }
 
@@ -158,11 +163,16 @@
     let evenness = seen.evenness(&fleet.listed, 1);
     assert!(evenness.dispersion < 0.3 && evenness.max_over_mean < 1.2, "{evenness:?}");
     let bimodal = |fleet: &mut Fleet| (fleet.long, fleet.work_us) = (20.0, 17_000.0);
-    let ((_, ours), (_, random)) = (
+    let ((_, latency_aware), (_, random)) = (
         play_with(BalancingPolicy::LatencyAwareRoundRobin, bimodal),
         play_with(BalancingPolicy::Random, bimodal),
     );
-    assert!(ours.served_share() > random.served_share(), "{} {}", ours.served_share(), random.served_share());
+    assert!(
+        latency_aware.served_share() > random.served_share(),
+        "{} {}",
+        latency_aware.served_share(),
+        random.served_share()
+    );
 }
 
 #[test]
--- a/src/admission/load_signal.rs
+++ b/src/admission/load_signal.rs
@@ -104,8 +104,8 @@
 }
 
 /// The factors by which the idle timeout falls and rises per reading of the cores.
-const IDLE_FALL: f64 = 0.8;
-const IDLE_RISE: f64 = 1.2;
+const IDLE_TIMEOUT_DECREASE_FACTOR: f64 = 0.8;
+const IDLE_TIMEOUT_INCREASE_FACTOR: f64 = 1.2;
 
 /// The timeout after which idle connections are closed. The timeout falls while cores are moderately busy and few
 /// callers are connected: this prevents a connection table full of callers that rarely send requests, which would take
@@ -134,10 +134,10 @@
     pub fn adjust(&mut self, usage: &CoreUsage, callers: u32, is_queueing: bool) -> Option<u64> {
         let previous_us = self.timeout_us;
         if usage.is_oversubscribed() {
-            self.timeout_us = (self.timeout_us * IDLE_RISE).min(self.max_us);
+            self.timeout_us = (self.timeout_us * IDLE_TIMEOUT_INCREASE_FACTOR).min(self.max_us);
         }
         if usage.has_few_connections(callers) && !is_queueing && usage.is_moderately_busy() {
-            let decreased = self.timeout_us * IDLE_FALL;
+            let decreased = self.timeout_us * IDLE_TIMEOUT_DECREASE_FACTOR;
             self.timeout_us = decreased.max(PERIOD_US as f64).min(self.max_us);
         }
         (self.timeout_us != previous_us).then_some(self.timeout_us())
--- a/src/admission/upstream_calls.rs
+++ b/src/admission/upstream_calls.rs
@@ -9,10 +9,10 @@
 use crate::host::{Method, Outcome, Upstream};
 use std::collections::VecDeque;
 
-/// The used fraction of the number of calls in flight that the upstream survives from this server: of their mean, and
-/// of their present number.
+/// The maxima of the mean number and of the current number of calls in flight, as fractions of the number that the
+/// upstream survives from this server.
 const MAX_MEAN_FRACTION: f64 = 0.8;
-const MAX_PRESENT_FRACTION: f64 = 0.4;
+const MAX_CURRENT_FRACTION: f64 = 0.4;
 /// The quantile of call times that counts as the usual call time.
 const USUAL_QUANTILE: f64 = 0.9;
 /// The shortest time before a call that may not be skipped is abandoned, as a multiple of the usual call time.
@@ -106,7 +106,7 @@
 
     fn has_capacity(&self, requests: &RequestTable) -> bool {
         let Upstream::Shared { max_calls_in_flight: max, .. } = self.upstream else { return true };
-        (self.in_flight(requests) as f64) < (MAX_PRESENT_FRACTION * max).max(1.0)
+        (self.in_flight(requests) as f64) < (MAX_CURRENT_FRACTION * max).max(1.0)
             && self.mean_in_flight < MAX_MEAN_FRACTION * max
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_run_that_is_given_up_occupies_its_core_until_its_end() {
+fn an_aborted_run_occupies_its_core_until_its_end() {
     let mut server = TestConfig::default().start();
     for i in 0..6 {
         server.arrive_with(Arrival { time_left_us: Some(1_000_000), ..rpc(&format!("r{i}"), IDEMPOTENT) });
