--- a/crates/ochrewalk-connection-pool/src/lib.rs
+++ b/crates/ochrewalk-connection-pool/src/lib.rs
@@ -93,8 +93,8 @@
     pub max_idle_us: u64,
 }
 
-/// The number of times that one call may be assigned to a connection, whatever the retry budget: stops a call that would
-/// otherwise move from one failing connection to the next without end.
+/// The maximum number of times that one call may be assigned to a connection, for any retry budget. Without this bound, a
+/// call could move endlessly from one failing connection to the next.
 const MAX_ATTEMPTS: u32 = 4;
 
 struct Connection {
@@ -136,7 +136,7 @@
     pub fn new(
         config: PoolConfig,
         balancing: BalancingConfig,
-        retry_share: f64,
+        retry_ratio: f64,
         seed: u64,
     ) -> ConnectionPool {
         ConnectionPool {
@@ -147,7 +147,7 @@
             idle_by_slot: Vec::new(),
             calls: BTreeMap::new(),
             waiting: VecDeque::new(),
-            retry_budget: RetryBudget::new(retry_share),
+            retry_budget: RetryBudget::new(retry_ratio),
             last_connection_id: 0,
         }
     }
@@ -285,7 +285,7 @@
         self.remove_idle(slot, last_used_us, id);
         let outcome = match disconnect {
             Disconnect::ConnectFailed => CallOutcome::ConnectFailed,
-            // The peer may close an idle connection at any time: its end says nothing about the endpoint.
+            // The peer may close an idle connection at any time: its end does not indicate the health of the endpoint.
             Disconnect::BeforeWrite => CallOutcome::Inconclusive,
             Disconnect::PingTimedOut | Disconnect::AfterWrite => CallOutcome::ConnectionBroken,
         };
@@ -402,7 +402,7 @@
         self.connections.len() < self.config.max_connections || !self.idle.is_empty()
     }
 
-    /// Marks an established connection as idle, or closes it if its endpoint was removed.
+    /// Adds an established connection to the idle ones, or closes it if its endpoint was removed.
     fn release(&mut self, id: ConnectionId, transport: &mut impl Transport) {
         let Connection { slot, last_used_us, .. } = self.connections[&id];
         if self.load_balancer.is_listed(slot) {
--- a/crates/ochrewalk-load-balancer/src/load_balancer.rs
+++ b/crates/ochrewalk-load-balancer/src/load_balancer.rs
@@ -213,7 +213,7 @@
             | CallOutcome::ConnectionBroken
             | CallOutcome::ConnectFailed => self.zone_overflow.record_unserved(now_us),
         }
-        self.state.overflow_share = self.zone_overflow.share();
+        self.state.remote_factor = self.zone_overflow.remote_factor();
     }
 
     /// Records a failure of an endpoint outside of a call, for example an unanswered ping.
@@ -266,7 +266,7 @@
         } else {
             endpoint.probe = ProbeProgress::random(&mut self.rng);
         }
-        // Samples from before an ejection are no evidence about the endpoint after it.
+        // Samples from before an ejection do not indicate the performance of the endpoint after it.
         endpoint.learned_weight = LearnedWeight::default();
         self.rebuild_subset();
     }
--- a/src/admission/size_classes.rs
+++ b/src/admission/size_classes.rs
@@ -74,8 +74,8 @@
     /// The probability that a large request starts before a small one that has waited less.
     pub release_probability: f64,
     pub(super) draw: ReleaseDraw,
-    /// Whether a small request was held back in this period because the integral controller had no capacity.
-    pub has_held_back_small: bool,
+    /// Whether a small request was blocked in this period because the integral controller had no capacity.
+    pub has_blocked_small: bool,
 }
 
 impl SizeClasses {
@@ -86,7 +86,7 @@
             mean_calls: [0.0; 2],
             release_probability: 1.0,
             draw: ReleaseDraw::default(),
-            has_held_back_small: false,
+            has_blocked_small: false,
         };
         classes.divide(statistics);
         classes
@@ -112,15 +112,15 @@
         let max_mean = statistics.iter().map(CallStatistics::mean_calls).fold(0.0, f64::max);
         let min_mean = statistics.iter().map(CallStatistics::mean_calls).fold(f64::MAX, f64::min);
         let has_two_classes = max_mean >= MIN_CLASS_RATIO * min_mean.max(0.1);
-        let mut sums = [CallStatistics { runs: 0.0, calls: 0.0 }; 2];
+        let mut totals = [CallStatistics { runs: 0.0, calls: 0.0 }; 2];
         for (method, method_statistics) in statistics.iter().enumerate() {
             let is_large = has_two_classes && method_statistics.mean_calls() > (max_mean + min_mean) / 2.0;
             self.is_large[method] = is_large;
-            let sum = &mut sums[usize::from(is_large)];
-            sum.runs += method_statistics.runs;
-            sum.calls += method_statistics.calls;
+            let total = &mut totals[usize::from(is_large)];
+            total.runs += method_statistics.runs;
+            total.calls += method_statistics.calls;
         }
-        self.mean_calls = sums.map(|sum| if sum.runs > 0.0 { sum.calls / sum.runs } else { 0.0 });
+        self.mean_calls = totals.map(|total| if total.runs > 0.0 { total.calls / total.runs } else { 0.0 });
     }
 
     /// Whether the large request with this sequence number may start before small ones.
@@ -134,15 +134,15 @@
 
     /// Adapts the release probability at the end of a period to the waiting times of the first request of each class,
     /// in microseconds. The probability rises if the large request has waited longer than the small one, and also if no
-    /// small request was held back in the period. Otherwise it falls.
+    /// small request was blocked in the period. Otherwise it falls.
     pub fn adapt(&mut self, small_wait_us: Option<u64>, large_wait_us: Option<u64>) {
-        if self.has_held_back_small && small_wait_us >= large_wait_us {
+        if self.has_blocked_small && small_wait_us >= large_wait_us {
             let decreased = self.release_probability * RELEASE_PROBABILITY_FALL;
             self.release_probability = decreased.max(MIN_RELEASE_PROBABILITY);
         } else {
             let increased = self.release_probability + RELEASE_PROBABILITY_RISE;
             self.release_probability = increased.min(1.0);
         }
-        self.has_held_back_small = false;
+        self.has_blocked_small = false;
     }
 }
--- a/src/admission/snapshot/conversions.rs
+++ b/src/admission/snapshot/conversions.rs
@@ -116,7 +116,7 @@
             draw_sequence: classes.draw.sequence,
             drawn_us: classes.draw.drawn_us,
             draw_may_start: classes.draw.may_start,
-            has_held_back_small: classes.has_held_back_small,
+            has_blocked_small: classes.has_blocked_small,
         }
     }
 }
@@ -133,7 +133,7 @@
             mean_calls: [self.small_mean_calls, self.large_mean_calls],
             release_probability: self.release_probability,
             draw,
-            has_held_back_small: self.has_held_back_small,
+            has_blocked_small: self.has_blocked_small,
         })
     }
 }
@@ -141,9 +141,9 @@
 impl From<&UpstreamCalls> for UpstreamCallsRecord {
     fn from(calls: &UpstreamCalls) -> UpstreamCallsRecord {
         UpstreamCallsRecord {
-            lingering: calls.lingering.iter().copied().collect(),
+            abandoned_call_ends_us: calls.abandoned_call_ends_us.iter().copied().collect(),
             mean_in_flight: calls.mean_in_flight,
-            mean_wanted: calls.mean_wanted,
+            mean_demand: calls.mean_demand,
             counted_us: calls.counted_us,
         }
     }
@@ -285,9 +285,9 @@
         record: UpstreamCallsRecord,
         times: &HistogramRecord,
     ) -> Result<(), SnapshotError> {
-        self.lingering = record.lingering.into();
+        self.abandoned_call_ends_us = record.abandoned_call_ends_us.into();
         self.mean_in_flight = record.mean_in_flight;
-        self.mean_wanted = record.mean_wanted;
+        self.mean_demand = record.mean_demand;
         self.counted_us = record.counted_us;
         self.times = times.try_into()?;
         Ok(())
--- a/src/admission/steps.rs
+++ b/src/admission/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of a decision: giving up overdue requests, starting queued ones, placing upstream calls, and setting the
-//! timer for the next time-based event.
+//! The steps of a decision: rejecting or aborting overdue requests, starting queued ones, issuing upstream calls, and
+//! setting the timer for the next time-based event.
 
 use super::request::{AnswerState, Request, RequestState, Run, RunPhase};
 use super::request_queue::{self, Heads, QueuedRequest};
@@ -71,11 +71,11 @@
         arrival.time_left_us.map_or(0, |left_us| longest_us.saturating_sub(left_us))
     }
 
-    // ---- Giving up.
+    // ---- Rejections and aborts.
 
-    /// Gives up requests that are due, requests that arrived too late in a drain, and queued requests that cannot start
-    /// in time.
-    pub(super) fn give_up_overdue(&mut self, now_us: u64) {
+    /// Rejects or aborts requests that are due, requests that arrived too late in a drain, and queued requests that
+    /// cannot start in time.
+    pub(super) fn reject_or_abort_overdue(&mut self, now_us: u64) {
         let last_arrival_us = self.draining.last_arrival_us();
         let cannot_start = |request: &Request| {
             request.arrived_us > last_arrival_us || now_us > self.latest_start_us(request)
@@ -89,15 +89,16 @@
             .filter(|(_, request)| is_overdue(request))
             .map(|(sequence, _)| sequence)
             .collect();
-        overdue.into_iter().for_each(|sequence| self.give_up(sequence));
+        overdue.into_iter().for_each(|sequence| self.reject_or_abort(sequence));
     }
 
-    /// Gives up waiting requests until the rest fits the memory limit, so that the server does not run out of memory.
+    /// Rejects or aborts waiting requests until the rest fits the memory limit, so that the server does not run out of
+    /// memory.
     pub(super) fn fit_memory(&mut self, now_us: u64) {
         self.keys.expire(now_us);
         while !self.memory.fits(self.memory.used_kb(&self.requests, self.keys.len())) {
-            let Some(sequence) = memory_budget::first_to_give_up(&self.requests) else { return };
-            self.give_up(sequence);
+            let Some(sequence) = memory_budget::first_to_evict(&self.requests) else { return };
+            self.reject_or_abort(sequence);
         }
     }
 
@@ -110,7 +111,7 @@
             .map(|(sequence, request)| self.queued_request(sequence, request, limit))
             .collect();
         let walk = request_queue::walk(now_us, &queued);
-        walk.evicted.iter().for_each(|sequence| self.give_up(*sequence));
+        walk.evicted.iter().for_each(|sequence| self.reject_or_abort(*sequence));
         self.queue.update(now_us, &walk);
     }
 
@@ -127,9 +128,9 @@
         }
     }
 
-    /// Gives up a request and sends its final answer immediately. A request that never ran is rejected with a
+    /// Rejects or aborts a request with an immediate final answer. A request that never ran is rejected with a
     /// retry-after time. Any other request is aborted, because it may have had its effect, and its run is stopped.
-    pub(super) fn give_up(&mut self, sequence: u64) {
+    pub(super) fn reject_or_abort(&mut self, sequence: u64) {
         let request = self.requests.get_mut(sequence);
         match &mut request.state {
             RequestState::Queued => self.reject(sequence),
@@ -228,7 +229,7 @@
             return Start::WithCalls;
         }
         if self.size_classes.class_of(method) == SizeClass::Small {
-            self.size_classes.has_held_back_small = true;
+            self.size_classes.has_blocked_small = true;
         }
         let request = self.requests.get(sequence);
         let has_waited_half = 2 * now_us >= request.arrived_us + self.latest_start_us(request);
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Places or skips the calls that runs wait for, oldest request first.
-    pub(super) fn place_calls(&mut self, now_us: u64) {
+    /// Issues or skips the calls that runs wait for, oldest request first.
+    pub(super) fn issue_calls(&mut self, now_us: u64) {
         self.count_upstream_calls(now_us);
         let expected = self.upstream_calls.expected_times();
         let unanswered: Vec<u64> = self.requests.unanswered().map(|(sequence, _)| sequence).collect();
@@ -271,18 +272,18 @@
             match self.upstream_calls.decide(now_us, &call, expected, &self.requests) {
                 CallDecision::Wait => {}
                 CallDecision::Skip => self.skip_call(now_us, sequence),
-                CallDecision::Place { until_us } => self.place_call(sequence, until_us),
+                CallDecision::Issue { until_us } => self.issue_call(sequence, until_us),
             }
         }
     }
 
-    fn place_call(&mut self, sequence: u64, until_us: u64) {
+    fn issue_call(&mut self, sequence: u64, until_us: u64) {
         let request = self.requests.get_mut(sequence);
         if let RequestState::Started(run) = &mut request.state {
             run.phase = RunPhase::Calling;
         }
-        self.host.place_call(&request.id, until_us);
-        self.integral_controller.call_placed();
+        self.host.issue_call(&request.id, until_us);
+        self.integral_controller.call_issued();
     }
 
     /// Resumes a run without its call.
@@ -338,8 +339,8 @@
         }
     }
 
-    pub(super) fn send_load_signal(&mut self, wanted_share: f64) {
-        if let Some(value) = self.load_signal.value_to_send(wanted_share) {
+    pub(super) fn send_load_signal(&mut self, target_traffic: f64) {
+        if let Some(value) = self.load_signal.value_to_send(target_traffic) {
             self.host.send_load_signal(value);
         }
     }
