--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -18,7 +18,8 @@
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, OnceLock};
+use tracing::Dispatch;
 
 const NODE: &str = "n3";
 const SEED: u64 = 7;
@@ -129,6 +130,10 @@
 
 /// Returns the lines that this thread logs while `run` runs.
 fn logged(run: impl FnOnce()) -> String {
+    // With one dispatcher in the process, `tracing` asks only the thread that reaches a log statement first whether the
+    // statement is enabled, and skips it in all threads if that one has no subscriber. A second dispatcher prevents that.
+    static SECOND_DISPATCHER: OnceLock<Dispatch> = OnceLock::new();
+    SECOND_DISPATCHER.get_or_init(|| Dispatch::new(tracing_subscriber::fmt().with_writer(io::sink).finish()));
     #[derive(Clone, Default)]
     struct Lines(Arc<Mutex<Vec<u8>>>);
     impl Write for Lines {
@@ -180,6 +185,18 @@
     }
 }
 
+#[test]
+fn a_line_is_captured_also_if_another_thread_was_the_first_to_reach_its_statement() {
+    fn log_line() {
+        tracing::info!("a line");
+    }
+    let log = logged(|| {
+        std::thread::spawn(log_line).join().unwrap();
+        log_line();
+    });
+    assert_eq!(log, " INFO a line\n");
+}
+
 #[test]
 fn without_a_state_file_an_agent_starts_with_the_nodes_own_files() {
     let (first, second) = (listener(), listener());
--- a/crates/ochrewalk-node/tests/configuration/commands.rs
+++ b/crates/ochrewalk-node/tests/configuration/commands.rs
@@ -107,7 +107,8 @@
     assert_eq!(config(&expecting), Exited::with_output("published 4 changes as 1.2\n"));
     let rollback = ["rollback", "--control", &control, "--to", "1.1"];
     assert_eq!(config(&rollback), Exited::with_output("published as 1.3\n"));
-    let caught_up = "published: 1.3, 4 resources\nrelays: 2 nodes at 1.3\n";
+    // The line of the region is printed from the first report of a relay on, up to a second after the relay connected.
+    let caught_up = "published: 1.3, 4 resources\nrelays: 2 nodes at 1.3\neast: 0 nodes at 1.3\n";
     wait_until("both relays have 1.3", || {
         config(&["status", "--control", &control]) == Exited::with_output(caught_up)
     });
