--- a/crates/ochrewalk-node/tests/ajp.rs
+++ b/crates/ochrewalk-node/tests/ajp.rs
@@ -30,10 +30,10 @@
 ";
 
 /// A node with the front, its executor up.
-fn up(change: impl FnOnce(&mut Value), more: &str) -> (Stand, Peer) {
-    let stand = Stand::with_operators(change, &format!("{FRONT}{more}"));
+fn up(change: impl FnOnce(&mut Value), more: &str) -> (TestNode, Peer) {
+    let stand = TestNode::start_with_operators(change, &format!("{FRONT}{more}"));
     let mut executor = stand.executor();
-    executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+    executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
     stand.caller().wait_healthy();
     (stand, executor)
 }
@@ -41,7 +41,7 @@
 /// The same with a ledger at a name of its own.
 fn with_ledger(
     script: impl Fn(&ochrewalk_lab::ledger::Came) -> Act + Send + Sync + 'static,
-) -> (Stand, Peer, Ledger) {
+) -> (TestNode, Peer, Ledger) {
     let ledger = Ledger::start("127.0.0.21:0".parse().unwrap(), IDLE, script).unwrap();
     let more = format!(
         "host ledger.example.org 127.0.0.21\nbelow ajp ledger.example.org:{}\nbelow uri /ledger\nbelow secret pear\n\
@@ -52,7 +52,7 @@
     (stand, executor, ledger)
 }
 
-fn ajp(stand: &Stand) -> Ajp {
+fn ajp(stand: &TestNode) -> Ajp {
     Ajp::connect(stand.ajp.parse().unwrap(), PATIENCE).unwrap()
 }
 
@@ -73,18 +73,18 @@
 }
 
 /// Whether the node still serves both protocols.
-fn serves(stand: &Stand, executor: &mut Peer, number: u64, pos: u64) {
+fn serves(stand: &TestNode, executor: &mut Peer, number: u64, pos: u64) {
     let mut peer = ajp(stand);
     peer.send(&look(number).whole()).unwrap();
-    executor.hear_of(&exec(number, "look"));
-    executor.say(&exit(pos, number, "complete"));
+    executor.read_until(&exec(number, "look"));
+    executor.send_line(&exit(pos, number, "complete"));
     assert!(is_served(&peer.answer().unwrap()));
     stand.caller().wait_healthy();
 }
 
 #[test]
 fn calls_are_answered_with_the_bytes_of_their_runs() {
-    let stand = Stand::with_operators(|_| (), FRONT);
+    let stand = TestNode::start_with_operators(|_| (), FRONT);
     let mut executor = stand.executor();
     stand.caller();
     let mut peer = ajp(&stand);
@@ -93,14 +93,14 @@
     assert_eq!((early.status, early.header("x-ochrewalk-never-ran"), early.reuse), (503, Some("1"), true));
     let health = Call { method: "GET", uri: "/health", secret: Some("peach"), ..Call::default() };
     assert_eq!(peer.call(&health).unwrap().status, 503);
-    executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+    executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
     stand.caller().wait_healthy();
     assert_eq!(peer.call(&health).unwrap().text(), "takes work");
     // One connection, many calls, each with its own result; a ping between.
     for number in 2..5 {
         peer.send(&look(number).whole()).unwrap();
-        assert_eq!(executor.hear_of("EXEC"), exec(number, "look"));
-        executor.say(&exit(number, number, "complete"));
+        assert_eq!(executor.read_until("EXEC"), exec(number, "look"));
+        executor.send_line(&exit(number, number, "complete"));
         let answer = peer.answer().unwrap();
         assert!(is_served(&answer) && answer.reuse, "{answer:?}");
         assert_eq!(answer.header("x-ochrewalk-signal"), Some("1"));
@@ -115,16 +115,16 @@
         assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBody(_))).unwrap());
         peer.send(&piece(part)).unwrap();
     }
-    let line: Value = serde_json::from_str(&executor.hear_of("EXEC")).unwrap();
+    let line: Value = serde_json::from_str(&executor.read_until("EXEC")).unwrap();
     assert_eq!((line["lane"].as_str(), line["content"].as_str()), (Some("sync"), Some("QUJD")));
     let uid = line["uid"].as_str().unwrap();
     assert_eq!(uid.len(), 16);
-    executor.say(&format!(r#"{{"action":"EXIT","pos":9,"uid":"{uid}","code":"error","wall_ms":1}}"#));
+    executor.send_line(&format!(r#"{{"action":"EXIT","pos":9,"uid":"{uid}","code":"error","wall_ms":1}}"#));
     assert_eq!(peer.answer().unwrap().status, 500);
     // Runs that never began are pushed back.
     peer.send(&look(10).whole()).unwrap();
-    executor.hear_of(&exec(10, "look"));
-    executor.say(&exit(10, 10, "unknown"));
+    executor.read_until(&exec(10, "look"));
+    executor.send_line(&exit(10, 10, "unknown"));
     let answer = peer.answer().unwrap();
     assert_eq!((answer.status, answer.header("x-ochrewalk-never-ran")), (503, Some("1")));
     // Time left: what cannot be done in it is pushed back, with a time to come back.
@@ -134,7 +134,7 @@
         call.headers.push(("x-time-left-ms", "300".into()));
         peer.send(&call.whole()).unwrap();
     }
-    std::thread::spawn(move || executor.hear_out());
+    std::thread::spawn(move || executor.read_to_end());
     let answers: Vec<Answer> = hurried.iter_mut().map(|peer| peer.answer().unwrap()).collect();
     let back = answers.iter().filter(|a| a.status == 503).count();
     assert!(back >= 8, "two cores hold two of them: {back}");
@@ -152,19 +152,19 @@
     let mut pos = 0;
     let mut end = |executor: &mut Peer, number: u64, code: &str| {
         pos += 1;
-        executor.say(&exit(pos, number, code));
+        executor.send_line(&exit(pos, number, code));
     };
     // Running, then finished: first by AJP, then the other way round.
     by_ajp.send(&call("POST", "/sale", 1, "aa").whole()).unwrap();
-    assert_eq!(executor.hear_of("EXEC"), exec(1, "sale"));
-    json.say(&sale(2, "aa"));
-    assert!(json.ask(r#"{"jsonrpc":"2.0","id":99,"method":"heartbeat"}"#).contains("pass"));
+    assert_eq!(executor.read_until("EXEC"), exec(1, "sale"));
+    json.send_line(&sale(2, "aa"));
+    assert!(json.request(r#"{"jsonrpc":"2.0","id":99,"method":"heartbeat"}"#).contains("pass"));
     end(&mut executor, 1, "complete");
     assert!(is_served(&by_ajp.answer().unwrap()));
-    assert_eq!(json.hear(), json_served(2));
-    assert_eq!(json.ask(&sale(3, "aa")), json_served(3));
-    json.say(&sale(4, "bb"));
-    assert_eq!(executor.hear_of("EXEC"), exec(4, "sale"));
+    assert_eq!(json.read_line(), json_served(2));
+    assert_eq!(json.request(&sale(3, "aa")), json_served(3));
+    json.send_line(&sale(4, "bb"));
+    assert_eq!(executor.read_until("EXEC"), exec(4, "sale"));
     by_ajp.send(&call("POST", "/sale", 5, "bb").whole()).unwrap();
     let mut other = ajp(&stand);
     assert_eq!(
@@ -175,14 +175,14 @@
         200
     );
     end(&mut executor, 4, "complete");
-    assert_eq!(json.hear(), json_served(4));
+    assert_eq!(json.read_line(), json_served(4));
     assert!(is_served(&by_ajp.answer().unwrap()));
     assert!(is_served(&by_ajp.call(&call("POST", "/sale", 6, "bb")).unwrap()));
     // Held: both cores are busy, and the repeat by the other protocol waits with it.
     let mut busy = stand.caller();
     for number in [7, 8] {
-        busy.say(&rpc(number, "look"));
-        executor.hear_of(&exec(number, "look"));
+        busy.send_line(&rpc(number, "look"));
+        executor.read_until(&exec(number, "look"));
     }
     by_ajp.send(&call("POST", "/sale", 9, "cc").whole()).unwrap();
     assert_eq!(
@@ -192,22 +192,22 @@
             .status,
         200
     );
-    json.say(&sale(10, "cc"));
-    assert!(json.ask(r#"{"jsonrpc":"2.0","id":98,"method":"heartbeat"}"#).contains("pass"));
+    json.send_line(&sale(10, "cc"));
+    assert!(json.request(r#"{"jsonrpc":"2.0","id":98,"method":"heartbeat"}"#).contains("pass"));
     end(&mut executor, 7, "complete");
-    assert_eq!(executor.hear_of("EXEC"), exec(9, "sale"));
+    assert_eq!(executor.read_until("EXEC"), exec(9, "sale"));
     end(&mut executor, 8, "complete");
     end(&mut executor, 9, "complete");
     assert!(is_served(&by_ajp.answer().unwrap()));
-    assert_eq!(json.hear(), json_served(10));
+    assert_eq!(json.read_line(), json_served(10));
     // Other work under the token gets neither the result nor a run.
     let mut stranger = call("POST", "/sale", 11, "cc");
     stranger.body = b"ABD";
     let answer = by_ajp.call(&stranger).unwrap();
     assert_eq!((answer.status, answer.text().as_str()), (409, "a token that stands for other work"));
     // An id that is open already, by the other protocol.
-    busy.say(&rpc(12, "look"));
-    executor.hear_of(&exec(12, "look"));
+    busy.send_line(&rpc(12, "look"));
+    executor.read_until(&exec(12, "look"));
     assert_eq!(by_ajp.call(&look(12)).unwrap().status, 409);
     assert_eq!(by_ajp.call(&call("POST", "/sale", 13, "")).unwrap().text(), "no token");
 }
@@ -229,16 +229,16 @@
     // Between its last byte and the answer: the run is for nobody.
     let mut peer = ajp(&stand);
     peer.send(&call("POST", "/once", 3, "").whole()).unwrap();
-    assert_eq!(executor.hear_of("EXEC"), exec(3, "once"), "and nothing before it");
+    assert_eq!(executor.read_until("EXEC"), exec(3, "once"), "and nothing before it");
     drop(peer);
-    executor.hear_of(&format!(r#"{{"action":"KILL","uid":"{}"}}"#, req(3)));
-    executor.say(&exit(1, 3, "cancelled"));
+    executor.read_until(&format!(r#"{{"action":"KILL","uid":"{}"}}"#, req(3)));
+    executor.send_line(&exit(1, 3, "cancelled"));
     // With half of the answer unread.
     let mut peer = ajp(&stand);
     peer.send(&look(4).whole()).unwrap();
-    executor.hear_of(&exec(4, "look"));
+    executor.read_until(&exec(4, "look"));
     let result = "A".repeat(4_000);
-    executor.say(&format!(
+    executor.send_line(&format!(
         r#"{{"action":"EXIT","pos":2,"uid":"{}","code":"complete","wall_ms":1,"content":"{result}"}}"#,
         req(4)
     ));
@@ -248,12 +248,12 @@
     // The tokened run whose caller went goes on: its repeat gets the result.
     let mut peer = ajp(&stand);
     peer.send(&call("POST", "/sale", 6, "zz").whole()).unwrap();
-    executor.hear_of(&exec(6, "sale"));
+    executor.read_until(&exec(6, "sale"));
     drop(peer);
     let mut peer = ajp(&stand);
     peer.send(&call("POST", "/sale", 7, "zz").whole()).unwrap();
     stand.caller().wait_healthy();
-    executor.say(&exit(4, 6, "complete"));
+    executor.send_line(&exit(4, 6, "complete"));
     assert!(is_served(&peer.answer().unwrap()));
 }
 
@@ -330,8 +330,8 @@
     // One that speaks out of turn still gets the answer that it is owed, and then the end.
     let mut peer = ajp(&stand);
     peer.send(&[look(5).whole(), look(6).whole()].concat()).unwrap();
-    assert_eq!(executor.hear_of("EXEC"), exec(5, "look"));
-    executor.say(&exit(1, 5, "complete"));
+    assert_eq!(executor.read_until("EXEC"), exec(5, "look"));
+    executor.send_line(&exit(1, 5, "complete"));
     let answer = peer.answer().unwrap();
     assert!(is_served(&answer) && !answer.reuse && peer.is_ended());
     // Who keeps sending faults is ended after eight.
@@ -394,16 +394,16 @@
     let (mut stand, mut executor) = up(|_| (), "");
     let (mut running, mut idle, mut json) = (ajp(&stand), ajp(&stand), stand.caller());
     running.send(&look(1).whole()).unwrap();
-    executor.hear_of(&exec(1, "look"));
-    json.say(&rpc(2, "look"));
-    executor.hear_of(&exec(2, "look"));
+    executor.read_until(&exec(1, "look"));
+    json.send_line(&rpc(2, "look"));
+    executor.read_until(&exec(2, "look"));
     idle.send(&plain(&Message::CPing)).unwrap();
     idle.message(|_| ()).unwrap();
     let mut half = ajp(&stand);
     let late = look(3).whole();
     half.send(&late[..12]).unwrap();
     stand.terminate();
-    json.hear_of("noMore");
+    json.read_until("noMore");
     // What was begun before and what comes now is answered, each time as the last.
     half.send(&late[12..]).unwrap();
     let answer = half.answer().unwrap();
@@ -412,20 +412,20 @@
         (503, Some("1"), false)
     );
     assert!(half.is_ended());
-    executor.say(&exit(1, 1, "complete"));
-    executor.say(&exit(2, 2, "complete"));
+    executor.send_line(&exit(1, 1, "complete"));
+    executor.send_line(&exit(2, 2, "complete"));
     let answer = running.answer().unwrap();
     assert!(is_served(&answer) && !answer.reuse);
-    assert!(json.hear_of(r#""id":2"#).contains("UkVT"));
+    assert!(json.read_until(r#""id":2"#).contains("UkVT"));
     assert!(idle.is_ended());
-    std::thread::spawn(move || executor.hear_out());
+    std::thread::spawn(move || executor.read_to_end());
     assert!(stand.wait().success());
 }
 
 #[test]
 fn neither_protocol_can_take_the_others_connections() {
     let (stand, mut executor) = up(|config| config["limits"]["sockets"] = 96.into(), "ajp connections 8\n");
-    std::thread::spawn(move || executor.hear_out());
+    std::thread::spawn(move || executor.read_to_end());
     // More AJP connections than it has room for: each a caller that asked and stays, some silent.
     let mut crowd: Vec<Ajp> = (0..60).map(|_| ajp(&stand)).collect();
     crowd.iter_mut().skip(30).for_each(|peer| peer.send(&plain(&Message::CPing)).unwrap());
@@ -479,7 +479,7 @@
         if !seen {
             peer = ajp(&stand);
         }
-        executor.say(&exit(1, 1, "unknown"));
+        executor.send_line(&exit(1, 1, "unknown"));
         seen
     });
     assert!(found);
@@ -488,8 +488,8 @@
 /// A run that comes to its call; what becomes of it.
 fn begin_call(peer: &mut Ajp, executor: &mut Peer, call: &Call, method: &str, number: u64, pos: u64) {
     peer.send(&call.whole()).unwrap();
-    executor.hear_of(&exec(number, method));
-    executor.say(&callout(pos, number));
+    executor.read_until(&exec(number, method));
+    executor.send_line(&callout(pos, number));
 }
 
 #[test]
@@ -540,12 +540,12 @@
         };
         begin_call(&mut peer, &mut executor, &call, method, number, 2 * number);
         if ends == "returned" {
-            executor.hear_of(&returned(number));
-            executor.say(&exit(2 * number + 1, number, "complete"));
+            executor.read_until(&returned(number));
+            executor.send_line(&exit(2 * number + 1, number, "complete"));
             assert!(is_served(&peer.answer().unwrap()), "{what}");
         } else {
             assert_eq!(peer.answer().unwrap().status, 500, "{what}");
-            executor.say(&exit(2 * number + 1, number, "cancelled"));
+            executor.send_line(&exit(2 * number + 1, number, "cancelled"));
         }
     }
     // Nothing that may not happen twice ran twice, nor on a connection that was not just made or proven.
@@ -573,8 +573,8 @@
     for number in 1..30 {
         let sale = call("POST", "/sale", number, &format!("k{number}"));
         begin_call(&mut peer, &mut executor, &sale, "sale", number, 2 * number);
-        executor.hear_of("RETURN");
-        executor.say(&exit(2 * number + 1, number, "complete"));
+        executor.read_until("RETURN");
+        executor.send_line(&exit(2 * number + 1, number, "complete"));
         assert!(is_served(&peer.answer().unwrap()), "{number}");
         std::thread::sleep(Duration::from_millis(37 + number % 7));
     }
@@ -590,8 +590,8 @@
     let mut peer = ajp(&stand);
     for number in 1..10 {
         begin_call(&mut peer, &mut executor, &call("POST", "/once", number, ""), "once", number, 2 * number);
-        executor.hear_of("RETURN");
-        executor.say(&exit(2 * number + 1, number, "complete"));
+        executor.read_until("RETURN");
+        executor.send_line(&exit(2 * number + 1, number, "complete"));
         assert!(is_served(&peer.answer().unwrap()), "{number}");
     }
     assert_eq!(here.ran().len(), 9);
@@ -599,7 +599,7 @@
 
 #[test]
 fn both_files_are_checked_and_each_fault_is_a_line() {
-    let stand = Stand::with_operators(|_| (), FRONT);
+    let stand = TestNode::start_with_operators(|_| (), FRONT);
     let config = file(&stand.config().to_string());
     let check = |text: &str| {
         let operators = file(text);
--- a/crates/ochrewalk-node/tests/configuration/node.rs
+++ b/crates/ochrewalk-node/tests/configuration/node.rs
@@ -1,6 +1,6 @@
 //! A node that follows a control plane, and its clients.
 
-use crate::helper::{req, Peer, Stand};
+use crate::helper::{req, Peer, TestNode};
 use ochrewalk_lab::ajp::{Call, Peer as Ajp};
 use std::time::Duration;
 
@@ -15,12 +15,13 @@
 ajp route POST /sync sync
 ";
 
-pub fn start_node(directives: &str) -> (Stand, Peer) {
-    let (stand, executor, _) = Stand::up_with(|_| (), &format!("{LISTENER_DIRECTIVES}{directives}"));
+pub fn start_node(directives: &str) -> (TestNode, Peer) {
+    let (stand, executor, _) =
+        TestNode::start_healthy_with(|_| (), &format!("{LISTENER_DIRECTIVES}{directives}"));
     (stand, executor)
 }
 
-pub fn connect(stand: &Stand) -> Ajp {
+pub fn connect(stand: &TestNode) -> Ajp {
     Ajp::connect(stand.ajp.parse().unwrap(), TIMEOUT).unwrap()
 }
 
@@ -29,7 +30,7 @@
 }
 
 /// Whether a path is routed for GET: another HTTP method is then turned down as such, and reaches no executor.
-pub fn is_routed(stand: &Stand, uri: &str) -> bool {
+pub fn is_routed(stand: &TestNode, uri: &str) -> bool {
     let answer = connect(stand).call(&request("PATCH", uri, 1)).unwrap();
     assert!(matches!(answer.status, 404 | 405), "{answer:?}");
     answer.status == 405
--- a/crates/ochrewalk-node/tests/configuration/outages.rs
+++ b/crates/ochrewalk-node/tests/configuration/outages.rs
@@ -58,8 +58,8 @@
     control_plane.publish("delete route shop GET /a\nroute shop GET /b look\n");
     wait_until("the second route", || is_routed(&stand, "/b"));
     control_plane.relays.clear();
-    let stand = stand.again();
-    stand.executor().say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+    let stand = stand.restart();
+    stand.executor().send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
     stand.caller().wait_healthy();
     assert!(is_routed(&stand, "/b") && !is_routed(&stand, "/a"));
     control_plane.publish("route shop GET /c look\n");
@@ -76,7 +76,7 @@
     let (stand, mut executor) = start_node(
         &control_plane.directives(&format!("config snapshot {state}\nupgrade control {control}\n")),
     );
-    std::thread::spawn(move || executor.hear_out());
+    std::thread::spawn(move || executor.read_to_end());
     control_plane.publish("route shop GET /a look\n");
     wait_until("the first route", || is_routed(&stand, "/a"));
     let arguments = ["upgrade", "--control", &control, "--program", env!("CARGO_BIN_EXE_ochrewalk")];
--- a/crates/ochrewalk-node/tests/configuration/quotas.rs
+++ b/crates/ochrewalk-node/tests/configuration/quotas.rs
@@ -31,7 +31,7 @@
     let mut peer = connect(&stand);
     let headers = vec![("x-request-id", req(1)), ("x-tenant", "acme".to_string())];
     peer.send(&Call { method: "POST", uri: "/sync", headers, secret: None, body: b"ABC" }.whole()).unwrap();
-    executor.hear_of(&exec(1, "sync"));
+    executor.read_until(&exec(1, "sync"));
     assert_eq!(relay.receive_watch().add, [quota_name("acme")]);
     let quota =
         ochrewalk_operator_config::resources::read_changes("quota acme 5\n", "changes").unwrap().remove(0);
@@ -50,7 +50,7 @@
     assert!(matches!(relay.receive(), Body::Report(report) if report.applied == position));
     relay.send(Body::Heartbeat(Heartbeat { position, age_ms: 0 }));
     drop(relay);
-    let stand = stand.again();
+    let stand = stand.restart();
     let mut relay = accept_from_either(&first, &second);
     let mut subscribe = relay.receive_subscribe();
     // The process that was killed may have connected to the other relay before, and named nothing that it had applied.
--- a/crates/ochrewalk-node/tests/configuration/updates.rs
+++ b/crates/ochrewalk-node/tests/configuration/updates.rs
@@ -18,10 +18,10 @@
     // The route is deleted while an RPC runs: the RPC completes.
     let mut peer = connect(&stand);
     peer.send(&request("GET", "/look", 7).whole()).unwrap();
-    executor.hear_of(r#""uid":"0000000000000007""#);
+    executor.read_until(r#""uid":"0000000000000007""#);
     control_plane.publish("delete route shop GET /look\n");
     wait_until("the route is gone", || !is_routed(&stand, "/look"));
-    executor.say(&exit(1, 7, "complete"));
+    executor.send_line(&exit(1, 7, "complete"));
     let answer = peer.answer().unwrap();
     assert_eq!((answer.status, answer.text().as_str()), (200, "RES"));
     assert_eq!(peer.call(&request("GET", "/look", 8)).unwrap().status, 404);
--- a/crates/ochrewalk-node/tests/crossings/bad_input.rs
+++ b/crates/ochrewalk-node/tests/crossings/bad_input.rs
@@ -8,58 +8,58 @@
 /// ends in order after that. What follows on it is turned away unseen or thrown away, and never reaches the executor.
 #[test]
 fn noise_takes_no_answer_with_it() {
-    let (stand, mut executor) = Stand::up();
+    let (stand, mut executor) = TestNode::start_healthy();
     let long = "x".repeat(100_000);
     for (number, noise) in [(1, "{}{}\n"), (11, "GET / HTTP/1.1\r\n"), (21, "[1,2]\n"), (31, long.as_str())] {
         let mut caller = stand.caller();
-        caller.say(&rpc(number, "once"));
-        executor.hear_of(&exec(number, "once"));
-        caller.put(noise.as_bytes());
+        caller.send_line(&rpc(number, "once"));
+        executor.read_until(&exec(number, "once"));
+        caller.write_bytes(noise.as_bytes());
         let is_line = noise.ends_with('\n');
         if is_line {
-            caller.say(&rpc(number + 1, "once"));
-            assert!(is_unseen(&caller.hear(), number + 1), "{noise}");
+            caller.send_line(&rpc(number + 1, "once"));
+            assert!(is_unseen(&caller.read_line(), number + 1), "{noise}");
         }
-        executor.say(&exit(number, number, "complete"));
-        assert_eq!(caller.hear(), served(number));
-        caller.hear_end();
+        executor.send_line(&exit(number, number, "complete"));
+        assert_eq!(caller.read_line(), served(number));
+        caller.expect_orderly_close();
     }
     // Nothing of it reached the executor: the next start is another's.
     let mut good = stand.caller();
-    good.say(&rpc(50, "look"));
-    assert_eq!(executor.hear_of("EXEC"), exec(50, "look"));
+    good.send_line(&rpc(50, "look"));
+    assert_eq!(executor.read_until("EXEC"), exec(50, "look"));
 }
 
 /// Faults that were too many stay so: an RPC that runs well after them does not leave a connection behind that nobody reads.
 #[test]
 fn a_run_that_ends_well_does_not_keep_a_sender_of_faults() {
-    let (stand, mut executor) = Stand::up();
+    let (stand, mut executor) = TestNode::start_healthy();
     let mut caller = stand.caller();
-    caller.say(&rpc(1, "look"));
-    executor.hear_of(&exec(1, "look"));
+    caller.send_line(&rpc(1, "look"));
+    executor.read_until(&exec(1, "look"));
     let wrong: String = (10..18).map(|n| rpc(n, "none") + "\n").collect();
     let after: String = (20..60).map(|n| rpc(n, "look") + "\n").collect();
-    caller.put((wrong + &after).as_bytes());
+    caller.write_bytes((wrong + &after).as_bytes());
     for _ in 0..8 {
-        assert!(caller.hear().contains("-32601"));
+        assert!(caller.read_line().contains("-32601"));
     }
     // What comes after them is pushed back; how much of it is read depends on how it came.
     for number in 20..52 {
-        assert!(is_unseen(&caller.hear(), number));
+        assert!(is_unseen(&caller.read_line(), number));
     }
-    executor.say(&exit(1, 1, "complete"));
-    let mut line = caller.hear();
+    executor.send_line(&exit(1, 1, "complete"));
+    let mut line = caller.read_line();
     while line.contains("-32011") {
-        line = caller.hear();
+        line = caller.read_line();
     }
     assert_eq!(line, served(1));
-    caller.hear_end();
+    caller.expect_orderly_close();
 }
 
 /// Each of these is answered where an id can be read, counts as a fault, and starts nothing.
 #[test]
 fn fields_that_are_missing_wrong_or_out_of_range_are_told_so() {
-    let (stand, mut executor) = Stand::up();
+    let (stand, mut executor) = TestNode::start_healthy();
     let whole = rpc(1, "look");
     let body = |bytes: usize| "A".repeat(bytes.div_ceil(3) * 4);
     let faulty = [
@@ -82,61 +82,61 @@
     ];
     for line in &faulty {
         let mut caller = stand.caller();
-        let answer = caller.ask(line);
+        let answer = caller.request(line);
         assert!(
             answer.contains(r#""id":1,"error":{"code":-32"#) && !answer.contains("-32011"),
             "{line}: {answer}"
         );
         // The connection goes on, as do the others.
-        assert!(caller.ask(HEARTBEAT).contains("pass"), "{line}");
+        assert!(caller.request(HEARTBEAT).contains("pass"), "{line}");
     }
     let mut good = stand.caller();
     // The largest body that may be is none of these.
-    good.say(&rpc(2, "look").replace("QUJD", &body(2 * 1024 - 2)));
-    assert!(executor.hear_of("EXEC").contains(&req(2)));
+    good.send_line(&rpc(2, "look").replace("QUJD", &body(2 * 1024 - 2)));
+    assert!(executor.read_until("EXEC").contains(&req(2)));
 }
 
 /// Bytes that are no UTF-8, in a string and in the line.
 #[test]
 fn bytes_that_are_no_text_start_nothing() {
-    let (stand, mut executor) = Stand::up();
+    let (stand, mut executor) = TestNode::start_healthy();
     for (at, wrong) in [(1, b"\xff\xfe".as_slice()), (2, b"\xc3\x28"), (3, b"\x00")] {
         let mut caller = stand.caller();
         let line = rpc(at, "look").into_bytes();
         let (before, after) = line.split_at(line.windows(4).position(|w| w == b"QUJD").unwrap());
-        caller.put(&[before, wrong, after, b"\n"].concat());
-        caller.say(HEARTBEAT);
+        caller.write_bytes(&[before, wrong, after, b"\n"].concat());
+        caller.send_line(HEARTBEAT);
         // Told what is wrong, or ended in order.
-        let heard = caller.hear();
+        let heard = caller.read_line();
         assert!(heard.contains("-32") || heard.contains("pass") || heard.is_empty(), "{heard}");
     }
     let mut good = stand.caller();
-    good.say(&rpc(9, "look"));
-    assert_eq!(executor.hear_of("EXEC"), exec(9, "look"));
+    good.send_line(&rpc(9, "look"));
+    assert_eq!(executor.read_until("EXEC"), exec(9, "look"));
 }
 
 /// A caller that writes one byte at a time is served as any other.
 #[test]
 fn a_caller_that_writes_byte_by_byte_is_served() {
-    let (stand, mut executor) = Stand::up();
+    let (stand, mut executor) = TestNode::start_healthy();
     let (mut slow, mut quick) = (stand.caller(), stand.caller());
     for byte in (rpc(1, "look") + "\n").bytes() {
-        slow.put(&[byte]);
+        slow.write_bytes(&[byte]);
     }
-    quick.say(&rpc(2, "look"));
-    executor.hear_of(&exec(2, "look"));
-    executor.say(&exit(1, 2, "complete"));
-    executor.say(&exit(2, 1, "complete"));
-    assert_eq!((quick.hear(), slow.hear()), (served(2), served(1)));
+    quick.send_line(&rpc(2, "look"));
+    executor.read_until(&exec(2, "look"));
+    executor.send_line(&exit(1, 2, "complete"));
+    executor.send_line(&exit(2, 1, "complete"));
+    assert_eq!((quick.read_line(), slow.read_line()), (served(2), served(1)));
 }
 
 /// Floods on one connection and on a hundred: health, an RPC of somebody else's, and the program's memory stay as they
 /// are, and of what the floods say nothing starts.
 #[test]
 fn floods_of_noise_hold_up_nobody_and_start_nothing() {
-    let stand = Stand::with(|config| config["limits"]["memory_mb"] = 64.into());
+    let stand = TestNode::start_with(|config| config["limits"]["memory_mb"] = 64.into());
     let mut executor = stand.executor();
-    executor.say(WARM);
+    executor.send_line(WARM);
     let mut good = stand.caller();
     good.wait_healthy();
     let noise = [
@@ -151,9 +151,9 @@
         // As much as the node takes without waiting; it may have ended the connection meanwhile.
         let _ = flood.stream.write_all(noise[at % noise.len()].as_bytes());
     }
-    good.say(&rpc(1, "look"));
-    assert_eq!(executor.hear_of("EXEC"), exec(1, "look"));
-    executor.say(&exit(1, 1, "complete"));
-    assert_eq!(good.hear(), served(1));
+    good.send_line(&rpc(1, "look"));
+    assert_eq!(executor.read_until("EXEC"), exec(1, "look"));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert_eq!(good.read_line(), served(1));
     assert!(stand.peak_kb() < 32 * 1024, "{} kB", stand.peak_kb());
 }
--- a/crates/ochrewalk-node/tests/crossings/keys.rs
+++ b/crates/ochrewalk-node/tests/crossings/keys.rs
@@ -7,12 +7,12 @@
 /// A window of 600 ms from the stamp of the try that ran.
 const WINDOW_MS: u64 = 600;
 
-fn start() -> (Stand, Peer, Peer) {
-    let stand = Stand::with(|config| {
+fn start() -> (TestNode, Peer, Peer) {
+    let stand = TestNode::start_with(|config| {
         config["settings"]["categories"][2]["window-ns"] = (WINDOW_MS * 1_000_000).into();
     });
     let mut executor = stand.executor();
-    executor.say(WARM);
+    executor.send_line(WARM);
     let mut caller = stand.caller();
     caller.wait_healthy();
     (stand, executor, caller)
@@ -35,18 +35,18 @@
 fn a_repeat_just_inside_a_short_window_starts_nothing_and_one_outside_does() {
     let (_stand, mut executor, mut caller) = start();
     let first = unix_ms();
-    caller.say(&sale(1, first));
-    assert_eq!(executor.hear_of("EXEC"), exec(1, "sale"));
-    executor.say(&exit(1, 1, "complete"));
-    assert_eq!(caller.hear(), served(1));
+    caller.send_line(&sale(1, first));
+    assert_eq!(executor.read_until("EXEC"), exec(1, "sale"));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert_eq!(caller.read_line(), served(1));
     wait_for(first + 2 * WINDOW_MS);
     for (number, inside) in [(2, 0), (3, WINDOW_MS / 2), (4, WINDOW_MS - 1), (5, WINDOW_MS)] {
-        assert_eq!(caller.ask(&sale(number, first + inside)), served(number), "after {inside} ms");
+        assert_eq!(caller.request(&sale(number, first + inside)), served(number), "after {inside} ms");
     }
-    caller.say(&sale(6, first + 2 * WINDOW_MS));
-    assert_eq!(executor.hear_of("EXEC"), exec(6, "sale"));
-    executor.say(&exit(2, 6, "complete"));
-    assert_eq!(caller.hear(), served(6));
+    caller.send_line(&sale(6, first + 2 * WINDOW_MS));
+    assert_eq!(executor.read_until("EXEC"), exec(6, "sale"));
+    executor.send_line(&exit(2, 6, "complete"));
+    assert_eq!(caller.read_line(), served(6));
 }
 
 /// The connection of the first try is reset while it runs: its repeat on another one has the result of that run.
@@ -55,14 +55,14 @@
     let (stand, mut executor, mut caller) = start();
     let mut lost = stand.caller();
     let first = unix_ms();
-    lost.say(&sale(1, first));
-    assert_eq!(executor.hear_of("EXEC"), exec(1, "sale"));
+    lost.send_line(&sale(1, first));
+    assert_eq!(executor.read_until("EXEC"), exec(1, "sale"));
     SockRef::from(&lost.stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
     drop(lost);
-    caller.say(&sale(2, first + 1));
-    assert!(caller.ask(HEARTBEAT).contains("pass"));
-    executor.say(&exit(1, 1, "complete"));
-    assert_eq!(caller.hear(), served(2));
+    caller.send_line(&sale(2, first + 1));
+    assert!(caller.request(HEARTBEAT).contains("pass"));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert_eq!(caller.read_line(), served(2));
 }
 
 /// The node leaves between a try and its repeat: the repeat has the result and starts nothing.
@@ -70,14 +70,14 @@
 fn a_repeat_while_the_node_leaves_has_the_result() {
     let (mut stand, mut executor, mut caller) = start();
     let first = unix_ms();
-    caller.say(&sale(1, first));
-    assert_eq!(executor.hear_of("EXEC"), exec(1, "sale"));
+    caller.send_line(&sale(1, first));
+    assert_eq!(executor.read_until("EXEC"), exec(1, "sale"));
     stand.terminate();
-    assert!(caller.hear().contains("noMore"));
-    executor.say(&exit(1, 1, "complete"));
-    assert!(caller.hear().contains(r#""id":1,"result""#));
-    caller.say(&sale(2, first + 1));
-    assert!(caller.hear().contains(r#""id":2,"result":{"body":"UkVT""#));
-    caller.hear_end();
+    assert!(caller.read_line().contains("noMore"));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert!(caller.read_line().contains(r#""id":1,"result""#));
+    caller.send_line(&sale(2, first + 1));
+    assert!(caller.read_line().contains(r#""id":2,"result":{"body":"UkVT""#));
+    caller.expect_orderly_close();
     assert!(stand.wait().success());
 }
--- a/crates/ochrewalk-node/tests/crossings/tenants.rs
+++ b/crates/ochrewalk-node/tests/crossings/tenants.rs
@@ -30,18 +30,18 @@
     for (methods, deadline_us, window_us, tenants) in
         [(1, 200_000, 50_000, 0), (20, 150_000, 50_000, 40), (3, 8_000_000, 20_000_000, 1)]
     {
-        let stand = Stand::with(|config| {
+        let stand = TestNode::start_with(|config| {
             config["settings"] = deployment(methods, deadline_us, window_us, tenants);
         });
         let mut executor = stand.executor();
-        executor.say(WARM);
+        executor.send_line(WARM);
         let mut caller = stand.caller();
         caller.wait_healthy();
         let lanes = std::thread::spawn(move || {
             // Work that takes longer than any deadline here, but for every fourth.
             let (mut lanes, mut pos) = (Vec::new(), 0);
             loop {
-                let line = executor.hear();
+                let line = executor.read_line();
                 if line.is_empty() {
                     return lanes;
                 }
@@ -58,24 +58,26 @@
                 };
                 if let Some(code) = code {
                     pos += 1;
-                    executor.say(&exit(pos, number, code));
+                    executor.send_line(&exit(pos, number, code));
                 }
             }
         });
         let rpcs = 30;
         for number in 1..=rpcs {
             let (at, more) = (number as usize % methods, format!(r#","opkey":"k{number}""#));
-            caller.say(&rpc_with(number, &format!("m{methods}-{at}"), unix_ms(), &more));
+            caller.send_line(&rpc_with(number, &format!("m{methods}-{at}"), unix_ms(), &more));
         }
         if deadline_us > 1_000_000 {
             // These have time: they are taken back.
             (1..=rpcs).filter(|n| n % 4 > 0).for_each(|number| {
-                caller.say(&format!(r#"{{"jsonrpc":"2.0","method":"revoke","params":{{"id":{number}}}}}"#));
+                caller.send_line(&format!(
+                    r#"{{"jsonrpc":"2.0","method":"revoke","params":{{"id":{number}}}}}"#
+                ));
             });
         }
         let mut answers = vec![0; rpcs as usize + 1];
         for _ in 0..rpcs {
-            let line = caller.hear_of("\"id\":");
+            let line = caller.read_until("\"id\":");
             let answer: Value = serde_json::from_str(&line).unwrap();
             answers[answer["id"].as_u64().unwrap() as usize] += 1;
         }
--- a/crates/ochrewalk-node/tests/helper/mod.rs
+++ b/crates/ochrewalk-node/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for everything that a node talks to, on loopback, and the node itself as a process.
+//! Starts a node as a process on loopback, with stand-ins for every peer that the node talks to.
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
@@ -11,11 +11,11 @@
 
 pub const HEARTBEAT: &str = r#"{"jsonrpc":"2.0","id":99,"method":"heartbeat"}"#;
 
-/// Far longer than anything takes that works.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The time after which a read counts as failed, far longer than any successful read takes.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Methods: `look` is idempotent, `sync` may go on without its call, `sale` is tokened, `once` must not run
-/// twice.
+/// Settings with four methods: `look` is idempotent, `sync` may continue without its upstream call, `sale` takes an
+/// idempotency key, `once` must not run twice.
 pub fn settings() -> Value {
     let method = |name, idempotency| {
         json!({"name": name, "idempotency": idempotency, "worth": 1.0, "on-time-ns": 4_000_000_000u64,
@@ -41,147 +41,154 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-fn number() -> u32 {
+/// Returns a number that is unique in this test process.
+fn unique_number() -> u32 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// An address of its own, whose port no other socket is given by chance.
+/// Returns a loopback address of which no other test binds a port, and the system assigns none at random.
 pub fn own_address(port: u16) -> String {
-    format!("127.{}.{}.1:{port}", 10 + number() % 200, 1 + std::process::id() % 250)
+    format!("127.{}.{}.1:{port}", 10 + unique_number() % 200, 1 + std::process::id() % 250)
 }
 
-/// A file of its own for each test, with this text.
+/// Creates a temporary file with this text under a unique path.
 pub fn file(text: &str) -> PathBuf {
-    let number = number();
+    let number = unique_number();
     let path = std::env::temp_dir().join(format!("ochrewalk-{}-{number}.json", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-pub fn program(words: &[&str]) -> Command {
+pub fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ochrewalk"));
-    command.env_remove("PROXY_CONFIG").args(words);
+    command.env_remove("PROXY_CONFIG").args(arguments);
     command
 }
 
-/// A node and its surroundings.
-pub struct Stand {
+/// A node process with the listeners of its stand-in peers.
+pub struct TestNode {
     child: Child,
     config: PathBuf,
     pub operators: PathBuf,
-    pub at: String,
+    pub address: String,
     pub ajp: String,
     executor: TcpListener,
-    pub below: TcpListener,
+    pub upstream: TcpListener,
     pub directory: TcpListener,
 }
 
-impl Stand {
-    /// A node whose executor has not answered yet.
-    pub fn start() -> Stand {
-        Stand::with(|_| ())
+impl TestNode {
+    /// Starts a node whose executor has not answered yet.
+    pub fn start() -> TestNode {
+        TestNode::start_with(|_| ())
     }
 
-    pub fn with(change: impl FnOnce(&mut Value)) -> Stand {
-        Stand::with_operators(change, "")
+    /// Starts a node with changes to its configuration file.
+    pub fn start_with(change: impl FnOnce(&mut Value)) -> TestNode {
+        TestNode::start_with_operators(change, "")
     }
 
-    /// With the operators' own file, too, in which `AJP` stands for an address of the node's own.
-    pub fn with_operators(change: impl FnOnce(&mut Value), operators: &str) -> Stand {
-        Stand::with_all(change, operators, &[])
+    /// Starts a node with an operators' file as well, in which `AJP` is replaced by the node's AJP address.
+    pub fn start_with_operators(change: impl FnOnce(&mut Value), operators: &str) -> TestNode {
+        TestNode::start_with_environment(change, operators, &[])
     }
 
-    /// With words in its environment, too.
-    pub fn with_all(change: impl FnOnce(&mut Value), operators: &str, environment: &[(&str, &str)]) -> Stand {
-        let (executor, below, directory) = (listener(), listener(), listener());
-        let at = own_address(7001);
-        let address = |l: &TcpListener| l.local_addr().unwrap().to_string();
+    /// Starts a node with environment variables as well.
+    pub fn start_with_environment(
+        change: impl FnOnce(&mut Value),
+        operators: &str,
+        environment: &[(&str, &str)],
+    ) -> TestNode {
+        let (executor, upstream, directory) = (listener(), listener(), listener());
+        let address = own_address(7001);
+        let address_of = |l: &TcpListener| l.local_addr().unwrap().to_string();
         let mut config = json!({
-            "name": "n3", "listen": at, "executor": address(&executor), "lookup": address(&directory),
-            "store": address(&below), "seed": "8c1f30d27a5be964", "stop_ms": 1500,
+            "name": "n3", "listen": address, "executor": address_of(&executor), "lookup": address_of(&directory),
+            "store": address_of(&upstream), "seed": "8c1f30d27a5be964", "stop_ms": 1500,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()
         });
         change(&mut config);
-        let ajp = at.replace(":7001", ":8009");
+        let ajp = address.replace(":7001", ":8009");
         let config = file(&config.to_string());
         let operators = file(&operators.replace("AJP", &ajp));
-        let words =
+        let arguments =
             ["serve", "--config", config.to_str().unwrap(), "--operators", operators.to_str().unwrap()];
-        let child = program(&words)
+        let child = program(&arguments)
             .envs(environment.iter().copied())
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        Stand { child, config, operators, at, ajp, executor, below, directory }
+        TestNode { child, config, operators, address, ajp, executor, upstream, directory }
     }
 
-    /// A node whose executor is up and warm.
-    pub fn up() -> (Stand, Peer) {
-        let stand = Stand::start();
-        let mut executor = stand.executor();
-        executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
-        let mut caller = stand.caller();
+    /// Starts a node with a connected, warm executor and waits until the node is healthy.
+    pub fn start_healthy() -> (TestNode, Peer) {
+        let node = TestNode::start();
+        let mut executor = node.executor();
+        executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+        let mut caller = node.caller();
         caller.wait_healthy();
-        (stand, executor)
+        (node, executor)
     }
 
-    /// The same with changes to its file and an operators' own, and a caller who has seen it healthy.
-    pub fn up_with(change: impl FnOnce(&mut Value), operators: &str) -> (Stand, Peer, Peer) {
-        let stand = Stand::with_operators(change, operators);
-        let mut executor = stand.executor();
-        executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
-        let mut caller = stand.caller();
+    /// Starts a healthy node with changes to its configuration file and with an operators' file. Also returns a caller that
+    /// has seen the node healthy.
+    pub fn start_healthy_with(change: impl FnOnce(&mut Value), operators: &str) -> (TestNode, Peer, Peer) {
+        let node = TestNode::start_with_operators(change, operators);
+        let mut executor = node.executor();
+        executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+        let mut caller = node.caller();
         caller.wait_healthy();
-        (stand, executor, caller)
+        (node, executor, caller)
     }
 
-    /// A node that the system gives so many descriptors, whatever its file says.
-    pub fn up_within_descriptors(most: u32) -> Stand {
-        Stand::within_descriptors(most, |_| ())
+    /// Starts a node to which the system grants at most this many file descriptors, whatever its configuration file says.
+    pub fn start_with_descriptors(limit: u32) -> TestNode {
+        TestNode::start_with_descriptors_and_config(limit, |_| ())
     }
 
-    /// The same with changes to its file.
-    pub fn within_descriptors(most: u32, change: impl FnOnce(&mut Value)) -> Stand {
-        let mut stand = Stand::with(change);
-        stand.child.kill().unwrap();
-        stand.child.wait().unwrap();
-        let words = format!("ulimit -n {most}; exec \"$0\" serve --config \"$1\"");
+    /// Starts a node with a descriptor limit and with changes to its configuration file.
+    pub fn start_with_descriptors_and_config(limit: u32, change: impl FnOnce(&mut Value)) -> TestNode {
+        let mut node = TestNode::start_with(change);
+        node.child.kill().unwrap();
+        node.child.wait().unwrap();
+        let script = format!("ulimit -n {limit}; exec \"$0\" serve --config \"$1\"");
         let mut shell = Command::new("sh");
-        shell.args(["-c", &words, env!("CARGO_BIN_EXE_ochrewalk")]).arg(&stand.config);
-        stand.child = shell.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
-        // What the one before had begun is passed over.
-        stand.executor.set_nonblocking(true).unwrap();
-        while stand.executor.accept().is_ok() {}
-        stand
+        shell.args(["-c", &script, env!("CARGO_BIN_EXE_ochrewalk")]).arg(&node.config);
+        node.child = shell.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
+        // Discards the connections that the first process opened.
+        node.executor.set_nonblocking(true).unwrap();
+        while node.executor.accept().is_ok() {}
+        node
     }
 
-    /// Kills the node, and starts it anew with the same files.
-    pub fn again(mut self) -> Stand {
+    /// Kills the node and restarts it with the same files.
+    pub fn restart(mut self) -> TestNode {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         let (config, operators) = (self.config.to_str().unwrap(), self.operators.to_str().unwrap());
-        let words = ["serve", "--config", config, "--operators", operators];
-        self.child = program(&words).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
+        let arguments = ["serve", "--config", config, "--operators", operators];
+        self.child = program(&arguments).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
         self
     }
 
-    /// The next link to the executor, its JOIN not yet read.
+    /// Accepts the node's next link to the executor, whose JOIN is not read yet.
     pub fn link(&self) -> Peer {
         Peer::accept(&self.executor)
     }
 
-    /// The first link, joined.
+    /// Accepts the node's first link to the executor and reads its JOIN.
     pub fn executor(&self) -> Peer {
         let mut executor = self.link();
-        assert_eq!(executor.hear(), r#"{"action":"JOIN","pos":0}"#);
+        assert_eq!(executor.read_line(), r#"{"action":"JOIN","pos":0}"#);
         executor
     }
 
     pub fn caller(&self) -> Peer {
         for _ in 0..1000 {
-            if let Ok(stream) = TcpStream::connect(&self.at) {
+            if let Ok(stream) = TcpStream::connect(&self.address) {
                 return Peer::new(stream);
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -202,7 +209,7 @@
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// Puts another text in the place of the node's file and tells it so.
+    /// Replaces the text of the node's configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.config, text).unwrap();
         self.signal("-HUP");
@@ -216,13 +223,13 @@
         self.child.wait().unwrap()
     }
 
-    /// The most memory that the node has had.
+    /// The largest resident memory that the node has had, in kB.
     pub fn peak_kb(&self) -> u64 {
         self.status_kb("VmHWM:")
     }
 
-    /// Memory that is the node's own: its heap and stacks, and no pages of its program, of which a busy machine maps more or
-    /// fewer.
+    /// The node's anonymous memory in kB: its heap and stacks. Pages of the program are left out, as the number that is mapped
+    /// varies with the load of the machine.
     pub fn private_kb(&self) -> u64 {
         self.status_kb("RssAnon:")
     }
@@ -238,7 +245,7 @@
     }
 }
 
-impl Drop for Stand {
+impl Drop for TestNode {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -247,7 +254,7 @@
     }
 }
 
-/// One side of a connection, line by line.
+/// One side of a connection, read and written line by line.
 pub struct Peer {
     pub stream: TcpStream,
     input: BufReader<TcpStream>,
@@ -255,45 +262,45 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Peer { input: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
-    pub fn accept(at: &TcpListener) -> Peer {
-        at.set_nonblocking(true).unwrap();
+    pub fn accept(listener: &TcpListener) -> Peer {
+        listener.set_nonblocking(true).unwrap();
         for _ in 0..2000 {
-            if let Ok((stream, _)) = at.accept() {
+            if let Ok((stream, _)) = listener.accept() {
                 stream.set_nonblocking(false).unwrap();
                 return Peer::new(stream);
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        panic!("nobody connects");
+        panic!("no peer connected within 10 s");
     }
 
-    pub fn say(&mut self, line: &str) {
+    pub fn send_line(&mut self, line: &str) {
         self.stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
-    /// The next line but those about gauges, which are answered; empty at the end.
-    pub fn hear(&mut self) -> String {
-        let from = Instant::now();
+    /// Returns the next line, and an empty one at the end of the stream. Requests for gauges are answered and skipped.
+    pub fn read_line(&mut self) -> String {
+        let start = Instant::now();
         loop {
-            assert!(from.elapsed() < PATIENCE, "nothing heard but questions for gauges");
+            assert!(start.elapsed() < READ_TIMEOUT, "received only requests for gauges");
             let mut line = String::new();
             match self.input.read_line(&mut line) {
                 Ok(_) => {}
                 Err(err) if err.kind() == ErrorKind::ConnectionReset => return String::new(),
-                Err(err) => panic!("nothing heard: {err}"),
+                Err(err) => panic!("received no line: {err}"),
             }
-            if !self.answers_meter(&line) {
+            if !self.answer_if_gauge_request(&line) {
                 return line.trim_end().to_string();
             }
         }
     }
 
-    fn answers_meter(&mut self, line: &str) -> bool {
+    fn answer_if_gauge_request(&mut self, line: &str) -> bool {
         let Some(tag) = line.strip_prefix(r#"{"action":"METER","echo":"#) else { return false };
         let tag = tag.trim_end().trim_end_matches('}');
         let answer = format!("{{\"action\":\"METERS\",\"echo\":{tag},\"meters\":[0.1,0]}}\n");
@@ -301,88 +308,90 @@
         true
     }
 
-    /// Hears and answers one question for gauges, and nothing before it.
-    pub fn hear_meter(&mut self) {
+    /// Reads the next line, which has to be a request for gauges, and answers it.
+    pub fn expect_gauge_request(&mut self) {
         let mut line = String::new();
         self.input.read_line(&mut line).unwrap();
-        assert!(self.answers_meter(&line), "{line}");
+        assert!(self.answer_if_gauge_request(&line), "{line}");
     }
 
-    /// The next line that holds these words.
-    pub fn hear_of(&mut self, words: &str) -> String {
+    /// Reads lines up to the first one that contains this text, and returns that line.
+    pub fn read_until(&mut self, text: &str) -> String {
         loop {
-            let line = self.hear();
-            assert!(!line.is_empty(), "the end came before {words}");
-            if line.contains(words) {
+            let line = self.read_line();
+            assert!(!line.is_empty(), "the stream ended before {text}");
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    pub fn hear_bytes(&mut self, length: usize) -> Vec<u8> {
+    pub fn read_bytes(&mut self, length: usize) -> Vec<u8> {
         let mut bytes = vec![0; length];
         self.input.read_exact(&mut bytes).unwrap();
         bytes
     }
 
-    pub fn ask(&mut self, line: &str) -> String {
-        self.say(line);
-        self.hear()
+    /// Sends a line and returns the next line that is received.
+    pub fn request(&mut self, line: &str) -> String {
+        self.send_line(line);
+        self.read_line()
     }
 
-    /// Takes an RPC back and hears the one word on it.
+    /// Revokes an RPC and expects the single answer to it.
     pub fn revoke(&mut self, number: u64) {
         let revoke = format!(r#"{{"jsonrpc":"2.0","method":"revoke","params":{{"id":{number}}}}}"#);
-        assert!(self.ask(&revoke).contains(&format!(r#""id":{number},"error":{{"code":-32800"#)));
+        assert!(self.request(&revoke).contains(&format!(r#""id":{number},"error":{{"code":-32800"#)));
     }
 
-    /// Asks for health until it is good; gives that answer.
+    /// Sends heartbeats until the node reports that it is healthy, and returns that answer.
     pub fn wait_healthy(&mut self) -> String {
-        // The operators' own bound on a start: a busy machine may run the node late.
+        // 30 s is the operators' bound on a start: on a busy machine the node may be scheduled late.
         let until = Instant::now() + Duration::from_secs(30);
         loop {
-            let answer = self.ask(r#"{"jsonrpc":"2.0","id":1,"method":"heartbeat"}"#);
+            let answer = self.request(r#"{"jsonrpc":"2.0","id":1,"method":"heartbeat"}"#);
             if answer.contains("\"pass\":true") {
                 return answer;
             }
-            assert!(Instant::now() < until, "the node does not get healthy; last: {answer}");
+            assert!(Instant::now() < until, "the node is not healthy after 30 s; last answer: {answer}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Reads until all of these words have come and answers no question for gauges, so that nothing is confirmed.
-    pub fn hear_silently(&mut self, words: &[&str]) {
+    /// Reads until each of these texts has been received. Requests for gauges get no answer, so that no command is
+    /// confirmed.
+    pub fn read_without_gauges(&mut self, texts: &[&str]) {
         let mut seen = String::new();
-        while !words.iter().all(|words| seen.contains(words)) {
-            assert!(self.input.read_line(&mut seen).unwrap() > 0, "the end came before {words:?}");
+        while !texts.iter().all(|text| seen.contains(text)) {
+            assert!(self.input.read_line(&mut seen).unwrap() > 0, "the stream ended before {texts:?}");
         }
     }
 
-    /// The same, and breaks the connection.
-    pub fn break_after(mut self, words: &[&str]) {
-        self.hear_silently(words);
+    /// Reads until each of these texts has been received, without an answer about gauges, and breaks the connection.
+    pub fn disconnect_after(mut self, texts: &[&str]) {
+        self.read_without_gauges(texts);
         self.stream.shutdown(Shutdown::Both).unwrap();
     }
 
-    /// The other side ends the connection in order: nothing more comes, and nothing is reset.
-    pub fn hear_end(&mut self) {
+    /// Expects that the other side closes the connection in order: no further byte arrives, and no reset.
+    pub fn expect_orderly_close(&mut self) {
         let mut rest = String::new();
         let got = self.input.read_line(&mut rest);
-        assert_eq!(got.expect("an end in order"), 0, "{rest}");
+        assert_eq!(got.expect("an orderly close"), 0, "{rest}");
     }
 
-    /// Writes bytes as they are.
-    pub fn put(&mut self, bytes: &[u8]) {
+    /// Writes bytes without a line end.
+    pub fn write_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Answers gauges until the other side ends the connection.
-    pub fn hear_out(&mut self) {
-        while !self.hear().is_empty() {}
+    /// Answers requests for gauges until the other side closes the connection.
+    pub fn read_to_end(&mut self) {
+        while !self.read_line().is_empty() {}
     }
 }
 
-/// An RPC's line. Ids of messages and RPCs follow from one number.
+/// Returns the line of an RPC. The ids of the message and of the RPC are derived from the same number.
 pub fn rpc(number: u64, method: &str) -> String {
     rpc_with(number, method, unix_ms(), "")
 }
@@ -409,14 +418,14 @@
     format!(r#"{{"action":"CALLOUT","pos":{pos},"uid":"{number:016x}","content":"AAEC"}}"#)
 }
 
-/// The answer to an RPC that ran well.
+/// Returns the answer to an RPC whose run succeeded.
 pub fn served(number: u64) -> String {
     format!(r#"{{"jsonrpc":"2.0","id":{number},"result":{{"body":"UkVT","signal":1}}}}"#)
 }
 
-/// An RPC that has been started and waits for its call.
-pub fn begin(number: u64, method: &str, caller: &mut Peer, executor: &mut Peer) {
-    caller.say(&rpc_with(number, method, unix_ms(), &format!(r#","opkey":"k{number}""#)));
-    executor.hear_of(&exec(number, method));
-    executor.say(&callout(2 * number, number));
+/// Sends an RPC, waits until the node starts its run, and lets the run request an upstream call.
+pub fn start_with_callout(number: u64, method: &str, caller: &mut Peer, executor: &mut Peer) {
+    caller.send_line(&rpc_with(number, method, unix_ms(), &format!(r#","opkey":"k{number}""#)));
+    executor.read_until(&exec(number, method));
+    executor.send_line(&callout(2 * number, number));
 }
--- a/crates/ochrewalk-node/tests/places.rs
+++ b/crates/ochrewalk-node/tests/places.rs
@@ -68,10 +68,11 @@
     for (act, code) in [(Act::good(b"A"), "RETURN"), (Act::Cut(0), "aborted")] {
         let (before, after, status) =
             (ControlledUpstream::start(), ControlledUpstream::start(), status_socket());
-        let (stand, mut executor, mut caller) = Stand::up_with(|_| (), &operators_file(&status, &before));
-        caller.say(&rpc(2, "once"));
-        executor.hear_of(&exec(2, "once"));
-        executor.say(&callout(1, 2));
+        let (stand, mut executor, mut caller) =
+            TestNode::start_healthy_with(|_| (), &operators_file(&status, &before));
+        caller.send_line(&rpc(2, "once"));
+        executor.read_until(&exec(2, "once"));
+        executor.send_line(&callout(1, 2));
         let (old, new) = (before.ledger.at.to_string(), after.ledger.at.to_string());
         wait_for_table(&status, &[&old, " in ", " 1 "]);
         std::fs::write(&stand.operators, operators_file(&status, &after)).unwrap();
@@ -79,19 +80,19 @@
         let shown = wait_for_table(&status, &[&old, " leaving ", " 1 "]);
         assert!(shown.contains(&new), "{shown}");
         after.set_action(Act::good(b"B"));
-        caller.say(&rpc(3, "once"));
-        executor.hear_of(&exec(3, "once"));
-        executor.say(&callout(2, 3));
-        executor.hear_of("RETURN");
-        executor.say(&exit(3, 3, "complete"));
-        assert!(caller.hear().contains(r#""id":3,"result""#));
+        caller.send_line(&rpc(3, "once"));
+        executor.read_until(&exec(3, "once"));
+        executor.send_line(&callout(2, 3));
+        executor.read_until("RETURN");
+        executor.send_line(&exit(3, 3, "complete"));
+        assert!(caller.read_line().contains(r#""id":3,"result""#));
         before.set_action(act);
         if code == "RETURN" {
-            assert!(executor.hear_of("RETURN").contains(&req(2)));
-            executor.say(&exit(4, 2, "complete"));
-            assert!(caller.hear().contains(r#""id":2,"result""#));
+            assert!(executor.read_until("RETURN").contains(&req(2)));
+            executor.send_line(&exit(4, 2, "complete"));
+            assert!(caller.read_line().contains(r#""id":2,"result""#));
         } else {
-            assert!(caller.hear().contains(r#""id":2,"error""#));
+            assert!(caller.read_line().contains(r#""id":2,"error""#));
         }
         let shown = wait_for_table(&status, &[&new, " 1"]);
         assert!(!shown.contains(&old), "{shown}");
@@ -107,15 +108,15 @@
         "{}below ajp {unreachable}\nbelow leave-out 1\nbelow pause 1m 1m\n",
         operators_file(&status, &reachable)
     );
-    let (_stand, mut executor, mut caller) = Stand::up_with(|_| (), &more);
+    let (_stand, mut executor, mut caller) = TestNode::start_healthy_with(|_| (), &more);
     reachable.set_action(Act::good(b"A"));
     for number in 2..6 {
-        caller.say(&rpc(number, "once"));
-        executor.hear_of(&exec(number, "once"));
-        executor.say(&callout(2 * number, number));
-        executor.hear_of("RETURN");
-        executor.say(&exit(2 * number + 1, number, "complete"));
-        assert!(caller.hear().contains(&format!(r#""id":{number},"result""#)));
+        caller.send_line(&rpc(number, "once"));
+        executor.read_until(&exec(number, "once"));
+        executor.send_line(&callout(2 * number, number));
+        executor.read_until("RETURN");
+        executor.send_line(&exit(2 * number + 1, number, "complete"));
+        assert!(caller.read_line().contains(&format!(r#""id":{number},"result""#)));
     }
     wait_for_table(&status, &[&unreachable.to_string(), " out ", "could not be reached"]);
     let output = program(&["places", "--control", "/nowhere/at/all"]).output().unwrap();
@@ -143,19 +144,19 @@
                 method["deadline-ns"] = 1_500_000_000u64.into();
             }
         };
-        let (_stand, mut executor, mut caller) = Stand::up_with(short_deadlines, &operators);
+        let (_stand, mut executor, mut caller) = TestNode::start_healthy_with(short_deadlines, &operators);
         // One call finds the endpoint unreachable; the runs that occupy both cores never end.
-        caller.say(&rpc(2, "once"));
-        executor.hear_of(&exec(2, "once"));
-        executor.say(&callout(1, 2));
+        caller.send_line(&rpc(2, "once"));
+        executor.read_until(&exec(2, "once"));
+        executor.send_line(&callout(1, 2));
         if is_unreachable {
             wait_for_table(&status, &[&at.to_string(), " out "]);
         }
         for number in 3..9 {
-            caller.say(&rpc(number, "look"));
+            caller.send_line(&rpc(number, "look"));
         }
-        std::thread::spawn(move || executor.hear_out());
-        let answer = caller.hear_of("-32011");
+        std::thread::spawn(move || executor.read_to_end());
+        let answer = caller.read_until("-32011");
         assert_eq!(answer.contains(r#""holdoff":1000"#), has_long_holdoff, "{answer}");
     }
 }
--- a/crates/ochrewalk-node/tests/supervisor_lines.rs
+++ b/crates/ochrewalk-node/tests/supervisor_lines.rs
@@ -138,9 +138,10 @@
 fn a_supervisor_passes_streams_by_the_names_that_earlier_programs_look_for() {
     let (control, output) = (file("").with_extension("sock"), file(""));
     let operators = format!("upgrade control {}\n", control.display());
-    let stand = Stand::with_all(|_| (), &operators, &[("PROBE_OUTPUT", output.to_str().unwrap())]);
+    let stand =
+        TestNode::start_with_environment(|_| (), &operators, &[("PROBE_OUTPUT", output.to_str().unwrap())]);
     let mut executor = stand.executor();
-    executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+    executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
     stand.caller().wait_healthy();
     let mut stream = UnixStream::connect(&control).unwrap();
     let probe = fixture_path("probe.sh");
@@ -199,7 +200,7 @@
 }
 
 /// A program that is to succeed another one: what it greets with, before it is ended.
-fn greeting_of_a_successor(stand: &Stand) -> Hello {
+fn greeting_of_a_successor(stand: &TestNode) -> Hello {
     let (_supervisor, link) = SupervisorEnd::pair();
     let (ours, theirs) = UnixStream::pair().unwrap();
     let theirs = inherit(theirs.as_fd()).unwrap();
@@ -225,12 +226,13 @@
 #[test]
 fn a_program_that_serves_keeps_to_the_conversation_of_earlier_programs() {
     let (mut supervisor, link) = SupervisorEnd::pair();
-    let stand = Stand::with_all(|_| (), "", &[("OCHREWALK_KEPT", &link.as_raw_fd().to_string())]);
+    let stand =
+        TestNode::start_with_environment(|_| (), "", &[("OCHREWALK_KEPT", &link.as_raw_fd().to_string())]);
     drop(link);
     let mut executor = stand.executor();
-    executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+    executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
     stand.caller().wait_healthy();
-    std::thread::spawn(move || executor.hear_out());
+    std::thread::spawn(move || executor.read_to_end());
     // A supervisor that does not say that it reads changes gets all counters.
     let report = supervisor.line();
     assert!(report.starts_with("tally ") && CounterReport::of_line(report.trim_end()).is_some(), "{report}");
--- a/crates/ochrewalk-node/tests/upgrade.rs
+++ b/crates/ochrewalk-node/tests/upgrade.rs
@@ -14,7 +14,7 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 struct SupervisedNode {
-    stand: Stand,
+    stand: TestNode,
     control: PathBuf,
 }
 
@@ -32,9 +32,9 @@
              ajp route POST /sale sale\nupgrade control {}\n",
             control.display()
         );
-        let stand = Stand::with_all(change, &operators, &[("OCHREWALK_TAKE_FAILS", fails)]);
+        let stand = TestNode::start_with_environment(change, &operators, &[("OCHREWALK_TAKE_FAILS", fails)]);
         let mut executor = stand.executor();
-        executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+        executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
         stand.caller().wait_healthy();
         (SupervisedNode { stand, control }, executor)
     }
@@ -84,18 +84,18 @@
         let base = 100 * round;
         let mut by_ajp = node.ajp();
         // Running, one by each protocol; a third is held, a fourth is a repeat that waits for the first.
-        json.say(&sale(base + 1, &format!("t{round}")));
-        executor.hear_of(&exec(base + 1, "sale"));
+        json.send_line(&sale(base + 1, &format!("t{round}")));
+        executor.read_until(&exec(base + 1, "sale"));
         by_ajp.send(&ajp_look(base + 2).whole()).unwrap();
-        executor.hear_of(&exec(base + 2, "look"));
-        json.say(&rpc(base + 3, "look"));
-        json.say(&sale(base + 4, &format!("t{round}")));
+        executor.read_until(&exec(base + 2, "look"));
+        json.send_line(&rpc(base + 3, "look"));
+        json.send_line(&sale(base + 4, &format!("t{round}")));
         // A call below is under way, and a line, a head and a body are half here.
-        executor.say(&callout(pos + 1, base + 1));
-        let mut below = Peer::accept(&stand.below);
-        assert!(below.hear().starts_with(&format!("CALL {} ", req(base + 1))));
+        executor.send_line(&callout(pos + 1, base + 1));
+        let mut below = Peer::accept(&stand.upstream);
+        assert!(below.read_line().starts_with(&format!("CALL {} ", req(base + 1))));
         // One waits for its call, so that the third has a core.
-        executor.hear_of(&exec(base + 3, "look"));
+        executor.read_until(&exec(base + 3, "look"));
         let (line, head) = (rpc(base + 5, "look") + "\n", ajp_look(base + 6).whole());
         json.stream.write_all(&line.as_bytes()[..50]).unwrap();
         let mut half = node.ajp();
@@ -109,12 +109,12 @@
         json.stream.write_all(&line.as_bytes()[50..]).unwrap();
         half.send(&head[30..]).unwrap();
         body.send(&piece(late.body)).unwrap();
-        assert_eq!(below.hear_bytes(5), b"\x00\x01\x02\r\n");
-        below.say(&format!("{} OK 1\r\nB\r", req(base + 1)));
+        assert_eq!(below.read_bytes(5), b"\x00\x01\x02\r\n");
+        below.send_line(&format!("{} OK 1\r\nB\r", req(base + 1)));
         // On a slow machine the concurrency limit grows meanwhile, and some of those that came in two pieces start already.
         let mut started = Vec::new();
         loop {
-            let line = executor.hear();
+            let line = executor.read_line();
             if line.contains("RETURN") {
                 break;
             }
@@ -122,22 +122,22 @@
                 started.push(line);
             }
         }
-        executor.say(&exit(pos + 2, base + 1, "complete"));
-        executor.say(&exit(pos + 3, base + 2, "complete"));
-        executor.say(&exit(pos + 4, base + 3, "complete"));
+        executor.send_line(&exit(pos + 2, base + 1, "complete"));
+        executor.send_line(&exit(pos + 3, base + 2, "complete"));
+        executor.send_line(&exit(pos + 4, base + 3, "complete"));
         assert_eq!(by_ajp.answer().unwrap().text(), "RES");
         // Those that came in two pieces run now, each once.
         let mut heard = Vec::new();
         while heard.len() < 3 {
-            let line = started.pop().unwrap_or_else(|| executor.hear_of("EXEC"));
+            let line = started.pop().unwrap_or_else(|| executor.read_until("EXEC"));
             heard.push(line.clone());
             let number = (5..8).map(|n| base + n).find(|n| line == exec(*n, "look")).expect("one of ours");
-            executor.say(&exit(pos + 4 + heard.len() as u64, number, "complete"));
+            executor.send_line(&exit(pos + 4 + heard.len() as u64, number, "complete"));
         }
         heard.sort();
         heard.dedup();
         assert_eq!(heard.len(), 3);
-        let mut answers: Vec<String> = (0..4).map(|_| idle_signal(&json.hear())).collect();
+        let mut answers: Vec<String> = (0..4).map(|_| idle_signal(&json.read_line())).collect();
         answers.sort();
         let mut wanted: Vec<String> = [1, 3, 4, 5].iter().map(|n| idle_signal(&served(base + n))).collect();
         wanted.sort();
@@ -145,12 +145,12 @@
         assert_eq!(half.answer().unwrap().text(), "RES");
         assert_eq!(body.answer().unwrap().text(), "RES");
         // The token is known for its window.
-        let repeat = json.ask(&sale(base + 8, &format!("t{round}")));
+        let repeat = json.request(&sale(base + 8, &format!("t{round}")));
         assert_eq!(idle_signal(&repeat), idle_signal(&served(base + 8)));
         // A connection that was just used is trusted for a moment: the node has to have seen the end of this one before
         // the next round's call, or it would be written there and lost.
         below.stream.shutdown(std::net::Shutdown::Write).unwrap();
-        assert_eq!(below.hear(), "", "the node closes its side");
+        assert_eq!(below.read_line(), "", "the node closes its side");
         pos += 7;
     }
 }
@@ -160,8 +160,8 @@
     for fails in ["crash:start", "crash:greet", "crash:ready", "crash:commit", "hang:ready", "hang:commit"] {
         let (node, mut executor) = SupervisedNode::up(fails);
         let mut json = node.stand.caller();
-        json.say(&sale(1, "aa"));
-        executor.hear_of(&exec(1, "sale"));
+        json.send_line(&sale(1, "aa"));
+        executor.read_until(&exec(1, "sale"));
         json.stream.write_all(&rpc(2, "look").as_bytes()[..40]).unwrap();
         let how = node.upgrade();
         match fails {
@@ -171,12 +171,12 @@
             _ => assert_eq!(how, "the new program took too long", "{fails}"),
         }
         json.stream.write_all((rpc(2, "look")[40..].to_string() + "\n").as_bytes()).unwrap();
-        executor.hear_of(&exec(2, "look"));
-        executor.say(&exit(1, 1, "complete"));
-        executor.say(&exit(2, 2, "complete"));
-        assert_eq!(json.hear(), served(1), "{fails}");
-        assert_eq!(json.hear(), served(2), "{fails}");
-        assert_eq!(json.ask(&sale(3, "aa")), served(3), "{fails}");
+        executor.read_until(&exec(2, "look"));
+        executor.send_line(&exit(1, 1, "complete"));
+        executor.send_line(&exit(2, 2, "complete"));
+        assert_eq!(json.read_line(), served(1), "{fails}");
+        assert_eq!(json.read_line(), served(2), "{fails}");
+        assert_eq!(json.request(&sale(3, "aa")), served(3), "{fails}");
         node.stand.caller().wait_healthy();
     }
 }
@@ -184,7 +184,7 @@
 #[test]
 fn a_program_that_dies_at_its_first_act_is_the_nodes_end_and_said_so() {
     let (mut node, mut executor) = SupervisedNode::up("crash:done");
-    std::thread::spawn(move || executor.hear_out());
+    std::thread::spawn(move || executor.read_to_end());
     assert_eq!(node.upgrade(), "handed over");
     // The platform sees that its process has ended, and not well.
     assert!(!node.stand.wait().success());
@@ -196,18 +196,18 @@
     for (fails, signal) in [("hang:greet", "-TERM"), ("hang:ready", "-TERM"), ("hang:commit", "-TERM")] {
         let (mut node, mut executor) = SupervisedNode::up(fails);
         let mut json = node.stand.caller();
-        json.say(&rpc(1, "look"));
-        executor.hear_of(&exec(1, "look"));
+        json.send_line(&rpc(1, "look"));
+        executor.read_until(&exec(1, "look"));
         let (control, own) = (node.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
         let asked = std::thread::spawn(move || {
             program(&["upgrade", "--control", control.to_str().unwrap(), "--program", own]).output().unwrap()
         });
         std::thread::sleep(Duration::from_millis(400));
         node.stand.signal(signal);
-        json.hear_of("noMore");
-        executor.say(&exit(1, 1, "complete"));
-        assert!(json.hear().contains(r#""id":1,"result":{"body":"UkVT""#), "{fails}");
-        std::thread::spawn(move || executor.hear_out());
+        json.read_until("noMore");
+        executor.send_line(&exit(1, 1, "complete"));
+        assert!(json.read_line().contains(r#""id":1,"result":{"body":"UkVT""#), "{fails}");
+        std::thread::spawn(move || executor.read_to_end());
         assert!(!asked.join().unwrap().status.success(), "{fails}");
         node.stand.wait();
     }
@@ -224,10 +224,10 @@
     let said = String::from_utf8(asked.join().unwrap().stderr).unwrap();
     assert!(said.contains("the running program got a signal"), "{said}");
     let mut json = node.stand.caller();
-    json.say(&rpc(1, "look"));
-    executor.hear_of(&exec(1, "look"));
-    executor.say(&exit(1, 1, "complete"));
-    assert_eq!(json.hear(), served(1));
+    json.send_line(&rpc(1, "look"));
+    executor.read_until(&exec(1, "look"));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert_eq!(json.read_line(), served(1));
 }
 
 #[test]
@@ -273,8 +273,8 @@
 fn when_the_running_program_is_killed_in_the_middle_the_new_one_takes_over() {
     let (mut node, mut executor) = SupervisedNode::up("hang:commit");
     let mut json = node.stand.caller();
-    json.say(&rpc(1, "look"));
-    executor.hear_of(&exec(1, "look"));
+    json.send_line(&rpc(1, "look"));
+    executor.read_until(&exec(1, "look"));
     // The supervisor itself is the platform's process: its children are the programs that serve.
     let children = || -> Vec<String> {
         let path = format!("/proc/{0}/task/{0}/children", node.stand.pid());
@@ -287,8 +287,8 @@
         assert_eq!(node.upgrade(), "the new program ended before it began");
         assert_eq!(children(), before, "nothing is left behind");
     }
-    executor.say(&exit(1, 1, "complete"));
-    assert_eq!(json.hear(), served(1));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert_eq!(json.read_line(), served(1));
     let kill = std::process::Command::new("kill").args(["-KILL", &before[0]]).status().unwrap();
     assert!(kill.success());
     // Without another beside it, its end is the node's.
@@ -318,11 +318,11 @@
     let last = name_of(METHODS - 1);
     for number in 1..=UPGRADES {
         let mut caller = node.stand.caller();
-        caller.say(&rpc(number, &last));
-        executor.hear_of(&exec(number, &last));
+        caller.send_line(&rpc(number, &last));
+        executor.read_until(&exec(number, &last));
         assert_eq!(node.upgrade(), "handed over");
-        executor.say(&exit(number, number, "complete"));
-        assert_eq!(caller.hear(), served(number));
+        executor.send_line(&exit(number, number, "complete"));
+        assert_eq!(caller.read_line(), served(number));
     }
     node.stand.terminate();
     assert!(node.stand.wait().success());
