--- a/crates/ochrewalk-node/tests/ajp.rs
+++ b/crates/ochrewalk-node/tests/ajp.rs
@@ -1,4 +1,5 @@
-//! The real program on loopback with AJP in front and below, against stand-ins that do all that peers may do.
+//! Tests the node's program on loopback with AJP at its ingress and towards its upstream, against stand-ins that do whatever a
+//! peer may do.
 
 mod helper;
 
@@ -12,10 +13,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10);
-const IDLE: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-const FRONT: &str = "
+const INGRESS_DIRECTIVES: &str = "
 ajp listen AJP
 ajp allow 127.0.0.0/8
 ajp deny 127.9.0.0/16
@@ -29,31 +30,31 @@
 ajp route POST /once once
 ";
 
-/// A node with the front, its executor up.
-fn up(change: impl FnOnce(&mut Value), more: &str) -> (TestNode, Peer) {
-    let stand = TestNode::start_with_operators(change, &format!("{FRONT}{more}"));
-    let mut executor = stand.executor();
+/// Starts a node with an AJP ingress and these further directives, and waits until the node is healthy.
+fn start(change: impl FnOnce(&mut Value), directives: &str) -> (TestNode, Peer) {
+    let node = TestNode::start_with_operators(change, &format!("{INGRESS_DIRECTIVES}{directives}"));
+    let mut executor = node.executor();
     executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
-    stand.caller().wait_healthy();
-    (stand, executor)
+    node.caller().wait_healthy();
+    (node, executor)
 }
 
-/// The same with a ledger at a name of its own.
-fn with_ledger(
+/// Starts a node whose upstream is a dependency with a host name, which answers calls as the script says.
+fn start_with_shared_dependency(
     script: impl Fn(&ochrewalk_lab::ledger::Came) -> Act + Send + Sync + 'static,
 ) -> (TestNode, Peer, Ledger) {
-    let ledger = Ledger::start("127.0.0.21:0".parse().unwrap(), IDLE, script).unwrap();
-    let more = format!(
+    let dependency = Ledger::start("127.0.0.21:0".parse().unwrap(), IDLE_TIMEOUT, script).unwrap();
+    let directives = format!(
         "host ledger.example.org 127.0.0.21\nbelow ajp ledger.example.org:{}\nbelow uri /ledger\nbelow secret pear\n\
          below reply 200ms\nbelow pause 50ms 100ms\nbelow leave-out 1000\n",
-        ledger.at.port()
+        dependency.at.port()
     );
-    let (stand, executor) = up(|_| (), &more);
-    (stand, executor, ledger)
+    let (node, executor) = start(|_| (), &directives);
+    (node, executor, dependency)
 }
 
-fn ajp(stand: &TestNode) -> Ajp {
-    Ajp::connect(stand.ajp.parse().unwrap(), PATIENCE).unwrap()
+fn connect(node: &TestNode) -> Ajp {
+    Ajp::connect(node.ajp.parse().unwrap(), READ_TIMEOUT).unwrap()
 }
 
 fn call<'a>(method: &'a str, uri: &'a str, number: u64, token: &str) -> Call<'a> {
@@ -72,31 +73,31 @@
     (answer.status, answer.text().as_str()) == (200, "RES")
 }
 
-/// Whether the node still serves both protocols.
-fn serves(stand: &TestNode, executor: &mut Peer, number: u64, pos: u64) {
-    let mut peer = ajp(stand);
+/// Asserts that the node still serves both protocols.
+fn assert_serves(node: &TestNode, executor: &mut Peer, number: u64, pos: u64) {
+    let mut peer = connect(node);
     peer.send(&look(number).whole()).unwrap();
     executor.read_until(&exec(number, "look"));
     executor.send_line(&exit(pos, number, "complete"));
     assert!(is_served(&peer.answer().unwrap()));
-    stand.caller().wait_healthy();
+    node.caller().wait_healthy();
 }
 
 #[test]
 fn calls_are_answered_with_the_bytes_of_their_runs() {
-    let stand = TestNode::start_with_operators(|_| (), FRONT);
-    let mut executor = stand.executor();
-    stand.caller();
-    let mut peer = ajp(&stand);
-    // Before the executor is up nothing is taken, and that is said.
+    let node = TestNode::start_with_operators(|_| (), INGRESS_DIRECTIVES);
+    let mut executor = node.executor();
+    node.caller();
+    let mut peer = connect(&node);
+    // Before the executor is up each call is rejected, with a header which states that it never ran.
     let early = peer.call(&look(1)).unwrap();
     assert_eq!((early.status, early.header("x-ochrewalk-never-ran"), early.reuse), (503, Some("1"), true));
     let health = Call { method: "GET", uri: "/health", secret: Some("peach"), ..Call::default() };
     assert_eq!(peer.call(&health).unwrap().status, 503);
     executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
-    stand.caller().wait_healthy();
+    node.caller().wait_healthy();
     assert_eq!(peer.call(&health).unwrap().text(), "takes work");
-    // One connection, many calls, each with its own result; a ping between.
+    // One connection carries several calls, each with its own result, and a ping after each.
     for number in 2..5 {
         peer.send(&look(number).whole()).unwrap();
         assert_eq!(executor.read_until("EXEC"), exec(number, "look"));
@@ -107,10 +108,10 @@
         peer.send(&plain(&Message::CPing)).unwrap();
         assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::CPong)).unwrap());
     }
-    // A body that comes in pieces and without a length; an id of the node's own.
-    let mut pieces = call("POST", "/sync", 0, "");
-    pieces.headers = vec![("transfer-encoding", "chunked".into())];
-    peer.send(&pieces.head()).unwrap();
+    // A body is sent in pieces without a stated length, and the node assigns the id.
+    let mut chunked = call("POST", "/sync", 0, "");
+    chunked.headers = vec![("transfer-encoding", "chunked".into())];
+    peer.send(&chunked.head()).unwrap();
     for part in [&b"AB"[..], b"C", b""] {
         assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBody(_))).unwrap());
         peer.send(&piece(part)).unwrap();
@@ -121,52 +122,51 @@
     assert_eq!(uid.len(), 16);
     executor.send_line(&format!(r#"{{"action":"EXIT","pos":9,"uid":"{uid}","code":"error","wall_ms":1}}"#));
     assert_eq!(peer.answer().unwrap().status, 500);
-    // Runs that never began are pushed back.
+    // A call whose run never began is rejected.
     peer.send(&look(10).whole()).unwrap();
     executor.read_until(&exec(10, "look"));
     executor.send_line(&exit(10, 10, "unknown"));
     let answer = peer.answer().unwrap();
     assert_eq!((answer.status, answer.header("x-ochrewalk-never-ran")), (503, Some("1")));
-    // Time left: what cannot be done in it is pushed back, with a time to come back.
-    let mut hurried: Vec<Ajp> = (0..12).map(|_| ajp(&stand)).collect();
-    for (at, peer) in hurried.iter_mut().enumerate() {
-        let mut call = look(100 + at as u64);
+    // A call that cannot be finished in its remaining time is rejected, with a time after which to retry.
+    let mut urgent: Vec<Ajp> = (0..12).map(|_| connect(&node)).collect();
+    for (index, peer) in urgent.iter_mut().enumerate() {
+        let mut call = look(100 + index as u64);
         call.headers.push(("x-time-left-ms", "300".into()));
         peer.send(&call.whole()).unwrap();
     }
     std::thread::spawn(move || executor.read_to_end());
-    let answers: Vec<Answer> = hurried.iter_mut().map(|peer| peer.answer().unwrap()).collect();
-    let back = answers.iter().filter(|a| a.status == 503).count();
-    assert!(back >= 8, "two cores hold two of them: {back}");
+    let answers: Vec<Answer> = urgent.iter_mut().map(|peer| peer.answer().unwrap()).collect();
+    let rejected = answers.iter().filter(|a| a.status == 503).count();
+    assert!(rejected >= 8, "two cores can run only two of them: {rejected}");
     assert!(answers.iter().all(|a| a.status == 503 || a.status == 500));
 }
 
 #[test]
-fn one_token_by_both_protocols_is_one_run() {
-    let (stand, mut executor) = up(|_| (), "");
-    let sale =
-        |number: u64, token: &str| rpc_with(number, "sale", unix_ms(), &format!(r#","opkey":"{token}""#));
+fn requests_with_one_idempotency_key_over_both_protocols_run_once() {
+    let (node, mut executor) = start(|_| (), "");
+    let sale = |number: u64, key: &str| rpc_with(number, "sale", unix_ms(), &format!(r#","opkey":"{key}""#));
     let json_served =
         |number: u64| format!(r#"{{"jsonrpc":"2.0","id":{number},"result":{{"body":"UkVT","signal":1}}}}"#);
-    let (mut json, mut by_ajp) = (stand.caller(), ajp(&stand));
+    let (mut json, mut by_ajp) = (node.caller(), connect(&node));
     let mut pos = 0;
-    let mut end = |executor: &mut Peer, number: u64, code: &str| {
+    let mut finish = |executor: &mut Peer, number: u64, code: &str| {
         pos += 1;
         executor.send_line(&exit(pos, number, code));
     };
-    // Running, then finished: first by AJP, then the other way round.
+    // The repeat arrives while the first request runs, and after it; first with AJP for the first request, then with JSON-RPC.
     by_ajp.send(&call("POST", "/sale", 1, "aa").whole()).unwrap();
     assert_eq!(executor.read_until("EXEC"), exec(1, "sale"));
     json.send_line(&sale(2, "aa"));
     assert!(json.request(r#"{"jsonrpc":"2.0","id":99,"method":"heartbeat"}"#).contains("pass"));
-    end(&mut executor, 1, "complete");
+    finish(&mut executor, 1, "complete");
     assert!(is_served(&by_ajp.answer().unwrap()));
     assert_eq!(json.read_line(), json_served(2));
     assert_eq!(json.request(&sale(3, "aa")), json_served(3));
     json.send_line(&sale(4, "bb"));
     assert_eq!(executor.read_until("EXEC"), exec(4, "sale"));
     by_ajp.send(&call("POST", "/sale", 5, "bb").whole()).unwrap();
-    let mut other = ajp(&stand);
+    let mut other = connect(&node);
     assert_eq!(
         other
             .call(&Call { method: "GET", uri: "/health", secret: Some("peach"), ..Call::default() })
@@ -174,12 +174,12 @@
             .status,
         200
     );
-    end(&mut executor, 4, "complete");
+    finish(&mut executor, 4, "complete");
     assert_eq!(json.read_line(), json_served(4));
     assert!(is_served(&by_ajp.answer().unwrap()));
     assert!(is_served(&by_ajp.call(&call("POST", "/sale", 6, "bb")).unwrap()));
-    // Held: both cores are busy, and the repeat by the other protocol waits with it.
-    let mut busy = stand.caller();
+    // Both cores are busy: the request is queued, and its repeat over the other protocol waits with it.
+    let mut busy = node.caller();
     for number in [7, 8] {
         busy.send_line(&rpc(number, "look"));
         executor.read_until(&exec(number, "look"));
@@ -194,18 +194,18 @@
     );
     json.send_line(&sale(10, "cc"));
     assert!(json.request(r#"{"jsonrpc":"2.0","id":98,"method":"heartbeat"}"#).contains("pass"));
-    end(&mut executor, 7, "complete");
+    finish(&mut executor, 7, "complete");
     assert_eq!(executor.read_until("EXEC"), exec(9, "sale"));
-    end(&mut executor, 8, "complete");
-    end(&mut executor, 9, "complete");
+    finish(&mut executor, 8, "complete");
+    finish(&mut executor, 9, "complete");
     assert!(is_served(&by_ajp.answer().unwrap()));
     assert_eq!(json.read_line(), json_served(10));
-    // Other work under the token gets neither the result nor a run.
-    let mut stranger = call("POST", "/sale", 11, "cc");
-    stranger.body = b"ABD";
-    let answer = by_ajp.call(&stranger).unwrap();
+    // A request with the same key and another body gets neither the result nor a run.
+    let mut other_body = call("POST", "/sale", 11, "cc");
+    other_body.body = b"ABD";
+    let answer = by_ajp.call(&other_body).unwrap();
     assert_eq!((answer.status, answer.text().as_str()), (409, "a token that stands for other work"));
-    // An id that is open already, by the other protocol.
+    // A request whose id is in use by a request of the other protocol is rejected.
     busy.send_line(&rpc(12, "look"));
     executor.read_until(&exec(12, "look"));
     assert_eq!(by_ajp.call(&look(12)).unwrap().status, 409);
@@ -213,28 +213,28 @@
 }
 
 #[test]
-fn a_peer_that_goes_takes_only_its_own_call_with_it() {
-    let (stand, mut executor) = up(|_| (), "");
-    // Mid-body: nobody has heard of it.
-    let mut peer = ajp(&stand);
+fn a_peer_that_disconnects_loses_only_its_own_call() {
+    let (node, mut executor) = start(|_| (), "");
+    // Within the body: the executor has not received the request.
+    let mut peer = connect(&node);
     let mut long = call("POST", "/once", 1, "");
     long.headers.push(("content-length", "6".into()));
     peer.send(&long.whole()).unwrap();
     assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBody(_))).unwrap());
     peer.end();
-    // Mid-head.
-    let mut peer = ajp(&stand);
+    // Within the head.
+    let mut peer = connect(&node);
     peer.send(&look(2).whole()[..20]).unwrap();
     drop(peer);
-    // Between its last byte and the answer: the run is for nobody.
-    let mut peer = ajp(&stand);
+    // Between the last byte of the request and the answer: no caller waits for the run.
+    let mut peer = connect(&node);
     peer.send(&call("POST", "/once", 3, "").whole()).unwrap();
-    assert_eq!(executor.read_until("EXEC"), exec(3, "once"), "and nothing before it");
+    assert_eq!(executor.read_until("EXEC"), exec(3, "once"), "another request was started before it");
     drop(peer);
     executor.read_until(&format!(r#"{{"action":"KILL","uid":"{}"}}"#, req(3)));
     executor.send_line(&exit(1, 3, "cancelled"));
-    // With half of the answer unread.
-    let mut peer = ajp(&stand);
+    // While half of the answer is unread.
+    let mut peer = connect(&node);
     peer.send(&look(4).whole()).unwrap();
     executor.read_until(&exec(4, "look"));
     let result = "A".repeat(4_000);
@@ -244,22 +244,22 @@
     ));
     assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::Head(_))).unwrap());
     drop(peer);
-    serves(&stand, &mut executor, 5, 3);
-    // The tokened run whose caller went goes on: its repeat gets the result.
-    let mut peer = ajp(&stand);
+    assert_serves(&node, &mut executor, 5, 3);
+    // The run of a request with an idempotency key continues after its caller has disconnected, and its repeat gets the result.
+    let mut peer = connect(&node);
     peer.send(&call("POST", "/sale", 6, "zz").whole()).unwrap();
     executor.read_until(&exec(6, "sale"));
     drop(peer);
-    let mut peer = ajp(&stand);
+    let mut peer = connect(&node);
     peer.send(&call("POST", "/sale", 7, "zz").whole()).unwrap();
-    stand.caller().wait_healthy();
+    node.caller().wait_healthy();
     executor.send_line(&exit(4, 6, "complete"));
     assert!(is_served(&peer.answer().unwrap()));
 }
 
 #[test]
-fn what_is_wrong_is_said_once_and_harms_its_own_connection_only() {
-    let (stand, mut executor) = up(|_| (), "");
+fn each_fault_gets_one_answer_and_affects_its_own_connection_only() {
+    let (node, mut executor) = start(|_| (), "");
     let stated = |length: &str, body: &'static [u8]| {
         let mut call = call("POST", "/once", 1, "");
         call.headers.push(("content-length", length.into()));
@@ -273,7 +273,7 @@
         call
     };
     let get = |uri| Call { uri, body: b"", ..look(1) };
-    for (what, bytes, status, words) in [
+    for (case, bytes, status, text) in [
         ("no route", get("/none").whole(), 404, "no such route"),
         (
             "other method",
@@ -299,76 +299,76 @@
         ("shutdown", plain(&Message::Shutdown), 403, "nobody ends this server by a message"),
         ("login", plain(&Message::Login), 403, "nobody logs on here"),
     ] {
-        let mut peer = ajp(&stand);
+        let mut peer = connect(&node);
         peer.send(&bytes).unwrap();
         let answer = peer.answer().unwrap();
-        assert_eq!((answer.status, answer.text().as_str()), (status, words), "{what}");
+        assert_eq!((answer.status, answer.text().as_str()), (status, text), "{case}");
         if answer.reuse {
-            // It goes on.
-            assert_eq!(peer.call(&get("/none")).unwrap().status, 404, "{what}");
+            // The connection stays usable.
+            assert_eq!(peer.call(&get("/none")).unwrap().status, 404, "{case}");
         } else {
-            assert!(peer.is_ended(), "{what}");
+            assert!(peer.is_ended(), "{case}");
         }
     }
     assert_eq!(
-        ajp(&stand).call(&Call { method: "PUT", ..get("/look") }).unwrap().header("allow"),
+        connect(&node).call(&Call { method: "PUT", ..get("/look") }).unwrap().header("allow"),
         Some("GET")
     );
-    // What is no AJP ends its connection without a word, at once.
-    for (what, bytes) in [
+    // Bytes that are not AJP close their connection at once, without an answer.
+    for (case, bytes) in [
         ("another protocol", b"GET / HTTP/1.1\r\n\r\n".to_vec()),
-        ("the answerer's mark", b"AB\0\x01\x09".to_vec()),
+        ("the magic bytes of a response", b"AB\0\x01\x09".to_vec()),
         ("oversize", vec![0x12, 0x34, 0xff, 0xff]),
         ("an unknown message", vec![0x12, 0x34, 0, 1, 99]),
         ("an unknown method", vec![0x12, 0x34, 0, 2, 2, 28]),
-        ("a piece of nothing", piece(b"ABC")),
+        ("a body piece without a request", piece(b"ABC")),
     ] {
-        let mut peer = ajp(&stand);
+        let mut peer = connect(&node);
         peer.send(&bytes).unwrap();
-        assert!(peer.is_ended(), "{what}");
+        assert!(peer.is_ended(), "{case}");
     }
-    // One that speaks out of turn still gets the answer that it is owed, and then the end.
-    let mut peer = ajp(&stand);
+    // A peer that sends a request out of turn gets its outstanding answer, and then the connection is closed.
+    let mut peer = connect(&node);
     peer.send(&[look(5).whole(), look(6).whole()].concat()).unwrap();
     assert_eq!(executor.read_until("EXEC"), exec(5, "look"));
     executor.send_line(&exit(1, 5, "complete"));
     let answer = peer.answer().unwrap();
     assert!(is_served(&answer) && !answer.reuse && peer.is_ended());
-    // Who keeps sending faults is ended after eight.
-    let mut peer = ajp(&stand);
+    // A connection is closed after eight faults.
+    let mut peer = connect(&node);
     let answers: Vec<bool> = (0..8).map(|_| peer.call(&get("/none")).unwrap().reuse).collect();
     assert_eq!(answers, [true, true, true, true, true, true, true, false]);
     assert!(peer.is_ended());
-    // A stranger's address is not let in.
+    // A peer whose address is denied is disconnected.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.9.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
-    socket.connect(&stand.ajp.parse::<SocketAddr>().unwrap().into()).unwrap();
-    let mut stranger = Ajp::over(TcpStream::from(socket), PATIENCE).unwrap();
-    let _ = stranger.send(&look(7).whole());
-    assert!(stranger.is_ended());
-    serves(&stand, &mut executor, 8, 2);
+    socket.connect(&node.ajp.parse::<SocketAddr>().unwrap().into()).unwrap();
+    let mut denied = Ajp::over(TcpStream::from(socket), READ_TIMEOUT).unwrap();
+    let _ = denied.send(&look(7).whole());
+    assert!(denied.is_ended());
+    assert_serves(&node, &mut executor, 8, 2);
 }
 
 #[test]
-fn silent_and_slow_peers_are_told_or_ended_in_their_time() {
-    let (stand, mut executor) = up(|_| (), "ajp idle 1s\n");
-    let from = Instant::now();
-    let mut never = ajp(&stand);
-    let mut half = ajp(&stand);
+fn silent_and_slow_peers_are_answered_or_disconnected_on_time() {
+    let (node, mut executor) = start(|_| (), "ajp idle 1s\n");
+    let start_time = Instant::now();
+    let mut silent = connect(&node);
+    let mut half = connect(&node);
     half.send(&look(1).whole()[..9]).unwrap();
-    let mut no_body = ajp(&stand);
+    let mut no_body = connect(&node);
     no_body.send(&call("POST", "/once", 2, "").head()).unwrap();
-    let mut unsaid = call("POST", "/once", 3, "");
-    unsaid.headers.push(("transfer-encoding", "chunked".into()));
-    let mut asked = ajp(&stand);
-    asked.send(&unsaid.head()).unwrap();
-    let mut idle = ajp(&stand);
+    let mut chunked = call("POST", "/once", 3, "");
+    chunked.headers.push(("transfer-encoding", "chunked".into()));
+    let mut no_piece = connect(&node);
+    no_piece.send(&chunked.head()).unwrap();
+    let mut idle = connect(&node);
     idle.send(&plain(&Message::CPing)).unwrap();
     idle.message(|_| ()).unwrap();
-    // A byte a while: each comes in time, the packet does not.
-    let mut slow = ajp(&stand);
+    // The slow peer sends one byte every 300 ms: each byte arrives in time, the packet does not.
+    let mut slow = connect(&node);
     let bytes = look(4).whole();
-    let drip = std::thread::spawn(move || {
+    let slow_writer = std::thread::spawn(move || {
         for byte in &bytes {
             std::thread::sleep(Duration::from_millis(300));
             if slow.send(&[*byte]).is_err() {
@@ -379,32 +379,32 @@
     });
     assert!(idle.is_ended());
     assert!(half.is_ended());
-    for peer in [&mut no_body, &mut asked] {
+    for peer in [&mut no_body, &mut no_piece] {
         let answer = peer.answer().unwrap();
         assert_eq!((answer.status, answer.reuse), (408, false));
     }
-    assert!(drip.join().unwrap(), "it was ended");
-    assert!(never.is_ended());
-    assert!(from.elapsed() < Duration::from_secs(9));
-    serves(&stand, &mut executor, 5, 1);
+    assert!(slow_writer.join().unwrap(), "the slow connection was not closed");
+    assert!(silent.is_ended());
+    assert!(start_time.elapsed() < Duration::from_secs(9));
+    assert_serves(&node, &mut executor, 5, 1);
 }
 
 #[test]
-fn a_node_that_leaves_answers_both_protocols_and_takes_no_connection_further() {
-    let (mut stand, mut executor) = up(|_| (), "");
-    let (mut running, mut idle, mut json) = (ajp(&stand), ajp(&stand), stand.caller());
+fn a_draining_node_answers_both_protocols_and_closes_each_connection() {
+    let (mut node, mut executor) = start(|_| (), "");
+    let (mut running, mut idle, mut json) = (connect(&node), connect(&node), node.caller());
     running.send(&look(1).whole()).unwrap();
     executor.read_until(&exec(1, "look"));
     json.send_line(&rpc(2, "look"));
     executor.read_until(&exec(2, "look"));
     idle.send(&plain(&Message::CPing)).unwrap();
     idle.message(|_| ()).unwrap();
-    let mut half = ajp(&stand);
+    let mut half = connect(&node);
     let late = look(3).whole();
     half.send(&late[..12]).unwrap();
-    stand.terminate();
+    node.terminate();
     json.read_until("noMore");
-    // What was begun before and what comes now is answered, each time as the last.
+    // A request that began before the drain, and one that arrives after it, is answered as the last one of its connection.
     half.send(&late[12..]).unwrap();
     let answer = half.answer().unwrap();
     assert_eq!(
@@ -419,97 +419,99 @@
     assert!(json.read_until(r#""id":2"#).contains("UkVT"));
     assert!(idle.is_ended());
     std::thread::spawn(move || executor.read_to_end());
-    assert!(stand.wait().success());
+    assert!(node.wait().success());
 }
 
 #[test]
-fn neither_protocol_can_take_the_others_connections() {
-    let (stand, mut executor) = up(|config| config["limits"]["sockets"] = 96.into(), "ajp connections 8\n");
+fn neither_protocol_can_exhaust_the_others_connections() {
+    let (node, mut executor) = start(|config| config["limits"]["sockets"] = 96.into(), "ajp connections 8\n");
     std::thread::spawn(move || executor.read_to_end());
-    // More AJP connections than it has room for: each a caller that asked and stays, some silent.
-    let mut crowd: Vec<Ajp> = (0..60).map(|_| ajp(&stand)).collect();
-    crowd.iter_mut().skip(30).for_each(|peer| peer.send(&plain(&Message::CPing)).unwrap());
-    stand.caller().wait_healthy();
-    let mut newest = ajp(&stand);
+    // More AJP connections are opened than the node has capacity for. Half of the callers are silent and half have sent a ping;
+    // all stay connected.
+    let mut idle: Vec<Ajp> = (0..60).map(|_| connect(&node)).collect();
+    idle.iter_mut().skip(30).for_each(|peer| peer.send(&plain(&Message::CPing)).unwrap());
+    node.caller().wait_healthy();
+    let mut newest = connect(&node);
     let health = Call { method: "GET", uri: "/health", secret: Some("peach"), ..Call::default() };
     assert_eq!(newest.call(&health).unwrap().status, 200);
-    // And the other way round.
-    let mut json: Vec<Peer> = (0..80).map(|_| stand.caller()).collect();
+    // Nor do JSON-RPC connections exhaust those of AJP.
+    let mut json: Vec<Peer> = (0..80).map(|_| node.caller()).collect();
     json.iter_mut().for_each(|peer| drop(peer.stream.set_nodelay(true)));
-    assert_eq!(ajp(&stand).call(&health).unwrap().status, 200);
-    // Calls in hand keep their connections, however many others come.
-    let mut owed: Vec<Ajp> = (0..4).map(|_| ajp(&stand)).collect();
-    for (at, peer) in owed.iter_mut().enumerate() {
-        let mut call = look(50 + at as u64);
+    assert_eq!(connect(&node).call(&health).unwrap().status, 200);
+    // Calls in flight keep their connections, however many others are opened.
+    let mut in_flight: Vec<Ajp> = (0..4).map(|_| connect(&node)).collect();
+    for (index, peer) in in_flight.iter_mut().enumerate() {
+        let mut call = look(50 + index as u64);
         call.headers.push(("x-time-left-ms", "1500".into()));
         peer.send(&call.whole()).unwrap();
     }
-    let mut more: Vec<Ajp> = (0..40).map(|_| ajp(&stand)).collect();
+    let mut more: Vec<Ajp> = (0..40).map(|_| connect(&node)).collect();
     assert_eq!(more.last_mut().unwrap().call(&health).unwrap().status, 200);
-    for peer in &mut owed {
+    for peer in &mut in_flight {
         assert!(matches!(peer.answer().unwrap().status, 500 | 503));
     }
 }
 
 #[test]
-fn signals_bring_new_routes_and_a_faulty_file_changes_nothing() {
-    let (stand, mut executor) = up(|_| (), "");
-    let gets = |uri: &'static str| Call { uri, body: b"", ..look(1) };
-    let mut peer = ajp(&stand);
-    assert_eq!(peer.call(&gets("/new")).unwrap().status, 404);
-    let write = |text: &str| std::fs::write(&stand.operators, text.replace("AJP", &stand.ajp)).unwrap();
+fn sighup_loads_new_routes_and_an_invalid_file_changes_nothing() {
+    let (node, mut executor) = start(|_| (), "");
+    let get = |uri: &'static str| Call { uri, body: b"", ..look(1) };
+    let mut peer = connect(&node);
+    assert_eq!(peer.call(&get("/new")).unwrap().status, 404);
+    let write = |text: &str| std::fs::write(&node.operators, text.replace("AJP", &node.ajp)).unwrap();
     write("ajp listen AJP\najp route GET /new nothing\n");
-    stand.signal("-HUP");
+    node.signal("-HUP");
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(peer.call(&gets("/new")).unwrap().status, 404);
-    write(&format!("{FRONT}ajp route GET /new look\n"));
-    stand.signal("-HUP");
-    let found = (0..200).any(|_| {
+    assert_eq!(peer.call(&get("/new")).unwrap().status, 404);
+    write(&format!("{INGRESS_DIRECTIVES}ajp route GET /new look\n"));
+    node.signal("-HUP");
+    let is_loaded = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        peer.send(&gets("/new/").whole()).unwrap();
-        // Once the route is there the executor hears of it.
-        let mut seen = false;
+        peer.send(&get("/new/").whole()).unwrap();
+        // With the new route in force, the executor gets the request.
+        let mut is_routed = false;
         if let Ok(status) = peer.message(|m| match m {
             ochrewalk_ajp::reply::Message::Head(head) => head.status,
             _ => 0,
         }) {
-            seen = status != 404;
+            is_routed = status != 404;
             while !peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::End { .. })).unwrap_or(true) {}
         }
-        if !seen {
-            peer = ajp(&stand);
+        if !is_routed {
+            peer = connect(&node);
         }
         executor.send_line(&exit(1, 1, "unknown"));
-        seen
+        is_routed
     });
-    assert!(found);
+    assert!(is_loaded);
 }
 
-/// A run that comes to its call; what becomes of it.
-fn begin_call(peer: &mut Ajp, executor: &mut Peer, call: &Call, method: &str, number: u64, pos: u64) {
+/// Sends a call, waits until the node starts its run, and lets the run request an upstream call.
+fn run_to_callout(peer: &mut Ajp, executor: &mut Peer, call: &Call, method: &str, number: u64, pos: u64) {
     peer.send(&call.whole()).unwrap();
     executor.read_until(&exec(number, method));
     executor.send_line(&callout(pos, number));
 }
 
 #[test]
-fn calls_go_to_the_ledger_and_every_ending_has_its_meaning() {
-    // What the ledger does next; after that it answers.
-    let next: Arc<Mutex<Option<Act>>> = Arc::default();
-    let of = next.clone();
-    let (stand, mut executor, ledger) =
-        with_ledger(move |_| of.lock().unwrap().take().unwrap_or_else(|| Act::good(b"A\r\n\x01B")));
-    let mut peer = ajp(&stand);
+fn each_upstream_outcome_returns_repeats_or_aborts_the_call() {
+    // The dependency's next action; after that it answers successfully.
+    let next_action: Arc<Mutex<Option<Act>>> = Arc::default();
+    let script_action = next_action.clone();
+    let (node, mut executor, dependency) = start_with_shared_dependency(move |_| {
+        script_action.lock().unwrap().take().unwrap_or_else(|| Act::good(b"A\r\n\x01B"))
+    });
+    let mut peer = connect(&node);
     let mut number = 0;
     let status = |status, never_ran| Act::Answer { status, never_ran, body: vec![], after: Duration::ZERO };
     let returned = |number| format!(r#"{{"action":"RETURN","uid":"{}","content":"#, req(number));
-    for (act, method, ends) in [
+    for (action, method, outcome) in [
         (None, "look", "returned"),
         (None, "sale", "returned"),
         (Some(status(204, false)), "look", "returned"),
-        // Pushed back unseen: it is called again, whatever its kind.
+        // The call was rejected unseen: it is repeated, whatever the method.
         (Some(status(503, true)), "once", "returned"),
-        // It may have run: again where that is harmless, else given up.
+        // The call may have run: it is repeated if it is idempotent, and aborted otherwise.
         (Some(status(503, false)), "look", "returned"),
         (Some(status(503, false)), "sale", "aborted"),
         (Some(status(500, false)), "once", "aborted"),
@@ -522,103 +524,112 @@
         (Some(Act::Half), "sale", "aborted"),
         (Some(Act::Short), "look", "returned"),
         (Some(Act::Short), "once", "aborted"),
-        // The first one is taken; the second is nobody's, and ends its connection.
+        // The first of two replies is accepted; the second belongs to no call and closes its connection.
         (Some(Act::Twice), "sale", "returned"),
         (None, "once", "returned"),
         (Some(Act::Last), "look", "returned"),
-        // Read and dropped before it ran: nothing tells that from a reply that was lost.
+        // The call is read and dropped before it runs, which the node cannot distinguish from a lost reply.
         (Some(Act::Drop), "look", "returned"),
         (Some(Act::Drop), "once", "aborted"),
     ] {
         number += 1;
-        let what = format!("{number}: {act:?} {method}");
-        *next.lock().unwrap() = act;
+        let case = format!("{number}: {action:?} {method}");
+        *next_action.lock().unwrap() = action;
         let call = match method {
             "look" => look(number),
             "sale" => call("POST", "/sale", number, &format!("k{number}")),
             _ => call("POST", "/once", number, ""),
         };
-        begin_call(&mut peer, &mut executor, &call, method, number, 2 * number);
-        if ends == "returned" {
+        run_to_callout(&mut peer, &mut executor, &call, method, number, 2 * number);
+        if outcome == "returned" {
             executor.read_until(&returned(number));
             executor.send_line(&exit(2 * number + 1, number, "complete"));
-            assert!(is_served(&peer.answer().unwrap()), "{what}");
+            assert!(is_served(&peer.answer().unwrap()), "{case}");
         } else {
-            assert_eq!(peer.answer().unwrap().status, 500, "{what}");
+            assert_eq!(peer.answer().unwrap().status, 500, "{case}");
             executor.send_line(&exit(2 * number + 1, number, "cancelled"));
         }
     }
-    // Nothing that may not happen twice ran twice, nor on a connection that was not just made or proven.
-    let ran = ledger.ran();
-    for call in &ran {
-        let again = ran.iter().filter(|other| other.id == call.id).count();
+    // No call that must not happen twice ran twice, and each of them ran on a connection that was new or proven by a ping.
+    let executed = dependency.ran();
+    for call in &executed {
+        let runs = executed.iter().filter(|other| other.id == call.id).count();
         let number = u64::from_str_radix(&call.id, 16).unwrap();
-        let harmless = [1, 3, 5, 9, 11, 13, 15, 19, 20].contains(&number);
-        assert!(harmless || again == 1, "{number} ran {again} times");
-        assert!(harmless || call.proven || call.before == 0, "{call:?}");
+        let is_repeatable = [1, 3, 5, 9, 11, 13, 15, 19, 20].contains(&number);
+        assert!(is_repeatable || runs == 1, "{number} ran {runs} times");
+        assert!(is_repeatable || call.proven || call.before == 0, "{call:?}");
         assert_eq!((call.body.as_slice(), call.secret.as_deref()), (&b"\x00\x01\x02"[..], Some("pear")));
     }
-    assert!(ledger.pings() > 0 && ledger.connections() > 5);
+    assert!(dependency.pings() > 0 && dependency.connections() > 5);
 }
 
 #[test]
-fn a_forgotten_connection_below_costs_no_call_its_proof() {
-    // The ledger closes kept connections after a moment, as the next call is about to be written.
-    let ledger =
+fn a_call_on_an_upstream_connection_that_was_closed_is_made_once() {
+    // The dependency closes idle connections after 40 ms, just as the next call is about to be written.
+    let dependency =
         Ledger::start("127.0.0.21:0".parse().unwrap(), Duration::from_millis(40), |_| Act::good(b"A"))
             .unwrap();
-    let more = format!("below ajp 127.0.0.21:{}\nbelow trust 1s\n", ledger.at.port());
-    let (stand, mut executor) = up(|_| (), &more);
-    let mut peer = ajp(&stand);
+    let directives = format!("below ajp 127.0.0.21:{}\nbelow trust 1s\n", dependency.at.port());
+    let (node, mut executor) = start(|_| (), &directives);
+    let mut peer = connect(&node);
     for number in 1..30 {
         let sale = call("POST", "/sale", number, &format!("k{number}"));
-        begin_call(&mut peer, &mut executor, &sale, "sale", number, 2 * number);
+        run_to_callout(&mut peer, &mut executor, &sale, "sale", number, 2 * number);
         executor.read_until("RETURN");
         executor.send_line(&exit(2 * number + 1, number, "complete"));
         assert!(is_served(&peer.answer().unwrap()), "{number}");
         std::thread::sleep(Duration::from_millis(37 + number % 7));
     }
-    assert_eq!(ledger.ran().len(), 29);
+    assert_eq!(dependency.ran().len(), 29);
 }
 
 #[test]
-fn with_one_place_gone_the_other_takes_all_calls() {
-    let here = Ledger::start("127.0.0.22:0".parse().unwrap(), IDLE, |_| Act::good(b"A")).unwrap();
-    let nowhere = ochrewalk_lab::node::unused_address().unwrap();
-    let more = format!("below ajp {nowhere}\nbelow ajp {}\nbelow leave-out 2\n", here.at);
-    let (stand, mut executor) = up(|_| (), &more);
-    let mut peer = ajp(&stand);
+fn with_one_endpoint_unreachable_the_other_gets_all_calls() {
+    let reachable =
+        Ledger::start("127.0.0.22:0".parse().unwrap(), IDLE_TIMEOUT, |_| Act::good(b"A")).unwrap();
+    let unreachable = ochrewalk_lab::node::unused_address().unwrap();
+    let directives = format!("below ajp {unreachable}\nbelow ajp {}\nbelow leave-out 2\n", reachable.at);
+    let (node, mut executor) = start(|_| (), &directives);
+    let mut peer = connect(&node);
     for number in 1..10 {
-        begin_call(&mut peer, &mut executor, &call("POST", "/once", number, ""), "once", number, 2 * number);
+        run_to_callout(
+            &mut peer,
+            &mut executor,
+            &call("POST", "/once", number, ""),
+            "once",
+            number,
+            2 * number,
+        );
         executor.read_until("RETURN");
         executor.send_line(&exit(2 * number + 1, number, "complete"));
         assert!(is_served(&peer.answer().unwrap()), "{number}");
     }
-    assert_eq!(here.ran().len(), 9);
+    assert_eq!(reachable.ran().len(), 9);
 }
 
 #[test]
-fn both_files_are_checked_and_each_fault_is_a_line() {
-    let stand = TestNode::start_with_operators(|_| (), FRONT);
-    let config = file(&stand.config().to_string());
+fn both_files_are_checked_and_each_fault_is_reported_on_a_line() {
+    let node = TestNode::start_with_operators(|_| (), INGRESS_DIRECTIVES);
+    let config = file(&node.config().to_string());
     let check = |text: &str| {
         let operators = file(text);
-        let words = ["check", config.to_str().unwrap(), "--operators", operators.to_str().unwrap()];
-        let output = program(&words).output().unwrap();
-        let all = [output.stdout, output.stderr].concat();
+        let arguments = ["check", config.to_str().unwrap(), "--operators", operators.to_str().unwrap()];
+        let output = program(&arguments).output().unwrap();
+        let lines = [output.stdout, output.stderr].concat();
         std::fs::remove_file(&operators).unwrap();
-        (output.status.success(), String::from_utf8(all).unwrap())
+        (output.status.success(), String::from_utf8(lines).unwrap())
     };
-    let (good, said) = check(&FRONT.replace("AJP", "127.0.0.1:8009"));
-    assert!(good && said.contains("AJP on 127.0.0.1:8009, 0 places below"), "{said}");
-    let (good, said) = check("ajp listen 127.0.0.1\najp idle 3\najp route GET /sale sale\n");
-    assert!(!good && said.lines().count() == 3, "{said}");
-    for (line, words) in [(1, "has no port"), (2, "has no unit"), (3, "may not happen twice")] {
-        assert!(said.lines().nth(line - 1).unwrap().contains(&format!(":{line}: ")), "{said}");
-        assert!(said.lines().nth(line - 1).unwrap().contains(words), "{said}");
+    let (is_valid, output) = check(&INGRESS_DIRECTIVES.replace("AJP", "127.0.0.1:8009"));
+    assert!(is_valid && output.contains("AJP on 127.0.0.1:8009, 0 places below"), "{output}");
+    let (is_valid, output) = check("ajp listen 127.0.0.1\najp idle 3\najp route GET /sale sale\n");
+    assert!(!is_valid && output.lines().count() == 3, "{output}");
+    for (line, text) in [(1, "has no port"), (2, "has no unit"), (3, "may not happen twice")] {
+        assert!(output.lines().nth(line - 1).unwrap().contains(&format!(":{line}: ")), "{output}");
+        assert!(output.lines().nth(line - 1).unwrap().contains(text), "{output}");
     }
-    let (good, said) =
-        check(&FRONT.replace("AJP", "127.0.0.1:8009").replace("secret peach", "secret-file /none"));
-    assert!(!good && said.contains("secret /none: "), "{said}");
+    let (is_valid, output) = check(
+        &INGRESS_DIRECTIVES.replace("AJP", "127.0.0.1:8009").replace("secret peach", "secret-file /none"),
+    );
+    assert!(!is_valid && output.contains("secret /none: "), "{output}");
     std::fs::remove_file(config).unwrap();
 }
--- a/crates/ochrewalk-node/tests/fleet.rs
+++ b/crates/ochrewalk-node/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Real processes in two tiers with faults between them: every call has one answer, what may not happen twice does not,
-//! and the places have their shares again. Counts and rules are judged, no times.
+//! Tests fleets of processes in two tiers with faults between the tiers: every call gets one answer, calls that must not happen
+//! twice run once, and every endpoint gets its share of the calls again. The tests check counts and rules, and no times.
 
 use ochrewalk_lab::fleet::{play, Outcome, Plan};
 use std::path::Path;
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn fifteen_processes_load_all_places_alike() {
+fn fifteen_processes_load_all_endpoints_evenly() {
     let outcome = run("none", 11, |plan| plan.window = Duration::from_secs(10));
     assert_eq!((outcome.windows, outcome.even.idle), (1, 0));
-    // By chance the variance is about as large as the mean.
+    // With calls distributed at random, the variance is about as large as the mean.
     assert!(outcome.even.dispersion < 0.5, "{:?}", outcome.even);
 }
 
 #[test]
-fn rules_hold_while_places_are_killed_stopped_slow_or_fail() {
+fn rules_hold_while_endpoints_are_killed_stopped_slow_or_failing() {
     for fault in ["dead", "zone", "stopped", "slow", "fails"] {
         run(fault, 6, |_| ());
     }
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn rules_hold_while_nodes_are_killed_and_half_of_the_places_are_replaced() {
+fn rules_hold_while_nodes_are_killed_and_half_of_the_endpoints_are_replaced() {
     for fault in ["restart", "all-restart"] {
         run(fault, 6, |_| ());
     }
-    // Those that came have their share of the calls, and all who left did so without a call lost.
+    // The new endpoints get their share of the calls, and those that were replaced lost no call.
     let outcome = run("replaced", 27, |plan| plan.window = Duration::from_secs(3));
     assert!(outcome.windows >= 1 && outcome.even.idle == 0, "{outcome:?}");
     assert!(outcome.even.dispersion < 1.0, "{:?}", outcome.even);
