--- /dev/null
+++ b/crates/ochrewalk-node/tests/crossings/drain.rs
@@ -0,0 +1,139 @@
+//! Tests a drain (SIGTERM) at whose start something else arrives.
+
+use crate::helper::*;
+use crate::{is_rejected, WARM_WELCOME};
+
+/// The number of answers about gauges after which a node treats its executor as reliable.
+const RELIABLE_AFTER: usize = 5;
+const NO_MORE: &str = r#"{"jsonrpc":"2.0","method":"noMore"}"#;
+
+/// An executor that starts only after the drain has begun gets no run.
+#[test]
+fn an_executor_that_starts_after_sigterm_gets_no_run() {
+    let mut node = TestNode::start_with(|config| config["settings"]["rules"]["drain-grace-ns"] = 0.into());
+    let mut executor = node.executor();
+    let mut caller = node.caller();
+    assert!(caller.request(HEARTBEAT).contains("\"pass\":false"));
+    node.terminate();
+    assert_eq!(caller.read_line(), NO_MORE);
+    executor.send_line(WARM_WELCOME);
+    // The node requests gauges once the executor is up.
+    executor.expect_gauge_request();
+    caller.send_line(&rpc_with(2, "look", unix_ms() + 60_000, ""));
+    assert!(is_rejected(&caller.read_line(), 2));
+    assert!(caller.request(HEARTBEAT).contains("\"pass\":false"));
+    assert_eq!(executor.read_line(), "", "a run was started");
+    assert!(node.wait().success());
+}
+
+/// Further signals during a drain change nothing: a running RPC is answered, and the process exits in order.
+#[test]
+fn a_second_sigterm_and_a_sighup_during_a_drain_lose_nothing() {
+    let (mut node, mut executor) = TestNode::start_healthy();
+    let mut caller = node.caller();
+    caller.send_line(&rpc(1, "look"));
+    executor.read_until(&exec(1, "look"));
+    node.terminate();
+    assert_eq!(caller.read_line(), NO_MORE);
+    node.signal("-HUP");
+    node.terminate();
+    executor.send_line(&exit(1, 1, "complete"));
+    assert!(caller.read_line().contains(r#""id":1,"result""#));
+    // The connection is closed in order, although the caller has begun another line.
+    caller.write_bytes(b"{\"jsonrpc\":\"2.0\",\"id\":2,");
+    caller.expect_orderly_close();
+    assert!(node.wait().success());
+}
+
+/// One segment with several RPCs, a revoke and half a line arrives just as the drain begins. Each complete RPC gets one answer,
+/// and half a line gets none.
+#[test]
+fn a_segment_that_arrives_with_sigterm_is_answered_line_by_line() {
+    let (mut node, mut executor) = TestNode::start_healthy();
+    let mut caller = node.caller();
+    assert!(caller.request(HEARTBEAT).contains("pass"));
+    node.signal("-STOP");
+    node.terminate();
+    let revoke = r#"{"jsonrpc":"2.0","method":"revoke","params":{"id":2}}"#;
+    let text = format!("{}\n{}\n{revoke}\n{}\n{}", rpc(1, "look"), rpc(2, "look"), rpc(3, "once"), "{\"js");
+    caller.write_bytes(text.as_bytes());
+    node.signal("-CONT");
+    std::thread::spawn(move || {
+        let mut pos = 0;
+        loop {
+            let line = executor.read_line();
+            if line.is_empty() {
+                return;
+            }
+            if let Some(position) = line.find("\"action\":\"EXEC\",\"uid\":\"") {
+                pos += 1;
+                let number = u64::from_str_radix(&line[position + 23..position + 39], 16).unwrap();
+                executor.send_line(&exit(pos, number, "complete"));
+            }
+        }
+    });
+    let mut answers = [0; 4];
+    loop {
+        let line = caller.read_line();
+        if line.is_empty() {
+            break;
+        }
+        for (number, answers) in answers.iter_mut().enumerate() {
+            *answers += usize::from(line.contains(&format!("\"id\":{number},")));
+        }
+    }
+    assert_eq!(answers, [0, 1, 1, 1]);
+    assert!(node.wait().success());
+}
+
+/// A caller that reads none of its answers does not delay the exit.
+#[test]
+fn a_caller_that_reads_nothing_does_not_delay_the_exit() {
+    let mut node = TestNode::start_with(|config| config["stop_ms"] = 4_000.into());
+    let mut executor = node.executor();
+    executor.send_line(WARM_WELCOME);
+    let mut caller = node.caller();
+    caller.wait_healthy();
+    let mut slow = node.caller();
+    slow.stream.set_nonblocking(true).unwrap();
+    use std::io::Write;
+    let line = format!("{HEARTBEAT}\n").repeat(100);
+    while slow.stream.write(line.as_bytes()).is_ok() {}
+    // On a busy machine the node takes a while to process what was written. Meanwhile it gets no gauges from the executor, and
+    // rejects RPCs until it does.
+    for _ in 0..RELIABLE_AFTER {
+        executor.expect_gauge_request();
+    }
+    caller.send_line(&rpc(1, "look"));
+    executor.read_until(&exec(1, "look"));
+    node.terminate();
+    assert_eq!(caller.read_line(), NO_MORE);
+    executor.send_line(&exit(1, 1, "complete"));
+    assert!(caller.read_line().contains(r#""id":1,"result""#));
+    caller.expect_orderly_close();
+    assert!(node.wait().success());
+}
+
+/// A node that is killed with RPCs in flight and restarted at once requests notices from the beginning, and serves.
+#[test]
+fn a_node_that_was_killed_with_rpcs_in_flight_serves_after_its_restart() {
+    let (node, mut executor) = TestNode::start_healthy();
+    let mut caller = node.caller();
+    for number in 1..=3 {
+        caller.send_line(&rpc(number, "look"));
+    }
+    executor.read_until(&exec(2, "look"));
+    let node = node.restart();
+    assert_eq!(caller.read_line(), "");
+    let mut executor = node.executor();
+    let mut caller = node.caller();
+    // The node rejects RPCs until the executor is up.
+    caller.send_line(&rpc(4, "look"));
+    assert!(is_rejected(&caller.read_line(), 4));
+    executor.send_line(WARM_WELCOME);
+    caller.wait_healthy();
+    caller.send_line(&rpc(5, "look"));
+    executor.read_until(&exec(5, "look"));
+    executor.send_line(&exit(1, 5, "complete"));
+    assert_eq!(caller.read_line(), served(5));
+}
--- a/crates/ochrewalk-node/tests/crossings/listeners.rs
+++ b/crates/ochrewalk-node/tests/crossings/listeners.rs
@@ -1,4 +1,4 @@
-//! A listener that shuts while connections wait with the system.
+//! Tests a listener that is closed while connections wait in the system's backlog.
 
 use may::net::TcpStream;
 use ochrewalk_node::net::listener::{close_listener, ConnectionListener};
@@ -6,12 +6,12 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Default)]
-struct Door {
+struct TestListener {
     listener: Mutex<Option<TcpListener>>,
-    came: Mutex<Vec<TcpStream>>,
+    accepted: Mutex<Vec<TcpStream>>,
 }
 
-impl ConnectionListener for Door {
+impl ConnectionListener for TestListener {
     const PART: &'static str = "door";
 
     fn store_listener(&self, listener: TcpListener) {
@@ -35,20 +35,22 @@
     }
 
     fn serve_connection(self: &Arc<Self>, stream: TcpStream) {
-        self.came.lock().unwrap().push(stream);
+        self.accepted.lock().unwrap().push(stream);
     }
 }
 
-/// Who connected before the listener shut is served, though nobody had looked at it; who comes after is refused.
+/// A connection that was made before the listener closes is served, although it had not been accepted; a later one is refused.
 #[test]
-fn connections_that_wait_when_the_listener_shuts_are_served() {
-    let (door, listener) = (Arc::new(Door::default()), TcpListener::bind("127.0.0.1:0").unwrap());
-    let at = listener.local_addr().unwrap();
+fn connections_in_the_backlog_of_a_closed_listener_are_served() {
+    let (test_listener, listener) =
+        (Arc::new(TestListener::default()), TcpListener::bind("127.0.0.1:0").unwrap());
+    let address = listener.local_addr().unwrap();
     listener.set_nonblocking(true).unwrap();
-    door.store_listener(listener);
-    let waiting: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(at).unwrap()).collect();
-    close_listener(&door);
-    let came: Vec<_> = door.came.lock().unwrap().iter().map(|s| s.peer_addr().unwrap()).collect();
-    assert_eq!(came, waiting.iter().map(|s| s.local_addr().unwrap()).collect::<Vec<_>>());
-    assert!(door.is_closed() && std::net::TcpStream::connect(at).is_err());
+    test_listener.store_listener(listener);
+    let waiting: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
+    close_listener(&test_listener);
+    let accepted: Vec<_> =
+        test_listener.accepted.lock().unwrap().iter().map(|s| s.peer_addr().unwrap()).collect();
+    assert_eq!(accepted, waiting.iter().map(|s| s.local_addr().unwrap()).collect::<Vec<_>>());
+    assert!(test_listener.is_closed() && std::net::TcpStream::connect(address).is_err());
 }
--- a/crates/ochrewalk-node/tests/crossings/main.rs
+++ b/crates/ochrewalk-node/tests/crossings/main.rs
@@ -1,24 +1,24 @@
-//! What ends, and what arrives in that very instant: each crossing is forced by the order of events. The stand-ins hold back
-//! and let go at named points; `docs/crossings.md` says which test forces which.
+//! Tests races between a close or a drain and what arrives at the same time. Each race is forced by the order of events: the
+//! stand-ins wait and continue at defined points. `docs/crossings.md` lists which test forces which race.
 
 #[path = "../helper/mod.rs"]
 mod helper;
 
 mod bad_input;
-mod below;
+mod drain;
 mod executor;
 mod keys;
-mod leaving;
 mod listeners;
 mod panics;
+mod resource_limits;
 mod restart;
-mod room;
 mod streams;
 mod tenants;
+mod upstream;
 
-const WARM: &str = r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#;
+const WARM_WELCOME: &str = r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#;
 
-/// The answer that an RPC was pushed back and never ran.
-fn is_unseen(line: &str, number: u64) -> bool {
+/// Returns whether this line answers that the RPC was rejected and never ran.
+fn is_rejected(line: &str, number: u64) -> bool {
     line.contains(&format!(r#""id":{number},"error":{{"code":-32011"#))
 }
--- a/crates/ochrewalk-node/tests/crossings/panics.rs
+++ b/crates/ochrewalk-node/tests/crossings/panics.rs
@@ -1,4 +1,4 @@
-//! A fault of our own: what it costs, and that nothing half alive is left behind.
+//! Tests that a panic in the node closes one connection or ends the process, and leaves no half-working process behind.
 
 use crate::helper::listener;
 use may::net::TcpStream;
@@ -10,37 +10,37 @@
 use std::io::{ErrorKind, Write};
 use std::process::{Command, Stdio};
 
-const INNER: &str = "OCHREWALK_TEST_PANICS";
+const CHILD_VARIABLE: &str = "OCHREWALK_TEST_PANICS";
 
-/// Panics at what it reads.
-struct Flawed;
+/// A message handler that panics at its first message.
+struct PanickingHandler;
 
-impl MessageHandler for Flawed {
+impl MessageHandler for PanickingHandler {
     fn handle_message(&mut self, _input: &[u8]) -> Result<usize, CloseReason> {
-        panic!("a flaw that these bytes meet")
+        panic!("the handler panics at this message")
     }
 }
 
-/// A stream whose reader panics, carried to its end.
-fn flawed() -> CloseReason {
+/// Drives a stream whose handler panics, and returns the close reason.
+fn drive_panicking_stream() -> CloseReason {
     let listener = listener();
     let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
     peer.write_all(b"bytes").unwrap();
-    let carried = may::go!(move || {
+    let driver = may::go!(move || {
         let stream: TcpStream = stream_from_descriptor(stream.into());
-        drive_connection(&stream, &SendQueue::default(), None, 64, &mut Flawed)
+        drive_connection(&stream, &SendQueue::default(), None, 64, &mut PanickingHandler)
     });
-    carried.join().unwrap()
+    driver.join().unwrap()
 }
 
-/// In a process of its own: a stream's panic, then that of another part.
+/// Runs in a child process of the next test: a stream panics, then another part does.
 #[test]
 fn inner() {
-    let Ok(which) = std::env::var(INNER) else { return };
+    let Ok(which) = std::env::var(CHILD_VARIABLE) else { return };
     exit_on_uncontained_panics();
-    assert_eq!(flawed(), CloseReason::Broken(ErrorKind::Other));
+    assert_eq!(drive_panicking_stream(), CloseReason::Broken(ErrorKind::Other));
     if which == "part" {
         let _ = may::go!(|| panic!("a part of the node")).join();
         std::process::exit(1);
@@ -48,14 +48,14 @@
     std::process::exit(0);
 }
 
-/// What was read on a connection costs that connection; a panic anywhere else ends the process, to be started anew.
+/// A panic at bytes of a connection closes that connection; a panic anywhere else ends the process, which is then restarted.
 #[test]
-fn a_panic_costs_a_connection_or_the_process_and_nothing_between() {
+fn a_panic_closes_its_connection_or_ends_the_process() {
     for (which, status) in [("stream", 0), ("part", EXIT_STATUS)] {
         let mut command = Command::new(std::env::current_exe().unwrap());
         command
             .args(["--exact", "panics::inner"])
-            .env(INNER, which)
+            .env(CHILD_VARIABLE, which)
             .stdout(Stdio::null())
             .stderr(Stdio::null());
         assert_eq!(command.status().unwrap().code(), Some(status), "{which}");
--- a/crates/ochrewalk-node/tests/crossings/restart.rs
+++ b/crates/ochrewalk-node/tests/crossings/restart.rs
@@ -1,61 +1,62 @@
-//! Processes that start anew while what they talk to is late.
+//! Tests restarts of processes whose peers start late.
 
 use crate::helper::*;
-use crate::WARM;
+use crate::WARM_WELCOME;
 use std::net::{SocketAddr, TcpListener};
 
 const PROCESSES: usize = 10;
 
-/// A process that was killed and started anew, with nobody yet at the addresses of its executor, its directory and what it
-/// calls upstream.
+/// A process that was killed and restarted, while nothing listens yet at the addresses of its executor, its directory and its
+/// upstream.
 struct Restarted {
-    stand: TestNode,
-    executor_at: SocketAddr,
-    directory_at: SocketAddr,
-    upstream_at: SocketAddr,
+    node: TestNode,
+    executor_address: SocketAddr,
+    directory_address: SocketAddr,
+    upstream_address: SocketAddr,
 }
 
 impl Restarted {
     fn start() -> Restarted {
-        let free = |port: u16| own_address(port).parse::<SocketAddr>().unwrap();
-        let (executor_at, directory_at, upstream_at) = (free(7301), free(7302), free(7303));
-        let stand = TestNode::start_with(|config| {
-            config["executor"] = executor_at.to_string().into();
-            config["lookup"] = directory_at.to_string().into();
-            config["store"] = upstream_at.to_string().into();
+        let unused = |port: u16| own_address(port).parse::<SocketAddr>().unwrap();
+        let (executor_address, directory_address, upstream_address) =
+            (unused(7301), unused(7302), unused(7303));
+        let node = TestNode::start_with(|config| {
+            config["executor"] = executor_address.to_string().into();
+            config["lookup"] = directory_address.to_string().into();
+            config["store"] = upstream_address.to_string().into();
         });
-        assert!(stand.caller().request(HEARTBEAT).contains("\"pass\":false"));
-        Restarted { stand: stand.restart(), executor_at, directory_at, upstream_at }
+        assert!(node.caller().request(HEARTBEAT).contains("\"pass\":false"));
+        Restarted { node: node.restart(), executor_address, directory_address, upstream_address }
     }
 
-    /// Its executor comes up, and a caller sees it healthy.
-    fn executor_comes_up(&self) -> (Peer, Peer) {
-        let listener = TcpListener::bind(self.executor_at).unwrap();
+    /// Starts the process's executor and waits until a caller sees the process healthy.
+    fn start_executor(&self) -> (Peer, Peer) {
+        let listener = TcpListener::bind(self.executor_address).unwrap();
         let mut executor = Peer::accept(&listener);
         assert_eq!(executor.read_line(), r#"{"action":"JOIN","pos":0}"#);
-        executor.send_line(WARM);
-        let mut caller = self.stand.caller();
+        executor.send_line(WARM_WELCOME);
+        let mut caller = self.node.caller();
         caller.wait_healthy();
         (executor, caller)
     }
 }
 
-/// Ten processes start anew, their executors come up late and their directories after that: each process takes calls once
-/// its executor is up, before its directory is, and the directory hears of it once it is there.
+/// Ten processes restart, their executors start late and their directories after that. Each process accepts RPCs once its
+/// executor is up, before its directory is, and reports to the directory once that is up.
 #[test]
 fn ten_restarted_processes_are_ready_once_their_late_executors_are() {
     let restarted: Vec<Restarted> = (0..PROCESSES).map(|_| Restarted::start()).collect();
     for process in &restarted {
-        assert!(process.stand.caller().request(HEARTBEAT).contains("\"pass\":false"), "no executor yet");
+        assert!(process.node.caller().request(HEARTBEAT).contains("\"pass\":false"), "no executor yet");
     }
-    for (at, process) in restarted.iter().enumerate() {
-        let (mut executor, mut caller) = process.executor_comes_up();
-        let number = at as u64 + 2;
+    for (index, process) in restarted.iter().enumerate() {
+        let (mut executor, mut caller) = process.start_executor();
+        let number = index as u64 + 2;
         caller.send_line(&rpc(number, "look"));
         executor.read_until(&exec(number, "look"));
         executor.send_line(&exit(1, number, "complete"));
         assert_eq!(caller.read_line(), served(number));
-        let directory = TcpListener::bind(process.directory_at).unwrap();
+        let directory = TcpListener::bind(process.directory_address).unwrap();
         let mut report = Peer::accept(&directory);
         assert_eq!(report.read_line(), "PUT /dir/nodes/n3 HTTP/1.1");
         while !report.read_line().is_empty() {}
@@ -63,15 +64,15 @@
     }
 }
 
-/// What ten restarted processes call upstream comes up last: each process is ready before that, an RPC whose call found
-/// nobody there is neither lost nor given up, and its call is placed once there is somebody.
+/// The upstream of ten restarted processes starts last. Each process is ready before that; an RPC whose call was refused is
+/// neither lost nor aborted, and its call is made once the upstream is up.
 #[test]
-fn ten_restarted_processes_place_their_calls_once_their_late_upstream_is_there() {
+fn ten_restarted_processes_make_their_calls_once_their_late_upstream_is_up() {
     let restarted: Vec<Restarted> = (0..PROCESSES).map(|_| Restarted::start()).collect();
-    for (at, process) in restarted.iter().enumerate() {
-        let (mut executor, mut caller) = process.executor_comes_up();
-        let number = at as u64 + 2;
-        // One that may go on without its call does; so the upstream is known to have been asked for in vain.
+    for (index, process) in restarted.iter().enumerate() {
+        let (mut executor, mut caller) = process.start_executor();
+        let number = index as u64 + 2;
+        // An RPC that may continue without its call does so, which shows that the node has tried the upstream and failed.
         caller.send_line(&rpc(1, "sync"));
         executor.read_until(&exec(1, "sync"));
         executor.send_line(&callout(1, 1));
@@ -81,7 +82,7 @@
         executor.send_line(&callout(2, number));
         executor.send_line(&exit(3, 1, "complete"));
         assert_eq!(caller.read_line(), served(1));
-        let listener = TcpListener::bind(process.upstream_at).unwrap();
+        let listener = TcpListener::bind(process.upstream_address).unwrap();
         let mut upstream = Peer::accept(&listener);
         assert!(upstream.read_line().starts_with(&format!("CALL {} ", req(number))));
         upstream.read_bytes(5);
