--- a/crates/ochrewalk-node/tests/ajp.rs
+++ b/crates/ochrewalk-node/tests/ajp.rs
@@ -434,7 +434,7 @@
     let mut newest = connect(&node);
     let health = Call { method: "GET", uri: "/health", secret: Some("peach"), ..Call::default() };
     assert_eq!(newest.call(&health).unwrap().status, 200);
-    // Nor do JSON-RPC connections exhaust those of AJP.
+    // JSON-RPC connections do not exhaust those of AJP, either.
     let mut json: Vec<Peer> = (0..80).map(|_| node.caller()).collect();
     json.iter_mut().for_each(|peer| drop(peer.stream.set_nodelay(true)));
     assert_eq!(connect(&node).call(&health).unwrap().status, 200);
--- a/crates/ochrewalk-node/tests/helper/mod.rs
+++ b/crates/ochrewalk-node/tests/helper/mod.rs
@@ -47,7 +47,7 @@
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// Returns a loopback address of which no other test binds a port, and the system assigns none at random.
+/// Returns a loopback address that no other test uses, and whose port the system assigns to no other socket by chance.
 pub fn own_address(port: u16) -> String {
     format!("127.{}.{}.1:{port}", 10 + unique_number() % 200, 1 + std::process::id() % 250)
 }
@@ -300,6 +300,7 @@
         }
     }
 
+    /// Answers this line if it is a request for gauges, and returns whether it was one.
     fn answer_if_gauge_request(&mut self, line: &str) -> bool {
         let Some(tag) = line.strip_prefix(r#"{"action":"METER","echo":"#) else { return false };
         let tag = tag.trim_end().trim_end_matches('}');
--- a/crates/ochrewalk-node/tests/node.rs
+++ b/crates/ochrewalk-node/tests/node.rs
@@ -177,7 +177,7 @@
     executor.send_line(&exit(3, 1, "complete"));
     assert_eq!(caller.read_line(), served(1));
     for (number, method, reply, expected) in [
-        // The call was rejected unseen, or the upstream has no such call: the call is repeated.
+        // The call was rejected unseen, or the upstream reports that no caller waits for it: the call is repeated.
         (102, "look", "BUSY", "repeated"),
         (103, "once", "BUSY", "repeated"),
         (104, "look", "VOID", "repeated"),
@@ -512,7 +512,7 @@
     start_call(1, &mut executor);
     let mut upstream = Peer::accept(&node.upstream);
     upstream.read_until("CALL");
-    // A half-written file and an invalid one change nothing; the file is read again at the next signal.
+    // A half-written file and an invalid one change nothing; the node reads such a file again.
     let mut config = node.config();
     node.reload("{\"name\":");
     node.reload(r#"{"name":7}"#);
@@ -694,7 +694,7 @@
     executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
     std::thread::spawn(move || executor.read_to_end());
     node.caller().wait_healthy();
-    // The node does not hold stacks for a thousand connections in advance.
+    // The node does not keep thousands of stacks allocated.
     assert!(node.private_kb() < 2_560, "{} kB", node.private_kb());
     let mut idle: Vec<Peer> = (0..20).map(|_| node.caller()).collect();
     assert!(idle.iter_mut().all(|peer| peer.request(HEARTBEAT).contains("pass")));
@@ -745,8 +745,8 @@
     }
 }
 
-/// A connection is closed after eight faults, but not before each outstanding answer, and an answer to each complete RPC that
-/// has arrived, is written.
+/// Eight faults close a connection, but only after every outstanding answer, and an answer to every complete RPC that has arrived,
+/// has been written.
 #[test]
 fn a_caller_with_too_many_faults_gets_its_answers_before_the_close() {
     let (node, mut executor) = TestNode::start_healthy();
