--- a/crates/ochrewalk-node/tests/upgrade.rs
+++ b/crates/ochrewalk-node/tests/upgrade.rs
@@ -15,7 +15,7 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 struct SupervisedNode {
-    stand: Stand,
+    stand: TestNode,
     control: PathBuf,
 }
 
@@ -33,9 +33,10 @@
              ajp route POST /sale sale\nupgrade control {}\n",
             control.display()
         );
-        let stand = Stand::with_all(change, &operators, &[("OCHREWALK_TAKE_FAILS", failure)]);
+        let stand =
+            TestNode::start_with_environment(change, &operators, &[("OCHREWALK_TAKE_FAILS", failure)]);
         let mut executor = stand.executor();
-        executor.say(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
+        executor.send_line(r#"{"action":"WELCOME","code":"hot","wall_ms":5000}"#);
         stand.caller().wait_healthy();
         (SupervisedNode { stand, control }, executor)
     }
@@ -85,18 +86,18 @@
         let base = 100 * round;
         let mut by_ajp = node.ajp();
         // Two requests run, one by each protocol; a third is queued, and a fourth is a repeat that waits for the first.
-        json.say(&sale(base + 1, &format!("t{round}")));
-        executor.hear_of(&exec(base + 1, "sale"));
+        json.send_line(&sale(base + 1, &format!("t{round}")));
+        executor.read_until(&exec(base + 1, "sale"));
         by_ajp.send(&ajp_look(base + 2).whole()).unwrap();
-        executor.hear_of(&exec(base + 2, "look"));
-        json.say(&rpc(base + 3, "look"));
-        json.say(&sale(base + 4, &format!("t{round}")));
+        executor.read_until(&exec(base + 2, "look"));
+        json.send_line(&rpc(base + 3, "look"));
+        json.send_line(&sale(base + 4, &format!("t{round}")));
         // An upstream call is in flight, and a line, a head and a body are half received.
-        executor.say(&callout(pos + 1, base + 1));
-        let mut upstream = Peer::accept(&stand.below);
-        assert!(upstream.hear().starts_with(&format!("CALL {} ", req(base + 1))));
+        executor.send_line(&callout(pos + 1, base + 1));
+        let mut upstream = Peer::accept(&stand.upstream);
+        assert!(upstream.read_line().starts_with(&format!("CALL {} ", req(base + 1))));
         // The first waits for its call, so that a core is free for the third.
-        executor.hear_of(&exec(base + 3, "look"));
+        executor.read_until(&exec(base + 3, "look"));
         let (line, head) = (rpc(base + 5, "look") + "\n", ajp_look(base + 6).whole());
         json.stream.write_all(&line.as_bytes()[..50]).unwrap();
         let mut half = node.ajp();
@@ -110,13 +111,13 @@
         json.stream.write_all(&line.as_bytes()[50..]).unwrap();
         half.send(&head[30..]).unwrap();
         body.send(&piece(late.body)).unwrap();
-        assert_eq!(upstream.hear_bytes(5), b"\x00\x01\x02\r\n");
-        upstream.say(&format!("{} OK 1\r\nB\r", req(base + 1)));
+        assert_eq!(upstream.read_bytes(5), b"\x00\x01\x02\r\n");
+        upstream.send_line(&format!("{} OK 1\r\nB\r", req(base + 1)));
         // On a slow machine the concurrency limit grows meanwhile, so that some requests that were sent in two pieces start
         // already.
         let mut started = Vec::new();
         loop {
-            let line = executor.hear();
+            let line = executor.read_line();
             if line.contains("RETURN") {
                 break;
             }
@@ -124,22 +125,22 @@
                 started.push(line);
             }
         }
-        executor.say(&exit(pos + 2, base + 1, "complete"));
-        executor.say(&exit(pos + 3, base + 2, "complete"));
-        executor.say(&exit(pos + 4, base + 3, "complete"));
+        executor.send_line(&exit(pos + 2, base + 1, "complete"));
+        executor.send_line(&exit(pos + 3, base + 2, "complete"));
+        executor.send_line(&exit(pos + 4, base + 3, "complete"));
         assert_eq!(by_ajp.answer().unwrap().text(), "RES");
         // The requests that were sent in two pieces run now, each once.
         let mut runs = Vec::new();
         while runs.len() < 3 {
-            let line = started.pop().unwrap_or_else(|| executor.hear_of("EXEC"));
+            let line = started.pop().unwrap_or_else(|| executor.read_until("EXEC"));
             runs.push(line.clone());
             let number = (5..8).map(|n| base + n).find(|n| line == exec(*n, "look")).expect("one of ours");
-            executor.say(&exit(pos + 4 + runs.len() as u64, number, "complete"));
+            executor.send_line(&exit(pos + 4 + runs.len() as u64, number, "complete"));
         }
         runs.sort();
         runs.dedup();
         assert_eq!(runs.len(), 3);
-        let mut answers: Vec<String> = (0..4).map(|_| with_idle_signal(&json.hear())).collect();
+        let mut answers: Vec<String> = (0..4).map(|_| with_idle_signal(&json.read_line())).collect();
         answers.sort();
         let mut wanted: Vec<String> =
             [1, 3, 4, 5].iter().map(|n| with_idle_signal(&served(base + n))).collect();
@@ -148,12 +149,12 @@
         assert_eq!(half.answer().unwrap().text(), "RES");
         assert_eq!(body.answer().unwrap().text(), "RES");
         // The idempotency key is retained for its window.
-        let repeat = json.ask(&sale(base + 8, &format!("t{round}")));
+        let repeat = json.request(&sale(base + 8, &format!("t{round}")));
         assert_eq!(with_idle_signal(&repeat), with_idle_signal(&served(base + 8)));
         // The node reuses a recently used connection without a check. Therefore it must have received the close of this
         // connection before the next round's call, which would otherwise be written there and lost.
         upstream.stream.shutdown(std::net::Shutdown::Write).unwrap();
-        assert_eq!(upstream.hear(), "", "the node closes its side");
+        assert_eq!(upstream.read_line(), "", "the node closes its side");
         pos += 7;
     }
 }
@@ -164,8 +165,8 @@
     {
         let (node, mut executor) = SupervisedNode::up(failure);
         let mut json = node.stand.caller();
-        json.say(&sale(1, "aa"));
-        executor.hear_of(&exec(1, "sale"));
+        json.send_line(&sale(1, "aa"));
+        executor.read_until(&exec(1, "sale"));
         json.stream.write_all(&rpc(2, "look").as_bytes()[..40]).unwrap();
         let outcome = node.upgrade();
         match failure {
@@ -179,12 +180,12 @@
             _ => assert_eq!(outcome, "the new program took too long", "{failure}"),
         }
         json.stream.write_all((rpc(2, "look")[40..].to_string() + "\n").as_bytes()).unwrap();
-        executor.hear_of(&exec(2, "look"));
-        executor.say(&exit(1, 1, "complete"));
-        executor.say(&exit(2, 2, "complete"));
-        assert_eq!(json.hear(), served(1), "{failure}");
-        assert_eq!(json.hear(), served(2), "{failure}");
-        assert_eq!(json.ask(&sale(3, "aa")), served(3), "{failure}");
+        executor.read_until(&exec(2, "look"));
+        executor.send_line(&exit(1, 1, "complete"));
+        executor.send_line(&exit(2, 2, "complete"));
+        assert_eq!(json.read_line(), served(1), "{failure}");
+        assert_eq!(json.read_line(), served(2), "{failure}");
+        assert_eq!(json.request(&sale(3, "aa")), served(3), "{failure}");
         node.stand.caller().wait_healthy();
     }
 }
@@ -192,7 +193,7 @@
 #[test]
 fn a_successor_that_crashes_once_it_has_started_ends_the_node_with_a_failure() {
     let (mut node, mut executor) = SupervisedNode::up("crash:done");
-    std::thread::spawn(move || executor.hear_out());
+    std::thread::spawn(move || executor.read_to_end());
     assert_eq!(node.upgrade(), "handed over");
     // The platform sees that its process has ended with a failure.
     assert!(!node.stand.wait().success());
@@ -204,18 +205,18 @@
     for (failure, signal) in [("hang:greet", "-TERM"), ("hang:ready", "-TERM"), ("hang:commit", "-TERM")] {
         let (mut node, mut executor) = SupervisedNode::up(failure);
         let mut json = node.stand.caller();
-        json.say(&rpc(1, "look"));
-        executor.hear_of(&exec(1, "look"));
+        json.send_line(&rpc(1, "look"));
+        executor.read_until(&exec(1, "look"));
         let (control, own) = (node.control.clone(), env!("CARGO_BIN_EXE_ochrewalk"));
         let upgrade = std::thread::spawn(move || {
             program(&["upgrade", "--control", control.to_str().unwrap(), "--program", own]).output().unwrap()
         });
         std::thread::sleep(Duration::from_millis(400));
         node.stand.signal(signal);
-        json.hear_of("noMore");
-        executor.say(&exit(1, 1, "complete"));
-        assert!(json.hear().contains(r#""id":1,"result":{"body":"UkVT""#), "{failure}");
-        std::thread::spawn(move || executor.hear_out());
+        json.read_until("noMore");
+        executor.send_line(&exit(1, 1, "complete"));
+        assert!(json.read_line().contains(r#""id":1,"result":{"body":"UkVT""#), "{failure}");
+        std::thread::spawn(move || executor.read_to_end());
         assert!(!upgrade.join().unwrap().status.success(), "{failure}");
         node.stand.wait();
     }
@@ -232,10 +233,10 @@
     let printed = String::from_utf8(upgrade.join().unwrap().stderr).unwrap();
     assert!(printed.contains("the running program got a signal"), "{printed}");
     let mut json = node.stand.caller();
-    json.say(&rpc(1, "look"));
-    executor.hear_of(&exec(1, "look"));
-    executor.say(&exit(1, 1, "complete"));
-    assert_eq!(json.hear(), served(1));
+    json.send_line(&rpc(1, "look"));
+    executor.read_until(&exec(1, "look"));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert_eq!(json.read_line(), served(1));
 }
 
 #[test]
@@ -284,8 +285,8 @@
 fn hand_overs_that_fail_leave_no_process_behind_and_the_programs_end_is_the_nodes_end() {
     let (mut node, mut executor) = SupervisedNode::up("hang:commit");
     let mut json = node.stand.caller();
-    json.say(&rpc(1, "look"));
-    executor.hear_of(&exec(1, "look"));
+    json.send_line(&rpc(1, "look"));
+    executor.read_until(&exec(1, "look"));
     // The process that the platform started is the supervisor, and its children are the programs that serve.
     let children = || -> Vec<String> {
         let path = format!("/proc/{0}/task/{0}/children", node.stand.pid());
@@ -298,8 +299,8 @@
         assert_eq!(node.upgrade(), "the new program ended before it began");
         assert_eq!(children(), before, "no process is left behind");
     }
-    executor.say(&exit(1, 1, "complete"));
-    assert_eq!(json.hear(), served(1));
+    executor.send_line(&exit(1, 1, "complete"));
+    assert_eq!(json.read_line(), served(1));
     let kill = std::process::Command::new("kill").args(["-KILL", &before[0]]).status().unwrap();
     assert!(kill.success());
     // Without another child, the end of this one is the end of the node.
@@ -330,11 +331,11 @@
     let last = name_of(METHODS - 1);
     for number in 1..=UPGRADES {
         let mut caller = node.stand.caller();
-        caller.say(&rpc(number, &last));
-        executor.hear_of(&exec(number, &last));
+        caller.send_line(&rpc(number, &last));
+        executor.read_until(&exec(number, &last));
         assert_eq!(node.upgrade(), "handed over");
-        executor.say(&exit(number, number, "complete"));
-        assert_eq!(caller.hear(), served(number));
+        executor.send_line(&exit(number, number, "complete"));
+        assert_eq!(caller.read_line(), served(number));
     }
     node.stand.terminate();
     assert!(node.stand.wait().success());
