--- a/crates/ochrewalk-lab/src/ajp.rs
+++ b/crates/ochrewalk-lab/src/ajp.rs
@@ -96,11 +96,11 @@
 
 impl Peer {
     pub fn connect(to: SocketAddr, patience: Duration) -> std::io::Result<Peer> {
-        Peer::over(TcpStream::connect_timeout(&to, patience)?, patience)
+        Peer::from_stream(TcpStream::connect_timeout(&to, patience)?, patience)
     }
 
     /// On a stream that is there already.
-    pub fn over(stream: TcpStream, patience: Duration) -> std::io::Result<Peer> {
+    pub fn from_stream(stream: TcpStream, patience: Duration) -> std::io::Result<Peer> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(patience))?;
         stream.set_write_timeout(Some(patience))?;
--- a/crates/ochrewalk-lab/src/spreads.rs
+++ b/crates/ochrewalk-lab/src/balancing_trial.rs
@@ -1,6 +1,6 @@
 //! The laboratory's `spread`: how even the load is over places, by real processes or in virtual time, as tables and JSON.
 
-use crate::emulated::{self, Evenness, Seen, SECOND};
+use crate::emulated::{self, Evenness, RunResult, SECOND};
 use crate::fleet::{self, Outcome, Plan};
 use crate::plot;
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Subsetting};
@@ -10,46 +10,47 @@
 
 /// What is asked for on the command line.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Options {
     pub nodes: usize,
-    pub places: usize,
+    pub endpoints: usize,
     pub rate: f64,
     pub work_ms: u64,
     pub seconds: u64,
     pub seed: u64,
-    pub way: String,
-    pub reach: Option<usize>,
+    pub policy: String,
+    pub subset_size: Option<usize>,
     pub faults: String,
     pub log: &'static str,
     pub plot: Option<PathBuf>,
     /// In virtual time, every so often all nodes know of all queues.
-    pub told_ms: u64,
+    pub queue_broadcast_ms: u64,
 }
 
 /// So many places at least are a node's own, where the way lays them out.
-const REACH: usize = 5;
+const SUBSET_SIZE: usize = 5;
 
-impl Asked {
+impl Options {
     /// Only ours is laid out by numbers; the others choose among all, as each would without it.
     fn lines(&self) -> String {
-        let laid_out = self.reach.or(matches!(&*self.way, "rounds" | "shuffled").then_some(REACH));
-        let reach =
-            laid_out.map_or(String::new(), |places| format!("below reach {places}\nbelow number N OF\n"));
-        format!("below way {}\n{reach}", self.way)
+        let subset_size =
+            self.subset_size.or(matches!(&*self.policy, "rounds" | "shuffled").then_some(SUBSET_SIZE));
+        let reach = subset_size
+            .map_or(String::new(), |endpoints| format!("below reach {endpoints}\nbelow number N OF\n"));
+        format!("below way {}\n{reach}", self.policy)
     }
 
     /// On real processes. Whether no rule broke; the last line is JSON.
     pub fn real(&self, program: &Path) -> Result<bool, String> {
         let plan = Plan {
             nodes: self.nodes,
-            places: self.places,
+            endpoints: self.endpoints,
             rate: self.rate,
             work_us: self.work_ms * 1_000,
             seconds: self.seconds,
             seed: self.seed,
             window: Duration::from_secs(10),
-            apart: 0,
-            spread: self.lines(),
+            instance: 0,
+            balancing: self.lines(),
             fault: self.faults.clone(),
             log: self.log,
             progress: true,
@@ -62,7 +63,7 @@
 
     /// In virtual time, all ways, five seeds: what each figure is at best and at worst, and a plot of two of them.
     pub fn emulated(&self) -> Result<bool, String> {
-        let places: Vec<usize> = (0..self.places).collect();
+        let endpoints: Vec<usize> = (0..self.endpoints).collect();
         println!(
             "{:<10}{:<7}{:>12}{:>16}{:>16}{:>8}{:>16}{:>16}{:>18}",
             "way", "reach", "idle", "most over mean", "dispersion", "burst", "median ms", "99% ms", "served"
@@ -70,12 +71,16 @@
         let mut plots = Vec::new();
         for kind in BalancingPolicy::ALL {
             let name = kind.name();
-            let arc = Subsetting::Deterministic { size: self.reach.unwrap_or(REACH), node: 0, node_count: 1 };
-            let drawn = Subsetting::Random { size: self.reach.unwrap_or(REACH) };
+            let arc = Subsetting::Deterministic {
+                size: self.subset_size.unwrap_or(SUBSET_SIZE),
+                node: 0,
+                node_count: 1,
+            };
+            let drawn = Subsetting::Random { size: self.subset_size.unwrap_or(SUBSET_SIZE) };
             for (reach_name, reach) in [("all", Subsetting::All), ("arc", arc), ("drawn", drawn)] {
-                let runs: Vec<Seen> =
+                let runs: Vec<RunResult> =
                     (0..5).map(|more| self.emulate(kind, reach, self.seed + more)).collect();
-                let even: Vec<Evenness> = runs.iter().map(|seen| seen.evenness(&places, 1)).collect();
+                let even: Vec<Evenness> = runs.iter().map(|seen| seen.evenness(&endpoints, 1)).collect();
                 let figure = |of: &dyn Fn(usize) -> f64, digits: usize| {
                     let all: Vec<f64> = (0..runs.len()).map(of).collect();
                     let (least, most) =
@@ -99,24 +104,24 @@
         }
         if let Some(file) = &self.plot {
             plots.reverse();
-            plot::by_place(file, &plots, &places)?;
+            plot::by_endpoint(file, &plots, &endpoints)?;
             println!("plot: {}", file.display());
         }
         Ok(true)
     }
 
-    fn emulate(&self, policy: BalancingPolicy, subsetting: Subsetting, seed: u64) -> Seen {
+    fn emulate(&self, policy: BalancingPolicy, subsetting: Subsetting, seed: u64) -> RunResult {
         let plan = BalancingConfig {
             policy,
             subsetting,
             uses_learned_weights: policy != BalancingPolicy::LeastLatency,
             ..BalancingConfig::default()
         };
-        let mut fleet = emulated::Fleet::plain(self.nodes, self.places, plan, seed);
+        let mut fleet = emulated::Fleet::plain(self.nodes, self.endpoints, plan, seed);
         (fleet.rate, fleet.first_rate, fleet.seconds) = (self.rate, self.rate, self.seconds);
         fleet.work_us = self.work_ms as f64 * 1_000.0;
         fleet.deadline_us = 20 * SECOND;
-        fleet.told_us = self.told_ms * 1_000;
+        fleet.queue_broadcast_us = self.queue_broadcast_ms * 1_000;
         emulated::play(&fleet)
     }
 }
--- a/crates/ochrewalk-lab/src/judged.rs
+++ b/crates/ochrewalk-lab/src/canary_trial.rs
@@ -8,7 +8,7 @@
 pub const METHODS: [&str; 2] = ["look", "sale"];
 
 /// A fleet whose nodes miss by chance: what a judge is told of each second.
-pub struct World {
+pub struct SimulatedFleet {
     pub rng: fastrand::Rng,
     pub nodes: usize,
     /// The first of them are changed.
@@ -17,29 +17,29 @@
     pub rates: Vec<f64>,
     pub missed: f64,
     /// By how much nodes differ among themselves, as a share of `missed`.
-    pub differ: Vec<f64>,
+    pub node_factors: Vec<f64>,
     /// More misses of changed nodes on the last method, from that second on.
     pub harm: f64,
     pub harm_from: u32,
     /// More misses of all nodes.
-    pub trouble: f64,
+    pub fault_share: f64,
     pub second: u32,
 }
 
-impl World {
-    pub fn new(nodes: usize, changed: usize, rate: f64, seed: u64) -> World {
+impl SimulatedFleet {
+    pub fn new(nodes: usize, changed: usize, rate: f64, seed: u64) -> SimulatedFleet {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let differ = (0..nodes).map(|_| 0.8 + 0.4 * rng.f64()).collect();
-        World {
+        let node_factors = (0..nodes).map(|_| 0.8 + 0.4 * rng.f64()).collect();
+        SimulatedFleet {
             rng,
             nodes,
             changed,
             rates: vec![rate * 0.7, rate * 0.3],
             missed: 0.05,
-            differ,
+            node_factors,
             harm: 0.0,
             harm_from: 0,
-            trouble: 0.0,
+            fault_share: 0.0,
             second: 0,
         }
     }
@@ -54,7 +54,7 @@
     }
 
     /// The next second.
-    pub fn moment(&mut self) -> Sample {
+    pub fn next_sample(&mut self) -> Sample {
         self.second += 1;
         let mut nodes = Vec::new();
         for node in 0..self.nodes {
@@ -62,9 +62,10 @@
             let mut methods = Vec::new();
             for method in 0..self.rates.len() {
                 let calls = self.poisson(self.rates[method]);
-                let harmed = is_changed && method + 1 == self.rates.len() && self.second >= self.harm_from;
-                let share =
-                    self.missed * self.differ[node] + self.trouble + if harmed { self.harm } else { 0.0 };
+                let is_harmed = is_changed && method + 1 == self.rates.len() && self.second >= self.harm_from;
+                let share = self.missed * self.node_factors[node]
+                    + self.fault_share
+                    + if is_harmed { self.harm } else { 0.0 };
                 let missed = (0..calls).filter(|_| self.rng.f64() < share).count() as u32;
                 methods.push(CallCounts { calls, missed, failed: missed / 2 });
             }
@@ -81,21 +82,21 @@
     }
 
     /// Seconds until the judge says something else than to wait, and what.
-    pub fn judged(&mut self, judge: &mut CanaryAnalysis, most: u32) -> (u32, Verdict) {
-        for second in 1..=most {
-            let moment = self.moment();
-            match judge.add_sample(&moment) {
+    pub fn run_until_verdict(&mut self, analysis: &mut CanaryAnalysis, max_samples: u32) -> (u32, Verdict) {
+        for second in 1..=max_samples {
+            let sample = self.next_sample();
+            match analysis.add_sample(&sample) {
                 Verdict::Pending | Verdict::FleetUnhealthy => {}
-                said => return (second, said),
+                verdict => return (second, verdict),
             }
         }
-        (most, Verdict::Pending)
+        (max_samples, Verdict::Pending)
     }
 }
 
 /// A judge of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum AnalysisMethod {
     /// The program's own.
     Sequential,
     /// Sums of both sides since the stage began, looked at each second against a fixed bound of one in a hundred.
@@ -104,8 +105,11 @@
     BeforeAfter,
 }
 
-pub const WAYS: [(&str, Way); 3] =
-    [("sequential", Way::Sequential), ("fixed bound", Way::Fixed), ("before and after", Way::BeforeAfter)];
+pub const METHODS_OF_ANALYSIS: [(&str, AnalysisMethod); 3] = [
+    ("sequential", AnalysisMethod::Sequential),
+    ("fixed bound", AnalysisMethod::Fixed),
+    ("before and after", AnalysisMethod::BeforeAfter),
+];
 
 /// What befalls a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,22 +118,22 @@
     /// Five points more of one method miss on changed nodes.
     Harm,
     /// Twenty points more miss on all nodes, for 20 s of the first stage.
-    Trouble,
+    FleetFault,
 }
 
 pub const CASES: [(&str, Case); 3] =
-    [("no harm", Case::Harmless), ("harm of 5 points", Case::Harm), ("trouble of all", Case::Trouble)];
+    [("no harm", Case::Harmless), ("harm of 5 points", Case::Harm), ("trouble of all", Case::FleetFault)];
 
 const HARM: f64 = 0.05;
 /// A stage lasts so long at least, and no longer than that.
-const LEAST: u32 = 30;
-const MOST: u32 = 900;
+const MIN_STAGE_S: u32 = 30;
+const MAX_STAGE_S: u32 = 900;
 /// One in a hundred, on one side.
 const BOUND: f64 = 2.33;
 
 /// How a change ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ended {
+pub struct RolloutResult {
     pub stopped: bool,
     pub seconds: u32,
 }
@@ -141,8 +145,8 @@
     others: [f64; 2],
 }
 
-fn add(sums: &mut [Sums], moment: &Sample) {
-    for node in &moment.nodes {
+fn add(sums: &mut [Sums], sample: &Sample) {
+    for node in &sample.nodes {
         for (sum, counts) in sums.iter_mut().zip(&node.methods) {
             let side = if node.is_changed { &mut sum.changed } else { &mut sum.others };
             side[0] += f64::from(counts.calls);
@@ -152,33 +156,33 @@
 }
 
 /// How much more of the changed side's calls miss, and the spread of that.
-fn over(sums: &Sums) -> Option<(f64, f64)> {
+fn excess_and_deviation(sums: &Sums) -> Option<(f64, f64)> {
     let ([changed, bad], [others, bad_others]) = (sums.changed, sums.others);
     if changed < 1.0 || others < 1.0 {
         return None;
     }
     let share = (bad + bad_others) / (changed + others);
-    let spread = (share * (1.0 - share) * (1.0 / changed + 1.0 / others)).sqrt();
-    Some((bad / changed - bad_others / others, spread))
+    let deviation = (share * (1.0 - share) * (1.0 / changed + 1.0 / others)).sqrt();
+    Some((bad / changed - bad_others / others, deviation))
 }
 
 /// The word of a plain way on what was seen since a stage began.
-fn plain_word(way: Way, sums: &[Sums], before: &[f64], second: u32) -> Verdict {
+fn simple_verdict(method_of_analysis: AnalysisMethod, sums: &[Sums], before: &[f64], second: u32) -> Verdict {
     let harm = |is: bool| if is { Verdict::Harm("more of it misses".into()) } else { Verdict::Pending };
-    if way == Way::BeforeAfter {
-        if second < LEAST {
+    if method_of_analysis == AnalysisMethod::BeforeAfter {
+        if second < MIN_STAGE_S {
             return Verdict::Pending;
         }
         let share = |of: &Sums| of.changed[1] / of.changed[0].max(1.0);
-        let worse = sums.iter().zip(before).any(|(of, before)| share(of) > before + HARM / 2.0);
-        return if worse { harm(true) } else { Verdict::Pass };
+        let is_worse = sums.iter().zip(before).any(|(of, before)| share(of) > before + HARM / 2.0);
+        return if is_worse { harm(true) } else { Verdict::Pass };
     }
-    let seen: Vec<(f64, f64)> = sums.iter().filter_map(over).collect();
-    if seen.iter().any(|(over, spread)| *over > BOUND * spread && second >= 5) {
+    let excesses: Vec<(f64, f64)> = sums.iter().filter_map(excess_and_deviation).collect();
+    if excesses.iter().any(|(excess, deviation)| *excess > BOUND * deviation && second >= 5) {
         return harm(true);
     }
-    let is_clear = seen.iter().all(|(over, spread)| over + BOUND * spread < HARM);
-    if second >= LEAST && is_clear || second >= MOST {
+    let is_clear = excesses.iter().all(|(excess, deviation)| excess + BOUND * deviation < HARM);
+    if second >= MIN_STAGE_S && is_clear || second >= MAX_STAGE_S {
         Verdict::Pass
     } else {
         Verdict::Pending
@@ -186,36 +190,42 @@
 }
 
 /// Plays a change of a hundredth, a tenth and half of the nodes.
-pub fn change(way: Way, case: Case, nodes: usize, rate: f64, seed: u64) -> Ended {
-    let mut world = World::new(nodes, 0, rate, seed);
-    world.harm = if case == Case::Harm { HARM } else { 0.0 };
-    let mut judge = CanaryAnalysis::new(
+pub fn change(
+    method_of_analysis: AnalysisMethod,
+    case: Case,
+    nodes: usize,
+    rate: f64,
+    seed: u64,
+) -> RolloutResult {
+    let mut fleet = SimulatedFleet::new(nodes, 0, rate, seed);
+    fleet.harm = if case == Case::Harm { HARM } else { 0.0 };
+    let mut analysis = CanaryAnalysis::new(
         AnalysisSettings { harm: HARM, ..AnalysisSettings::default() },
         METHODS.map(String::from).to_vec(),
     );
     let mut before = vec![Sums::default(); METHODS.len()];
-    for _ in 0..LEAST {
-        let moment = world.moment();
-        judge.add_sample(&moment);
-        add(&mut before, &moment);
+    for _ in 0..MIN_STAGE_S {
+        let sample = fleet.next_sample();
+        analysis.add_sample(&sample);
+        add(&mut before, &sample);
     }
     let before: Vec<f64> = before.iter().map(|sums| sums.others[1] / sums.others[0].max(1.0)).collect();
-    let from = world.second;
+    let from = fleet.second;
     for share in [100, 10, 2] {
-        world.changed = (nodes / share).max(1);
-        judge.begin_stage();
+        fleet.changed = (nodes / share).max(1);
+        analysis.begin_stage();
         let mut sums = vec![Sums::default(); METHODS.len()];
-        for second in 1..=2 * MOST {
-            let struck = case == Case::Trouble && (10..30).contains(&(world.second - from));
-            world.trouble = if struck { 0.2 } else { 0.0 };
-            let moment = world.moment();
-            add(&mut sums, &moment);
-            let said = match way {
-                Way::Sequential => judge.add_sample(&moment),
-                _ => plain_word(way, &sums, &before, second),
+        for second in 1..=2 * MAX_STAGE_S {
+            let has_fleet_fault = case == Case::FleetFault && (10..30).contains(&(fleet.second - from));
+            fleet.fault_share = if has_fleet_fault { 0.2 } else { 0.0 };
+            let sample = fleet.next_sample();
+            add(&mut sums, &sample);
+            let verdict = match method_of_analysis {
+                AnalysisMethod::Sequential => analysis.add_sample(&sample),
+                _ => simple_verdict(method_of_analysis, &sums, &before, second),
             };
-            match said {
-                Verdict::Harm(_) => return Ended { stopped: true, seconds: world.second - from },
+            match verdict {
+                Verdict::Harm(_) => return RolloutResult { stopped: true, seconds: fleet.second - from },
                 Verdict::Pass => break,
                 // Who is asked for lack of calls passes it, in this table.
                 Verdict::Inconclusive(_) => break,
@@ -223,44 +233,55 @@
             }
         }
     }
-    Ended { stopped: false, seconds: world.second - from }
+    RolloutResult { stopped: false, seconds: fleet.second - from }
 }
 
 /// So many changes of a case, with nodes that have 1 to 30 calls a second.
-pub fn changes(way: Way, case: Case, nodes: usize, count: u64, seed: u64) -> Vec<Ended> {
-    let one = |n: u64| change(way, case, nodes, 1.0 + (n % 30) as f64, seed ^ (n << 8));
-    let lanes = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
+pub fn changes(
+    method_of_analysis: AnalysisMethod,
+    case: Case,
+    nodes: usize,
+    count: u64,
+    seed: u64,
+) -> Vec<RolloutResult> {
+    let one = |n: u64| change(method_of_analysis, case, nodes, 1.0 + (n % 30) as f64, seed ^ (n << 8));
+    let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     std::thread::scope(|scope| {
-        let lane = |lane: u64| scope.spawn(move || (lane..count).step_by(lanes as usize).map(one).collect());
-        let lanes: Vec<std::thread::ScopedJoinHandle<Vec<Ended>>> = (0..lanes).map(lane).collect();
-        lanes.into_iter().flat_map(|lane| lane.join().unwrap_or_default()).collect()
+        let thread =
+            |thread: u64| scope.spawn(move || (thread..count).step_by(threads as usize).map(one).collect());
+        let threads: Vec<std::thread::ScopedJoinHandle<Vec<RolloutResult>>> =
+            (0..threads).map(thread).collect();
+        threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default()).collect()
     })
 }
 
 /// All ways and cases as a table; the share of stopped changes over time as a plot.
 pub fn table(nodes: usize, count: u64, seed: u64, plot: Option<&Path>) -> Result<(), String> {
-    println!("{:<18}{:<20}{:>10}{:>16}{:>16}", "way", "case", "stopped", "seconds, median", "seconds, 95%");
+    println!(
+        "{:<18}{:<20}{:>10}{:>16}{:>16}",
+        "analysis", "case", "stopped", "seconds, median", "seconds, 95%"
+    );
     let mut curves = Vec::new();
-    for (name, way) in WAYS {
-        for (told, case) in CASES {
-            let ended = changes(way, case, nodes, count, seed);
+    for (name, method_of_analysis) in METHODS_OF_ANALYSIS {
+        for (case_name, case) in CASES {
+            let ended = changes(method_of_analysis, case, nodes, count, seed);
             let mut seconds: Vec<u32> = ended.iter().map(|e| e.seconds).collect();
             seconds.sort_unstable();
             let at = |share: f64| seconds[((seconds.len() - 1) as f64 * share) as usize];
             let stopped = ended.iter().filter(|e| e.stopped).count();
             println!(
-                "{name:<18}{told:<20}{:>10}{:>16}{:>16}",
+                "{name:<18}{case_name:<20}{:>10}{:>16}{:>16}",
                 format!("{stopped} of {count}"),
                 at(0.5),
                 at(0.95)
             );
-            curves.push((format!("{name}, {told}"), ended));
+            curves.push((format!("{name}, {case_name}"), ended));
         }
     }
     plot.map_or(Ok(()), |file| draw(file, &curves).map_err(|err| format!("{}: {err}", file.display())))
 }
 
-fn draw(file: &Path, curves: &[(String, Vec<Ended>)]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(file: &Path, curves: &[(String, Vec<RolloutResult>)]) -> Result<(), Box<dyn std::error::Error>> {
     const SECONDS: u32 = 300;
     let area = SVGBackend::new(file, (900, 420)).into_drawing_area();
     area.fill(&WHITE)?;
--- a/crates/ochrewalk-lab/src/changes.rs
+++ b/crates/ochrewalk-lab/src/changes.rs
@@ -1,13 +1,13 @@
 //! A rolling change of real processes: nodes under supervisors with callers of their own, the real conductor, and what goes wrong
 //! meanwhile. Judged: every call has one answer, none runs twice that may not, and how the change ended.
 
-use crate::book::{Book, End, Entry};
+use crate::call_log::{AnswerKind, CallLog, Entry};
+use crate::control_proxy::{ControlProxy, ProxyMode};
+use crate::dependency::{CallAction, Dependency};
 use crate::executor::{Executor, Work};
 use crate::json::Caller;
-use crate::ledger::{Act, Ledger};
-use crate::load::{json_end, wait_healthy};
+use crate::load::{json_answer, wait_healthy};
 use crate::node::{self, Node};
-use crate::relays::{Fare, Relay};
 use crate::unix_ms;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use rustix::process::Signal;
@@ -32,14 +32,14 @@
 
 /// What goes wrong with the conductor, nodes or the links between them while it goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     None,
     /// The conductor is killed again and again, and begun anew.
-    ConductorKilled,
+    ControllerKilled,
     /// It is killed once half of the nodes are changed, and nobody begins another.
-    ConductorGone,
+    ControllerLost,
     /// Another one, with a record of its own, begins once some are changed.
-    TwoConductors,
+    TwoControllers,
     /// Nodes are stopped for 2 s, one after the other.
     NodesStopped,
     /// All executors take five times as long for 5 s.
@@ -73,14 +73,14 @@
     pub subject: Subject,
     /// What the new program does wrong, by the name that it knows it by.
     pub flaw: String,
-    pub trouble: Trouble,
+    pub fault: Fault,
     /// More lines of the plan, such as stages and times.
-    pub lines: String,
+    pub plan_lines: String,
     /// How long the change may take.
-    pub most: Duration,
+    pub time_limit: Duration,
     /// Where the conductor's log is left.
     pub log: Option<PathBuf>,
-    pub apart: u8,
+    pub instance: u8,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -88,26 +88,26 @@
     pub broken: Vec<String>,
     /// done, back or waiting, and what the conductor said.
     pub end: String,
-    pub said: String,
+    pub output: String,
     /// The most nodes that ran the new program at once, as a share.
     pub changed: f64,
     /// Nodes that run it at the end.
     pub left_changed: usize,
     /// The most orders under way at once.
-    pub most_ordered: usize,
+    pub max_open_commands: usize,
     pub kills: usize,
     pub calls: usize,
     pub served_share: f64,
     pub seconds: f64,
 }
 
-struct Stand {
+struct NodeStand {
     node: Mutex<Node>,
     executor: Executor,
     json_at: SocketAddr,
     /// Where the conductor reaches its supervisor.
     control: PathBuf,
-    relay: Relay,
+    proxy: ControlProxy,
     /// Its operators' file, and the one to change to.
     settings: [PathBuf; 2],
 }
@@ -115,7 +115,8 @@
 /// Plays a change from one program to another.
 pub fn play(old: &Path, new: &Path, plan: &Plan) -> Result<Outcome, String> {
     let io = |err: std::io::Error| err.to_string();
-    let folder = std::env::temp_dir().join(format!("ow-{}-{}-{}", std::process::id(), plan.apart, plan.seed));
+    let folder =
+        std::env::temp_dir().join(format!("ow-{}-{}-{}", std::process::id(), plan.instance, plan.seed));
     std::fs::create_dir_all(&folder).map_err(io)?;
     let outcome = in_folder(old, new, plan, &folder);
     let _ = std::fs::remove_dir_all(&folder);
@@ -138,12 +139,16 @@
     })
 }
 
-fn start(old: &Path, plan: &Plan, folder: &Path, ledger: SocketAddr) -> Result<Vec<Stand>, String> {
+fn start(old: &Path, plan: &Plan, folder: &Path, dependency: SocketAddr) -> Result<Vec<NodeStand>, String> {
     let io = |err: std::io::Error| err.to_string();
     let directory = node::directory().map_err(io)?;
     let calls = plan.subject != Subject::Program;
-    let work =
-        |method: usize| Work { core_us: WORK_US, calls: calls && method == 1, drawn: false, over: DEADLINE };
+    let work = |method: usize| Work {
+        core_us: WORK_US,
+        calls: calls && method == 1,
+        is_exponential: false,
+        max_wait: DEADLINE,
+    };
     let works: HashMap<String, Work> =
         METHODS.iter().enumerate().map(|(at, name)| (name.to_string(), work(at))).collect();
     let mut stands = Vec::new();
@@ -151,14 +156,14 @@
         let executor = Executor::start(4.0, works.clone()).map_err(io)?;
         // An address of its own, whose port no other socket is given by chance.
         let pid = std::process::id();
-        let (run, more) = (64 + (pid % 11) as u8 * 16 + plan.apart % 16, (pid / 11 % 100) as u8 * 2);
+        let (run, more) = (64 + (pid % 11) as u8 * 16 + plan.instance % 16, (pid / 11 % 100) as u8 * 2);
         let json_at = SocketAddr::from(([127, run, more + (at / 200) as u8, (at % 200) as u8 + 1], 7_003));
         let (supervisor, control) = (folder.join(format!("k{at}")), folder.join(format!("n{at}")));
         let mut config = node::config(json_at, executor.at, directory, settings(calls));
         config["limits"]["memory_mb"] = 512.into();
         let mut operators = format!("upgrade control {}\n", supervisor.display());
         if calls {
-            operators += &format!("below ajp {ledger}\nbelow secret good\n");
+            operators += &format!("below ajp {dependency}\nbelow secret good\n");
         }
         let environment = [("OCHREWALK_FLAW", plan.flaw.clone())];
         let node = Node::spawn_with(old, &config, &operators, "error", &environment)?;
@@ -170,8 +175,8 @@
         };
         std::fs::copy(node.operators(), &settings[0]).map_err(io)?;
         std::fs::write(&settings[1], newer).map_err(io)?;
-        let relay = Relay::start(&control, supervisor).map_err(io)?;
-        stands.push(Stand { node: Mutex::new(node), executor, json_at, control, relay, settings });
+        let proxy = ControlProxy::start(&control, supervisor).map_err(io)?;
+        stands.push(NodeStand { node: Mutex::new(node), executor, json_at, control, proxy, settings });
     }
     for stand in &stands {
         lock(&stand.node).wait()?;
@@ -182,46 +187,46 @@
 
 fn in_folder(old: &Path, new: &Path, plan: &Plan, folder: &Path) -> Result<Outcome, String> {
     let any = "127.0.0.27:0".parse().map_err(|_| "an address")?;
-    let ledger = Ledger::start(any, Duration::from_secs(5), |came| match came.secret.as_deref() {
-        Some("good") => Act::good(b"kept"),
-        _ => Act::Answer { status: 403, never_ran: true, body: Vec::new(), after: Duration::ZERO },
+    let dependency = Dependency::start(any, Duration::from_secs(5), |call| match call.secret.as_deref() {
+        Some("good") => CallAction::ok(b"kept"),
+        _ => CallAction::Answer { status: 403, never_ran: true, body: Vec::new(), after: Duration::ZERO },
     });
-    let ledger = ledger.map_err(|err| err.to_string())?;
-    let stands = start(old, plan, folder, ledger.at)?;
+    let dependency = dependency.map_err(|err| err.to_string())?;
+    let stands = start(old, plan, folder, dependency.at)?;
     let file = folder.join("plan");
     write_plan(&file, "record", old, new, plan, &stands)?;
     // Counts of some seconds are needed before a stage can be compared.
-    let over = AtomicBool::new(false);
+    let is_over = AtomicBool::new(false);
     let from = Instant::now();
-    let (mut outcome, books) = std::thread::scope(|scope| {
+    let (mut outcome, call_logs) = std::thread::scope(|scope| {
         let calls: Vec<_> = stands
             .iter()
             .enumerate()
             .map(|(at, stand)| {
-                let over = &over;
-                scope.spawn(move || call(stand, at, plan, over))
+                let is_over = &is_over;
+                scope.spawn(move || call(stand, at, plan, is_over))
             })
             .collect();
-        let watches = scope.spawn(|| watch(&stands, plan, &over));
+        let platform = scope.spawn(|| run_platform(&stands, plan, &is_over));
         std::thread::sleep(ms(1_500));
-        let outcome = conduct(old, new, &file, plan, &stands);
-        over.store(true, Ordering::Relaxed);
-        let _ = watches.join();
+        let outcome = run_controller(old, new, &file, plan, &stands);
+        is_over.store(true, Ordering::Relaxed);
+        let _ = platform.join();
         (outcome, calls.into_iter().map(|calls| calls.join().unwrap_or_default()).collect::<Vec<_>>())
     });
     outcome.seconds = from.elapsed().as_secs_f64();
     let mut served = 0;
-    for (stand, book) in stands.iter().zip(&books) {
-        outcome.broken.extend(book.broken(&stand.executor.counts()));
-        outcome.calls += book.entries.len();
-        served += book.entries.iter().filter(|e| e.answers.first() == Some(&End::Served)).count();
+    for (stand, call_log) in stands.iter().zip(&call_logs) {
+        outcome.broken.extend(call_log.violations(&stand.executor.counts()));
+        outcome.calls += call_log.entries.len();
+        served += call_log.entries.iter().filter(|e| e.answers.first() == Some(&AnswerKind::Served)).count();
     }
     outcome.served_share = served as f64 / outcome.calls.max(1) as f64;
     read_log(&folder.join("record.log"), plan.nodes, &mut outcome);
     if let Some(to) = &plan.log {
         let _ = std::fs::copy(folder.join("record.log"), to);
     }
-    outcome.left_changed = left(old, &file);
+    outcome.left_changed = changed_nodes(old, &file);
     Ok(outcome)
 }
 
@@ -232,14 +237,14 @@
     old: &Path,
     new: &Path,
     plan: &Plan,
-    stands: &[Stand],
+    stands: &[NodeStand],
 ) -> Result<(), String> {
     let folder = file.parent().unwrap_or(Path::new("/"));
     let ends = match plan.subject {
         Subject::Program => format!("old {}\nnew {}\n", old.display(), new.display()),
         _ => format!("old-settings {0}/old-{{node}}\nnew-settings {0}/new-{{node}}\n", folder.display()),
     };
-    let mut text = format!("{ends}record {}\n{}", folder.join(record).display(), plan.lines);
+    let mut text = format!("{ends}record {}\n{}", folder.join(record).display(), plan.plan_lines);
     for (at, stand) in stands.iter().enumerate() {
         text += &format!("node n{at} {} z{}\n", stand.control.display(), at % 2);
     }
@@ -251,13 +256,13 @@
 }
 
 /// Calls to one node by chance until it is over, then waits for what is owed.
-fn call(stand: &Stand, at: usize, plan: &Plan, over: &AtomicBool) -> Book {
+fn call(stand: &NodeStand, at: usize, plan: &Plan, is_over: &AtomicBool) -> CallLog {
     let mut rng = fastrand::Rng::with_seed(plan.seed ^ (at as u64) << 20);
-    let mut book = Book::default();
+    let mut call_log = CallLog::default();
     let mut open: Vec<(usize, Receiver<Value>)> = Vec::new();
     let mut caller: Option<Caller> = None;
     let mut number = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !is_over.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / plan.rate));
         let Some(to) = caller.take().or_else(|| Caller::connect(stand.json_at).ok()) else { continue };
         number += 1;
@@ -270,16 +275,16 @@
             BASE64_STANDARD.encode(&body)
         );
         let answers = to.call(number, METHODS[usize::from(is_sale)], &params);
-        open.push((book.entries.len(), answers));
-        book.entries.push(Entry {
+        open.push((call_log.entries.len(), answers));
+        call_log.entries.push(Entry {
             method: usize::from(is_sale),
             by_ajp: false,
             body,
-            tokened: is_sale,
+            has_token: is_sale,
             answers: Vec::new(),
             result: None,
-            took_us: 0,
-            gone: false,
+            latency_us: 0,
+            is_abandoned: false,
         });
         // A connection that ended leaves its answers' channels without a sender.
         if to.is_open() {
@@ -287,82 +292,88 @@
         }
     }
     let last = Instant::now() + DEADLINE + ms(500);
-    let flawed = !plan.flaw.is_empty();
+    let is_flawed = !plan.flaw.is_empty();
     for (index, answers) in open {
-        let entry = &mut book.entries[index];
+        let entry = &mut call_log.entries[index];
         let first = answers.recv_timeout(last.saturating_duration_since(Instant::now()));
         match first {
             Ok(first) => {
-                let (end, result) = json_end(&first);
+                let (end, result) = json_answer(&first);
                 entry.result = result;
                 entry.answers.push(end);
-                entry.answers.extend(answers.try_iter().map(|answer| json_end(&answer).0));
+                entry.answers.extend(answers.try_iter().map(|answer| json_answer(&answer).0));
             }
             // A program that crashes, or hears nobody, owes its answers in vain; that is the flaw, not the change.
-            Err(_) => entry.gone = flawed,
+            Err(_) => entry.is_abandoned = is_flawed,
         }
     }
-    book
+    call_log
 }
 
 /// What the platform does with nodes that end, and the trouble.
-fn watch(stands: &[Stand], plan: &Plan, over: &AtomicBool) {
+fn run_platform(stands: &[NodeStand], plan: &Plan, is_over: &AtomicBool) {
     let from = Instant::now();
     let mut stopped: Option<(usize, Instant)> = None;
     let mut next = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !is_over.load(Ordering::Relaxed) {
         std::thread::sleep(ms(50));
         for stand in stands {
             let mut node = lock(&stand.node);
             if !node.is_running() {
                 stand.executor.restart();
-                let _ = node.again();
+                let _ = node.restart();
             }
         }
-        match plan.trouble {
-            Trouble::NodesStopped if from.elapsed() > ms(2_500) => match stopped {
+        match plan.fault {
+            Fault::NodesStopped if from.elapsed() > ms(2_500) => match stopped {
                 None => {
-                    tell(&stands[next % stands.len()], Signal::STOP);
+                    signal_all(&stands[next % stands.len()], Signal::STOP);
                     stopped = Some((next % stands.len(), Instant::now()));
                     next += 1;
                 }
                 Some((at, since)) if since.elapsed() > ms(2_000) => {
-                    tell(&stands[at], Signal::CONT);
+                    signal_all(&stands[at], Signal::CONT);
                     stopped = None;
                 }
                 Some(_) => {}
             },
-            Trouble::LinksSilent => {
+            Fault::LinksSilent => {
                 let is_silent = (ms(5_000)..ms(11_000)).contains(&from.elapsed());
-                let fare = if is_silent { Fare::Silent } else { Fare::Passes };
-                stands.iter().step_by(3).for_each(|stand| stand.relay.set(fare));
+                let mode = if is_silent { ProxyMode::Silent } else { ProxyMode::Forward };
+                stands.iter().step_by(3).for_each(|stand| stand.proxy.set(mode));
             }
-            Trouble::LinksBreak => {
+            Fault::LinksBreak => {
                 // One link at a time, another every half second.
                 let turn = from.elapsed().as_millis() as usize / 500;
                 for (at, stand) in stands.iter().enumerate() {
                     let is_now = turn % stands.len() == at && turn < 4 * stands.len();
-                    let fare = if turn.is_multiple_of(2) { Fare::Breaks } else { Fare::Mute };
-                    stand.relay.set(if is_now { fare } else { Fare::Passes });
+                    let mode = if turn.is_multiple_of(2) {
+                        ProxyMode::CloseBeforeReply
+                    } else {
+                        ProxyMode::DropReplies
+                    };
+                    stand.proxy.set(if is_now { mode } else { ProxyMode::Forward });
                 }
             }
-            Trouble::AllSlow => {
+            Fault::AllSlow => {
                 let is_slow = (ms(4_000)..ms(9_000)).contains(&from.elapsed());
-                let slower = if is_slow { 100.0 } else { 1.0 };
-                stands.iter().for_each(|s| s.executor.set(crate::executor::Mood { slower, fails: false }));
+                let slowdown = if is_slow { 100.0 } else { 1.0 };
+                stands.iter().for_each(|s| {
+                    s.executor.set(crate::executor::ExecutorBehavior { slowdown, fails_all: false })
+                });
             }
             _ => {}
         }
     }
     if let Some((at, _)) = stopped {
-        tell(&stands[at], Signal::CONT);
+        signal_all(&stands[at], Signal::CONT);
     }
 }
 
 /// A node's program, and its supervisor.
-fn tell(stand: &Stand, signal: Signal) {
+fn signal_all(stand: &NodeStand, signal: Signal) {
     let node = lock(&stand.node);
-    node.tell(signal);
+    node.signal(signal);
     for pid in node.children() {
         if let Some(pid) = rustix::process::Pid::from_raw(pid as i32) {
             let _ = rustix::process::kill_process(pid, signal);
@@ -371,56 +382,56 @@
 }
 
 /// A conductor as a process.
-fn begin(program: &Path, file: &Path) -> Option<Child> {
+fn start_controller(program: &Path, file: &Path) -> Option<Child> {
     let mut command = Command::new(program);
     command.arg("rollout").arg("run").arg(file);
     command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().ok()
 }
 
 /// What it said at its end, and how that is called.
-fn ended(child: Child) -> Option<(String, &'static str)> {
-    let output = child.wait_with_output().ok()?;
-    let said = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).trim_end().to_string();
-    let end = match output.status.code() {
+fn wait_for_controller(child: Child) -> Option<(String, &'static str)> {
+    let exited = child.wait_with_output().ok()?;
+    let output = String::from_utf8_lossy(&[exited.stdout, exited.stderr].concat()).trim_end().to_string();
+    let end = match exited.status.code() {
         Some(0) => "done",
         Some(3) => "waiting",
         Some(4) => "back",
         _ => "failed",
     };
-    Some((said, end))
+    Some((output, end))
 }
 
 /// The conductor, killed and begun anew, or joined by another, where that is the trouble.
-fn conduct(program: &Path, new: &Path, file: &Path, plan: &Plan, stands: &[Stand]) -> Outcome {
+fn run_controller(program: &Path, new: &Path, file: &Path, plan: &Plan, stands: &[NodeStand]) -> Outcome {
     let mut outcome = Outcome { end: "no end in time".into(), ..Outcome::default() };
     let mut rng = fastrand::Rng::with_seed(plan.seed ^ 77);
-    let last = Instant::now() + plan.most;
-    let some_changed = |least: usize| {
-        while Instant::now() < last && left(program, file) < least {
+    let last = Instant::now() + plan.time_limit;
+    let wait_until_changed = |least: usize| {
+        while Instant::now() < last && changed_nodes(program, file) < least {
             std::thread::sleep(ms(200));
         }
     };
     while Instant::now() < last {
-        let Some(mut child) = begin(program, file) else { break };
+        let Some(mut child) = start_controller(program, file) else { break };
         let mut second = None;
-        let until = match plan.trouble {
-            Trouble::ConductorKilled if outcome.kills < 12 => {
+        let until = match plan.fault {
+            Fault::ControllerKilled if outcome.kills < 12 => {
                 (Instant::now() + ms(rng.u64(100..2_500))).min(last)
             }
-            Trouble::ConductorGone => {
-                some_changed(plan.nodes / 2);
+            Fault::ControllerLost => {
+                wait_until_changed(plan.nodes / 2);
                 Instant::now()
             }
-            Trouble::TwoConductors => {
-                some_changed(1);
+            Fault::TwoControllers => {
+                wait_until_changed(1);
                 let other = file.with_extension("two");
                 // Its plan goes by the same two programs.
                 if write_plan(&other, "record2", program, new, plan, stands).is_ok() {
-                    second = begin(program, &other);
+                    second = start_controller(program, &other);
                 }
                 last
             }
-            Trouble::OldReplaced => {
+            Fault::OldReplaced => {
                 // By the record, which forgets nothing: harmful settings are back before a slow look comes round.
                 let has_changed = || {
                     let mut so_far = Outcome::default();
@@ -444,9 +455,9 @@
             let _ = child.kill();
             let _ = child.wait();
             outcome.kills += 1;
-            if plan.trouble == Trouble::ConductorGone {
+            if plan.fault == Fault::ControllerLost {
                 // What is on trial goes back by itself.
-                while Instant::now() < last && left(program, file) > 0 {
+                while Instant::now() < last && changed_nodes(program, file) > 0 {
                     std::thread::sleep(ms(100));
                 }
                 outcome.end = "gone".into();
@@ -454,16 +465,16 @@
             }
             continue;
         }
-        let Some((said, end)) = ended(child) else { break };
+        let Some((output, end)) = wait_for_controller(child) else { break };
         if end == "failed" && !file.with_file_name("record").exists() {
             // Nothing was begun, as not all nodes could be heard: an operator asks again.
             std::thread::sleep(ms(200));
             continue;
         }
-        (outcome.said, outcome.end) = (said, end.into());
-        if let Some((said, end)) = second.and_then(ended) {
+        (outcome.output, outcome.end) = (output, end.into());
+        if let Some((output, end)) = second.and_then(wait_for_controller) {
             // The first was replaced: how the change ended is the other one's to say.
-            outcome.said += &format!("; the second: {said}");
+            outcome.output += &format!("; the second: {output}");
             outcome.end = end.into();
         }
         break;
@@ -472,7 +483,7 @@
 }
 
 /// Nodes that run the new program, by the conductor's own look at them.
-fn left(program: &Path, file: &Path) -> usize {
+fn changed_nodes(program: &Path, file: &Path) -> usize {
     let output = Command::new(program).arg("rollout").arg("status").arg(file).output();
     let text = output.map(|output| String::from_utf8_lossy(&output.stdout).into_owned()).unwrap_or_default();
     text.lines().filter(|line| line.split_whitespace().nth(2) == Some("new")).count()
@@ -481,30 +492,30 @@
 /// The most that were changed, and ordered, at once.
 fn read_log(file: &Path, nodes: usize, outcome: &mut Outcome) {
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    let mut open: BTreeMap<String, ()> = BTreeMap::new();
+    let mut open_commands: BTreeMap<String, ()> = BTreeMap::new();
     for line in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
         let what = &line["what"];
         if let Some(node) = what["order"].as_str() {
-            open.insert(node.into(), ());
-            outcome.most_ordered = outcome.most_ordered.max(open.len());
+            open_commands.insert(node.into(), ());
+            outcome.max_open_commands = outcome.max_open_commands.max(open_commands.len());
         }
         if let Some(node) = what["answer"].as_str() {
-            open.remove(node);
+            open_commands.remove(node);
         }
         // The orders of one that was killed are answered to nobody.
         if what["begun"].is_u64() {
-            open.clear();
+            open_commands.clear();
         }
         outcome.changed = outcome.changed.max(what["nodes"][1].as_f64().unwrap_or(0.0) / nodes as f64);
     }
 }
 
 /// A copy of a program that holds something else, and does the same.
-pub fn another(program: &Path, to: &Path) -> Result<(), String> {
-    let fault = |err: std::io::Error| format!("{}: {err}", to.display());
+pub fn copy_with_other_contents(program: &Path, to: &Path) -> Result<(), String> {
+    let context = |err: std::io::Error| format!("{}: {err}", to.display());
     // One made before may still run: it keeps its file, and this is another.
     let _ = std::fs::remove_file(to);
-    std::fs::copy(program, to).map_err(fault)?;
-    let mut file = std::fs::OpenOptions::new().append(true).open(to).map_err(fault)?;
-    std::io::Write::write_all(&mut file, b"another").map_err(fault)
+    std::fs::copy(program, to).map_err(context)?;
+    let mut file = std::fs::OpenOptions::new().append(true).open(to).map_err(context)?;
+    std::io::Write::write_all(&mut file, b"another").map_err(context)
 }
--- a/crates/ochrewalk-lab/src/cold_endpoints.rs
+++ b/crates/ochrewalk-lab/src/cold_endpoints.rs
@@ -1,14 +1,14 @@
 //! Fleets in virtual time with endpoints that are cold from one moment on, and what their ramp allows all nodes together
 //! to send them. Serves the tests of the ramp and the table of the example `cold_endpoints`.
 
-use crate::emulated::{Fault, Fleet, Relist, Seen, Trouble, SECOND};
+use crate::emulated::{EndpointListUpdate, Fault, FaultKind, Fleet, RunResult, SECOND};
 use ochrewalk_load_balancer::{BalancingConfig, EndpointHealth};
 
 const ENDPOINTS: usize = 12;
 const COLD_ENDPOINTS: usize = 2;
 const WARM_ENDPOINTS: usize = ENDPOINTS - COLD_ENDPOINTS;
 /// Runs before anything happens, so that nodes know what calls usually take.
-const QUIET_US: u64 = 5 * SECOND;
+const WARM_UP_US: u64 = 5 * SECOND;
 /// Mean work of a call at one call a second of a node; less at higher rates, so that queues stay short.
 const WORK_US: f64 = 20_000.0;
 /// Calls of each node to an endpoint in an outage that all of them notice.
@@ -52,15 +52,15 @@
             ColdStart::Returns { outage_us } => outage_us,
             ColdStart::ReturnsNoticed => time_of_calls_us(rate, CALLS_TO_NOTICE),
         };
-        let cold_from_us = QUIET_US + outage_us;
+        let cold_from_us = WARM_UP_US + outage_us;
         if let ColdStart::Joins { within_us } = start {
             fleet.listed = (0..WARM_ENDPOINTS).collect();
-            let places = (0..ENDPOINTS).collect();
-            fleet.relists.push(Relist { at_us: QUIET_US, takes_us: within_us, places });
+            let endpoints = (0..ENDPOINTS).collect();
+            fleet.list_updates.push(EndpointListUpdate { at_us: WARM_UP_US, takes_us: within_us, endpoints });
         } else {
-            let (from_us, until_us) = (QUIET_US, cold_from_us);
-            let places = (WARM_ENDPOINTS, ENDPOINTS);
-            fleet.faults.push(Fault { places, from_us, until_us, trouble: Trouble::Dead });
+            let (from_us, until_us) = (WARM_UP_US, cold_from_us);
+            let endpoints = (WARM_ENDPOINTS, ENDPOINTS);
+            fleet.faults.push(Fault { endpoints, from_us, until_us, kind: FaultKind::Dead });
         }
         fleet.seconds = (cold_from_us + after_us).div_ceil(SECOND);
         ColdScene { fleet, cold_from_us }
@@ -71,14 +71,14 @@
     }
 
     /// The calls that arrived at a cold endpoint within that time from its first cold moment on.
-    pub fn arrived(&self, seen: &Seen, endpoint: usize, window_us: u64) -> usize {
-        seen.arrived_between(endpoint, self.cold_from_us, self.cold_from_us + window_us)
+    pub fn arrived(&self, result: &RunResult, endpoint: usize, window_us: u64) -> usize {
+        result.arrived_between(endpoint, self.cold_from_us, self.cold_from_us + window_us)
     }
 
     /// The calls that the ramp allows one cold endpoint within that time: at each moment what a warm endpoint takes,
     /// times the warmth of one that has just joined.
     pub fn budget(&self, window_us: u64) -> f64 {
-        let health = EndpointHealth::added(self.fleet.plan.ejection, 0);
+        let health = EndpointHealth::added(self.fleet.config.ejection, 0);
         let calls_a_step = self.fleet.rate * self.fleet.nodes as f64 * STEP_US as f64 / SECOND as f64;
         let allowed = |at_us: u64| {
             let warmth = health.slow_start_factor(at_us);
--- a/crates/ochrewalk-lab/src/ledger.rs
+++ b/crates/ochrewalk-lab/src/dependency.rs
@@ -11,14 +11,14 @@
 
 /// A call as it came.
 #[derive(Clone, Debug)]
-pub struct Came {
+pub struct ReceivedCall {
     /// How many came before it, on any connection.
     pub number: u64,
     /// The connection, counted from 0, and how many calls came on it before.
     pub connection: u64,
     pub before: u64,
     /// A ping was answered just before it.
-    pub proven: bool,
+    pub was_pinged: bool,
     pub id: String,
     pub secret: Option<String>,
     pub body: Vec<u8>,
@@ -26,35 +26,35 @@
 
 /// What is done with a call.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum CallAction {
     /// This status and body, after so long.
     Answer { status: u16, never_ran: bool, body: Vec<u8>, after: Duration },
     /// It runs, and then only so many bytes of its answer are written before the connection closes.
-    Cut(usize),
+    Truncate(usize),
     /// It runs, and half of its answer is written; nothing more comes.
-    Half,
+    HalfAnswer,
     /// It runs, and its answer comes twice.
-    Twice,
+    AnswerTwice,
     /// Its answer states a length that never comes.
-    Short,
+    ShortBody,
     /// It never runs: the connection closes as soon as its first bytes are read.
     Drop,
     /// It runs, and nothing ever comes.
-    Silence,
+    NoAnswer,
     /// It runs and is answered; the connection takes no other.
-    Last,
+    AnswerAndClose,
 }
 
-impl Act {
-    pub fn good(body: &[u8]) -> Act {
-        Act::Answer { status: 200, never_ran: false, body: body.to_vec(), after: Duration::ZERO }
+impl CallAction {
+    pub fn ok(body: &[u8]) -> CallAction {
+        CallAction::Answer { status: 200, never_ran: false, body: body.to_vec(), after: Duration::ZERO }
     }
 }
 
-type Script = dyn Fn(&Came) -> Act + Send + Sync;
+type Script = dyn Fn(&ReceivedCall) -> CallAction + Send + Sync;
 
 /// A ledger that listens until it is dropped.
-pub struct Ledger {
+pub struct Dependency {
     pub at: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -62,22 +62,22 @@
 struct Shared {
     script: Box<Script>,
     /// Calls that ran, by the order in which they came.
-    ran: Mutex<Vec<Came>>,
+    ran: Mutex<Vec<ReceivedCall>>,
     next: AtomicU64,
     connections: AtomicU64,
     pings: AtomicU64,
-    over: AtomicBool,
+    is_stopped: AtomicBool,
     /// Kept connections are closed once they carried nothing for so long.
     idle: Duration,
 }
 
-impl Ledger {
+impl Dependency {
     /// Listens at the address; port 0 for any. Kept connections are closed after `idle`.
     pub fn start(
         at: SocketAddr,
         idle: Duration,
-        script: impl Fn(&Came) -> Act + Send + Sync + 'static,
-    ) -> std::io::Result<Ledger> {
+        script: impl Fn(&ReceivedCall) -> CallAction + Send + Sync + 'static,
+    ) -> std::io::Result<Dependency> {
         let listener = TcpListener::bind(at)?;
         let at = listener.local_addr()?;
         let shared = Arc::new(Shared {
@@ -86,25 +86,25 @@
             next: AtomicU64::new(0),
             connections: AtomicU64::new(0),
             pings: AtomicU64::new(0),
-            over: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
             idle,
         });
-        let of = shared.clone();
+        let server = shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                if of.over.load(Ordering::Relaxed) {
+                if server.is_stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                let (Ok(stream), of) = (stream, of.clone()) else { continue };
-                let number = of.connections.fetch_add(1, Ordering::Relaxed);
-                std::thread::spawn(move || of.serve(stream, number));
+                let (Ok(stream), server) = (stream, server.clone()) else { continue };
+                let number = server.connections.fetch_add(1, Ordering::Relaxed);
+                std::thread::spawn(move || server.serve(stream, number));
             }
         });
-        Ok(Ledger { at, shared })
+        Ok(Dependency { at, shared })
     }
 
     /// The calls that ran, in order.
-    pub fn ran(&self) -> Vec<Came> {
+    pub fn ran(&self) -> Vec<ReceivedCall> {
         self.shared.ran.lock().expect("no panic under it").clone()
     }
 
@@ -117,9 +117,9 @@
     }
 }
 
-impl Drop for Ledger {
+impl Drop for Dependency {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Relaxed);
+        self.shared.is_stopped.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect_timeout(&self.at, Duration::from_millis(100));
     }
 }
@@ -128,18 +128,18 @@
     fn serve(&self, mut stream: TcpStream, connection: u64) {
         let _ = stream.set_nodelay(true);
         let _ = stream.set_read_timeout(Some(self.idle));
-        let (mut input, mut before, mut proven) = (Vec::new(), 0, false);
+        let (mut input, mut before, mut was_pinged) = (Vec::new(), 0, false);
         loop {
             match request::read(&input, USUAL_PACKET) {
                 Err(_) => return,
                 Ok(None) => {
-                    if !more(&mut stream, &mut input) {
+                    if !read_more(&mut stream, &mut input) {
                         return;
                     }
                 }
                 Ok(Some((request::Message::CPing, taken))) => {
                     input.drain(..taken);
-                    proven = true;
+                    was_pinged = true;
                     self.pings.fetch_add(1, Ordering::Relaxed);
                     if stream.write_all(&message(&Message::CPong)).is_err() {
                         return;
@@ -147,19 +147,19 @@
                 }
                 Ok(Some((request::Message::Request(request), taken))) => {
                     let text = |bytes: Option<&[u8]>| bytes.map(|b| String::from_utf8_lossy(b).into_owned());
-                    let came = Came {
+                    let call = ReceivedCall {
                         number: self.next.fetch_add(1, Ordering::Relaxed),
                         connection,
                         before,
-                        proven,
+                        was_pinged,
                         id: text(request.header("x-request-id")).unwrap_or_default(),
                         secret: text(request.attribute(request::Which::Secret)),
                         body: Vec::new(),
                     };
                     let length = request.body_length();
                     input.drain(..taken);
-                    (before, proven) = (before + 1, false);
-                    if !self.call(&mut stream, &mut input, came, length) {
+                    (before, was_pinged) = (before + 1, false);
+                    if !self.call(&mut stream, &mut input, call, length) {
                         return;
                     }
                 }
@@ -173,81 +173,83 @@
         &self,
         stream: &mut TcpStream,
         input: &mut Vec<u8>,
-        mut came: Came,
+        mut call: ReceivedCall,
         length: Option<BodyLength>,
     ) -> bool {
-        let act = (self.script)(&came);
-        if let Act::Drop = act {
+        let action = (self.script)(&call);
+        if let CallAction::Drop = action {
             return false;
         }
-        let Some(BodyLength::Stated(length)) = length else { return self.run(stream, came, act) };
+        let Some(BodyLength::Stated(length)) = length else { return self.run(stream, call, action) };
         let mut first = true;
-        while (came.body.len() as u64) < length {
+        while (call.body.len() as u64) < length {
             if !std::mem::take(&mut first) && stream.write_all(&message(&Message::GetBody(8_000))).is_err() {
                 return false;
             }
-            let whole = loop {
+            let complete = loop {
                 match request::read_piece(input, USUAL_PACKET) {
                     Ok(Some((piece, taken))) => {
-                        came.body.extend_from_slice(piece);
+                        call.body.extend_from_slice(piece);
                         break Some(taken);
                     }
                     Ok(None) => {}
                     Err(_) => break None,
                 }
-                if !more(stream, input) {
+                if !read_more(stream, input) {
                     break None;
                 }
             };
-            let Some(taken) = whole else { return false };
+            let Some(taken) = complete else { return false };
             input.drain(..taken);
         }
-        self.run(stream, came, act)
+        self.run(stream, call, action)
     }
 
-    fn run(&self, stream: &mut TcpStream, came: Came, act: Act) -> bool {
+    fn run(&self, stream: &mut TcpStream, call: ReceivedCall, action: CallAction) -> bool {
         // A stated refusal is no run.
-        let ran = !matches!(act, Act::Answer { never_ran: true, .. });
-        let echo = came.body.clone();
+        let ran = !matches!(action, CallAction::Answer { never_ran: true, .. });
+        let echo = call.body.clone();
         if ran {
-            self.ran.lock().expect("no panic under it").push(came);
+            self.ran.lock().expect("no panic under it").push(call);
         }
-        let good = |stated: Option<usize>, reuse| answer(200, false, &echo, stated, reuse);
-        match act {
-            Act::Answer { status, never_ran, body, after } => {
+        let ok_answer = |stated: Option<usize>, reuse| encode_answer(200, false, &echo, stated, reuse);
+        match action {
+            CallAction::Answer { status, never_ran, body, after } => {
                 std::thread::sleep(after);
-                stream.write_all(&answer(status, never_ran, &body, None, true)).is_ok()
+                stream.write_all(&encode_answer(status, never_ran, &body, None, true)).is_ok()
             }
-            Act::Cut(bytes) => {
-                let whole = good(None, true);
-                let _ = stream.write_all(&whole[..bytes.min(whole.len() - 1)]);
+            CallAction::Truncate(bytes) => {
+                let answer = ok_answer(None, true);
+                let _ = stream.write_all(&answer[..bytes.min(answer.len() - 1)]);
                 false
             }
-            Act::Half => {
-                let whole = good(None, true);
-                let _ = stream.write_all(&whole[..whole.len() / 2]);
-                more(stream, &mut Vec::new());
+            CallAction::HalfAnswer => {
+                let answer = ok_answer(None, true);
+                let _ = stream.write_all(&answer[..answer.len() / 2]);
+                read_more(stream, &mut Vec::new());
                 false
             }
-            Act::Twice => stream.write_all(&[good(None, true), good(None, true)].concat()).is_ok(),
-            Act::Short => {
-                let whole = good(Some(echo.len() + 1_000), true);
+            CallAction::AnswerTwice => {
+                stream.write_all(&[ok_answer(None, true), ok_answer(None, true)].concat()).is_ok()
+            }
+            CallAction::ShortBody => {
+                let answer = ok_answer(Some(echo.len() + 1_000), true);
                 // All but its end.
-                let _ = stream.write_all(&whole[..whole.len() - 6]);
-                more(stream, &mut Vec::new());
+                let _ = stream.write_all(&answer[..answer.len() - 6]);
+                read_more(stream, &mut Vec::new());
                 false
             }
-            Act::Drop => false,
-            Act::Silence => more(stream, &mut Vec::new()),
-            Act::Last => {
-                let _ = stream.write_all(&good(None, false));
+            CallAction::Drop => false,
+            CallAction::NoAnswer => read_more(stream, &mut Vec::new()),
+            CallAction::AnswerAndClose => {
+                let _ = stream.write_all(&ok_answer(None, false));
                 false
             }
         }
     }
 }
 
-fn more(stream: &mut TcpStream, input: &mut Vec<u8>) -> bool {
+fn read_more(stream: &mut TcpStream, input: &mut Vec<u8>) -> bool {
     let mut chunk = [0; 4096];
     match stream.read(&mut chunk) {
         Ok(got) if got > 0 => {
@@ -264,7 +266,7 @@
     out
 }
 
-fn answer(status: u16, never_ran: bool, body: &[u8], stated: Option<usize>, reuse: bool) -> Vec<u8> {
+fn encode_answer(status: u16, never_ran: bool, body: &[u8], stated: Option<usize>, reuse: bool) -> Vec<u8> {
     let length = stated.unwrap_or(body.len()).to_string();
     let mut headers: Vec<(&[u8], &[u8])> = vec![(b"content-length", length.as_bytes())];
     if never_ran {
--- a/crates/ochrewalk-lab/src/emulated.rs
+++ b/crates/ochrewalk-lab/src/emulated.rs
@@ -12,13 +12,13 @@
 pub const WINDOW_US: u64 = 10 * SECOND;
 const BURST_US: u64 = 100_000;
 /// One way between a node and a place.
-const WIRE_US: u64 = 250;
+const ONE_WAY_US: u64 = 250;
 /// What it takes to learn that nothing listens there.
 const REFUSED_US: u64 = 200;
 
 /// What befalls places, or what lies between.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Calls there are refused at the connection, and what was under way breaks.
     Dead,
     /// It does nothing until it is over, then goes on.
@@ -34,25 +34,25 @@
 /// A trouble of some places from one moment to another.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    pub places: (usize, usize),
+    pub endpoints: (usize, usize),
     pub from_us: u64,
     pub until_us: u64,
-    pub trouble: Trouble,
+    pub kind: FaultKind,
 }
 
 /// A new list, which each node reads at a moment of its own in the time that it takes.
 #[derive(Clone, Debug)]
-pub struct Relist {
+pub struct EndpointListUpdate {
     pub at_us: u64,
     pub takes_us: u64,
-    pub places: Vec<usize>,
+    pub endpoints: Vec<usize>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub nodes: usize,
     /// All places there ever are.
-    pub places: usize,
+    pub endpoints: usize,
     /// Those on the first list.
     pub listed: Vec<usize>,
     /// Calls a second of each node; the first has `first_rate`.
@@ -60,7 +60,7 @@
     pub first_rate: f64,
     pub work_us: f64,
     /// One call in ten takes so many times as much.
-    pub long: f64,
+    pub long_factor: f64,
     /// Cores by place, in turn.
     pub cores: Vec<usize>,
     /// Shares are weighted by cores.
@@ -68,36 +68,36 @@
     pub deadline_us: u64,
     pub seconds: u64,
     pub seed: u64,
-    pub plan: BalancingConfig,
+    pub config: BalancingConfig,
     /// Every so often all nodes learn of every place's queue at once, free of cost, and take the shorter of two that they
     /// draw from their reach: more than any talk among them could bring. 0 for never.
-    pub told_us: u64,
+    pub queue_broadcast_us: u64,
     pub faults: Vec<Fault>,
-    pub relists: Vec<Relist>,
+    pub list_updates: Vec<EndpointListUpdate>,
     /// Nodes that are started anew, with all forgotten, and when.
     pub restarts: Vec<(u64, usize, usize)>,
 }
 
 impl Fleet {
     /// Nodes and places alike, without faults.
-    pub fn plain(nodes: usize, places: usize, plan: BalancingConfig, seed: u64) -> Fleet {
+    pub fn plain(nodes: usize, endpoints: usize, config: BalancingConfig, seed: u64) -> Fleet {
         Fleet {
             nodes,
-            places,
-            listed: (0..places).collect(),
+            endpoints,
+            listed: (0..endpoints).collect(),
             rate: 3.0,
             first_rate: 3.0,
             work_us: 100_000.0,
-            long: 1.0,
+            long_factor: 1.0,
             cores: vec![1],
             weighted: false,
             deadline_us: 20 * SECOND,
             seconds: 60,
             seed,
-            plan,
-            told_us: 0,
+            config,
+            queue_broadcast_us: 0,
             faults: Vec::new(),
-            relists: Vec::new(),
+            list_updates: Vec::new(),
             restarts: Vec::new(),
         }
     }
@@ -105,7 +105,7 @@
 
 /// What came of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct RunResult {
     pub calls: usize,
     pub served: usize,
     /// Calls that arrived at each place, by window.
@@ -116,16 +116,16 @@
     pub burst: u32,
     pub longest_queue: usize,
     /// How long each served call took, with when it began.
-    pub took: Vec<(u64, u64)>,
+    pub latencies: Vec<(u64, u64)>,
     /// Calls that ended otherwise, by when they began.
-    pub lost: Vec<u64>,
+    pub failed: Vec<u64>,
     /// Cores by place, in turn.
     pub cores: Vec<usize>,
 }
 
-impl Seen {
+impl RunResult {
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
-        let mut took: Vec<u64> = self.took.iter().map(|(_, took_us)| *took_us).collect();
+        let mut took: Vec<u64> = self.latencies.iter().map(|(_, took_us)| *took_us).collect();
         took.sort_unstable();
         let at = ((took.len() as f64 * quantile) as usize).min(took.len().saturating_sub(1));
         took.get(at).map_or(0.0, |us| *us as f64 / 1_000.0)
@@ -138,9 +138,9 @@
     /// The share served of calls that began from one moment to another.
     pub fn served_between(&self, from_us: u64, until_us: u64) -> f64 {
         let within = |at: u64| (from_us..until_us).contains(&at);
-        let served = self.took.iter().filter(|(at, _)| within(*at)).count();
-        let lost = self.lost.iter().filter(|at| within(**at)).count();
-        served as f64 / (served + lost).max(1) as f64
+        let served = self.latencies.iter().filter(|(at, _)| within(*at)).count();
+        let failed = self.failed.iter().filter(|at| within(**at)).count();
+        served as f64 / (served + failed).max(1) as f64
     }
 
     /// How many calls arrived at an endpoint from one moment to another.
@@ -151,11 +151,11 @@
     }
 
     /// Calls for each core of these places in each whole window from there on; the worst window of each figure.
-    pub fn evenness(&self, places: &[usize], from_window: usize) -> Evenness {
+    pub fn evenness(&self, endpoints: &[usize], from_window: usize) -> Evenness {
         let mut worst = Evenness::default();
         for window in self.windows.iter().skip(from_window) {
             let core = |at: usize| self.cores[at % self.cores.len()] as f64;
-            let counts: Vec<f64> = places.iter().map(|at| f64::from(window[*at]) / core(*at)).collect();
+            let counts: Vec<f64> = endpoints.iter().map(|at| f64::from(window[*at]) / core(*at)).collect();
             worst.take(&Evenness::of(&counts));
         }
         worst
@@ -199,21 +199,21 @@
     },
     /// The work of a core of a place is done, unless its epoch has changed.
     Done {
-        place: usize,
+        endpoint: usize,
         epoch: u32,
     },
     Answered {
         call: usize,
-        news: u8,
+        outcome: u8,
     },
-    TimeIsOver {
+    DeadlineExpired {
         call: usize,
     },
     Fault {
         at: usize,
         begins: bool,
     },
-    List {
+    UpdateList {
         node: usize,
         at: usize,
     },
@@ -230,21 +230,21 @@
     /// Of which start of the node it is.
     start: u32,
     slot: usize,
-    place: usize,
+    endpoint: usize,
     from_us: u64,
     work_us: f64,
-    over: bool,
+    is_over: bool,
     tries: u32,
 }
 
 #[derive(Default)]
-struct Place {
+struct EndpointState {
     cores: usize,
     queue: VecDeque<usize>,
     /// Calls being worked on, and when each is done.
     works: Vec<(usize, u64)>,
     epoch: u32,
-    trouble: Option<Trouble>,
+    fault: Option<FaultKind>,
     burst_from_us: u64,
     burst: u32,
 }
@@ -254,57 +254,57 @@
     now_us: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     number: u64,
-    spreads: Vec<LoadBalancer>,
+    balancers: Vec<LoadBalancer>,
     starts: Vec<u32>,
     /// Which place each slot of each node is.
     slots: Vec<Vec<usize>>,
-    places: Vec<Place>,
+    endpoints: Vec<EndpointState>,
     calls: Vec<Call>,
     /// Queues as nodes were told of them last, and when.
-    told: Vec<usize>,
-    told_at_us: u64,
+    known_queues: Vec<usize>,
+    queues_known_at_us: u64,
     rng: fastrand::Rng,
-    seen: Seen,
+    result: RunResult,
 }
 
 /// Plays a fleet.
-pub fn play(fleet: &Fleet) -> Seen {
-    let places =
-        (0..fleet.places).map(|at| Place { cores: fleet.cores[at % fleet.cores.len()], ..Place::default() });
+pub fn play(fleet: &Fleet) -> RunResult {
+    let endpoints = (0..fleet.endpoints)
+        .map(|at| EndpointState { cores: fleet.cores[at % fleet.cores.len()], ..EndpointState::default() });
     let windows = (fleet.seconds * SECOND / WINDOW_US).max(1) as usize;
     let mut run = Run {
         fleet,
         now_us: 0,
         events: BinaryHeap::new(),
         number: 0,
-        spreads: Vec::new(),
+        balancers: Vec::new(),
         starts: vec![0; fleet.nodes],
         slots: vec![Vec::new(); fleet.nodes],
-        places: places.collect(),
+        endpoints: endpoints.collect(),
         calls: Vec::new(),
-        told: vec![0; fleet.places],
-        told_at_us: 0,
+        known_queues: vec![0; fleet.endpoints],
+        queues_known_at_us: 0,
         rng: fastrand::Rng::with_seed(fleet.seed),
-        seen: Seen {
+        result: RunResult {
             cores: fleet.cores.clone(),
-            windows: vec![vec![0; fleet.places]; windows],
-            arrivals: vec![Vec::new(); fleet.places],
-            ..Seen::default()
+            windows: vec![vec![0; fleet.endpoints]; windows],
+            arrivals: vec![Vec::new(); fleet.endpoints],
+            ..RunResult::default()
         },
     };
     for node in 0..fleet.nodes {
-        run.spreads.push(run.spread(node));
-        run.list(node, &fleet.listed);
+        run.balancers.push(run.balancer(node));
+        run.update_list(node, &fleet.listed);
         run.next_call(node);
     }
     for (at, fault) in fleet.faults.iter().enumerate() {
         run.at(fault.from_us, Event::Fault { at, begins: true });
         run.at(fault.until_us, Event::Fault { at, begins: false });
     }
-    for (at, relist) in fleet.relists.iter().enumerate() {
+    for (at, update) in fleet.list_updates.iter().enumerate() {
         for node in 0..fleet.nodes {
-            let when_us = relist.at_us + run.rng.u64(0..=relist.takes_us);
-            run.at(when_us, Event::List { node, at });
+            let when_us = update.at_us + run.rng.u64(0..=update.takes_us);
+            run.at(when_us, Event::UpdateList { node, at });
         }
     }
     for at in 0..fleet.restarts.len() {
@@ -312,9 +312,9 @@
     }
     while let Some(Reverse((now_us, _, event))) = run.events.pop() {
         run.now_us = now_us;
-        run.happens(event);
+        run.handle(event);
     }
-    run.seen
+    run.result
 }
 
 impl Run<'_> {
@@ -323,29 +323,29 @@
         self.events.push(Reverse((when_us, self.number, event)));
     }
 
-    fn spread(&self, node: usize) -> LoadBalancer {
-        let mut plan = self.fleet.plan;
-        if let Subsetting::Deterministic { node: number, node_count: of, .. } = &mut plan.subsetting {
+    fn balancer(&self, node: usize) -> LoadBalancer {
+        let mut config = self.fleet.config;
+        if let Subsetting::Deterministic { node: number, node_count: of, .. } = &mut config.subsetting {
             (*number, *of) = (node, self.fleet.nodes);
         }
         let seed = self.fleet.seed ^ (node as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        LoadBalancer::new(plan, seed ^ u64::from(self.starts[node]) << 32)
+        LoadBalancer::new(config, seed ^ u64::from(self.starts[node]) << 32)
     }
 
-    fn list(&mut self, node: usize, places: &[usize]) {
-        let listed: Vec<Endpoint> = places
+    fn update_list(&mut self, node: usize, endpoints: &[usize]) {
+        let listed: Vec<Endpoint> = endpoints
             .iter()
-            .map(|place| {
-                let weight = if self.fleet.weighted { self.places[*place].cores as f64 } else { 1.0 };
-                Endpoint { key: *place as u64, weight, is_local_zone: true }
+            .map(|endpoint| {
+                let weight = if self.fleet.weighted { self.endpoints[*endpoint].cores as f64 } else { 1.0 };
+                Endpoint { key: *endpoint as u64, weight, is_local_zone: true }
             })
             .collect();
-        let slots = self.spreads[node].set_endpoints(self.now_us, &listed);
-        for (slot, place) in slots.into_iter().zip(places) {
+        let slots = self.balancers[node].set_endpoints(self.now_us, &listed);
+        for (slot, endpoint) in slots.into_iter().zip(endpoints) {
             if self.slots[node].len() <= slot {
                 self.slots[node].resize(slot + 1, 0);
             }
-            self.slots[node][slot] = *place;
+            self.slots[node][slot] = *endpoint;
         }
     }
 
@@ -358,81 +358,83 @@
         }
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Call { node } => {
                 self.next_call(node);
-                self.seen.calls += 1;
+                self.result.calls += 1;
                 let work_us = -(1.0 - self.rng.f64()).ln() * self.fleet.work_us;
-                let work_us = if self.rng.u8(0..10) == 0 { work_us * self.fleet.long } else { work_us };
+                let work_us =
+                    if self.rng.u8(0..10) == 0 { work_us * self.fleet.long_factor } else { work_us };
                 self.calls.push(Call {
                     node,
                     start: self.starts[node],
                     slot: 0,
-                    place: 0,
+                    endpoint: 0,
                     from_us: self.now_us,
                     work_us,
-                    over: false,
+                    is_over: false,
                     tries: 0,
                 });
                 let call = self.calls.len() - 1;
-                self.at(self.now_us + self.fleet.deadline_us, Event::TimeIsOver { call });
-                self.place(call, None);
+                self.at(self.now_us + self.fleet.deadline_us, Event::DeadlineExpired { call });
+                self.dispatch(call, None);
             }
             Event::Arrives { call } => self.arrives(call),
-            Event::Done { place, epoch } if epoch == self.places[place].epoch => self.done(place),
+            Event::Done { endpoint, epoch } if epoch == self.endpoints[endpoint].epoch => self.done(endpoint),
             Event::Done { .. } => {}
-            Event::Answered { call, news } => self.answered(call, ANSWERS[usize::from(news)]),
-            Event::TimeIsOver { call } => {
-                if !self.calls[call].over {
-                    self.tell(call, CallOutcome::TimedOut);
-                    self.lose(call);
+            Event::Answered { call, outcome } => self.answered(call, ANSWERS[usize::from(outcome)]),
+            Event::DeadlineExpired { call } => {
+                if !self.calls[call].is_over {
+                    self.record(call, CallOutcome::TimedOut);
+                    self.fail(call);
                 }
             }
-            Event::Fault { at, begins } => self.fault(at, begins),
-            Event::List { node, at } => {
+            Event::Fault { at, begins } => self.set_fault(at, begins),
+            Event::UpdateList { node, at } => {
                 let fleet = self.fleet;
-                self.list(node, &fleet.relists[at].places);
+                self.update_list(node, &fleet.list_updates[at].endpoints);
             }
             Event::Restart { at } => {
                 let (_, from, to) = self.fleet.restarts[at];
                 for node in from..to {
                     self.starts[node] += 1;
-                    self.spreads[node] = self.spread(node);
+                    self.balancers[node] = self.balancer(node);
                     let fleet = self.fleet;
-                    let newest = fleet.relists.iter().rfind(|relist| relist.at_us <= self.now_us);
-                    self.list(node, newest.map_or(&fleet.listed, |relist| &relist.places));
+                    let newest = fleet.list_updates.iter().rfind(|update| update.at_us <= self.now_us);
+                    self.update_list(node, newest.map_or(&fleet.listed, |update| &update.endpoints));
                 }
             }
         }
     }
 
-    fn place(&mut self, call: usize, avoid: Option<usize>) {
+    fn dispatch(&mut self, call: usize, avoid: Option<usize>) {
         let of = &self.calls[call];
         let (node, now_us) = (of.node, self.now_us);
         if of.start != self.starts[node] {
-            return self.lose(call);
+            return self.fail(call);
         }
-        let Some(mut slot) = self.spreads[node].pick(now_us, Idempotency::Idempotent, avoid) else {
-            return self.lose(call);
+        let Some(mut slot) = self.balancers[node].pick(now_us, Idempotency::Idempotent, avoid) else {
+            return self.fail(call);
         };
-        if self.fleet.told_us > 0 {
-            slot = self.shorter(node, slot);
+        if self.fleet.queue_broadcast_us > 0 {
+            slot = self.shorter_queue(node, slot);
         }
-        self.spreads[node].call_started(now_us, slot, call as u64);
-        let place = self.slots[node][slot];
-        (self.calls[call].slot, self.calls[call].place) = (slot, place);
-        self.at(now_us + WIRE_US, Event::Arrives { call });
+        self.balancers[node].call_started(now_us, slot, call as u64);
+        let endpoint = self.slots[node][slot];
+        (self.calls[call].slot, self.calls[call].endpoint) = (slot, endpoint);
+        self.at(now_us + ONE_WAY_US, Event::Arrives { call });
     }
 
-    fn shorter(&mut self, node: usize, slot: usize) -> usize {
-        if self.now_us >= self.told_at_us + self.fleet.told_us {
-            self.told = self.places.iter().map(|place| place.queue.len() + place.works.len()).collect();
-            self.told_at_us = self.now_us;
+    fn shorter_queue(&mut self, node: usize, slot: usize) -> usize {
+        if self.now_us >= self.queues_known_at_us + self.fleet.queue_broadcast_us {
+            self.known_queues =
+                self.endpoints.iter().map(|endpoint| endpoint.queue.len() + endpoint.works.len()).collect();
+            self.queues_known_at_us = self.now_us;
         }
-        let reach = &self.spreads[node].state().subset;
-        let other = reach[self.rng.usize(0..reach.len())];
-        let queue = |slot: usize| self.told[self.slots[node][slot]];
+        let subset = &self.balancers[node].state().subset;
+        let other = subset[self.rng.usize(0..subset.len())];
+        let queue = |slot: usize| self.known_queues[self.slots[node][slot]];
         if queue(other) < queue(slot) {
             other
         } else {
@@ -441,128 +443,128 @@
     }
 
     fn arrives(&mut self, call: usize) {
-        let (place, node) = (self.calls[call].place, self.calls[call].node);
-        match self.places[place].trouble {
-            Some(Trouble::Dead) => return self.answer(call, REFUSED_US, CallOutcome::ConnectFailed),
-            Some(Trouble::FailsAtOnce) => return self.answer(call, 1_000, CallOutcome::Failed),
-            Some(Trouble::Silent(share)) if (node as f64) < share * self.fleet.nodes as f64 => return,
+        let (endpoint, node) = (self.calls[call].endpoint, self.calls[call].node);
+        match self.endpoints[endpoint].fault {
+            Some(FaultKind::Dead) => return self.answer(call, REFUSED_US, CallOutcome::ConnectFailed),
+            Some(FaultKind::FailsAtOnce) => return self.answer(call, 1_000, CallOutcome::Failed),
+            Some(FaultKind::Silent(share)) if (node as f64) < share * self.fleet.nodes as f64 => return,
             _ => {}
         }
         let window = (self.now_us / WINDOW_US) as usize;
-        if let Some(counts) = self.seen.windows.get_mut(window) {
-            counts[place] += 1;
+        if let Some(counts) = self.result.windows.get_mut(window) {
+            counts[endpoint] += 1;
         }
-        self.seen.arrivals[place].push(self.now_us);
-        let at = &mut self.places[place];
+        self.result.arrivals[endpoint].push(self.now_us);
+        let at = &mut self.endpoints[endpoint];
         if self.now_us >= at.burst_from_us + BURST_US {
             (at.burst_from_us, at.burst) = (self.now_us, 0);
         }
         at.burst += 1;
-        self.seen.burst = self.seen.burst.max(at.burst);
+        self.result.burst = self.result.burst.max(at.burst);
         at.queue.push_back(call);
-        self.seen.longest_queue = self.seen.longest_queue.max(at.queue.len());
-        self.work(place);
+        self.result.longest_queue = self.result.longest_queue.max(at.queue.len());
+        self.start_work(endpoint);
     }
 
     /// Free cores take what waits.
-    fn work(&mut self, place: usize) {
-        let factor = match self.places[place].trouble {
-            Some(Trouble::Stopped | Trouble::Dead) => return,
-            Some(Trouble::Slower(factor)) => factor,
+    fn start_work(&mut self, endpoint: usize) {
+        let factor = match self.endpoints[endpoint].fault {
+            Some(FaultKind::Stopped | FaultKind::Dead) => return,
+            Some(FaultKind::Slower(factor)) => factor,
             _ => 1.0,
         };
-        while self.places[place].works.len() < self.places[place].cores {
-            let Some(call) = self.places[place].queue.pop_front() else { return };
+        while self.endpoints[endpoint].works.len() < self.endpoints[endpoint].cores {
+            let Some(call) = self.endpoints[endpoint].queue.pop_front() else { return };
             let until_us = self.now_us + (self.calls[call].work_us * factor) as u64;
-            self.places[place].works.push((call, until_us));
-            let epoch = self.places[place].epoch;
-            self.at(until_us, Event::Done { place, epoch });
+            self.endpoints[endpoint].works.push((call, until_us));
+            let epoch = self.endpoints[endpoint].epoch;
+            self.at(until_us, Event::Done { endpoint, epoch });
         }
     }
 
-    fn done(&mut self, place: usize) {
+    fn done(&mut self, endpoint: usize) {
         let now_us = self.now_us;
-        let works = std::mem::take(&mut self.places[place].works);
+        let works = std::mem::take(&mut self.endpoints[endpoint].works);
         let (over, left): (Vec<_>, Vec<_>) = works.into_iter().partition(|(_, until_us)| *until_us <= now_us);
-        self.places[place].works = left;
+        self.endpoints[endpoint].works = left;
         for (call, _) in over {
             self.answer(call, 0, CallOutcome::Succeeded);
         }
-        self.work(place);
+        self.start_work(endpoint);
     }
 
-    fn answer(&mut self, call: usize, after_us: u64, news: CallOutcome) {
-        let news = ANSWERS.iter().position(|known| *known == news).expect("an answer") as u8;
-        self.at(self.now_us + WIRE_US + after_us, Event::Answered { call, news });
+    fn answer(&mut self, call: usize, after_us: u64, outcome: CallOutcome) {
+        let outcome = ANSWERS.iter().position(|known| *known == outcome).expect("an answer") as u8;
+        self.at(self.now_us + ONE_WAY_US + after_us, Event::Answered { call, outcome });
     }
 
-    fn tell(&mut self, call: usize, news: CallOutcome) {
+    fn record(&mut self, call: usize, outcome: CallOutcome) {
         let of = &self.calls[call];
         if of.start == self.starts[of.node] {
-            self.spreads[of.node].call_ended(self.now_us, of.slot, call as u64, news);
+            self.balancers[of.node].call_ended(self.now_us, of.slot, call as u64, outcome);
         }
     }
 
-    fn answered(&mut self, call: usize, news: CallOutcome) {
-        if self.calls[call].over {
+    fn answered(&mut self, call: usize, outcome: CallOutcome) {
+        if self.calls[call].is_over {
             return;
         }
-        self.tell(call, news);
-        match news {
+        self.record(call, outcome);
+        match outcome {
             CallOutcome::Succeeded => {
-                self.calls[call].over = true;
-                self.seen.served += 1;
+                self.calls[call].is_over = true;
+                self.result.served += 1;
                 let from_us = self.calls[call].from_us;
-                self.seen.took.push((from_us, self.now_us - from_us));
+                self.result.latencies.push((from_us, self.now_us - from_us));
             }
             // It never ran: it goes elsewhere, as `ochrewalk-connection-pool` has it.
             CallOutcome::ConnectFailed if self.calls[call].tries < 3 => {
                 self.calls[call].tries += 1;
                 let slot = self.calls[call].slot;
-                self.place(call, Some(slot));
+                self.dispatch(call, Some(slot));
             }
-            _ => self.lose(call),
+            _ => self.fail(call),
         }
     }
 
-    fn lose(&mut self, call: usize) {
-        self.calls[call].over = true;
-        self.seen.lost.push(self.calls[call].from_us);
+    fn fail(&mut self, call: usize) {
+        self.calls[call].is_over = true;
+        self.result.failed.push(self.calls[call].from_us);
     }
 
-    fn fault(&mut self, at: usize, begins: bool) {
+    fn set_fault(&mut self, at: usize, begins: bool) {
         let fault = self.fleet.faults[at];
-        for place in fault.places.0..fault.places.1 {
+        for endpoint in fault.endpoints.0..fault.endpoints.1 {
             let now_us = self.now_us;
-            self.places[place].trouble = begins.then_some(fault.trouble);
-            self.places[place].epoch += 1;
-            match fault.trouble {
-                Trouble::Dead if begins => {
-                    let of = &mut self.places[place];
+            self.endpoints[endpoint].fault = begins.then_some(fault.kind);
+            self.endpoints[endpoint].epoch += 1;
+            match fault.kind {
+                FaultKind::Dead if begins => {
+                    let of = &mut self.endpoints[endpoint];
                     let mut broken: Vec<usize> = of.queue.drain(..).collect();
                     broken.extend(of.works.drain(..).map(|(call, _)| call));
                     broken.into_iter().for_each(|call| self.answer(call, 0, CallOutcome::ConnectionBroken));
                 }
                 // What was being worked on stands still, and goes on after.
-                Trouble::Stopped => {
-                    let epoch = self.places[place].epoch;
-                    let stood_us = if begins { 0 } else { now_us - fault.from_us };
+                FaultKind::Stopped => {
+                    let epoch = self.endpoints[endpoint].epoch;
+                    let paused_us = if begins { 0 } else { now_us - fault.from_us };
                     let mut until = Vec::new();
-                    for (_, until_us) in &mut self.places[place].works {
-                        *until_us += stood_us;
+                    for (_, until_us) in &mut self.endpoints[endpoint].works {
+                        *until_us += paused_us;
                         until.push(*until_us);
                     }
                     if !begins {
-                        until.into_iter().for_each(|us| self.at(us, Event::Done { place, epoch }));
+                        until.into_iter().for_each(|us| self.at(us, Event::Done { endpoint, epoch }));
                     }
                 }
                 _ => {
-                    let epoch = self.places[place].epoch;
-                    let until: Vec<u64> = self.places[place].works.iter().map(|(_, us)| *us).collect();
-                    until.into_iter().for_each(|us| self.at(us, Event::Done { place, epoch }));
+                    let epoch = self.endpoints[endpoint].epoch;
+                    let until: Vec<u64> = self.endpoints[endpoint].works.iter().map(|(_, us)| *us).collect();
+                    until.into_iter().for_each(|us| self.at(us, Event::Done { endpoint, epoch }));
                 }
             }
-            self.work(place);
+            self.start_work(endpoint);
         }
     }
 }
--- a/crates/ochrewalk-lab/src/executor.rs
+++ b/crates/ochrewalk-lab/src/executor.rs
@@ -16,25 +16,25 @@
     pub core_us: u64,
     pub calls: bool,
     /// The time is drawn for each body by itself, exponentially, with `core_us` as its mean.
-    pub drawn: bool,
+    pub is_exponential: bool,
     /// A run that still waits for its call so long after its start is ended, as nobody waits for it any more.
-    pub over: Duration,
+    pub max_wait: Duration,
 }
 
 /// How it fares, beside what its methods take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Mood {
+pub struct ExecutorBehavior {
     /// Work takes so many times as long.
-    pub slower: f64,
+    pub slowdown: f64,
     /// Each run fails at once.
-    pub fails: bool,
+    pub fails_all: bool,
 }
 
 pub struct Executor {
     pub at: SocketAddr,
     counts: Arc<Mutex<BTreeMap<Vec<u8>, u32>>>,
     residence: Option<ResidenceTimes>,
-    tell: Sender<Heard>,
+    sender: Sender<Message>,
 }
 
 /// How long each run was here, from the read of its start to the write of its end, until it is asked for.
@@ -45,8 +45,8 @@
     body: Vec<u8>,
     left_us: f64,
     /// It was at its call, or needs none.
-    called: bool,
-    waits: bool,
+    has_called: bool,
+    is_waiting: bool,
     started: Instant,
 }
 
@@ -57,19 +57,19 @@
     ended: HashSet<String>,
     pos: u64,
     notices: Vec<String>,
-    link: Option<TcpStream>,
+    connection: Option<TcpStream>,
     busy: f64,
     counts: Arc<Mutex<BTreeMap<Vec<u8>, u32>>>,
     residence: Option<ResidenceTimes>,
-    mood: Mood,
-    cold: bool,
+    behavior: ExecutorBehavior,
+    is_cold: bool,
 }
 
-enum Heard {
-    Link(TcpStream),
+enum Message {
+    Connection(TcpStream),
     /// And when it was read.
     Line(Value, Instant),
-    Mood(Mood),
+    SetBehavior(ExecutorBehavior),
     /// It ended with its node, and begins anew.
     Restart,
 }
@@ -92,13 +92,13 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let counts: Arc<Mutex<BTreeMap<Vec<u8>, u32>>> = Arc::default();
-        let (say, heard) = channel();
-        let tell = say.clone();
+        let (sender, messages) = channel();
+        let executor_sender = sender.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let say = say.clone();
+                let sender = sender.clone();
                 let _ = stream.set_nodelay(true);
-                std::thread::spawn(move || hear(&stream, &say));
+                std::thread::spawn(move || read_messages(&stream, &sender));
             }
         });
         let state = State {
@@ -108,24 +108,24 @@
             ended: HashSet::new(),
             pos: 0,
             notices: Vec::new(),
-            link: None,
+            connection: None,
             busy: 0.0,
             counts: counts.clone(),
             residence: residence.clone(),
-            mood: Mood { slower: 1.0, fails: false },
-            cold: false,
+            behavior: ExecutorBehavior { slowdown: 1.0, fails_all: false },
+            is_cold: false,
         };
-        std::thread::spawn(move || state.go(&heard));
-        Ok(Executor { at, counts, residence, tell })
+        std::thread::spawn(move || state.run(&messages));
+        Ok(Executor { at, counts, residence, sender: executor_sender })
     }
 
-    pub fn set(&self, mood: Mood) {
-        let _ = self.tell.send(Heard::Mood(mood));
+    pub fn set(&self, behavior: ExecutorBehavior) {
+        let _ = self.sender.send(Message::SetBehavior(behavior));
     }
 
     /// Its node was killed, and it with it.
     pub fn restart(&self) {
-        let _ = self.tell.send(Heard::Restart);
+        let _ = self.sender.send(Message::Restart);
     }
 
     /// How long a run was here that has ended, once; none where that is not remembered.
@@ -139,22 +139,22 @@
     }
 }
 
-fn hear(stream: &TcpStream, say: &Sender<Heard>) {
+fn read_messages(stream: &TcpStream, sender: &Sender<Message>) {
     let Ok(clone) = stream.try_clone() else { return };
-    if say.send(Heard::Link(clone)).is_err() {
+    if sender.send(Message::Connection(clone)).is_err() {
         return;
     }
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         let read_at = Instant::now();
         let Ok(value) = serde_json::from_str(&line) else { return };
-        if say.send(Heard::Line(value, read_at)).is_err() {
+        if sender.send(Message::Line(value, read_at)).is_err() {
             return;
         }
     }
 }
 
 /// A factor for that body, exponential with a mean of 1, the same each time.
-fn drawn(body: &[u8]) -> f64 {
+fn exponential_factor(body: &[u8]) -> f64 {
     let seed =
         body.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3));
     -(1.0 - fastrand::Rng::with_seed(seed).f64()).ln()
@@ -166,29 +166,30 @@
 }
 
 impl State {
-    fn go(mut self, heard: &Receiver<Heard>) {
+    fn run(mut self, messages: &Receiver<Message>) {
         let mut before = Instant::now();
         loop {
-            let active = self.runs.values().filter(|r| !r.waits).count();
-            let rate =
-                if active == 0 { 1.0 } else { (self.cores / active as f64).min(1.0) } / self.mood.slower;
-            let next = self.runs.values().filter(|r| !r.waits).map(Run::until_us).fold(f64::MAX, f64::min);
+            let active = self.runs.values().filter(|r| !r.is_waiting).count();
+            let rate = if active == 0 { 1.0 } else { (self.cores / active as f64).min(1.0) }
+                / self.behavior.slowdown;
+            let next =
+                self.runs.values().filter(|r| !r.is_waiting).map(Run::until_us).fold(f64::MAX, f64::min);
             let wait = Duration::from_micros((next / rate).clamp(50.0, 50_000.0) as u64);
-            let came = heard.recv_timeout(wait);
+            let message = messages.recv_timeout(wait);
             let passed_us = before.elapsed().as_micros() as f64;
             before = Instant::now();
             self.busy +=
                 ((active as f64 / self.cores).min(1.0) - self.busy) * (passed_us / 500_000.0).min(1.0);
-            for run in self.runs.values_mut().filter(|r| !r.waits) {
+            for run in self.runs.values_mut().filter(|r| !r.is_waiting) {
                 run.left_us -= passed_us * rate;
             }
             self.settle();
-            match came {
-                Ok(Heard::Link(link)) => self.link = Some(link),
-                Ok(Heard::Line(line, read_at)) => self.command(&line, read_at),
-                Ok(Heard::Mood(mood)) => self.mood = mood,
-                Ok(Heard::Restart) => {
-                    (self.link, self.pos, self.cold) = (None, 0, true);
+            match message {
+                Ok(Message::Connection(connection)) => self.connection = Some(connection),
+                Ok(Message::Line(line, read_at)) => self.command(&line, read_at),
+                Ok(Message::SetBehavior(behavior)) => self.behavior = behavior,
+                Ok(Message::Restart) => {
+                    (self.connection, self.pos, self.is_cold) = (None, 0, true);
                     self.runs.clear();
                     self.ended.clear();
                     self.notices.clear();
@@ -204,22 +205,22 @@
         let due: Vec<String> = self
             .runs
             .iter()
-            .filter(|(_, r)| !r.waits && r.until_us() <= 0.0)
+            .filter(|(_, r)| !r.is_waiting && r.until_us() <= 0.0)
             .map(|(id, _)| id.clone())
             .collect();
-        let over = |r: &Run| r.waits && r.started.elapsed() >= r.lane.over;
-        let forgotten: Vec<String> =
-            self.runs.iter().filter(|(_, r)| over(r)).map(|(id, _)| id.clone()).collect();
-        for uid in forgotten {
+        let is_expired = |r: &Run| r.is_waiting && r.started.elapsed() >= r.lane.max_wait;
+        let expired: Vec<String> =
+            self.runs.iter().filter(|(_, r)| is_expired(r)).map(|(id, _)| id.clone()).collect();
+        for uid in expired {
             self.ended(&uid, json!({"code": "cancelled", "wall_ms": 1}));
         }
         for uid in due {
             let run = self.runs.get_mut(&uid).expect("just seen");
-            if run.called {
+            if run.has_called {
                 let content = BASE64_STANDARD.encode(result_of(&run.body));
                 self.ended(&uid, json!({"code": "complete", "wall_ms": 1, "content": content}));
             } else {
-                (run.called, run.waits) = (true, true);
+                (run.has_called, run.is_waiting) = (true, true);
                 let content = BASE64_STANDARD.encode(&run.body);
                 self.notice(json!({"action": "CALLOUT", "uid": uid, "content": content}));
             }
@@ -240,13 +241,13 @@
         self.pos += 1;
         what["pos"] = self.pos.into();
         let line = format!("{what}\n");
-        self.say(&line);
+        self.send(&line);
         self.notices.push(line);
     }
 
-    fn say(&mut self, line: &str) {
-        if let Some(link) = &mut self.link {
-            let _ = link.write_all(line.as_bytes());
+    fn send(&mut self, line: &str) {
+        if let Some(connection) = &mut self.connection {
+            let _ = connection.write_all(line.as_bytes());
         }
     }
 
@@ -255,23 +256,24 @@
         let uid = text("uid");
         match line["action"].as_str().unwrap_or_default() {
             "JOIN" => {
-                let code = if self.cold { "chilly" } else { "hot" };
-                self.say(&format!("{{\"action\":\"WELCOME\",\"code\":\"{code}\",\"wall_ms\":5000}}\n"));
+                let code = if self.is_cold { "chilly" } else { "hot" };
+                self.send(&format!("{{\"action\":\"WELCOME\",\"code\":\"{code}\",\"wall_ms\":5000}}\n"));
                 let from = line["pos"].as_u64().unwrap_or(0) as usize;
                 let missed = self.notices[from.min(self.notices.len())..].concat();
-                self.say(&missed);
+                self.send(&missed);
             }
             "EXEC" if !self.runs.contains_key(&uid) && !self.ended.contains(&uid) => {
                 let body = BASE64_STANDARD.decode(text("content")).unwrap_or_default();
                 *self.counts.lock().expect("no panic under it").entry(body.clone()).or_default() += 1;
                 let lane = self.works[&text("lane")];
-                let left_us = lane.core_us as f64 * if lane.drawn { drawn(&body) } else { 1.0 };
-                if self.mood.fails {
+                let left_us =
+                    lane.core_us as f64 * if lane.is_exponential { exponential_factor(&body) } else { 1.0 };
+                if self.behavior.fails_all {
                     return self.ended(&uid, json!({"code": "error", "wall_ms": 1}));
                 }
                 self.runs.insert(
                     uid,
-                    Run { lane, body, left_us, called: !lane.calls, waits: false, started: read_at },
+                    Run { lane, body, left_us, has_called: !lane.calls, is_waiting: false, started: read_at },
                 );
             }
             "KILL" if self.runs.contains_key(&uid) => {
@@ -279,13 +281,13 @@
             }
             "RETURN" | "BYPASS" => {
                 if let Some(run) = self.runs.get_mut(&uid) {
-                    run.waits = false;
+                    run.is_waiting = false;
                 }
             }
             "METER" => {
-                let runnable = self.runs.values().filter(|r| !r.waits).count();
+                let runnable = self.runs.values().filter(|r| !r.is_waiting).count();
                 let row = json!({"action": "METERS", "echo": line["echo"], "meters": [self.busy, runnable]});
-                self.say(&format!("{row}\n"));
+                self.send(&format!("{row}\n"));
             }
             _ => {}
         }
@@ -295,7 +297,7 @@
 impl Run {
     /// Core time to its call, or to its end.
     fn until_us(&self) -> f64 {
-        let half = if self.called { 0.0 } else { self.lane.core_us as f64 / 2.0 };
+        let half = if self.has_called { 0.0 } else { self.lane.core_us as f64 / 2.0 };
         self.left_us - half
     }
 }
--- a/crates/ochrewalk-lab/src/fleet.rs
+++ b/crates/ochrewalk-lab/src/fleet.rs
@@ -1,14 +1,14 @@
 //! Many real processes in two tiers: nodes in front take calls from stand-in callers, and call places behind, which are nodes
 //! too. Links and faults between them go by a script; what happened is checked by the rules across both tiers.
 
-use crate::book::{Book, End, Entry};
+use crate::call_log::{AnswerKind, CallLog, Entry};
 use crate::emulated::Evenness;
 use crate::executor::{Executor, Work};
-use crate::faults::{self, Deed, Scene, Tier};
-use crate::load::{json_end, wait_healthy, GRACE};
+use crate::faults::{self, FaultAction, Scene, Tier};
+use crate::faulty_links::{FaultyLinks, ForwardedCall, REQUEST_ID_PREFIX};
+use crate::load::{json_answer, wait_healthy, GRACE};
 use crate::node::{self, Node};
 use crate::unix_ms;
-use crate::wires::{Passed, Wires, MARK};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub nodes: usize,
-    pub places: usize,
+    pub endpoints: usize,
     /// Calls a second of each node.
     pub rate: f64,
     /// Mean work of a call at a place of one core.
@@ -50,9 +50,9 @@
     /// Calls are counted by place in windows of this length.
     pub window: Duration,
     /// Fleets of one process that run side by side need different ones, from 0 to 15.
-    pub apart: u8,
+    pub instance: u8,
     /// Lines of the operators' file that say how calls are spread; N stands for the node's number, OF for their count.
-    pub spread: String,
+    pub balancing: String,
     pub fault: String,
     pub log: &'static str,
     pub progress: bool,
@@ -78,7 +78,7 @@
 }
 
 struct Sheet {
-    book: Book,
+    call_log: CallLog,
     /// When each entry's call began.
     began: Vec<Instant>,
 }
@@ -94,11 +94,11 @@
 struct Fleet<'a> {
     plan: &'a Plan,
     nodes: Vec<Node>,
-    places: Vec<Node>,
+    endpoints: Vec<Node>,
     fronts: Vec<Front>,
     executors: Vec<Executor>,
-    place_executors: Vec<Executor>,
-    wires: Wires,
+    endpoint_executors: Vec<Executor>,
+    links: FaultyLinks,
     sheet: Arc<Mutex<Sheet>>,
     is_down: Vec<bool>,
 }
@@ -108,11 +108,11 @@
         // Programs that run side by side stay apart by the process's number.
         let second = 210 + (std::process::id() % 40) as u8;
         let [high, low] = ((number + 1 + usize::from(of) * 1_024) as u16).to_be_bytes();
-        SocketAddr::from((Ipv4Addr::new(127, second, high | self.apart << 4, low), port))
+        SocketAddr::from((Ipv4Addr::new(127, second, high | self.instance << 4, low), port))
     }
 
-    fn wire_address(&self, place: usize) -> SocketAddr {
-        self.address(2, place, 8010)
+    fn link_address(&self, endpoint: usize) -> SocketAddr {
+        self.address(2, endpoint, 8010)
     }
 }
 
@@ -139,20 +139,20 @@
     })
 }
 
-fn operators(plan: &Plan, node: usize, places: Range<usize>) -> String {
+fn operators(plan: &Plan, node: usize, endpoints: Range<usize>) -> String {
     let mut text = String::from("below uri /call\nbelow connections 200\n");
-    places.for_each(|place| text += &format!("below ajp {}\n", plan.wire_address(place)));
-    text + &plan.spread.replace("OF", &plan.nodes.to_string()).replace('N', &node.to_string())
+    endpoints.for_each(|endpoint| text += &format!("below ajp {}\n", plan.link_address(endpoint)));
+    text + &plan.balancing.replace("OF", &plan.nodes.to_string()).replace('N', &node.to_string())
 }
 
 /// Plays a plan with processes of their own.
 pub fn play(program: &Path, plan: &Plan) -> Result<Outcome, String> {
-    let (all_places, last_list) = faults::stage(&plan.fault, plan.places);
+    let (all_endpoints, last_list) = faults::endpoint_counts(&plan.fault, plan.endpoints);
     let from = Duration::from_secs(plan.seconds / 3);
     let until = (from + Duration::from_secs(10)).min(Duration::from_secs(plan.seconds * 2 / 3));
-    let scene = Scene { nodes: plan.nodes, places: plan.places, from, until };
+    let scene = Scene { nodes: plan.nodes, endpoints: plan.endpoints, from, until };
     let steps = faults::steps(&plan.fault, &scene, plan.seed).ok_or("no fault is known by that name")?;
-    let mut fleet = Fleet::start(program, plan, all_places)?;
+    let mut fleet = Fleet::start(program, plan, all_endpoints)?;
     let began = Instant::now();
     fleet.go(began, steps)?;
     let over = began.elapsed();
@@ -161,21 +161,26 @@
 }
 
 impl<'a> Fleet<'a> {
-    fn start(program: &Path, plan: &'a Plan, all_places: usize) -> Result<Fleet<'a>, String> {
+    fn start(program: &Path, plan: &'a Plan, all_endpoints: usize) -> Result<Fleet<'a>, String> {
         let io = |err: std::io::Error| err.to_string();
         let directory = node::directory().map_err(io)?;
-        let work = |core_us, calls, drawn| Work { core_us, calls, drawn, over: DEADLINE + ms(1_000) };
+        let work = |core_us, calls, drawn| Work {
+            core_us,
+            calls,
+            is_exponential: drawn,
+            max_wait: DEADLINE + ms(1_000),
+        };
         let front_works: HashMap<_, _> =
             ["look", "sale"].map(|name| (name.to_string(), work(FRONT_US, true, false))).into();
-        let place_works: HashMap<_, _> = [("keep".to_string(), work(plan.work_us, false, true))].into();
+        let endpoint_works: HashMap<_, _> = [("keep".to_string(), work(plan.work_us, false, true))].into();
         let many = |count, cores, works: &HashMap<_, _>| {
             (0..count).map(|_| Executor::start(cores, works.clone())).collect::<Result<Vec<_>, _>>()
         };
         let executors = many(plan.nodes, 4.0, &front_works).map_err(io)?;
-        let place_executors = many(all_places, 1.0, &place_works).map_err(io)?;
-        let wires: Vec<_> =
-            (0..all_places).map(|at| (plan.wire_address(at), plan.address(3, at, 8009))).collect();
-        let wires = Wires::start(&wires).map_err(io)?;
+        let endpoint_executors = many(all_endpoints, 1.0, &endpoint_works).map_err(io)?;
+        let links: Vec<_> =
+            (0..all_endpoints).map(|at| (plan.link_address(at), plan.address(3, at, 8009))).collect();
+        let links = FaultyLinks::start(&links).map_err(io)?;
         let config = |name: String, listen, executor, settings, seed: u64| {
             let mut config = node::config(listen, executor, directory, settings);
             (config["name"], config["seed"]) = (name.into(), format!("{seed:x}").into());
@@ -183,8 +188,8 @@
             config
         };
         let seed = |of: u64, at: usize| plan.seed.wrapping_mul(0x9e37_79b9) ^ of << 32 ^ at as u64;
-        let mut places = Vec::new();
-        for (at, executor) in place_executors.iter().enumerate() {
+        let mut endpoints = Vec::new();
+        for (at, executor) in endpoint_executors.iter().enumerate() {
             let config = config(
                 format!("p{at}"),
                 plan.address(1, at, 7001),
@@ -197,7 +202,7 @@
                  ajp route POST /call keep\n",
                 plan.address(3, at, 8009)
             );
-            places.push(Node::spawn(program, &config, &operators, plan.log)?);
+            endpoints.push(Node::spawn(program, &config, &operators, plan.log)?);
         }
         let mut nodes = Vec::new();
         for (at, executor) in executors.iter().enumerate() {
@@ -208,27 +213,27 @@
                 settings(true, 4),
                 seed(2, at),
             );
-            let operators = operators(plan, at, 0..plan.places);
+            let operators = operators(plan, at, 0..plan.endpoints);
             nodes.push(Node::spawn(program, &config, &operators, plan.log)?);
         }
-        for (of, count) in [(1, all_places), (0, plan.nodes)] {
-            let tier = if of == 1 { &mut places } else { &mut nodes };
+        for (of, count) in [(1, all_endpoints), (0, plan.nodes)] {
+            let tier = if of == 1 { &mut endpoints } else { &mut nodes };
             for (at, node) in tier.iter_mut().enumerate().take(count) {
                 node.wait()?;
                 wait_healthy(plan.address(of, at, 7001))?;
             }
         }
         let front = |at| Front { at: plan.address(0, at, 7001), stream: None, open: Arc::default() };
-        let sheet = Sheet { book: Book::default(), began: Vec::new() };
+        let sheet = Sheet { call_log: CallLog::default(), began: Vec::new() };
         Ok(Fleet {
             plan,
             fronts: (0..plan.nodes).map(front).collect(),
             is_down: vec![false; plan.nodes],
             nodes,
-            places,
+            endpoints,
             executors,
-            place_executors,
-            wires,
+            endpoint_executors,
+            links,
             sheet: Arc::new(Mutex::new(sheet)),
         })
     }
@@ -248,8 +253,8 @@
             if at > over {
                 break;
             }
-            while let Some((_, deed)) = steps.next_if(|(when, _)| *when <= at) {
-                self.deed(deed)?;
+            while let Some((_, action)) = steps.next_if(|(when, _)| *when <= at) {
+                self.action(action)?;
             }
             std::thread::sleep((began + at).saturating_duration_since(Instant::now()));
             number += 1;
@@ -272,7 +277,7 @@
         if self.plan.progress {
             eprintln!();
         }
-        steps.try_for_each(|(_, deed)| self.deed(deed))
+        steps.try_for_each(|(_, action)| self.action(action))
     }
 
     /// Sends a call; `work` names what it stands for, which its repeats share.
@@ -282,25 +287,25 @@
             method: usize::from(is_sale),
             by_ajp: false,
             body: body.clone(),
-            tokened: is_sale,
+            has_token: is_sale,
             answers: Vec::new(),
             result: None,
-            took_us: 0,
-            gone: self.is_down[node],
+            latency_us: 0,
+            is_abandoned: self.is_down[node],
         };
         let index = {
             let mut sheet = lock(&self.sheet);
-            sheet.book.entries.push(entry);
+            sheet.call_log.entries.push(entry);
             sheet.began.push(at);
             sheet.began.len() - 1
         };
         if self.is_down[node] || !self.connect(node) {
-            return lock(&self.sheet).book.entries[index].gone = true;
+            return lock(&self.sheet).call_log.entries[index].is_abandoned = true;
         }
         let token = if is_sale { format!(",\"opkey\":\"{node:04x}{work:028x}\"") } else { String::new() };
         let came_ms = unix_ms().saturating_sub(at.elapsed().as_millis() as u64);
         let line = format!(
-            "{{\"jsonrpc\":\"2.0\",\"id\":{number},\"method\":\"{}\",\"params\":{{\"req\":\"{MARK}{node:04x}{number:08x}\",\
+            "{{\"jsonrpc\":\"2.0\",\"id\":{number},\"method\":\"{}\",\"params\":{{\"req\":\"{REQUEST_ID_PREFIX}{node:04x}{number:08x}\",\
              \"ts\":{came_ms},\"via\":1,\"need\":20.5,\"level\":0.5{token},\"body\":\"{}\"}}}}\n",
             if is_sale { "sale" } else { "look" },
             BASE64_STANDARD.encode(&body)
@@ -311,7 +316,7 @@
         if !written {
             // Not taken whole: nothing is owed.
             front.stream = None;
-            lock(&self.sheet).book.entries[index].gone = true;
+            lock(&self.sheet).call_log.entries[index].is_abandoned = true;
         }
     }
 
@@ -333,10 +338,10 @@
                 };
                 let mut sheet = lock(&sheet);
                 let took_us = sheet.began[index].elapsed().as_micros() as u64;
-                let entry = &mut sheet.book.entries[index];
-                let (end, result) = json_end(&value);
+                let entry = &mut sheet.call_log.entries[index];
+                let (end, result) = json_answer(&value);
                 if entry.answers.is_empty() {
-                    (entry.took_us, entry.result) = (took_us, result);
+                    (entry.latency_us, entry.result) = (took_us, result);
                 }
                 entry.answers.push(end);
             }
@@ -344,18 +349,18 @@
         true
     }
 
-    fn deed(&mut self, deed: Deed) -> Result<(), String> {
-        match deed {
-            Deed::Kill(Tier::Places, at) => {
-                self.wires.listen(at, false);
-                self.places[at].kill();
-                self.place_executors[at].restart();
+    fn action(&mut self, action: FaultAction) -> Result<(), String> {
+        match action {
+            FaultAction::Kill(Tier::Endpoints, at) => {
+                self.links.listen(at, false);
+                self.endpoints[at].kill();
+                self.endpoint_executors[at].restart();
             }
-            Deed::Start(Tier::Places, at) => {
-                self.places[at].again()?;
-                self.wires.listen(at, true);
+            FaultAction::Start(Tier::Endpoints, at) => {
+                self.endpoints[at].restart()?;
+                self.links.listen(at, true);
             }
-            Deed::Kill(Tier::Nodes, at) => {
+            FaultAction::Kill(Tier::Nodes, at) => {
                 self.is_down[at] = true;
                 self.nodes[at].kill();
                 self.executors[at].restart();
@@ -363,20 +368,24 @@
                 // Whatever it had not answered, nobody owes any more.
                 let open = std::mem::take(&mut *lock(&self.fronts[at].open));
                 let mut sheet = lock(&self.sheet);
-                open.into_values().for_each(|index| sheet.book.entries[index].gone = true);
+                open.into_values().for_each(|index| sheet.call_log.entries[index].is_abandoned = true);
             }
-            Deed::Start(Tier::Nodes, at) => {
-                self.nodes[at].again()?;
+            FaultAction::Start(Tier::Nodes, at) => {
+                self.nodes[at].restart()?;
                 self.is_down[at] = false;
             }
-            Deed::Stop(tier, at) => self.of(tier)[at].tell(Signal::STOP),
-            Deed::Continue(tier, at) => self.of(tier)[at].tell(Signal::CONT),
-            Deed::Moods(places, mood) => self.place_executors[places].iter().for_each(|e| e.set(mood)),
-            Deed::Wires(rules) => self.wires.set(rules),
-            Deed::List(node, places) => self.nodes[node].reload(&operators(self.plan, node, places))?,
-            Deed::Leave(place) => {
-                self.wires.listen(place, false);
-                self.places[place].tell(Signal::TERM);
+            FaultAction::Stop(tier, at) => self.of(tier)[at].signal(Signal::STOP),
+            FaultAction::Continue(tier, at) => self.of(tier)[at].signal(Signal::CONT),
+            FaultAction::SetBehavior(endpoints, behavior) => {
+                self.endpoint_executors[endpoints].iter().for_each(|e| e.set(behavior))
+            }
+            FaultAction::SetLinkRules(rules) => self.links.set(rules),
+            FaultAction::UpdateList(node, endpoints) => {
+                self.nodes[node].reload(&operators(self.plan, node, endpoints))?
+            }
+            FaultAction::Drain(endpoint) => {
+                self.links.listen(endpoint, false);
+                self.endpoints[endpoint].signal(Signal::TERM);
             }
         }
         Ok(())
@@ -385,7 +394,7 @@
     fn of(&self, tier: Tier) -> &[Node] {
         match tier {
             Tier::Nodes => &self.nodes,
-            Tier::Places => &self.places,
+            Tier::Endpoints => &self.endpoints,
         }
     }
 
@@ -398,8 +407,8 @@
         listed: &Range<usize>,
     ) -> Result<Outcome, String> {
         let last = Instant::now() + DEADLINE + GRACE;
-        let is_owed = |entry: &Entry| entry.answers.is_empty() && !entry.gone;
-        while Instant::now() < last && lock(&self.sheet).book.entries.iter().any(is_owed) {
+        let is_owed = |entry: &Entry| entry.answers.is_empty() && !entry.is_abandoned;
+        while Instant::now() < last && lock(&self.sheet).call_log.entries.iter().any(is_owed) {
             std::thread::sleep(ms(20));
         }
         // A second answer would come soon after the first.
@@ -410,17 +419,22 @@
             counts.for_each(|(body, times)| *runs.entry(body).or_default() += times);
             runs
         };
-        let mut outcome = Outcome { processes: self.nodes.len() + self.places.len(), ..Outcome::default() };
+        let mut outcome =
+            Outcome { processes: self.nodes.len() + self.endpoints.len(), ..Outcome::default() };
         let sheet = lock(&self.sheet);
-        outcome.broken = sheet.book.broken(&sum(&self.executors));
-        outcome
-            .broken
-            .extend(sheet.book.broken(&sum(&self.place_executors)).into_iter().filter(|b| b.contains("ran")));
+        outcome.broken = sheet.call_log.violations(&sum(&self.executors));
+        outcome.broken.extend(
+            sheet
+                .call_log
+                .violations(&sum(&self.endpoint_executors))
+                .into_iter()
+                .filter(|b| b.contains("ran")),
+        );
         let left: Vec<usize> =
             if self.plan.fault == "replaced" { (0..listed.start).collect() } else { Vec::new() };
-        for (tier, nodes) in [("node", &mut self.nodes), ("place", &mut self.places)] {
+        for (tier, nodes) in [("node", &mut self.nodes), ("endpoint", &mut self.endpoints)] {
             for (at, node) in nodes.iter_mut().enumerate() {
-                let may_end = tier == "place" && left.contains(&at);
+                let may_end = tier == "endpoint" && left.contains(&at);
                 if !(may_end || node.is_running()) {
                     outcome.broken.push(format!("{tier} {at} has ended"));
                 }
@@ -428,25 +442,27 @@
                 outcome.memory_mb += node.memory_kb() / 1024;
             }
         }
-        outcome.calls = sheet.book.entries.len();
-        let in_time =
-            |e: &Entry| e.answers.first() == Some(&End::Served) && e.took_us <= ON_TIME.as_micros() as u64;
+        outcome.calls = sheet.call_log.entries.len();
+        let in_time = |e: &Entry| {
+            e.answers.first() == Some(&AnswerKind::Served) && e.latency_us <= ON_TIME.as_micros() as u64
+        };
         let share = |within: &dyn Fn(Duration) -> bool| {
-            let all = sheet.began.iter().zip(&sheet.book.entries);
-            let all: Vec<_> = all.filter(|(at, e)| !e.gone && within(at.duration_since(began))).collect();
+            let all = sheet.began.iter().zip(&sheet.call_log.entries);
+            let all: Vec<_> =
+                all.filter(|(at, e)| !e.is_abandoned && within(at.duration_since(began))).collect();
             all.iter().filter(|(_, e)| in_time(e)).count() as f64 / all.len().max(1) as f64
         };
         outcome.served_share = share(&|_| true);
         outcome.served_during = share(&|at| trouble.as_ref().is_none_or(|trouble| trouble.contains(&at)));
         let mut took: Vec<u64> =
-            sheet.book.entries.iter().filter(|e| in_time(e)).map(|e| e.took_us).collect();
+            sheet.call_log.entries.iter().filter(|e| in_time(e)).map(|e| e.latency_us).collect();
         took.sort_unstable();
         let quantile = |share: f64| {
             let at = ((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1));
             took.get(at).map_or(0.0, |us| *us as f64 / 1_000.0)
         };
         (outcome.p50_ms, outcome.p99_ms) = (quantile(0.5), quantile(0.99));
-        let passed = self.wires.passed();
+        let passed = self.links.forwarded();
         let whole = trouble.map_or(Duration::ZERO, |trouble| trouble.end + EVEN_AGAIN);
         (outcome.even, outcome.windows) = evenness(&passed, began, whole..over, self.plan.window, listed);
         outcome.burst = burst(&passed);
@@ -460,7 +476,7 @@
 
 /// The worst of the whole windows in that time, and how many there were.
 fn evenness(
-    passed: &[Passed],
+    passed: &[ForwardedCall],
     began: Instant,
     within: Range<Duration>,
     window: Duration,
@@ -471,19 +487,20 @@
     for number in 0..windows {
         let begins = began + within.start + window * number;
         let mut counts = vec![0.0; listed.len()];
-        let within = |p: &&Passed| p.at >= begins && p.at < begins + window && listed.contains(&p.place);
-        passed.iter().filter(within).for_each(|p| counts[p.place - listed.start] += 1.0);
+        let within =
+            |p: &&ForwardedCall| p.at >= begins && p.at < begins + window && listed.contains(&p.endpoint);
+        passed.iter().filter(within).for_each(|p| counts[p.endpoint - listed.start] += 1.0);
         worst.take(&Evenness::of(&counts));
     }
     (worst, windows as usize)
 }
 
 /// The most calls to one place in a tenth of a second.
-fn burst(passed: &[Passed]) -> usize {
-    let mut by_place: BTreeMap<usize, Vec<Instant>> = BTreeMap::new();
-    passed.iter().for_each(|p| by_place.entry(p.place).or_default().push(p.at));
+fn burst(passed: &[ForwardedCall]) -> usize {
+    let mut by_endpoint: BTreeMap<usize, Vec<Instant>> = BTreeMap::new();
+    passed.iter().for_each(|p| by_endpoint.entry(p.endpoint).or_default().push(p.at));
     let most = |times: &Vec<Instant>| {
         (0..times.len()).map(|at| times[at..].partition_point(|t| *t < times[at] + BURST)).max().unwrap_or(0)
     };
-    by_place.values().map(most).max().unwrap_or(0)
+    by_endpoint.values().map(most).max().unwrap_or(0)
 }
--- a/crates/ochrewalk-lab/src/lib.rs
+++ b/crates/ochrewalk-lab/src/lib.rs
@@ -2,28 +2,28 @@
 //! protocols, and a checker of the rules. All on loopback, bounded in time, from one seed.
 
 pub mod ajp;
-pub mod book;
+pub mod balancing_trial;
+pub mod call_log;
+pub mod canary_trial;
 pub mod capacity;
 pub mod changes;
 pub mod cold_endpoints;
+pub mod control_proxy;
+pub mod dependency;
 pub mod emulated;
 pub mod executor;
 pub mod faults;
+pub mod faulty_links;
 pub mod fleet;
 pub mod json;
-pub mod judged;
-pub mod ledger;
+pub mod limits_trial;
 pub mod load;
 pub mod node;
 pub mod plot;
-pub mod pooled;
-pub mod relays;
 pub mod rollouts;
 pub mod scale;
 pub mod slopes;
-pub mod spreads;
 pub mod upgrades;
-pub mod wires;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/ochrewalk-lab/src/load.rs
+++ b/crates/ochrewalk-lab/src/load.rs
@@ -2,10 +2,10 @@
 //! entered in the book.
 
 use crate::ajp::{Call, Peer};
-use crate::book::{Book, End, Entry};
+use crate::call_log::{AnswerKind, CallLog, Entry};
+use crate::dependency::{CallAction, Dependency};
 use crate::executor::{Executor, Work};
 use crate::json::Caller;
-use crate::ledger::{Act, Ledger};
 use crate::node::{self, Node};
 use crate::unix_ms;
 use base64::prelude::{Engine, BASE64_STANDARD};
@@ -24,10 +24,10 @@
     pub name: &'static str,
     /// Its share of the calls, what an answer in time is worth, and its times.
     pub share: f64,
-    pub worth: f64,
+    pub priority_weight: f64,
     pub on_time: Duration,
     pub deadline: Duration,
-    pub tokened: bool,
+    pub has_token: bool,
     pub work: Work,
 }
 
@@ -39,36 +39,36 @@
     Method {
         name: "part-lookup",
         share: 0.55,
-        worth: 1.0,
+        priority_weight: 1.0,
         on_time: ms(150),
         deadline: ms(500),
-        tokened: false,
-        work: Work { core_us: 2_000, calls: false, drawn: false, over: ms(1_000) },
+        has_token: false,
+        work: Work { core_us: 2_000, calls: false, is_exponential: false, max_wait: ms(1_000) },
     },
     Method {
         name: "batch-upload",
         share: 0.2,
-        worth: 1.0,
+        priority_weight: 1.0,
         on_time: ms(400),
         deadline: ms(1_000),
-        tokened: false,
-        work: Work { core_us: 8_000, calls: true, drawn: false, over: ms(1_000) },
+        has_token: false,
+        work: Work { core_us: 8_000, calls: true, is_exponential: false, max_wait: ms(1_000) },
     },
     Method {
         name: "order-record",
         share: 0.25,
-        worth: 4.0,
+        priority_weight: 4.0,
         on_time: ms(300),
         deadline: ms(1_000),
-        tokened: true,
-        work: Work { core_us: 4_000, calls: true, drawn: false, over: ms(1_000) },
+        has_token: true,
+        work: Work { core_us: 4_000, calls: true, is_exponential: false, max_wait: ms(1_000) },
     },
 ];
 
 /// Cores of the stand-in executor.
 const CORES: f64 = 2.0;
 /// One sale in so many is sent a second time, by the other protocol.
-const REPEATED: f64 = 0.15;
+const REPEAT_SHARE: f64 = 0.15;
 /// Callers of each protocol that wait for an answer at a time, and connections of the one that shares them.
 const CALLERS: usize = 96;
 const JSON_CONNECTIONS: usize = 4;
@@ -98,12 +98,12 @@
 }
 
 pub struct Outcome {
-    pub book: Book,
+    pub call_log: CallLog,
     pub broken: Vec<String>,
     pub cpu_us: u64,
     /// Calls below that ran and whose answer was cut.
     pub cut: usize,
-    pub ran_below: usize,
+    pub upstream_runs: usize,
 }
 
 struct Job {
@@ -117,7 +117,7 @@
 /// The settings of a node with the lab's methods.
 pub fn settings() -> Value {
     let category = |m: &Method| {
-        json!({"name": m.name, "idempotency": if m.tokened { "guarded" } else { "free" }, "worth": m.worth,
+        json!({"name": m.name, "idempotency": if m.has_token { "guarded" } else { "free" }, "worth": m.priority_weight,
                "on-time-ns": m.on_time.as_nanos() as u64, "deadline-ns": m.deadline.as_nanos() as u64,
                "window-ns": 20_000_000_000u64})
     };
@@ -134,27 +134,27 @@
 }
 
 /// The operators' file of a lab node.
-pub fn operators(listen: SocketAddr, ledger: SocketAddr) -> String {
+pub fn operators(listen: SocketAddr, dependency: SocketAddr) -> String {
     format!(
         "host ledger.example.org {}\n\
          ajp listen {listen}\najp allow 127.0.0.0/8\najp connections 200\najp memory 20.5\najp health /health\n\
          ajp route GET /items/{{}} part-lookup\najp route POST /stock batch-upload\n\
          ajp route POST /sales order-record\n\
          below ajp ledger.example.org:{}\nbelow uri /ledger\nbelow connections 100\n",
-        ledger.ip(),
-        ledger.port()
+        dependency.ip(),
+        dependency.port()
     )
 }
 
 /// What goes on beside the load has of the node.
-pub struct Beside<'a> {
+pub struct RunningLoad<'a> {
     pub node: &'a Mutex<Node>,
     pub json_at: SocketAddr,
     pub ajp_at: SocketAddr,
     over: &'a AtomicBool,
 }
 
-impl Beside<'_> {
+impl RunningLoad<'_> {
     /// Whether the load is over.
     pub fn is_over(&self) -> bool {
         self.over.load(Ordering::Relaxed)
@@ -163,59 +163,59 @@
 
 /// Plays a plan against a node of its own.
 pub fn play(program: &Path, plan: &Plan) -> Result<Outcome, String> {
-    Ok(play_beside(program, plan, "", &[], |_| ())?.0)
+    Ok(play_alongside(program, plan, "", &[], |_| ())?.0)
 }
 
 /// The same with more lines in the operators' file and words in the environment, and something that goes on beside it.
-pub fn play_beside<T: Send>(
+pub fn play_alongside<T: Send>(
     program: &Path,
     plan: &Plan,
     more: &str,
     environment: &[(&str, String)],
-    beside: impl FnOnce(&Beside) -> T + Send,
+    beside: impl FnOnce(&RunningLoad) -> T + Send,
 ) -> Result<(Outcome, T), String> {
     let io = |err: std::io::Error| err.to_string();
     let works = METHODS.iter().map(|m| (m.name.to_string(), m.work)).collect::<HashMap<_, _>>();
     let executor = Executor::start(CORES, works).map_err(io)?;
     let (cut, seed) = (plan.cut, plan.seed);
     let cuts = Arc::new(Mutex::new((0, fastrand::Rng::with_seed(seed ^ 5))));
-    let of_cuts = cuts.clone();
+    let cut_state = cuts.clone();
     let any = "127.0.0.21:0".parse().expect("an address");
-    let ledger = Ledger::start(any, Duration::from_secs(5), move |came| {
-        let mut cuts = of_cuts.lock().expect("no panic under it");
+    let dependency = Dependency::start(any, Duration::from_secs(5), move |call| {
+        let mut cuts = cut_state.lock().expect("no panic under it");
         if cuts.1.f64() < cut {
             cuts.0 += 1;
-            return Act::Cut(cuts.1.usize(0..60));
+            return CallAction::Truncate(cuts.1.usize(0..60));
         }
-        let _ = came;
-        Act::Answer { status: 200, never_ran: false, body: b"kept".to_vec(), after: ms(1) }
+        let _ = call;
+        CallAction::Answer { status: 200, never_ran: false, body: b"kept".to_vec(), after: ms(1) }
     })
     .map_err(io)?;
     let listen = node::unused_address().map_err(io)?;
     let ajp = node::unused_address().map_err(io)?;
     let config = node::config(listen, executor.at, node::directory().map_err(io)?, settings());
-    let operators = operators(ajp, ledger.at) + more;
+    let operators = operators(ajp, dependency.at) + more;
     let mut node = Node::spawn_with(program, &config, &operators, plan.log, environment)?;
     node.wait()?;
     wait_healthy(listen)?;
     let (from, over) = (node.cpu_us(), AtomicBool::new(false));
     let node = Mutex::new(node);
-    let (book, came) = std::thread::scope(|scope| {
-        let side = Beside { node: &node, json_at: listen, ajp_at: ajp, over: &over };
+    let (call_log, result) = std::thread::scope(|scope| {
+        let side = RunningLoad { node: &node, json_at: listen, ajp_at: ajp, over: &over };
         let side = scope.spawn(move || beside(&side));
-        let book = load(plan, listen, ajp);
+        let call_log = load(plan, listen, ajp);
         over.store(true, Ordering::Relaxed);
-        (book, side.join())
+        (call_log, side.join())
     });
-    let (book, came) = (book?, came.map_err(|_| "what went on beside the load has panicked")?);
+    let (call_log, result) = (call_log?, result.map_err(|_| "what went on beside the load has panicked")?);
     let mut node = node.into_inner().map_err(|_| "what went on beside the load has panicked")?;
     let cpu_us = node.cpu_us().saturating_sub(from);
-    let mut broken = book.broken(&executor.counts());
+    let mut broken = call_log.violations(&executor.counts());
     if !node.is_running() {
         broken.push("the node has ended".into());
     }
     let cut = cuts.lock().expect("no panic under it").0;
-    Ok((Outcome { book, broken, cpu_us, cut, ran_below: ledger.ran().len() }, came))
+    Ok((Outcome { call_log, broken, cpu_us, cut, upstream_runs: dependency.ran().len() }, result))
 }
 
 /// How long a node may take to get healthy: the operators' own bound, many times what it takes on an idle machine.
@@ -246,7 +246,7 @@
 /// One entry, and where late answers to it would show.
 type Done = (Entry, Option<Receiver<Value>>);
 
-fn load(plan: &Plan, json_at: SocketAddr, ajp_at: SocketAddr) -> Result<Book, String> {
+fn load(plan: &Plan, json_at: SocketAddr, ajp_at: SocketAddr) -> Result<CallLog, String> {
     let (done, entries) = channel::<Done>();
     let connections: Result<Vec<_>, _> = (0..JSON_CONNECTIONS).map(|_| Caller::connect(json_at)).collect();
     let connections = Arc::new(connections.map_err(|err| err.to_string())?);
@@ -260,12 +260,12 @@
                 loop {
                     let job = jobs.lock().expect("no panic under it").recv();
                     let Ok(job) = job else { return };
-                    let came = if by_ajp {
+                    let call = if by_ajp {
                         (by_ajp_call(&job, ajp_at, &mut kept), None)
                     } else {
                         json_call(&job, &connections[worker % JSON_CONNECTIONS])
                     };
-                    let _ = done.send(came);
+                    let _ = done.send(call);
                 }
             });
         }
@@ -275,17 +275,17 @@
     drop(done);
     arrive(plan, &to_json, &to_ajp);
     drop((to_json, to_ajp));
-    let mut book = Book::default();
+    let mut call_log = CallLog::default();
     let mut late = Vec::new();
     for (entry, answers) in entries {
-        late.extend(answers.map(|answers| (book.entries.len(), answers)));
-        book.entries.push(entry);
+        late.extend(answers.map(|answers| (call_log.entries.len(), answers)));
+        call_log.entries.push(entry);
     }
     for (at, answers) in late {
-        let entry = &mut book.entries[at];
-        entry.answers.extend(answers.try_iter().map(|answer| json_end(&answer).0));
+        let entry = &mut call_log.entries[at];
+        entry.answers.extend(answers.try_iter().map(|answer| json_answer(&answer).0));
     }
-    Ok(book)
+    Ok(call_log)
 }
 
 /// Calls come by chance at the plan's rate, half of them by each protocol where both are asked for.
@@ -314,8 +314,8 @@
             Protocols::JsonOnly => false,
             Protocols::AjpOnly => true,
         };
-        let body = format!("{}{number:08}", if METHODS[method].tokened { "t" } else { "c" }).into_bytes();
-        if METHODS[method].tokened && plan.protocols == Protocols::Both && rng.f64() < REPEATED {
+        let body = format!("{}{number:08}", if METHODS[method].has_token { "t" } else { "c" }).into_bytes();
+        if METHODS[method].has_token && plan.protocols == Protocols::Both && rng.f64() < REPEAT_SHARE {
             let job =
                 Job { at: due, method, by_ajp: !by_ajp, body: body.clone(), number: number + (1 << 40) };
             again.push((due_us + rng.f64() * 300_000.0, job));
@@ -343,11 +343,11 @@
         method: job.method,
         by_ajp: job.by_ajp,
         body: job.body.clone(),
-        tokened: METHODS[job.method].tokened,
+        has_token: METHODS[job.method].has_token,
         answers: Vec::new(),
         result: None,
-        took_us: 0,
-        gone: false,
+        latency_us: 0,
+        is_abandoned: false,
     }
 }
 
@@ -355,7 +355,7 @@
     let method = &METHODS[job.method];
     let mut entry = entry(job);
     let came_ms = unix_ms().saturating_sub(job.at.elapsed().as_millis() as u64);
-    let token = if method.tokened {
+    let token = if method.has_token {
         format!(",\"opkey\":\"{}\"", String::from_utf8_lossy(&job.body))
     } else {
         String::new()
@@ -369,24 +369,24 @@
     let left = (job.at + method.deadline + GRACE).saturating_duration_since(Instant::now());
     match answers.recv_timeout(left) {
         Ok(answer) => {
-            let (end, result) = json_end(&answer);
+            let (end, result) = json_answer(&answer);
             entry.answers.push(end);
             entry.result = result;
         }
-        Err(_) => entry.answers.push(End::Nothing),
+        Err(_) => entry.answers.push(AnswerKind::Missing),
     }
-    entry.took_us = job.at.elapsed().as_micros() as u64;
+    entry.latency_us = job.at.elapsed().as_micros() as u64;
     (entry, Some(answers))
 }
 
-pub(crate) fn json_end(answer: &Value) -> (End, Option<Vec<u8>>) {
+pub(crate) fn json_answer(answer: &Value) -> (AnswerKind, Option<Vec<u8>>) {
     if let Some(body) = answer["result"]["body"].as_str() {
-        return (End::Served, BASE64_STANDARD.decode(body).ok());
+        return (AnswerKind::Served, BASE64_STANDARD.decode(body).ok());
     }
     match answer["error"]["code"].as_i64() {
-        Some(-32011) => (End::PushedBack, None),
-        Some(-32000) => (End::Aborted, None),
-        _ => (End::Fault, None),
+        Some(-32011) => (AnswerKind::Rejected, None),
+        Some(-32000) => (AnswerKind::Aborted, None),
+        _ => (AnswerKind::Invalid, None),
     }
 }
 
@@ -403,7 +403,7 @@
         ("x-request-id", format!("{:016x}", job.number)),
         ("x-time-left-ms", left.as_millis().to_string()),
     ];
-    if method.tokened {
+    if method.has_token {
         headers.push(("x-token", String::from_utf8_lossy(&job.body).into_owned()));
     }
     let http = if job.method == 0 { "GET" } else { "POST" };
@@ -412,7 +412,7 @@
         Ok(peer) => peer,
         Err(_) => {
             // Never written: nothing is owed.
-            (entry.gone, entry.took_us) = (true, job.at.elapsed().as_micros() as u64);
+            (entry.is_abandoned, entry.latency_us) = (true, job.at.elapsed().as_micros() as u64);
             return entry;
         }
     };
@@ -420,19 +420,19 @@
     match peer.call(&call) {
         Ok(answer) => {
             entry.answers.push(match answer.status {
-                200 => End::Served,
-                503 if answer.header("x-ochrewalk-never-ran") == Some("1") => End::PushedBack,
-                500 => End::Aborted,
-                _ => End::Fault,
+                200 => AnswerKind::Served,
+                503 if answer.header("x-ochrewalk-never-ran") == Some("1") => AnswerKind::Rejected,
+                500 => AnswerKind::Aborted,
+                _ => AnswerKind::Invalid,
             });
             if answer.status == 200 {
                 entry.result = Some(answer.body.clone());
             }
             *kept = Some(peer).filter(|_| answer.reuse);
         }
-        Err(_) => entry.answers.push(End::Nothing),
+        Err(_) => entry.answers.push(AnswerKind::Missing),
     }
-    entry.took_us = job.at.elapsed().as_micros() as u64;
+    entry.latency_us = job.at.elapsed().as_micros() as u64;
     entry
 }
 
@@ -440,13 +440,20 @@
     /// Worth answered in time over worth asked for.
     pub fn served_share(&self, by_ajp: bool) -> f64 {
         let of = |e: &&Entry| e.by_ajp == by_ajp;
-        let asked: f64 = self.book.entries.iter().filter(of).map(|e| METHODS[e.method].worth).sum();
+        let asked: f64 =
+            self.call_log.entries.iter().filter(of).map(|e| METHODS[e.method].priority_weight).sum();
         let in_time = |e: &&Entry| {
             let on_time = METHODS[e.method].on_time.as_micros() as u64;
-            e.answers.first() == Some(&End::Served) && e.took_us <= on_time
+            e.answers.first() == Some(&AnswerKind::Served) && e.latency_us <= on_time
         };
-        let got: f64 =
-            self.book.entries.iter().filter(of).filter(in_time).map(|e| METHODS[e.method].worth).sum();
+        let got: f64 = self
+            .call_log
+            .entries
+            .iter()
+            .filter(of)
+            .filter(in_time)
+            .map(|e| METHODS[e.method].priority_weight)
+            .sum();
         got / asked.max(1.0)
     }
 
@@ -457,20 +464,20 @@
             "method", "calls", "served", "pushed back", "aborted", "median ms", "99% ms"
         );
         for (at, method) in METHODS.iter().enumerate() {
-            let count = |end| self.book.count(at, end);
-            let all = self.book.entries.iter().filter(|e| e.method == at);
+            let count = |end| self.call_log.count(at, end);
+            let all = self.call_log.entries.iter().filter(|e| e.method == at);
             let mut times = Histogram::<u64>::new(3).expect("three digits");
-            for entry in all.clone().filter(|e| e.answers.first() == Some(&End::Served)) {
-                let _ = times.record(entry.took_us);
+            for entry in all.clone().filter(|e| e.answers.first() == Some(&AnswerKind::Served)) {
+                let _ = times.record(entry.latency_us);
             }
             let at_ms = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
             text += &format!(
                 "{:<14}{:>8}{:>9}{:>12}{:>9}{:>10.1}{:>10.1}\n",
                 method.name,
                 all.count(),
-                count(End::Served),
-                count(End::PushedBack),
-                count(End::Aborted),
+                count(AnswerKind::Served),
+                count(AnswerKind::Rejected),
+                count(AnswerKind::Aborted),
                 at_ms(0.5),
                 at_ms(0.99)
             );
--- a/crates/ochrewalk-lab/src/main.rs
+++ b/crates/ochrewalk-lab/src/main.rs
@@ -1,13 +1,13 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
-use ochrewalk_lab::book::End;
+use ochrewalk_lab::balancing_trial::Options;
+use ochrewalk_lab::call_log::AnswerKind;
 use ochrewalk_lab::faults::FAULTS;
+use ochrewalk_lab::limits_trial::Fleet;
 use ochrewalk_lab::load::{play, Outcome, Plan, Protocols, METHODS};
 use ochrewalk_lab::node::program;
-use ochrewalk_lab::pooled::Fleet;
 use ochrewalk_lab::scale::{self, HollowOptions, ScaleOptions};
-use ochrewalk_lab::spreads::Asked;
 use ochrewalk_lab::{capacity, rollouts, slopes, upgrades};
 use serde_json::json;
 use std::path::PathBuf;
@@ -225,24 +225,24 @@
             plot,
         } => {
             let (nodes, places, log) = (nodes as usize, places as usize, line.log_of_node());
-            let asked = Asked {
+            let options = Options {
                 nodes,
-                places,
+                endpoints: places,
                 rate,
                 work_ms: work,
                 seconds,
                 seed,
-                way,
-                reach,
+                policy: way,
+                subset_size: reach,
                 faults,
                 log,
                 plot,
-                told_ms: told,
+                queue_broadcast_ms: told,
             };
             if emulated {
-                asked.emulated()
+                options.emulated()
             } else {
-                asked.real(&program()?)
+                options.real(&program()?)
             }
         }
         Command::Scale(options) => scale::run(&options, &program()?).map_err(|why| why.to_string()),
@@ -251,24 +251,25 @@
         }
         Command::Upgrade { seconds, seed, every, load, fail } => {
             let every = Duration::from_millis(every);
-            upgrades::Asked { seconds, seed, every, load, fail, log: line.log_of_node() }.run(&program()?)
+            upgrades::Options { seconds, seed, every, load, fail, log: line.log_of_node() }.run(&program()?)
         }
         Command::Rollout { nodes, rate, seed, flaw, subject, faults, most, log } => {
             let subject = rollouts::SUBJECTS.iter().find(|(name, _)| *name == subject);
             let (_, subject) = *subject.ok_or("nothing to change is known by that name")?;
-            let trouble = rollouts::TROUBLES.iter().find(|(name, _)| *name == faults);
-            let (_, trouble) = *trouble.ok_or("no fault is known by that name")?;
+            let fault = rollouts::FAULTS.iter().find(|(name, _)| *name == faults);
+            let (_, fault) = *fault.ok_or("no fault is known by that name")?;
             let (nodes, most) = (nodes as usize, Duration::from_secs(most));
-            rollouts::Asked { nodes, rate, seed, flaw, subject, trouble, most, log }.run(&program()?)
+            rollouts::Options { nodes, rate, seed, flaw, subject, fault, time_limit: most, log }
+                .run(&program()?)
         }
         Command::Fleet { nodes, load, seconds, seed, runs } => {
             let nodes = nodes as usize;
             let fleet = Fleet { nodes, slots: 8 * nodes, work_us: 100_000.0, load, seconds, seed };
-            ochrewalk_lab::pooled::table(&fleet, runs);
+            ochrewalk_lab::limits_trial::table(&fleet, runs);
             Ok(true)
         }
         Command::Judge { nodes, changes, seed, plot } => {
-            ochrewalk_lab::judged::table(nodes as usize, changes, seed, plot.as_deref()).map(|()| true)
+            ochrewalk_lab::canary_trial::table(nodes as usize, changes, seed, plot.as_deref()).map(|()| true)
         }
         Command::Slopes { out, only, quick } => {
             slopes::report::measure(&program()?, only.as_deref(), quick, out.as_deref())
@@ -290,7 +291,7 @@
             };
             let outcome = play(&program, &plan)?;
             print!("{}", outcome.table());
-            println!("rules broken: {}", say(&outcome));
+            println!("rules broken: {}", print_violations(&outcome));
             Ok(outcome.broken.is_empty())
         }
         Command::Ajp { seconds, seed, load, cut } => {
@@ -299,22 +300,24 @@
                 Plan { seconds, seed, load, protocols: Protocols::Both, cut, progress: true, log: "warn" };
             let both = play(&program, &plan)?;
             print!("{}", both.table());
-            say(&both);
+            print_violations(&both);
             let alone = |protocols| {
                 let plan = Plan { seconds: (seconds / 4).max(2), load: 0.8, protocols, cut: 0.0, ..plan };
                 play(&program, &plan)
             };
             let (json_alone, ajp_alone) = (alone(Protocols::JsonOnly)?, alone(Protocols::AjpOnly)?);
-            let broken = both.broken.len() + say(&json_alone) + say(&ajp_alone);
-            let cpu = |outcome: &Outcome| outcome.cpu_us as f64 / outcome.book.entries.len().max(1) as f64;
+            let broken = both.broken.len() + print_violations(&json_alone) + print_violations(&ajp_alone);
+            let cpu =
+                |outcome: &Outcome| outcome.cpu_us as f64 / outcome.call_log.entries.len().max(1) as f64;
             let round = |x: f64| (x * 1_000.0).round() / 1_000.0;
-            let aborted: usize = (0..METHODS.len()).map(|m| both.book.count(m, End::Aborted)).sum();
+            let aborted: usize =
+                (0..METHODS.len()).map(|m| both.call_log.count(m, AnswerKind::Aborted)).sum();
             let last = json!({
-                "broken": broken, "calls": both.book.entries.len(),
+                "broken": broken, "calls": both.call_log.entries.len(),
                 "served_share_json": round(both.served_share(false)),
                 "served_share_ajp": round(both.served_share(true)),
                 "cpu_us_json": round(cpu(&json_alone)), "cpu_us_ajp": round(cpu(&ajp_alone)),
-                "aborted": aborted, "replies_cut": both.cut, "ran_below": both.ran_below
+                "aborted": aborted, "replies_cut": both.cut, "ran_below": both.upstream_runs
             });
             println!("{last}");
             Ok(broken == 0)
@@ -323,7 +326,7 @@
 }
 
 /// Names the first broken rules, and gives their number.
-fn say(outcome: &Outcome) -> usize {
+fn print_violations(outcome: &Outcome) -> usize {
     outcome.broken.iter().take(10).for_each(|broken| eprintln!("broken: {broken}"));
     outcome.broken.len()
 }
--- a/crates/ochrewalk-lab/src/node.rs
+++ b/crates/ochrewalk-lab/src/node.rs
@@ -14,7 +14,7 @@
 pub struct Node {
     child: Child,
     listen: SocketAddr,
-    words: Vec<OsString>,
+    arguments: Vec<OsString>,
     environment: Vec<(String, String)>,
     files: Vec<PathBuf>,
 }
@@ -115,18 +115,18 @@
         let files = vec![folder.join(format!("{name}.json")), folder.join(format!("{name}.conf"))];
         write(&files[0], &config.to_string())?;
         write(&files[1], operators)?;
-        let mut words: Vec<OsString> = vec![program.into(), "serve".into()];
-        words.extend([
+        let mut arguments: Vec<OsString> = vec![program.into(), "serve".into()];
+        arguments.extend([
             "--config".into(),
             files[0].clone().into(),
             "--operators".into(),
             files[1].clone().into(),
         ]);
-        words.extend(["--log".into(), log.into()]);
+        arguments.extend(["--log".into(), log.into()]);
         let environment: Vec<_> =
-            environment.iter().map(|(name, word)| (name.to_string(), word.clone())).collect();
-        let child = run(&words, &environment)?;
-        Ok(Node { child, listen, words, environment, files })
+            environment.iter().map(|(name, value)| (name.to_string(), value.clone())).collect();
+        let child = run(&arguments, &environment)?;
+        Ok(Node { child, listen, arguments, environment, files })
     }
 
     /// Until it listens.
@@ -144,9 +144,9 @@
     }
 
     /// Starts it anew, with the same files.
-    pub fn again(&mut self) -> Result<(), String> {
+    pub fn restart(&mut self) -> Result<(), String> {
         self.kill();
-        self.child = run(&self.words, &self.environment)?;
+        self.child = run(&self.arguments, &self.environment)?;
         Ok(())
     }
 
@@ -158,7 +158,7 @@
     /// Gives it another operators' file and has it read.
     pub fn reload(&self, operators: &str) -> Result<(), String> {
         write(&self.files[1], operators)?;
-        self.tell(Signal::HUP);
+        self.signal(Signal::HUP);
         Ok(())
     }
 
@@ -167,15 +167,15 @@
         &self.files[1]
     }
 
-    pub fn tell(&self, signal: Signal) {
+    pub fn signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
             let _ = kill_process(pid, signal);
         }
     }
 
     /// Tells it to leave and waits until it has ended.
-    pub fn leave(&mut self) {
-        self.tell(Signal::TERM);
+    pub fn terminate(&mut self) {
+        self.signal(Signal::TERM);
         let _ = self.child.wait();
     }
 
@@ -210,14 +210,18 @@
 }
 
 /// Guards against processes that stay behind: they end with the one that started them, however that ends.
-fn run(words: &[OsString], environment: &[(String, String)]) -> Result<Child, String> {
-    let mut command = Command::new(&words[0]);
-    command.args(&words[1..]).envs(environment.iter().cloned()).stdin(Stdio::null()).stdout(Stdio::null());
+fn run(arguments: &[OsString], environment: &[(String, String)]) -> Result<Child, String> {
+    let mut command = Command::new(&arguments[0]);
+    command
+        .args(&arguments[1..])
+        .envs(environment.iter().cloned())
+        .stdin(Stdio::null())
+        .stdout(Stdio::null());
     // SAFETY: between fork and exec it makes one system call and touches no memory.
     unsafe {
         command.pre_exec(|| Ok(rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?));
     }
-    command.spawn().map_err(|err| format!("{}: {err}", words[0].display()))
+    command.spawn().map_err(|err| format!("{}: {err}", arguments[0].display()))
 }
 
 fn write(file: &Path, text: &str) -> Result<(), String> {
--- a/crates/ochrewalk-lab/src/rollouts.rs
+++ b/crates/ochrewalk-lab/src/rollouts.rs
@@ -1,34 +1,34 @@
 //! The laboratory's `rollout`: a change of many real nodes to a program with a flaw, or without one, as JSON.
 
-use crate::changes::{another, play, Outcome, Plan, Subject, Trouble};
+use crate::changes::{copy_with_other_contents, play, Fault, Outcome, Plan, Subject};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// What is asked for on the command line.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Options {
     pub nodes: usize,
     pub rate: f64,
     pub seed: u64,
     pub flaw: Option<String>,
     pub subject: Subject,
-    pub trouble: Trouble,
-    pub most: Duration,
+    pub fault: Fault,
+    pub time_limit: Duration,
     /// Where the conductor's log is left.
     pub log: Option<PathBuf>,
 }
 
-pub const TROUBLES: [(&str, Trouble); 9] = [
-    ("none", Trouble::None),
-    ("conductor-killed", Trouble::ConductorKilled),
-    ("conductor-gone", Trouble::ConductorGone),
-    ("two-conductors", Trouble::TwoConductors),
-    ("links-silent", Trouble::LinksSilent),
-    ("links-break", Trouble::LinksBreak),
-    ("old-replaced", Trouble::OldReplaced),
-    ("nodes-stopped", Trouble::NodesStopped),
-    ("all-slow", Trouble::AllSlow),
+pub const FAULTS: [(&str, Fault); 9] = [
+    ("none", Fault::None),
+    ("conductor-killed", Fault::ControllerKilled),
+    ("conductor-gone", Fault::ControllerLost),
+    ("two-conductors", Fault::TwoControllers),
+    ("links-silent", Fault::LinksSilent),
+    ("links-break", Fault::LinksBreak),
+    ("old-replaced", Fault::OldReplaced),
+    ("nodes-stopped", Fault::NodesStopped),
+    ("all-slow", Fault::AllSlow),
 ];
 
 pub const SUBJECTS: [(&str, Subject); 4] = [
@@ -38,7 +38,7 @@
     ("unusable-settings", Subject::UnusableSettings),
 ];
 
-impl Asked {
+impl Options {
     /// Whether no rule broke, and the change ended as it should. The last line is JSON.
     pub fn run(&self, program: &Path) -> Result<bool, String> {
         let tenth = (self.nodes / 10).max(1);
@@ -48,23 +48,23 @@
             seed: self.seed,
             subject: self.subject,
             flaw: self.flaw.clone().unwrap_or_default(),
-            trouble: self.trouble,
-            lines: format!(
+            fault: self.fault,
+            plan_lines: format!(
                 "stage {tenth}\nstage 50%\nmost-out {tenth}\nmoment 250ms\nleast 3s\nmost 60s\nharm 0.1\nsilent {}\n\
                  cold 500ms\npatience 20s\n{}",
                 // Silence of links is not to be taken for a harm of what was changed.
-                if self.trouble == Trouble::LinksSilent { "12s" } else { "2s" },
+                if self.fault == Fault::LinksSilent { "12s" } else { "2s" },
                 if self.subject == Subject::Program { "" } else { "trial 3s\n" }
             ),
-            most: self.most,
+            time_limit: self.time_limit,
             log: self.log.clone(),
-            apart: 0,
+            instance: 0,
         };
         let new = match &self.flaw {
             Some(_) => flawed(program)?,
             None => {
                 let new = std::env::temp_dir().join(format!("ow-new-{}-{}", std::process::id(), self.seed));
-                another(program, &new)?;
+                copy_with_other_contents(program, &new)?;
                 new
             }
         };
@@ -74,18 +74,18 @@
         }
         let outcome = outcome?;
         outcome.broken.iter().take(10).for_each(|broken| eprintln!("broken: {broken}"));
-        println!("{}", outcome.said);
+        println!("{}", outcome.output);
         println!("{}", line(&outcome));
-        let wanted = match (self.trouble, self.subject) {
-            (Trouble::ConductorGone, _) => "gone",
-            (Trouble::OldReplaced, _) => "waiting",
+        let expected = match (self.fault, self.subject) {
+            (Fault::ControllerLost, _) => "gone",
+            (Fault::OldReplaced, _) => "waiting",
             (_, Subject::HarmfulSettings | Subject::UnusableSettings) => "back",
             _ if self.flaw.is_some() => "back",
             _ => "done",
         };
-        let wants_none = matches!(wanted, "back" | "gone");
-        let ended_well = outcome.end == wanted && (!wants_none || outcome.left_changed == 0);
-        Ok(outcome.broken.is_empty() && ended_well)
+        let must_change_none = matches!(expected, "back" | "gone");
+        let has_expected_end = outcome.end == expected && (!must_change_none || outcome.left_changed == 0);
+        Ok(outcome.broken.is_empty() && has_expected_end)
     }
 }
 
@@ -102,7 +102,7 @@
     let round = |x: f64| (x * 1_000.0).round() / 1_000.0;
     json!({
         "broken": outcome.broken.len(), "end": outcome.end, "changed_at_stop": round(outcome.changed),
-        "left_changed": outcome.left_changed, "most_ordered": outcome.most_ordered, "kills": outcome.kills,
+        "left_changed": outcome.left_changed, "most_ordered": outcome.max_open_commands, "kills": outcome.kills,
         "calls": outcome.calls, "served_share": round(outcome.served_share), "seconds": round(outcome.seconds)
     })
 }
--- a/crates/ochrewalk-lab/src/scale/real.rs
+++ b/crates/ochrewalk-lab/src/scale/real.rs
@@ -64,7 +64,8 @@
 }
 
 fn works() -> HashMap<String, Work> {
-    let work = Work { core_us: 1_000, calls: false, drawn: false, over: Duration::from_secs(10) };
+    let work =
+        Work { core_us: 1_000, calls: false, is_exponential: false, max_wait: Duration::from_secs(10) };
     METHODS.map(|method| (method.to_string(), work)).into()
 }
 
--- a/crates/ochrewalk-lab/src/slopes/node_under_test.rs
+++ b/crates/ochrewalk-lab/src/slopes/node_under_test.rs
@@ -89,7 +89,7 @@
 
 /// The work of each RPC: one millisecond without a call upstream.
 pub fn work_of_an_rpc() -> Work {
-    Work { core_us: 1_000, calls: false, drawn: false, over: Duration::from_secs(1) }
+    Work { core_us: 1_000, calls: false, is_exponential: false, max_wait: Duration::from_secs(1) }
 }
 
 fn settings(files: NodeFiles) -> Value {
--- a/crates/ochrewalk-lab/src/upgrades.rs
+++ b/crates/ochrewalk-lab/src/upgrades.rs
@@ -2,7 +2,7 @@
 //! protocols, beside the same load left alone and beside plain restarts.
 
 use crate::json::Caller;
-use crate::load::{play, play_beside, Beside, Outcome, Plan, Protocols};
+use crate::load::{play, play_alongside, Outcome, Plan, Protocols, RunningLoad};
 use serde_json::json;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,7 +14,7 @@
 
 /// What is asked for on the command line.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Options {
     pub seconds: u64,
     pub seed: u64,
     pub every: Duration,
@@ -72,7 +72,7 @@
 }
 
 /// Memory in KB and descriptors of the program that serves.
-fn size(beside: &Beside) -> (u64, usize) {
+fn size(beside: &RunningLoad) -> (u64, usize) {
     let children = beside.node.lock().map(|node| node.children()).unwrap_or_default();
     let Some(pid) = children.first() else { return (0, 0) };
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
@@ -92,7 +92,7 @@
     watched: Watched,
 }
 
-impl Asked {
+impl Options {
     /// Whether no rule broke and no connection was refused. The last line is JSON.
     pub fn run(&self, program: &Path) -> Result<bool, String> {
         let plan = Plan {
@@ -109,7 +109,7 @@
         let more = format!("upgrade control {}\n", control.display());
         let environment = self.fail.as_ref().map(|fail| ("OCHREWALK_TAKE_FAILS", fail.clone()));
         let environment: Vec<_> = environment.into_iter().collect();
-        let (with, upgrades) = play_beside(program, &plan, &more, &environment, |beside| {
+        let (with, upgrades) = play_alongside(program, &plan, &more, &environment, |beside| {
             self.go_on(beside, |seen| {
                 let from = Instant::now();
                 let how = upgrade(&control, program).unwrap_or_else(|why| why);
@@ -125,11 +125,11 @@
         let _ = std::fs::remove_file(&control);
         // Connections break with a plain restart: only what each caller makes anew by itself is compared.
         let ajp = Plan { protocols: Protocols::AjpOnly, ..plan };
-        let (restarted, restarts) = play_beside(program, &ajp, "", &[], |beside| {
+        let (restarted, restarts) = play_alongside(program, &ajp, "", &[], |beside| {
             self.go_on(beside, |seen| {
                 if let Ok(mut node) = beside.node.lock() {
-                    node.leave();
-                    seen.done += usize::from(node.again().is_ok());
+                    node.terminate();
+                    seen.done += usize::from(node.restart().is_ok());
                 }
             })
         })?;
@@ -142,7 +142,7 @@
         println!(
             "{}",
             json!({
-                "broken": with.broken.len(), "calls": with.book.entries.len(), "upgrades": upgrades.done,
+                "broken": with.broken.len(), "calls": with.call_log.entries.len(), "upgrades": upgrades.done,
                 "refused_connects": upgrades.watched.refused, "connects": upgrades.watched.connects,
                 "longest_pause_ms": upgrades.watched.longest_pause_us as f64 / 1_000.0,
                 "longest_upgrade_ms": upgrades.longest_us as f64 / 1_000.0,
@@ -156,7 +156,7 @@
     }
 
     /// Does that every so often until the load is over, and watches.
-    fn go_on(&self, beside: &Beside, mut what: impl FnMut(&mut Upgrades)) -> Upgrades {
+    fn go_on(&self, beside: &RunningLoad, mut what: impl FnMut(&mut Upgrades)) -> Upgrades {
         let over = Arc::new(AtomicBool::new(false));
         let (of, json_at, ajp_at) = (over.clone(), beside.json_at, beside.ajp_at);
         let watches = std::thread::spawn(move || watch(json_at, ajp_at, &of));
@@ -180,7 +180,7 @@
 /// Criticality served in time, by both protocols.
 fn share(outcome: &Outcome) -> f64 {
     let shares = [true, false].map(|by_ajp| {
-        let count = outcome.book.entries.iter().filter(|entry| entry.by_ajp == by_ajp).count();
+        let count = outcome.call_log.entries.iter().filter(|entry| entry.by_ajp == by_ajp).count();
         (outcome.served_share(by_ajp), count as f64)
     });
     let all: f64 = shares.iter().map(|(_, count)| count).sum();
--- a/crates/ochrewalk-load-balancer/tests/cold_endpoints.rs
+++ b/crates/ochrewalk-load-balancer/tests/cold_endpoints.rs
@@ -6,7 +6,7 @@
 //! 10,000.
 
 use ochrewalk_lab::cold_endpoints::{poisson_bound, time_of_calls_us, ColdScene, ColdStart, WINDOWS_US};
-use ochrewalk_lab::emulated::{play, Seen, SECOND};
+use ochrewalk_lab::emulated::{play, RunResult, SECOND};
 
 const NODES: usize = 30;
 /// Calls per second of each node: from one call in twelve seconds to each endpoint up to several per second.
@@ -52,7 +52,7 @@
 }
 
 /// Whether an endpoint gets at least half as many calls as a warm one, at the end of the run.
-fn has_warmed_up(scene: &ColdScene, seen: &Seen, endpoint: usize) -> bool {
+fn has_warmed_up(scene: &ColdScene, seen: &RunResult, endpoint: usize) -> bool {
     let until_us = scene.fleet.seconds * SECOND;
     let from_us = until_us - time_of_calls_us(scene.fleet.rate, 2.0);
     2 * seen.arrived_between(endpoint, from_us, until_us) >= seen.arrived_between(0, from_us, until_us)
--- a/crates/ochrewalk-load-balancer/tests/fleet.rs
+++ b/crates/ochrewalk-load-balancer/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The evenness of the load over endpoints, without faults and after each kind of fault: hundreds of nodes with the production
 //! load balancer, in virtual time.
 
-use ochrewalk_lab::emulated::{play, Fault, Fleet, Relist, Seen, Trouble, SECOND};
+use ochrewalk_lab::emulated::{play, EndpointListUpdate, Fault, FaultKind, Fleet, RunResult, SECOND};
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Subsetting};
 
 fn config(policy: BalancingPolicy) -> BalancingConfig {
@@ -21,8 +21,8 @@
 #[test]
 fn least_latency_over_all_endpoints_overloads_some_and_leaves_others_idle() {
     let mut fleet = measured_load(BalancingPolicy::LeastLatency, 1);
-    fleet.plan.subsetting = Subsetting::All;
-    fleet.plan.uses_learned_weights = false;
+    fleet.config.subsetting = Subsetting::All;
+    fleet.config.uses_learned_weights = false;
     let seen = play(&fleet);
     let evenness = seen.evenness(&fleet.listed, 1);
     assert!(evenness.idle > 0 && evenness.dispersion > 50.0 && evenness.max_over_mean > 3.0, "{evenness:?}");
@@ -66,7 +66,7 @@
 const FROM: u64 = 20 * SECOND;
 const UNTIL: u64 = 35 * SECOND;
 
-fn play_with(policy: BalancingPolicy, change: impl Fn(&mut Fleet)) -> (Fleet, Seen) {
+fn play_with(policy: BalancingPolicy, change: impl Fn(&mut Fleet)) -> (Fleet, RunResult) {
     let mut fleet = measured_load(policy, 1);
     (fleet.rate, fleet.first_rate, fleet.work_us) = (6.0, 6.0, 50_000.0);
     (fleet.deadline_us, fleet.seconds) = (2 * SECOND, 60);
@@ -75,8 +75,8 @@
     (fleet, seen)
 }
 
-fn fault(count: usize, trouble: Trouble) -> Fault {
-    Fault { places: (0, count), from_us: FROM, until_us: UNTIL, trouble }
+fn fault(count: usize, kind: FaultKind) -> Fault {
+    Fault { endpoints: (0, count), from_us: FROM, until_us: UNTIL, kind }
 }
 
 #[test]
@@ -84,29 +84,33 @@
     type Change = fn(&mut Fleet);
     // A served share of up to 0.001 below that of random choice is within random variation.
     let cases: [(&str, Change, f64); 8] = [
-        ("ten endpoints are dead", |fleet| fleet.faults.push(fault(10, Trouble::Dead)), 0.4),
+        ("ten endpoints are dead", |fleet| fleet.faults.push(fault(10, FaultKind::Dead)), 0.4),
         (
             "ten endpoints are stopped for 5 s",
-            |fleet| fleet.faults.push(Fault { until_us: FROM + 5 * SECOND, ..fault(10, Trouble::Stopped) }),
+            |fleet| fleet.faults.push(Fault { until_us: FROM + 5 * SECOND, ..fault(10, FaultKind::Stopped) }),
             0.4,
         ),
-        ("ten endpoints 10 times slower", |fleet| fleet.faults.push(fault(10, Trouble::Slower(10.0))), 0.9),
-        ("five endpoints fail all calls", |fleet| fleet.faults.push(fault(5, Trouble::FailsAtOnce)), 0.4),
+        ("ten endpoints 10 times slower", |fleet| fleet.faults.push(fault(10, FaultKind::Slower(10.0))), 0.9),
+        ("five endpoints fail all calls", |fleet| fleet.faults.push(fault(5, FaultKind::FailsAtOnce)), 0.4),
         (
             "thirty endpoints do not answer a third of the nodes",
-            |fleet| fleet.faults.push(fault(30, Trouble::Silent(0.33))),
+            |fleet| fleet.faults.push(fault(30, FaultKind::Silent(0.33))),
             0.9,
         ),
         (
             "half of the endpoints are replaced within 7 s",
             |fleet| {
-                fleet.places = 150;
-                fleet.relists.push(Relist { at_us: FROM, takes_us: 7 * SECOND, places: (50..150).collect() });
+                fleet.endpoints = 150;
+                fleet.list_updates.push(EndpointListUpdate {
+                    at_us: FROM,
+                    takes_us: 7 * SECOND,
+                    endpoints: (50..150).collect(),
+                });
                 let removed = Fault {
-                    places: (0, 50),
+                    endpoints: (0, 50),
                     from_us: FROM + 7 * SECOND,
                     until_us: 999 * SECOND,
-                    trouble: Trouble::Dead,
+                    kind: FaultKind::Dead,
                 };
                 fleet.faults.push(removed);
             },
@@ -116,11 +120,11 @@
         (
             "thirty endpoints are dead and recover at half speed",
             |fleet| {
-                fleet.faults.push(fault(30, Trouble::Dead));
+                fleet.faults.push(fault(30, FaultKind::Dead));
                 let cold = Fault {
                     from_us: UNTIL + 1,
                     until_us: UNTIL + 3 * SECOND,
-                    ..fault(30, Trouble::Slower(2.0))
+                    ..fault(30, FaultKind::Slower(2.0))
                 };
                 fleet.faults.push(cold);
             },
@@ -130,12 +134,12 @@
     for (name, change, dispersion) in cases {
         let (fleet, ours) = play_with(BalancingPolicy::LatencyAwareRoundRobin, change);
         let (_, random) = play_with(BalancingPolicy::Random, change);
-        let listed = fleet.relists.last().map_or(&fleet.listed, |relist| &relist.places);
+        let listed = fleet.list_updates.last().map_or(&fleet.listed, |relist| &relist.endpoints);
         let after = ours.evenness(listed, 4);
         assert!(after.idle == 0 && after.dispersion < dispersion, "{name}: {after:?}");
         let (served, random_served) = (ours.served_between(FROM, UNTIL), random.served_between(FROM, UNTIL));
         assert!(served > random_served - 0.003, "{name}: {served} against {random_served}");
-        assert_eq!(ours.served + ours.lost.len(), ours.calls, "{name}: each call ends once");
+        assert_eq!(ours.served + ours.failed.len(), ours.calls, "{name}: each call ends once");
     }
 }
 
@@ -157,7 +161,7 @@
     });
     let evenness = seen.evenness(&fleet.listed, 1);
     assert!(evenness.dispersion < 0.3 && evenness.max_over_mean < 1.2, "{evenness:?}");
-    let bimodal = |fleet: &mut Fleet| (fleet.long, fleet.work_us) = (20.0, 17_000.0);
+    let bimodal = |fleet: &mut Fleet| (fleet.long_factor, fleet.work_us) = (20.0, 17_000.0);
     let ((_, ours), (_, random)) = (
         play_with(BalancingPolicy::LatencyAwareRoundRobin, bimodal),
         play_with(BalancingPolicy::Random, bimodal),
@@ -169,5 +173,5 @@
 fn the_same_seed_produces_the_same_run() {
     let fleet = Fleet { seconds: 20, ..measured_load(BalancingPolicy::LatencyAwareRoundRobin, 5) };
     let (first, second) = (play(&fleet), play(&fleet));
-    assert_eq!((first.took, first.windows), (second.took, second.windows));
+    assert_eq!((first.latencies, first.windows), (second.latencies, second.windows));
 }
--- a/crates/ochrewalk-node/tests/ajp.rs
+++ b/crates/ochrewalk-node/tests/ajp.rs
@@ -5,7 +5,7 @@
 use helper::*;
 use ochrewalk_ajp::request::Message;
 use ochrewalk_lab::ajp::{piece, plain, Answer, Call, Peer as Ajp};
-use ochrewalk_lab::ledger::{Act, Ledger};
+use ochrewalk_lab::dependency::{CallAction, Dependency};
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpStream};
@@ -40,9 +40,9 @@
 
 /// The same with a ledger at a name of its own.
 fn with_ledger(
-    script: impl Fn(&ochrewalk_lab::ledger::Came) -> Act + Send + Sync + 'static,
-) -> (Stand, Peer, Ledger) {
-    let ledger = Ledger::start("127.0.0.21:0".parse().unwrap(), IDLE, script).unwrap();
+    script: impl Fn(&ochrewalk_lab::dependency::ReceivedCall) -> CallAction + Send + Sync + 'static,
+) -> (Stand, Peer, Dependency) {
+    let ledger = Dependency::start("127.0.0.21:0".parse().unwrap(), IDLE, script).unwrap();
     let more = format!(
         "host ledger.example.org 127.0.0.21\nbelow ajp ledger.example.org:{}\nbelow uri /ledger\nbelow secret pear\n\
          below reply 200ms\nbelow pause 50ms 100ms\nbelow leave-out 1000\n",
@@ -343,7 +343,7 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.9.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.connect(&stand.ajp.parse::<SocketAddr>().unwrap().into()).unwrap();
-    let mut stranger = Ajp::over(TcpStream::from(socket), PATIENCE).unwrap();
+    let mut stranger = Ajp::from_stream(TcpStream::from(socket), PATIENCE).unwrap();
     let _ = stranger.send(&look(7).whole());
     assert!(stranger.is_ended());
     serves(&stand, &mut executor, 8, 2);
@@ -495,13 +495,14 @@
 #[test]
 fn calls_go_to_the_ledger_and_every_ending_has_its_meaning() {
     // What the ledger does next; after that it answers.
-    let next: Arc<Mutex<Option<Act>>> = Arc::default();
+    let next: Arc<Mutex<Option<CallAction>>> = Arc::default();
     let of = next.clone();
     let (stand, mut executor, ledger) =
-        with_ledger(move |_| of.lock().unwrap().take().unwrap_or_else(|| Act::good(b"A\r\n\x01B")));
+        with_ledger(move |_| of.lock().unwrap().take().unwrap_or_else(|| CallAction::ok(b"A\r\n\x01B")));
     let mut peer = ajp(&stand);
     let mut number = 0;
-    let status = |status, never_ran| Act::Answer { status, never_ran, body: vec![], after: Duration::ZERO };
+    let status =
+        |status, never_ran| CallAction::Answer { status, never_ran, body: vec![], after: Duration::ZERO };
     let returned = |number| format!(r#"{{"action":"RETURN","uid":"{}","content":"#, req(number));
     for (act, method, ends) in [
         (None, "look", "returned"),
@@ -514,21 +515,21 @@
         (Some(status(503, false)), "sale", "aborted"),
         (Some(status(500, false)), "once", "aborted"),
         (Some(status(504, false)), "sale", "aborted"),
-        (Some(Act::Cut(0)), "look", "returned"),
-        (Some(Act::Cut(0)), "sale", "aborted"),
-        (Some(Act::Cut(7)), "look", "returned"),
-        (Some(Act::Cut(7)), "once", "aborted"),
-        (Some(Act::Half), "look", "returned"),
-        (Some(Act::Half), "sale", "aborted"),
-        (Some(Act::Short), "look", "returned"),
-        (Some(Act::Short), "once", "aborted"),
+        (Some(CallAction::Truncate(0)), "look", "returned"),
+        (Some(CallAction::Truncate(0)), "sale", "aborted"),
+        (Some(CallAction::Truncate(7)), "look", "returned"),
+        (Some(CallAction::Truncate(7)), "once", "aborted"),
+        (Some(CallAction::HalfAnswer), "look", "returned"),
+        (Some(CallAction::HalfAnswer), "sale", "aborted"),
+        (Some(CallAction::ShortBody), "look", "returned"),
+        (Some(CallAction::ShortBody), "once", "aborted"),
         // The first one is taken; the second is nobody's, and ends its connection.
-        (Some(Act::Twice), "sale", "returned"),
+        (Some(CallAction::AnswerTwice), "sale", "returned"),
         (None, "once", "returned"),
-        (Some(Act::Last), "look", "returned"),
+        (Some(CallAction::AnswerAndClose), "look", "returned"),
         // Read and dropped before it ran: nothing tells that from a reply that was lost.
-        (Some(Act::Drop), "look", "returned"),
-        (Some(Act::Drop), "once", "aborted"),
+        (Some(CallAction::Drop), "look", "returned"),
+        (Some(CallAction::Drop), "once", "aborted"),
     ] {
         number += 1;
         let what = format!("{number}: {act:?} {method}");
@@ -555,7 +556,7 @@
         let number = u64::from_str_radix(&call.id, 16).unwrap();
         let harmless = [1, 3, 5, 9, 11, 13, 15, 19, 20].contains(&number);
         assert!(harmless || again == 1, "{number} ran {again} times");
-        assert!(harmless || call.proven || call.before == 0, "{call:?}");
+        assert!(harmless || call.was_pinged || call.before == 0, "{call:?}");
         assert_eq!((call.body.as_slice(), call.secret.as_deref()), (&b"\x00\x01\x02"[..], Some("pear")));
     }
     assert!(ledger.pings() > 0 && ledger.connections() > 5);
@@ -564,9 +565,10 @@
 #[test]
 fn a_forgotten_connection_below_costs_no_call_its_proof() {
     // The ledger closes kept connections after a moment, as the next call is about to be written.
-    let ledger =
-        Ledger::start("127.0.0.21:0".parse().unwrap(), Duration::from_millis(40), |_| Act::good(b"A"))
-            .unwrap();
+    let ledger = Dependency::start("127.0.0.21:0".parse().unwrap(), Duration::from_millis(40), |_| {
+        CallAction::ok(b"A")
+    })
+    .unwrap();
     let more = format!("below ajp 127.0.0.21:{}\nbelow trust 1s\n", ledger.at.port());
     let (stand, mut executor) = up(|_| (), &more);
     let mut peer = ajp(&stand);
@@ -583,7 +585,7 @@
 
 #[test]
 fn with_one_place_gone_the_other_takes_all_calls() {
-    let here = Ledger::start("127.0.0.22:0".parse().unwrap(), IDLE, |_| Act::good(b"A")).unwrap();
+    let here = Dependency::start("127.0.0.22:0".parse().unwrap(), IDLE, |_| CallAction::ok(b"A")).unwrap();
     let nowhere = ochrewalk_lab::node::unused_address().unwrap();
     let more = format!("below ajp {nowhere}\nbelow ajp {}\nbelow leave-out 2\n", here.at);
     let (stand, mut executor) = up(|_| (), &more);
--- a/crates/ochrewalk-node/tests/fleet.rs
+++ b/crates/ochrewalk-node/tests/fleet.rs
@@ -10,14 +10,14 @@
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let mut plan = Plan {
         nodes: 9,
-        places: 6,
+        endpoints: 6,
         rate: 6.0,
         work_us: 10_000,
         seconds,
         seed: 5,
         window: Duration::from_secs(5),
-        apart: NEXT.fetch_add(1, Ordering::Relaxed) % 16,
-        spread: "below way rounds\nbelow warm 1s\nbelow pause 100ms 1s\n".into(),
+        instance: NEXT.fetch_add(1, Ordering::Relaxed) % 16,
+        balancing: "below way rounds\nbelow warm 1s\nbelow pause 100ms 1s\n".into(),
         fault: fault.into(),
         log: "error",
         progress: false,
--- a/crates/ochrewalk-node/tests/places.rs
+++ b/crates/ochrewalk-node/tests/places.rs
@@ -3,7 +3,7 @@
 mod helper;
 
 use helper::*;
-use ochrewalk_lab::ledger::{Act, Ledger};
+use ochrewalk_lab::dependency::{CallAction, Dependency};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
@@ -12,15 +12,15 @@
 
 /// An upstream that holds each call until its action is set, and then performs that action.
 struct ControlledUpstream {
-    ledger: Ledger,
-    act: Arc<(Mutex<Option<Act>>, Condvar)>,
+    ledger: Dependency,
+    act: Arc<(Mutex<Option<CallAction>>, Condvar)>,
 }
 
 impl ControlledUpstream {
     fn start() -> ControlledUpstream {
-        let act: Arc<(Mutex<Option<Act>>, Condvar)> = Arc::default();
+        let act: Arc<(Mutex<Option<CallAction>>, Condvar)> = Arc::default();
         let shared = act.clone();
-        let ledger = Ledger::start("127.0.0.26:0".parse().unwrap(), IDLE, move |_| {
+        let ledger = Dependency::start("127.0.0.26:0".parse().unwrap(), IDLE, move |_| {
             let mut act = shared.0.lock().unwrap();
             while act.is_none() {
                 act = shared.1.wait(act).unwrap();
@@ -30,7 +30,7 @@
         ControlledUpstream { ledger: ledger.unwrap(), act }
     }
 
-    fn set_action(&self, act: Act) {
+    fn set_action(&self, act: CallAction) {
         *self.act.0.lock().unwrap() = Some(act);
         self.act.1.notify_all();
     }
@@ -65,7 +65,7 @@
 #[test]
 fn new_endpoints_take_new_calls_and_calls_in_flight_finish_where_they_are() {
     // The reply arrives, or the connection closes without one; then the call may have run, and is not repeated.
-    for (act, code) in [(Act::good(b"A"), "RETURN"), (Act::Cut(0), "aborted")] {
+    for (act, code) in [(CallAction::ok(b"A"), "RETURN"), (CallAction::Truncate(0), "aborted")] {
         let (before, after, status) =
             (ControlledUpstream::start(), ControlledUpstream::start(), status_socket());
         let (stand, mut executor, mut caller) = Stand::up_with(|_| (), &operators_file(&status, &before));
@@ -78,7 +78,7 @@
         stand.signal("-HUP");
         let shown = wait_for_table(&status, &[&old, " leaving ", " 1 "]);
         assert!(shown.contains(&new), "{shown}");
-        after.set_action(Act::good(b"B"));
+        after.set_action(CallAction::ok(b"B"));
         caller.say(&rpc(3, "once"));
         executor.hear_of(&exec(3, "once"));
         executor.say(&callout(2, 3));
@@ -108,7 +108,7 @@
         operators_file(&status, &reachable)
     );
     let (_stand, mut executor, mut caller) = Stand::up_with(|_| (), &more);
-    reachable.set_action(Act::good(b"A"));
+    reachable.set_action(CallAction::ok(b"A"));
     for number in 2..6 {
         caller.say(&rpc(number, "once"));
         executor.hear_of(&exec(number, "once"));
--- a/crates/ochrewalk-node/tests/rollout.rs
+++ b/crates/ochrewalk-node/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Rollouts of real processes, with the controller as a process of its own and faults between them: every call has one answer,
 //! nothing runs twice that may not, and the rollout ends as it should. Counts and rules are asserted, no times.
 
-use ochrewalk_lab::changes::{another, play, Outcome, Plan, Subject, Trouble};
+use ochrewalk_lab::changes::{copy_with_other_contents, play, Fault, Outcome, Plan, Subject};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::OnceLock;
@@ -15,7 +15,7 @@
     static NEW: OnceLock<PathBuf> = OnceLock::new();
     NEW.get_or_init(|| {
         let to = Path::new(env!("CARGO_TARGET_TMPDIR")).join("another");
-        another(Path::new(OLD), &to).unwrap();
+        copy_with_other_contents(Path::new(OLD), &to).unwrap();
         to
     })
 }
@@ -44,39 +44,39 @@
         seed: 7,
         subject: Subject::Program,
         flaw: String::new(),
-        trouble: Trouble::None,
-        lines: "stage 1\nstage 50%\nmost-out 2\nmoment 250ms\nleast 1s\nmost 40s\nharm 0.5\nsilent 3s\ncold 500ms\n\
+        fault: Fault::None,
+        plan_lines: "stage 1\nstage 50%\nmost-out 2\nmoment 250ms\nleast 1s\nmost 40s\nharm 0.5\nsilent 3s\ncold 500ms\n\
                 patience 15s\n"
             .into(),
-        most: Duration::from_secs(60),
+        time_limit: Duration::from_secs(60),
         log: None,
-        apart: NEXT.fetch_add(1, Ordering::Relaxed),
+        instance: NEXT.fetch_add(1, Ordering::Relaxed),
     };
     change(&mut plan);
     let program = if plan.flaw.is_empty() { new() } else { flawed() };
     let outcome = play(Path::new(OLD), program, &plan).unwrap();
-    println!("{} {:?} {:?}: {:.1} s", plan.flaw, plan.subject, plan.trouble, outcome.seconds);
+    println!("{} {:?} {:?}: {:.1} s", plan.flaw, plan.subject, plan.fault, outcome.seconds);
     assert_eq!(outcome.broken, Vec::<String>::new(), "{plan:?}");
-    assert!(outcome.calls > 100 && outcome.most_ordered <= 2, "{outcome:?}");
+    assert!(outcome.calls > 100 && outcome.max_open_commands <= 2, "{outcome:?}");
     outcome
 }
 
 fn settings(plan: &mut Plan, subject: Subject) {
     plan.subject = subject;
-    plan.lines += "trial 2s\n";
+    plan.plan_lines += "trial 2s\n";
 }
 
 #[test]
 fn a_rollout_without_harm_reaches_all_nodes_also_with_its_controller_killed_again_and_again() {
-    let outcome = run(|plan| plan.trouble = Trouble::ConductorKilled);
+    let outcome = run(|plan| plan.fault = Fault::ControllerKilled);
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
     assert!(outcome.kills > 3, "{outcome:?}");
 }
 
 #[test]
 fn of_two_controllers_the_later_one_brings_it_to_its_end_and_links_that_break_lose_nothing() {
-    for trouble in [Trouble::TwoConductors, Trouble::LinksBreak] {
-        let outcome = run(|plan| plan.trouble = trouble);
+    for fault in [Fault::TwoControllers, Fault::LinksBreak] {
+        let outcome = run(|plan| plan.fault = fault);
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
     }
 }
@@ -93,7 +93,7 @@
     ] {
         let outcome = run(|plan| plan.flaw = flaw.into());
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("back", 0), "{flaw}: {outcome:?}");
-        assert!(outcome.said.contains(why) && outcome.changed <= most, "{flaw}: {outcome:?}");
+        assert!(outcome.output.contains(why) && outcome.changed <= most, "{flaw}: {outcome:?}");
     }
 }
 
@@ -107,14 +107,14 @@
 fn unconfirmed_nodes_whose_controller_is_gone_or_not_heard_revert_by_themselves() {
     let outcome = run(|plan| {
         settings(plan, Subject::Settings);
-        plan.trouble = Trouble::ConductorGone;
+        plan.fault = Fault::ControllerLost;
     });
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("gone", 0), "{outcome:?}");
     // Cut off for longer than the lease, and heard again: they are changed again.
     let outcome = run(|plan| {
         settings(plan, Subject::Settings);
-        plan.trouble = Trouble::LinksSilent;
-        plan.lines = plan.lines.replace("silent 3s", "silent 20s");
+        plan.fault = Fault::LinksSilent;
+        plan.plan_lines = plan.plan_lines.replace("silent 3s", "silent 20s");
     });
     assert_eq!((outcome.end.as_str(), outcome.left_changed), ("done", NODES), "{outcome:?}");
 }
@@ -124,11 +124,11 @@
     for (subject, why) in [(Subject::HarmfulSettings, "of sale"), (Subject::UnusableSettings, "no unit")] {
         let outcome = run(|plan| settings(plan, subject));
         assert_eq!((outcome.end.as_str(), outcome.left_changed), ("back", 0), "{outcome:?}");
-        assert!(outcome.said.contains(why), "{outcome:?}");
+        assert!(outcome.output.contains(why), "{outcome:?}");
     }
     let outcome = run(|plan| {
         settings(plan, Subject::HarmfulSettings);
-        plan.trouble = Trouble::OldReplaced;
+        plan.fault = Fault::OldReplaced;
     });
-    assert!(outcome.end == "waiting" && outcome.said.contains("another file by now"), "{outcome:?}");
+    assert!(outcome.end == "waiting" && outcome.output.contains("another file by now"), "{outcome:?}");
 }
--- a/crates/ochrewalk-rollout/tests/canary_analysis.rs
+++ b/crates/ochrewalk-rollout/tests/canary_analysis.rs
@@ -1,7 +1,7 @@
 //! Tests the analysis case by case, and over many rollouts in virtual time: how often it stops a rollout
 //! without harm, and how often it misses harm.
 
-use ochrewalk_lab::judged::{changes, Case, Way, World};
+use ochrewalk_lab::canary_trial::{changes, AnalysisMethod, Case, SimulatedFleet};
 use ochrewalk_rollout::{AnalysisSettings, CallCounts, CanaryAnalysis, Sample, Verdict};
 
 fn analysis() -> CanaryAnalysis {
@@ -14,18 +14,19 @@
     for seed in 0..200 {
         // Stages of 3, 15 and 30 of 60 nodes.
         let mut analysis = analysis();
-        let mut world = World::new(60, 3, 4.0 + (seed % 20) as f64, seed);
+        let mut fleet = SimulatedFleet::new(60, 3, 4.0 + (seed % 20) as f64, seed);
         for changed in [3, 15, 30] {
-            world.changed = changed;
+            fleet.changed = changed;
             analysis.begin_stage();
-            let (duration_s, verdict) = world.judged(&mut analysis, 900);
+            let (duration_s, verdict) = fleet.run_until_verdict(&mut analysis, 900);
             seconds.push(duration_s);
             stopped += usize::from(matches!(verdict, Verdict::Harm(_)));
             passed += usize::from(verdict == Verdict::Pass);
         }
         let mut analysis = self::analysis();
-        let mut world = World { harm: 0.05, ..World::new(60, 3, 4.0 + (seed % 20) as f64, !seed) };
-        missed += usize::from(!matches!(world.judged(&mut analysis, 900).1, Verdict::Harm(_)));
+        let mut fleet =
+            SimulatedFleet { harm: 0.05, ..SimulatedFleet::new(60, 3, 4.0 + (seed % 20) as f64, !seed) };
+        missed += usize::from(!matches!(fleet.run_until_verdict(&mut analysis, 900).1, Verdict::Harm(_)));
     }
     seconds.sort_unstable();
     println!(
@@ -41,9 +42,9 @@
 #[test]
 fn a_comparison_of_before_and_after_stops_harmless_rollouts_and_the_sequential_test_does_not() {
     for (case, way, expected) in [
-        (Case::Trouble, Way::Sequential, 0..=0),
-        (Case::Trouble, Way::BeforeAfter, 20..=20),
-        (Case::Harm, Way::Sequential, 20..=20),
+        (Case::FleetFault, AnalysisMethod::Sequential, 0..=0),
+        (Case::FleetFault, AnalysisMethod::BeforeAfter, 20..=20),
+        (Case::Harm, AnalysisMethod::Sequential, 20..=20),
     ] {
         let stopped = changes(way, case, 60, 20, 5).iter().filter(|ended| ended.stopped).count();
         assert!(expected.contains(&stopped), "{way:?} {case:?}: {stopped} of 20");
@@ -53,26 +54,26 @@
 #[test]
 fn a_fault_on_all_nodes_makes_the_analysis_wait() {
     let mut analysis = analysis();
-    let mut world = World::new(30, 6, 10.0, 1);
+    let mut fleet = SimulatedFleet::new(30, 6, 10.0, 1);
     for _ in 0..20 {
-        assert_eq!(analysis.add_sample(&world.moment()), Verdict::Pending);
+        assert_eq!(analysis.add_sample(&fleet.next_sample()), Verdict::Pending);
     }
-    world.trouble = 0.4;
+    fleet.fault_share = 0.4;
     for second in 0..100 {
-        assert_eq!(analysis.add_sample(&world.moment()), Verdict::FleetUnhealthy, "{second}");
+        assert_eq!(analysis.add_sample(&fleet.next_sample()), Verdict::FleetUnhealthy, "{second}");
     }
-    world.trouble = 0.0;
-    assert_eq!(world.judged(&mut analysis, 900).1, Verdict::Pass);
+    fleet.fault_share = 0.0;
+    assert_eq!(fleet.run_until_verdict(&mut analysis, 900).1, Verdict::Pass);
 }
 
 #[test]
 fn harm_that_appears_late_is_found_within_60_samples() {
     let mut analysis = analysis();
-    let mut world = World { harm: 0.2, harm_from: 1_200, ..World::new(30, 6, 10.0, 2) };
+    let mut fleet = SimulatedFleet { harm: 0.2, harm_from: 1_200, ..SimulatedFleet::new(30, 6, 10.0, 2) };
     let mut verdict = Verdict::Pending;
-    while world.second < 1_199 {
-        verdict = analysis.add_sample(&world.moment());
-        assert!(!matches!(verdict, Verdict::Harm(_)), "{} {verdict:?}", world.second);
+    while fleet.second < 1_199 {
+        verdict = analysis.add_sample(&fleet.next_sample());
+        assert!(!matches!(verdict, Verdict::Harm(_)), "{} {verdict:?}", fleet.second);
         if verdict == Verdict::Pass {
             analysis.begin_stage();
         }
@@ -80,7 +81,7 @@
     let mut late_samples = 0;
     while !matches!(verdict, Verdict::Harm(_)) {
         late_samples += 1;
-        verdict = analysis.add_sample(&world.moment());
+        verdict = analysis.add_sample(&fleet.next_sample());
         assert!(late_samples < 60, "harm was not found within {late_samples} s");
     }
     assert!(matches!(verdict, Verdict::Harm(reason) if reason.contains("sale")));
@@ -89,8 +90,8 @@
 #[test]
 fn too_little_traffic_is_inconclusive_after_the_maximum_number_of_samples() {
     let mut analysis = analysis();
-    let mut world = World { rates: vec![0.5, 0.002], ..World::new(4, 1, 1.0, 3) };
-    let (seconds, verdict) = world.judged(&mut analysis, 2_000);
+    let mut fleet = SimulatedFleet { rates: vec![0.5, 0.002], ..SimulatedFleet::new(4, 1, 1.0, 3) };
+    let (seconds, verdict) = fleet.run_until_verdict(&mut analysis, 2_000);
     assert_eq!(seconds, AnalysisSettings::default().max_samples);
     assert!(
         matches!(&verdict, Verdict::Inconclusive(reason) if reason.contains("too few calls")),
@@ -98,16 +99,19 @@
     );
     // Without any calls the reason differs.
     let mut analysis = self::analysis();
-    let mut world = World { rates: vec![0.0, 0.0], ..World::new(4, 1, 1.0, 3) };
-    assert_eq!(world.judged(&mut analysis, 2_000).1, Verdict::Inconclusive("no calls on both sides".into()));
+    let mut fleet = SimulatedFleet { rates: vec![0.0, 0.0], ..SimulatedFleet::new(4, 1, 1.0, 3) };
+    assert_eq!(
+        fleet.run_until_verdict(&mut analysis, 2_000).1,
+        Verdict::Inconclusive("no calls on both sides".into())
+    );
 }
 
 #[test]
 fn silence_restarts_missing_calls_and_memory_use_are_harm_on_changed_nodes_only() {
     let outcome_with = |change: &dyn Fn(&mut Sample, u32)| {
-        let (mut analysis, mut world) = (analysis(), World::new(12, 4, 10.0, 4));
+        let (mut analysis, mut fleet) = (analysis(), SimulatedFleet::new(12, 4, 10.0, 4));
         for second in 0..200 {
-            let mut sample = world.moment();
+            let mut sample = fleet.next_sample();
             change(&mut sample, second);
             if let verdict @ (Verdict::Harm(_) | Verdict::Pass) = analysis.add_sample(&sample) {
                 return format!("{verdict:?}");
@@ -159,10 +163,11 @@
 
 #[test]
 fn nodes_that_warm_up_are_compared_separately_and_a_completely_changed_fleet_passes() {
-    let (mut analysis, mut world) = (analysis(), World { harm: 0.3, ..World::new(30, 6, 10.0, 5) });
+    let (mut analysis, mut fleet) =
+        (analysis(), SimulatedFleet { harm: 0.3, ..SimulatedFleet::new(30, 6, 10.0, 5) });
     // Nodes that are warming up miss the target more often for a while, which alone is not harm.
     for _ in 0..20 {
-        let mut sample = world.moment();
+        let mut sample = fleet.next_sample();
         for node in sample.nodes.iter_mut().filter(|node| node.is_changed) {
             node.is_warming_up = true;
             node.methods.iter_mut().for_each(|counts| counts.failed = 0);
@@ -170,9 +175,12 @@
         assert_eq!(analysis.add_sample(&sample), Verdict::Pending);
     }
     // The same is harm once the nodes should be warm.
-    assert!(matches!(world.judged(&mut analysis, 60).1, Verdict::Harm(_)));
-    let (mut analysis, mut world) = (self::analysis(), World::new(6, 6, 10.0, 6));
-    assert_eq!(world.judged(&mut analysis, 60), (AnalysisSettings::default().min_samples, Verdict::Pass));
+    assert!(matches!(fleet.run_until_verdict(&mut analysis, 60).1, Verdict::Harm(_)));
+    let (mut analysis, mut fleet) = (self::analysis(), SimulatedFleet::new(6, 6, 10.0, 6));
+    assert_eq!(
+        fleet.run_until_verdict(&mut analysis, 60),
+        (AnalysisSettings::default().min_samples, Verdict::Pass)
+    );
 }
 
 #[test]
@@ -180,11 +188,11 @@
     // Unchanged nodes report their counts with every second sample, changed nodes with the samples in
     // between.
     for (answered_share, expected) in [(1.0, None), (0.1, Some("node 1 answers hardly any calls"))] {
-        let (mut world, mut analysis) = (World::new(8, 0, 10.0, 3), analysis());
+        let (mut fleet, mut analysis) = (SimulatedFleet::new(8, 0, 10.0, 3), analysis());
         let mut verdict = Verdict::Pending;
         for sample in 0..120 {
-            world.changed = if sample < 8 { 0 } else { 4 };
-            let mut current = world.moment();
+            fleet.changed = if sample < 8 { 0 } else { 4 };
+            let mut current = fleet.next_sample();
             for node in &mut current.nodes {
                 let reports = (sample + usize::from(node.is_changed)) % 2 == 0;
                 let share = if node.is_changed && node.node == 1 { answered_share } else { 1.0 };
@@ -213,17 +221,17 @@
 /// have this fault at the beginning of each stage.
 fn stage_verdicts(seed: u64, harm: f64, fault_share: f64) -> Vec<(u32, String)> {
     let mut analysis = analysis();
-    let mut world = World { harm, ..World::new(24, 2, 2.0 + (seed % 7) as f64, seed) };
+    let mut fleet = SimulatedFleet { harm, ..SimulatedFleet::new(24, 2, 2.0 + (seed % 7) as f64, seed) };
     let mut stage_verdicts = Vec::new();
     for changed in [2, 8, 24] {
-        world.changed = changed;
+        fleet.changed = changed;
         analysis.begin_stage();
-        world.trouble = fault_share;
+        fleet.fault_share = fault_share;
         for _ in 0..5 {
-            analysis.add_sample(&world.moment());
+            analysis.add_sample(&fleet.next_sample());
         }
-        world.trouble = 0.0;
-        let (samples, verdict) = world.judged(&mut analysis, 900);
+        fleet.fault_share = 0.0;
+        let (samples, verdict) = fleet.run_until_verdict(&mut analysis, 900);
         stage_verdicts.push((samples, verdict.to_string()));
         if matches!(verdict, Verdict::Harm(_)) {
             break;
