--- a/crates/ochrewalk-lab/src/ajp.rs
+++ b/crates/ochrewalk-lab/src/ajp.rs
@@ -1,4 +1,4 @@
-//! A caller by AJP: one connection, one call at a time, blocking.
+//! Blocking AJP caller: one connection with one call at a time.
 
 use ochrewalk_ajp::packet::USUAL_PACKET;
 use ochrewalk_ajp::reply::{self, Message};
@@ -12,7 +12,7 @@
     input: Vec<u8>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a call brings.
+/// A call to be sent.
 #[derive(Clone, Debug, Default)]
 pub struct Call<'a> {
     pub method: &'a str,
@@ -42,7 +42,7 @@
 }
 
 impl Call<'_> {
-    /// Its head as a packet; the length of the body is stated unless a header does it.
+    /// Encodes the head as a packet, with the length of the body unless a header states it.
     pub fn head(&self) -> Vec<u8> {
         let length = self.body.len().to_string();
         let stated = |n: &str| self.headers.iter().any(|(name, _)| name.eq_ignore_ascii_case(n));
@@ -72,7 +72,7 @@
         out
     }
 
-    /// Head and body.
+    /// Encodes the head and the body.
     pub fn whole(&self) -> Vec<u8> {
         let mut out = self.head();
         if !self.body.is_empty() {
@@ -95,15 +95,15 @@
 }
 
 impl Peer {
-    pub fn connect(to: SocketAddr, patience: Duration) -> std::io::Result<Peer> {
-        Peer::from_stream(TcpStream::connect_timeout(&to, patience)?, patience)
+    pub fn connect(to: SocketAddr, timeout: Duration) -> std::io::Result<Peer> {
+        Peer::from_stream(TcpStream::connect_timeout(&to, timeout)?, timeout)
     }
 
-    /// On a stream that is there already.
-    pub fn from_stream(stream: TcpStream, patience: Duration) -> std::io::Result<Peer> {
+    /// Uses an established stream, with `timeout` for reads and writes.
+    pub fn from_stream(stream: TcpStream, timeout: Duration) -> std::io::Result<Peer> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(patience))?;
-        stream.set_write_timeout(Some(patience))?;
+        stream.set_read_timeout(Some(timeout))?;
+        stream.set_write_timeout(Some(timeout))?;
         Ok(Peer { stream, input: Vec::new() })
     }
 
@@ -116,7 +116,7 @@
         self.answer()
     }
 
-    /// The next whole answer.
+    /// Reads the next complete answer.
     pub fn answer(&mut self) -> std::io::Result<Answer> {
         let mut answer = Answer { status: 0, headers: Vec::new(), body: Vec::new(), reuse: false };
         loop {
@@ -143,11 +143,11 @@
         }
     }
 
-    /// Waits for the next message.
+    /// Waits for the next message and passes it to `read`.
     pub fn message<T>(&mut self, read: impl FnOnce(&Message) -> T) -> std::io::Result<T> {
         loop {
-            let whole = reply::read(&self.input, USUAL_PACKET);
-            match whole.map_err(|why| Error::new(ErrorKind::InvalidData, why.to_string()))? {
+            let decoded = reply::read(&self.input, USUAL_PACKET);
+            match decoded.map_err(|why| Error::new(ErrorKind::InvalidData, why.to_string()))? {
                 Some((message, taken)) => {
                     let got = read(&message);
                     self.input.drain(..taken);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Whether the other side has ended the connection with nothing more to read.
+    /// Whether the node has closed the connection and nothing is left to read.
     pub fn is_ended(&mut self) -> bool {
         match self.message(|_| ()) {
             Ok(()) => false,
@@ -172,10 +172,10 @@
         }
     }
 
-    /// Whether the other side answers a ping.
+    /// Whether the node answers a ping.
     pub fn is_alive(&mut self) -> bool {
-        let asked = self.send(&plain(&request::Message::CPing));
-        asked.is_ok() && self.message(|m| matches!(m, Message::CPong)).unwrap_or(false)
+        let sent = self.send(&plain(&request::Message::CPing));
+        sent.is_ok() && self.message(|m| matches!(m, Message::CPong)).unwrap_or(false)
     }
 
     pub fn end(&self) {
--- a/crates/ochrewalk-lab/src/dependency.rs
+++ b/crates/ochrewalk-lab/src/dependency.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the ledger below: an AJP server that answers, slows, fails and closes as it is told, call by call.
+//! Stand-in for the shared upstream dependency: an AJP server that answers, delays, fails or closes the connection as a script
+//! decides for each call.
 
 use ochrewalk_ajp::packet::USUAL_PACKET;
 use ochrewalk_ajp::reply::{self, Head, Message};
@@ -9,39 +10,40 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A call as it came.
+/// A call as it was received.
 #[derive(Clone, Debug)]
 pub struct ReceivedCall {
-    /// How many came before it, on any connection.
+    /// The number of earlier calls on any connection.
     pub number: u64,
-    /// The connection, counted from 0, and how many calls came on it before.
+    /// The index of the connection, from 0.
     pub connection: u64,
+    /// The number of earlier calls on the same connection.
     pub before: u64,
-    /// A ping was answered just before it.
+    /// Whether a ping was answered directly before the call.
     pub was_pinged: bool,
     pub id: String,
     pub secret: Option<String>,
     pub body: Vec<u8>,
 }
 
-/// What is done with a call.
+/// The handling of a call.
 #[derive(Clone, Debug)]
 pub enum CallAction {
-    /// This status and body, after so long.
+    /// Answers with this status and body after a delay.
     Answer { status: u16, never_ran: bool, body: Vec<u8>, after: Duration },
-    /// It runs, and then only so many bytes of its answer are written before the connection closes.
+    /// Runs the call and closes the connection after this number of bytes of the answer.
     Truncate(usize),
-    /// It runs, and half of its answer is written; nothing more comes.
+    /// Runs the call and sends only the first half of the answer.
     HalfAnswer,
-    /// It runs, and its answer comes twice.
+    /// Runs the call and sends the answer twice.
     AnswerTwice,
-    /// Its answer states a length that never comes.
+    /// Sends an answer whose body is shorter than its stated length.
     ShortBody,
-    /// It never runs: the connection closes as soon as its first bytes are read.
+    /// Closes the connection as soon as the first bytes of the call are read, without running it.
     Drop,
-    /// It runs, and nothing ever comes.
+    /// Runs the call and never answers.
     NoAnswer,
-    /// It runs and is answered; the connection takes no other.
+    /// Runs and answers the call; the connection takes no further calls.
     AnswerAndClose,
 }
 
@@ -53,7 +55,7 @@
 
 type Script = dyn Fn(&ReceivedCall) -> CallAction + Send + Sync;
 
-/// A ledger that listens until it is dropped.
+/// A dependency that listens until it is dropped.
 pub struct Dependency {
     pub at: SocketAddr,
     shared: Arc<Shared>,
@@ -61,18 +63,18 @@
 
 struct Shared {
     script: Box<Script>,
-    /// Calls that ran, by the order in which they came.
+    /// The calls that ran, in the order in which they were received.
     ran: Mutex<Vec<ReceivedCall>>,
     next: AtomicU64,
     connections: AtomicU64,
     pings: AtomicU64,
     is_stopped: AtomicBool,
-    /// Kept connections are closed once they carried nothing for so long.
+    /// The time after which an idle connection is closed.
     idle: Duration,
 }
 
 impl Dependency {
-    /// Listens at the address; port 0 for any. Kept connections are closed after `idle`.
+    /// Starts listening at the address, where port 0 selects any free port. Connections are closed after `idle` without traffic.
     pub fn start(
         at: SocketAddr,
         idle: Duration,
@@ -103,7 +105,7 @@
         Ok(Dependency { at, shared })
     }
 
-    /// The calls that ran, in order.
+    /// Returns the calls that ran, in order.
     pub fn ran(&self) -> Vec<ReceivedCall> {
         self.shared.ran.lock().expect("no panic under it").clone()
     }
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Carries one call out; says whether the connection goes on.
+    /// Reads the body of a call and runs it. Returns whether the connection stays open.
     fn call(
         &self,
         stream: &mut TcpStream,
@@ -206,7 +208,7 @@
     }
 
     fn run(&self, stream: &mut TcpStream, call: ReceivedCall, action: CallAction) -> bool {
-        // A stated refusal is no run.
+        // A rejection that states that the call never ran does not count as a run.
         let ran = !matches!(action, CallAction::Answer { never_ran: true, .. });
         let echo = call.body.clone();
         if ran {
@@ -234,7 +236,7 @@
             }
             CallAction::ShortBody => {
                 let answer = ok_answer(Some(echo.len() + 1_000), true);
-                // All but its end.
+                // Omits the last 6 bytes, which end the answer.
                 let _ = stream.write_all(&answer[..answer.len() - 6]);
                 read_more(stream, &mut Vec::new());
                 false
--- a/crates/ochrewalk-lab/src/executor.rs
+++ b/crates/ochrewalk-lab/src/executor.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the executor: cores that all runs share evenly, each run with its work, half of it before its call
-//! and half after. It counts the runs of each body, so that a second run of one shows.
+//! Stand-in for the executor: all runs share its cores evenly, and each run does half of its work before its upstream call and
+//! half after. The stand-in counts the runs of each body, so that a repeated run is detected.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde_json::{json, Value};
@@ -10,23 +10,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a method's runs take.
+/// The work of each run of a method.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
     pub core_us: u64,
+    /// Whether a run makes an upstream call.
     pub calls: bool,
-    /// The time is drawn for each body by itself, exponentially, with `core_us` as its mean.
+    /// Whether the core time of each body is drawn from an exponential distribution with mean `core_us`.
     pub is_exponential: bool,
-    /// A run that still waits for its call so long after its start is ended, as nobody waits for it any more.
+    /// The time after its start at which a run that still waits for its upstream call is cancelled, as no caller waits for its
+    /// result any more.
     pub max_wait: Duration,
 }
 
-/// How it fares, beside what its methods take.
+/// Faults of the executor, in addition to the work of its methods.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExecutorBehavior {
-    /// Work takes so many times as long.
+    /// The factor by which all work takes longer.
     pub slowdown: f64,
-    /// Each run fails at once.
+    /// Whether each run fails immediately.
     pub fails_all: bool,
 }
 
@@ -37,14 +39,14 @@
     sender: Sender<Message>,
 }
 
-/// How long each run was here, from the read of its start to the write of its end, until it is asked for.
+/// The time from reading the start of each run to writing its end; an entry is removed when it is queried.
 type ResidenceTimes = Arc<Mutex<HashMap<String, Duration>>>;
 
 struct Run {
     lane: Work,
     body: Vec<u8>,
     left_us: f64,
-    /// It was at its call, or needs none.
+    /// Whether the upstream call of the run has been made, or the run makes none.
     has_called: bool,
     is_waiting: bool,
     started: Instant,
@@ -67,10 +69,10 @@
 
 enum Message {
     Connection(TcpStream),
-    /// And when it was read.
+    /// A line from the node, and the time at which it was read.
     Line(Value, Instant),
     SetBehavior(ExecutorBehavior),
-    /// It ended with its node, and begins anew.
+    /// Clears all state, as after a restart of the executor together with its node.
     Restart,
 }
 
@@ -79,7 +81,7 @@
         Executor::start_with(cores, works, None)
     }
 
-    /// One that remembers how long each run was there, for [`Executor::take_residence`].
+    /// Starts an executor that records the residence time of each run for [`Executor::take_residence`].
     pub fn start_timed(cores: f64, works: HashMap<String, Work>) -> std::io::Result<Executor> {
         Executor::start_with(cores, works, Some(ResidenceTimes::default()))
     }
@@ -123,17 +125,17 @@
         let _ = self.sender.send(Message::SetBehavior(behavior));
     }
 
-    /// Its node was killed, and it with it.
+    /// Restarts the executor cold, as after its node was killed.
     pub fn restart(&self) {
         let _ = self.sender.send(Message::Restart);
     }
 
-    /// How long a run was here that has ended, once; none where that is not remembered.
+    /// Removes and returns the residence time of a run that has ended, or `None` if residence times are not recorded.
     pub fn take_residence(&self, run: &str) -> Option<Duration> {
         self.residence.as_ref()?.lock().expect("no panic under it").remove(run)
     }
 
-    /// How often each body was run.
+    /// Returns the number of runs of each body.
     pub fn counts(&self) -> BTreeMap<Vec<u8>, u32> {
         self.counts.lock().expect("no panic under it").clone()
     }
@@ -153,14 +155,14 @@
     }
 }
 
-/// A factor for that body, exponential with a mean of 1, the same each time.
+/// Returns a factor for this body from an exponential distribution with mean 1. The same body always has the same factor.
 fn exponential_factor(body: &[u8]) -> f64 {
     let seed =
         body.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3));
     -(1.0 - fastrand::Rng::with_seed(seed).f64()).ln()
 }
 
-/// What a run of this body gives.
+/// Returns the result of a run of this body.
 pub fn result_of(body: &[u8]) -> Vec<u8> {
     [b"done:", body].concat()
 }
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Runs that have come to their call or their end.
+    /// Handles runs that have reached their upstream call or their end, and cancels runs that have waited too long.
     fn settle(&mut self) {
         let due: Vec<String> = self
             .runs
@@ -295,7 +297,7 @@
 }
 
 impl Run {
-    /// Core time to its call, or to its end.
+    /// Returns the core time until the upstream call of the run, or until its end if no call is left.
     fn until_us(&self) -> f64 {
         let half = if self.has_called { 0.0 } else { self.lane.core_us as f64 / 2.0 };
         self.left_us - half
--- a/crates/ochrewalk-lab/src/json.rs
+++ b/crates/ochrewalk-lab/src/json.rs
@@ -1,4 +1,4 @@
-//! A caller by JSON-RPC: one connection that carries many calls.
+//! JSON-RPC caller: one connection that carries many concurrent calls.
 
 use serde_json::Value;
 use std::collections::HashMap;
@@ -9,46 +9,46 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-type Open = Arc<Mutex<HashMap<u64, Sender<Value>>>>;
+type PendingCalls = Arc<Mutex<HashMap<u64, Sender<Value>>>>;
 
 pub struct Caller {
     stream: Mutex<TcpStream>,
-    open: Open,
-    over: Arc<AtomicBool>,
+    pending: PendingCalls,
+    is_closed: Arc<AtomicBool>,
 }
 
 impl Caller {
     pub fn connect(to: SocketAddr) -> std::io::Result<Caller> {
         let stream = TcpStream::connect_timeout(&to, Duration::from_secs(2))?;
         stream.set_nodelay(true)?;
-        let open: Open = Arc::default();
-        let over = Arc::new(AtomicBool::new(false));
-        let ended = over.clone();
-        let (of, reads) = (open.clone(), stream.try_clone()?);
+        let pending: PendingCalls = Arc::default();
+        let is_closed = Arc::new(AtomicBool::new(false));
+        let closed_flag = is_closed.clone();
+        let (pending_calls, reads) = (pending.clone(), stream.try_clone()?);
         std::thread::spawn(move || {
             for line in BufReader::new(reads).lines().map_while(Result::ok) {
                 let Ok(value) = serde_json::from_str::<Value>(&line) else { continue };
                 let Some(id) = value["id"].as_u64() else { continue };
-                // Every answer is passed on: a second one has to show.
-                if let Some(to) = of.lock().expect("no panic under it").get(&id) {
+                // Every answer is passed on, so that a duplicate is detected.
+                if let Some(to) = pending_calls.lock().expect("no panic under it").get(&id) {
                     let _ = to.send(value);
                 }
             }
-            ended.store(true, Ordering::Relaxed);
-            of.lock().expect("no panic under it").clear();
+            closed_flag.store(true, Ordering::Relaxed);
+            pending_calls.lock().expect("no panic under it").clear();
         });
-        Ok(Caller { stream: Mutex::new(stream), open, over })
+        Ok(Caller { stream: Mutex::new(stream), pending, is_closed })
     }
 
-    /// Whether the other side has not ended the connection.
+    /// Whether the node has not closed the connection.
     pub fn is_open(&self) -> bool {
-        !self.over.load(Ordering::Relaxed)
+        !self.is_closed.load(Ordering::Relaxed)
     }
 
-    /// Sends a call; its answers come to the receiver. `params` is the inside of an object.
+    /// Sends a call and returns the receiver of its answers. `params` holds the members of a JSON object without its braces.
     pub fn call(&self, id: u64, method: &str, params: &str) -> Receiver<Value> {
         let (to, answers) = channel();
-        self.open.lock().expect("no panic under it").insert(id, to);
+        self.pending.lock().expect("no panic under it").insert(id, to);
         let line =
             format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{method}\",\"params\":{{{params}}}}}\n");
         let written = self.stream.lock().expect("no panic under it").write_all(line.as_bytes());
@@ -59,6 +59,6 @@
     }
 
     pub fn forget(&self, id: u64) {
-        self.open.lock().expect("no panic under it").remove(&id);
+        self.pending.lock().expect("no panic under it").remove(&id);
     }
 }
--- a/crates/ochrewalk-lab/src/lib.rs
+++ b/crates/ochrewalk-lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! The project's laboratory: stand-ins for a node's executor, for the ledger below it and for its callers by both
-//! protocols, and a checker of the rules. All on loopback, bounded in time, from one seed.
+//! Test lab for nodes: stand-ins for a node's executor, for its upstream dependency and for its callers over both protocols,
+//! and a checker of the rules that calls have to obey. Everything runs on loopback, takes a bounded time and derives from one
+//! seed.
 
 pub mod ajp;
 pub mod balancing_trial;
--- a/crates/ochrewalk-lab/src/node.rs
+++ b/crates/ochrewalk-lab/src/node.rs
@@ -1,4 +1,4 @@
-//! The real program as a process, with a file of its own and a stand-in for the directory.
+//! The node's program as a child process with its own configuration files, and a stand-in for the directory.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -19,12 +19,13 @@
     files: Vec<PathBuf>,
 }
 
-/// Where the program is: beside this one. Built where it is not there, or where cargo runs this one.
+/// Returns the path of the node's program, which is in the same folder as the current program. Builds it if it is missing, or if
+/// cargo runs the current program.
 pub fn program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|err| err.to_string())?;
-    let beside = own.with_file_name("ochrewalk");
+    let program = own.with_file_name("ochrewalk");
     let cargo = std::env::var_os("CARGO");
-    if cargo.is_some() || !beside.exists() {
+    if cargo.is_some() || !program.exists() {
         let mut build = Command::new(cargo.unwrap_or_else(|| "cargo".into()));
         build.args(["build", "--quiet", "-p", "ochrewalk-node"]);
         if own.parent().is_some_and(|folder| folder.ends_with("release")) {
@@ -35,10 +36,10 @@
             return Err("the node cannot be built".into());
         }
     }
-    Ok(beside)
+    Ok(program)
 }
 
-/// A directory that takes every report.
+/// Starts a directory that accepts every report.
 pub fn directory() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let at = listener.local_addr()?;
@@ -57,11 +58,11 @@
     Ok(at)
 }
 
-/// Below the ports that the system gives out by itself.
+/// The first port of unused addresses, below the system's ephemeral ports.
 const UNUSED_PORT: u16 = 7_400;
 
-/// An address at which nobody listens, and whose port no socket is given by chance: each process has a network of its own on
-/// loopback, each call an address there.
+/// Returns an address without a listener, whose port the system does not assign to another socket: each process has a separate
+/// network on loopback, and each call returns another address in it.
 pub fn unused_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let [high, low] = ((std::process::id() % 16_000) as u16).to_be_bytes();
@@ -77,7 +78,7 @@
     }
 }
 
-/// CPU time that a process has used, in microseconds; 0 where it has ended.
+/// Returns the CPU time that a process has used, in microseconds, or 0 if it has ended.
 pub fn cpu_us(process: u32) -> u64 {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task"));
     let of_task = |task: std::fs::DirEntry| {
@@ -88,19 +89,19 @@
 }
 
 impl Node {
-    /// Starts it with the platform's file and the operators' own, and waits until it listens.
+    /// Starts a node with the platform's file and the operators' file, and waits until it listens.
     pub fn start(program: &Path, config: &Value, operators: &str, log: &str) -> Result<Node, String> {
         let mut node = Node::spawn(program, config, operators, log)?;
         node.wait()?;
         Ok(node)
     }
 
-    /// The same without the wait.
+    /// Starts a node without waiting until it listens.
     pub fn spawn(program: &Path, config: &Value, operators: &str, log: &str) -> Result<Node, String> {
         Node::spawn_with(program, config, operators, log, &[])
     }
 
-    /// With words in its environment, too.
+    /// Starts a node with additional environment variables, without waiting until it listens.
     pub fn spawn_with(
         program: &Path,
         config: &Value,
@@ -129,7 +130,7 @@
         Ok(Node { child, listen, arguments, environment, files })
     }
 
-    /// Until it listens.
+    /// Waits until the node listens. Fails if the process ends before, or after 1,000 attempts.
     pub fn wait(&mut self) -> Result<(), String> {
         for _ in 0..1_000 {
             if TcpStream::connect_timeout(&self.listen, Duration::from_millis(200)).is_ok() {
@@ -143,7 +144,7 @@
         Err(format!("the node at {} does not listen", self.listen))
     }
 
-    /// Starts it anew, with the same files.
+    /// Kills the node and starts it again with the same files.
     pub fn restart(&mut self) -> Result<(), String> {
         self.kill();
         self.child = run(&self.arguments, &self.environment)?;
@@ -155,14 +156,14 @@
         let _ = self.child.wait();
     }
 
-    /// Gives it another operators' file and has it read.
+    /// Replaces the operators' file and makes the node reload it.
     pub fn reload(&self, operators: &str) -> Result<(), String> {
         write(&self.files[1], operators)?;
         self.signal(Signal::HUP);
         Ok(())
     }
 
-    /// The operators' file that it was started with.
+    /// Returns the path of the operators' file.
     pub fn operators(&self) -> &Path {
         &self.files[1]
     }
@@ -173,30 +174,30 @@
         }
     }
 
-    /// Tells it to leave and waits until it has ended.
+    /// Sends SIGTERM and waits until the process has ended.
     pub fn terminate(&mut self) {
         self.signal(Signal::TERM);
         let _ = self.child.wait();
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The processes that it has started and keeps.
+    /// Returns the ids of the child processes that are still running.
     pub fn children(&self) -> Vec<u32> {
         let path = format!("/proc/{0}/task/{0}/children", self.child.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
         text.split_whitespace().filter_map(|pid| pid.parse().ok()).collect()
     }
 
-    /// CPU time that it has used, in microseconds.
+    /// Returns the CPU time that the process has used, in microseconds.
     pub fn cpu_us(&self) -> u64 {
         cpu_us(self.child.id())
     }
 
-    /// Memory that is its own, in KB.
+    /// Returns the proportional set size (PSS) of the process, in KB.
     pub fn memory_kb(&self) -> u64 {
         let text =
             std::fs::read_to_string(format!("/proc/{}/smaps_rollup", self.child.id())).unwrap_or_default();
@@ -209,7 +210,7 @@
     }
 }
 
-/// Guards against processes that stay behind: they end with the one that started them, however that ends.
+/// Starts a process that ends together with the process that started it, however that ends, so that no process stays behind.
 fn run(arguments: &[OsString], environment: &[(String, String)]) -> Result<Child, String> {
     let mut command = Command::new(&arguments[0]);
     command
@@ -217,7 +218,7 @@
         .envs(environment.iter().cloned())
         .stdin(Stdio::null())
         .stdout(Stdio::null());
-    // SAFETY: between fork and exec it makes one system call and touches no memory.
+    // SAFETY: between fork and exec the closure makes one system call and touches no memory.
     unsafe {
         command.pre_exec(|| Ok(rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?));
     }
@@ -235,7 +236,7 @@
     }
 }
 
-/// The platform's file for a node with these methods in its settings.
+/// Returns the platform's file for a node with these settings.
 pub fn config(listen: SocketAddr, executor: SocketAddr, directory: SocketAddr, settings: Value) -> Value {
     json!({
         "name": "lab", "listen": listen.to_string(), "executor": executor.to_string(),
