--- a/crates/ochrewalk-lab/src/control_proxy.rs
+++ b/crates/ochrewalk-lab/src/control_proxy.rs
@@ -1,5 +1,5 @@
-//! Links between a conductor and nodes' supervisors: Unix sockets that pass messages on, until they are told to be silent, to
-//! lose the answers, or to end after the command.
+//! Proxies between a rollout controller and the nodes' supervisors: Unix sockets that forward messages, and that can be set to
+//! forward nothing, to drop the replies, or to close the connection after the command.
 
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -8,24 +8,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a link fares.
+/// The behavior of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyMode {
     Forward,
-    /// Nothing is passed on, and nobody is told.
+    /// Forwards nothing, without an error to either side.
     Silent,
-    /// What is asked is passed on; no answer ever comes.
+    /// Forwards commands and drops all replies.
     DropReplies,
-    /// What is asked is passed on, and the link ends before the answer.
+    /// Forwards the command and closes the connection before the reply.
     CloseBeforeReply,
 }
 
 const MODES: [ProxyMode; 4] =
     [ProxyMode::Forward, ProxyMode::Silent, ProxyMode::DropReplies, ProxyMode::CloseBeforeReply];
-/// How long a silent link keeps its ends waiting.
+/// The time for which a silent proxy keeps both sides waiting.
 const SILENT_FOR: Duration = Duration::from_secs(30);
 
-/// A link that listens until the process ends.
+/// A proxy that listens until the process ends.
 pub struct ControlProxy {
     mode: Arc<AtomicU8>,
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// One message each way: all that is spoken there.
+/// Forwards one message in each direction, which is the whole exchange of a control connection.
 fn forward(client: UnixStream, to: &Path, mode: &AtomicU8) -> Option<()> {
     let mode_now = || MODES[usize::from(mode.load(Ordering::Relaxed))];
     if mode_now() == ProxyMode::Silent {
@@ -62,7 +62,7 @@
     std::thread::spawn(move || copy(&mut reads, &mut writes, &|| true));
     let initial_mode = mode_now();
     if initial_mode == ProxyMode::CloseBeforeReply {
-        // Until the supervisor has read it: its answer, or its end, shows that.
+        // The first byte of the reply, or the end of the connection, shows that the supervisor has read the command.
         let _ = (&supervisor).read(&mut [0; 1]);
         return None;
     }
@@ -74,7 +74,7 @@
     Some(())
 }
 
-/// Until either end closes.
+/// Copies bytes until either side closes, and drops them while `may_forward` is false.
 fn copy(from: &mut UnixStream, to: &mut UnixStream, may_forward: &dyn Fn() -> bool) {
     let mut chunk = [0; 4096];
     while let Ok(got) = from.read(&mut chunk) {
--- a/crates/ochrewalk-lab/src/faults.rs
+++ b/crates/ochrewalk-lab/src/faults.rs
@@ -1,15 +1,15 @@
-//! What goes wrong between processes, by name: which step is taken when. The same seed gives the same steps.
+//! Named faults of processes and links: which action is taken at which time. The same seed gives the same steps.
 
 use crate::executor::ExecutorBehavior;
 use crate::faulty_links::{LinkFault, Rule};
 use std::ops::Range;
 use std::time::Duration;
 
-/// How many processes there are, and when the trouble is.
+/// The number of processes, and the time span of the fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Scene {
     pub nodes: usize,
-    /// Places on the first list; half as many more stand by where they are replaced.
+    /// The number of endpoints on the first list. The fault `replaced` needs half as many more as replacements.
     pub endpoints: usize,
     pub from: Duration,
     pub until: Duration,
@@ -21,54 +21,57 @@
     Endpoints,
 }
 
-/// What is done to processes, or to what lies between.
+/// An action on processes or on the links between them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
     Kill(Tier, usize),
-    /// Starts one that was killed, cold.
+    /// Starts a killed process again, cold.
     Start(Tier, usize),
     Stop(Tier, usize),
     Continue(Tier, usize),
     SetBehavior(Range<usize>, ExecutorBehavior),
     SetLinkRules(Vec<Rule>),
-    /// That node reads a list of these places.
+    /// Makes a node read a list of these endpoints.
     UpdateList(usize, Range<usize>),
-    /// That place is told to leave.
+    /// Makes an endpoint shut down gracefully.
     Drain(usize),
 }
 
 pub type Steps = Vec<(Duration, FaultAction)>;
 
-/// All faults, with what each is.
+/// The names and descriptions of all faults.
 pub const FAULTS: [(&str, &str); 14] = [
-    ("none", "nothing goes wrong"),
-    ("dead", "one endpoint in ten is killed, and started cold when the trouble is over"),
-    ("stopped", "one endpoint in ten is stopped for 5 s, and goes on"),
+    ("none", "no fault"),
+    ("dead", "one endpoint in ten is killed, and started cold when the fault ends"),
+    ("stopped", "one endpoint in ten is stopped for 5 s, then continued"),
     ("slow", "one endpoint in ten takes ten times as long"),
-    ("fails", "one endpoint in ten fails everything at once"),
+    ("fails", "one endpoint in ten fails every call immediately"),
     (
         "silent",
-        "what a third of the nodes writes to three endpoints in ten does not arrive until the trouble is over",
+        "bytes from a third of the nodes to three endpoints in ten are held back until the fault ends",
     ),
+    ("mute", "bytes from three endpoints in ten to a third of the nodes are held back until the fault ends"),
+    ("cut", "connections between a third of the nodes and three endpoints in ten are reset"),
     (
-        "mute",
-        "what three endpoints in ten write to a third of the nodes does not arrive until the trouble is over",
+        "half-open",
+        "connections between a third of the nodes and one endpoint in ten are accepted and forward nothing",
     ),
-    ("cut", "connections between a third of the nodes and three endpoints in ten are reset"),
-    ("half-open", "connections between a third of the nodes and one endpoint in ten are made and carry nothing"),
-    ("trickle", "one endpoint in ten is reached by a hundred bytes in 10 ms"),
-    ("zone", "three endpoints in ten are killed at once, and come back cold in waves"),
-    ("replaced", "half of the endpoints are replaced within 7 s, each node reading the list at its own moment"),
-    ("restart", "seven in ten nodes are killed at once and started anew"),
-    ("all-restart", "all nodes are killed at once and started anew"),
+    ("trickle", "links to one endpoint in ten forward a hundred bytes per 10 ms"),
+    ("zone", "three endpoints in ten are killed at once, and started cold in waves"),
+    (
+        "replaced",
+        "half of the endpoints are replaced within 7 s, each node reading the list at a different time",
+    ),
+    ("restart", "seven in ten nodes are killed at once and restarted"),
+    ("all-restart", "all nodes are killed at once and restarted"),
 ];
 
-/// A wave starts so long after the one before.
+/// The time between the starts of two waves.
 const WAVE: Duration = Duration::from_millis(700);
-/// New lists are read within this time at most.
-const LISTS: Duration = Duration::from_secs(7);
+/// The longest time within which all nodes read a new list.
+const LIST_UPDATE_PERIOD: Duration = Duration::from_secs(7);
 
-/// The steps of a fault; none where nothing is known by that name.
+/// Returns the steps of a fault in the order of their times, or `None` if the name is unknown.
 pub fn steps(name: &str, scene: &Scene, seed: u64) -> Option<Steps> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let Scene { nodes, endpoints, from, until } = *scene;
@@ -94,13 +97,13 @@
         }
         steps
     };
-    let soon = from + Duration::from_millis(200);
+    let restart_at = from + Duration::from_millis(200);
     let mut steps = match name {
         "none" => Vec::new(),
         "dead" => kill(Tier::Endpoints, share(endpoints, 1), until, 1),
         "zone" => kill(Tier::Endpoints, share(endpoints, 3), until, 3),
-        "restart" => kill(Tier::Nodes, share(nodes, 7), soon, 1),
-        "all-restart" => kill(Tier::Nodes, 0..nodes, soon, 1),
+        "restart" => kill(Tier::Nodes, share(nodes, 7), restart_at, 1),
+        "all-restart" => kill(Tier::Nodes, 0..nodes, restart_at, 1),
         "stopped" => {
             let over = until.min(from + Duration::from_secs(5));
             let both = |at| {
@@ -123,12 +126,16 @@
             fault: LinkFault::Trickle(100),
         }]),
         "replaced" => {
-            let lists = LISTS.min(until - from);
+            let list_period = LIST_UPDATE_PERIOD.min(until - from);
             let newer = endpoints / 2..endpoints / 2 + endpoints;
             let mut steps: Steps = (0..nodes)
-                .map(|node| (from + lists.mul_f64(rng.f64()), FaultAction::UpdateList(node, newer.clone())))
+                .map(|node| {
+                    (from + list_period.mul_f64(rng.f64()), FaultAction::UpdateList(node, newer.clone()))
+                })
                 .collect();
-            steps.extend((0..endpoints / 2).map(|endpoint| (from + lists, FaultAction::Drain(endpoint))));
+            steps.extend(
+                (0..endpoints / 2).map(|endpoint| (from + list_period, FaultAction::Drain(endpoint))),
+            );
             steps
         }
         _ => return None,
@@ -137,7 +144,7 @@
     Some(steps)
 }
 
-/// Places that have to be there, those that stand by included, and those that the last list names.
+/// Returns the number of endpoints that have to run, including replacements, and the endpoints on the last list.
 pub fn endpoint_counts(name: &str, endpoints: usize) -> (usize, Range<usize>) {
     match name {
         "replaced" => (endpoints + endpoints / 2, endpoints / 2..endpoints / 2 + endpoints),
@@ -150,7 +157,7 @@
     use super::*;
 
     #[test]
-    fn each_fault_ends_and_brings_back_whoever_it_took() {
+    fn each_fault_ends_and_restarts_or_continues_every_process_that_it_affected() {
         let scene =
             Scene { nodes: 30, endpoints: 20, from: Duration::from_secs(10), until: Duration::from_secs(20) };
         for (name, _) in FAULTS {
--- a/crates/ochrewalk-lab/src/faulty_links.rs
+++ b/crates/ochrewalk-lab/src/faulty_links.rs
@@ -1,5 +1,5 @@
-//! Links between nodes in front and places behind, as they are on a bad day: one thread passes every byte, or holds it, or
-//! cuts the connection, as a script says by pair or by group. Which node a connection is of shows in its first call.
+//! Faulty links between nodes and their upstream endpoints: a single thread forwards every byte, delays it, or resets the
+//! connection, by rules for pairs or groups of nodes and endpoints. The first call on a connection identifies its node.
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -12,26 +12,26 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// An RPC's id begins so; its node's number follows, four hex digits.
+/// The prefix of each RPC's id. The number of its node follows, as four hex digits.
 pub const REQUEST_ID_PREFIX: &str = "c0de";
 
-/// What a link does to what passes.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkFault {
     Delay(Duration),
-    /// Every connection is reset, and each new one too.
+    /// Resets all connections, and each new one.
     Reset,
-    /// Nothing comes through one way until the rule is over; then all of it does, as by a network that sends again.
+    /// Holds back all bytes in one direction until the rule ends, then forwards them, as a network does that retransmits.
     Silence {
         to_endpoint: bool,
     },
-    /// Nothing comes through either way; when the rule is over the connection is reset.
+    /// Forwards nothing in either direction, and resets the connection when the rule ends.
     HalfOpen,
-    /// So many bytes in ten milliseconds, each way.
+    /// Forwards this number of bytes per 10 ms in each direction.
     Trickle(usize),
 }
 
-/// Between these nodes and these places.
+/// A fault of the links between these nodes and these endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
     pub nodes: Range<usize>,
@@ -41,12 +41,12 @@
 
 enum Command {
     Rules(Vec<Rule>),
-    /// Whether anything listens for that place.
+    /// Starts (`true`) or stops listening for an endpoint.
     Listen(usize, bool),
     Stop,
 }
 
-/// A call that a node wrote to a place.
+/// A call that a node sent to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedCall {
     pub at: Instant,
@@ -66,7 +66,7 @@
 const CHUNK: usize = 16 * 1024;
 
 impl FaultyLinks {
-    /// Listens for each place at the first address, and passes on to the second.
+    /// Starts links that listen for each endpoint at the first address and forward to the second.
     pub fn start(endpoints: &[(SocketAddr, SocketAddr)]) -> std::io::Result<FaultyLinks> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
@@ -93,17 +93,17 @@
         let _ = self.waker.wake();
     }
 
-    /// The rules from now on; the first that fits a pair is its own.
+    /// Replaces the rules. The first rule that matches a node and an endpoint applies.
     pub fn set(&self, rules: Vec<Rule>) {
         self.send(Command::Rules(rules));
     }
 
-    /// Whether connections to that place are taken, or refused as nobody listens.
+    /// Accepts connections to an endpoint if `is_listening`; otherwise they are refused, as without a listener.
     pub fn listen(&self, endpoint: usize, is_listening: bool) {
         self.send(Command::Listen(endpoint, is_listening));
     }
 
-    /// All calls so far.
+    /// Returns all calls that were received for forwarding since the start.
     pub fn forwarded(&self) -> Vec<ForwardedCall> {
         self.forwarded.lock().expect("no panic under it").clone()
     }
@@ -112,17 +112,18 @@
 impl Drop for FaultyLinks {
     fn drop(&mut self) {
         self.send(Command::Stop);
-        // Its addresses are free from here on.
+        // The addresses are free again once the thread has ended.
         self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// One way of a connection.
+/// One direction of a connection.
 #[derive(Default)]
 struct Direction {
     queued: VecDeque<(Instant, Vec<u8>)>,
-    /// Its source has ended; whether that was passed on.
+    /// Whether the source has closed its side.
     is_ended: bool,
+    /// Whether the close was forwarded.
     is_end_forwarded: bool,
 }
 
@@ -140,7 +141,7 @@
     poll: Poll,
     endpoints: Vec<(SocketAddr, SocketAddr)>,
     listeners: BTreeMap<usize, TcpListener>,
-    /// By the token of the node's side; the place's side has the next one.
+    /// Keyed by the token of the node's side; the endpoint's side has the next token.
     links: BTreeMap<usize, Link>,
     next: usize,
     rules: Vec<Rule>,
@@ -183,7 +184,7 @@
                     Token(at) => ready.push(if self.links.contains_key(&at) { at } else { at - 1 }),
                 }
             }
-            // Few are held at a time, so that looking at each is cheap enough.
+            // Few links have queued bytes at a time, so that checking all of them is cheap.
             let queued = self
                 .links
                 .iter()
@@ -240,7 +241,7 @@
         self.rules.iter().find(fits).map(|rule| rule.fault)
     }
 
-    /// Reads what came, and passes on what is due.
+    /// Reads from both sides of a link and writes the bytes that are due. Drops the link once it is closed or broken.
     fn forward(&mut self, at: usize) {
         let Some(mut link) = self.links.remove(&at) else { return };
         let now = Instant::now();
@@ -269,18 +270,18 @@
         if is_intact {
             self.links.insert(at, link);
         } else if !(link.to_endpoint.is_end_forwarded && link.to_node.is_end_forwarded) {
-            // Both ends hear of it at once, as by a reset.
+            // A linger time of zero resets both connections, so that both sides notice immediately.
             for side in [&link.node_side, &link.endpoint_side] {
                 let _ = socket2::SockRef::from(side).set_linger(Some(Duration::ZERO));
             }
         }
     }
 
-    /// False where a side has broken.
+    /// Reads from both sides. Returns false if either side has failed.
     fn read(&self, link: &mut Link, now: Instant) -> bool {
         let mut chunk = [0; CHUNK];
-        for is_out in [true, false] {
-            let (from, direction) = if is_out {
+        for is_to_endpoint in [true, false] {
+            let (from, direction) = if is_to_endpoint {
                 (&mut link.node_side, &mut link.to_endpoint)
             } else {
                 (&mut link.endpoint_side, &mut link.to_node)
@@ -289,7 +290,7 @@
                 match from.read(&mut chunk) {
                     Ok(0) => direction.is_ended = true,
                     Ok(got) => {
-                        if is_out {
+                        if is_to_endpoint {
                             let nodes = nodes_in(&chunk[..got]);
                             link.node = link.node.or(nodes.first().copied());
                             let mut forwarded = self.forwarded.lock().expect("no panic under it");
@@ -302,21 +303,21 @@
                         direction.queued.push_back((now, chunk[..got].to_vec()));
                     }
                     Err(err) if err.kind() == ErrorKind::WouldBlock => break,
-                    // Not there yet: its connection is still being made.
+                    // The connection to the endpoint is still being established.
                     Err(err) if err.kind() == ErrorKind::NotConnected => break,
                     Err(_) => return false,
                 }
             }
         }
         if let Some(LinkFault::Delay(by)) = self.fault(link) {
-            let late = link.to_endpoint.queued.iter_mut().chain(&mut link.to_node.queued);
-            late.filter(|(due, _)| *due == now).for_each(|(due, _)| *due = now + by);
+            let delayed = link.to_endpoint.queued.iter_mut().chain(&mut link.to_node.queued);
+            delayed.filter(|(due, _)| *due == now).for_each(|(due, _)| *due = now + by);
         }
         true
     }
 }
 
-/// The nodes whose RPCs' ids stand in there.
+/// Returns the nodes whose RPC ids are in these bytes.
 fn nodes_in(bytes: &[u8]) -> Vec<usize> {
     let found = bytes
         .windows(REQUEST_ID_PREFIX.len() + 12)
@@ -329,7 +330,7 @@
     found.filter_map(number).collect()
 }
 
-/// False where the other side has broken.
+/// Writes up to `max_bytes` of the bytes that are due. Returns false if the receiving side has failed.
 fn write(direction: &mut Direction, to: &mut TcpStream, now: Instant, max_bytes: usize) -> bool {
     let mut left = max_bytes;
     while let Some((due, bytes)) = direction.queued.front_mut() {
