--- a/crates/ochrewalk-lab/examples/cold_endpoints.rs
+++ b/crates/ochrewalk-lab/examples/cold_endpoints.rs
@@ -1,4 +1,4 @@
-//! Prints what whole fleets send to cold endpoints, beside what their ramp allows.
+//! Prints the number of calls that complete fleets send to cold endpoints, together with the number that slow start allows.
 //! `cargo run --release -p ochrewalk-lab --example cold_endpoints -- FIRST_SEED SEEDS`
 
 use ochrewalk_lab::cold_endpoints::{chance_bound, poisson_above, ColdScene, ColdStart, WINDOWS_US};
@@ -24,17 +24,17 @@
     }
 }
 
-/// Prints one line for each window: counts above the bound, those that Poisson counts of the budget would have, and the
-/// mean beside the budget.
+/// Prints one line per window: the budget, the mean count, the number of counts above the bound, and the number expected if counts
+/// were Poisson distributed with the budget as mean.
 fn print_windows(start: ColdStart, nodes: usize, rate: f64, seeds: std::ops::Range<u64>) {
     let mut arrived = vec![Vec::new(); WINDOWS_US.len()];
     let mut budgets = [0.0; WINDOWS_US.len()];
     for seed in seeds {
         let scene = ColdScene::new(nodes, rate, start, WINDOWS_US[WINDOWS_US.len() - 1], seed);
-        let seen = play(&scene.fleet);
+        let result = play(&scene.fleet);
         for (window, window_us) in WINDOWS_US.into_iter().enumerate() {
             budgets[window] = scene.budget(window_us);
-            let counts = scene.cold_endpoints().map(|endpoint| scene.arrived(&seen, endpoint, window_us));
+            let counts = scene.cold_endpoints().map(|endpoint| scene.arrived(&result, endpoint, window_us));
             arrived[window].extend(counts);
         }
     }
--- a/crates/ochrewalk-lab/src/emulated.rs
+++ b/crates/ochrewalk-lab/src/emulated.rs
@@ -1,5 +1,5 @@
-//! Hundreds of processes in virtual time: nodes that each choose by the real `ochrewalk-load-balancer`, places with cores, and
-//! what goes wrong between them. The same seed gives the same run to the last call.
+//! Simulates hundreds of processes in virtual time: nodes that each select endpoints with the real `ochrewalk-load-balancer`,
+//! endpoints with cores, and faults of both and between them. The same seed gives the same run, call by call.
 
 use ochrewalk_load_balancer::{
     BalancingConfig, CallOutcome, Endpoint, Idempotency, LoadBalancer, Subsetting,
@@ -8,30 +8,30 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 pub const SECOND: u64 = 1_000_000;
-/// Windows in which calls are counted by place.
+/// The length of the windows in which calls are counted per endpoint.
 pub const WINDOW_US: u64 = 10 * SECOND;
 const BURST_US: u64 = 100_000;
-/// One way between a node and a place.
+/// The one-way latency between a node and an endpoint.
 const ONE_WAY_US: u64 = 250;
-/// What it takes to learn that nothing listens there.
+/// The time until a refused connection is known.
 const REFUSED_US: u64 = 200;
 
-/// What befalls places, or what lies between.
+/// A fault of endpoints or of the network to them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Calls there are refused at the connection, and what was under way breaks.
+    /// Connections are refused, and calls in flight end with a broken connection.
     Dead,
-    /// It does nothing until it is over, then goes on.
+    /// The endpoint makes no progress until the fault ends, then continues.
     Stopped,
-    /// Work takes so many times as long.
+    /// Work takes longer by this factor.
     Slower(f64),
     /// Each call fails within a millisecond.
     FailsAtOnce,
-    /// Nodes of that share, from the first on, are not heard there, nor told so.
+    /// Calls from this share of the nodes, from the first node on, are lost without an error.
     Silent(f64),
 }
 
-/// A trouble of some places from one moment to another.
+/// A fault of a range of endpoints during a time span.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     pub endpoints: (usize, usize),
@@ -40,7 +40,7 @@
     pub kind: FaultKind,
 }
 
-/// A new list, which each node reads at a moment of its own in the time that it takes.
+/// A new list of endpoints, which each node reads at a random time within `takes_us`.
 #[derive(Clone, Debug)]
 pub struct EndpointListUpdate {
     pub at_us: u64,
@@ -51,35 +51,36 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub nodes: usize,
-    /// All places there ever are.
+    /// The number of all endpoints during the run.
     pub endpoints: usize,
-    /// Those on the first list.
+    /// The endpoints on the first list.
     pub listed: Vec<usize>,
-    /// Calls a second of each node; the first has `first_rate`.
+    /// Calls per second of each node except the first, which sends `first_rate`.
     pub rate: f64,
     pub first_rate: f64,
     pub work_us: f64,
-    /// One call in ten takes so many times as much.
+    /// The factor by which one call in ten takes more work.
     pub long_factor: f64,
-    /// Cores by place, in turn.
+    /// The numbers of cores, assigned to the endpoints in turn.
     pub cores: Vec<usize>,
-    /// Shares are weighted by cores.
+    /// Whether endpoints are weighted by their cores.
     pub weighted: bool,
     pub deadline_us: u64,
     pub seconds: u64,
     pub seed: u64,
     pub config: BalancingConfig,
-    /// Every so often all nodes learn of every place's queue at once, free of cost, and take the shorter of two that they
-    /// draw from their reach: more than any talk among them could bring. 0 for never.
+    /// The interval at which all nodes learn the queue lengths of all endpoints at no cost, in microseconds; 0 for never. A node
+    /// then selects the shorter queue of two endpoints of its subset, which is an upper bound of what communication among nodes
+    /// could achieve.
     pub queue_broadcast_us: u64,
     pub faults: Vec<Fault>,
     pub list_updates: Vec<EndpointListUpdate>,
-    /// Nodes that are started anew, with all forgotten, and when.
+    /// Restarts that lose all state: the time and the range of nodes.
     pub restarts: Vec<(u64, usize, usize)>,
 }
 
 impl Fleet {
-    /// Nodes and places alike, without faults.
+    /// Returns a fleet of equal nodes and equal endpoints, without faults.
     pub fn plain(nodes: usize, endpoints: usize, config: BalancingConfig, seed: u64) -> Fleet {
         Fleet {
             nodes,
@@ -103,23 +104,23 @@
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunResult {
     pub calls: usize,
     pub served: usize,
-    /// Calls that arrived at each place, by window.
+    /// The number of calls that arrived at each endpoint, by window.
     pub windows: Vec<Vec<u32>>,
-    /// When each call arrived at each endpoint, in order.
+    /// The arrival times of the calls at each endpoint, in order.
     pub arrivals: Vec<Vec<u64>>,
-    /// The most calls to one place in a tenth of a second.
+    /// The largest number of calls to one endpoint within 100 ms.
     pub burst: u32,
     pub longest_queue: usize,
-    /// How long each served call took, with when it began.
+    /// The start time and the latency of each served call.
     pub latencies: Vec<(u64, u64)>,
-    /// Calls that ended otherwise, by when they began.
+    /// The start time of each call that was not served.
     pub failed: Vec<u64>,
-    /// Cores by place, in turn.
+    /// The numbers of cores, assigned to the endpoints in turn.
     pub cores: Vec<usize>,
 }
 
@@ -135,7 +136,7 @@
         self.served as f64 / self.calls.max(1) as f64
     }
 
-    /// The share served of calls that began from one moment to another.
+    /// Returns the served share of the calls that started within a time span.
     pub fn served_between(&self, from_us: u64, until_us: u64) -> f64 {
         let within = |at: u64| (from_us..until_us).contains(&at);
         let served = self.latencies.iter().filter(|(at, _)| within(*at)).count();
@@ -143,31 +144,31 @@
         served as f64 / (served + failed).max(1) as f64
     }
 
-    /// How many calls arrived at an endpoint from one moment to another.
+    /// Returns the number of calls that arrived at an endpoint within a time span.
     pub fn arrived_between(&self, endpoint: usize, from_us: u64, until_us: u64) -> usize {
         let arrivals = &self.arrivals[endpoint];
-        let before = |moment_us: u64| arrivals.partition_point(|at_us| *at_us < moment_us);
+        let before = |time_us: u64| arrivals.partition_point(|at_us| *at_us < time_us);
         before(until_us) - before(from_us)
     }
 
-    /// Calls for each core of these places in each whole window from there on; the worst window of each figure.
+    /// Returns the worst value of each measure over all windows from `from_window` on, for the calls per core of these endpoints.
     pub fn evenness(&self, endpoints: &[usize], from_window: usize) -> Evenness {
         let mut worst = Evenness::default();
         for window in self.windows.iter().skip(from_window) {
             let core = |at: usize| self.cores[at % self.cores.len()] as f64;
             let counts: Vec<f64> = endpoints.iter().map(|at| f64::from(window[*at]) / core(*at)).collect();
-            worst.take(&Evenness::of(&counts));
+            worst.take_worst(&Evenness::of(&counts));
         }
         worst
     }
 }
 
-/// How even a load is over places.
+/// Measures of how evenly load is distributed over endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Evenness {
     pub idle: usize,
     pub max_over_mean: f64,
-    /// Variance over mean: 1 by chance.
+    /// The variance divided by the mean, which is 1 for random selection.
     pub dispersion: f64,
 }
 
@@ -182,7 +183,7 @@
         }
     }
 
-    pub fn take(&mut self, other: &Evenness) {
+    pub fn take_worst(&mut self, other: &Evenness) {
         self.idle = self.idle.max(other.idle);
         self.max_over_mean = self.max_over_mean.max(other.max_over_mean);
         self.dispersion = self.dispersion.max(other.dispersion);
@@ -197,7 +198,7 @@
     Arrives {
         call: usize,
     },
-    /// The work of a core of a place is done, unless its epoch has changed.
+    /// A core of an endpoint finishes its call, unless the endpoint's epoch has changed.
     Done {
         endpoint: usize,
         epoch: u32,
@@ -211,7 +212,7 @@
     },
     Fault {
         at: usize,
-        begins: bool,
+        is_start: bool,
     },
     UpdateList {
         node: usize,
@@ -227,22 +228,22 @@
 
 struct Call {
     node: usize,
-    /// Of which start of the node it is.
+    /// The number of the node's restarts when the call started.
     start: u32,
     slot: usize,
     endpoint: usize,
-    from_us: u64,
+    started_us: u64,
     work_us: f64,
     is_over: bool,
-    tries: u32,
+    retries: u32,
 }
 
 #[derive(Default)]
 struct EndpointState {
     cores: usize,
     queue: VecDeque<usize>,
-    /// Calls being worked on, and when each is done.
-    works: Vec<(usize, u64)>,
+    /// The calls being processed, and the time at which each is done.
+    in_progress: Vec<(usize, u64)>,
     epoch: u32,
     fault: Option<FaultKind>,
     burst_from_us: u64,
@@ -256,18 +257,19 @@
     number: u64,
     balancers: Vec<LoadBalancer>,
     starts: Vec<u32>,
-    /// Which place each slot of each node is.
+    /// The endpoint of each slot of each node.
     slots: Vec<Vec<usize>>,
     endpoints: Vec<EndpointState>,
     calls: Vec<Call>,
-    /// Queues as nodes were told of them last, and when.
+    /// The queue lengths that the nodes learned last.
     known_queues: Vec<usize>,
+    /// The time at which the nodes learned the queue lengths.
     queues_known_at_us: u64,
     rng: fastrand::Rng,
     result: RunResult,
 }
 
-/// Plays a fleet.
+/// Simulates a fleet.
 pub fn play(fleet: &Fleet) -> RunResult {
     let endpoints = (0..fleet.endpoints)
         .map(|at| EndpointState { cores: fleet.cores[at % fleet.cores.len()], ..EndpointState::default() });
@@ -298,8 +300,8 @@
         run.next_call(node);
     }
     for (at, fault) in fleet.faults.iter().enumerate() {
-        run.at(fault.from_us, Event::Fault { at, begins: true });
-        run.at(fault.until_us, Event::Fault { at, begins: false });
+        run.at(fault.from_us, Event::Fault { at, is_start: true });
+        run.at(fault.until_us, Event::Fault { at, is_start: false });
     }
     for (at, update) in fleet.list_updates.iter().enumerate() {
         for node in 0..fleet.nodes {
@@ -371,10 +373,10 @@
                     start: self.starts[node],
                     slot: 0,
                     endpoint: 0,
-                    from_us: self.now_us,
+                    started_us: self.now_us,
                     work_us,
                     is_over: false,
-                    tries: 0,
+                    retries: 0,
                 });
                 let call = self.calls.len() - 1;
                 self.at(self.now_us + self.fleet.deadline_us, Event::DeadlineExpired { call });
@@ -390,7 +392,7 @@
                     self.fail(call);
                 }
             }
-            Event::Fault { at, begins } => self.set_fault(at, begins),
+            Event::Fault { at, is_start } => self.set_fault(at, is_start),
             Event::UpdateList { node, at } => {
                 let fleet = self.fleet;
                 self.update_list(node, &fleet.list_updates[at].endpoints);
@@ -428,8 +430,11 @@
 
     fn shorter_queue(&mut self, node: usize, slot: usize) -> usize {
         if self.now_us >= self.queues_known_at_us + self.fleet.queue_broadcast_us {
-            self.known_queues =
-                self.endpoints.iter().map(|endpoint| endpoint.queue.len() + endpoint.works.len()).collect();
+            self.known_queues = self
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.queue.len() + endpoint.in_progress.len())
+                .collect();
             self.queues_known_at_us = self.now_us;
         }
         let subset = &self.balancers[node].state().subset;
@@ -466,17 +471,17 @@
         self.start_work(endpoint);
     }
 
-    /// Free cores take what waits.
+    /// Assigns queued calls to free cores.
     fn start_work(&mut self, endpoint: usize) {
         let factor = match self.endpoints[endpoint].fault {
             Some(FaultKind::Stopped | FaultKind::Dead) => return,
             Some(FaultKind::Slower(factor)) => factor,
             _ => 1.0,
         };
-        while self.endpoints[endpoint].works.len() < self.endpoints[endpoint].cores {
+        while self.endpoints[endpoint].in_progress.len() < self.endpoints[endpoint].cores {
             let Some(call) = self.endpoints[endpoint].queue.pop_front() else { return };
             let until_us = self.now_us + (self.calls[call].work_us * factor) as u64;
-            self.endpoints[endpoint].works.push((call, until_us));
+            self.endpoints[endpoint].in_progress.push((call, until_us));
             let epoch = self.endpoints[endpoint].epoch;
             self.at(until_us, Event::Done { endpoint, epoch });
         }
@@ -484,9 +489,10 @@
 
     fn done(&mut self, endpoint: usize) {
         let now_us = self.now_us;
-        let works = std::mem::take(&mut self.endpoints[endpoint].works);
-        let (over, left): (Vec<_>, Vec<_>) = works.into_iter().partition(|(_, until_us)| *until_us <= now_us);
-        self.endpoints[endpoint].works = left;
+        let in_progress = std::mem::take(&mut self.endpoints[endpoint].in_progress);
+        let (over, left): (Vec<_>, Vec<_>) =
+            in_progress.into_iter().partition(|(_, until_us)| *until_us <= now_us);
+        self.endpoints[endpoint].in_progress = left;
         for (call, _) in over {
             self.answer(call, 0, CallOutcome::Succeeded);
         }
@@ -514,12 +520,12 @@
             CallOutcome::Succeeded => {
                 self.calls[call].is_over = true;
                 self.result.served += 1;
-                let from_us = self.calls[call].from_us;
-                self.result.latencies.push((from_us, self.now_us - from_us));
+                let started_us = self.calls[call].started_us;
+                self.result.latencies.push((started_us, self.now_us - started_us));
             }
-            // It never ran: it goes elsewhere, as `ochrewalk-connection-pool` has it.
-            CallOutcome::ConnectFailed if self.calls[call].tries < 3 => {
-                self.calls[call].tries += 1;
+            // The call never ran and is sent to another endpoint, as by `ochrewalk-connection-pool`.
+            CallOutcome::ConnectFailed if self.calls[call].retries < 3 => {
+                self.calls[call].retries += 1;
                 let slot = self.calls[call].slot;
                 self.dispatch(call, Some(slot));
             }
@@ -529,38 +535,39 @@
 
     fn fail(&mut self, call: usize) {
         self.calls[call].is_over = true;
-        self.result.failed.push(self.calls[call].from_us);
+        self.result.failed.push(self.calls[call].started_us);
     }
 
-    fn set_fault(&mut self, at: usize, begins: bool) {
+    fn set_fault(&mut self, at: usize, is_start: bool) {
         let fault = self.fleet.faults[at];
         for endpoint in fault.endpoints.0..fault.endpoints.1 {
             let now_us = self.now_us;
-            self.endpoints[endpoint].fault = begins.then_some(fault.kind);
+            self.endpoints[endpoint].fault = is_start.then_some(fault.kind);
             self.endpoints[endpoint].epoch += 1;
             match fault.kind {
-                FaultKind::Dead if begins => {
+                FaultKind::Dead if is_start => {
                     let of = &mut self.endpoints[endpoint];
                     let mut broken: Vec<usize> = of.queue.drain(..).collect();
-                    broken.extend(of.works.drain(..).map(|(call, _)| call));
+                    broken.extend(of.in_progress.drain(..).map(|(call, _)| call));
                     broken.into_iter().for_each(|call| self.answer(call, 0, CallOutcome::ConnectionBroken));
                 }
-                // What was being worked on stands still, and goes on after.
+                // Calls being processed make no progress during the fault, and continue afterwards.
                 FaultKind::Stopped => {
                     let epoch = self.endpoints[endpoint].epoch;
-                    let paused_us = if begins { 0 } else { now_us - fault.from_us };
+                    let paused_us = if is_start { 0 } else { now_us - fault.from_us };
                     let mut until = Vec::new();
-                    for (_, until_us) in &mut self.endpoints[endpoint].works {
+                    for (_, until_us) in &mut self.endpoints[endpoint].in_progress {
                         *until_us += paused_us;
                         until.push(*until_us);
                     }
-                    if !begins {
+                    if !is_start {
                         until.into_iter().for_each(|us| self.at(us, Event::Done { endpoint, epoch }));
                     }
                 }
                 _ => {
                     let epoch = self.endpoints[endpoint].epoch;
-                    let until: Vec<u64> = self.endpoints[endpoint].works.iter().map(|(_, us)| *us).collect();
+                    let until: Vec<u64> =
+                        self.endpoints[endpoint].in_progress.iter().map(|(_, us)| *us).collect();
                     until.into_iter().for_each(|us| self.at(us, Event::Done { endpoint, epoch }));
                 }
             }
--- a/crates/ochrewalk-lab/src/fleet.rs
+++ b/crates/ochrewalk-lab/src/fleet.rs
@@ -490,7 +490,7 @@
         let within =
             |p: &&ForwardedCall| p.at >= begins && p.at < begins + window && listed.contains(&p.endpoint);
         passed.iter().filter(within).for_each(|p| counts[p.endpoint - listed.start] += 1.0);
-        worst.take(&Evenness::of(&counts));
+        worst.take_worst(&Evenness::of(&counts));
     }
     (worst, windows as usize)
 }
