--- a/crates/ochrewalk-lab/src/load.rs
+++ b/crates/ochrewalk-lab/src/load.rs
@@ -1,5 +1,5 @@
-//! Load by both protocols: calls arrive by chance at a set rate, whatever becomes of those before them, and each is
-//! entered in the book.
+//! Generates load over both protocols: calls arrive at random at a fixed rate, independently of the outcome of earlier calls, and
+//! each is recorded in the call log.
 
 use crate::ajp::{Call, Peer};
 use crate::call_log::{AnswerKind, CallLog, Entry};
@@ -19,12 +19,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A method as the lab has it.
+/// A method of the lab.
 pub struct Method {
     pub name: &'static str,
-    /// Its share of the calls, what an answer in time is worth, and its times.
+    /// The share of the calls.
     pub share: f64,
+    /// The value of an answer within the latency objective.
     pub priority_weight: f64,
+    /// The latency objective.
     pub on_time: Duration,
     pub deadline: Duration,
     pub has_token: bool,
@@ -67,12 +69,13 @@
 
 /// Cores of the stand-in executor.
 const CORES: f64 = 2.0;
-/// One sale in so many is sent a second time, by the other protocol.
+/// The share of the calls with a token that are sent a second time, over the other protocol.
 const REPEAT_SHARE: f64 = 0.15;
-/// Callers of each protocol that wait for an answer at a time, and connections of the one that shares them.
+/// Concurrent callers per protocol, each of which waits for one answer at a time.
 const CALLERS: usize = 96;
+/// Connections that the JSON-RPC callers share.
 const JSON_CONNECTIONS: usize = 4;
-/// How long after its deadline an answer is still waited for.
+/// The time after its deadline for which a caller still waits for an answer.
 pub(crate) const GRACE: Duration = ms(400);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,14 +89,14 @@
 pub struct Plan {
     pub seconds: u64,
     pub seed: u64,
-    /// Calls' work over what the executor's cores can do.
+    /// The work of all calls divided by the capacity of the executor's cores.
     pub load: f64,
     pub protocols: Protocols,
-    /// The share of ledger calls whose connection closes at a random byte of the answer.
+    /// The share of upstream calls whose connection closes at a random byte of the answer.
     pub cut: f64,
-    /// The least serious lines of the node that are shown.
+    /// The lowest log level of the node that is shown.
     pub log: &'static str,
-    /// A line each second.
+    /// Whether progress is printed every second.
     pub progress: bool,
 }
 
@@ -101,8 +104,9 @@
     pub call_log: CallLog,
     pub broken: Vec<String>,
     pub cpu_us: u64,
-    /// Calls below that ran and whose answer was cut.
+    /// Upstream calls that ran and whose answer was truncated.
     pub cut: usize,
+    /// All upstream calls that ran.
     pub upstream_runs: usize,
 }
 
@@ -114,7 +118,7 @@
     number: u64,
 }
 
-/// The settings of a node with the lab's methods.
+/// Returns the settings of a node with the lab's methods.
 pub fn settings() -> Value {
     let category = |m: &Method| {
         json!({"name": m.name, "idempotency": if m.has_token { "guarded" } else { "free" }, "worth": m.priority_weight,
@@ -133,7 +137,7 @@
     })
 }
 
-/// The operators' file of a lab node.
+/// Returns the operators' file of a node in the lab.
 pub fn operators(listen: SocketAddr, dependency: SocketAddr) -> String {
     format!(
         "host ledger.example.org {}\n\
@@ -146,7 +150,7 @@
     )
 }
 
-/// What goes on beside the load has of the node.
+/// A running load and its node, for actions that run concurrently with the load.
 pub struct RunningLoad<'a> {
     pub node: &'a Mutex<Node>,
     pub json_at: SocketAddr,
@@ -155,24 +159,25 @@
 }
 
 impl RunningLoad<'_> {
-    /// Whether the load is over.
+    /// Whether the load has ended.
     pub fn is_over(&self) -> bool {
         self.over.load(Ordering::Relaxed)
     }
 }
 
-/// Plays a plan against a node of its own.
+/// Runs a plan against a new node.
 pub fn play(program: &Path, plan: &Plan) -> Result<Outcome, String> {
     Ok(play_alongside(program, plan, "", &[], |_| ())?.0)
 }
 
-/// The same with more lines in the operators' file and words in the environment, and something that goes on beside it.
+/// Runs a plan against a new node with additional lines in the operators' file and additional environment variables, and runs an
+/// action concurrently with the load.
 pub fn play_alongside<T: Send>(
     program: &Path,
     plan: &Plan,
     more: &str,
     environment: &[(&str, String)],
-    beside: impl FnOnce(&RunningLoad) -> T + Send,
+    concurrent: impl FnOnce(&RunningLoad) -> T + Send,
 ) -> Result<(Outcome, T), String> {
     let io = |err: std::io::Error| err.to_string();
     let works = METHODS.iter().map(|m| (m.name.to_string(), m.work)).collect::<HashMap<_, _>>();
@@ -201,32 +206,33 @@
     let (from, over) = (node.cpu_us(), AtomicBool::new(false));
     let node = Mutex::new(node);
     let (call_log, result) = std::thread::scope(|scope| {
-        let side = RunningLoad { node: &node, json_at: listen, ajp_at: ajp, over: &over };
-        let side = scope.spawn(move || beside(&side));
+        let action = RunningLoad { node: &node, json_at: listen, ajp_at: ajp, over: &over };
+        let action = scope.spawn(move || concurrent(&action));
         let call_log = load(plan, listen, ajp);
         over.store(true, Ordering::Relaxed);
-        (call_log, side.join())
+        (call_log, action.join())
     });
-    let (call_log, result) = (call_log?, result.map_err(|_| "what went on beside the load has panicked")?);
-    let mut node = node.into_inner().map_err(|_| "what went on beside the load has panicked")?;
+    let (call_log, result) = (call_log?, result.map_err(|_| "the action that ran with the load panicked")?);
+    let mut node = node.into_inner().map_err(|_| "the action that ran with the load panicked")?;
     let cpu_us = node.cpu_us().saturating_sub(from);
     let mut broken = call_log.violations(&executor.counts());
     if !node.is_running() {
-        broken.push("the node has ended".into());
+        broken.push("the node process has ended".into());
     }
     let cut = cuts.lock().expect("no panic under it").0;
     Ok((Outcome { call_log, broken, cpu_us, cut, upstream_runs: dependency.ran().len() }, result))
 }
 
-/// How long a node may take to get healthy: the operators' own bound, many times what it takes on an idle machine.
+/// The time within which a node has to become healthy. The operators set this bound, which is many times the time on an idle
+/// machine.
 const HEALTHY_WITHIN: Duration = Duration::from_secs(30);
 
-/// Asks a node for its health until it is healthy. An error says what was seen last, so that a slow start can be told from
-/// a connection that the node closed.
+/// Queries the health of a node until it is healthy. The error includes the last answer, which distinguishes a slow start from a
+/// connection that the node closed.
 pub(crate) fn wait_healthy(listen: SocketAddr) -> Result<(), String> {
     let caller = Caller::connect(listen).map_err(|err| err.to_string())?;
     let until = Instant::now() + HEALTHY_WITHIN;
-    let mut last = "it was not asked".to_string();
+    let mut last = "no query was sent".to_string();
     for number in 1.. {
         let answer = caller.call(number, "heartbeat", "").recv_timeout(ms(500));
         match answer {
@@ -240,14 +246,14 @@
         std::thread::sleep(ms(10));
     }
     let connection = if caller.is_open() { "open" } else { "closed by the node" };
-    Err(format!("the node does not get healthy; last: {last}; the connection is {connection}"))
+    Err(format!("the node did not become healthy; last answer: {last}; the connection is {connection}"))
 }
 
-/// One entry, and where late answers to it would show.
-type Done = (Entry, Option<Receiver<Value>>);
+/// An entry of the call log, and the receiver of late answers to its call.
+type CompletedCall = (Entry, Option<Receiver<Value>>);
 
 fn load(plan: &Plan, json_at: SocketAddr, ajp_at: SocketAddr) -> Result<CallLog, String> {
-    let (done, entries) = channel::<Done>();
+    let (done, entries) = channel::<CompletedCall>();
     let connections: Result<Vec<_>, _> = (0..JSON_CONNECTIONS).map(|_| Caller::connect(json_at)).collect();
     let connections = Arc::new(connections.map_err(|err| err.to_string())?);
     let start = |by_ajp: bool| -> Sender<Job> {
@@ -256,12 +262,12 @@
         for worker in 0..CALLERS {
             let (jobs, done, connections) = (jobs.clone(), done.clone(), connections.clone());
             std::thread::spawn(move || {
-                let mut kept = None;
+                let mut cached = None;
                 loop {
                     let job = jobs.lock().expect("no panic under it").recv();
                     let Ok(job) = job else { return };
                     let call = if by_ajp {
-                        (by_ajp_call(&job, ajp_at, &mut kept), None)
+                        (by_ajp_call(&job, ajp_at, &mut cached), None)
                     } else {
                         json_call(&job, &connections[worker % JSON_CONNECTIONS])
                     };
@@ -273,7 +279,7 @@
     };
     let (to_json, to_ajp) = (start(false), start(true));
     drop(done);
-    arrive(plan, &to_json, &to_ajp);
+    send_calls(plan, &to_json, &to_ajp);
     drop((to_json, to_ajp));
     let mut call_log = CallLog::default();
     let mut late = Vec::new();
@@ -288,15 +294,15 @@
     Ok(call_log)
 }
 
-/// Calls come by chance at the plan's rate, half of them by each protocol where both are asked for.
-fn arrive(plan: &Plan, to_json: &Sender<Job>, to_ajp: &Sender<Job>) {
+/// Sends calls at random times at the plan's rate, half of them over each protocol if the plan has both.
+fn send_calls(plan: &Plan, to_json: &Sender<Job>, to_ajp: &Sender<Job>) {
     let mut rng = fastrand::Rng::with_seed(plan.seed);
     let mean_us: f64 = METHODS.iter().map(|m| m.share * m.work.core_us as f64).sum();
     let per_us = plan.load * CORES / mean_us;
     let from = Instant::now();
-    let (mut due_us, mut number, mut told) = (0.0, 0, 0);
-    // Sales that are sent again, and when.
-    let mut again: Vec<(f64, Job)> = Vec::new();
+    let (mut due_us, mut number, mut reported) = (0.0, 0, 0);
+    // Calls that are sent repeats, with the time of each.
+    let mut repeats: Vec<(f64, Job)> = Vec::new();
     let send = |job: Job| drop(if job.by_ajp { to_ajp.send(job) } else { to_json.send(job) });
     while due_us < plan.seconds as f64 * 1e6 {
         due_us += -(1.0 - rng.f64()).ln() / per_us;
@@ -318,18 +324,18 @@
         if METHODS[method].has_token && plan.protocols == Protocols::Both && rng.f64() < REPEAT_SHARE {
             let job =
                 Job { at: due, method, by_ajp: !by_ajp, body: body.clone(), number: number + (1 << 40) };
-            again.push((due_us + rng.f64() * 300_000.0, job));
+            repeats.push((due_us + rng.f64() * 300_000.0, job));
         }
         send(Job { at: due, method, by_ajp, body, number });
-        let (now, later): (Vec<_>, Vec<_>) = again.drain(..).partition(|(at, _)| *at <= due_us);
-        again = later;
+        let (now, later): (Vec<_>, Vec<_>) = repeats.drain(..).partition(|(at, _)| *at <= due_us);
+        repeats = later;
         for (at, mut job) in now {
             job.at = from + Duration::from_micros(at as u64);
             send(job);
         }
         let second = (due_us / 1e6) as u64;
-        if plan.progress && second > told {
-            told = second;
+        if plan.progress && second > reported {
+            reported = second;
             eprint!("\r{second} of {} s, {number} calls sent ", plan.seconds);
         }
     }
@@ -351,7 +357,7 @@
     }
 }
 
-fn json_call(job: &Job, connection: &Caller) -> Done {
+fn json_call(job: &Job, connection: &Caller) -> CompletedCall {
     let method = &METHODS[job.method];
     let mut entry = entry(job);
     let came_ms = unix_ms().saturating_sub(job.at.elapsed().as_millis() as u64);
@@ -369,8 +375,8 @@
     let left = (job.at + method.deadline + GRACE).saturating_duration_since(Instant::now());
     match answers.recv_timeout(left) {
         Ok(answer) => {
-            let (end, result) = json_answer(&answer);
-            entry.answers.push(end);
+            let (kind, result) = json_answer(&answer);
+            entry.answers.push(kind);
             entry.result = result;
         }
         Err(_) => entry.answers.push(AnswerKind::Missing),
@@ -390,7 +396,7 @@
     }
 }
 
-fn by_ajp_call(job: &Job, at: SocketAddr, kept: &mut Option<Peer>) -> Entry {
+fn by_ajp_call(job: &Job, at: SocketAddr, cached: &mut Option<Peer>) -> Entry {
     let method = &METHODS[job.method];
     let mut entry = entry(job);
     let uri = match job.method {
@@ -408,10 +414,10 @@
     }
     let http = if job.method == 0 { "GET" } else { "POST" };
     let call = Call { method: http, uri, headers, secret: None, body: &job.body };
-    let mut peer = match kept.take().map_or_else(|| Peer::connect(at, ms(500)), Ok) {
+    let mut peer = match cached.take().map_or_else(|| Peer::connect(at, ms(500)), Ok) {
         Ok(peer) => peer,
         Err(_) => {
-            // Never written: nothing is owed.
+            // The call was never sent, so no answer is required.
             (entry.is_abandoned, entry.latency_us) = (true, job.at.elapsed().as_micros() as u64);
             return entry;
         }
@@ -428,7 +434,7 @@
             if answer.status == 200 {
                 entry.result = Some(answer.body.clone());
             }
-            *kept = Some(peer).filter(|_| answer.reuse);
+            *cached = Some(peer).filter(|_| answer.reuse);
         }
         Err(_) => entry.answers.push(AnswerKind::Missing),
     }
@@ -437,7 +443,7 @@
 }
 
 impl Outcome {
-    /// Worth answered in time over worth asked for.
+    /// Returns the priority weight of the calls answered within their latency objective, divided by that of all calls.
     pub fn served_share(&self, by_ajp: bool) -> f64 {
         let of = |e: &&Entry| e.by_ajp == by_ajp;
         let asked: f64 =
@@ -457,14 +463,14 @@
         got / asked.max(1.0)
     }
 
-    /// What became of each method's calls.
+    /// Returns a table of the outcomes of each method's calls.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<14}{:>8}{:>9}{:>12}{:>9}{:>10}{:>10}\n",
-            "method", "calls", "served", "pushed back", "aborted", "median ms", "99% ms"
+            "method", "calls", "served", "rejected", "aborted", "median ms", "99% ms"
         );
         for (at, method) in METHODS.iter().enumerate() {
-            let count = |end| self.call_log.count(at, end);
+            let count = |kind| self.call_log.count(at, kind);
             let all = self.call_log.entries.iter().filter(|e| e.method == at);
             let mut times = Histogram::<u64>::new(3).expect("three digits");
             for entry in all.clone().filter(|e| e.answers.first() == Some(&AnswerKind::Served)) {
