--- a/crates/ochrewalk-lab/src/fleet.rs
+++ b/crates/ochrewalk-lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Many real processes in two tiers: nodes in front take calls from stand-in callers, and call places behind, which are nodes
-//! too. Links and faults between them go by a script; what happened is checked by the rules across both tiers.
+//! Fleets of real processes in two tiers: nodes receive calls from stand-in callers and call upstream endpoints, which are nodes
+//! too. Named faults act on the processes and on the links between them, and the calls are checked by the rules of both tiers.
 
 use crate::call_log::{AnswerKind, CallLog, Entry};
 use crate::emulated::Evenness;
@@ -25,33 +25,35 @@
     Duration::from_millis(ms)
 }
 
-/// An answer is wanted within the first, and the caller gives up at the second.
+/// The latency objective of a call.
 const ON_TIME: Duration = ms(2_000);
+/// The time after which a caller cancels its call.
 const DEADLINE: Duration = ms(4_000);
-/// One call in so many is a sale, which may not happen twice; some of them are sent again.
-const SALES: f64 = 0.3;
-const SENT_AGAIN: f64 = 0.1;
-/// What a node in front works on a call itself.
-const FRONT_US: u64 = 400;
+/// The share of calls that are sales, which may not run twice.
+const SALE_SHARE: f64 = 0.3;
+/// The share of sales that are sent repeats.
+const REPEAT_SHARE: f64 = 0.1;
+/// The work of a node for a call, without its upstream call.
+const NODE_WORK_US: u64 = 400;
 const BURST: Duration = ms(100);
-/// How long after a trouble the load has to be even again.
-const EVEN_AGAIN: Duration = Duration::from_secs(5);
+/// The time after a fault from which on the load has to be even repeats.
+const EVEN_AFTER: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub nodes: usize,
     pub endpoints: usize,
-    /// Calls a second of each node.
+    /// Calls per second of each node.
     pub rate: f64,
-    /// Mean work of a call at a place of one core.
+    /// The mean work of a call at an endpoint with one core.
     pub work_us: u64,
     pub seconds: u64,
     pub seed: u64,
-    /// Calls are counted by place in windows of this length.
+    /// The length of the windows in which calls are counted per endpoint.
     pub window: Duration,
-    /// Fleets of one process that run side by side need different ones, from 0 to 15.
+    /// A number from 0 to 15 that differs between the fleets which run concurrently in one process.
     pub instance: u8,
-    /// Lines of the operators' file that say how calls are spread; N stands for the node's number, OF for their count.
+    /// The lines of the operators' file that configure load balancing. N is replaced by the node's number, OF by the number of nodes.
     pub balancing: String,
     pub fault: String,
     pub log: &'static str,
@@ -63,31 +65,32 @@
     pub broken: Vec<String>,
     pub processes: usize,
     pub calls: usize,
-    /// Worst window without a trouble that is on, or that ended less than 5 s ago.
+    /// The worst values of all windows, without those during a fault or less than 5 s after it.
     pub even: Evenness,
     pub windows: usize,
     pub burst: usize,
     pub p50_ms: f64,
     pub p99_ms: f64,
-    /// Answered as wanted, of all, and of those that began while the trouble was on.
+    /// The share of all calls that were served within the latency objective.
     pub served_share: f64,
+    /// The same share for the calls that started during the fault.
     pub served_during: f64,
-    /// Memory of all processes at the end.
+    /// The memory of all processes at the end.
     pub memory_mb: u64,
     pub cpu_us: u64,
 }
 
-struct Sheet {
+struct Records {
     call_log: CallLog,
-    /// When each entry's call began.
+    /// The start time of each entry's call.
     began: Vec<Instant>,
 }
 
-/// Where a node in front is called, and what waits for its answer there.
-struct Front {
+/// The callers' connection to a node, and the calls that wait for an answer.
+struct NodeConnection {
     at: SocketAddr,
     stream: Option<TcpStream>,
-    /// Of which connection; answers of one before count too.
+    /// The log index of each call by its id. Answers on an earlier connection count too.
     open: Arc<Mutex<HashMap<u64, usize>>>,
 }
 
@@ -95,17 +98,17 @@
     plan: &'a Plan,
     nodes: Vec<Node>,
     endpoints: Vec<Node>,
-    fronts: Vec<Front>,
+    connections: Vec<NodeConnection>,
     executors: Vec<Executor>,
     endpoint_executors: Vec<Executor>,
     links: FaultyLinks,
-    sheet: Arc<Mutex<Sheet>>,
+    records: Arc<Mutex<Records>>,
     is_down: Vec<bool>,
 }
 
 impl Plan {
     fn address(&self, of: u8, number: usize, port: u16) -> SocketAddr {
-        // Programs that run side by side stay apart by the process's number.
+        // Test programs that run concurrently use different networks, by their process ids.
         let second = 210 + (std::process::id() % 40) as u8;
         let [high, low] = ((number + 1 + usize::from(of) * 1_024) as u16).to_be_bytes();
         SocketAddr::from((Ipv4Addr::new(127, second, high | self.instance << 4, low), port))
@@ -145,19 +148,20 @@
     text + &plan.balancing.replace("OF", &plan.nodes.to_string()).replace('N', &node.to_string())
 }
 
-/// Plays a plan with processes of their own.
+/// Runs a plan with new processes.
 pub fn play(program: &Path, plan: &Plan) -> Result<Outcome, String> {
     let (all_endpoints, last_list) = faults::endpoint_counts(&plan.fault, plan.endpoints);
     let from = Duration::from_secs(plan.seconds / 3);
     let until = (from + Duration::from_secs(10)).min(Duration::from_secs(plan.seconds * 2 / 3));
     let scene = Scene { nodes: plan.nodes, endpoints: plan.endpoints, from, until };
-    let steps = faults::steps(&plan.fault, &scene, plan.seed).ok_or("no fault is known by that name")?;
+    let steps = faults::steps(&plan.fault, &scene, plan.seed)
+        .ok_or("unknown fault; `--faults list` shows all names")?;
     let mut fleet = Fleet::start(program, plan, all_endpoints)?;
     let began = Instant::now();
-    fleet.go(began, steps)?;
+    fleet.run(began, steps)?;
     let over = began.elapsed();
-    let trouble = (plan.fault != "none").then_some(from..until);
-    fleet.close(began, over, trouble, &last_list)
+    let fault_span = (plan.fault != "none").then_some(from..until);
+    fleet.finish(began, over, fault_span, &last_list)
 }
 
 impl<'a> Fleet<'a> {
@@ -170,13 +174,13 @@
             is_exponential: drawn,
             max_wait: DEADLINE + ms(1_000),
         };
-        let front_works: HashMap<_, _> =
-            ["look", "sale"].map(|name| (name.to_string(), work(FRONT_US, true, false))).into();
+        let node_works: HashMap<_, _> =
+            ["look", "sale"].map(|name| (name.to_string(), work(NODE_WORK_US, true, false))).into();
         let endpoint_works: HashMap<_, _> = [("keep".to_string(), work(plan.work_us, false, true))].into();
         let many = |count, cores, works: &HashMap<_, _>| {
             (0..count).map(|_| Executor::start(cores, works.clone())).collect::<Result<Vec<_>, _>>()
         };
-        let executors = many(plan.nodes, 4.0, &front_works).map_err(io)?;
+        let executors = many(plan.nodes, 4.0, &node_works).map_err(io)?;
         let endpoint_executors = many(all_endpoints, 1.0, &endpoint_works).map_err(io)?;
         let links: Vec<_> =
             (0..all_endpoints).map(|at| (plan.link_address(at), plan.address(3, at, 8009))).collect();
@@ -223,64 +227,65 @@
                 wait_healthy(plan.address(of, at, 7001))?;
             }
         }
-        let front = |at| Front { at: plan.address(0, at, 7001), stream: None, open: Arc::default() };
-        let sheet = Sheet { call_log: CallLog::default(), began: Vec::new() };
+        let connection =
+            |at| NodeConnection { at: plan.address(0, at, 7001), stream: None, open: Arc::default() };
+        let records = Records { call_log: CallLog::default(), began: Vec::new() };
         Ok(Fleet {
             plan,
-            fronts: (0..plan.nodes).map(front).collect(),
+            connections: (0..plan.nodes).map(connection).collect(),
             is_down: vec![false; plan.nodes],
             nodes,
             endpoints,
             executors,
             endpoint_executors,
             links,
-            sheet: Arc::new(Mutex::new(sheet)),
+            records: Arc::new(Mutex::new(records)),
         })
     }
 
-    /// Calls come by chance at each node, and steps are taken at their time.
-    fn go(&mut self, began: Instant, steps: faults::Steps) -> Result<(), String> {
+    /// Sends calls at random times to each node, and takes the steps of the fault at their times.
+    fn run(&mut self, began: Instant, steps: faults::Steps) -> Result<(), String> {
         let mut rng = fastrand::Rng::with_seed(self.plan.seed);
         let rate = self.plan.rate;
         let mut gap = move || Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / rate);
         let mut due: BinaryHeap<Reverse<(Duration, usize)>> =
             (0..self.plan.nodes).map(|node| Reverse((gap(), node))).collect();
         let mut rng = fastrand::Rng::with_seed(!self.plan.seed);
-        let mut again: BinaryHeap<Reverse<(Duration, usize, u64)>> = BinaryHeap::new();
+        let mut repeats: BinaryHeap<Reverse<(Duration, usize, u64)>> = BinaryHeap::new();
         let mut steps = steps.into_iter().peekable();
-        let (over, mut number, mut told) = (Duration::from_secs(self.plan.seconds), 0, 0);
+        let (over, mut number, mut reported) = (Duration::from_secs(self.plan.seconds), 0, 0);
         while let Some(Reverse((at, node))) = due.pop() {
             if at > over {
                 break;
             }
             while let Some((_, action)) = steps.next_if(|(when, _)| *when <= at) {
-                self.action(action)?;
+                self.apply(action)?;
             }
             std::thread::sleep((began + at).saturating_duration_since(Instant::now()));
             number += 1;
-            let is_sale = rng.f64() < SALES;
+            let is_sale = rng.f64() < SALE_SHARE;
             self.call(began + at, node, number, number, is_sale);
-            if is_sale && rng.f64() < SENT_AGAIN && !self.plan.fault.contains("restart") {
-                again.push(Reverse((at + ms(rng.u64(0..400)), node, number)));
+            if is_sale && rng.f64() < REPEAT_SHARE && !self.plan.fault.contains("restart") {
+                repeats.push(Reverse((at + ms(rng.u64(0..400)), node, number)));
             }
-            while again.peek().is_some_and(|Reverse((when, ..))| *when <= at) {
-                let Reverse((when, node, first)) = again.pop().expect("just seen");
+            while repeats.peek().is_some_and(|Reverse((when, ..))| *when <= at) {
+                let Reverse((when, node, first)) = repeats.pop().expect("just seen");
                 number += 1;
                 self.call(began + when, node, number, first, true);
             }
             due.push(Reverse((at + gap(), node)));
-            if self.plan.progress && at.as_secs() > told {
-                told = at.as_secs();
-                eprint!("\r{told} of {} s, {number} calls sent ", self.plan.seconds);
+            if self.plan.progress && at.as_secs() > reported {
+                reported = at.as_secs();
+                eprint!("\r{reported} of {} s, {number} calls sent ", self.plan.seconds);
             }
         }
         if self.plan.progress {
             eprintln!();
         }
-        steps.try_for_each(|(_, action)| self.action(action))
+        steps.try_for_each(|(_, action)| self.apply(action))
     }
 
-    /// Sends a call; `work` names what it stands for, which its repeats share.
+    /// Sends a call. `work` identifies its work, and is the same for repeated calls.
     fn call(&mut self, at: Instant, node: usize, number: u64, work: u64, is_sale: bool) {
         let body = format!("{}{node:04x}{work:08x}", if is_sale { "t" } else { "c" }).into_bytes();
         let entry = Entry {
@@ -294,13 +299,13 @@
             is_abandoned: self.is_down[node],
         };
         let index = {
-            let mut sheet = lock(&self.sheet);
-            sheet.call_log.entries.push(entry);
-            sheet.began.push(at);
-            sheet.began.len() - 1
+            let mut records = lock(&self.records);
+            records.call_log.entries.push(entry);
+            records.began.push(at);
+            records.began.len() - 1
         };
         if self.is_down[node] || !self.connect(node) {
-            return lock(&self.sheet).call_log.entries[index].is_abandoned = true;
+            return lock(&self.records).call_log.entries[index].is_abandoned = true;
         }
         let token = if is_sale { format!(",\"opkey\":\"{node:04x}{work:028x}\"") } else { String::new() };
         let came_ms = unix_ms().saturating_sub(at.elapsed().as_millis() as u64);
@@ -310,46 +315,47 @@
             if is_sale { "sale" } else { "look" },
             BASE64_STANDARD.encode(&body)
         );
-        let front = &mut self.fronts[node];
-        lock(&front.open).insert(number, index);
-        let written = front.stream.as_mut().is_some_and(|stream| stream.write_all(line.as_bytes()).is_ok());
+        let connection = &mut self.connections[node];
+        lock(&connection.open).insert(number, index);
+        let written =
+            connection.stream.as_mut().is_some_and(|stream| stream.write_all(line.as_bytes()).is_ok());
         if !written {
-            // Not taken whole: nothing is owed.
-            front.stream = None;
-            lock(&self.sheet).call_log.entries[index].is_abandoned = true;
+            // The call was not sent completely, so no answer is required.
+            connection.stream = None;
+            lock(&self.records).call_log.entries[index].is_abandoned = true;
         }
     }
 
-    /// A connection to that node, with somebody who enters its answers.
+    /// Connects to a node if necessary, with a thread that records the answers. Returns whether a connection exists.
     fn connect(&mut self, node: usize) -> bool {
-        let front = &mut self.fronts[node];
-        if front.stream.is_some() {
+        let connection = &mut self.connections[node];
+        if connection.stream.is_some() {
             return true;
         }
-        let Ok(stream) = TcpStream::connect_timeout(&front.at, ms(500)) else { return false };
+        let Ok(stream) = TcpStream::connect_timeout(&connection.at, ms(500)) else { return false };
         let (Ok(()), Ok(reads)) = (stream.set_nodelay(true), stream.try_clone()) else { return false };
-        front.stream = Some(stream);
-        let (sheet, open) = (self.sheet.clone(), front.open.clone());
+        connection.stream = Some(stream);
+        let (records, open) = (self.records.clone(), connection.open.clone());
         std::thread::spawn(move || {
             for line in BufReader::new(reads).lines().map_while(Result::ok) {
                 let Ok(value) = serde_json::from_str::<Value>(&line) else { continue };
                 let Some(index) = value["id"].as_u64().and_then(|id| lock(&open).get(&id).copied()) else {
                     continue;
                 };
-                let mut sheet = lock(&sheet);
-                let took_us = sheet.began[index].elapsed().as_micros() as u64;
-                let entry = &mut sheet.call_log.entries[index];
-                let (end, result) = json_answer(&value);
+                let mut records = lock(&records);
+                let took_us = records.began[index].elapsed().as_micros() as u64;
+                let entry = &mut records.call_log.entries[index];
+                let (kind, result) = json_answer(&value);
                 if entry.answers.is_empty() {
                     (entry.latency_us, entry.result) = (took_us, result);
                 }
-                entry.answers.push(end);
+                entry.answers.push(kind);
             }
         });
         true
     }
 
-    fn action(&mut self, action: FaultAction) -> Result<(), String> {
+    fn apply(&mut self, action: FaultAction) -> Result<(), String> {
         match action {
             FaultAction::Kill(Tier::Endpoints, at) => {
                 self.links.listen(at, false);
@@ -364,18 +370,18 @@
                 self.is_down[at] = true;
                 self.nodes[at].kill();
                 self.executors[at].restart();
-                self.fronts[at].stream = None;
-                // Whatever it had not answered, nobody owes any more.
-                let open = std::mem::take(&mut *lock(&self.fronts[at].open));
-                let mut sheet = lock(&self.sheet);
-                open.into_values().for_each(|index| sheet.call_log.entries[index].is_abandoned = true);
+                self.connections[at].stream = None;
+                // Calls that the killed node has not answered need no answer any more.
+                let open = std::mem::take(&mut *lock(&self.connections[at].open));
+                let mut records = lock(&self.records);
+                open.into_values().for_each(|index| records.call_log.entries[index].is_abandoned = true);
             }
             FaultAction::Start(Tier::Nodes, at) => {
                 self.nodes[at].restart()?;
                 self.is_down[at] = false;
             }
-            FaultAction::Stop(tier, at) => self.of(tier)[at].signal(Signal::STOP),
-            FaultAction::Continue(tier, at) => self.of(tier)[at].signal(Signal::CONT),
+            FaultAction::Stop(tier, at) => self.tier(tier)[at].signal(Signal::STOP),
+            FaultAction::Continue(tier, at) => self.tier(tier)[at].signal(Signal::CONT),
             FaultAction::SetBehavior(endpoints, behavior) => {
                 self.endpoint_executors[endpoints].iter().for_each(|e| e.set(behavior))
             }
@@ -391,27 +397,27 @@
         Ok(())
     }
 
-    fn of(&self, tier: Tier) -> &[Node] {
+    fn tier(&self, tier: Tier) -> &[Node] {
         match tier {
             Tier::Nodes => &self.nodes,
             Tier::Endpoints => &self.endpoints,
         }
     }
 
-    /// Waits for what is still owed, then sums up.
-    fn close(
+    /// Waits for outstanding answers, then evaluates the run.
+    fn finish(
         mut self,
         began: Instant,
         over: Duration,
-        trouble: Option<Range<Duration>>,
+        fault_span: Option<Range<Duration>>,
         listed: &Range<usize>,
     ) -> Result<Outcome, String> {
         let last = Instant::now() + DEADLINE + GRACE;
-        let is_owed = |entry: &Entry| entry.answers.is_empty() && !entry.is_abandoned;
-        while Instant::now() < last && lock(&self.sheet).call_log.entries.iter().any(is_owed) {
+        let is_outstanding = |entry: &Entry| entry.answers.is_empty() && !entry.is_abandoned;
+        while Instant::now() < last && lock(&self.records).call_log.entries.iter().any(is_outstanding) {
             std::thread::sleep(ms(20));
         }
-        // A second answer would come soon after the first.
+        // A duplicate answer would arrive soon after the first.
         std::thread::sleep(ms(100));
         let sum = |executors: &[Executor]| {
             let mut runs: BTreeMap<Vec<u8>, u32> = BTreeMap::new();
@@ -421,20 +427,20 @@
         };
         let mut outcome =
             Outcome { processes: self.nodes.len() + self.endpoints.len(), ..Outcome::default() };
-        let sheet = lock(&self.sheet);
-        outcome.broken = sheet.call_log.violations(&sum(&self.executors));
+        let records = lock(&self.records);
+        outcome.broken = records.call_log.violations(&sum(&self.executors));
         outcome.broken.extend(
-            sheet
+            records
                 .call_log
                 .violations(&sum(&self.endpoint_executors))
                 .into_iter()
                 .filter(|b| b.contains("ran")),
         );
-        let left: Vec<usize> =
+        let drained: Vec<usize> =
             if self.plan.fault == "replaced" { (0..listed.start).collect() } else { Vec::new() };
         for (tier, nodes) in [("node", &mut self.nodes), ("endpoint", &mut self.endpoints)] {
             for (at, node) in nodes.iter_mut().enumerate() {
-                let may_end = tier == "endpoint" && left.contains(&at);
+                let may_end = tier == "endpoint" && drained.contains(&at);
                 if !(may_end || node.is_running()) {
                     outcome.broken.push(format!("{tier} {at} has ended"));
                 }
@@ -442,30 +448,32 @@
                 outcome.memory_mb += node.memory_kb() / 1024;
             }
         }
-        outcome.calls = sheet.call_log.entries.len();
+        outcome.calls = records.call_log.entries.len();
         let in_time = |e: &Entry| {
             e.answers.first() == Some(&AnswerKind::Served) && e.latency_us <= ON_TIME.as_micros() as u64
         };
         let share = |within: &dyn Fn(Duration) -> bool| {
-            let all = sheet.began.iter().zip(&sheet.call_log.entries);
+            let all = records.began.iter().zip(&records.call_log.entries);
             let all: Vec<_> =
                 all.filter(|(at, e)| !e.is_abandoned && within(at.duration_since(began))).collect();
             all.iter().filter(|(_, e)| in_time(e)).count() as f64 / all.len().max(1) as f64
         };
         outcome.served_share = share(&|_| true);
-        outcome.served_during = share(&|at| trouble.as_ref().is_none_or(|trouble| trouble.contains(&at)));
+        outcome.served_during =
+            share(&|at| fault_span.as_ref().is_none_or(|fault_span| fault_span.contains(&at)));
         let mut took: Vec<u64> =
-            sheet.call_log.entries.iter().filter(|e| in_time(e)).map(|e| e.latency_us).collect();
+            records.call_log.entries.iter().filter(|e| in_time(e)).map(|e| e.latency_us).collect();
         took.sort_unstable();
         let quantile = |share: f64| {
             let at = ((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1));
             took.get(at).map_or(0.0, |us| *us as f64 / 1_000.0)
         };
         (outcome.p50_ms, outcome.p99_ms) = (quantile(0.5), quantile(0.99));
-        let passed = self.links.forwarded();
-        let whole = trouble.map_or(Duration::ZERO, |trouble| trouble.end + EVEN_AGAIN);
-        (outcome.even, outcome.windows) = evenness(&passed, began, whole..over, self.plan.window, listed);
-        outcome.burst = burst(&passed);
+        let forwarded = self.links.forwarded();
+        let measured_from = fault_span.map_or(Duration::ZERO, |fault_span| fault_span.end + EVEN_AFTER);
+        (outcome.even, outcome.windows) =
+            evenness(&forwarded, began, measured_from..over, self.plan.window, listed);
+        outcome.burst = burst(&forwarded);
         Ok(outcome)
     }
 }
@@ -474,9 +482,9 @@
     of.lock().expect("no panic under it")
 }
 
-/// The worst of the whole windows in that time, and how many there were.
+/// Returns the worst values of the complete windows within a time span, and the number of these windows.
 fn evenness(
-    passed: &[ForwardedCall],
+    forwarded: &[ForwardedCall],
     began: Instant,
     within: Range<Duration>,
     window: Duration,
@@ -489,16 +497,16 @@
         let mut counts = vec![0.0; listed.len()];
         let within =
             |p: &&ForwardedCall| p.at >= begins && p.at < begins + window && listed.contains(&p.endpoint);
-        passed.iter().filter(within).for_each(|p| counts[p.endpoint - listed.start] += 1.0);
+        forwarded.iter().filter(within).for_each(|p| counts[p.endpoint - listed.start] += 1.0);
         worst.take_worst(&Evenness::of(&counts));
     }
     (worst, windows as usize)
 }
 
-/// The most calls to one place in a tenth of a second.
-fn burst(passed: &[ForwardedCall]) -> usize {
+/// Returns the largest number of calls to one endpoint within 100 ms.
+fn burst(forwarded: &[ForwardedCall]) -> usize {
     let mut by_endpoint: BTreeMap<usize, Vec<Instant>> = BTreeMap::new();
-    passed.iter().for_each(|p| by_endpoint.entry(p.endpoint).or_default().push(p.at));
+    forwarded.iter().for_each(|p| by_endpoint.entry(p.endpoint).or_default().push(p.at));
     let most = |times: &Vec<Instant>| {
         (0..times.len()).map(|at| times[at..].partition_point(|t| *t < times[at] + BURST)).max().unwrap_or(0)
     };
