--- a/crates/ochrewalk-lab/src/changes.rs
+++ b/crates/ochrewalk-lab/src/changes.rs
@@ -1,5 +1,5 @@
-//! A rolling change of real processes: nodes under supervisors with callers of their own, the real conductor, and what goes wrong
-//! meanwhile. Judged: every call has one answer, none runs twice that may not, and how the change ended.
+//! Rollouts on real processes: nodes under supervisors with their own callers, the real rollout controller, and faults during
+//! the rollout. The checks are that every call has one answer, that no call with a token runs twice, and how the rollout ended.
 
 use crate::call_log::{AnswerKind, CallLog, Entry};
 use crate::control_proxy::{ControlProxy, ProxyMode};
@@ -30,70 +30,73 @@
 const METHODS: [&str; 2] = ["look", "sale"];
 const WORK_US: u64 = 2_000;
 
-/// What goes wrong with the conductor, nodes or the links between them while it goes on.
+/// A fault of the controller, of nodes or of the links between them during the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// The conductor is killed again and again, and begun anew.
+    /// The controller is killed repeatedly, and started again each time.
     ControllerKilled,
-    /// It is killed once half of the nodes are changed, and nobody begins another.
+    /// The controller is killed once half of the nodes are changed, and no other is started.
     ControllerLost,
-    /// Another one, with a record of its own, begins once some are changed.
+    /// A second controller with a separate record starts once some nodes are changed.
     TwoControllers,
-    /// Nodes are stopped for 2 s, one after the other.
+    /// Nodes are stopped for 2 s each, one after the other.
     NodesStopped,
-    /// All executors take five times as long for 5 s.
+    /// All executors are slowed down by a factor of 100 for 5 s.
     AllSlow,
-    /// A third of the nodes cannot be heard for some seconds once they are changed: longer than a trial lasts.
+    /// A third of the nodes cannot be reached for some seconds after they are changed, which is longer than the time to confirm
+    /// a change.
     LinksSilent,
-    /// Links lose answers, or break before them, now and then.
+    /// Links occasionally drop replies, or close before them.
     LinksBreak,
-    /// The file of the old program is replaced once some are changed.
+    /// The file of the old version is replaced once some nodes are changed.
     OldReplaced,
 }
 
-/// What is changed.
+/// The subject of the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
     Program,
-    /// A figure of the operators' file that does no harm.
+    /// A harmless setting of the operators' file.
     Settings,
-    /// One that makes calls below fail.
+    /// A setting that makes upstream calls fail.
     HarmfulSettings,
-    /// One that cannot be read.
+    /// A setting that cannot be parsed.
     UnusableSettings,
 }
 
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub nodes: usize,
-    /// Calls a second of each node.
+    /// Calls per second to each node.
     pub rate: f64,
     pub seed: u64,
     pub subject: Subject,
-    /// What the new program does wrong, by the name that it knows it by.
+    /// The flaw of the new program, by the name that the program reads; empty for none.
     pub flaw: String,
     pub fault: Fault,
-    /// More lines of the plan, such as stages and times.
+    /// Further lines of the rollout plan, such as stages and times.
     pub plan_lines: String,
-    /// How long the change may take.
+    /// The longest time that the rollout may take.
     pub time_limit: Duration,
-    /// Where the conductor's log is left.
+    /// The file to which the controller's log is copied.
     pub log: Option<PathBuf>,
+    /// A number that differs between rollouts which run concurrently in one process.
     pub instance: u8,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub broken: Vec<String>,
-    /// done, back or waiting, and what the conductor said.
+    /// `done`, `back`, `waiting`, `gone` or `failed`.
     pub end: String,
+    /// The output of the controller.
     pub output: String,
-    /// The most nodes that ran the new program at once, as a share.
+    /// The largest share of nodes that ran the new version at the same time.
     pub changed: f64,
-    /// Nodes that run it at the end.
+    /// The number of nodes that run the new version at the end.
     pub left_changed: usize,
-    /// The most orders under way at once.
+    /// The largest number of commands without a reply at the same time.
     pub max_open_commands: usize,
     pub kills: usize,
     pub calls: usize,
@@ -101,18 +104,18 @@
     pub seconds: f64,
 }
 
-struct NodeStand {
+struct TestNode {
     node: Mutex<Node>,
     executor: Executor,
     json_at: SocketAddr,
-    /// Where the conductor reaches its supervisor.
+    /// The socket by which the controller reaches the node's supervisor.
     control: PathBuf,
     proxy: ControlProxy,
-    /// Its operators' file, and the one to change to.
+    /// The old and the new operators' file.
     settings: [PathBuf; 2],
 }
 
-/// Plays a change from one program to another.
+/// Runs a rollout from one program to another.
 pub fn play(old: &Path, new: &Path, plan: &Plan) -> Result<Outcome, String> {
     let io = |err: std::io::Error| err.to_string();
     let folder =
@@ -139,7 +142,7 @@
     })
 }
 
-fn start(old: &Path, plan: &Plan, folder: &Path, dependency: SocketAddr) -> Result<Vec<NodeStand>, String> {
+fn start(old: &Path, plan: &Plan, folder: &Path, dependency: SocketAddr) -> Result<Vec<TestNode>, String> {
     let io = |err: std::io::Error| err.to_string();
     let directory = node::directory().map_err(io)?;
     let calls = plan.subject != Subject::Program;
@@ -151,10 +154,10 @@
     };
     let works: HashMap<String, Work> =
         METHODS.iter().enumerate().map(|(at, name)| (name.to_string(), work(at))).collect();
-    let mut stands = Vec::new();
+    let mut test_nodes = Vec::new();
     for at in 0..plan.nodes {
         let executor = Executor::start(4.0, works.clone()).map_err(io)?;
-        // An address of its own, whose port no other socket is given by chance.
+        // The address is unique, and the system does not assign its port to another socket.
         let pid = std::process::id();
         let (run, more) = (64 + (pid % 11) as u8 * 16 + plan.instance % 16, (pid / 11 % 100) as u8 * 2);
         let json_at = SocketAddr::from(([127, run, more + (at / 200) as u8, (at % 200) as u8 + 1], 7_003));
@@ -176,13 +179,13 @@
         std::fs::copy(node.operators(), &settings[0]).map_err(io)?;
         std::fs::write(&settings[1], newer).map_err(io)?;
         let proxy = ControlProxy::start(&control, supervisor).map_err(io)?;
-        stands.push(NodeStand { node: Mutex::new(node), executor, json_at, control, proxy, settings });
+        test_nodes.push(TestNode { node: Mutex::new(node), executor, json_at, control, proxy, settings });
     }
-    for stand in &stands {
-        lock(&stand.node).wait()?;
-        wait_healthy(stand.json_at)?;
+    for test_node in &test_nodes {
+        lock(&test_node.node).wait()?;
+        wait_healthy(test_node.json_at)?;
     }
-    Ok(stands)
+    Ok(test_nodes)
 }
 
 fn in_folder(old: &Path, new: &Path, plan: &Plan, folder: &Path) -> Result<Outcome, String> {
@@ -192,32 +195,32 @@
         _ => CallAction::Answer { status: 403, never_ran: true, body: Vec::new(), after: Duration::ZERO },
     });
     let dependency = dependency.map_err(|err| err.to_string())?;
-    let stands = start(old, plan, folder, dependency.at)?;
+    let test_nodes = start(old, plan, folder, dependency.at)?;
     let file = folder.join("plan");
-    write_plan(&file, "record", old, new, plan, &stands)?;
-    // Counts of some seconds are needed before a stage can be compared.
+    write_plan(&file, "record", old, new, plan, &test_nodes)?;
+    // Stages can only be compared with counts of some seconds before them.
     let is_over = AtomicBool::new(false);
     let from = Instant::now();
     let (mut outcome, call_logs) = std::thread::scope(|scope| {
-        let calls: Vec<_> = stands
+        let calls: Vec<_> = test_nodes
             .iter()
             .enumerate()
-            .map(|(at, stand)| {
+            .map(|(at, test_node)| {
                 let is_over = &is_over;
-                scope.spawn(move || call(stand, at, plan, is_over))
+                scope.spawn(move || call(test_node, at, plan, is_over))
             })
             .collect();
-        let platform = scope.spawn(|| run_platform(&stands, plan, &is_over));
+        let platform = scope.spawn(|| run_platform(&test_nodes, plan, &is_over));
         std::thread::sleep(ms(1_500));
-        let outcome = run_controller(old, new, &file, plan, &stands);
+        let outcome = run_controller(old, new, &file, plan, &test_nodes);
         is_over.store(true, Ordering::Relaxed);
         let _ = platform.join();
         (outcome, calls.into_iter().map(|calls| calls.join().unwrap_or_default()).collect::<Vec<_>>())
     });
     outcome.seconds = from.elapsed().as_secs_f64();
     let mut served = 0;
-    for (stand, call_log) in stands.iter().zip(&call_logs) {
-        outcome.broken.extend(call_log.violations(&stand.executor.counts()));
+    for (test_node, call_log) in test_nodes.iter().zip(&call_logs) {
+        outcome.broken.extend(call_log.violations(&test_node.executor.counts()));
         outcome.calls += call_log.entries.len();
         served += call_log.entries.iter().filter(|e| e.answers.first() == Some(&AnswerKind::Served)).count();
     }
@@ -230,23 +233,23 @@
     Ok(outcome)
 }
 
-/// A plan of this change, with a record of that name beside it.
+/// Writes the plan of this rollout, with a record of this name in the same folder.
 fn write_plan(
     file: &Path,
     record: &str,
     old: &Path,
     new: &Path,
     plan: &Plan,
-    stands: &[NodeStand],
+    test_nodes: &[TestNode],
 ) -> Result<(), String> {
     let folder = file.parent().unwrap_or(Path::new("/"));
-    let ends = match plan.subject {
+    let versions = match plan.subject {
         Subject::Program => format!("old {}\nnew {}\n", old.display(), new.display()),
         _ => format!("old-settings {0}/old-{{node}}\nnew-settings {0}/new-{{node}}\n", folder.display()),
     };
-    let mut text = format!("{ends}record {}\n{}", folder.join(record).display(), plan.plan_lines);
-    for (at, stand) in stands.iter().enumerate() {
-        text += &format!("node n{at} {} z{}\n", stand.control.display(), at % 2);
+    let mut text = format!("{versions}record {}\n{}", folder.join(record).display(), plan.plan_lines);
+    for (at, test_node) in test_nodes.iter().enumerate() {
+        text += &format!("node n{at} {} z{}\n", test_node.control.display(), at % 2);
     }
     std::fs::write(file, text).map_err(|err| err.to_string())
 }
@@ -255,8 +258,8 @@
     of.lock().unwrap_or_else(|broken| broken.into_inner())
 }
 
-/// Calls to one node by chance until it is over, then waits for what is owed.
-fn call(stand: &NodeStand, at: usize, plan: &Plan, is_over: &AtomicBool) -> CallLog {
+/// Sends calls to one node at random times until the rollout is over, then waits for outstanding answers.
+fn call(test_node: &TestNode, at: usize, plan: &Plan, is_over: &AtomicBool) -> CallLog {
     let mut rng = fastrand::Rng::with_seed(plan.seed ^ (at as u64) << 20);
     let mut call_log = CallLog::default();
     let mut open: Vec<(usize, Receiver<Value>)> = Vec::new();
@@ -264,7 +267,7 @@
     let mut number = 0;
     while !is_over.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / plan.rate));
-        let Some(to) = caller.take().or_else(|| Caller::connect(stand.json_at).ok()) else { continue };
+        let Some(to) = caller.take().or_else(|| Caller::connect(test_node.json_at).ok()) else { continue };
         number += 1;
         let is_sale = rng.f64() < 0.3;
         let body = format!("{}{at:03}{number:08}", if is_sale { "t" } else { "c" }).into_bytes();
@@ -286,7 +289,7 @@
             latency_us: 0,
             is_abandoned: false,
         });
-        // A connection that ended leaves its answers' channels without a sender.
+        // A closed connection drops the senders of its answers' channels.
         if to.is_open() {
             caller = Some(to);
         }
@@ -298,41 +301,41 @@
         let first = answers.recv_timeout(last.saturating_duration_since(Instant::now()));
         match first {
             Ok(first) => {
-                let (end, result) = json_answer(&first);
+                let (kind, result) = json_answer(&first);
                 entry.result = result;
-                entry.answers.push(end);
+                entry.answers.push(kind);
                 entry.answers.extend(answers.try_iter().map(|answer| json_answer(&answer).0));
             }
-            // A program that crashes, or hears nobody, owes its answers in vain; that is the flaw, not the change.
+            // A flawed program that crashes or does not respond leaves calls without an answer. The flaw causes this, not the rollout.
             Err(_) => entry.is_abandoned = is_flawed,
         }
     }
     call_log
 }
 
-/// What the platform does with nodes that end, and the trouble.
-fn run_platform(stands: &[NodeStand], plan: &Plan, is_over: &AtomicBool) {
+/// Restarts nodes that have ended, as the platform does, and applies the fault.
+fn run_platform(test_nodes: &[TestNode], plan: &Plan, is_over: &AtomicBool) {
     let from = Instant::now();
     let mut stopped: Option<(usize, Instant)> = None;
     let mut next = 0;
     while !is_over.load(Ordering::Relaxed) {
         std::thread::sleep(ms(50));
-        for stand in stands {
-            let mut node = lock(&stand.node);
+        for test_node in test_nodes {
+            let mut node = lock(&test_node.node);
             if !node.is_running() {
-                stand.executor.restart();
+                test_node.executor.restart();
                 let _ = node.restart();
             }
         }
         match plan.fault {
             Fault::NodesStopped if from.elapsed() > ms(2_500) => match stopped {
                 None => {
-                    signal_all(&stands[next % stands.len()], Signal::STOP);
-                    stopped = Some((next % stands.len(), Instant::now()));
+                    signal_all(&test_nodes[next % test_nodes.len()], Signal::STOP);
+                    stopped = Some((next % test_nodes.len(), Instant::now()));
                     next += 1;
                 }
                 Some((at, since)) if since.elapsed() > ms(2_000) => {
-                    signal_all(&stands[at], Signal::CONT);
+                    signal_all(&test_nodes[at], Signal::CONT);
                     stopped = None;
                 }
                 Some(_) => {}
@@ -340,25 +343,25 @@
             Fault::LinksSilent => {
                 let is_silent = (ms(5_000)..ms(11_000)).contains(&from.elapsed());
                 let mode = if is_silent { ProxyMode::Silent } else { ProxyMode::Forward };
-                stands.iter().step_by(3).for_each(|stand| stand.proxy.set(mode));
+                test_nodes.iter().step_by(3).for_each(|test_node| test_node.proxy.set(mode));
             }
             Fault::LinksBreak => {
-                // One link at a time, another every half second.
+                // Faults affect one link at a time, and the next link every 500 ms.
                 let turn = from.elapsed().as_millis() as usize / 500;
-                for (at, stand) in stands.iter().enumerate() {
-                    let is_now = turn % stands.len() == at && turn < 4 * stands.len();
+                for (at, test_node) in test_nodes.iter().enumerate() {
+                    let is_now = turn % test_nodes.len() == at && turn < 4 * test_nodes.len();
                     let mode = if turn.is_multiple_of(2) {
                         ProxyMode::CloseBeforeReply
                     } else {
                         ProxyMode::DropReplies
                     };
-                    stand.proxy.set(if is_now { mode } else { ProxyMode::Forward });
+                    test_node.proxy.set(if is_now { mode } else { ProxyMode::Forward });
                 }
             }
             Fault::AllSlow => {
                 let is_slow = (ms(4_000)..ms(9_000)).contains(&from.elapsed());
                 let slowdown = if is_slow { 100.0 } else { 1.0 };
-                stands.iter().for_each(|s| {
+                test_nodes.iter().for_each(|s| {
                     s.executor.set(crate::executor::ExecutorBehavior { slowdown, fails_all: false })
                 });
             }
@@ -366,13 +369,13 @@
         }
     }
     if let Some((at, _)) = stopped {
-        signal_all(&stands[at], Signal::CONT);
+        signal_all(&test_nodes[at], Signal::CONT);
     }
 }
 
-/// A node's program, and its supervisor.
-fn signal_all(stand: &NodeStand, signal: Signal) {
-    let node = lock(&stand.node);
+/// Sends a signal to a node's supervisor and to its child processes.
+fn signal_all(test_node: &TestNode, signal: Signal) {
+    let node = lock(&test_node.node);
     node.signal(signal);
     for pid in node.children() {
         if let Some(pid) = rustix::process::Pid::from_raw(pid as i32) {
@@ -381,14 +384,14 @@
     }
 }
 
-/// A conductor as a process.
+/// Starts a controller process.
 fn start_controller(program: &Path, file: &Path) -> Option<Child> {
     let mut command = Command::new(program);
     command.arg("rollout").arg("run").arg(file);
     command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().ok()
 }
 
-/// What it said at its end, and how that is called.
+/// Waits until a controller exits, and returns its output and the name of its exit status.
 fn wait_for_controller(child: Child) -> Option<(String, &'static str)> {
     let exited = child.wait_with_output().ok()?;
     let output = String::from_utf8_lossy(&[exited.stdout, exited.stderr].concat()).trim_end().to_string();
@@ -401,8 +404,8 @@
     Some((output, end))
 }
 
-/// The conductor, killed and begun anew, or joined by another, where that is the trouble.
-fn run_controller(program: &Path, new: &Path, file: &Path, plan: &Plan, stands: &[NodeStand]) -> Outcome {
+/// Runs the controller. Depending on the fault, kills and restarts it, or starts a second one.
+fn run_controller(program: &Path, new: &Path, file: &Path, plan: &Plan, test_nodes: &[TestNode]) -> Outcome {
     let mut outcome = Outcome { end: "no end in time".into(), ..Outcome::default() };
     let mut rng = fastrand::Rng::with_seed(plan.seed ^ 77);
     let last = Instant::now() + plan.time_limit;
@@ -425,24 +428,24 @@
             Fault::TwoControllers => {
                 wait_until_changed(1);
                 let other = file.with_extension("two");
-                // Its plan goes by the same two programs.
-                if write_plan(&other, "record2", program, new, plan, stands).is_ok() {
+                // The second plan has the same two programs.
+                if write_plan(&other, "record2", program, new, plan, test_nodes).is_ok() {
                     second = start_controller(program, &other);
                 }
                 last
             }
             Fault::OldReplaced => {
-                // By the record, which forgets nothing: harmful settings are back before a slow look comes round.
+                // The record shows every change, while a slow status query can miss harmful settings that are already reverted.
                 let has_changed = || {
-                    let mut so_far = Outcome::default();
-                    read_log(&file.with_file_name("record.log"), plan.nodes, &mut so_far);
-                    so_far.changed > 0.0
+                    let mut current = Outcome::default();
+                    read_log(&file.with_file_name("record.log"), plan.nodes, &mut current);
+                    current.changed > 0.0
                 };
                 while Instant::now() < last && !has_changed() {
                     std::thread::sleep(ms(10));
                 }
-                for stand in stands {
-                    let _ = std::fs::write(&stand.settings[0], "upgrade control /elsewhere\n");
+                for test_node in test_nodes {
+                    let _ = std::fs::write(&test_node.settings[0], "upgrade control /elsewhere\n");
                 }
                 last
             }
@@ -456,7 +459,7 @@
             let _ = child.wait();
             outcome.kills += 1;
             if plan.fault == Fault::ControllerLost {
-                // What is on trial goes back by itself.
+                // Unconfirmed nodes revert without the controller.
                 while Instant::now() < last && changed_nodes(program, file) > 0 {
                     std::thread::sleep(ms(100));
                 }
@@ -467,13 +470,13 @@
         }
         let Some((output, end)) = wait_for_controller(child) else { break };
         if end == "failed" && !file.with_file_name("record").exists() {
-            // Nothing was begun, as not all nodes could be heard: an operator asks again.
+            // The rollout has not started, as not all nodes could be reached. An operator would start it again.
             std::thread::sleep(ms(200));
             continue;
         }
         (outcome.output, outcome.end) = (output, end.into());
         if let Some((output, end)) = second.and_then(wait_for_controller) {
-            // The first was replaced: how the change ended is the other one's to say.
+            // The second controller replaced the first, so its result counts.
             outcome.output += &format!("; the second: {output}");
             outcome.end = end.into();
         }
@@ -482,14 +485,14 @@
     outcome
 }
 
-/// Nodes that run the new program, by the conductor's own look at them.
+/// Returns the number of nodes that run the new version, by the controller's status query.
 fn changed_nodes(program: &Path, file: &Path) -> usize {
     let output = Command::new(program).arg("rollout").arg("status").arg(file).output();
     let text = output.map(|output| String::from_utf8_lossy(&output.stdout).into_owned()).unwrap_or_default();
     text.lines().filter(|line| line.split_whitespace().nth(2) == Some("new")).count()
 }
 
-/// The most that were changed, and ordered, at once.
+/// Reads the largest share of changed nodes and the largest number of open commands from the controller's log.
 fn read_log(file: &Path, nodes: usize, outcome: &mut Outcome) {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let mut open_commands: BTreeMap<String, ()> = BTreeMap::new();
@@ -502,7 +505,7 @@
         if let Some(node) = what["answer"].as_str() {
             open_commands.remove(node);
         }
-        // The orders of one that was killed are answered to nobody.
+        // Commands of a killed controller never get a recorded reply.
         if what["begun"].is_u64() {
             open_commands.clear();
         }
@@ -510,10 +513,10 @@
     }
 }
 
-/// A copy of a program that holds something else, and does the same.
+/// Writes a copy of a program that has different contents and the same behavior.
 pub fn copy_with_other_contents(program: &Path, to: &Path) -> Result<(), String> {
     let context = |err: std::io::Error| format!("{}: {err}", to.display());
-    // One made before may still run: it keeps its file, and this is another.
+    // An earlier copy may still run. It keeps its file, and the copy gets a new one.
     let _ = std::fs::remove_file(to);
     std::fs::copy(program, to).map_err(context)?;
     let mut file = std::fs::OpenOptions::new().append(true).open(to).map_err(context)?;
--- a/crates/ochrewalk-lab/src/rollouts.rs
+++ b/crates/ochrewalk-lab/src/rollouts.rs
@@ -1,11 +1,12 @@
-//! The laboratory's `rollout`: a change of many real nodes to a program with a flaw, or without one, as JSON.
+//! The lab's command `rollout`: rolls out a program, with or without a flaw, or settings to many real nodes, and prints the result as
+//! JSON.
 
 use crate::changes::{copy_with_other_contents, play, Fault, Outcome, Plan, Subject};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What is asked for on the command line.
+/// The options of the command line.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub nodes: usize,
@@ -15,7 +16,7 @@
     pub subject: Subject,
     pub fault: Fault,
     pub time_limit: Duration,
-    /// Where the conductor's log is left.
+    /// The file to which the controller's log is copied.
     pub log: Option<PathBuf>,
 }
 
@@ -39,7 +40,8 @@
 ];
 
 impl Options {
-    /// Whether no rule broke, and the change ended as it should. The last line is JSON.
+    /// Runs the rollout and prints the result, whose last line is JSON. Returns whether no rule was violated and the rollout ended as
+    /// expected.
     pub fn run(&self, program: &Path) -> Result<bool, String> {
         let tenth = (self.nodes / 10).max(1);
         let plan = Plan {
@@ -52,7 +54,7 @@
             plan_lines: format!(
                 "stage {tenth}\nstage 50%\nmost-out {tenth}\nmoment 250ms\nleast 3s\nmost 60s\nharm 0.1\nsilent {}\n\
                  cold 500ms\npatience 20s\n{}",
-                // Silence of links is not to be taken for a harm of what was changed.
+                // A longer limit keeps the controller from attributing the silence of faulty links to the new version.
                 if self.fault == Fault::LinksSilent { "12s" } else { "2s" },
                 if self.subject == Subject::Program { "" } else { "trial 3s\n" }
             ),
@@ -89,12 +91,12 @@
     }
 }
 
-/// The node's library with flaws: `cargo build --release -p ochrewalk-node --examples` leaves it there.
+/// Returns the path of the node's program with flaws, which `cargo build --release -p ochrewalk-node --examples` builds.
 fn flawed(program: &Path) -> Result<PathBuf, String> {
     let flawed = program.with_file_name("examples").join("flawed");
     match flawed.exists() {
         true => Ok(flawed),
-        false => Err(format!("{} is not there: build the examples of ochrewalk-node", flawed.display())),
+        false => Err(format!("{} does not exist: build the examples of ochrewalk-node", flawed.display())),
     }
 }
 
--- a/crates/ochrewalk-lab/src/upgrades.rs
+++ b/crates/ochrewalk-lab/src/upgrades.rs
@@ -1,5 +1,5 @@
-//! The laboratory's `upgrade`: a program takes over from the running one again and again during steady load by both
-//! protocols, beside the same load left alone and beside plain restarts.
+//! The lab's command `upgrade`: repeated upgrades of the running program during steady load over both protocols, compared with the
+//! same load without upgrades and with plain restarts.
 
 use crate::json::Caller;
 use crate::load::{play, play_alongside, Outcome, Plan, Protocols, RunningLoad};
@@ -12,88 +12,89 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What is asked for on the command line.
+/// The options of the command line.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub seconds: u64,
     pub seed: u64,
     pub every: Duration,
     pub load: f64,
-    /// What the new program does wrong, as `crash:ready` or `hang:commit`.
+    /// The failure of the new program, such as `crash:ready` or `hang:commit`.
     pub fail: Option<String>,
     pub log: &'static str,
 }
 
-/// How often the listeners are tried and the node is asked for its health.
-const TRY: Duration = Duration::from_millis(5);
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The interval of connection attempts and health queries.
+const PROBE_INTERVAL: Duration = Duration::from_millis(5);
+const UPGRADE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What was seen from outside while something went on.
+/// Observations of the node's listeners during upgrades or restarts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Watched {
+struct ProbeResult {
     connects: usize,
     refused: usize,
     longest_pause_us: u64,
 }
 
-/// Tries both listeners and asks for health on a connection that lasts, until told to stop.
-fn watch(json_at: SocketAddr, ajp_at: SocketAddr, over: &AtomicBool) -> Watched {
-    let mut seen = Watched::default();
-    let (mut asks, mut number) = (None, 0);
-    while !over.load(Ordering::Relaxed) {
-        std::thread::sleep(TRY);
+/// Connects to both listeners and queries the health on a persistent connection, until `is_over` is set.
+fn probe_listeners(json_at: SocketAddr, ajp_at: SocketAddr, is_over: &AtomicBool) -> ProbeResult {
+    let mut seen = ProbeResult::default();
+    let (mut persistent, mut number) = (None, 0);
+    while !is_over.load(Ordering::Relaxed) {
+        std::thread::sleep(PROBE_INTERVAL);
         for at in [json_at, ajp_at] {
             seen.connects += 1;
             let tried = TcpStream::connect_timeout(&at, Duration::from_secs(2));
             seen.refused += usize::from(tried.is_err_and(|err| err.kind() == ErrorKind::ConnectionRefused));
         }
-        let Some(caller) = asks.take().or_else(|| Caller::connect(json_at).ok()) else { continue };
+        let Some(caller) = persistent.take().or_else(|| Caller::connect(json_at).ok()) else { continue };
         number += 1;
         let from = Instant::now();
         if caller.call(number, "heartbeat", "").recv_timeout(Duration::from_secs(2)).is_ok() {
             seen.longest_pause_us = seen.longest_pause_us.max(from.elapsed().as_micros() as u64);
-            asks = Some(caller);
+            persistent = Some(caller);
         }
-        // Answered, so nobody waits for a second one.
-        asks.iter().for_each(|caller| caller.forget(number));
+        // The query is answered, so a second answer is not awaited.
+        persistent.iter().for_each(|caller| caller.forget(number));
     }
     seen
 }
 
-/// One upgrade by the control socket, as `ochrewalk upgrade` asks for it.
+/// Requests one upgrade over the control socket, as `ochrewalk upgrade` does.
 fn upgrade(control: &Path, program: &Path) -> Result<String, String> {
-    let fault = |err: std::io::Error| format!("{}: {err}", control.display());
-    let mut stream = UnixStream::connect(control).map_err(fault)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(fault)?;
-    writeln!(stream, "upgrade {}", program.display()).map_err(fault)?;
+    let context = |err: std::io::Error| format!("{}: {err}", control.display());
+    let mut stream = UnixStream::connect(control).map_err(context)?;
+    stream.set_read_timeout(Some(UPGRADE_TIMEOUT)).map_err(context)?;
+    writeln!(stream, "upgrade {}", program.display()).map_err(context)?;
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).map_err(fault)?;
+    BufReader::new(stream).read_line(&mut line).map_err(context)?;
     Ok(line.trim_end().to_string())
 }
 
-/// Memory in KB and descriptors of the program that serves.
-fn size(beside: &RunningLoad) -> (u64, usize) {
-    let children = beside.node.lock().map(|node| node.children()).unwrap_or_default();
+/// Returns the memory in KB and the number of descriptors of the serving child process.
+fn usage(load: &RunningLoad) -> (u64, usize) {
+    let children = load.node.lock().map(|node| node.children()).unwrap_or_default();
     let Some(pid) = children.first() else { return (0, 0) };
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let of = |line: &str| line.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok();
+    let resident_kb = |line: &str| line.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok();
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |all| all.count());
-    (text.lines().find_map(of).unwrap_or(0), descriptors)
+    (text.lines().find_map(resident_kb).unwrap_or(0), descriptors)
 }
 
-/// What came of the upgrades.
+/// The results of the upgrades.
 #[derive(Clone, Debug, Default)]
 struct Upgrades {
     done: usize,
-    /// Other outcomes, each once.
+    /// The replies that report no hand-over, each once.
     other: Vec<String>,
     longest_us: u64,
     sizes: Vec<(u64, usize)>,
-    watched: Watched,
+    probes: ProbeResult,
 }
 
 impl Options {
-    /// Whether no rule broke and no connection was refused. The last line is JSON.
+    /// Runs the measurement and prints the result, whose last line is JSON. Returns whether no rule was violated and no connection was
+    /// refused.
     pub fn run(&self, program: &Path) -> Result<bool, String> {
         let plan = Plan {
             seconds: self.seconds,
@@ -105,29 +106,29 @@
             progress: true,
         };
         let without = play(program, &plan)?;
-        let control = control(self.seed);
-        let more = format!("upgrade control {}\n", control.display());
+        let control = control_path(self.seed);
+        let more_lines = format!("upgrade control {}\n", control.display());
         let environment = self.fail.as_ref().map(|fail| ("OCHREWALK_TAKE_FAILS", fail.clone()));
         let environment: Vec<_> = environment.into_iter().collect();
-        let (with, upgrades) = play_alongside(program, &plan, &more, &environment, |beside| {
-            self.go_on(beside, |seen| {
+        let (with, upgrades) = play_alongside(program, &plan, &more_lines, &environment, |load| {
+            self.repeat_during_load(load, |seen| {
                 let from = Instant::now();
-                let how = upgrade(&control, program).unwrap_or_else(|why| why);
+                let reply = upgrade(&control, program).unwrap_or_else(|why| why);
                 let took_us = from.elapsed().as_micros() as u64;
-                if how == "handed over" {
+                if reply == "handed over" {
                     seen.done += 1;
                     seen.longest_us = seen.longest_us.max(took_us);
-                } else if !seen.other.contains(&how) {
-                    seen.other.push(how);
+                } else if !seen.other.contains(&reply) {
+                    seen.other.push(reply);
                 }
             })
         })?;
         let _ = std::fs::remove_file(&control);
-        // Connections break with a plain restart: only what each caller makes anew by itself is compared.
+        // A plain restart breaks connections, so the comparison uses AJP only, whose callers reconnect.
         let ajp = Plan { protocols: Protocols::AjpOnly, ..plan };
-        let (restarted, restarts) = play_alongside(program, &ajp, "", &[], |beside| {
-            self.go_on(beside, |seen| {
-                if let Ok(mut node) = beside.node.lock() {
+        let (restarted, restarts) = play_alongside(program, &ajp, "", &[], |load| {
+            self.repeat_during_load(load, |seen| {
+                if let Ok(mut node) = load.node.lock() {
                     node.terminate();
                     seen.done += usize::from(node.restart().is_ok());
                 }
@@ -135,49 +136,49 @@
         })?;
         print!("{}", with.table());
         with.broken.iter().take(10).for_each(|broken| eprintln!("broken: {broken}"));
-        upgrades.other.iter().for_each(|how| println!("not handed over: {how}"));
-        let ends = |of: &dyn Fn(&(u64, usize)) -> u64| {
+        upgrades.other.iter().for_each(|reply| println!("not handed over: {reply}"));
+        let first_and_last = |of: &dyn Fn(&(u64, usize)) -> u64| {
             [upgrades.sizes.first(), upgrades.sizes.last()].map(|size| size.map_or(0, of))
         };
         println!(
             "{}",
             json!({
                 "broken": with.broken.len(), "calls": with.call_log.entries.len(), "upgrades": upgrades.done,
-                "refused_connects": upgrades.watched.refused, "connects": upgrades.watched.connects,
-                "longest_pause_ms": upgrades.watched.longest_pause_us as f64 / 1_000.0,
+                "refused_connects": upgrades.probes.refused, "connects": upgrades.probes.connects,
+                "longest_pause_ms": upgrades.probes.longest_pause_us as f64 / 1_000.0,
                 "longest_upgrade_ms": upgrades.longest_us as f64 / 1_000.0,
                 "served_share": share(&with), "served_share_without": share(&without),
-                "memory_kb": ends(&|size| size.0), "descriptors": ends(&|size| size.1 as u64),
-                "restarts": restarts.done, "restart_refused": restarts.watched.refused,
+                "memory_kb": first_and_last(&|size| size.0), "descriptors": first_and_last(&|size| size.1 as u64),
+                "restarts": restarts.done, "restart_refused": restarts.probes.refused,
                 "restart_broken": restarted.broken.len(), "restart_served_share": share(&restarted)
             })
         );
-        Ok(with.broken.is_empty() && upgrades.watched.refused == 0)
+        Ok(with.broken.is_empty() && upgrades.probes.refused == 0)
     }
 
-    /// Does that every so often until the load is over, and watches.
-    fn go_on(&self, beside: &RunningLoad, mut what: impl FnMut(&mut Upgrades)) -> Upgrades {
+    /// Runs an action at a fixed interval until the load is over, and probes the listeners meanwhile.
+    fn repeat_during_load(&self, load: &RunningLoad, mut what: impl FnMut(&mut Upgrades)) -> Upgrades {
         let over = Arc::new(AtomicBool::new(false));
-        let (of, json_at, ajp_at) = (over.clone(), beside.json_at, beside.ajp_at);
-        let watches = std::thread::spawn(move || watch(json_at, ajp_at, &of));
+        let (stop, json_at, ajp_at) = (over.clone(), load.json_at, load.ajp_at);
+        let prober = std::thread::spawn(move || probe_listeners(json_at, ajp_at, &stop));
         let mut seen = Upgrades::default();
-        while !beside.is_over() {
+        while !load.is_over() {
             let next = Instant::now() + self.every;
-            while Instant::now() < next && !beside.is_over() {
-                std::thread::sleep(TRY);
+            while Instant::now() < next && !load.is_over() {
+                std::thread::sleep(PROBE_INTERVAL);
             }
-            if !beside.is_over() {
-                seen.sizes.push(size(beside));
+            if !load.is_over() {
+                seen.sizes.push(usage(load));
                 what(&mut seen);
             }
         }
         over.store(true, Ordering::Relaxed);
-        seen.watched = watches.join().unwrap_or_default();
+        seen.probes = prober.join().unwrap_or_default();
         seen
     }
 }
 
-/// Criticality served in time, by both protocols.
+/// Returns the priority-weighted share of calls served within their latency objective, over both protocols.
 fn share(outcome: &Outcome) -> f64 {
     let shares = [true, false].map(|by_ajp| {
         let count = outcome.call_log.entries.iter().filter(|entry| entry.by_ajp == by_ajp).count();
@@ -188,6 +189,6 @@
     (share * 10_000.0).round() / 10_000.0
 }
 
-fn control(seed: u64) -> PathBuf {
+fn control_path(seed: u64) -> PathBuf {
     std::env::temp_dir().join(format!("ow-{}-{seed}.sock", std::process::id()))
 }
