--- a/crates/ochrewalk-lab/src/balancing_trial.rs
+++ b/crates/ochrewalk-lab/src/balancing_trial.rs
@@ -1,4 +1,5 @@
-//! The laboratory's `spread`: how even the load is over places, by real processes or in virtual time, as tables and JSON.
+//! The lab's command `spread`: measures how evenly load is distributed over endpoints, with real processes or in virtual time, and
+//! prints tables and JSON.
 
 use crate::emulated::{self, Evenness, RunResult, SECOND};
 use crate::fleet::{self, Outcome, Plan};
@@ -8,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What is asked for on the command line.
+/// The options of the command line.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub nodes: usize,
@@ -22,15 +23,16 @@
     pub faults: String,
     pub log: &'static str,
     pub plot: Option<PathBuf>,
-    /// In virtual time, every so often all nodes know of all queues.
+    /// In virtual time, the interval at which all nodes learn all queue lengths; 0 for never.
     pub queue_broadcast_ms: u64,
 }
 
-/// So many places at least are a node's own, where the way lays them out.
+/// The default subset size of a node, for policies with deterministic subsets.
 const SUBSET_SIZE: usize = 5;
 
 impl Options {
-    /// Only ours is laid out by numbers; the others choose among all, as each would without it.
+    /// Returns the load balancing lines of the operators' file. Only `rounds` and `shuffled` use deterministic subsets by default; the
+    /// other policies select among all endpoints.
     fn lines(&self) -> String {
         let subset_size =
             self.subset_size.or(matches!(&*self.policy, "rounds" | "shuffled").then_some(SUBSET_SIZE));
@@ -39,7 +41,7 @@
         format!("below way {}\n{reach}", self.policy)
     }
 
-    /// On real processes. Whether no rule broke; the last line is JSON.
+    /// Runs real processes and prints the result, whose last line is JSON. Returns whether no rule was violated.
     pub fn real(&self, program: &Path) -> Result<bool, String> {
         let plan = Plan {
             nodes: self.nodes,
@@ -61,26 +63,37 @@
         Ok(outcome.broken.is_empty())
     }
 
-    /// In virtual time, all ways, five seeds: what each figure is at best and at worst, and a plot of two of them.
+    /// Simulates all policies with five seeds in virtual time, and prints the range of each measure. Optionally draws a plot of three
+    /// combinations of policy and subset.
     pub fn emulated(&self) -> Result<bool, String> {
         let endpoints: Vec<usize> = (0..self.endpoints).collect();
         println!(
             "{:<10}{:<7}{:>12}{:>16}{:>16}{:>8}{:>16}{:>16}{:>18}",
-            "way", "reach", "idle", "most over mean", "dispersion", "burst", "median ms", "99% ms", "served"
+            "policy",
+            "subset",
+            "idle",
+            "max over mean",
+            "dispersion",
+            "burst",
+            "median ms",
+            "99% ms",
+            "served"
         );
         let mut plots = Vec::new();
         for kind in BalancingPolicy::ALL {
             let name = kind.name();
-            let arc = Subsetting::Deterministic {
+            let deterministic = Subsetting::Deterministic {
                 size: self.subset_size.unwrap_or(SUBSET_SIZE),
                 node: 0,
                 node_count: 1,
             };
-            let drawn = Subsetting::Random { size: self.subset_size.unwrap_or(SUBSET_SIZE) };
-            for (reach_name, reach) in [("all", Subsetting::All), ("arc", arc), ("drawn", drawn)] {
+            let random = Subsetting::Random { size: self.subset_size.unwrap_or(SUBSET_SIZE) };
+            for (subset_name, subsetting) in
+                [("all", Subsetting::All), ("arc", deterministic), ("drawn", random)]
+            {
                 let runs: Vec<RunResult> =
-                    (0..5).map(|more| self.emulate(kind, reach, self.seed + more)).collect();
-                let even: Vec<Evenness> = runs.iter().map(|seen| seen.evenness(&endpoints, 1)).collect();
+                    (0..5).map(|more| self.emulate(kind, subsetting, self.seed + more)).collect();
+                let even: Vec<Evenness> = runs.iter().map(|result| result.evenness(&endpoints, 1)).collect();
                 let figure = |of: &dyn Fn(usize) -> f64, digits: usize| {
                     let all: Vec<f64> = (0..runs.len()).map(of).collect();
                     let (least, most) =
@@ -88,17 +101,17 @@
                     format!("{least:.digits$} to {most:.digits$}")
                 };
                 println!(
-                    "{name:<10}{reach_name:<7}{:>12}{:>16}{:>16}{:>8}{:>16}{:>16}{:>18}",
+                    "{name:<10}{subset_name:<7}{:>12}{:>16}{:>16}{:>8}{:>16}{:>16}{:>18}",
                     figure(&|at| even[at].idle as f64, 0),
                     figure(&|at| even[at].max_over_mean, 2),
                     figure(&|at| even[at].dispersion, 2),
-                    runs.iter().map(|seen| seen.burst).max().unwrap_or(0),
+                    runs.iter().map(|result| result.burst).max().unwrap_or(0),
                     figure(&|at| runs[at].quantile_ms(0.5), 0),
                     figure(&|at| runs[at].quantile_ms(0.99), 0),
                     figure(&|at| runs[at].served_share(), 4),
                 );
-                if matches!((name, reach_name), ("fastest" | "random", "all") | ("rounds", "arc")) {
-                    plots.push((format!("{name}, {reach_name}"), runs.into_iter().next().expect("five")));
+                if matches!((name, subset_name), ("fastest" | "random", "all") | ("rounds", "arc")) {
+                    plots.push((format!("{name}, {subset_name}"), runs.into_iter().next().expect("five")));
                 }
             }
         }
--- a/crates/ochrewalk-lab/src/canary_trial.rs
+++ b/crates/ochrewalk-lab/src/canary_trial.rs
@@ -1,5 +1,5 @@
-//! How good a judge of changes is, in virtual time: many changes of a fleet whose nodes miss by chance, some of them with
-//! harm, some under trouble that strikes all; the real judge beside plainer ways.
+//! Measures the error rates of canary analysis in virtual time: many rollouts of a fleet whose nodes miss latency objectives at
+//! random, some rollouts with harm and some during a fault of all nodes. The real analysis is compared with simpler methods.
 
 use ochrewalk_rollout::{AnalysisSettings, CallCounts, CanaryAnalysis, NodeSample, Sample, Verdict};
 use plotters::prelude::*;
@@ -7,21 +7,23 @@
 
 pub const METHODS: [&str; 2] = ["look", "sale"];
 
-/// A fleet whose nodes miss by chance: what a judge is told of each second.
+/// A simulated fleet whose nodes miss latency objectives at random. It produces one sample per second.
 pub struct SimulatedFleet {
     pub rng: fastrand::Rng,
     pub nodes: usize,
-    /// The first of them are changed.
+    /// The number of changed nodes, which are the first ones.
     pub changed: usize,
-    /// Calls a second of each node, by method.
+    /// Calls per second of each node, by method.
     pub rates: Vec<f64>,
+    /// The mean share of calls that miss their latency objective.
     pub missed: f64,
-    /// By how much nodes differ among themselves, as a share of `missed`.
+    /// The factor of `missed` for each node.
     pub node_factors: Vec<f64>,
-    /// More misses of changed nodes on the last method, from that second on.
+    /// The additional share of misses on the last method of changed nodes.
     pub harm: f64,
+    /// The second from which on `harm` applies.
     pub harm_from: u32,
-    /// More misses of all nodes.
+    /// The additional share of misses on all nodes.
     pub fault_share: f64,
     pub second: u32,
 }
@@ -53,7 +55,7 @@
         count
     }
 
-    /// The next second.
+    /// Returns the sample of the next second.
     pub fn next_sample(&mut self) -> Sample {
         self.second += 1;
         let mut nodes = Vec::new();
@@ -81,7 +83,8 @@
         Sample { nodes, changed: self.changed, unchanged: self.nodes - self.changed }
     }
 
-    /// Seconds until the judge says something else than to wait, and what.
+    /// Passes samples to the analysis until it reaches a verdict. Returns the number of seconds and the verdict, which is `Pending`
+    /// after `max_samples` without one.
     pub fn run_until_verdict(&mut self, analysis: &mut CanaryAnalysis, max_samples: u32) -> (u32, Verdict) {
         for second in 1..=max_samples {
             let sample = self.next_sample();
@@ -94,51 +97,52 @@
     }
 }
 
-/// A judge of changes.
+/// A method that decides whether a rollout is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnalysisMethod {
-    /// The program's own.
+    /// The sequential test of the production code.
     Sequential,
-    /// Sums of both sides since the stage began, looked at each second against a fixed bound of one in a hundred.
+    /// A test of the sums of both groups since the stage started, repeated each second with a fixed error bound of one in a hundred.
     Fixed,
-    /// Changed nodes after the change beside the whole fleet before it, with a fixed margin.
+    /// A comparison of the changed nodes with the complete fleet before the rollout, with a fixed margin.
     BeforeAfter,
 }
 
-pub const METHODS_OF_ANALYSIS: [(&str, AnalysisMethod); 3] = [
+pub const ANALYSIS_METHODS: [(&str, AnalysisMethod); 3] = [
     ("sequential", AnalysisMethod::Sequential),
     ("fixed bound", AnalysisMethod::Fixed),
     ("before and after", AnalysisMethod::BeforeAfter),
 ];
 
-/// What befalls a change.
+/// The conditions during a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
     Harmless,
-    /// Five points more of one method miss on changed nodes.
+    /// On changed nodes, five percentage points more calls of one method miss their objective.
     Harm,
-    /// Twenty points more miss on all nodes, for 20 s of the first stage.
+    /// On all nodes, twenty percentage points more calls miss their objective for 20 s of the first stage.
     FleetFault,
 }
 
 pub const CASES: [(&str, Case); 3] =
-    [("no harm", Case::Harmless), ("harm of 5 points", Case::Harm), ("trouble of all", Case::FleetFault)];
+    [("no harm", Case::Harmless), ("harm of 5 points", Case::Harm), ("fault on all nodes", Case::FleetFault)];
 
 const HARM: f64 = 0.05;
-/// A stage lasts so long at least, and no longer than that.
+/// The shortest duration of a stage, in seconds.
 const MIN_STAGE_S: u32 = 30;
+/// The longest duration of a stage, in seconds.
 const MAX_STAGE_S: u32 = 900;
-/// One in a hundred, on one side.
+/// The quantile of the normal distribution for a one-sided error of one in a hundred.
 const BOUND: f64 = 2.33;
 
-/// How a change ended.
+/// The result of a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RolloutResult {
     pub stopped: bool,
     pub seconds: u32,
 }
 
-/// Calls and misses of both sides since the stage began, by method.
+/// Calls and misses of changed and unchanged nodes since the stage started, for one method.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
     changed: [f64; 2],
@@ -155,21 +159,21 @@
     }
 }
 
-/// How much more of the changed side's calls miss, and the spread of that.
+/// Returns how much the share of misses on changed nodes exceeds that on the others, and the standard deviation of this difference.
 fn excess_and_deviation(sums: &Sums) -> Option<(f64, f64)> {
-    let ([changed, bad], [others, bad_others]) = (sums.changed, sums.others);
+    let ([changed, misses], [others, other_misses]) = (sums.changed, sums.others);
     if changed < 1.0 || others < 1.0 {
         return None;
     }
-    let share = (bad + bad_others) / (changed + others);
+    let share = (misses + other_misses) / (changed + others);
     let deviation = (share * (1.0 - share) * (1.0 / changed + 1.0 / others)).sqrt();
-    Some((bad / changed - bad_others / others, deviation))
+    Some((misses / changed - other_misses / others, deviation))
 }
 
-/// The word of a plain way on what was seen since a stage began.
-fn simple_verdict(method_of_analysis: AnalysisMethod, sums: &[Sums], before: &[f64], second: u32) -> Verdict {
+/// Returns the verdict of one of the simpler methods on the sums since the stage started.
+fn simple_verdict(analysis_method: AnalysisMethod, sums: &[Sums], before: &[f64], second: u32) -> Verdict {
     let harm = |is: bool| if is { Verdict::Harm("more of it misses".into()) } else { Verdict::Pending };
-    if method_of_analysis == AnalysisMethod::BeforeAfter {
+    if analysis_method == AnalysisMethod::BeforeAfter {
         if second < MIN_STAGE_S {
             return Verdict::Pending;
         }
@@ -189,9 +193,9 @@
     }
 }
 
-/// Plays a change of a hundredth, a tenth and half of the nodes.
-pub fn change(
-    method_of_analysis: AnalysisMethod,
+/// Simulates a rollout in stages of a hundredth, a tenth and half of the nodes.
+pub fn roll_out(
+    analysis_method: AnalysisMethod,
     case: Case,
     nodes: usize,
     rate: f64,
@@ -220,14 +224,14 @@
             fleet.fault_share = if has_fleet_fault { 0.2 } else { 0.0 };
             let sample = fleet.next_sample();
             add(&mut sums, &sample);
-            let verdict = match method_of_analysis {
+            let verdict = match analysis_method {
                 AnalysisMethod::Sequential => analysis.add_sample(&sample),
-                _ => simple_verdict(method_of_analysis, &sums, &before, second),
+                _ => simple_verdict(analysis_method, &sums, &before, second),
             };
             match verdict {
                 Verdict::Harm(_) => return RolloutResult { stopped: true, seconds: fleet.second - from },
                 Verdict::Pass => break,
-                // Who is asked for lack of calls passes it, in this table.
+                // An operator who is asked because of too few calls continues the rollout, in this simulation.
                 Verdict::Inconclusive(_) => break,
                 Verdict::Pending | Verdict::FleetUnhealthy => {}
             }
@@ -236,15 +240,15 @@
     RolloutResult { stopped: false, seconds: fleet.second - from }
 }
 
-/// So many changes of a case, with nodes that have 1 to 30 calls a second.
+/// Simulates `count` rollouts of a case, with nodes that have 1 to 30 calls per second.
 pub fn changes(
-    method_of_analysis: AnalysisMethod,
+    analysis_method: AnalysisMethod,
     case: Case,
     nodes: usize,
     count: u64,
     seed: u64,
 ) -> Vec<RolloutResult> {
-    let one = |n: u64| change(method_of_analysis, case, nodes, 1.0 + (n % 30) as f64, seed ^ (n << 8));
+    let one = |n: u64| roll_out(analysis_method, case, nodes, 1.0 + (n % 30) as f64, seed ^ (n << 8));
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     std::thread::scope(|scope| {
         let thread =
@@ -255,27 +259,27 @@
     })
 }
 
-/// All ways and cases as a table; the share of stopped changes over time as a plot.
+/// Prints a table of all methods and cases, and draws a plot of the share of stopped rollouts over time.
 pub fn table(nodes: usize, count: u64, seed: u64, plot: Option<&Path>) -> Result<(), String> {
     println!(
         "{:<18}{:<20}{:>10}{:>16}{:>16}",
         "analysis", "case", "stopped", "seconds, median", "seconds, 95%"
     );
     let mut curves = Vec::new();
-    for (name, method_of_analysis) in METHODS_OF_ANALYSIS {
+    for (name, analysis_method) in ANALYSIS_METHODS {
         for (case_name, case) in CASES {
-            let ended = changes(method_of_analysis, case, nodes, count, seed);
-            let mut seconds: Vec<u32> = ended.iter().map(|e| e.seconds).collect();
+            let results = changes(analysis_method, case, nodes, count, seed);
+            let mut seconds: Vec<u32> = results.iter().map(|e| e.seconds).collect();
             seconds.sort_unstable();
             let at = |share: f64| seconds[((seconds.len() - 1) as f64 * share) as usize];
-            let stopped = ended.iter().filter(|e| e.stopped).count();
+            let stopped = results.iter().filter(|e| e.stopped).count();
             println!(
                 "{name:<18}{case_name:<20}{:>10}{:>16}{:>16}",
                 format!("{stopped} of {count}"),
                 at(0.5),
                 at(0.95)
             );
-            curves.push((format!("{name}, {case_name}"), ended));
+            curves.push((format!("{name}, {case_name}"), results));
         }
     }
     plot.map_or(Ok(()), |file| draw(file, &curves).map_err(|err| format!("{}: {err}", file.display())))
@@ -289,14 +293,14 @@
         .margin(8)
         .x_label_area_size(28)
         .y_label_area_size(40)
-        .caption("share of changes stopped, by seconds from the first stage", ("sans-serif", 14))
+        .caption("share of rollouts stopped, by seconds from the first stage", ("sans-serif", 14))
         .build_cartesian_2d(0..SECONDS, 0.0..1.02)?;
     chart.configure_mesh().light_line_style(WHITE).draw()?;
-    for (number, (name, ended)) in curves.iter().enumerate() {
+    for (number, (name, results)) in curves.iter().enumerate() {
         let color = HSLColor(number as f64 / curves.len() as f64, 0.7, 0.4);
         let share = |second: u32| {
-            let stopped = ended.iter().filter(|e| e.stopped && e.seconds <= second).count();
-            (second, stopped as f64 / ended.len().max(1) as f64)
+            let stopped = results.iter().filter(|e| e.stopped && e.seconds <= second).count();
+            (second, stopped as f64 / results.len().max(1) as f64)
         };
         let line = chart.draw_series(LineSeries::new((0..SECONDS).map(share), color.stroke_width(2)))?;
         line.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
