--- a/crates/ochrewalk-lab/src/main.rs
+++ b/crates/ochrewalk-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's command line.
+//! The command line of the lab.
 
 use clap::{Parser, Subcommand};
 use ochrewalk_lab::balancing_trial::Options;
@@ -18,21 +18,21 @@
 #[command(
     name = "ochrewalk-lab",
     version,
-    about = "A node on loopback among stand-ins, under load, its rules checked"
+    about = "Runs nodes on loopback with stand-ins under load, and checks their rules"
 )]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
-    /// The node's program, if not the one beside this
+    /// The node's program; by default the one in the same folder
     #[arg(long, global = true, value_name = "FILE")]
     node: Option<PathBuf>,
-    /// Show the node's warnings too
+    /// Also show the node's warnings
     #[arg(long, global = true)]
     warnings: bool,
 }
 
-impl Line {
-    fn log_of_node(&self) -> &'static str {
+impl Arguments {
+    fn node_log_level(&self) -> &'static str {
         if self.warnings {
             "warn"
         } else {
@@ -43,104 +43,104 @@
 
 #[derive(Clone, Subcommand)]
 enum Command {
-    /// Ten seconds of calls by both protocols, and what became of them
+    /// Sends calls over both protocols for ten seconds and prints their outcomes
     Demo,
-    /// Load by JSON-RPC and AJP at once, and the CPU that each takes alone; the last line is JSON
+    /// Sends load over JSON-RPC and AJP together, and measures the CPU time of each alone; the last line is JSON
     Ajp {
         #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(2..=600))]
         seconds: u64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Work asked for over what the cores can do
+        /// Work of all calls divided by the capacity of the cores
         #[arg(long, default_value_t = 1.2)]
         load: f64,
-        /// The share of ledger calls whose connection closes at a random byte of the answer
+        /// Share of upstream calls whose connection closes at a random byte of the answer
         #[arg(long, default_value_t = 0.0)]
         cut: f64,
     },
-    /// Upgrades during steady load, beside the load left alone and plain restarts; the last line is JSON
+    /// Upgrades during steady load, compared with no upgrades and with plain restarts; the last line is JSON
     Upgrade {
         #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(4..=600))]
         seconds: u64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Milliseconds between two upgrades
+        /// Interval of the upgrades, in milliseconds
         #[arg(long, default_value_t = 2_000, value_parser = clap::value_parser!(u64).range(100..=60_000))]
         every: u64,
-        /// Work asked for over what the cores can do
+        /// Work of all calls divided by the capacity of the cores
         #[arg(long, default_value_t = 0.8)]
         load: f64,
-        /// What the new program does wrong: crash or hang, at start, greet, ready, commit, as in crash:ready
+        /// Failure of the new program: crash or hang, at start, greet, ready or commit, as in crash:ready
         #[arg(long)]
         fail: Option<String>,
     },
-    /// A rolling change of many nodes, to a program with a flaw or without one; the last line is JSON
+    /// Rollout to many nodes, of a program with or without a flaw, or of settings; the last line is JSON
     Rollout {
         #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(1..=300))]
         nodes: u64,
-        /// Calls a second of each node
+        /// Calls per second of each node
         #[arg(long, default_value_t = 20.0)]
         rate: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// crash-at-start, crash-later, crash-on-hand-over, hang-on-hand-over, deaf, slow, slow-later, leak
+        /// Flaw of the new program: crash-at-start, crash-later, crash-on-hand-over, hang-on-hand-over, deaf, slow, slow-later, leak
         #[arg(long)]
         flaw: Option<String>,
-        /// What is changed: program, settings, harmful-settings, unusable-settings
+        /// Subject of the rollout: program, settings, harmful-settings, unusable-settings
         #[arg(long, default_value = "program")]
         subject: String,
-        /// none, conductor-killed, conductor-gone, two-conductors, links-silent, links-break, old-replaced, nodes-stopped,
-        /// all-slow
+        /// Fault during the rollout: none, conductor-killed, conductor-gone, two-conductors, links-silent, links-break, old-replaced,
+        /// nodes-stopped, all-slow
         #[arg(long, default_value = "none")]
         faults: String,
-        /// Seconds that it may take
+        /// Longest duration of the rollout, in seconds
         #[arg(long, default_value_t = 300)]
         most: u64,
-        /// Where the conductor's log is left
+        /// File to which the controller's log is copied
         #[arg(long, value_name = "FILE")]
         log: Option<std::path::PathBuf>,
     },
-    /// Nodes with pools before one ledger that they share, in virtual time: all ways of limits as a table
+    /// Simulates nodes that share one upstream dependency, in virtual time, and prints a table of all limit algorithms
     Fleet {
         #[arg(long, default_value_t = 250, value_parser = clap::value_parser!(u64).range(1..=1_000))]
         nodes: u64,
-        /// Calls over what the ledger can do
+        /// Rate of calls divided by the capacity of the dependency
         #[arg(long, default_value_t = 1.2)]
         load: f64,
         #[arg(long, default_value_t = 180, value_parser = clap::value_parser!(u64).range(30..=1_200))]
         seconds: u64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Runs of each, with seeds from that one on
+        /// Runs of each combination, with consecutive seeds from --seed on
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=20))]
         runs: u64,
     },
-    /// How often judges of changes stop what does no harm, and how soon they find harm, in virtual time, as a table
+    /// Simulates how often canary analysis stops harmless rollouts and how soon it detects harm, in virtual time, as a table
     Judge {
         #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u64).range(10..=2_000))]
         nodes: u64,
-        /// Changes of each kind
+        /// Rollouts of each kind
         #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(10..=2_000))]
         changes: u64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where a plot is left
+        /// File for a plot, as SVG
         #[arg(long, value_name = "FILE")]
         plot: Option<std::path::PathBuf>,
     },
-    /// What one more route, tenant, connection, RPC, change or subscriber costs, measured at the real programs
+    /// Measures the cost of each additional route, tenant, connection, RPC, change or subscriber in the real programs
     Slopes {
-        /// Where the slopes are written, or added to those that stand there; to the terminal if it is not named
+        /// File to which the slopes are written, merged with those in it; standard output by default
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
-        /// One measurement; a name that there is not lists all
+        /// Run a single measurement; an unknown name lists all names
         #[arg(long, value_name = "NAME")]
         only: Option<String>,
-        /// Small sizes and short spans, to see that it works
+        /// Use small sizes and short durations, as a functional check
         #[arg(long)]
         quick: bool,
     },
-    /// What a fleet of a size takes, extrapolated from measured slopes, as a page
+    /// Writes a page with the resources that a fleet of a given size needs, extrapolated from measured slopes
     Capacity {
         #[arg(long, value_name = "FILE")]
         slopes: PathBuf,
@@ -149,63 +149,63 @@
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Distribution of configuration to a fleet of real processes and simulated nodes; the last line is JSON
+    /// Distributes configuration to a fleet of real processes and simulated nodes; the last line is JSON
     Scale(ScaleOptions),
-    /// The simulated nodes of one process of `scale`, driven by lines on standard input
+    /// Runs the simulated nodes of one process of `scale`, controlled by lines on standard input
     #[command(hide = true)]
     ScaleHollow(HollowOptions),
-    /// How evenly nodes load places, on real processes with links between them; the last line is JSON
+    /// Measures how evenly nodes distribute load over endpoints, with real processes and faulty links; the last line is JSON
     Spread {
         #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=1_000))]
         nodes: u64,
         #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u64).range(1..=1_000))]
         places: u64,
-        /// Calls a second of each node
+        /// Calls per second of each node
         #[arg(long, default_value_t = 3.0)]
         rate: f64,
-        /// Mean work of a call at a place of one core, in milliseconds
+        /// Mean work of a call at an endpoint with one core, in milliseconds
         #[arg(long, default_value_t = 100)]
         work: u64,
         #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(3..=600))]
         seconds: u64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// rounds, shuffled, random, two, least or fastest
+        /// Balancing policy: rounds, shuffled, random, two, least or fastest
         #[arg(long, default_value = "rounds")]
         way: String,
-        /// Places of each node's own, laid out by its number; rounds and shuffled have some of their own accord
+        /// Subset size of each node, with deterministic subsets by its number; rounds and shuffled have a default
         #[arg(long)]
         reach: Option<usize>,
-        /// What goes wrong; `list` names all
+        /// Fault of processes or links; `list` shows all names
         #[arg(long, default_value = "none")]
         faults: String,
-        /// In virtual time instead: all ways, five seeds, in one table
+        /// Simulate all policies with five seeds in virtual time instead, as one table
         #[arg(long)]
         emulated: bool,
-        /// In virtual time, let all nodes know of all queues every so many milliseconds
+        /// In virtual time, the interval at which all nodes learn all queue lengths, in milliseconds; 0 for never
         #[arg(long, default_value_t = 0)]
         told: u64,
-        /// Where a plot of it goes, as SVG
+        /// File for a plot, as SVG
         #[arg(long, value_name = "FILE")]
         plot: Option<PathBuf>,
     },
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    match run(&line) {
+    let arguments = Arguments::parse();
+    match run(&arguments) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(line: &Line) -> Result<bool, String> {
-    let program = || line.node.clone().map_or_else(program, Ok);
-    match line.command.clone() {
+fn run(arguments: &Arguments) -> Result<bool, String> {
+    let program = || arguments.node.clone().map_or_else(program, Ok);
+    match arguments.command.clone() {
         Command::Spread { faults, .. } if faults == "list" => {
             FAULTS.iter().for_each(|(name, what)| println!("{name:<12} {what}"));
             Ok(true)
@@ -224,7 +224,7 @@
             told,
             plot,
         } => {
-            let (nodes, places, log) = (nodes as usize, places as usize, line.log_of_node());
+            let (nodes, places, log) = (nodes as usize, places as usize, arguments.node_log_level());
             let options = Options {
                 nodes,
                 endpoints: places,
@@ -245,19 +245,20 @@
                 options.real(&program()?)
             }
         }
-        Command::Scale(options) => scale::run(&options, &program()?).map_err(|why| why.to_string()),
+        Command::Scale(options) => scale::run(&options, &program()?).map_err(|error| error.to_string()),
         Command::ScaleHollow(options) => {
-            scale::run_hollow(options).map(|()| true).map_err(|why| why.to_string())
+            scale::run_hollow(options).map(|()| true).map_err(|error| error.to_string())
         }
         Command::Upgrade { seconds, seed, every, load, fail } => {
             let every = Duration::from_millis(every);
-            upgrades::Options { seconds, seed, every, load, fail, log: line.log_of_node() }.run(&program()?)
+            upgrades::Options { seconds, seed, every, load, fail, log: arguments.node_log_level() }
+                .run(&program()?)
         }
         Command::Rollout { nodes, rate, seed, flaw, subject, faults, most, log } => {
             let subject = rollouts::SUBJECTS.iter().find(|(name, _)| *name == subject);
-            let (_, subject) = *subject.ok_or("nothing to change is known by that name")?;
+            let (_, subject) = *subject.ok_or("unknown subject of a rollout")?;
             let fault = rollouts::FAULTS.iter().find(|(name, _)| *name == faults);
-            let (_, fault) = *fault.ok_or("no fault is known by that name")?;
+            let (_, fault) = *fault.ok_or("unknown fault")?;
             let (nodes, most) = (nodes as usize, Duration::from_secs(most));
             rollouts::Options { nodes, rate, seed, flaw, subject, fault, time_limit: most, log }
                 .run(&program()?)
@@ -287,11 +288,11 @@
                 protocols: Protocols::Both,
                 cut: 0.0,
                 progress: true,
-                log: line.log_of_node(),
+                log: arguments.node_log_level(),
             };
             let outcome = play(&program, &plan)?;
             print!("{}", outcome.table());
-            println!("rules broken: {}", print_violations(&outcome));
+            println!("violated rules: {}", print_violations(&outcome));
             Ok(outcome.broken.is_empty())
         }
         Command::Ajp { seconds, seed, load, cut } => {
@@ -325,7 +326,7 @@
     }
 }
 
-/// Names the first broken rules, and gives their number.
+/// Prints the first violated rules and returns the number of all.
 fn print_violations(outcome: &Outcome) -> usize {
     outcome.broken.iter().take(10).for_each(|broken| eprintln!("broken: {broken}"));
     outcome.broken.len()
