--- a/crates/ochrewalk-lab/src/slopes/control_plane.rs
+++ b/crates/ochrewalk-lab/src/slopes/control_plane.rs
@@ -1,4 +1,5 @@
-//! A publisher and a relay as real processes: their memory by resources, and what changes cost a relay and a node.
+//! Measures a publisher and a relay as real processes: their memory by the number of resources, and the cost of changes for a relay
+//! and a node.
 
 use super::model::Point;
 use super::node_under_test::{NodeFiles, NodeUnderTest};
@@ -19,24 +20,24 @@
 const REGION: &str = "east";
 const SCOPE: &str = "shop";
 const METHOD: &str = "part-lookup";
-/// A node names two relays at least.
+/// A node requires the addresses of at least two relays.
 const RELAY_ADDRESSES: usize = 2;
-/// Single changes, each a batch of its own, while a relay is measured.
+/// The number of changes while a relay is measured, each published as a separate batch.
 const CHANGES_AT_RELAY: u64 = 60;
-const BETWEEN_CHANGES_AT_RELAY: Duration = Duration::from_millis(50);
-/// How long a node is measured at each rate of changes.
-const SPAN_AT_NODE: Duration = Duration::from_secs(5);
-/// Changes a second while the cost of one is measured by the routes held.
+const RELAY_CHANGE_INTERVAL: Duration = Duration::from_millis(50);
+/// The time for which a node is measured at each rate of changes.
+const NODE_MEASUREMENT_TIME: Duration = Duration::from_secs(5);
+/// Changes per second while the cost of a change is measured by the number of stored routes.
 const RATE_AT_ROUTES: u64 = 10;
-/// The number of the route that is changed, far from those that are held.
+/// The number of the route that is changed, which is far above the numbers of the stored routes.
 const CHANGED_ROUTE: usize = 900_000;
 const CHANGES_UNTIL_IN_FORCE: u64 = 20;
-const BETWEEN_PROBES: Duration = Duration::from_millis(2);
-const PROBE_PATIENCE: Duration = Duration::from_secs(10);
+const PROBE_INTERVAL: Duration = Duration::from_millis(2);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
 const METHOD_NOT_ALLOWED: u16 = 405;
 const NOT_FOUND: u16 = 404;
-const SETTLING: Duration = Duration::from_millis(1_500);
-/// So that a measurement does not wait for a node's usual budget of bytes.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+/// A byte budget large enough that a measurement does not wait for a node's usual budget.
 const AMPLE_BUDGET: &str = "config budget 100000k\n";
 
 struct ControlPlane {
@@ -55,18 +56,18 @@
         let relay_address = node::unused_address()?;
         let text = |path: &Path| path.display().to_string();
         let listen = publisher_address.to_string();
-        let words = ["config", "--log", "error", "serve", "--listen", &listen];
+        let arguments = ["config", "--log", "error", "serve", "--listen", &listen];
         let files = ["--control", &text(&control), "--log-file", &text(&log)];
-        let publisher = MeasuredProcess::start(program, &[&words[..], &files].concat())?;
+        let publisher = MeasuredProcess::start(program, &[&arguments[..], &files].concat())?;
         wait_until("the publisher answers", || status(&control).is_ok())?;
         let listen = relay_address.to_string();
-        let words = ["config", "--log", "error", "relay", "--name", "east-1", "--region", REGION];
+        let arguments = ["config", "--log", "error", "relay", "--name", "east-1", "--region", REGION];
         let addresses = ["--listen", &listen, "--publisher", &publisher_address.to_string()];
-        let relay = MeasuredProcess::start(program, &[&words[..], &addresses].concat())?;
+        let relay = MeasuredProcess::start(program, &[&arguments[..], &addresses].concat())?;
         Ok(Self { control, publisher, relay, relay_address, _folder: folder })
     }
 
-    /// Publishes in batches of the largest size, and gives the last revision.
+    /// Publishes changes in batches of the largest size and returns the last revision.
     fn publish(&self, changes: &[Resource]) -> Result<u64, SlopeError> {
         let mut revision = 0;
         for batch in changes.chunks(MAX_BATCH_CHANGES) {
@@ -74,20 +75,20 @@
             match send_request(&self.control, Body::Publish(publish))? {
                 Body::Published(published) => revision = published.position.revision,
                 Body::Refused(refused) => return Err(SlopeError::Refused(refused.reasons.join(", "))),
-                _ => return Err(SlopeError::Lab("the publisher answered what was not asked".into())),
+                _ => return Err(SlopeError::Lab("the publisher sent an unexpected answer".into())),
             }
         }
         Ok(revision)
     }
 
-    /// Waits until the relay has all that is published.
+    /// Waits until the relay has all published resources.
     fn wait_for_relay(&self) -> Result<(), SlopeError> {
         wait_until("the relay at the published revision", || {
             status(&self.control).is_ok_and(|status| is_at_published(&status, ""))
         })
     }
 
-    /// Waits until a node of the region has all that is published.
+    /// Waits until a node of the region has all published resources.
     fn wait_for_node(&self) -> Result<(), SlopeError> {
         wait_until("the node at the published revision", || {
             status(&self.control).is_ok_and(|status| is_at_published(&status, REGION))
@@ -98,14 +99,14 @@
 fn status(control: &Path) -> Result<Status, SlopeError> {
     match send_request(control, Body::StatusRequest(StatusRequest {}))? {
         Body::Status(status) => Ok(status),
-        _ => Err(SlopeError::Lab("the publisher answered what was not asked".into())),
+        _ => Err(SlopeError::Lab("the publisher sent an unexpected answer".into())),
     }
 }
 
-/// Whether somebody of that region has the published position in force. Relays themselves stand under no region.
+/// Whether any node of a region has applied the published position. Relays are listed under the empty region name.
 fn is_at_published(status: &Status, region: &str) -> bool {
-    let of_region = status.regions.iter().filter(|told| told.region == region);
-    let mut in_force = of_region.flat_map(|told| &told.in_force);
+    let of_region = status.regions.iter().filter(|entry| entry.region == region);
+    let mut in_force = of_region.flat_map(|entry| &entry.in_force);
     in_force.any(|count| count.position == status.position && count.nodes > 0)
 }
 
@@ -129,7 +130,7 @@
     full.iter().map(|size| size / divisor).collect()
 }
 
-/// Memory of publisher and relay as quotas are added, and bytes of a snapshot by the routes in it.
+/// Measures the memory of the publisher and the relay by the number of quotas, and the bytes of a snapshot by the number of routes.
 pub fn resources(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let plane = ControlPlane::start(context.program)?;
     let (mut of_publisher, mut of_relay) = (Vec::new(), Vec::new());
@@ -139,7 +140,7 @@
         plane.publish(&changes)?;
         published = count;
         plane.wait_for_relay()?;
-        std::thread::sleep(SETTLING);
+        std::thread::sleep(SETTLE_TIME);
         let size = count as f64;
         of_publisher.push(Point { size, value: plane.publisher.resident_bytes()? });
         of_relay.push(Point { size, value: plane.relay.resident_bytes()? });
@@ -172,7 +173,7 @@
         let name = format!("cold-{count}");
         let subscriber =
             SubscriberStandIn::connect(plane.relay_address, &name, REGION, &[SCOPE.to_string()])?;
-        wait_until("a whole snapshot", || subscriber.revision() == revision)?;
+        wait_until("a complete snapshot", || subscriber.revision() == revision)?;
         points.push(Point { size: count as f64, value: subscriber.bytes() as f64 });
     }
     Ok(Series {
@@ -184,7 +185,7 @@
     })
 }
 
-/// CPU time of a relay for each change, and bytes to each subscriber, by the number of subscribers.
+/// Measures the CPU time and the sent bytes of a relay per change, and its memory, by the number of subscribers.
 pub fn subscribers(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let plane = ControlPlane::start(context.program)?;
     let (mut cpu, mut bytes, mut memory) = (Vec::new(), Vec::new(), Vec::new());
@@ -198,13 +199,13 @@
             all.push(SubscriberStandIn::connect(plane.relay_address, &name, REGION, &[])?);
         }
         wait_until("all subscribers", || all.iter().all(|subscriber| subscriber.revision() >= first))?;
-        std::thread::sleep(SETTLING);
+        std::thread::sleep(SETTLE_TIME);
         let (cpu_before, bytes_before) = (plane.relay.cpu_seconds()?, total_bytes(&all));
         let mut last = first;
         for _ in 0..CHANGES_AT_RELAY {
             published += 1;
             last = plane.publish(&[quota(published, 50.0)])?;
-            std::thread::sleep(BETWEEN_CHANGES_AT_RELAY);
+            std::thread::sleep(RELAY_CHANGE_INTERVAL);
         }
         wait_until("the last change", || all.iter().all(|subscriber| subscriber.revision() >= last))?;
         let changes = CHANGES_AT_RELAY as f64;
@@ -218,7 +219,7 @@
     let note = format!(
         "{CHANGES_AT_RELAY} changes of one quota each, {} ms and one publication apart, to subscribers of everything; \
          {updates} updates were taken by all together",
-        BETWEEN_CHANGES_AT_RELAY.as_millis()
+        RELAY_CHANGE_INTERVAL.as_millis()
     );
     let series = |name, value_unit, points| Series {
         name,
@@ -238,13 +239,13 @@
     all.iter().map(SubscriberStandIn::bytes).sum()
 }
 
-/// The lines by which a node follows a relay, through the meter.
+/// Returns the lines of the operators' file by which a node subscribes to a relay through the traffic meter.
 fn directives(meter: &TrafficMeter) -> String {
     let relays: String = meter.addresses.iter().map(|at| format!("config relay {at}\n")).collect();
     format!("{relays}config region {REGION}\nconfig scope {SCOPE}\n{AMPLE_BUDGET}")
 }
 
-/// CPU share and bytes a second of a node by the rate of changes to its scope, with a thousand routes held.
+/// Measures the CPU share and the bytes per second of a node by the rate of changes to its scope, with a thousand stored routes.
 pub fn node_changes(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let plane = ControlPlane::start(context.program)?;
     let held = if context.is_quick { 10 } else { 1_000 };
@@ -255,7 +256,7 @@
     plane.wait_for_node()?;
     let (mut cpu, mut bytes) = (Vec::new(), Vec::new());
     for rate in [0u64, 5, 10, 20, 40] {
-        std::thread::sleep(SETTLING);
+        std::thread::sleep(SETTLE_TIME);
         let (bytes_before, began) = (meter.bytes(), Instant::now());
         let (share, size) = cpu_share(&plane, &node, rate)?;
         let seconds = began.elapsed().as_secs_f64();
@@ -283,16 +284,16 @@
     ])
 }
 
-/// Sets and deletes one route in turn, and gives how many changes there were.
+/// Sets and deletes one route alternately at this rate, and returns the number of changes.
 fn change_at_rate(plane: &ControlPlane, rate: u64) -> Result<u64, SlopeError> {
     let began = Instant::now();
-    let total = rate * SPAN_AT_NODE.as_secs();
+    let total = rate * NODE_MEASUREMENT_TIME.as_secs();
     for number in 0..total {
         plane.publish(&[set_or_delete(number)])?;
         let due = Duration::from_secs_f64((number + 1) as f64 / rate as f64);
         std::thread::sleep(due.saturating_sub(began.elapsed()));
     }
-    std::thread::sleep(SPAN_AT_NODE.saturating_sub(began.elapsed()));
+    std::thread::sleep(NODE_MEASUREMENT_TIME.saturating_sub(began.elapsed()));
     Ok(total)
 }
 
@@ -302,8 +303,8 @@
     Resource { value, ..changed }
 }
 
-/// Memory of a node, and CPU time for each change, by the distributed routes that it holds. What the node uses at rest over
-/// an equal span is taken off.
+/// Measures the memory of a node and its CPU time per change by the number of distributed routes that it stores. The CPU time at rest
+/// over an equal time is subtracted.
 pub fn node_routes(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let (mut cpu, mut memory, mut delay) = (Vec::new(), Vec::new(), Vec::new());
     for count in divided(context, &[1_000, 10_000, 25_000, 49_000]) {
@@ -314,7 +315,7 @@
         let meter = TrafficMeter::start(plane.relay_address, RELAY_ADDRESSES)?;
         let node = NodeUnderTest::start(context.program, NodeFiles::default(), &directives(&meter))?;
         plane.wait_for_node()?;
-        std::thread::sleep(SETTLING);
+        std::thread::sleep(SETTLE_TIME);
         let size = count as f64;
         memory.push(Point { size, value: node.process.resident_bytes()? });
         let (at_rest, _) = cpu_share(&plane, &node, 0)?;
@@ -339,7 +340,7 @@
             note: format!(
                 "{RATE_AT_ROUTES} changes of one route a second for {} s, less the CPU share at rest before; changes that \
                  come while one is applied may be applied together",
-                SPAN_AT_NODE.as_secs()
+                NODE_MEASUREMENT_TIME.as_secs()
             ),
         },
         Series {
@@ -350,13 +351,13 @@
             note: format!(
                 "the longest of {CHANGES_UNTIL_IN_FORCE} changes of one route, until a request shows it at one node of one \
                  relay on loopback; looked at every {} ms",
-                BETWEEN_PROBES.as_millis()
+                PROBE_INTERVAL.as_millis()
             ),
         },
     ])
 }
 
-/// The longest time from the publication of a change until a node routes by it.
+/// Returns the longest time from the publication of a change until a node applies it.
 fn longest_delay(plane: &ControlPlane, node: &NodeUnderTest) -> Result<Duration, SlopeError> {
     let mut longest = Duration::ZERO;
     for number in 0..CHANGES_UNTIL_IN_FORCE {
@@ -364,30 +365,31 @@
         plane.publish(&[set_or_delete(number)])?;
         let is_set = number.is_multiple_of(2);
         while is_changed_route_known(node)? != is_set {
-            if began.elapsed() > PROBE_PATIENCE {
-                return Err(SlopeError::NeverSeen("a change in force".into()));
+            if began.elapsed() > PROBE_TIMEOUT {
+                return Err(SlopeError::TimedOut("a change in force".into()));
             }
-            std::thread::sleep(BETWEEN_PROBES);
+            std::thread::sleep(PROBE_INTERVAL);
         }
         longest = longest.max(began.elapsed());
     }
     Ok(longest)
 }
 
-/// A known path with another HTTP method is turned down as such; an unknown path is not found.
+/// Whether the node knows the changed route: a request with another HTTP method is answered with 405 if the path is known, and with
+/// 404 otherwise.
 fn is_changed_route_known(node: &NodeUnderTest) -> Result<bool, SlopeError> {
     let path = route_path(CHANGED_ROUTE);
     let headers = vec![("x-request-id", format!("{:016x}", fastrand::u64(..)))];
     let call = Call { method: "PATCH", uri: &path, headers, secret: None, body: b"" };
-    let answer = Peer::connect(node.ajp_address, PROBE_PATIENCE)?.call(&call)?;
+    let answer = Peer::connect(node.ajp_address, PROBE_TIMEOUT)?.call(&call)?;
     match answer.status {
         METHOD_NOT_ALLOWED => Ok(true),
         NOT_FOUND => Ok(false),
-        other => Err(SlopeError::Lab(format!("a probe of a route was answered with {other}"))),
+        other => Err(SlopeError::Lab(format!("unexpected status {other} in answer to a probe of a route"))),
     }
 }
 
-/// The share of a core that a node uses under changes at a rate, and the rate that there was.
+/// Returns the share of a core that a node uses during changes at this rate, and the actual rate.
 fn cpu_share(plane: &ControlPlane, node: &NodeUnderTest, rate: u64) -> Result<(f64, f64), SlopeError> {
     let before = node.process.cpu_seconds()?;
     let began = Instant::now();
--- a/crates/ochrewalk-lab/src/slopes/fit.rs
+++ b/crates/ochrewalk-lab/src/slopes/fit.rs
@@ -1,23 +1,23 @@
-//! Decides which line fits measured points best, by least squares, and how far the points lie from it.
+//! Decides which line fits measured points best, by least squares, and how far the points deviate from it.
 
 use super::model::{Fit, Point};
 use statrs::statistics::Statistics;
 
-/// The fewest points that a line is fitted to: any two lie on one.
-const FEWEST_POINTS: usize = 3;
+/// The smallest number of points to which a line is fitted, as any two points lie on a line.
+const MIN_POINTS: usize = 3;
 
-/// Why no line was fitted.
+/// An error of a fit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FitError {
-    #[error("{count} points, {FEWEST_POINTS} at least are needed")]
+    #[error("{count} points, at least {MIN_POINTS} are needed")]
     TooFewPoints { count: usize },
-    #[error("all points are of one size")]
+    #[error("all points have the same size")]
     OneSize,
 }
 
-/// Fits a line to the points. With values that are all equal the line explains all there is: R² is 1.
+/// Fits a line to the points. If all values are equal, the line has no deviation and R² is 1.
 pub fn fit(points: &[Point]) -> Result<Fit, FitError> {
-    if points.len() < FEWEST_POINTS {
+    if points.len() < MIN_POINTS {
         return Err(FitError::TooFewPoints { count: points.len() });
     }
     let sizes: Vec<f64> = points.iter().map(|point| point.size).collect();
--- a/crates/ochrewalk-lab/src/slopes/mod.rs
+++ b/crates/ochrewalk-lab/src/slopes/mod.rs
@@ -1,5 +1,5 @@
-//! What one more route, tenant, connection, RPC, change or subscriber costs the real programs: each quantity is measured at
-//! several sizes, and a line is fitted. `capacity` extrapolates from these lines.
+//! Measures the cost of each additional route, tenant, connection, RPC, change or subscriber in the real programs: each quantity is
+//! measured at several sizes, and a line is fitted. The command `capacity` extrapolates from these lines.
 
 mod control_plane;
 pub mod fit;
@@ -20,38 +20,38 @@
     "What else uses the machine shows in these. Memory and bytes are little disturbed by it, CPU seconds \
      somewhat, latencies much. Each point is one run, unless its slope says otherwise.";
 
-/// Why a measurement failed.
+/// An error of a measurement.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopeError {
     #[error(transparent)]
     Io(#[from] std::io::Error),
     #[error("{0}")]
     Lab(String),
-    #[error("the program has ended")]
+    #[error("the measured program has ended")]
     Ended,
-    #[error("never seen: {0}")]
-    NeverSeen(String),
+    #[error("timed out waiting for: {0}")]
+    TimedOut(String),
     #[error("the control plane: {0}")]
     Control(#[from] ochrewalk_control_plane::control::ControlError),
-    #[error("the control plane sent what cannot be read: {0}")]
+    #[error("invalid message from the control plane: {0}")]
     Frame(#[from] ochrewalk_control_plane::frame::FrameError),
     #[error("refused: {0}")]
     Refused(String),
     #[error(transparent)]
     Fit(#[from] fit::FitError),
-    #[error("no measurement is named {0}; there are: {1}")]
+    #[error("unknown measurement {0}; known measurements: {1}")]
     UnknownName(String, String),
 }
 
-/// What a run of measurements needs to know.
+/// The parameters of a run of measurements.
 pub struct Context<'a> {
-    /// The node's program, which is the control plane's, too.
+    /// The program of the node, which also contains the control plane.
     pub program: &'a Path,
-    /// Smaller sizes and shorter spans, to see that it works.
+    /// Whether to use smaller sizes and shorter durations, as a functional check.
     pub is_quick: bool,
 }
 
-/// One quantity at several sizes.
+/// The measured values of one quantity at several sizes.
 pub struct Series {
     pub name: &'static str,
     pub size_unit: &'static str,
@@ -62,7 +62,7 @@
 
 type Measure = fn(&Context) -> Result<Vec<Series>, SlopeError>;
 
-/// A measurement by its name on the command line.
+/// A measurement and its name on the command line.
 struct Measurement {
     name: &'static str,
     measure: Measure,
@@ -83,18 +83,18 @@
     Measurement { name: "node-routes", measure: control_plane::node_routes },
 ];
 
-/// Runs all measurements, or the one that is named. A failed one is named in the result and doesn't stop the others.
+/// Runs all measurements, or only the named one. The result lists failed measurements, which do not stop the others.
 pub fn run(context: &Context, only: Option<&str>) -> Result<SlopeSet, SlopeError> {
-    let chosen: Vec<&Measurement> =
+    let selected: Vec<&Measurement> =
         MEASUREMENTS.iter().filter(|measurement| only.is_none_or(|name| name == measurement.name)).collect();
-    if chosen.is_empty() {
+    if selected.is_empty() {
         let names: Vec<&str> = MEASUREMENTS.iter().map(|measurement| measurement.name).collect();
         return Err(SlopeError::UnknownName(only.unwrap_or_default().into(), names.join(", ")));
     }
     let load_before = load_averages();
     let mut slopes = Vec::new();
     let mut failed = Vec::new();
-    for measurement in chosen {
+    for measurement in selected {
         eprintln!("measuring {}", measurement.name);
         match measure(context, measurement) {
             Ok(measured) => slopes.extend(measured),
@@ -134,8 +134,8 @@
     text.split_whitespace().take(3).collect::<Vec<_>>().join(" ")
 }
 
-/// Replaces slopes of an earlier set by those measured anew, so that measurements may be taken one at a time. A failure is
-/// kept until that measurement works.
+/// Replaces the slopes of an earlier set that were measured again, so that measurements may run one at a time. A failure remains in the
+/// set until its measurement succeeds.
 pub fn merge(earlier: SlopeSet, newer: SlopeSet) -> SlopeSet {
     let is_replaced = |name: &str| newer.slopes.iter().any(|slope| slope.name == name);
     let mut slopes: Vec<Slope> =
--- a/crates/ochrewalk-lab/src/slopes/model.rs
+++ b/crates/ochrewalk-lab/src/slopes/model.rs
@@ -1,50 +1,51 @@
-//! What a set of measured slopes holds, as it stands in its JSON file.
+//! The data model of measured slopes, as stored in their JSON file.
 
 use serde::{Deserialize, Serialize};
 
-/// One measurement: a size, and what it took.
+/// A measured value at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     pub size: f64,
     pub value: f64,
 }
 
-/// A fitted line, and how far the points lie from it.
+/// A fitted line, and its deviation from the points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
     pub intercept: f64,
     pub slope: f64,
-    /// In the unit of the values.
+    /// The largest deviation of a point from the line, in the unit of the values.
     pub largest_deviation: f64,
     pub r_squared: f64,
 }
 
-/// What one more of something costs.
+/// The cost of each additional unit of a quantity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// Its name in the file, as in `node-memory-by-routes`.
+    /// The name in the file, such as `node-memory-by-routes`.
     pub name: String,
-    /// What grows, as in `routes`.
+    /// The unit of the sizes, such as `routes`.
     pub size_unit: String,
-    /// What is measured, as in `bytes`.
+    /// The unit of the values, such as `bytes`.
     pub value_unit: String,
     pub points: Vec<Point>,
     pub fit: Fit,
     pub largest_size: f64,
-    /// The command that measured it.
+    /// The command that ran the measurement.
     pub command: String,
-    /// What the figures mean beyond the units, and what limits them.
+    /// Conditions and limits of the measurement.
     pub note: String,
 }
 
-/// What the measurements ran on.
+/// The machine on which the measurements ran.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     pub cores: usize,
-    /// Load averages over 1, 5 and 15 minutes, before the first measurement and after the last.
+    /// Load averages over 1, 5 and 15 minutes before the first measurement.
     pub load_before: String,
+    /// Load averages over 1, 5 and 15 minutes after the last measurement.
     pub load_after: String,
-    /// How much a busy machine disturbs the figures.
+    /// The influence of other load on the measured values.
     pub note: String,
 }
 
@@ -53,12 +54,12 @@
 pub struct SlopeSet {
     pub machine: Machine,
     pub slopes: Vec<Slope>,
-    /// Measurements that failed in that run, each with the reason.
+    /// The measurements that failed, each with the reason.
     pub failed: Vec<String>,
 }
 
 impl SlopeSet {
-    /// The slope of that name, if it was measured.
+    /// Returns the slope with this name, if it was measured.
     pub fn get(&self, name: &str) -> Option<&Slope> {
         self.slopes.iter().find(|slope| slope.name == name)
     }
--- a/crates/ochrewalk-lab/src/slopes/node_state.rs
+++ b/crates/ochrewalk-lab/src/slopes/node_state.rs
@@ -1,5 +1,5 @@
-//! Memory of a node by what it holds: routes, methods, tenants, endpoints, connections. The time that it takes to be healthy
-//! isn't measured; the CPU time of its start is.
+//! Measures the memory of a node by the number of routes, methods, tenants, endpoints and connections, and the CPU time of its start.
+//! The time until the node is healthy is not measured.
 
 use super::model::Point;
 use super::node_under_test::{NodeFiles, NodeUnderTest};
@@ -8,19 +8,19 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(5);
-/// A node uses less than that share of a core when it has nothing to do.
-const SHARE_AT_REST: f64 = 0.1;
-const BETWEEN_LOOKS_FOR_REST: Duration = Duration::from_millis(1_500);
-const LOOKS_FOR_REST: u32 = 15;
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
+/// The share of a core below which a node counts as idle.
+const IDLE_SHARE: f64 = 0.1;
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1_500);
+const MAX_IDLE_POLLS: u32 = 15;
 
-/// Sizes of a quick run are a hundredth.
+/// Returns the sizes of a run; a quick run divides them by 100.
 fn sizes(context: &Context, full: &[usize]) -> Vec<usize> {
     let divisor = if context.is_quick { 100 } else { 1 };
     full.iter().map(|size| size / divisor).collect()
 }
 
-/// Memory and CPU time after the start with files of each size.
+/// Returns the memory and the CPU time after the start with files of each size.
 fn by_files(
     context: &Context,
     full: &[usize],
@@ -84,7 +84,7 @@
     ])
 }
 
-/// Routes, methods, tenants and endpoints at once, each at the same part of the largest size measured.
+/// Measures a node with routes, methods, tenants and endpoints together, each at the same percentage of the largest measured size.
 pub fn whole(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let (mut settled, mut peak_at_start, mut peak_at_reload) = (Vec::new(), Vec::new(), Vec::new());
     for percent in [25, 50, 75, 100] {
@@ -101,7 +101,7 @@
         peak_at_start.push(Point { size, value: node.process.peak_bytes()? });
         let before = node.process.cpu_seconds()?;
         node.process.reload()?;
-        wait_for_rest(&node, before)?;
+        wait_until_idle(&node, before)?;
         peak_at_reload.push(Point { size, value: node.process.peak_bytes()? });
     }
     let note =
@@ -120,22 +120,22 @@
     ])
 }
 
-/// Waits until the node has begun to use CPU time since `before`, and uses next to none any more.
-fn wait_for_rest(node: &NodeUnderTest, before: f64) -> Result<(), SlopeError> {
+/// Waits until the node is idle again, after it has used CPU time since `before`.
+fn wait_until_idle(node: &NodeUnderTest, before: f64) -> Result<(), SlopeError> {
     let mut latest = before;
-    for look in 0..LOOKS_FOR_REST {
-        std::thread::sleep(BETWEEN_LOOKS_FOR_REST);
+    for poll in 0..MAX_IDLE_POLLS {
+        std::thread::sleep(IDLE_POLL_INTERVAL);
         let used = node.process.cpu_seconds()?;
-        let share = (used - latest) / BETWEEN_LOOKS_FOR_REST.as_secs_f64();
+        let share = (used - latest) / IDLE_POLL_INTERVAL.as_secs_f64();
         latest = used;
-        if look > 0 && share < SHARE_AT_REST {
+        if poll > 0 && share < IDLE_SHARE {
             return Ok(());
         }
     }
-    Err(SlopeError::NeverSeen("the node at rest after a reload".into()))
+    Err(SlopeError::TimedOut("the node to be idle after a reload".into()))
 }
 
-/// Connections that had one heartbeat answered and then rest.
+/// Measures a node with connections that are idle after one answered heartbeat.
 pub fn connections(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let node = NodeUnderTest::start(context.program, NodeFiles::default(), "")?;
     let before = node.process.descriptors()?;
@@ -143,7 +143,7 @@
     let (mut memory, mut descriptors) = (Vec::new(), Vec::new());
     for count in sizes(context, &[1_000, 2_000, 4_000, 8_000]) {
         while open.len() < count {
-            open.push(rested_connection(&node)?);
+            open.push(idle_connection(&node)?);
         }
         let size = count as f64;
         memory.push(Point { size, value: node.process.resident_bytes()? });
@@ -169,14 +169,14 @@
     ])
 }
 
-fn rested_connection(node: &NodeUnderTest) -> Result<TcpStream, SlopeError> {
-    let mut stream = TcpStream::connect_timeout(&node.json_address, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+fn idle_connection(node: &NodeUnderTest) -> Result<TcpStream, SlopeError> {
+    let mut stream = TcpStream::connect_timeout(&node.json_address, HEARTBEAT_TIMEOUT)?;
+    stream.set_read_timeout(Some(HEARTBEAT_TIMEOUT))?;
     stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"heartbeat\",\"params\":{}}\n")?;
     let mut answer = String::new();
     BufReader::new(&stream).read_line(&mut answer)?;
     if answer.is_empty() {
-        return Err(SlopeError::Lab("the node closed a resting connection".into()));
+        return Err(SlopeError::Lab("the node closed an idle connection".into()));
     }
     Ok(stream)
 }
--- a/crates/ochrewalk-lab/src/slopes/node_under_test.rs
+++ b/crates/ochrewalk-lab/src/slopes/node_under_test.rs
@@ -1,4 +1,4 @@
-//! A real node with files made for a measurement, among stand-ins for its executor and directory.
+//! A real node with generated files for a measurement, and stand-ins for its executor and directory.
 
 use super::process::{wait_until, Folder, MeasuredProcess};
 use super::SlopeError;
@@ -14,26 +14,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Cores of the stand-in executor: enough that no RPC waits for one.
+/// The number of cores of the stand-in executor, which is large enough that no RPC waits for a core.
 const EXECUTOR_CORES: f64 = 16.0;
-/// Descriptors that the node may use: so many that no measurement opens a quarter of them, from where on a node ends
-/// connections that rest.
+/// The descriptors that the node may use. No measurement opens a quarter of them, from which on a node closes idle connections.
 const NODE_DESCRIPTORS: u64 = 40_000;
-const FRONT_CONNECTIONS: u64 = 300;
-/// How long idempotency keys are remembered: longer than a measurement takes.
+const AJP_CONNECTIONS: u64 = 300;
+/// The time for which idempotency keys are stored, which is longer than a measurement.
 const KEY_WINDOW_NS: u64 = 600_000_000_000;
-const HEARTBEAT_PATIENCE: Duration = Duration::from_millis(500);
-/// After the start, until memory that is only used then has been given back.
-const SETTLING: Duration = Duration::from_millis(700);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The wait after the start until memory that is only used during the start has been released.
+const SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// What differs between nodes of measurements.
+/// The generated contents of the node's files.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeFiles {
     pub routes: usize,
-    /// Methods beyond those of the lab.
+    /// The number of methods in addition to those of the lab.
     pub methods: usize,
     pub tenants: usize,
-    /// Endpoints upstream.
+    /// The number of upstream endpoints.
     pub endpoints: usize,
 }
 
@@ -46,7 +45,7 @@
 }
 
 impl NodeUnderTest {
-    /// Starts it, and waits until it is healthy and its memory has settled.
+    /// Starts a node, and waits until it is healthy and its memory has settled.
     pub fn start(program: &Path, files: NodeFiles, more: &str) -> Result<Self, SlopeError> {
         let executor = Arc::new(start_executor(work_of_an_rpc())?);
         let folder = Folder::create()?;
@@ -73,21 +72,21 @@
         let mut number = 0;
         wait_until("the node is healthy", || {
             number += 1;
-            let answer = caller.call(number, "heartbeat", "").recv_timeout(HEARTBEAT_PATIENCE);
+            let answer = caller.call(number, "heartbeat", "").recv_timeout(HEARTBEAT_TIMEOUT);
             answer.is_ok_and(|answer| answer["result"]["pass"] == true)
         })?;
-        std::thread::sleep(SETTLING);
+        std::thread::sleep(SETTLE_TIME);
         Ok(Self { process, json_address, ajp_address, executor, _folder: folder })
     }
 }
 
-/// A stand-in executor whose methods all take the same work.
+/// Starts a stand-in executor whose methods all take the same work.
 pub fn start_executor(work: Work) -> Result<Executor, SlopeError> {
     let works: HashMap<String, Work> = METHODS.iter().map(|method| (method.name.to_string(), work)).collect();
     Ok(Executor::start_timed(EXECUTOR_CORES, works)?)
 }
 
-/// The work of each RPC: one millisecond without a call upstream.
+/// Returns the work of each RPC: one millisecond, without an upstream call.
 pub fn work_of_an_rpc() -> Work {
     Work { core_us: 1_000, calls: false, is_exponential: false, max_wait: Duration::from_secs(1) }
 }
@@ -95,7 +94,7 @@
 fn settings(files: NodeFiles) -> Value {
     let mut settings = crate::load::settings();
     settings["extra"]["cores"] = json!(EXECUTOR_CORES as u64);
-    // Methods that call nothing upstream, as the measurements have no upstream that answers.
+    // No method makes upstream calls, as the measurements have no upstream that answers.
     let calls = vec![false; METHODS.len() + files.methods];
     settings["extra"]["calls-by-class"] = json!(calls);
     if let Some(categories) = settings["categories"].as_array_mut() {
@@ -116,7 +115,7 @@
 
 fn operators_file(files: NodeFiles, ajp_address: SocketAddr, more: &str) -> String {
     let mut text = format!(
-        "ajp listen {ajp_address}\najp allow 127.0.0.0/8\najp connections {FRONT_CONNECTIONS}\n\
+        "ajp listen {ajp_address}\najp allow 127.0.0.0/8\najp connections {AJP_CONNECTIONS}\n\
          ajp memory 20.5\najp route GET /items/{{}} part-lookup\n\
          ajp route POST /sales order-record\n"
     );
--- a/crates/ochrewalk-lab/src/slopes/process.rs
+++ b/crates/ochrewalk-lab/src/slopes/process.rs
@@ -1,4 +1,4 @@
-//! Programs under measurement: started, killed when dropped, and their CPU time and memory read from `/proc`.
+//! Processes under measurement: they are killed when dropped, and their CPU time and memory are read from `/proc`.
 
 use super::SlopeError;
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
@@ -8,13 +8,14 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How often a condition is looked at, and for how long before it counts as failed.
-const BETWEEN_LOOKS: Duration = Duration::from_millis(10);
-const LOOKS: u32 = 3_000;
+/// The interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The number of polls after which a condition counts as failed.
+const MAX_POLLS: u32 = 3_000;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 const BYTES_PER_KB: f64 = 1024.0;
 
-/// A running program. It ends when this is dropped, and when the one that started it ends.
+/// A running program. The process ends when this value is dropped, and when the process that started it ends.
 pub struct MeasuredProcess {
     child: Child,
 }
@@ -23,7 +24,7 @@
     pub fn start<S: AsRef<OsStr>>(program: &Path, arguments: &[S]) -> Result<Self, SlopeError> {
         let mut command = Command::new(program);
         command.args(arguments).stdin(Stdio::null()).stdout(Stdio::null());
-        // SAFETY: between fork and exec it makes one system call and touches no memory.
+        // SAFETY: between fork and exec the closure makes one system call and touches no memory.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
@@ -35,12 +36,12 @@
         Ok(std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()))?)
     }
 
-    /// Resident memory (VmRSS) in bytes.
+    /// Returns the resident memory (VmRSS) in bytes.
     pub fn resident_bytes(&self) -> Result<f64, SlopeError> {
         self.memory_bytes("VmRSS:")
     }
 
-    /// The most resident memory that there ever was (VmHWM), in bytes.
+    /// Returns the peak resident memory (VmHWM) in bytes.
     pub fn peak_bytes(&self) -> Result<f64, SlopeError> {
         self.memory_bytes("VmHWM:")
     }
@@ -52,13 +53,13 @@
         Ok(kilobytes * BYTES_PER_KB)
     }
 
-    /// Has it read its files again.
+    /// Makes the program reload its files.
     pub fn reload(&self) -> Result<(), SlopeError> {
         let pid = Pid::from_raw(self.child.id() as i32).ok_or(SlopeError::Ended)?;
         Ok(kill_process(pid, Signal::HUP).map_err(std::io::Error::from)?)
     }
 
-    /// CPU time used by all its threads, in seconds.
+    /// Returns the CPU time of all threads, in seconds.
     pub fn cpu_seconds(&self) -> Result<f64, SlopeError> {
         let mut nanoseconds = 0.0;
         for task in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
@@ -69,7 +70,7 @@
         Ok(nanoseconds / NANOSECONDS_PER_SECOND)
     }
 
-    /// Descriptors that it has open.
+    /// Returns the number of open descriptors.
     pub fn descriptors(&self) -> Result<usize, SlopeError> {
         Ok(std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
     }
@@ -82,18 +83,18 @@
     }
 }
 
-/// Waits until something is so.
-pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) -> Result<(), SlopeError> {
-    for _ in 0..LOOKS {
-        if is_so() {
+/// Waits until a condition holds. Fails after 30 s; `what` names the condition in the error.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) -> Result<(), SlopeError> {
+    for _ in 0..MAX_POLLS {
+        if condition() {
             return Ok(());
         }
-        std::thread::sleep(BETWEEN_LOOKS);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    Err(SlopeError::NeverSeen(what.to_string()))
+    Err(SlopeError::TimedOut(what.to_string()))
 }
 
-/// A folder of its own for files of a measurement, removed when dropped.
+/// A temporary folder for the files of a measurement, removed when dropped.
 pub struct Folder {
     path: PathBuf,
 }
--- a/crates/ochrewalk-lab/src/slopes/report.rs
+++ b/crates/ochrewalk-lab/src/slopes/report.rs
@@ -1,10 +1,10 @@
-//! Runs measurements for the command line and leaves them in a file.
+//! Runs measurements for the command line and writes them to a file.
 
 use super::model::SlopeSet;
 use super::{merge, run, Context};
 use std::path::Path;
 
-/// Measures, and writes or prints what was found. Whether all measurements worked.
+/// Runs measurements and writes or prints the slopes. Returns whether all measurements succeeded.
 pub fn measure(
     program: &Path,
     only: Option<&str>,
@@ -12,27 +12,27 @@
     out: Option<&Path>,
 ) -> Result<bool, String> {
     let measured = run(&Context { program, is_quick }, only).map_err(|error| error.to_string())?;
-    let is_whole = measured.failed.is_empty();
+    let is_complete = measured.failed.is_empty();
     measured.failed.iter().for_each(|failed| eprintln!("failed: {failed}"));
     let Some(out) = out else {
         println!("{}", to_json(&measured)?);
-        return Ok(is_whole);
+        return Ok(is_complete);
     };
     let all = match read_earlier(out)? {
         Some(earlier) => merge(earlier, measured),
         None => measured,
     };
     std::fs::write(out, to_json(&all)? + "\n").map_err(|error| format!("{}: {error}", out.display()))?;
-    Ok(is_whole)
+    Ok(is_complete)
 }
 
 fn read_earlier(path: &Path) -> Result<Option<SlopeSet>, String> {
-    let fault = |why: String| format!("{}: {why}", path.display());
+    let context = |error: String| format!("{}: {error}", path.display());
     if !path.exists() {
         return Ok(None);
     }
-    let text = std::fs::read_to_string(path).map_err(|error| fault(error.to_string()))?;
-    serde_json::from_str(&text).map(Some).map_err(|error| fault(error.to_string()))
+    let text = std::fs::read_to_string(path).map_err(|error| context(error.to_string()))?;
+    serde_json::from_str(&text).map(Some).map_err(|error| context(error.to_string()))
 }
 
 fn to_json(set: &SlopeSet) -> Result<String, String> {
--- a/crates/ochrewalk-lab/src/slopes/rpc_load.rs
+++ b/crates/ochrewalk-lab/src/slopes/rpc_load.rs
@@ -1,6 +1,6 @@
-//! RPCs through a node at set rates: the CPU time they take there, and the latency that the node adds. Of each RPC it is known
-//! how long it was at the stand-in executor; the rest of its latency is transit, which the node, the sockets and the load tool
-//! share. The same load goes to the stand-in alone, over its own protocol, which shows the part of sockets and load tool.
+//! Measures the CPU time of a node and the latency that it adds, at fixed RPC rates. The stand-in executor records the residence time
+//! of each RPC; the rest of its latency is transit, which the node, the sockets and the load tool cause together. The same load is sent
+//! directly to the stand-in over its own protocol, which shows the part of the sockets and the load tool.
 
 use super::model::Point;
 use super::node_under_test::{start_executor, work_of_an_rpc, NodeFiles, NodeUnderTest};
@@ -18,26 +18,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Callers, each with a connection and one RPC at a time.
+/// The number of callers, each with a connection and one RPC at a time.
 const CALLERS: u64 = 64;
 const RATES: [u64; 4] = [200, 500, 1_000, 2_000];
 const SPAN: Duration = Duration::from_secs(5);
-/// Loads at each rate, of whose percentiles the median counts.
+/// The number of loads at each rate. The median of their percentiles is reported.
 const ROUNDS: usize = 3;
 const QUICK_SPAN: Duration = Duration::from_secs(1);
-/// Load before the measurement, so that limits that grow with use have grown.
+/// The duration of load before the measurement, in which adaptive limits grow.
 const WARM_UP: Duration = Duration::from_secs(2);
-const PATIENCE: Duration = Duration::from_secs(2);
+const RPC_TIMEOUT: Duration = Duration::from_secs(2);
 const HIGHEST_US: u64 = 10_000_000;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1_000.0;
-/// A send so much after its due time is the load tool's own delay.
+/// A delay of a send after its due time that is attributed to the load tool.
 const LATE_US: u64 = 1_000;
 
-/// What a load found.
+/// The result of a load.
 struct Outcome {
-    /// From the due time of each RPC to its answer.
+    /// The time from the due time of each RPC to its answer.
     latency: Histogram<u64>,
-    /// From the send of each RPC to its answer, less its time at the executor.
+    /// The time from sending each RPC to its answer, minus its residence time at the executor.
     transit: Histogram<u64>,
     sent: u64,
     failed: u64,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The same load several times.
+/// Repeats the same load `ROUNDS` times.
 fn rounds(mut load: impl FnMut() -> Result<Outcome, SlopeError>) -> Result<Vec<Outcome>, SlopeError> {
     (0..ROUNDS).map(|_| load()).collect()
 }
@@ -87,10 +87,10 @@
     times.value_at_percentile(percentile) as f64 / MICROSECONDS_PER_MILLISECOND
 }
 
-/// Something that an RPC can be sent over; gives the RPC's id once it was answered well.
+/// Sends an RPC and waits for its answer. Returns the id of the RPC if it was served.
 type SendRpc = Box<dyn FnMut(u64) -> Option<String> + Send>;
 
-/// Sends RPCs at a rate, evenly spaced and shared out among callers, whether or not earlier ones are answered in time.
+/// Sends RPCs at a fixed rate, evenly spaced and distributed over callers, whether or not earlier RPCs are answered in time.
 fn load_at(
     rate: u64,
     span: Duration,
@@ -149,20 +149,20 @@
 }
 
 fn over_ajp(address: SocketAddr, request_ids: &Arc<AtomicU64>) -> Result<SendRpc, SlopeError> {
-    let mut peer = Peer::connect(address, PATIENCE)?;
+    let mut peer = Peer::connect(address, RPC_TIMEOUT)?;
     let request_ids = request_ids.clone();
     Ok(Box::new(move |_| {
         let number = request_ids.fetch_add(1, Ordering::Relaxed);
         let id = format!("{number:016x}");
         let headers =
-            vec![("x-request-id", id.clone()), ("x-time-left-ms", PATIENCE.as_millis().to_string())];
+            vec![("x-request-id", id.clone()), ("x-time-left-ms", RPC_TIMEOUT.as_millis().to_string())];
         let call =
             Call { method: "GET", uri: "/items/7", headers, secret: None, body: &number.to_be_bytes() };
         match peer.call(&call) {
             Ok(answer) => (answer.status == 200).then_some(id),
             Err(_) => {
-                if let Ok(fresh) = Peer::connect(address, PATIENCE) {
-                    peer = fresh;
+                if let Ok(new_peer) = Peer::connect(address, RPC_TIMEOUT) {
+                    peer = new_peer;
                 }
                 None
             }
@@ -170,23 +170,23 @@
     }))
 }
 
-/// RPCs that wait for their end at the stand-in.
+/// The RPCs that wait for their completion by the stand-in.
 type Waiting = Arc<Mutex<HashMap<String, Sender<()>>>>;
 
-/// The stand-in executor's protocol, spoken without a node.
-struct DirectLink {
+/// A connection to the stand-in executor without a node, over the executor's protocol.
+struct DirectConnection {
     stream: Arc<Mutex<TcpStream>>,
     waiting: Waiting,
 }
 
-impl DirectLink {
+impl DirectConnection {
     fn connect(address: SocketAddr) -> Result<Self, SlopeError> {
-        let mut stream = TcpStream::connect_timeout(&address, PATIENCE)?;
+        let mut stream = TcpStream::connect_timeout(&address, RPC_TIMEOUT)?;
         stream.set_nodelay(true)?;
         stream.write_all(b"{\"action\":\"JOIN\",\"pos\":0}\n")?;
         let waiting: Waiting = Arc::default();
-        let (reading, ended) = (stream.try_clone()?, waiting.clone());
-        std::thread::spawn(move || hear_ends(reading, &ended));
+        let (reader, completions) = (stream.try_clone()?, waiting.clone());
+        std::thread::spawn(move || read_completions(reader, &completions));
         Ok(Self { stream: Arc::new(Mutex::new(stream)), waiting })
     }
 
@@ -194,30 +194,30 @@
         let (stream, waiting, request_ids) = (self.stream.clone(), self.waiting.clone(), request_ids.clone());
         Box::new(move |_| {
             let id = format!("{:016x}", request_ids.fetch_add(1, Ordering::Relaxed));
-            let (ended, end): (Sender<()>, Receiver<()>) = channel();
-            waiting.lock().expect("no panic under it").insert(id.clone(), ended);
+            let (completed, completion): (Sender<()>, Receiver<()>) = channel();
+            waiting.lock().expect("no panic under it").insert(id.clone(), completed);
             let content = BASE64_STANDARD.encode(&id);
             let line = json!({"action": "EXEC", "uid": id, "lane": "part-lookup", "content": content});
             let line = format!("{line}\n");
             let written = stream.lock().expect("no panic under it").write_all(line.as_bytes());
-            let is_ended = written.is_ok() && end.recv_timeout(PATIENCE).is_ok();
+            let is_completed = written.is_ok() && completion.recv_timeout(RPC_TIMEOUT).is_ok();
             waiting.lock().expect("no panic under it").remove(&id);
-            is_ended.then_some(id)
+            is_completed.then_some(id)
         })
     }
 }
 
-fn hear_ends(stream: TcpStream, waiting: &Waiting) {
+fn read_completions(stream: TcpStream, waiting: &Waiting) {
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         let Ok(value) = serde_json::from_str::<Value>(&line) else { return };
         let Some(id) = value["uid"].as_str().filter(|_| value["action"] == "EXIT") else { continue };
-        if let Some(ended) = waiting.lock().expect("no panic under it").get(id) {
-            let _ = ended.send(());
+        if let Some(completed) = waiting.lock().expect("no panic under it").get(id) {
+            let _ = completed.send(());
         }
     }
 }
 
-/// Latencies by rate, at each percentile that is looked at.
+/// Latencies by rate, for each reported percentile.
 #[derive(Default)]
 struct LatencyPoints {
     p50: Vec<Point>,
@@ -245,7 +245,7 @@
     }
 }
 
-/// CPU share of a node and latencies by RPCs a second, beside the stand-in alone.
+/// Measures the CPU share of a node and latencies by RPC rate, compared with the stand-in alone.
 pub fn rpcs(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let span = if context.is_quick { QUICK_SPAN } else { SPAN };
     let node = NodeUnderTest::start(context.program, NodeFiles::default(), "")?;
@@ -264,8 +264,8 @@
         cpu.push(Point { size, value: used / measured });
         through.push(size, &through_node);
         let executor = Arc::new(start_executor(work_of_an_rpc())?);
-        let link = DirectLink::connect(executor.at)?;
-        let direct = rounds(|| load_at(rate, span, &executor, &mut || Ok(link.sender(&request_ids))))?;
+        let connection = DirectConnection::connect(executor.at)?;
+        let direct = rounds(|| load_at(rate, span, &executor, &mut || Ok(connection.sender(&request_ids))))?;
         alone.push(size, &direct);
         notes.push(format!(
             "at {rate}: {}; stand-in alone {}",
--- a/crates/ochrewalk-lab/src/slopes/subscribers.rs
+++ b/crates/ochrewalk-lab/src/slopes/subscribers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for subscribers of a relay: each takes all updates over a connection of its own and reports them as applied.
+//! Stand-ins for subscribers of a relay: each receives all updates over a separate connection and reports them as applied.
 
 use super::SlopeError;
 use ochrewalk_control_plane::frame::{encode, FrameDecoder, MAX_SUBSCRIBER_FRAME};
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
 const CHUNK: usize = 64 * 1024;
-/// More often than a relay takes for the silence of a broken path.
-const BETWEEN_REPORTS: Duration = Duration::from_secs(1);
+/// The interval of reports, which is shorter than the silence after which a relay considers a path broken.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a subscriber has seen.
+/// The updates that a subscriber has received.
 #[derive(Debug, Default)]
 pub struct Received {
     pub bytes: AtomicU64,
@@ -29,16 +29,16 @@
 }
 
 impl SubscriberStandIn {
-    /// Subscribes to scopes, or to everything where none is named.
+    /// Subscribes to scopes, or to everything if `scopes` is empty.
     pub fn connect(
         relay: SocketAddr,
         name: &str,
         region: &str,
         scopes: &[String],
     ) -> Result<Self, SlopeError> {
-        let mut stream = TcpStream::connect_timeout(&relay, PATIENCE)?;
+        let mut stream = TcpStream::connect_timeout(&relay, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(BETWEEN_REPORTS))?;
+        stream.set_read_timeout(Some(REPORT_INTERVAL))?;
         let subscribe = Subscribe {
             version: PROTOCOL_VERSION,
             node: name.into(),
@@ -49,9 +49,9 @@
         };
         send(&mut stream, Body::Subscribe(subscribe))?;
         let received = Arc::new(Received::default());
-        let (reading, seen) = (stream.try_clone()?, received.clone());
+        let (reader, counters) = (stream.try_clone()?, received.clone());
         std::thread::spawn(move || {
-            let _ = take_updates(reading, &seen);
+            let _ = receive_updates(reader, &counters);
         });
         Ok(Self { stream, received })
     }
@@ -81,7 +81,7 @@
     stream.write_all(&bytes)
 }
 
-fn take_updates(mut stream: TcpStream, received: &Received) -> Result<(), SlopeError> {
+fn receive_updates(mut stream: TcpStream, received: &Received) -> Result<(), SlopeError> {
     let mut decoder = FrameDecoder::new(MAX_SUBSCRIBER_FRAME);
     let mut chunk = vec![0; CHUNK];
     let mut applied: Option<Position> = None;
--- a/crates/ochrewalk-lab/src/slopes/traffic_meter.rs
+++ b/crates/ochrewalk-lab/src/slopes/traffic_meter.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that counts the bytes between a node and its relay, both ways.
+//! Proxy on loopback that counts the bytes between a node and its relay in both directions.
 
 use super::SlopeError;
 use std::io::{Read, Write};
@@ -8,7 +8,7 @@
 
 const CHUNK: usize = 16 * 1024;
 
-/// Addresses that lead to one target, and the bytes that went through them.
+/// Listen addresses of proxies to one target, and the number of bytes that they forwarded.
 pub struct TrafficMeter {
     pub addresses: Vec<SocketAddr>,
     bytes: Arc<AtomicU64>,
@@ -33,12 +33,12 @@
 }
 
 fn serve(listener: &TcpListener, target: SocketAddr, bytes: &Arc<AtomicU64>) {
-    for near in listener.incoming().flatten() {
-        let Ok(far) = TcpStream::connect(target) else { continue };
-        let (Ok(near_again), Ok(far_again)) = (near.try_clone(), far.try_clone()) else { continue };
+    for client in listener.incoming().flatten() {
+        let Ok(server) = TcpStream::connect(target) else { continue };
+        let (Ok(client_copy), Ok(server_copy)) = (client.try_clone(), server.try_clone()) else { continue };
         let (inward, outward) = (bytes.clone(), bytes.clone());
-        std::thread::spawn(move || copy(near, far, &inward));
-        std::thread::spawn(move || copy(far_again, near_again, &outward));
+        std::thread::spawn(move || copy(client, server, &inward));
+        std::thread::spawn(move || copy(server_copy, client_copy, &outward));
     }
 }
 
