--- a/crates/ochrewalk-lab/src/scale/hollow.rs
+++ b/crates/ochrewalk-lab/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow nodes: many subscribers on one event loop, each with the state that it was sent and nothing else of a node.
-//! They obey lines on standard input, tell how they are each second, and report all at the end.
+//! Hollow nodes: many subscribers on one event loop, each of which stores its received state and has no other part of
+//! a node. They obey commands on standard input, print a status every second, and print their reports at the end.
 
 use super::options::{region_name, FleetShape, HollowOptions};
 use super::workload::METHODS;
@@ -22,18 +22,18 @@
 /// The first token of the first agent; each has two.
 const FIRST_TOKEN: usize = 2;
 const EVENTS_AT_ONCE: usize = 1024;
-const TELL_INTERVAL_US: u64 = 1_000_000;
-/// One in so many nodes of a region begins anew without state.
+const STATUS_INTERVAL_US: u64 = 1_000_000;
+/// One in this many nodes of a region restarts without state.
 pub const COLD_SHARE: u64 = 3;
 
-/// What the run tells its hollow nodes, one word a line.
+/// A command from the run to its hollow nodes, sent as one word per line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Record from now on when each revision is in force
+    /// Start to record the time at which each revision is in force
     Measure,
-    /// A third of the first region's nodes begin anew without state
+    /// Restart a third of the first region's nodes without state
     RestartCold,
-    /// Compare with the publisher, report all and end
+    /// Compare the state with the publisher, print all reports and exit
     Report,
 }
 
@@ -41,7 +41,7 @@
     const ALL: [(&'static str, Command); 3] =
         [("measure", Command::Measure), ("restart-cold", Command::RestartCold), ("report", Command::Report)];
 
-    /// The word for it.
+    /// Returns the word for the command.
     pub fn word(self) -> &'static str {
         Command::ALL.iter().find(|(_, command)| *command == self).map_or("", |(word, _)| word)
     }
@@ -51,12 +51,12 @@
     }
 }
 
-/// What a hollow node holds and saw.
+/// The stored resources of a hollow node and its observations.
 struct HollowState {
     store: Store,
-    /// Revisions and when they came into force, since measuring began.
+    /// Revisions and the times at which they came into force, since the measurement started.
     steps: Vec<(u64, u64)>,
-    measures: bool,
+    is_measuring: bool,
     went_back: u64,
 }
 
@@ -68,17 +68,17 @@
             return Err(fault);
         }
         let before = self.store.position();
-        self.store.apply(update).map_err(|why| why.to_string())?;
+        self.store.apply(update).map_err(|error| error.to_string())?;
         let after = self.store.position();
         self.went_back += u64::from(after < before);
-        if self.measures && after > before {
+        if self.is_measuring && after > before {
             self.steps.push((after.revision, monotonic_us()));
         }
         Ok(())
     }
 }
 
-/// Why a resource does not fit a node, as a real node would say.
+/// Returns the reason to reject a resource that a real node would reject.
 fn unknown_method(resource: &Resource) -> Option<String> {
     match &resource.value {
         Some(Value::Route(route)) if !METHODS.contains(&route.method.as_str()) => {
@@ -92,11 +92,11 @@
     number: u64,
     agent: Agent,
     state: HollowState,
-    wanted: Vec<ResourceName>,
+    requested: Vec<ResourceName>,
     started_us: u64,
     ready_us: Option<u64>,
     due_us: u64,
-    /// Bytes both ways when measuring began.
+    /// Bytes in both directions before the measurement started.
     bytes_before: u64,
     is_cold: bool,
 }
@@ -117,17 +117,17 @@
         };
         let mut agent =
             Agent::new(settings, None, token).map_err(|_| ScaleError::Node("no relay is named".into()))?;
-        let wanted: Vec<_> =
+        let requested: Vec<_> =
             shape.tenants_of(number).into_iter().map(|tenant| shape.tenant(tenant)).collect();
         let now_us = monotonic_us();
-        wanted.iter().for_each(|name| drop(agent.request_name(name, now_us)));
+        requested.iter().for_each(|name| drop(agent.request_name(name, now_us)));
         let store = Store::new(0, StoreLimits { tombstones: 0 });
-        let state = HollowState { store, steps: Vec::new(), measures: false, went_back: 0 };
+        let state = HollowState { store, steps: Vec::new(), is_measuring: false, went_back: 0 };
         Ok(HollowNode {
             number,
             agent,
             state,
-            wanted,
+            requested,
             started_us: now_us,
             ready_us: None,
             due_us: 0,
@@ -144,14 +144,14 @@
         }
     }
 
-    /// Its scopes and all tenants that it asked for are there, or known to be absent.
+    /// Whether the node has its scopes and all requested tenants, or knows that they are absent.
     fn is_complete(&self) -> bool {
         let is_answered = |name| !matches!(self.agent.name_state(name), None | Some(DemandState::Requested));
-        self.agent.position().is_some() && self.wanted.iter().all(is_answered)
+        self.agent.position().is_some() && self.requested.iter().all(is_answered)
     }
 
     fn measure(&mut self) {
-        self.state.measures = true;
+        self.state.is_measuring = true;
         self.bytes_before = self.bytes();
     }
 
@@ -160,17 +160,17 @@
         counters.bytes_in + counters.bytes_out
     }
 
-    /// Whether what it holds differs from what the publisher has for it.
+    /// Whether the stored resources differ from those of the publisher for this node.
     fn differs(&self, shape: &FleetShape, control: &Path) -> Result<bool, ScaleError> {
         let scopes = shape.scopes_of(self.number);
         let routes = scopes.iter().flat_map(|scope| shape.routes_of(*scope));
-        let names = routes.chain(self.wanted.iter().cloned()).collect();
+        let names = routes.chain(self.requested.iter().cloned()).collect();
         let Body::Fetched(fetched) = send_request(control, Body::Fetch(Fetch { names }))? else {
-            return Err(ScaleError::OtherAnswer);
+            return Err(ScaleError::UnexpectedAnswer);
         };
         let published: BTreeMap<_, _> = fetched.resources.iter().map(|it| (&it.name, &it.value)).collect();
-        let held: BTreeMap<_, _> = self.state.store.iter().map(|it| (&it.name, &it.value)).collect();
-        Ok(published != held)
+        let stored: BTreeMap<_, _> = self.state.store.iter().map(|it| (&it.name, &it.value)).collect();
+        Ok(published != stored)
     }
 
     fn report(&self, options: &HollowOptions) -> Result<serde_json::Value, ScaleError> {
@@ -194,7 +194,7 @@
     commands: Receiver<Command>,
 }
 
-/// Runs hollow nodes until they are told to report, or nobody tells them anything any more.
+/// Runs hollow nodes until they receive the command to report.
 pub fn run_hollow(options: HollowOptions) -> Result<(), ScaleError> {
     let poll = Poll::new()?;
     let waker = Waker::new(poll.registry(), WAKER)?;
@@ -207,19 +207,19 @@
             }
         }
     });
-    let start = |place: u64| HollowNode::start(&options, options.first + place, token_of(place as usize));
+    let start = |index: u64| HollowNode::start(&options, options.first + index, token_of(index as usize));
     let nodes = (0..options.count).map(start).collect::<Result<_, _>>()?;
     HollowProcess { options, poll, nodes, commands }.run()
 }
 
-fn token_of(place: usize) -> Token {
-    Token(FIRST_TOKEN + 2 * place)
+fn token_of(index: usize) -> Token {
+    Token(FIRST_TOKEN + 2 * index)
 }
 
 impl HollowProcess {
     fn run(&mut self) -> Result<(), ScaleError> {
         let mut events = Events::with_capacity(EVENTS_AT_ONCE);
-        let mut tell_us = monotonic_us();
+        let mut next_status_us = monotonic_us();
         loop {
             self.drive_due();
             while let Ok(command) = self.commands.try_recv() {
@@ -230,11 +230,12 @@
                 }
             }
             let now_us = monotonic_us();
-            if now_us >= tell_us {
-                tell_us = now_us + TELL_INTERVAL_US;
-                self.tell()?;
+            if now_us >= next_status_us {
+                next_status_us = now_us + STATUS_INTERVAL_US;
+                self.print_status()?;
             }
-            let due_us = self.nodes.iter().map(|node| node.due_us).min().unwrap_or(tell_us).min(tell_us);
+            let due_us =
+                self.nodes.iter().map(|node| node.due_us).min().unwrap_or(next_status_us).min(next_status_us);
             let wait = Duration::from_micros(due_us.saturating_sub(now_us));
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(err) if err.kind() == std::io::ErrorKind::Interrupted => continue,
@@ -258,30 +259,30 @@
     fn restart_cold(&mut self) -> Result<(), ScaleError> {
         let shape = self.options.shape.clone();
         let regions = u64::from(shape.regions);
-        for (place, node) in self.nodes.iter_mut().enumerate() {
-            let is_chosen = shape.region_of(node.number) == 0 && (node.number / regions) % COLD_SHARE == 0;
-            if !is_chosen {
+        for (index, node) in self.nodes.iter_mut().enumerate() {
+            let is_affected = shape.region_of(node.number) == 0 && (node.number / regions) % COLD_SHARE == 0;
+            if !is_affected {
                 continue;
             }
             // The old connections close with the old agent.
-            let mut fresh = HollowNode::start(&self.options, node.number, token_of(place))?;
-            fresh.state.measures = node.state.measures;
-            fresh.is_cold = true;
-            *node = fresh;
+            let mut restarted = HollowNode::start(&self.options, node.number, token_of(index))?;
+            restarted.state.is_measuring = node.state.is_measuring;
+            restarted.is_cold = true;
+            *node = restarted;
         }
         Ok(())
     }
 
-    fn tell(&self) -> Result<(), ScaleError> {
-        let count = |is_so: &dyn Fn(&&HollowNode) -> bool| self.nodes.iter().filter(is_so).count();
+    fn print_status(&self) -> Result<(), ScaleError> {
+        let count = |condition: &dyn Fn(&&HollowNode) -> bool| self.nodes.iter().filter(condition).count();
         let revision = |node: &HollowNode| node.agent.position().unwrap_or_default().revision;
         let of_first = |node: &&HollowNode| self.options.shape.region_of(node.number) == 0;
-        let told = json!({
+        let status = json!({
             "ready": count(&|node| node.ready_us.is_some()),
             "least_revision": self.nodes.iter().map(revision).min(),
             "first_region_bytes": self.nodes.iter().filter(of_first).map(HollowNode::bytes).sum::<u64>()
         });
-        print_line(&told)
+        print_line(&status)
     }
 
     fn report(&self) -> Result<(), ScaleError> {
--- a/crates/ochrewalk-lab/src/scale/load.rs
+++ b/crates/ochrewalk-lab/src/scale/load.rs
@@ -1,4 +1,4 @@
-//! Load at real nodes: callers that name their tenants, so that nodes fetch quotas and count against them while their
+//! Load on real nodes: callers send the names of tenants, so that nodes fetch and apply quotas while their
 //! configuration changes.
 
 use crate::ajp::{Call, Peer};
@@ -8,19 +8,19 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Calls a second at each node.
+/// The calls per second to each node.
 const CALLS_PER_SECOND: u32 = 25;
-/// An answer that has not come by then is missing.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The time after which a call counts as unanswered.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 const SERVED: u16 = 200;
 
-/// What became of calls.
+/// The numbers of calls by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     pub sent: u64,
     pub served: u64,
-    /// Answered, but not served.
-    pub turned_away: u64,
+    /// Calls that were answered, but not served.
+    pub rejected: u64,
     pub unanswered: u64,
 }
 
@@ -28,19 +28,19 @@
     fn add(&mut self, other: CallCounts) {
         self.sent += other.sent;
         self.served += other.served;
-        self.turned_away += other.turned_away;
+        self.rejected += other.rejected;
         self.unanswered += other.unanswered;
     }
 }
 
-/// Callers that go on until they are told to stop.
+/// Callers that send calls until they are stopped.
 pub struct RealLoad {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<CallCounts>>,
 }
 
 impl RealLoad {
-    /// One caller for each node, for the route that all nodes have; tenants are numbered up to `tenants`.
+    /// Starts one caller per node for the route that all nodes have, with tenants below `tenants`.
     pub fn start(
         addresses: impl IntoIterator<Item = SocketAddr>,
         path: &'static str,
@@ -55,7 +55,7 @@
         RealLoad { stop, callers }
     }
 
-    /// Stops all callers once their calls are answered.
+    /// Stops all callers after their current calls, and returns the totals.
     pub fn stop(&mut self) -> CallCounts {
         self.stop.store(true, Ordering::Relaxed);
         let mut counts = CallCounts::default();
@@ -85,11 +85,11 @@
             body: id.as_bytes(),
         };
         if peer.is_none() {
-            peer = Peer::connect(address, PATIENCE).ok();
+            peer = Peer::connect(address, CALL_TIMEOUT).ok();
         }
         match peer.as_mut().map(|peer| peer.call(&call)) {
             Some(Ok(answer)) if answer.status == SERVED => counts.served += 1,
-            Some(Ok(_)) => counts.turned_away += 1,
+            Some(Ok(_)) => counts.rejected += 1,
             Some(Err(_)) | None => {
                 counts.unanswered += 1;
                 peer = None;
--- a/crates/ochrewalk-lab/src/scale/mod.rs
+++ b/crates/ochrewalk-lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! The laboratory's `scale`: distribution of configuration by a real publisher, real relays and some real nodes to a fleet
-//! whose other nodes are hollow, that is, subscribers without the rest of a node.
+//! The lab's command `scale`: a real publisher and real relays distribute configuration to a fleet of some real nodes
+//! and many hollow nodes, which are subscribers without the rest of a node.
 
 mod faults;
 mod hollow;
@@ -19,7 +19,7 @@
 
 use std::io;
 
-/// Why a run cannot begin or go on.
+/// An error that prevents or ends a run.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
     #[error("{what}: {source}")]
@@ -30,19 +30,19 @@
     EventLoop(#[from] io::Error),
     #[error(transparent)]
     Control(#[from] ochrewalk_control_plane::control::ControlError),
-    #[error("the publisher refused: {0}")]
-    Refused(String),
-    #[error("the publisher answered what was not asked")]
-    OtherAnswer,
-    #[error("{processes} processes are more than {most}")]
-    TooManyProcesses { processes: usize, most: usize },
-    #[error("not within {seconds} s: {what}")]
-    Overdue { what: String, seconds: u64 },
-    #[error("a report of hollow nodes cannot be read: {0}")]
+    #[error("the publisher rejected the change: {0}")]
+    Rejected(String),
+    #[error("the publisher sent an unexpected answer")]
+    UnexpectedAnswer,
+    #[error("the run needs {processes} processes, at most {max} are allowed")]
+    TooManyProcesses { processes: usize, max: usize },
+    #[error("timed out after {seconds} s waiting for: {what}")]
+    TimedOut { what: String, seconds: u64 },
+    #[error("invalid report from hollow nodes: {0}")]
     Report(#[from] serde_json::Error),
 }
 
-/// Microseconds of CLOCK_MONOTONIC, which all processes of a machine share.
+/// Returns the time of CLOCK_MONOTONIC in microseconds, which all processes of a machine share.
 pub(crate) fn monotonic_us() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000
--- a/crates/ochrewalk-lab/src/scale/probes.rs
+++ b/crates/ochrewalk-lab/src/scale/probes.rs
@@ -1,5 +1,5 @@
-//! Changes whose effect at real nodes is seen by requests: each real node's scope has one route more, which is published and
-//! deleted in turn, and requests are sent until the node answers by it.
+//! Probes of changes at real nodes: the scope of each real node has an additional route, which is published and
+//! deleted alternately, and requests are sent until the node's answers show the change.
 
 use super::monotonic_us;
 use super::options::FleetShape;
@@ -9,20 +9,20 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-const BETWEEN_REQUESTS: Duration = Duration::from_millis(2);
-/// A change that no request goes by after so long counts as never in force.
-const LONGEST_WAIT_US: u64 = 30_000_000;
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(2);
+/// The time after which a change that no answer shows counts as never in force.
+const MAX_WAIT_US: u64 = 30_000_000;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const NO_ROUTE: u16 = 404;
 
-/// A change that will be watched for at a real node.
+/// A change that is probed at a real node.
 pub struct Probe {
     node: usize,
     is_routed: bool,
     pub change: Resource,
 }
 
-/// Times until changes were in force at real nodes.
+/// The times until changes were in force at real nodes.
 #[derive(Debug, Default)]
 pub struct ProbeTimes {
     pub in_force_us: Vec<u64>,
@@ -31,12 +31,12 @@
 
 struct ProbedNode {
     address: SocketAddr,
-    /// What was published last.
+    /// Whether the last published change set the route.
     is_routed: bool,
-    watch: Option<JoinHandle<Option<u64>>>,
+    pending: Option<JoinHandle<Option<u64>>>,
 }
 
-/// The probes of all real nodes, one after another.
+/// The probes of all real nodes, which are probed in turn.
 pub struct RouteProbes {
     nodes: Vec<ProbedNode>,
     next: usize,
@@ -44,14 +44,15 @@
 }
 
 impl RouteProbes {
-    /// For nodes whose AJP fronts are there.
+    /// Creates probes for nodes with these AJP addresses.
     pub fn new(addresses: impl IntoIterator<Item = SocketAddr>) -> RouteProbes {
-        let node = |address| ProbedNode { address, is_routed: false, watch: None };
+        let node = |address| ProbedNode { address, is_routed: false, pending: None };
         let nodes = addresses.into_iter().map(node).collect();
         RouteProbes { nodes, next: 0, times: ProbeTimes::default() }
     }
 
-    /// The next change to publish; none where the next node may not be probed now, or its last change is still watched for.
+    /// Returns the next change to publish, or `None` if the next node may not be probed now or its last change is
+    /// still pending.
     pub fn next(&mut self, shape: &FleetShape, may_probe: impl Fn(u64) -> bool) -> Option<Probe> {
         if self.nodes.is_empty() {
             return None;
@@ -62,12 +63,12 @@
             return None;
         }
         let probed = &mut self.nodes[node];
-        match probed.watch.take() {
-            Some(watch) if !watch.is_finished() => {
-                probed.watch = Some(watch);
+        match probed.pending.take() {
+            Some(pending) if !pending.is_finished() => {
+                probed.pending = Some(pending);
                 return None;
             }
-            Some(watch) => self.times.add(watch),
+            Some(pending) => self.times.add(pending),
             None => {}
         }
         let is_routed = !probed.is_routed;
@@ -80,37 +81,43 @@
         Some(Probe { node, is_routed, change })
     }
 
-    /// It was published, by a request sent at that time.
+    /// Starts to probe a change that was published by a request sent at `sent_us`.
     pub fn published(&mut self, probe: &Probe, sent_us: u64) {
         let probed = &mut self.nodes[probe.node];
         probed.is_routed = probe.is_routed;
         let (address, is_routed, path) = (probed.address, probe.is_routed, FleetShape::probe_path());
-        probed.watch = Some(std::thread::spawn(move || watch(address, path, is_routed, sent_us)));
+        probed.pending =
+            Some(std::thread::spawn(move || probe_until_in_force(address, path, is_routed, sent_us)));
     }
 
-    /// Waits for what is still watched for, and gives all times.
+    /// Waits for pending changes and returns all times.
     pub fn finish(&mut self) -> ProbeTimes {
-        for watch in self.nodes.iter_mut().filter_map(|node| node.watch.take()) {
-            self.times.add(watch);
+        for pending in self.nodes.iter_mut().filter_map(|node| node.pending.take()) {
+            self.times.add(pending);
         }
         std::mem::take(&mut self.times)
     }
 }
 
 impl ProbeTimes {
-    fn add(&mut self, watch: JoinHandle<Option<u64>>) {
-        match watch.join().ok().flatten() {
+    fn add(&mut self, pending: JoinHandle<Option<u64>>) {
+        match pending.join().ok().flatten() {
             Some(us) => self.in_force_us.push(us),
             None => self.never += 1,
         }
     }
 }
 
-/// Sends requests until they go by a change, and gives the microseconds that this took from its publication.
-fn watch(address: SocketAddr, path: &'static str, is_routed: bool, sent_us: u64) -> Option<u64> {
+/// Sends requests until the answers show a change, and returns the microseconds since its publication.
+fn probe_until_in_force(
+    address: SocketAddr,
+    path: &'static str,
+    is_routed: bool,
+    sent_us: u64,
+) -> Option<u64> {
     let mut peer: Option<Peer> = None;
     let mut number = 0u64;
-    while monotonic_us() < sent_us + LONGEST_WAIT_US {
+    while monotonic_us() < sent_us + MAX_WAIT_US {
         number += 1;
         let id = format!("{:08x}{number:08x}", sent_us as u32);
         let call = Call {
@@ -126,9 +133,9 @@
                 return Some(monotonic_us().saturating_sub(sent_us).max(1));
             }
             Some(_) => {}
-            None => peer = Peer::connect(address, PATIENCE).ok(),
+            None => peer = Peer::connect(address, REQUEST_TIMEOUT).ok(),
         }
-        std::thread::sleep(BETWEEN_REQUESTS);
+        std::thread::sleep(REQUEST_INTERVAL);
     }
     None
 }
--- a/crates/ochrewalk-lab/src/scale/processes.rs
+++ b/crates/ochrewalk-lab/src/scale/processes.rs
@@ -1,4 +1,5 @@
-//! The processes of a run: publisher, relays and hollow nodes, how they are started and told, and what they use.
+//! The processes of a run: starts the publisher, the relays and hollow nodes, sends them commands and reads their
+//! memory use.
 
 use super::hollow::Command as HollowCommand;
 use super::options::{region_name, FleetShape, HollowOptions, ScaleOptions};
@@ -16,52 +17,52 @@
 use std::time::{Duration, Instant};
 
 const PUBLISHER_PORT: u16 = 7099;
-const BETWEEN_LOOKS: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks at something until it is so. Fails where it is not within `seconds`.
-pub fn wait_until(what: &str, seconds: u64, mut is_so: impl FnMut() -> bool) -> Result<(), ScaleError> {
+/// Polls a condition until it holds. Fails after `seconds`.
+pub fn wait_until(what: &str, seconds: u64, mut condition: impl FnMut() -> bool) -> Result<(), ScaleError> {
     let until = Instant::now() + Duration::from_secs(seconds);
-    while !is_so() {
+    while !condition() {
         if Instant::now() >= until {
-            return Err(ScaleError::Overdue { what: what.into(), seconds });
+            return Err(ScaleError::TimedOut { what: what.into(), seconds });
         }
-        std::thread::sleep(BETWEEN_LOOKS);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// Resident memory of a process, in KB.
+/// Returns the resident memory of a process, in KB.
 pub fn memory_kb(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let of_line = |line: &str| line.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok();
     text.lines().find_map(of_line).unwrap_or(0)
 }
 
-/// A process that ends with this one, however that ends.
+/// A child process that ends together with the current process, however that ends.
 pub struct Process(Child);
 
 impl Process {
     fn start(mut command: Command) -> Result<Process, ScaleError> {
         let what = format!("{command:?}");
-        // SAFETY: between fork and exec it makes one system call and touches no memory.
+        // SAFETY: between fork and exec the closure makes one system call and touches no memory.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
         command.spawn().map(Process).map_err(|source| ScaleError::Process { what, source })
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         if let Some(process) = Pid::from_raw(self.0.id() as i32) {
             let _ = kill_process(process, signal);
@@ -81,7 +82,7 @@
     folder: PathBuf,
     address: SocketAddr,
     pub publisher: Process,
-    /// By region.
+    /// The relays of each region.
     pub relays: Vec<Vec<Process>>,
 }
 
@@ -90,18 +91,18 @@
     pub fn start(program: &Path, folder: &Path, network: u8) -> Result<ControlPlane, ScaleError> {
         let address = SocketAddr::from(([127, network, 0, 1], PUBLISHER_PORT));
         let publisher = start_publisher(program, folder, address)?;
-        let plane = ControlPlane {
+        let control_plane = ControlPlane {
             program: program.into(),
             folder: folder.into(),
             address,
             publisher,
             relays: Vec::new(),
         };
-        plane.wait_for_publisher()?;
-        Ok(plane)
+        control_plane.wait_for_publisher()?;
+        Ok(control_plane)
     }
 
-    /// The publisher's control socket.
+    /// Returns the path of the publisher's control socket.
     pub fn control(&self) -> PathBuf {
         control_path(&self.folder)
     }
@@ -110,7 +111,7 @@
         wait_until("the publisher answers", 30, || self.status().is_ok())
     }
 
-    /// Starts the publisher again, on its log.
+    /// Starts the publisher again with its log.
     pub fn restart_publisher(&mut self) -> Result<(), ScaleError> {
         self.publisher = start_publisher(&self.program, &self.folder, self.address)?;
         self.wait_for_publisher()
@@ -138,24 +139,24 @@
         command.args(["config", "relay", "--name", &format!("{named}-{relay}"), "--region", &named]);
         command.args(["--listen", &shape.relay_address(network, region, relay).to_string()]);
         command.args(["--publisher", &self.address.to_string()]);
-        quiet(&mut command);
+        discard_output(&mut command);
         Process::start(command)
     }
 
-    /// Publishes changes as one batch and gives its position.
+    /// Publishes changes as one batch and returns its position.
     pub fn publish(&self, changes: Vec<Resource>) -> Result<Position, ScaleError> {
         match send_request(&self.control(), Body::Publish(Publish { changes, expected: None }))? {
             Body::Published(published) => Ok(published.position),
-            Body::Refused(refused) => Err(ScaleError::Refused(refused.reasons.join("; "))),
-            _ => Err(ScaleError::OtherAnswer),
+            Body::Refused(refused) => Err(ScaleError::Rejected(refused.reasons.join("; "))),
+            _ => Err(ScaleError::UnexpectedAnswer),
         }
     }
 
-    /// The fleet as the publisher knows it.
+    /// Returns the status of the fleet as known to the publisher.
     pub fn status(&self) -> Result<Status, ScaleError> {
         match send_request(&self.control(), Body::StatusRequest(StatusRequest {}))? {
             Body::Status(status) => Ok(status),
-            _ => Err(ScaleError::OtherAnswer),
+            _ => Err(ScaleError::UnexpectedAnswer),
         }
     }
 }
@@ -164,7 +165,7 @@
     folder.join("control")
 }
 
-fn quiet(command: &mut Command) {
+fn discard_output(command: &mut Command) {
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
 }
 
@@ -173,11 +174,11 @@
     command.args(["config", "serve", "--listen", &address.to_string()]);
     command.arg("--control").arg(control_path(folder));
     command.arg("--log-file").arg(folder.join("log"));
-    quiet(&mut command);
+    discard_output(&mut command);
     Process::start(command)
 }
 
-/// What a process of hollow nodes tells each second.
+/// The status that a process of hollow nodes sends every second.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct HollowStatus {
     pub ready: u64,
@@ -185,11 +186,11 @@
     pub first_region_bytes: u64,
 }
 
-/// What one hollow node saw.
+/// The report of one hollow node.
 #[derive(Clone, Debug, Deserialize)]
 pub struct NodeReport {
     pub node: u64,
-    /// Revisions, and the microseconds at which they came into force.
+    /// Revisions, and the times in microseconds at which they came into force.
     pub steps: Vec<(u64, u64)>,
     pub epoch: u64,
     pub revision: u64,
@@ -211,7 +212,7 @@
 }
 
 #[derive(Default)]
-struct Heard {
+struct ReceivedOutput {
     status: HollowStatus,
     reports: Vec<NodeReport>,
     has_ended: bool,
@@ -221,7 +222,7 @@
 pub struct HollowProcess {
     pub process: Process,
     input: ChildStdin,
-    heard: Arc<Mutex<Heard>>,
+    received: Arc<Mutex<ReceivedOutput>>,
     pub count: u64,
 }
 
@@ -237,45 +238,45 @@
         let no_pipe = || ScaleError::Node("a hollow process has no pipes".into());
         let input = process.0.stdin.take().ok_or_else(no_pipe)?;
         let output = process.0.stdout.take().ok_or_else(no_pipe)?;
-        let heard = Arc::<Mutex<Heard>>::default();
-        let shared = heard.clone();
-        std::thread::spawn(move || hear(output, &shared));
-        Ok(HollowProcess { process, input, heard, count: options.count })
+        let received = Arc::<Mutex<ReceivedOutput>>::default();
+        let shared = received.clone();
+        std::thread::spawn(move || read_output(output, &shared));
+        Ok(HollowProcess { process, input, received, count: options.count })
     }
 
-    /// Tells it something.
-    pub fn tell(&mut self, command: HollowCommand) -> Result<(), ScaleError> {
+    /// Sends a command to the process.
+    pub fn send(&mut self, command: HollowCommand) -> Result<(), ScaleError> {
         Ok(writeln!(self.input, "{}", command.word())?)
     }
 
-    /// What it told last.
+    /// Returns the last status.
     pub fn status(&self) -> HollowStatus {
         self.lock().status
     }
 
-    /// Whether it has reported all of its nodes.
+    /// Whether the process has reported all of its nodes.
     pub fn has_ended(&self) -> bool {
         self.lock().has_ended
     }
 
-    /// The reports of its nodes.
+    /// Removes and returns the reports of the process's nodes.
     pub fn take_reports(&self) -> Vec<NodeReport> {
         std::mem::take(&mut self.lock().reports)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Heard> {
-        self.heard.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> std::sync::MutexGuard<'_, ReceivedOutput> {
+        self.received.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 }
 
-fn hear(output: ChildStdout, heard: &Mutex<Heard>) {
+fn read_output(output: ChildStdout, received: &Mutex<ReceivedOutput>) {
     for line in BufReader::new(output).lines().map_while(Result::ok) {
-        let mut heard = heard.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut received = received.lock().unwrap_or_else(|broken| broken.into_inner());
         match serde_json::from_str(&line) {
-            Ok(HollowLine::End { is_end }) => heard.has_ended = is_end,
-            Ok(HollowLine::Node(report)) => heard.reports.push(report),
-            Ok(HollowLine::Status(status)) => heard.status = status,
-            Err(why) => eprintln!("a line of hollow nodes cannot be read: {why}"),
+            Ok(HollowLine::End { is_end }) => received.has_ended = is_end,
+            Ok(HollowLine::Node(report)) => received.reports.push(report),
+            Ok(HollowLine::Status(status)) => received.status = status,
+            Err(error) => eprintln!("invalid line from hollow nodes: {error}"),
         }
     }
 }
@@ -293,7 +294,7 @@
     arguments.iter().flat_map(|(name, value)| [name.to_string(), value.to_string()]).collect()
 }
 
-/// Starts the hollow nodes of a run, whose numbers follow those of the real ones.
+/// Starts the hollow nodes of a run. Their numbers follow those of the real nodes.
 pub fn start_hollow(
     options: &ScaleOptions,
     network: u8,
--- a/crates/ochrewalk-lab/src/scale/real.rs
+++ b/crates/ochrewalk-lab/src/scale/real.rs
@@ -11,24 +11,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Real nodes' addresses have third bytes above those of relays.
+/// The first value of the third byte of real nodes' addresses, which is above those of relays.
 const FIRST_NETWORK: u8 = 200;
 const CALL_PORT: u16 = 7001;
 const AJP_PORT: u16 = 8009;
 
-/// The route that all real nodes have from the start.
+/// The path of the route that all real nodes have from the start.
 pub const OWN_PATH: &str = "/own";
 
-/// Real nodes, with what they talk to.
+/// Real nodes, and the stand-ins to which they connect.
 pub struct RealNodes {
     pub nodes: Vec<Node>,
-    /// Where each takes AJP.
+    /// The AJP listen address of each node.
     pub ajp_addresses: Vec<SocketAddr>,
     _executors: Vec<Executor>,
 }
 
 impl RealNodes {
-    /// Starts `count` nodes, of which each follows two relays of its region and a scope of its own.
+    /// Starts `count` nodes, each of which subscribes to a separate scope at the relays of its region.
     pub fn start(
         program: &Path,
         shape: &FleetShape,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The name by which the publisher's status tells of a real node.
+/// Returns the name of a real node in the publisher's status.
 pub fn node_name(number: u64) -> String {
     format!("real-{number}")
 }
--- a/crates/ochrewalk-lab/src/scale/report.rs
+++ b/crates/ochrewalk-lab/src/scale/report.rs
@@ -1,4 +1,5 @@
-//! Decides what a run comes to: times until changes are in force, what was used, and whether any rule broke.
+//! Decides the result of a run: the times until changes are in force, the resource usage, and whether any rule was
+//! violated.
 
 use super::load::CallCounts;
 use super::options::FleetShape;
@@ -12,13 +13,13 @@
 const MAX_RECORDED_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One change that was acknowledged.
+/// An acknowledged change.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
-    /// Right before the request that was acknowledged.
+    /// The time directly before the request that was acknowledged.
     pub sent_us: u64,
     pub revision: u64,
-    /// The first region could not hear of it.
+    /// Whether the first region was cut off when the change was published.
     pub spares_first_region: bool,
 }
 
@@ -26,23 +27,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RegionCut {
     pub continued_us: u64,
-    /// The last revision before it could hear again.
+    /// The last revision before the region was connected again.
     pub revision: u64,
-    /// Bytes that the region's hollow nodes took from then to the end.
+    /// The bytes that the region's hollow nodes exchanged from then until the end.
     pub bytes: u64,
 }
 
-/// Subscribers that never read, at the end of the run.
+/// The numbers of subscribers that never read, at the end of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowNodes {
     pub connected: usize,
-    /// Those that the relay had closed.
+    /// Subscribers whose connection the relay had closed.
     pub closed: usize,
-    /// Those open whose first update had not come whole when they read at last.
+    /// Subscribers with an open connection whose first update had not arrived completely when they finally read.
     pub unfinished: usize,
 }
 
-/// What a group of equal processes used.
+/// The resource usage of a group of equal processes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// The largest share of a core.
@@ -51,7 +52,7 @@
     pub memory_kb: u64,
 }
 
-/// All that was measured in a run.
+/// The measurements of a run.
 #[derive(Debug, Default)]
 pub struct Measurements {
     pub seconds: f64,
@@ -67,48 +68,49 @@
     pub real_behind: u64,
     pub node: Usage,
     pub node_resting_share: f64,
-    /// CPU of hollow nodes, for each of them.
+    /// The mean CPU share per hollow node.
     pub hollow_cpu_share: f64,
     pub relay: Usage,
     pub publisher: Usage,
-    /// Times until changes were in force at real nodes, by requests.
+    /// The times until changes were in force at real nodes, measured by requests.
     pub probes: ProbeTimes,
-    /// Calls at real nodes.
+    /// The outcomes of calls to real nodes.
     pub calls: CallCounts,
     pub region_cut: Option<RegionCut>,
     pub slow_nodes: Option<SlowNodes>,
-    /// Nodes that the publisher's status named as rejecting, and those still named at the end.
+    /// The number of nodes that the publisher's status listed with rejections, and the number still listed at the end.
     pub rejecting: Option<(usize, usize)>,
-    /// Acknowledged changes that the publisher did not have after a restart.
+    /// The number of acknowledged changes that the publisher had lost after a restart.
     pub lost: u64,
-    /// Seconds until everything was published and at all relays, and from then until all nodes were ready.
+    /// The seconds until all resources were published and at all relays.
     pub fill_s: f64,
+    /// The seconds from then until all nodes were ready.
     pub start_s: f64,
 }
 
 impl Measurements {
-    /// Rules that were broken: nodes that went backwards, states that differ, changes that were lost, calls without an answer,
-    /// changes that never came into force at a real node.
+    /// Returns the number of violations: nodes that went back to an earlier position, states that differ, lost
+    /// changes, calls without an answer, missing reports, and changes that never came into force at a real node.
     pub fn broken(&self) -> u64 {
         let went_back = self.reports.iter().filter(|report| report.went_back > 0).count() as u64;
         let missing = (self.nodes - self.real).saturating_sub(self.reports.len() as u64);
         went_back + self.diverged() + self.lost + missing + self.calls.unanswered + self.probes.never
     }
 
-    /// Hollow nodes whose state is not the publisher's.
+    /// Returns the number of hollow nodes whose state differs from the publisher's.
     pub fn diverged(&self) -> u64 {
         self.reports.iter().filter(|report| report.differs).count() as u64
     }
 
-    /// Nodes that are not at the head.
+    /// Returns the number of nodes that are not at the head.
     pub fn behind(&self) -> u64 {
         let head = (self.head_epoch, self.head_revision);
         let is_behind = |report: &&NodeReport| (report.epoch, report.revision) != head;
         self.reports.iter().filter(is_behind).count() as u64 + self.real_behind
     }
 
-    /// Microseconds until each change was in force at each hollow node that could hear of it. Changes that a node never
-    /// had in force are counted apart.
+    /// Returns the microseconds until each change was in force at each hollow node that could receive it, and the
+    /// number of changes that never came into force at such a node.
     fn in_force(&self, shape: &FleetShape) -> (Histogram<u64>, u64) {
         let mut histogram = new_histogram();
         let mut never = 0;
@@ -148,7 +150,7 @@
         }))
     }
 
-    /// The last line of a run.
+    /// Returns the last line of a run.
     pub fn line(&self, shape: &FleetShape) -> Value {
         let (in_force, never) = self.in_force(shape);
         let quantile = |histogram: &Histogram<u64>, part| milliseconds(histogram.value_at_quantile(part));
@@ -187,7 +189,7 @@
         line
     }
 
-    /// What was seen by requests at real nodes.
+    /// Returns the results of requests at real nodes.
     fn real_line(&self) -> Value {
         let mut in_force = new_histogram();
         self.probes.in_force_us.iter().for_each(|us| in_force.saturating_record(*us));
@@ -196,11 +198,11 @@
             "in_force_p99_ms": milliseconds(in_force.value_at_quantile(0.99)),
             "in_force_max_ms": milliseconds(in_force.max()), "in_force_samples": in_force.len(),
             "in_force_never": self.probes.never, "calls": self.calls.sent, "served": self.calls.served,
-            "turned_away": self.calls.turned_away, "unanswered": self.calls.unanswered
+            "turned_away": self.calls.rejected, "unanswered": self.calls.unanswered
         })
     }
 
-    /// What hollow nodes exchanged with the relays of a region, for each relay, in the busiest region.
+    /// Returns the bytes per second that hollow nodes exchanged with each relay of the busiest region.
     fn relay_bytes_per_second(&self, shape: &FleetShape) -> f64 {
         let of_region = |region| {
             let reports = self.reports.iter().filter(move |report| shape.region_of(report.node) == region);
@@ -211,13 +213,13 @@
     }
 }
 
-/// When a revision, or one after it, came into force at a node.
+/// Returns the time at which a revision, or a later one, came into force at a node.
 fn in_force_us(report: &NodeReport, revision: u64) -> Option<u64> {
     let steps = report.steps.iter();
     steps.filter(|(reached, _)| *reached >= revision).map(|(_, us)| *us).min()
 }
 
-/// Counts microseconds from 1 to `MAX_RECORDED_US`; longer times count as that.
+/// Creates a histogram of microseconds from 1 to `MAX_RECORDED_US`, to which longer times are clamped.
 fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS).expect("valid bounds and precision")
 }
--- a/crates/ochrewalk-lab/src/scale/run.rs
+++ b/crates/ochrewalk-lab/src/scale/run.rs
@@ -1,4 +1,5 @@
-//! The course of a scale run: fill the publisher, start the fleet, change and break things, and compare at the end.
+//! The phases of a scale run: fill the publisher, start the fleet, publish changes and inject faults, and compare
+//! states at the end.
 
 use super::faults::{steps, FaultStep, BURST_BATCH, BURST_CHANGES};
 use super::hollow::Command;
@@ -20,18 +21,19 @@
 use std::time::{Duration, Instant};
 
 const MAX_PROCESSES: usize = 200;
-/// Seconds that all relays and nodes may take until they have everything.
+/// The time limit in seconds until all relays and nodes have all resources.
 const START_SECONDS: u64 = 90;
-/// Seconds for the last change to be in force, and for reports.
+/// The time limit in seconds until the last change is in force.
 const SETTLE_SECONDS: u64 = 10;
+/// The time limit in seconds for the reports of all hollow nodes.
 const REPORT_SECONDS: u64 = 30;
-/// How long the CPU of nodes at rest is measured.
-const RESTING: Duration = Duration::from_secs(3);
+/// The time for which the CPU use of idle nodes is measured.
+const IDLE_MEASUREMENT_TIME: Duration = Duration::from_secs(3);
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// The route of a bad change: it is of the first real node's scope.
+/// The route of a bad change, which belongs to the scope of the first real node.
 const BAD_ROUTE: u64 = 0;
 
-/// Files of a run, removed at its end.
+/// The folder of a run's files, removed at the end of the run.
 struct Folder(PathBuf);
 
 impl Drop for Folder {
@@ -43,12 +45,12 @@
 struct Fleet<'a> {
     options: &'a ScaleOptions,
     network: u8,
-    plane: ControlPlane,
+    control_plane: ControlPlane,
     real: RealNodes,
     hollow: Vec<HollowProcess>,
     source: ChangeSource,
     measured: Measurements,
-    /// Steps of the fault that are still to be taken.
+    /// The remaining steps of the fault.
     steps: VecDeque<(Duration, FaultStep)>,
     began: Instant,
     is_first_region_cut: bool,
@@ -59,7 +61,7 @@
     load: RealLoad,
 }
 
-/// Runs it and prints the result, whose last line is JSON. Whether no rule broke.
+/// Runs the measurement and prints the result, whose last line is JSON. Returns whether no rule was violated.
 pub fn run(options: &ScaleOptions, program: &Path) -> Result<bool, ScaleError> {
     let network = 20 + (std::process::id() % 200) as u8;
     let processes = check_processes(options)?;
@@ -75,24 +77,24 @@
     Ok(measured.broken() == 0 && measured.diverged() == 0)
 }
 
-/// All processes of a run, this one among them.
+/// Returns the number of processes of a run, including the current one. Fails if it exceeds the limit.
 fn check_processes(options: &ScaleOptions) -> Result<usize, ScaleError> {
     let relays = usize::from(options.shape.regions) * usize::from(options.shape.relays);
     let processes = 2 + relays + options.real as usize + options.hollow_processes as usize;
     if processes > MAX_PROCESSES {
-        return Err(ScaleError::TooManyProcesses { processes, most: MAX_PROCESSES });
+        return Err(ScaleError::TooManyProcesses { processes, max: MAX_PROCESSES });
     }
     Ok(processes)
 }
 
-fn fill(plane: &ControlPlane, options: &ScaleOptions) -> Result<(), ScaleError> {
+fn fill(control_plane: &ControlPlane, options: &ScaleOptions) -> Result<(), ScaleError> {
     let mut resources = options.shape.initial_resources();
     loop {
         let batch: Vec<Resource> = resources.by_ref().take(MAX_BATCH_CHANGES).collect();
         if batch.is_empty() {
             return Ok(());
         }
-        plane.publish(batch)?;
+        control_plane.publish(batch)?;
     }
 }
 
@@ -100,7 +102,7 @@
     hollow.iter().all(|process| process.status().ready == process.count)
 }
 
-/// Nodes of all regions that are at the published position.
+/// Returns the number of nodes of all regions that have applied the published position.
 fn nodes_at_head(status: &Status) -> u64 {
     let of_regions = status.regions.iter().filter(|region| !region.region.is_empty());
     let counts = of_regions.flat_map(|region| &region.in_force);
@@ -115,25 +117,28 @@
         network: u8,
     ) -> Result<Fleet<'a>, ScaleError> {
         let shape = &options.shape;
-        let mut plane = ControlPlane::start(program, folder, network)?;
-        plane.start_relays(shape, network)?;
+        let mut control_plane = ControlPlane::start(program, folder, network)?;
+        control_plane.start_relays(shape, network)?;
         let relays = u64::from(shape.regions) * u64::from(shape.relays);
-        // Relays that are there take the fill as differences. Later they would fetch snapshots, which the publisher paces.
-        wait_until("all relays are connected", START_SECONDS, || are_relays_at_head(&plane, relays))?;
+        // Connected relays receive the initial resources as differences. Relays that connect later would fetch
+        // snapshots, which the publisher limits in rate.
+        wait_until("all relays are connected", START_SECONDS, || are_relays_at_head(&control_plane, relays))?;
         let filling = Instant::now();
-        fill(&plane, options)?;
-        wait_until("all relays have everything", START_SECONDS, || are_relays_at_head(&plane, relays))?;
+        fill(&control_plane, options)?;
+        wait_until("all relays have all resources", START_SECONDS, || {
+            are_relays_at_head(&control_plane, relays)
+        })?;
         let fill_s = filling.elapsed().as_secs_f64();
-        eprintln!("published and at all relays in {fill_s:.1} s");
+        eprintln!("all resources published and at all relays in {fill_s:.1} s");
         let starting = Instant::now();
-        let hollow = start_hollow(options, network, &plane.control())?;
+        let hollow = start_hollow(options, network, &control_plane.control())?;
         wait_until("all hollow nodes are ready", START_SECONDS, || all_ready(&hollow))?;
         let real = RealNodes::start(program, shape, options.real, network, folder)?;
         wait_until("all nodes are at the head", START_SECONDS, || {
-            plane.status().is_ok_and(|status| nodes_at_head(&status) == options.nodes)
+            control_plane.status().is_ok_and(|status| nodes_at_head(&status) == options.nodes)
         })?;
         let start_s = starting.elapsed().as_secs_f64();
-        eprintln!("all nodes have everything after {start_s:.1} s");
+        eprintln!("all nodes have all resources after {start_s:.1} s");
         let measured = Measurements {
             nodes: options.nodes,
             real: options.real,
@@ -146,7 +151,7 @@
         Ok(Fleet {
             options,
             network,
-            plane,
+            control_plane,
             real,
             hollow,
             source: ChangeSource::new(shape),
@@ -162,35 +167,36 @@
         })
     }
 
-    fn tell_hollow(&mut self, command: Command) -> Result<(), ScaleError> {
-        self.hollow.iter_mut().try_for_each(|process| process.tell(command))
+    fn command_hollow(&mut self, command: Command) -> Result<(), ScaleError> {
+        self.hollow.iter_mut().try_for_each(|process| process.send(command))
     }
 
     fn first_region_bytes(&self) -> u64 {
         self.hollow.iter().map(|process| process.status().first_region_bytes).sum()
     }
 
-    /// Changes at their rate, with the steps of the fault at their times, and the CPU that this takes.
+    /// Publishes changes at their rate, takes the steps of the fault at their times, and measures the CPU use.
     fn change(&mut self) -> Result<(), ScaleError> {
         let real: Vec<u32> = self.real.nodes.iter().map(|node| node.id()).collect();
-        let resting = CpuWatch::start(&real);
-        std::thread::sleep(RESTING);
-        let resting_shares = resting.shares();
-        self.tell_hollow(Command::Measure)?;
+        let idle = CpuWatch::start(&real);
+        std::thread::sleep(IDLE_MEASUREMENT_TIME);
+        let idle_shares = idle.shares();
+        self.command_hollow(Command::Measure)?;
         self.began = Instant::now();
-        let relays: Vec<u32> = self.plane.relays.iter().flatten().map(|relay| relay.id()).collect();
+        let relays: Vec<u32> = self.control_plane.relays.iter().flatten().map(|relay| relay.id()).collect();
         let hollow: Vec<u32> = self.hollow.iter().map(|process| process.process.id()).collect();
         let (real, relays) = (CpuWatch::start(&real), CpuWatch::start(&relays));
-        let (hollow, publisher) = (CpuWatch::start(&hollow), CpuWatch::start(&[self.plane.publisher.id()]));
+        let (hollow, publisher) =
+            (CpuWatch::start(&hollow), CpuWatch::start(&[self.control_plane.publisher.id()]));
         let count = (self.options.rate * self.options.seconds as f64).round() as u64;
         for number in 0..count {
             self.wait_for(Duration::from_secs_f64(number as f64 / self.options.rate))?;
             self.publish_next()?;
         }
         self.wait_for(Duration::from_secs(self.options.seconds))?;
-        let beyond = real.shares().into_iter().zip(&resting_shares).map(|(busy, rest)| busy - rest);
+        let beyond = real.shares().into_iter().zip(&idle_shares).map(|(busy, idle)| busy - idle);
         self.measured.node.cpu_share = beyond.fold(0.0, f64::max);
-        self.measured.node_resting_share = largest(&resting_shares);
+        self.measured.node_resting_share = largest(&idle_shares);
         self.measured.relay.cpu_share = largest(&relays.shares());
         self.measured.publisher.cpu_share = largest(&publisher.shares());
         let simulated = (self.options.nodes - self.options.real).max(1) as f64;
@@ -198,7 +204,7 @@
         Ok(())
     }
 
-    /// Takes all steps that are due until `at`.
+    /// Waits until `at`, and takes all steps that are due before.
     fn wait_for(&mut self, at: Duration) -> Result<(), ScaleError> {
         while let Some((when, step)) = self.steps.pop_front_if(|(when, _)| *when <= at) {
             std::thread::sleep(when.saturating_sub(self.began.elapsed()));
@@ -208,7 +214,7 @@
         Ok(())
     }
 
-    /// Publishes the next change, and beside it one that is watched for at a real node that can hear of it.
+    /// Publishes the next change, together with one that is probed at a real node which can receive it.
     fn publish_next(&mut self) -> Result<(), ScaleError> {
         let (shape, cut) = (&self.options.shape, self.is_first_region_cut);
         let rejects = self.options.faults == Fault::BadChange;
@@ -223,11 +229,11 @@
         Ok(())
     }
 
-    /// Publishes changes, as often as it takes, counts when they were sent, and says when.
+    /// Publishes changes and retries until they are acknowledged. Records and returns the time at which they were sent.
     fn publish_counted(&mut self, batch: Vec<Resource>) -> Result<u64, ScaleError> {
         loop {
             let sent_us = monotonic_us();
-            match self.plane.publish(batch.clone()) {
+            match self.control_plane.publish(batch.clone()) {
                 Ok(position) => {
                     let spares_first_region = self.is_first_region_cut;
                     let revision = position.revision;
@@ -238,7 +244,7 @@
                     self.wait_for(self.began.elapsed())?;
                     std::thread::sleep(RETRY_PAUSE);
                 }
-                Err(why) => return Err(why),
+                Err(error) => return Err(error),
             }
         }
     }
@@ -246,41 +252,41 @@
     fn take(&mut self, step: FaultStep) -> Result<(), ScaleError> {
         eprintln!("{:.1} s: {step:?}", self.began.elapsed().as_secs_f64());
         match step {
-            FaultStep::KillRelay => self.plane.relays[0][0].kill(),
-            FaultStep::KillPublisher => self.plane.publisher.kill(),
+            FaultStep::KillRelay => self.control_plane.relays[0][0].kill(),
+            FaultStep::KillPublisher => self.control_plane.publisher.kill(),
             FaultStep::StartPublisher => self.restart_publisher()?,
             FaultStep::StopRegion => {
                 self.is_first_region_cut = true;
-                self.plane.relays[0].iter().for_each(|relay| relay.signal(Signal::STOP));
+                self.control_plane.relays[0].iter().for_each(|relay| relay.signal(Signal::STOP));
             }
             FaultStep::PublishBurst => self.publish_burst()?,
             FaultStep::ContinueRegion => {
-                let revision = self.plane.status()?.position.revision;
+                let revision = self.control_plane.status()?.position.revision;
                 self.first_region_bytes_before = self.first_region_bytes();
-                self.plane.relays[0].iter().for_each(|relay| relay.signal(Signal::CONT));
+                self.control_plane.relays[0].iter().for_each(|relay| relay.signal(Signal::CONT));
                 self.measured.region_cut =
                     Some(RegionCut { continued_us: monotonic_us(), revision, bytes: 0 });
             }
-            FaultStep::RestartCold => self.tell_hollow(Command::RestartCold)?,
+            FaultStep::RestartCold => self.command_hollow(Command::RestartCold)?,
             FaultStep::ConnectSlowNodes => {
                 let shape = &self.options.shape;
                 self.slow_nodes = SlowSubscribers::connect(shape, shape.relay_address(self.network, 0, 0))?;
             }
             FaultStep::PublishBadChange => {
-                self.plane.publish(vec![self.options.shape.route_to(BAD_ROUTE, UNKNOWN_METHOD)])?;
+                self.control_plane.publish(vec![self.options.shape.route_to(BAD_ROUTE, UNKNOWN_METHOD)])?;
             }
             FaultStep::PublishGoodChange => {
-                self.rejecting = rejecting(&self.plane.status()?);
-                self.plane.publish(vec![self.options.shape.route_to(BAD_ROUTE, METHODS[1])])?;
+                self.rejecting = rejecting(&self.control_plane.status()?);
+                self.control_plane.publish(vec![self.options.shape.route_to(BAD_ROUTE, METHODS[1])])?;
             }
         }
         Ok(())
     }
 
-    /// What was acknowledged has to be there again.
+    /// Restarts the publisher, and counts acknowledged changes that it has lost.
     fn restart_publisher(&mut self) -> Result<(), ScaleError> {
-        self.plane.restart_publisher()?;
-        let revision = self.plane.status()?.position.revision;
+        self.control_plane.restart_publisher()?;
+        let revision = self.control_plane.status()?.position.revision;
         let lost = self.measured.changes.iter().filter(|change| change.revision > revision).count();
         self.measured.lost += lost as u64;
         Ok(())
@@ -291,29 +297,30 @@
             let mut batch: Vec<Resource> = Vec::new();
             while batch.len() < BURST_BATCH {
                 let change = self.source.next_change();
-                // A name stands in a batch once.
+                // A batch contains each name at most once.
                 batch.retain(|other| other.name != change.name);
                 batch.push(change);
             }
-            self.plane.publish(batch)?;
+            self.control_plane.publish(batch)?;
         }
         Ok(())
     }
 
-    /// Gives the last changes time to be in force.
+    /// Waits until the last changes are in force.
     fn settle(&mut self) -> Result<(), ScaleError> {
-        let Position { epoch, revision } = self.plane.status()?.position;
+        let Position { epoch, revision } = self.control_plane.status()?.position;
         (self.measured.head_epoch, self.measured.head_revision) = (epoch, revision);
         self.measured.seconds = self.began.elapsed().as_secs_f64();
         let hollow = &self.hollow;
-        let is_there = |process: &HollowProcess| process.status().least_revision >= Some(revision);
-        // Nodes that never get there are counted as behind.
-        let settled = wait_until("the head is in force", SETTLE_SECONDS, || hollow.iter().all(is_there));
-        let plane = &self.plane;
-        let is_counted = || plane.status().is_ok_and(|status| nodes_at_head(&status) == self.options.nodes);
+        let is_at_head = |process: &HollowProcess| process.status().least_revision >= Some(revision);
+        // Nodes that do not reach the head are counted as behind.
+        let settled = wait_until("the head is in force", SETTLE_SECONDS, || hollow.iter().all(is_at_head));
+        let control_plane = &self.control_plane;
+        let is_counted =
+            || control_plane.status().is_ok_and(|status| nodes_at_head(&status) == self.options.nodes);
         let counted = settled.and(wait_until("status counts all nodes", SETTLE_SECONDS, is_counted));
-        if let Err(why) = counted {
-            eprintln!("{why}");
+        if let Err(error) = counted {
+            eprintln!("{error}");
         }
         Ok(())
     }
@@ -322,7 +329,7 @@
         self.measured.probes = self.probes.finish();
         self.measured.calls = self.load.stop();
         self.measured.slow_nodes = self.slow_nodes.count();
-        let status = self.plane.status()?;
+        let status = self.control_plane.status()?;
         if !self.rejecting.is_empty() {
             self.measured.rejecting = Some((self.rejecting.len(), rejecting(&status).len()));
         }
@@ -331,7 +338,7 @@
             self.measured.region_cut = Some(cut);
         }
         self.measure_memory();
-        self.tell_hollow(Command::Report)?;
+        self.command_hollow(Command::Report)?;
         let hollow = &self.hollow;
         let have_ended = || hollow.iter().all(HollowProcess::has_ended);
         wait_until("all hollow nodes have reported", REPORT_SECONDS, have_ended)?;
@@ -345,33 +352,33 @@
     fn measure_memory(&mut self) {
         let largest_of = |processes: &[u32]| processes.iter().map(|id| memory_kb(*id)).max().unwrap_or(0);
         let real: Vec<u32> = self.real.nodes.iter().map(|node| node.id()).collect();
-        let relays: Vec<u32> = self.plane.relays.iter().flatten().map(|relay| relay.id()).collect();
+        let relays: Vec<u32> = self.control_plane.relays.iter().flatten().map(|relay| relay.id()).collect();
         let hollow: Vec<u32> = self.hollow.iter().map(|process| process.process.id()).collect();
-        let single = [self.plane.publisher.id(), std::process::id()];
+        let single = [self.control_plane.publisher.id(), std::process::id()];
         self.measured.node.memory_kb = largest_of(&real);
         self.measured.relay.memory_kb = largest_of(&relays);
-        self.measured.publisher.memory_kb = memory_kb(self.plane.publisher.id());
+        self.measured.publisher.memory_kb = memory_kb(self.control_plane.publisher.id());
         let all = [&real[..], &relays, &hollow, &single].concat();
         self.measured.memory_kb = all.iter().map(|id| memory_kb(*id)).sum();
     }
 }
 
-/// Whether as many relays as there are have all that is published.
-fn are_relays_at_head(plane: &ControlPlane, relays: u64) -> bool {
-    let Ok(status) = plane.status() else { return false };
+/// Whether this number of relays has applied the published position.
+fn are_relays_at_head(control_plane: &ControlPlane, relays: u64) -> bool {
+    let Ok(status) = control_plane.status() else { return false };
     let of_relays = status.regions.iter().filter(|region| region.region.is_empty());
     let counts = of_relays.flat_map(|region| &region.in_force);
     let at_head = counts.filter(|count| count.position == status.position);
     at_head.map(|count| count.nodes).sum::<u64>() == relays
 }
 
-/// The names of nodes that reject something.
+/// Returns the names of the nodes that reject a resource.
 fn rejecting(status: &Status) -> BTreeSet<String> {
     let rejections = status.regions.iter().flat_map(|region| &region.rejections);
     rejections.map(|rejection| rejection.node.clone()).collect()
 }
 
-/// The CPU that processes use from a time on.
+/// Measures the CPU use of processes since a start time.
 struct CpuWatch {
     before: Vec<(u32, u64)>,
     since: Instant,
@@ -383,7 +390,7 @@
         CpuWatch { before, since: Instant::now() }
     }
 
-    /// The share of a core that each used. One that has ended used nothing.
+    /// Returns the share of a core that each process used. A process that has ended counts as zero.
     fn shares(&self) -> Vec<f64> {
         let elapsed_us = self.since.elapsed().as_micros() as f64;
         let share = |(id, before): &(u32, u64)| cpu_us(*id).saturating_sub(*before) as f64 / elapsed_us;
--- a/crates/ochrewalk-lab/src/scale/slow.rs
+++ b/crates/ochrewalk-lab/src/scale/slow.rs
@@ -1,4 +1,4 @@
-//! Subscribers that ask a relay for much and never read.
+//! Subscribers that request many scopes from a relay and never read the updates.
 
 use super::options::{region_name, FleetShape};
 use super::report::SlowNodes;
@@ -9,42 +9,42 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// How many there are.
+/// The number of slow subscribers.
 const SUBSCRIBERS: usize = 50;
-/// Scopes that each asks for.
+/// The number of scopes that each subscribes to.
 const SCOPES: u64 = 400;
-/// The receive buffer of each, so that the relay's writes are refused soon.
+/// The size of each receive buffer, which is small so that the relay's writes soon block.
 const RECEIVE_BYTES: usize = 4_096;
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Connections that nobody reads.
+/// Connections whose received bytes are not read.
 #[derive(Default)]
 pub struct SlowSubscribers {
     streams: Vec<TcpStream>,
 }
 
 impl SlowSubscribers {
-    /// Connects all of them to that relay.
+    /// Connects all slow subscribers to a relay.
     pub fn connect(shape: &FleetShape, relay: SocketAddr) -> Result<SlowSubscribers, ScaleError> {
         let streams =
             (0..SUBSCRIBERS).map(|number| subscribe(shape, relay, number)).collect::<Result<_, _>>()?;
         Ok(SlowSubscribers { streams })
     }
 
-    /// How they stand now; none where there are none.
+    /// Counts the subscribers by the state of their connection, or returns `None` if there are no slow subscribers.
     pub fn count(&self) -> Option<SlowNodes> {
-        let ends: Vec<End> = self.streams.iter().map(end_of).collect();
-        let count = |wanted: End| ends.iter().filter(|end| **end == wanted).count();
-        (!ends.is_empty()).then(|| SlowNodes {
-            connected: ends.len(),
-            closed: count(End::Closed),
-            unfinished: count(End::Unfinished),
+        let states: Vec<ConnectionState> = self.streams.iter().map(state_of).collect();
+        let count = |expected: ConnectionState| states.iter().filter(|state| **state == expected).count();
+        (!states.is_empty()).then(|| SlowNodes {
+            connected: states.len(),
+            closed: count(ConnectionState::Closed),
+            unfinished: count(ConnectionState::Unfinished),
         })
     }
 }
 
 fn subscribe(shape: &FleetShape, relay: SocketAddr, number: usize) -> Result<TcpStream, ScaleError> {
-    let mut stream = connect_with_little_room(relay)?;
+    let mut stream = connect_with_small_buffer(relay)?;
     let subscribe = Subscribe {
         version: PROTOCOL_VERSION,
         node: format!("slow-{number}"),
@@ -58,8 +58,8 @@
     Ok(stream)
 }
 
-/// A connection on which the system takes little that nobody reads.
-fn connect_with_little_room(address: SocketAddr) -> std::io::Result<TcpStream> {
+/// Connects with a small receive buffer, so that the system stores few unread bytes.
+fn connect_with_small_buffer(address: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_recv_buffer_size(RECEIVE_BYTES)?;
     socket.connect(&address.into())?;
@@ -67,26 +67,27 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    /// The relay has closed it.
+enum ConnectionState {
+    /// The relay has closed the connection.
     Closed,
-    /// It is open, and its first update has not come whole.
+    /// The connection is open, and its first update has not arrived completely.
     Unfinished,
     Finished,
 }
 
-/// Reads once what lies there, which makes room for no more than that.
-fn end_of(mut stream: &TcpStream) -> End {
+/// Returns the state of a connection, after a single read of the buffered bytes that lets the relay send only as much
+/// again.
+fn state_of(mut stream: &TcpStream) -> ConnectionState {
     let mut chunk = vec![0; CHUNK_BYTES];
     if stream.set_nonblocking(true).is_err() {
-        return End::Closed;
+        return ConnectionState::Closed;
     }
     match stream.read(&mut chunk) {
-        Ok(0) => End::Closed,
-        Ok(length) if has_last_part(&chunk[..length]) => End::Finished,
-        Ok(_) => End::Unfinished,
-        Err(error) if error.kind() == ErrorKind::WouldBlock => End::Unfinished,
-        Err(_) => End::Closed,
+        Ok(0) => ConnectionState::Closed,
+        Ok(length) if has_last_part(&chunk[..length]) => ConnectionState::Finished,
+        Ok(_) => ConnectionState::Unfinished,
+        Err(error) if error.kind() == ErrorKind::WouldBlock => ConnectionState::Unfinished,
+        Err(_) => ConnectionState::Closed,
     }
 }
 
