--- a/crates/ochrewalk-lab/src/capacity/catalog.rs
+++ b/crates/ochrewalk-lab/src/capacity/catalog.rs
@@ -1,4 +1,5 @@
-//! Decides which quantities a fleet of a size needs, from which slope each comes, and which mechanism carries it.
+//! Decides which quantities are estimated for a fleet size, from which slope each is computed, and which mechanism
+//! implements it.
 
 use super::estimate::{Demand, Unit};
 use super::size::FleetSize;
@@ -6,25 +7,25 @@
 pub const NODE: &str = "node";
 pub const RELAY: &str = "relay";
 pub const PUBLISHER: &str = "publisher";
-/// Connections that a relay takes unless told otherwise.
+/// The default connection limit of a relay.
 pub const RELAY_CONNECTIONS: f64 = 4_000.0;
-/// Relays of a region, so that one may be lost.
+/// The number of relays per region, of which one may fail.
 pub const RELAYS_PER_REGION: f64 = 2.0;
 
-/// All of the files of the node that holds everything, as the slopes by parts of it count.
+/// The size at which the slopes by percentage of a complete node's files represent all of them.
 const WHOLE_PERCENT: f64 = 100.0;
 
-/// As in `deploy/node.json`.
+/// The idempotency window in seconds, as in `deploy/node.json`.
 const KEY_WINDOW_S: f64 = 20.0;
 
-/// What carries a part of the load, or that nothing does.
+/// The mechanism that implements a part of the load, or a missing mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
     Present { file: &'static str, what: &'static str },
     Missing { what: &'static str },
 }
 
-/// A role's state and messages, and its mechanism.
+/// A role with its state and its mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Role {
     pub name: &'static str,
@@ -32,7 +33,8 @@
     pub mechanism: Mechanism,
 }
 
-/// Roles and mechanisms. Missing ones come last: the first is over a budget by a line, the order of the others is a judgement.
+/// The roles and their mechanisms. Missing mechanisms come last: the first of them exceeds a budget by a measured
+/// line, while the order of the others is a judgement.
 pub const ROLES: [Role; 12] = [
     Role {
         name: NODE,
@@ -119,12 +121,13 @@
     },
 ];
 
-/// All that is estimated for a size.
+/// Returns all quantities that are estimated for a size.
 pub fn demands(size: &FleetSize) -> Vec<Demand> {
     [node_memory(size), node_work(size), relay(size), publisher(size)].concat()
 }
 
-/// What a node holds that stands in its files or is connected to it, by slope and size. Added up for a node that holds all.
+/// Returns the slopes and sizes of a node's files and connections, which are summed for a node that stores all
+/// resources.
 pub fn node_contents(size: &FleetSize) -> [(&'static str, f64); 5] {
     [
         ("node-memory-by-routes", size.routes),
--- a/crates/ochrewalk-lab/src/capacity/estimate.rs
+++ b/crates/ochrewalk-lab/src/capacity/estimate.rs
@@ -1,22 +1,23 @@
-//! Decides what a size takes by a measured line, how far that is extrapolated, and whether it is within a budget.
+//! Decides the resources for a size by a measured line, how far they are extrapolated, and whether they are within a
+//! budget.
 
 use crate::slopes::model::{Slope, SlopeSet};
 
-/// What is to be estimated: a value of a line at a size, times a factor.
+/// A quantity to be estimated: the value of a line at a size, times a factor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     pub role: &'static str,
-    /// What is counted, as in `memory for all routes`.
+    /// The description of the quantity, such as `memory for all routes`.
     pub what: String,
     pub unit: Unit,
-    /// The slope that it comes from, by its name.
+    /// The name of the slope from which the value is computed.
     pub slope: &'static str,
     pub size: f64,
-    /// Applied to the line's value, as for changes a second times the cost of a change.
+    /// The factor of the line's value, such as the rate of changes for a cost per change.
     pub factor: f64,
-    /// Whether the intercept counts: what there is without any.
+    /// Whether the intercept, which is the value at size zero, is included.
     pub has_intercept: bool,
-    /// The most that it may be, where the operators gave a budget.
+    /// The largest allowed value, if the operators set a budget.
     pub budget: Option<f64>,
 }
 
@@ -29,21 +30,21 @@
     Descriptors,
 }
 
-/// What a demand comes to.
+/// The estimate for a demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
     pub value: f64,
-    /// Half of the band within which all measured points lay, times the same factor.
+    /// The largest deviation of a measured point from the line, times the same factor.
     pub residual: f64,
     pub r_squared: f64,
     pub largest_measured: f64,
-    /// The size over the largest measured; above 1 it is extrapolated.
+    /// The size divided by the largest measured size; the value is extrapolated above 1.
     pub extrapolation: f64,
-    /// The estimate over the budget; above 1 it doesn't fit.
+    /// The estimate divided by the budget; the budget is exceeded above 1.
     pub of_budget: Option<f64>,
 }
 
-/// None where there is no such slope: it was not measured.
+/// Estimates a demand, or returns `None` if its slope was not measured.
 pub fn estimate(demand: &Demand, slopes: &SlopeSet) -> Option<Estimate> {
     slopes.get(demand.slope).map(|slope| by_line(demand, slope))
 }
@@ -61,7 +62,8 @@
     }
 }
 
-/// The order of what fails first: what takes the largest part of its budget leads, what has none comes last.
+/// Sorts estimates by the share of their budget, the largest first, as these fail first. Estimates without a budget
+/// come last.
 pub fn by_what_fails_first(estimates: &mut [(Demand, Estimate)]) {
     let part = |estimate: &Estimate| estimate.of_budget.unwrap_or(f64::NEG_INFINITY);
     estimates.sort_by(|(_, left), (_, right)| part(right).total_cmp(&part(left)));
--- a/crates/ochrewalk-lab/src/capacity/files.rs
+++ b/crates/ochrewalk-lab/src/capacity/files.rs
@@ -1,4 +1,4 @@
-//! Reads slopes and a size, and writes the page made of them.
+//! Reads slopes and a fleet size, and writes the capacity page.
 
 use super::page::render;
 use super::size::FleetSize;
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
 
-/// Why no page was written.
+/// An error that prevents the page from being written.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
     #[error("{path}: {source}")]
@@ -15,14 +15,14 @@
     Json { path: PathBuf, source: serde_json::Error },
 }
 
-/// The page of these two files.
+/// Returns the page for a file of slopes and a file of a fleet size.
 pub fn page_of(slopes: &Path, size: &Path) -> Result<String, CapacityError> {
     let slopes: SlopeSet = read(slopes)?;
     let size: FleetSize = read(size)?;
     Ok(render(&slopes, &size))
 }
 
-/// Writes the page of two files to a third.
+/// Writes the page for a file of slopes and a file of a fleet size to `out`.
 pub fn write_page(slopes: &Path, size: &Path, out: &Path) -> Result<(), CapacityError> {
     let page = page_of(slopes, size)?;
     std::fs::write(out, page).map_err(|source| CapacityError::Io { path: out.into(), source })
--- a/crates/ochrewalk-lab/src/capacity/mod.rs
+++ b/crates/ochrewalk-lab/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! What a fleet of a size takes, extrapolated from measured slopes: the page `docs/CAPACITY.md`.
+//! Estimates the resources that a fleet of a given size needs, extrapolated from measured slopes, for the page
+//! `docs/CAPACITY.md`.
 
 pub mod catalog;
 pub mod estimate;
--- a/crates/ochrewalk-lab/src/capacity/page.rs
+++ b/crates/ochrewalk-lab/src/capacity/page.rs
@@ -1,4 +1,4 @@
-//! Decides what the capacity page says: the same slopes and the same size always give the same text, byte for byte.
+//! Decides the text of the capacity page: the same slopes and the same size always give the same text, byte for byte.
 
 use super::catalog::{demands, node_contents, Mechanism, RELAYS_PER_REGION, RELAY_CONNECTIONS, ROLES};
 use super::estimate::{by_what_fails_first, estimate, Demand, Estimate, Unit};
@@ -18,12 +18,12 @@
 const BYTES_PER_KB: f64 = 1_000.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const PERCENT: f64 = 100.0;
-/// Under this R² a line says little of its points.
+/// The value of R² below which a line describes its points poorly.
 const WEAK_R_SQUARED: f64 = 0.9;
-/// One publisher, until it is replicated.
+/// The number of publishers, which is one as the publisher is not replicated.
 const PUBLISHERS: f64 = 1.0;
 
-/// The whole page.
+/// Renders the complete page.
 pub fn render(slopes: &SlopeSet, size: &FleetSize) -> String {
     let parts = [
         format!("# Capacity for the size \"{}\"\n\n{HEAD}", size.name),
@@ -52,7 +52,7 @@
     text
 }
 
-fn show(value: f64, unit: Unit) -> String {
+fn format_value(value: f64, unit: Unit) -> String {
     match unit {
         Unit::Bytes => format!("{:.1} MB", value / BYTES_PER_MB),
         Unit::BytesPerSecond => format!("{:.2} kB/s", value / BYTES_PER_KB),
@@ -92,17 +92,17 @@
         "| {} | {} | {} | {} | {} | {} | {} | {} |\n",
         demand.role,
         demand.what,
-        show_size(demand.size),
-        show(estimate.value, demand.unit),
-        show(estimate.residual, demand.unit),
+        format_size(demand.size),
+        format_value(estimate.value, demand.unit),
+        format_value(estimate.residual, demand.unit),
         margin(demand, estimate),
         extrapolation(estimate),
         demand.slope
     )
 }
 
-/// Whole sizes as such, small ones with their fraction.
-fn show_size(size: f64) -> String {
+/// Formats a size without decimals, or with two decimals if it is below 10.
+fn format_size(size: f64) -> String {
     if size >= 10.0 {
         format!("{size:.0}")
     } else {
@@ -114,7 +114,7 @@
     let (Some(budget), Some(part)) = (demand.budget, estimate.of_budget) else {
         return "no budget given".into();
     };
-    let budget = show(budget, demand.unit);
+    let budget = format_value(budget, demand.unit);
     if part > 1.0 {
         format!("**over budget**: {part:.2} times {budget}")
     } else {
@@ -130,7 +130,8 @@
     }
 }
 
-/// The sum of a node's parts: the largest intercept once, and what each part adds.
+/// Returns the section on a node that stores all resources: the sum of the largest intercept and of the amounts that
+/// the parts add.
 fn whole_node(slopes: &SlopeSet, size: &FleetSize) -> String {
     let contents = node_contents(size);
     let found: Option<Vec<(&Slope, f64)>> =
@@ -148,12 +149,12 @@
         "{title}All routes in the operators' file, as many methods, all tenants, all nodes as endpoints, and its part of the \
          callers come to {} by adding up the lines, {verdict} the {} of a node. The table \
          above says what was measured of files held together, and at the peak when they are read.\n",
-        show(total, Unit::Bytes),
-        show(budget, Unit::Bytes)
+        format_value(total, Unit::Bytes),
+        format_value(budget, Unit::Bytes)
     )
 }
 
-/// Percentiles as measured, with no line: what lies between them is not estimated.
+/// Returns the section on latency, with percentiles as measured. Values between them are not estimated by a line.
 fn latency(slopes: &SlopeSet, size: &FleetSize) -> String {
     let mut text = format!(
         "## Latency that a node adds\n\nThe budget is {} ms for 99 of 100, at {:.0} RPCs a second and node.\n\n",
@@ -185,8 +186,8 @@
     text
 }
 
-/// All transit is an upper bound of what the node adds. Where that is over the budget and so is the transit without the
-/// node, nothing can be said of the node.
+/// Returns the verdict on a percentile of transit, which is an upper bound of the latency that the node adds. The
+/// verdict is undecided if transit exceeds the budget both through the node and without it.
 fn latency_verdict(through: f64, alone: f64, budget: f64) -> String {
     if through <= budget {
         return "within the budget".into();
@@ -217,7 +218,8 @@
     text
 }
 
-/// Counted from the size alone: each change goes on to all relays and all nodes of a region, and each answers one report.
+/// Returns the section on message rates, computed from the size alone: each change is sent to all relays and all
+/// nodes of a region, each of which answers with one report.
 fn messages(size: &FleetSize) -> String {
     let rate = size.changes_per_second();
     let relays = size.regions * RELAYS_PER_REGION;
@@ -245,17 +247,17 @@
     let used = relays + PUBLISHERS;
     let nodes = size.nodes_per_region();
     let fits = if used <= size.control_machines { "they fit" } else { "**over budget**" };
-    let room = if nodes <= RELAY_CONNECTIONS { "within" } else { "**over**" };
+    let connections_verdict = if nodes <= RELAY_CONNECTIONS { "within" } else { "**over**" };
     let rate = size.changes_per_second();
     let processor = slopes.get("relay-cpu-per-change-by-subscribers").map_or_else(
         || NOT_MEASURED.to_string(),
-        |slope| show((slope.fit.intercept + slope.fit.slope * nodes) * rate, Unit::CoreShare),
+        |slope| format_value((slope.fit.intercept + slope.fit.slope * nodes) * rate, Unit::CoreShare),
     );
     format!(
         "## The control plane within {machines:.0} machines\n\n\
          * {relays:.0} relays, {RELAYS_PER_REGION:.0} in each of {regions:.0} regions, and {PUBLISHERS:.0} publisher: \
          {used:.0} machines, {fits}.\n\
-         * With one relay of each region lost the other has {nodes:.0} connections, {room} the {RELAY_CONNECTIONS:.0} that it \
+         * With one relay of each region lost the other has {nodes:.0} connections, {connections_verdict} the {RELAY_CONNECTIONS:.0} that it \
          takes unless told otherwise; its processor time at the mean rate of changes: {processor}.\n\
          * The publisher's replication is **missing**: with it lost nothing is published until another takes over, and \
          nodes serve on with what they have.\n",
@@ -291,7 +293,7 @@
         let _ = writeln!(
             text,
             "\nRestarts that were all cold come to {} over the fleet in the mean of a day.",
-            show(mean, Unit::BytesPerSecond)
+            format_value(mean, Unit::BytesPerSecond)
         );
     }
     text
@@ -302,8 +304,8 @@
         return format!("| {name} | - | {NOT_MEASURED} | {NOT_MEASURED} | {NOT_MEASURED} |\n");
     };
     let count = nodes.map_or("not given".into(), |nodes| format!("{nodes:.0}"));
-    let all = nodes.map_or("not given".into(), |nodes| show(each * nodes, Unit::Bytes));
-    format!("| {name} | {count} | {} | {all} | {:.0} s |\n", show(each, Unit::Bytes), each / budget)
+    let all = nodes.map_or("not given".into(), |nodes| format_value(each * nodes, Unit::Bytes));
+    format!("| {name} | {count} | {} | {all} | {:.0} s |\n", format_value(each, Unit::Bytes), each / budget)
 }
 
 fn slope_table(slopes: &SlopeSet) -> String {
--- a/crates/ochrewalk-lab/src/capacity/size.rs
+++ b/crates/ochrewalk-lab/src/capacity/size.rs
@@ -1,4 +1,4 @@
-//! The size of a fleet, as it stands in a file of `deploy/sizes`.
+//! The size of a fleet, as stored in a file of `deploy/sizes`.
 
 use serde::Deserialize;
 
@@ -6,7 +6,7 @@
 const HOURS_PER_DAY: f64 = 24.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// What a node may spend on control.
+/// The resources that a node may use for control.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeControlBudget {
@@ -43,12 +43,13 @@
 }
 
 impl FleetSize {
-    /// Routes and quotas: what a relay that serves everything holds.
+    /// Returns the number of routes and quotas, which a relay that serves all scopes stores.
     pub fn resources(&self) -> f64 {
         self.routes + self.tenants
     }
 
-    /// Rounded up: the largest region if nodes are spread evenly.
+    /// Returns the number of nodes per region, rounded up: the size of the largest region if nodes are distributed
+    /// evenly.
     pub fn nodes_per_region(&self) -> f64 {
         (self.nodes / self.regions).ceil()
     }
@@ -61,7 +62,7 @@
         self.rpcs_per_second / self.nodes
     }
 
-    /// The mean over a day; the peak isn't given.
+    /// Returns the mean rate over a day; the peak rate is not given.
     pub fn changes_per_second(&self) -> f64 {
         self.changes_per_day / SECONDS_PER_DAY
     }
