--- a/crates/ochrewalk-lab/tests/capacity.rs
+++ b/crates/ochrewalk-lab/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The committed capacity page is that of the committed slopes and size; with small made-up slopes, what is over budget,
-//! extrapolated or not measured is said.
+//! The committed capacity page is that of the committed slopes and size; with small made-up slopes, what is over
+//! budget, extrapolated or not measured is said.
 
 use ochrewalk_lab::capacity::catalog::{Mechanism, ROLES};
 use ochrewalk_lab::capacity::files::page_of;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A slope whose points lie on a line, up to a largest size.
+/// Returns a slope whose points are on a line, up to a largest size.
 fn slope(name: &str, intercept: f64, slope: f64, largest: f64) -> Slope {
     let point = |part: f64| Point { size: part * largest, value: intercept + slope * part * largest };
     let points: Vec<Point> = [0.25, 0.5, 0.75, 1.0].into_iter().map(point).collect();
@@ -61,11 +61,11 @@
 }
 
 fn row<'a>(page: &'a str, what: &str) -> &'a str {
-    page.lines().find(|line| line.contains(what)).unwrap_or_else(|| panic!("no row of {what} in {page}"))
+    page.lines().find(|line| line.contains(what)).unwrap_or_else(|| panic!("no row with {what} in {page}"))
 }
 
 #[test]
-fn the_committed_page_is_that_of_the_committed_slopes_and_size() {
+fn the_committed_page_matches_the_committed_slopes_and_size() {
     let root = repository();
     let slopes = root.join("docs/measurements/slopes.json");
     let size = root.join("deploy/sizes/two-years.json");
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn what_is_over_budget_is_named_and_comes_first() {
-    // A thousand routes at 2 kB each are 1.9 times a budget of 1 MB; endpoints are within it.
+fn values_over_budget_are_marked_and_come_first() {
+    // A thousand routes of 2 kB each are 1.9 times the budget of 1 MB. The endpoints are within the budget.
     let slopes = vec![
         slope("node-memory-by-endpoints", 0.0, 1_000.0, 10.0),
         slope("node-memory-by-routes", 0.0, 2_000.0, 1_000.0),
@@ -89,20 +89,20 @@
 }
 
 #[test]
-fn what_is_extrapolated_says_by_how_much() {
+fn extrapolated_values_state_their_factor() {
     let slopes = vec![
         slope("node-memory-by-routes", 0.0, 10.0, 250.0),
         slope("node-memory-by-endpoints", 0.0, 10.0, 10.0),
     ];
     let page = page(slopes, &small_size());
-    let beyond = row(&page, "memory with all routes in the operators' file");
-    assert!(beyond.contains("| by 4.00 times |"), "{beyond}");
+    let extrapolated = row(&page, "memory with all routes in the operators' file");
+    assert!(extrapolated.contains("| by 4.00 times |"), "{extrapolated}");
     let measured = row(&page, "memory with all nodes as endpoints upstream");
     assert!(measured.contains("| no |"), "{measured}");
 }
 
 #[test]
-fn without_slopes_nothing_is_guessed() {
+fn without_slopes_all_values_are_reported_as_not_measured() {
     let page = page(Vec::new(), &small_size());
     let rows = page
         .lines()
@@ -117,44 +117,44 @@
 }
 
 #[test]
-fn too_few_machines_and_a_relay_with_too_many_nodes_are_named() {
+fn too_few_machines_and_a_relay_with_too_many_nodes_are_marked() {
     let tight = FleetSize { control_machines: 4.0, nodes: 10_000.0, ..small_size() };
     let tight_page = page(Vec::new(), &tight);
-    // Two relays in each of two regions and a publisher.
+    // The control plane needs two relays in each of two regions, and one publisher.
     assert!(tight_page.contains("5 machines, **over budget**"), "{tight_page}");
     assert!(tight_page.contains("5000 connections, **over** the 4000"), "{tight_page}");
     assert!(page(Vec::new(), &small_size()).contains("5 machines, they fit"));
 }
 
 #[test]
-fn a_cold_node_and_an_hours_cut_are_counted_in_bytes_and_time() {
+fn cold_nodes_and_a_region_cut_off_for_an_hour_are_estimated_in_bytes_and_time() {
     let slopes = vec![
         slope("snapshot-bytes-by-routes", 1_000.0, 99.0, 1_000.0),
         slope("node-bytes-by-change-rate", 20.0, 100.0, 10.0),
     ];
     let page = page(slopes, &small_size());
-    // 1,000 + 99 × 1,000 bytes at 1,000 bytes a second; 3,600 changes of 100 bytes.
+    // A snapshot has 1,000 + 99 × 1,000 bytes, at 1,000 bytes per second. An hour has 3,600 changes of 100 bytes each.
     assert!(row(&page, "a zone, cold").ends_with("| 2 | 0.1 MB | 0.2 MB | 100 s |"));
     assert!(row(&page, "cut off for an hour").ends_with("| 5 | 0.3 MB | 1.7 MB | 360 s |"));
 }
 
 #[test]
-fn latency_is_judged_by_the_whole_transit_unless_that_strays_without_a_node() {
+fn the_latency_verdict_uses_all_transit_and_is_undecided_if_transit_without_a_node_exceeds_the_budget() {
     let through = |ms| slope("transit-p99-by-rpc-rate", ms, 0.0, 1_000.0);
     let alone = |ms| slope("stand-in-transit-p99-by-rpc-rate", ms, 0.0, 1_000.0);
     let with = |through_ms, alone_ms| page(vec![through(through_ms), alone(alone_ms)], &small_size());
-    // The budget is 1 ms. Even what is within it by less than the transit without a node counts in full.
+    // The budget is 1 ms. Transit counts in full, without subtracting the transit without a node.
     let over = with(1.3, 0.4);
     assert!(over.contains("| 1000 | 1.30 ms | 0.40 ms | **over budget** |"), "{over}");
     let undecided = with(2.5, 9.0);
     assert!(undecided.contains("| 1000 | 2.50 ms | 9.00 ms | undecided: "), "{undecided}");
     let within = with(0.9, 0.4);
     assert!(within.contains("| 1000 | 0.90 ms | 0.40 ms | within the budget |"), "{within}");
-    assert!(page(vec![through(0.9)], &small_size()).contains("not measured"), "one side says nothing");
+    assert!(page(vec![through(0.9)], &small_size()).contains("not measured"), "both series are required");
 }
 
 #[test]
-fn every_file_that_carries_a_role_exists() {
+fn every_file_that_implements_a_role_exists() {
     for role in &ROLES {
         if let Mechanism::Present { file, .. } = role.mechanism {
             assert!(repository().join(file).exists(), "{file}");
--- a/crates/ochrewalk-lab/tests/scale.rs
+++ b/crates/ochrewalk-lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run at a small size: a real publisher, real relays, real nodes under load and hollow ones. What a run comes to is
-//! judged, no time is.
+//! The scale run at a small size: a real publisher, real relays, real nodes under load and hollow ones. What a run
+//! comes to is judged, no time is.
 
 use ochrewalk_lab::node::program;
 use serde_json::Value;
@@ -8,14 +8,14 @@
 const NODES: u64 = 40;
 const REAL: u64 = 2;
 
-/// A small run with this fault, in which no rule may break. Its last line.
-fn whole_run(fault: &str, seconds: &str) -> Value {
+/// Runs a small fleet with this fault, checks that no rule is violated, and returns the last line.
+fn checked_run(fault: &str, seconds: &str) -> Value {
     let (line, is_success) = run(fault, seconds);
-    assert_whole(&line, is_success);
+    assert_no_violations(&line, is_success);
     line
 }
 
-/// A small run with this fault. Its last line, and whether it ended well.
+/// Runs a small fleet with this fault, and returns the last line and whether the run succeeded.
 fn run(fault: &str, seconds: &str) -> (Value, bool) {
     program().expect("the node's program is there, or can be built");
     let mut command = Command::new(env!("CARGO_BIN_EXE_ochrewalk-lab"));
@@ -36,11 +36,11 @@
     let output = command.output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
     let errors = String::from_utf8_lossy(&output.stderr);
-    let last = text.lines().last().unwrap_or_else(|| panic!("nothing was printed; {errors}"));
+    let last = text.lines().last().unwrap_or_else(|| panic!("no output; {errors}"));
     (serde_json::from_str(last).unwrap(), output.status.success())
 }
 
-fn assert_whole(line: &Value, is_success: bool) {
+fn assert_no_violations(line: &Value, is_success: bool) {
     assert!(is_success, "{line}");
     for zero in ["broken", "diverged", "lost"] {
         assert_eq!(line[zero], 0, "{zero}: {line}");
@@ -56,34 +56,34 @@
 
 #[test]
 fn changes_come_into_force_at_real_and_hollow_nodes() {
-    let line = whole_run("none", "5");
+    let line = checked_run("none", "5");
     assert_eq!(line["changes"], 20);
 }
 
 #[test]
-fn a_relay_that_is_killed_costs_no_change() {
-    whole_run("relay-killed", "6");
+fn no_change_is_lost_when_a_relay_is_killed() {
+    checked_run("relay-killed", "6");
 }
 
 #[test]
-fn a_publisher_that_is_killed_loses_no_acknowledged_change() {
-    whole_run("publisher-killed", "9");
+fn no_acknowledged_change_is_lost_when_the_publisher_is_killed() {
+    checked_run("publisher-killed", "9");
 }
 
 #[test]
-fn nodes_that_begin_without_state_end_up_with_all_of_it() {
-    whole_run("zone-cold", "6");
+fn nodes_that_restart_without_state_receive_all_of_it() {
+    checked_run("zone-cold", "6");
 }
 
 #[test]
-fn a_bad_change_is_rejected_and_named_until_a_good_one_replaces_it() {
-    let line = whole_run("bad-change", "9");
+fn a_bad_change_is_rejected_and_reported_until_a_valid_one_replaces_it() {
+    let line = checked_run("bad-change", "9");
     assert!(line["bad_change"]["named"].as_u64().unwrap() > 0, "{line}");
     assert_eq!(line["bad_change"]["named_at_end"], 0, "{line}");
 }
 
 #[test]
-fn subscribers_that_never_read_hold_up_nobody() {
-    let line = whole_run("slow-nodes", "6");
+fn subscribers_that_never_read_do_not_delay_others() {
+    let line = checked_run("slow-nodes", "6");
     assert_eq!(line["slow_nodes"]["connected"], 50, "{line}");
 }
