--- a/crates/ochrewalk-lab/examples/cold_endpoints.rs
+++ b/crates/ochrewalk-lab/examples/cold_endpoints.rs
@@ -1,5 +1,5 @@
-//! Prints the number of calls that complete fleets send to cold endpoints, together with the number that slow start allows.
-//! `cargo run --release -p ochrewalk-lab --example cold_endpoints -- FIRST_SEED SEEDS`
+//! Prints the number of calls that complete fleets send to cold endpoints, together with the number that slow start
+//! allows. `cargo run --release -p ochrewalk-lab --example cold_endpoints -- FIRST_SEED SEEDS`
 
 use ochrewalk_lab::cold_endpoints::{chance_bound, poisson_above, ColdScene, ColdStart, WINDOWS_US};
 use ochrewalk_lab::emulated::{play, SECOND};
@@ -24,8 +24,8 @@
     }
 }
 
-/// Prints one line per window: the budget, the mean count, the number of counts above the bound, and the number expected if counts
-/// were Poisson distributed with the budget as mean.
+/// Prints one line per window: the budget, the mean count, the number of counts above the bound, and the number
+/// expected if counts were Poisson distributed with the budget as mean.
 fn print_windows(start: ColdStart, nodes: usize, rate: f64, seeds: std::ops::Range<u64>) {
     let mut arrived = vec![Vec::new(); WINDOWS_US.len()];
     let mut budgets = [0.0; WINDOWS_US.len()];
--- a/crates/ochrewalk-lab/src/balancing_trial.rs
+++ b/crates/ochrewalk-lab/src/balancing_trial.rs
@@ -1,5 +1,5 @@
-//! The lab's command `spread`: measures how evenly load is distributed over endpoints, with real processes or in virtual time, and
-//! prints tables and JSON.
+//! The lab's command `spread`: measures how evenly load is distributed over endpoints, with real processes or in
+//! virtual time, and prints tables and JSON.
 
 use crate::emulated::{self, Evenness, RunResult, SECOND};
 use crate::fleet::{self, Outcome, Plan};
@@ -31,8 +31,8 @@
 const SUBSET_SIZE: usize = 5;
 
 impl Options {
-    /// Returns the load balancing lines of the operators' file. Only `rounds` and `shuffled` use deterministic subsets by default; the
-    /// other policies select among all endpoints.
+    /// Returns the load balancing lines of the operators' file. Only `rounds` and `shuffled` use deterministic
+    /// subsets by default; the other policies select among all endpoints.
     fn lines(&self) -> String {
         let subset_size =
             self.subset_size.or(matches!(&*self.policy, "rounds" | "shuffled").then_some(SUBSET_SIZE));
@@ -63,8 +63,8 @@
         Ok(outcome.broken.is_empty())
     }
 
-    /// Simulates all policies with five seeds in virtual time, and prints the range of each measure. Optionally draws a plot of three
-    /// combinations of policy and subset.
+    /// Simulates all policies with five seeds in virtual time, and prints the range of each measure. Optionally draws
+    /// a plot of three combinations of policy and subset.
     pub fn emulated(&self) -> Result<bool, String> {
         let endpoints: Vec<usize> = (0..self.endpoints).collect();
         println!(
--- a/crates/ochrewalk-lab/src/call_log.rs
+++ b/crates/ochrewalk-lab/src/call_log.rs
@@ -1,5 +1,5 @@
-//! Log of calls and their answers, and its check: each call has exactly one final answer, a served call has the result of its
-//! own run, and no token ran twice.
+//! Log of calls and their answers, and its check: each call has exactly one final answer, a served call has the
+//! result of its own run, and no token ran twice.
 
 use crate::executor::result_of;
 use std::collections::BTreeMap;
--- a/crates/ochrewalk-lab/src/canary_trial.rs
+++ b/crates/ochrewalk-lab/src/canary_trial.rs
@@ -1,5 +1,6 @@
-//! Measures the error rates of canary analysis in virtual time: many rollouts of a fleet whose nodes miss latency objectives at
-//! random, some rollouts with harm and some during a fault of all nodes. The real analysis is compared with simpler methods.
+//! Measures the error rates of canary analysis in virtual time: many rollouts of a fleet whose nodes miss latency
+//! objectives at random, some rollouts with harm and some during a fault of all nodes. The real analysis is compared
+//! with simpler methods.
 
 use ochrewalk_rollout::{AnalysisSettings, CallCounts, CanaryAnalysis, NodeSample, Sample, Verdict};
 use plotters::prelude::*;
@@ -83,8 +84,8 @@
         Sample { nodes, changed: self.changed, unchanged: self.nodes - self.changed }
     }
 
-    /// Passes samples to the analysis until it reaches a verdict. Returns the number of seconds and the verdict, which is `Pending`
-    /// after `max_samples` without one.
+    /// Passes samples to the analysis until it reaches a verdict. Returns the number of seconds and the verdict,
+    /// which is `Pending` after `max_samples` without one.
     pub fn run_until_verdict(&mut self, analysis: &mut CanaryAnalysis, max_samples: u32) -> (u32, Verdict) {
         for second in 1..=max_samples {
             let sample = self.next_sample();
@@ -102,7 +103,8 @@
 pub enum AnalysisMethod {
     /// The sequential test of the production code.
     Sequential,
-    /// A test of the sums of both groups since the stage started, repeated each second with a fixed error bound of one in a hundred.
+    /// A test of the sums of both groups since the stage started, repeated each second with a fixed error bound of
+    /// one in a hundred.
     Fixed,
     /// A comparison of the changed nodes with the complete fleet before the rollout, with a fixed margin.
     BeforeAfter,
@@ -159,7 +161,8 @@
     }
 }
 
-/// Returns how much the share of misses on changed nodes exceeds that on the others, and the standard deviation of this difference.
+/// Returns how much the share of misses on changed nodes exceeds that on the others, and the standard deviation of
+/// this difference.
 fn excess_and_deviation(sums: &Sums) -> Option<(f64, f64)> {
     let ([changed, misses], [others, other_misses]) = (sums.changed, sums.others);
     if changed < 1.0 || others < 1.0 {
--- a/crates/ochrewalk-lab/src/changes.rs
+++ b/crates/ochrewalk-lab/src/changes.rs
@@ -1,5 +1,6 @@
-//! Rollouts on real processes: nodes under supervisors with their own callers, the real rollout controller, and faults during
-//! the rollout. The checks are that every call has one answer, that no call with a token runs twice, and how the rollout ended.
+//! Rollouts on real processes: nodes under supervisors with their own callers, the real rollout controller, and
+//! faults during the rollout. The checks are that every call has one answer, that no call with a token runs twice,
+//! and how the rollout ended.
 
 use crate::call_log::{AnswerKind, CallLog, Entry};
 use crate::control_proxy::{ControlProxy, ProxyMode};
@@ -44,8 +45,8 @@
     NodesStopped,
     /// All executors are slowed down by a factor of 100 for 5 s.
     AllSlow,
-    /// A third of the nodes cannot be reached for some seconds after they are changed, which is longer than the time to confirm
-    /// a change.
+    /// A third of the nodes cannot be reached for some seconds after they are changed, which is longer than the time
+    /// to confirm a change.
     LinksSilent,
     /// Links occasionally drop replies, or close before them.
     LinksBreak,
@@ -306,7 +307,8 @@
                 entry.answers.push(kind);
                 entry.answers.extend(answers.try_iter().map(|answer| json_answer(&answer).0));
             }
-            // A flawed program that crashes or does not respond leaves calls without an answer. The flaw causes this, not the rollout.
+            // A flawed program that crashes or does not respond leaves calls without an answer. The flaw causes this,
+            // not the rollout.
             Err(_) => entry.is_abandoned = is_flawed,
         }
     }
@@ -435,7 +437,8 @@
                 last
             }
             Fault::OldReplaced => {
-                // The record shows every change, while a slow status query can miss harmful settings that are already reverted.
+                // The record shows every change, while a slow status query can miss harmful settings that are already
+                // reverted.
                 let has_changed = || {
                     let mut current = Outcome::default();
                     read_log(&file.with_file_name("record.log"), plan.nodes, &mut current);
--- a/crates/ochrewalk-lab/src/cold_endpoints.rs
+++ b/crates/ochrewalk-lab/src/cold_endpoints.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets whose endpoints become cold at a given time, and the number of calls that slow start allows all nodes
-//! together to send them. Used by the tests of slow start and by the example `cold_endpoints`.
+//! Simulated fleets whose endpoints become cold at a given time, and the number of calls that slow start allows all
+//! nodes together to send them. Used by the tests of slow start and by the example `cold_endpoints`.
 
 use crate::emulated::{EndpointListUpdate, Fault, FaultKind, Fleet, RunResult, SECOND};
 use ochrewalk_load_balancer::{BalancingConfig, EndpointHealth};
@@ -41,8 +41,8 @@
 }
 
 impl ColdScene {
-    /// Returns a fleet of nodes that each send `rate` calls per second to ten warm endpoints and two cold ones, for `after_us`
-    /// after the latter have become cold.
+    /// Returns a fleet of nodes that each send `rate` calls per second to ten warm endpoints and two cold ones, for
+    /// `after_us` after the latter have become cold.
     pub fn new(nodes: usize, rate: f64, start: ColdStart, after_us: u64, seed: u64) -> ColdScene {
         let mut fleet = Fleet::plain(nodes, ENDPOINTS, BalancingConfig::default(), seed);
         (fleet.rate, fleet.first_rate) = (rate, rate);
@@ -75,8 +75,8 @@
         result.arrived_between(endpoint, self.cold_from_us, self.cold_from_us + window_us)
     }
 
-    /// Returns the number of calls that slow start allows for one cold endpoint within this time: the rate of a warm endpoint
-    /// times the slow start factor of an endpoint that has just joined, integrated over time.
+    /// Returns the number of calls that slow start allows for one cold endpoint within this time: the rate of a warm
+    /// endpoint times the slow start factor of an endpoint that has just joined, integrated over time.
     pub fn budget(&self, window_us: u64) -> f64 {
         let health = EndpointHealth::added(self.fleet.config.ejection, 0);
         let calls_per_step = self.fleet.rate * self.fleet.nodes as f64 * STEP_US as f64 / SECOND as f64;
@@ -88,7 +88,8 @@
     }
 }
 
-/// Returns the largest count that is attributed to chance in a window with this budget: two standard deviations above it, plus 2.
+/// Returns the largest count that is attributed to chance in a window with this budget: two standard deviations above
+/// it, plus 2.
 pub fn chance_bound(budget: f64) -> f64 {
     budget + 2.0 * budget.sqrt() + 2.0
 }
--- a/crates/ochrewalk-lab/src/control_proxy.rs
+++ b/crates/ochrewalk-lab/src/control_proxy.rs
@@ -1,5 +1,5 @@
-//! Proxies between a rollout controller and the nodes' supervisors: Unix sockets that forward messages, and that can be set to
-//! forward nothing, to drop the replies, or to close the connection after the command.
+//! Proxies between a rollout controller and the nodes' supervisors: Unix sockets that forward messages, and that can
+//! be set to forward nothing, to drop the replies, or to close the connection after the command.
 
 use std::io::{Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
--- a/crates/ochrewalk-lab/src/dependency.rs
+++ b/crates/ochrewalk-lab/src/dependency.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the shared upstream dependency: an AJP server that answers, delays, fails or closes the connection as a script
-//! decides for each call.
+//! Stand-in for the shared upstream dependency: an AJP server that answers, delays, fails or closes the connection as
+//! a script decides for each call.
 
 use ochrewalk_ajp::packet::USUAL_PACKET;
 use ochrewalk_ajp::reply::{self, Head, Message};
@@ -74,7 +74,8 @@
 }
 
 impl Dependency {
-    /// Starts listening at the address, where port 0 selects any free port. Connections are closed after `idle` without traffic.
+    /// Starts listening at the address, where port 0 selects any free port. Connections are closed after `idle`
+    /// without traffic.
     pub fn start(
         at: SocketAddr,
         idle: Duration,
--- a/crates/ochrewalk-lab/src/emulated.rs
+++ b/crates/ochrewalk-lab/src/emulated.rs
@@ -1,5 +1,6 @@
-//! Simulates hundreds of processes in virtual time: nodes that each select endpoints with the real `ochrewalk-load-balancer`,
-//! endpoints with cores, and faults of both and between them. The same seed gives the same run, call by call.
+//! Simulates hundreds of processes in virtual time: nodes that each select endpoints with the real
+//! `ochrewalk-load-balancer`, endpoints with cores, and faults of both and between them. The same seed gives the same
+//! run, call by call.
 
 use ochrewalk_load_balancer::{
     BalancingConfig, CallOutcome, Endpoint, Idempotency, LoadBalancer, Subsetting,
@@ -69,9 +70,9 @@
     pub seconds: u64,
     pub seed: u64,
     pub config: BalancingConfig,
-    /// The interval at which all nodes learn the queue lengths of all endpoints at no cost, in microseconds; 0 for never. A node
-    /// then selects the shorter queue of two endpoints of its subset, which is an upper bound of what communication among nodes
-    /// could achieve.
+    /// The interval at which all nodes learn the queue lengths of all endpoints at no cost, in microseconds; 0 for
+    /// never. A node then selects the shorter queue of two endpoints of its subset, which is an upper bound of what
+    /// communication among nodes could achieve.
     pub queue_broadcast_us: u64,
     pub faults: Vec<Fault>,
     pub list_updates: Vec<EndpointListUpdate>,
@@ -151,7 +152,8 @@
         before(until_us) - before(from_us)
     }
 
-    /// Returns the worst value of each measure over all windows from `from_window` on, for the calls per core of these endpoints.
+    /// Returns the worst value of each measure over all windows from `from_window` on, for the calls per core of
+    /// these endpoints.
     pub fn evenness(&self, endpoints: &[usize], from_window: usize) -> Evenness {
         let mut worst = Evenness::default();
         for window in self.windows.iter().skip(from_window) {
--- a/crates/ochrewalk-lab/src/executor.rs
+++ b/crates/ochrewalk-lab/src/executor.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the executor: all runs share its cores evenly, and each run does half of its work before its upstream call and
-//! half after. The stand-in counts the runs of each body, so that a repeated run is detected.
+//! Stand-in for the executor: all runs share its cores evenly, and each run does half of its work before its upstream
+//! call and half after. The stand-in counts the runs of each body, so that a repeated run is detected.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde_json::{json, Value};
@@ -18,8 +18,8 @@
     pub calls: bool,
     /// Whether the core time of each body is drawn from an exponential distribution with mean `core_us`.
     pub is_exponential: bool,
-    /// The time after its start at which a run that still waits for its upstream call is cancelled, as no caller waits for its
-    /// result any more.
+    /// The time after its start at which a run that still waits for its upstream call is cancelled, as no caller
+    /// waits for its result any more.
     pub max_wait: Duration,
 }
 
@@ -155,7 +155,8 @@
     }
 }
 
-/// Returns a factor for this body from an exponential distribution with mean 1. The same body always has the same factor.
+/// Returns a factor for this body from an exponential distribution with mean 1. The same body always has the same
+/// factor.
 fn exponential_factor(body: &[u8]) -> f64 {
     let seed =
         body.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3));
--- a/crates/ochrewalk-lab/src/faulty_links.rs
+++ b/crates/ochrewalk-lab/src/faulty_links.rs
@@ -1,5 +1,6 @@
-//! Faulty links between nodes and their upstream endpoints: a single thread forwards every byte, delays it, or resets the
-//! connection, by rules for pairs or groups of nodes and endpoints. The first call on a connection identifies its node.
+//! Faulty links between nodes and their upstream endpoints: a single thread forwards every byte, delays it, or resets
+//! the connection, by rules for pairs or groups of nodes and endpoints. The first call on a connection identifies its
+//! node.
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -21,7 +22,8 @@
     Delay(Duration),
     /// Resets all connections, and each new one.
     Reset,
-    /// Holds back all bytes in one direction until the rule ends, then forwards them, as a network does that retransmits.
+    /// Holds back all bytes in one direction until the rule ends, then forwards them, as a network does that
+    /// retransmits.
     Silence {
         to_endpoint: bool,
     },
--- a/crates/ochrewalk-lab/src/fleet.rs
+++ b/crates/ochrewalk-lab/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Fleets of real processes in two tiers: nodes receive calls from stand-in callers and call upstream endpoints, which are nodes
-//! too. Named faults act on the processes and on the links between them, and the calls are checked by the rules of both tiers.
+//! Fleets of real processes in two tiers: nodes receive calls from stand-in callers and call upstream endpoints,
+//! which are nodes too. Named faults act on the processes and on the links between them, and the calls are checked by
+//! the rules of both tiers.
 
 use crate::call_log::{AnswerKind, CallLog, Entry};
 use crate::emulated::Evenness;
@@ -53,7 +54,8 @@
     pub window: Duration,
     /// A number from 0 to 15 that differs between the fleets which run concurrently in one process.
     pub instance: u8,
-    /// The lines of the operators' file that configure load balancing. N is replaced by the node's number, OF by the number of nodes.
+    /// The lines of the operators' file that configure load balancing. N is replaced by the node's number, OF by the
+    /// number of nodes.
     pub balancing: String,
     pub fault: String,
     pub log: &'static str,
--- a/crates/ochrewalk-lab/src/json.rs
+++ b/crates/ochrewalk-lab/src/json.rs
@@ -45,7 +45,8 @@
         !self.is_closed.load(Ordering::Relaxed)
     }
 
-    /// Sends a call and returns the receiver of its answers. `params` holds the members of a JSON object without its braces.
+    /// Sends a call and returns the receiver of its answers. `params` holds the members of a JSON object without its
+    /// braces.
     pub fn call(&self, id: u64, method: &str, params: &str) -> Receiver<Value> {
         let (to, answers) = channel();
         self.pending.lock().expect("no panic under it").insert(id, to);
--- a/crates/ochrewalk-lab/src/lib.rs
+++ b/crates/ochrewalk-lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! Test lab for nodes: stand-ins for a node's executor, for its upstream dependency and for its callers over both protocols,
-//! and a checker of the rules that calls have to obey. Everything runs on loopback, takes a bounded time and derives from one
-//! seed.
+//! Test lab for nodes: stand-ins for a node's executor, for its upstream dependency and for its callers over both
+//! protocols, and a checker of the rules that calls have to obey. Everything runs on loopback, takes a bounded time
+//! and derives from one seed.
 
 pub mod ajp;
 pub mod balancing_trial;
--- a/crates/ochrewalk-lab/src/limits_trial.rs
+++ b/crates/ochrewalk-lab/src/limits_trial.rs
@@ -1,5 +1,5 @@
-//! Simulates concurrency limits in virtual time: nodes with the real pools share one upstream dependency, whose slots may slow down,
-//! fail or crash, and callers retry. The same seed gives the same run, call by call.
+//! Simulates concurrency limits in virtual time: nodes with the real pools share one upstream dependency, whose slots
+//! may slow down, fail or crash, and callers retry. The same seed gives the same run, call by call.
 
 use ochrewalk_concurrency_limits::{ConcurrencyLimits, LimitAlgorithm, LimitsConfig, PoolConfig};
 use std::cmp::Reverse;
--- a/crates/ochrewalk-lab/src/load.rs
+++ b/crates/ochrewalk-lab/src/load.rs
@@ -1,5 +1,5 @@
-//! Generates load over both protocols: calls arrive at random at a fixed rate, independently of the outcome of earlier calls, and
-//! each is recorded in the call log.
+//! Generates load over both protocols: calls arrive at random at a fixed rate, independently of the outcome of
+//! earlier calls, and each is recorded in the call log.
 
 use crate::ajp::{Call, Peer};
 use crate::call_log::{AnswerKind, CallLog, Entry};
@@ -170,8 +170,8 @@
     Ok(play_alongside(program, plan, "", &[], |_| ())?.0)
 }
 
-/// Runs a plan against a new node with additional lines in the operators' file and additional environment variables, and runs an
-/// action concurrently with the load.
+/// Runs a plan against a new node with additional lines in the operators' file and additional environment variables,
+/// and runs an action concurrently with the load.
 pub fn play_alongside<T: Send>(
     program: &Path,
     plan: &Plan,
@@ -223,12 +223,12 @@
     Ok((Outcome { call_log, broken, cpu_us, cut, upstream_runs: dependency.ran().len() }, result))
 }
 
-/// The time within which a node has to become healthy. The operators set this bound, which is many times the time on an idle
-/// machine.
+/// The time within which a node has to become healthy. The operators set this bound, which is many times the time on
+/// an idle machine.
 const HEALTHY_WITHIN: Duration = Duration::from_secs(30);
 
-/// Queries the health of a node until it is healthy. The error includes the last answer, which distinguishes a slow start from a
-/// connection that the node closed.
+/// Queries the health of a node until it is healthy. The error includes the last answer, which distinguishes a slow
+/// start from a connection that the node closed.
 pub(crate) fn wait_healthy(listen: SocketAddr) -> Result<(), String> {
     let caller = Caller::connect(listen).map_err(|err| err.to_string())?;
     let until = Instant::now() + HEALTHY_WITHIN;
--- a/crates/ochrewalk-lab/src/main.rs
+++ b/crates/ochrewalk-lab/src/main.rs
@@ -83,14 +83,15 @@
         rate: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Flaw of the new program: crash-at-start, crash-later, crash-on-hand-over, hang-on-hand-over, deaf, slow, slow-later, leak
+        /// Flaw of the new program: crash-at-start, crash-later, crash-on-hand-over, hang-on-hand-over, deaf, slow,
+        /// slow-later, leak
         #[arg(long)]
         flaw: Option<String>,
         /// Subject of the rollout: program, settings, harmful-settings, unusable-settings
         #[arg(long, default_value = "program")]
         subject: String,
-        /// Fault during the rollout: none, conductor-killed, conductor-gone, two-conductors, links-silent, links-break, old-replaced,
-        /// nodes-stopped, all-slow
+        /// Fault during the rollout: none, conductor-killed, conductor-gone, two-conductors, links-silent,
+        /// links-break, old-replaced, nodes-stopped, all-slow
         #[arg(long, default_value = "none")]
         faults: String,
         /// Longest duration of the rollout, in seconds
@@ -115,7 +116,8 @@
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=20))]
         runs: u64,
     },
-    /// Simulates how often canary analysis stops harmless rollouts and how soon it detects harm, in virtual time, as a table
+    /// Simulates how often canary analysis stops harmless rollouts and how soon it detects harm, in virtual time, as
+    /// a table
     Judge {
         #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u64).range(10..=2_000))]
         nodes: u64,
@@ -154,7 +156,8 @@
     /// Runs the simulated nodes of one process of `scale`, controlled by lines on standard input
     #[command(hide = true)]
     ScaleHollow(HollowOptions),
-    /// Measures how evenly nodes distribute load over endpoints, with real processes and faulty links; the last line is JSON
+    /// Measures how evenly nodes distribute load over endpoints, with real processes and faulty links; the last line
+    /// is JSON
     Spread {
         #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=1_000))]
         nodes: u64,
--- a/crates/ochrewalk-lab/src/node.rs
+++ b/crates/ochrewalk-lab/src/node.rs
@@ -19,8 +19,8 @@
     files: Vec<PathBuf>,
 }
 
-/// Returns the path of the node's program, which is in the same folder as the current program. Builds it if it is missing, or if
-/// cargo runs the current program.
+/// Returns the path of the node's program, which is in the same folder as the current program. Builds it if it is
+/// missing, or if cargo runs the current program.
 pub fn program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|err| err.to_string())?;
     let program = own.with_file_name("ochrewalk");
@@ -61,8 +61,8 @@
 /// The first port of unused addresses, below the system's ephemeral ports.
 const UNUSED_PORT: u16 = 7_400;
 
-/// Returns an address without a listener, whose port the system does not assign to another socket: each process has a separate
-/// network on loopback, and each call returns another address in it.
+/// Returns an address without a listener, whose port the system does not assign to another socket: each process has a
+/// separate network on loopback, and each call returns another address in it.
 pub fn unused_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let [high, low] = ((std::process::id() % 16_000) as u16).to_be_bytes();
@@ -210,7 +210,8 @@
     }
 }
 
-/// Starts a process that ends together with the process that started it, however that ends, so that no process stays behind.
+/// Starts a process that ends together with the process that started it, however that ends, so that no process stays
+/// behind.
 fn run(arguments: &[OsString], environment: &[(String, String)]) -> Result<Child, String> {
     let mut command = Command::new(&arguments[0]);
     command
--- a/crates/ochrewalk-lab/src/rollouts.rs
+++ b/crates/ochrewalk-lab/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! The lab's command `rollout`: rolls out a program, with or without a flaw, or settings to many real nodes, and prints the result as
-//! JSON.
+//! The lab's command `rollout`: rolls out a program, with or without a flaw, or settings to many real nodes, and
+//! prints the result as JSON.
 
 use crate::changes::{copy_with_other_contents, play, Fault, Outcome, Plan, Subject};
 use serde_json::json;
@@ -40,8 +40,8 @@
 ];
 
 impl Options {
-    /// Runs the rollout and prints the result, whose last line is JSON. Returns whether no rule was violated and the rollout ended as
-    /// expected.
+    /// Runs the rollout and prints the result, whose last line is JSON. Returns whether no rule was violated and the
+    /// rollout ended as expected.
     pub fn run(&self, program: &Path) -> Result<bool, String> {
         let tenth = (self.nodes / 10).max(1);
         let plan = Plan {
@@ -91,7 +91,8 @@
     }
 }
 
-/// Returns the path of the node's program with flaws, which `cargo build --release -p ochrewalk-node --examples` builds.
+/// Returns the path of the node's program with flaws, which `cargo build --release -p ochrewalk-node --examples`
+/// builds.
 fn flawed(program: &Path) -> Result<PathBuf, String> {
     let flawed = program.with_file_name("examples").join("flawed");
     match flawed.exists() {
--- a/crates/ochrewalk-lab/src/slopes/control_plane.rs
+++ b/crates/ochrewalk-lab/src/slopes/control_plane.rs
@@ -1,5 +1,5 @@
-//! Measures a publisher and a relay as real processes: their memory by the number of resources, and the cost of changes for a relay
-//! and a node.
+//! Measures a publisher and a relay as real processes: their memory by the number of resources, and the cost of
+//! changes for a relay and a node.
 
 use super::model::Point;
 use super::node_under_test::{NodeFiles, NodeUnderTest};
@@ -130,7 +130,8 @@
     full.iter().map(|size| size / divisor).collect()
 }
 
-/// Measures the memory of the publisher and the relay by the number of quotas, and the bytes of a snapshot by the number of routes.
+/// Measures the memory of the publisher and the relay by the number of quotas, and the bytes of a snapshot by the
+/// number of routes.
 pub fn resources(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let plane = ControlPlane::start(context.program)?;
     let (mut of_publisher, mut of_relay) = (Vec::new(), Vec::new());
@@ -245,7 +246,8 @@
     format!("{relays}config region {REGION}\nconfig scope {SCOPE}\n{AMPLE_BUDGET}")
 }
 
-/// Measures the CPU share and the bytes per second of a node by the rate of changes to its scope, with a thousand stored routes.
+/// Measures the CPU share and the bytes per second of a node by the rate of changes to its scope, with a thousand
+/// stored routes.
 pub fn node_changes(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let plane = ControlPlane::start(context.program)?;
     let held = if context.is_quick { 10 } else { 1_000 };
@@ -303,8 +305,8 @@
     Resource { value, ..changed }
 }
 
-/// Measures the memory of a node and its CPU time per change by the number of distributed routes that it stores. The CPU time at rest
-/// over an equal time is subtracted.
+/// Measures the memory of a node and its CPU time per change by the number of distributed routes that it stores. The
+/// CPU time at rest over an equal time is subtracted.
 pub fn node_routes(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let (mut cpu, mut memory, mut delay) = (Vec::new(), Vec::new(), Vec::new());
     for count in divided(context, &[1_000, 10_000, 25_000, 49_000]) {
@@ -375,8 +377,8 @@
     Ok(longest)
 }
 
-/// Whether the node knows the changed route: a request with another HTTP method is answered with 405 if the path is known, and with
-/// 404 otherwise.
+/// Whether the node knows the changed route: a request with another HTTP method is answered with 405 if the path is
+/// known, and with 404 otherwise.
 fn is_changed_route_known(node: &NodeUnderTest) -> Result<bool, SlopeError> {
     let path = route_path(CHANGED_ROUTE);
     let headers = vec![("x-request-id", format!("{:016x}", fastrand::u64(..)))];
--- a/crates/ochrewalk-lab/src/slopes/mod.rs
+++ b/crates/ochrewalk-lab/src/slopes/mod.rs
@@ -1,5 +1,6 @@
-//! Measures the cost of each additional route, tenant, connection, RPC, change or subscriber in the real programs: each quantity is
-//! measured at several sizes, and a line is fitted. The command `capacity` extrapolates from these lines.
+//! Measures the cost of each additional route, tenant, connection, RPC, change or subscriber in the real programs:
+//! each quantity is measured at several sizes, and a line is fitted. The command `capacity` extrapolates from these
+//! lines.
 
 mod control_plane;
 pub mod fit;
@@ -134,8 +135,8 @@
     text.split_whitespace().take(3).collect::<Vec<_>>().join(" ")
 }
 
-/// Replaces the slopes of an earlier set that were measured again, so that measurements may run one at a time. A failure remains in the
-/// set until its measurement succeeds.
+/// Replaces the slopes of an earlier set that were measured again, so that measurements may run one at a time. A
+/// failure remains in the set until its measurement succeeds.
 pub fn merge(earlier: SlopeSet, newer: SlopeSet) -> SlopeSet {
     let is_replaced = |name: &str| newer.slopes.iter().any(|slope| slope.name == name);
     let mut slopes: Vec<Slope> =
--- a/crates/ochrewalk-lab/src/slopes/node_state.rs
+++ b/crates/ochrewalk-lab/src/slopes/node_state.rs
@@ -1,5 +1,5 @@
-//! Measures the memory of a node by the number of routes, methods, tenants, endpoints and connections, and the CPU time of its start.
-//! The time until the node is healthy is not measured.
+//! Measures the memory of a node by the number of routes, methods, tenants, endpoints and connections, and the CPU
+//! time of its start. The time until the node is healthy is not measured.
 
 use super::model::Point;
 use super::node_under_test::{NodeFiles, NodeUnderTest};
@@ -84,7 +84,8 @@
     ])
 }
 
-/// Measures a node with routes, methods, tenants and endpoints together, each at the same percentage of the largest measured size.
+/// Measures a node with routes, methods, tenants and endpoints together, each at the same percentage of the largest
+/// measured size.
 pub fn whole(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let (mut settled, mut peak_at_start, mut peak_at_reload) = (Vec::new(), Vec::new(), Vec::new());
     for percent in [25, 50, 75, 100] {
--- a/crates/ochrewalk-lab/src/slopes/node_under_test.rs
+++ b/crates/ochrewalk-lab/src/slopes/node_under_test.rs
@@ -16,7 +16,8 @@
 
 /// The number of cores of the stand-in executor, which is large enough that no RPC waits for a core.
 const EXECUTOR_CORES: f64 = 16.0;
-/// The descriptors that the node may use. No measurement opens a quarter of them, from which on a node closes idle connections.
+/// The descriptors that the node may use. No measurement opens a quarter of them, from which on a node closes idle
+/// connections.
 const NODE_DESCRIPTORS: u64 = 40_000;
 const AJP_CONNECTIONS: u64 = 300;
 /// The time for which idempotency keys are stored, which is longer than a measurement.
--- a/crates/ochrewalk-lab/src/slopes/rpc_load.rs
+++ b/crates/ochrewalk-lab/src/slopes/rpc_load.rs
@@ -1,6 +1,7 @@
-//! Measures the CPU time of a node and the latency that it adds, at fixed RPC rates. The stand-in executor records the residence time
-//! of each RPC; the rest of its latency is transit, which the node, the sockets and the load tool cause together. The same load is sent
-//! directly to the stand-in over its own protocol, which shows the part of the sockets and the load tool.
+//! Measures the CPU time of a node and the latency that it adds, at fixed RPC rates. The stand-in executor records
+//! the residence time of each RPC; the rest of its latency is transit, which the node, the sockets and the load tool
+//! cause together. The same load is sent directly to the stand-in over its own protocol, which shows the part of the
+//! sockets and the load tool.
 
 use super::model::Point;
 use super::node_under_test::{start_executor, work_of_an_rpc, NodeFiles, NodeUnderTest};
@@ -90,7 +91,8 @@
 /// Sends an RPC and waits for its answer. Returns the id of the RPC if it was served.
 type SendRpc = Box<dyn FnMut(u64) -> Option<String> + Send>;
 
-/// Sends RPCs at a fixed rate, evenly spaced and distributed over callers, whether or not earlier RPCs are answered in time.
+/// Sends RPCs at a fixed rate, evenly spaced and distributed over callers, whether or not earlier RPCs are answered
+/// in time.
 fn load_at(
     rate: u64,
     span: Duration,
--- a/crates/ochrewalk-lab/src/slopes/subscribers.rs
+++ b/crates/ochrewalk-lab/src/slopes/subscribers.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for subscribers of a relay: each receives all updates over a separate connection and reports them as applied.
+//! Stand-ins for subscribers of a relay: each receives all updates over a separate connection and reports them as
+//! applied.
 
 use super::SlopeError;
 use ochrewalk_control_plane::frame::{encode, FrameDecoder, MAX_SUBSCRIBER_FRAME};
--- a/crates/ochrewalk-lab/src/upgrades.rs
+++ b/crates/ochrewalk-lab/src/upgrades.rs
@@ -1,5 +1,5 @@
-//! The lab's command `upgrade`: repeated upgrades of the running program during steady load over both protocols, compared with the
-//! same load without upgrades and with plain restarts.
+//! The lab's command `upgrade`: repeated upgrades of the running program during steady load over both protocols,
+//! compared with the same load without upgrades and with plain restarts.
 
 use crate::json::Caller;
 use crate::load::{play, play_alongside, Outcome, Plan, Protocols, RunningLoad};
@@ -93,8 +93,8 @@
 }
 
 impl Options {
-    /// Runs the measurement and prints the result, whose last line is JSON. Returns whether no rule was violated and no connection was
-    /// refused.
+    /// Runs the measurement and prints the result, whose last line is JSON. Returns whether no rule was violated and
+    /// no connection was refused.
     pub fn run(&self, program: &Path) -> Result<bool, String> {
         let plan = Plan {
             seconds: self.seconds,
