--- a/crates/ochrewalk-lab/examples/cold_endpoints.rs
+++ b/crates/ochrewalk-lab/examples/cold_endpoints.rs
@@ -1,5 +1,7 @@
 //! Prints the number of calls that complete fleets send to cold endpoints, together with the number that slow start
-//! allows. `cargo run --release -p ochrewalk-lab --example cold_endpoints -- FIRST_SEED SEEDS`
+//! allows.
+//!
+//! `cargo run --release -p ochrewalk-lab --example cold_endpoints -- FIRST_SEED SEEDS`
 
 use ochrewalk_lab::cold_endpoints::{chance_bound, poisson_above, ColdScene, ColdStart, WINDOWS_US};
 use ochrewalk_lab::emulated::{play, SECOND};
--- a/crates/ochrewalk-lab/src/ajp.rs
+++ b/crates/ochrewalk-lab/src/ajp.rs
@@ -120,7 +120,7 @@
     pub fn answer(&mut self) -> std::io::Result<Answer> {
         let mut answer = Answer { status: 0, headers: Vec::new(), body: Vec::new(), reuse: false };
         loop {
-            let ended = self.message(|message| match message {
+            let is_complete = self.message(|message| match message {
                 Message::Head(head) => {
                     answer.status = head.status;
                     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -137,7 +137,7 @@
                 }
                 Message::GetBody(_) | Message::CPong => false,
             })?;
-            if ended {
+            if is_complete {
                 return Ok(answer);
             }
         }
--- a/crates/ochrewalk-lab/src/call_log.rs
+++ b/crates/ochrewalk-lab/src/call_log.rs
@@ -36,7 +36,7 @@
 }
 
 impl CallLog {
-    /// Returns a description of each violated rule. `runs` holds the number of runs of each body.
+    /// Returns a description of each violated rule. `runs` contains the number of runs of each body.
     pub fn violations(&self, runs: &BTreeMap<Vec<u8>, u32>) -> Vec<String> {
         let mut violations = Vec::new();
         for (number, entry) in self.entries.iter().enumerate() {
--- a/crates/ochrewalk-lab/src/control_proxy.rs
+++ b/crates/ochrewalk-lab/src/control_proxy.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Forwards one message in each direction, which is the whole exchange of a control connection.
+/// Forwards one message in each direction, which is the complete exchange of a control connection.
 fn forward(client: UnixStream, to: &Path, mode: &AtomicU8) -> Option<()> {
     let mode_now = || MODES[usize::from(mode.load(Ordering::Relaxed))];
     if mode_now() == ProxyMode::Silent {
--- a/crates/ochrewalk-lab/src/emulated.rs
+++ b/crates/ochrewalk-lab/src/emulated.rs
@@ -413,9 +413,9 @@
     }
 
     fn dispatch(&mut self, call: usize, avoid: Option<usize>) {
-        let of = &self.calls[call];
-        let (node, now_us) = (of.node, self.now_us);
-        if of.start != self.starts[node] {
+        let state = &self.calls[call];
+        let (node, now_us) = (state.node, self.now_us);
+        if state.start != self.starts[node] {
             return self.fail(call);
         }
         let Some(mut slot) = self.balancers[node].pick(now_us, Idempotency::Idempotent, avoid) else {
@@ -507,9 +507,9 @@
     }
 
     fn record(&mut self, call: usize, outcome: CallOutcome) {
-        let of = &self.calls[call];
-        if of.start == self.starts[of.node] {
-            self.balancers[of.node].call_ended(self.now_us, of.slot, call as u64, outcome);
+        let state = &self.calls[call];
+        if state.start == self.starts[state.node] {
+            self.balancers[state.node].call_ended(self.now_us, state.slot, call as u64, outcome);
         }
     }
 
@@ -548,9 +548,9 @@
             self.endpoints[endpoint].epoch += 1;
             match fault.kind {
                 FaultKind::Dead if is_start => {
-                    let of = &mut self.endpoints[endpoint];
-                    let mut broken: Vec<usize> = of.queue.drain(..).collect();
-                    broken.extend(of.in_progress.drain(..).map(|(call, _)| call));
+                    let state = &mut self.endpoints[endpoint];
+                    let mut broken: Vec<usize> = state.queue.drain(..).collect();
+                    broken.extend(state.in_progress.drain(..).map(|(call, _)| call));
                     broken.into_iter().for_each(|call| self.answer(call, 0, CallOutcome::ConnectionBroken));
                 }
                 // Calls being processed make no progress during the fault, and continue afterwards.
--- a/crates/ochrewalk-lab/src/executor.rs
+++ b/crates/ochrewalk-lab/src/executor.rs
@@ -18,8 +18,8 @@
     pub calls: bool,
     /// Whether the core time of each body is drawn from an exponential distribution with mean `core_us`.
     pub is_exponential: bool,
-    /// The time after its start at which a run that still waits for its upstream call is cancelled, as no caller
-    /// waits for its result any more.
+    /// The time after its start at which a run that still waits for its upstream call is cancelled, because
+    /// its caller has stopped waiting.
     pub max_wait: Duration,
 }
 
--- a/crates/ochrewalk-lab/src/faults.rs
+++ b/crates/ochrewalk-lab/src/faults.rs
@@ -105,11 +105,11 @@
         "restart" => kill(Tier::Nodes, share(nodes, 7), restart_at, 1),
         "all-restart" => kill(Tier::Nodes, 0..nodes, restart_at, 1),
         "stopped" => {
-            let over = until.min(from + Duration::from_secs(5));
+            let continued_at = until.min(from + Duration::from_secs(5));
             let both = |at| {
                 [
                     (from, FaultAction::Stop(Tier::Endpoints, at)),
-                    (over, FaultAction::Continue(Tier::Endpoints, at)),
+                    (continued_at, FaultAction::Continue(Tier::Endpoints, at)),
                 ]
             };
             share(endpoints, 1).flat_map(both).collect()
--- a/crates/ochrewalk-lab/src/fleet.rs
+++ b/crates/ochrewalk-lab/src/fleet.rs
@@ -373,7 +373,7 @@
                 self.nodes[at].kill();
                 self.executors[at].restart();
                 self.connections[at].stream = None;
-                // Calls that the killed node has not answered need no answer any more.
+                // Calls that the killed node has not answered are marked as abandoned.
                 let open = std::mem::take(&mut *lock(&self.connections[at].open));
                 let mut records = lock(&self.records);
                 open.into_values().for_each(|index| records.call_log.entries[index].is_abandoned = true);
--- a/crates/ochrewalk-lab/src/limits_trial.rs
+++ b/crates/ochrewalk-lab/src/limits_trial.rs
@@ -20,7 +20,7 @@
 const RETRY_PROBABILITY: f64 = 0.5;
 /// The mean time before a retry.
 const MEAN_RETRY_DELAY_US: u64 = 300_000;
-/// The number of calls, as a multiple of its slots, at which the dependency crashes with all calls that it holds.
+/// The number of calls, as a multiple of its slots, at which the dependency crashes and all its calls fail.
 const CRASH_FACTOR: usize = 12;
 /// The time that the dependency is down after a crash.
 const DOWNTIME_US: u64 = 5 * SECOND;
--- a/crates/ochrewalk-lab/src/load.rs
+++ b/crates/ochrewalk-lab/src/load.rs
@@ -155,13 +155,13 @@
     pub node: &'a Mutex<Node>,
     pub json_at: SocketAddr,
     pub ajp_at: SocketAddr,
-    over: &'a AtomicBool,
+    is_over: &'a AtomicBool,
 }
 
 impl RunningLoad<'_> {
     /// Whether the load has ended.
     pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+        self.is_over.load(Ordering::Relaxed)
     }
 }
 
@@ -175,7 +175,7 @@
 pub fn play_alongside<T: Send>(
     program: &Path,
     plan: &Plan,
-    more: &str,
+    more_lines: &str,
     environment: &[(&str, String)],
     concurrent: impl FnOnce(&RunningLoad) -> T + Send,
 ) -> Result<(Outcome, T), String> {
@@ -199,17 +199,17 @@
     let listen = node::unused_address().map_err(io)?;
     let ajp = node::unused_address().map_err(io)?;
     let config = node::config(listen, executor.at, node::directory().map_err(io)?, settings());
-    let operators = operators(ajp, dependency.at) + more;
+    let operators = operators(ajp, dependency.at) + more_lines;
     let mut node = Node::spawn_with(program, &config, &operators, plan.log, environment)?;
     node.wait()?;
     wait_healthy(listen)?;
-    let (from, over) = (node.cpu_us(), AtomicBool::new(false));
+    let (from, is_over) = (node.cpu_us(), AtomicBool::new(false));
     let node = Mutex::new(node);
     let (call_log, result) = std::thread::scope(|scope| {
-        let action = RunningLoad { node: &node, json_at: listen, ajp_at: ajp, over: &over };
+        let action = RunningLoad { node: &node, json_at: listen, ajp_at: ajp, is_over: &is_over };
         let action = scope.spawn(move || concurrent(&action));
         let call_log = load(plan, listen, ajp);
-        over.store(true, Ordering::Relaxed);
+        is_over.store(true, Ordering::Relaxed);
         (call_log, action.join())
     });
     let (call_log, result) = (call_log?, result.map_err(|_| "the action that ran with the load panicked")?);
@@ -446,13 +446,13 @@
     /// Returns the priority weight of the calls answered within their latency objective, divided by that of all calls.
     pub fn served_share(&self, by_ajp: bool) -> f64 {
         let of = |e: &&Entry| e.by_ajp == by_ajp;
-        let asked: f64 =
+        let all: f64 =
             self.call_log.entries.iter().filter(of).map(|e| METHODS[e.method].priority_weight).sum();
         let in_time = |e: &&Entry| {
             let on_time = METHODS[e.method].on_time.as_micros() as u64;
             e.answers.first() == Some(&AnswerKind::Served) && e.latency_us <= on_time
         };
-        let got: f64 = self
+        let served: f64 = self
             .call_log
             .entries
             .iter()
@@ -460,7 +460,7 @@
             .filter(in_time)
             .map(|e| METHODS[e.method].priority_weight)
             .sum();
-        got / asked.max(1.0)
+        served / all.max(1.0)
     }
 
     /// Returns a table of the outcomes of each method's calls.
--- a/crates/ochrewalk-lab/src/slopes/control_plane.rs
+++ b/crates/ochrewalk-lab/src/slopes/control_plane.rs
@@ -250,8 +250,8 @@
 /// stored routes.
 pub fn node_changes(context: &Context) -> Result<Vec<Series>, SlopeError> {
     let plane = ControlPlane::start(context.program)?;
-    let held = if context.is_quick { 10 } else { 1_000 };
-    let first: Vec<Resource> = (0..held).map(route).collect();
+    let stored = if context.is_quick { 10 } else { 1_000 };
+    let first: Vec<Resource> = (0..stored).map(route).collect();
     plane.publish(&first)?;
     let meter = TrafficMeter::start(plane.relay_address, RELAY_ADDRESSES)?;
     let node = NodeUnderTest::start(context.program, NodeFiles::default(), &directives(&meter))?;
@@ -267,7 +267,7 @@
     }
     let size_unit = "changes a second to the node's scope";
     let note =
-        format!("{held} distributed routes held; each change is a batch that sets or deletes one route");
+        format!("{stored} distributed routes held; each change is a batch that sets or deletes one route");
     Ok(vec![
         Series {
             name: "node-cpu-by-change-rate",
@@ -311,8 +311,8 @@
     let (mut cpu, mut memory, mut delay) = (Vec::new(), Vec::new(), Vec::new());
     for count in divided(context, &[1_000, 10_000, 25_000, 49_000]) {
         let plane = ControlPlane::start(context.program)?;
-        let held: Vec<Resource> = (0..count).map(route).collect();
-        plane.publish(&held)?;
+        let stored: Vec<Resource> = (0..count).map(route).collect();
+        plane.publish(&stored)?;
         plane.wait_for_relay()?;
         let meter = TrafficMeter::start(plane.relay_address, RELAY_ADDRESSES)?;
         let node = NodeUnderTest::start(context.program, NodeFiles::default(), &directives(&meter))?;
--- a/crates/ochrewalk-lab/src/slopes/node_under_test.rs
+++ b/crates/ochrewalk-lab/src/slopes/node_under_test.rs
@@ -47,7 +47,7 @@
 
 impl NodeUnderTest {
     /// Starts a node, and waits until it is healthy and its memory has settled.
-    pub fn start(program: &Path, files: NodeFiles, more: &str) -> Result<Self, SlopeError> {
+    pub fn start(program: &Path, files: NodeFiles, more_lines: &str) -> Result<Self, SlopeError> {
         let executor = Arc::new(start_executor(work_of_an_rpc())?);
         let folder = Folder::create()?;
         let json_address = node::unused_address()?;
@@ -57,7 +57,7 @@
         config["limits"]["sockets"] = NODE_DESCRIPTORS.into();
         let (config_path, operators_path) = (folder.file("node.json"), folder.file("operators.conf"));
         std::fs::write(&config_path, config.to_string())?;
-        std::fs::write(&operators_path, operators_file(files, ajp_address, more))?;
+        std::fs::write(&operators_path, operators_file(files, ajp_address, more_lines))?;
         let arguments = [
             "serve".as_ref(),
             "--log".as_ref(),
@@ -114,7 +114,7 @@
     settings
 }
 
-fn operators_file(files: NodeFiles, ajp_address: SocketAddr, more: &str) -> String {
+fn operators_file(files: NodeFiles, ajp_address: SocketAddr, more_lines: &str) -> String {
     let mut text = format!(
         "ajp listen {ajp_address}\najp allow 127.0.0.0/8\najp connections {AJP_CONNECTIONS}\n\
          ajp memory 20.5\najp route GET /items/{{}} part-lookup\n\
@@ -129,5 +129,5 @@
     if files.endpoints > 0 {
         text.push_str("below uri /ledger\nbelow connections 100\n");
     }
-    text + more
+    text + more_lines
 }
--- a/crates/ochrewalk-lab/src/upgrades.rs
+++ b/crates/ochrewalk-lab/src/upgrades.rs
@@ -38,26 +38,26 @@
 
 /// Connects to both listeners and queries the health on a persistent connection, until `is_over` is set.
 fn probe_listeners(json_at: SocketAddr, ajp_at: SocketAddr, is_over: &AtomicBool) -> ProbeResult {
-    let mut seen = ProbeResult::default();
+    let mut result = ProbeResult::default();
     let (mut persistent, mut number) = (None, 0);
     while !is_over.load(Ordering::Relaxed) {
         std::thread::sleep(PROBE_INTERVAL);
         for at in [json_at, ajp_at] {
-            seen.connects += 1;
+            result.connects += 1;
             let tried = TcpStream::connect_timeout(&at, Duration::from_secs(2));
-            seen.refused += usize::from(tried.is_err_and(|err| err.kind() == ErrorKind::ConnectionRefused));
+            result.refused += usize::from(tried.is_err_and(|err| err.kind() == ErrorKind::ConnectionRefused));
         }
         let Some(caller) = persistent.take().or_else(|| Caller::connect(json_at).ok()) else { continue };
         number += 1;
         let from = Instant::now();
         if caller.call(number, "heartbeat", "").recv_timeout(Duration::from_secs(2)).is_ok() {
-            seen.longest_pause_us = seen.longest_pause_us.max(from.elapsed().as_micros() as u64);
+            result.longest_pause_us = result.longest_pause_us.max(from.elapsed().as_micros() as u64);
             persistent = Some(caller);
         }
         // The query is answered, so a second answer is not awaited.
         persistent.iter().for_each(|caller| caller.forget(number));
     }
-    seen
+    result
 }
 
 /// Requests one upgrade over the control socket, as `ochrewalk upgrade` does.
@@ -111,15 +111,15 @@
         let environment = self.fail.as_ref().map(|fail| ("OCHREWALK_TAKE_FAILS", fail.clone()));
         let environment: Vec<_> = environment.into_iter().collect();
         let (with, upgrades) = play_alongside(program, &plan, &more_lines, &environment, |load| {
-            self.repeat_during_load(load, |seen| {
+            self.repeat_during_load(load, |result| {
                 let from = Instant::now();
                 let reply = upgrade(&control, program).unwrap_or_else(|why| why);
                 let took_us = from.elapsed().as_micros() as u64;
                 if reply == "handed over" {
-                    seen.done += 1;
-                    seen.longest_us = seen.longest_us.max(took_us);
-                } else if !seen.other.contains(&reply) {
-                    seen.other.push(reply);
+                    result.done += 1;
+                    result.longest_us = result.longest_us.max(took_us);
+                } else if !result.other.contains(&reply) {
+                    result.other.push(reply);
                 }
             })
         })?;
@@ -127,10 +127,10 @@
         // A plain restart breaks connections, so the comparison uses AJP only, whose callers reconnect.
         let ajp = Plan { protocols: Protocols::AjpOnly, ..plan };
         let (restarted, restarts) = play_alongside(program, &ajp, "", &[], |load| {
-            self.repeat_during_load(load, |seen| {
+            self.repeat_during_load(load, |result| {
                 if let Ok(mut node) = load.node.lock() {
                     node.terminate();
-                    seen.done += usize::from(node.restart().is_ok());
+                    result.done += usize::from(node.restart().is_ok());
                 }
             })
         })?;
@@ -158,23 +158,23 @@
 
     /// Runs an action at a fixed interval until the load is over, and probes the listeners meanwhile.
     fn repeat_during_load(&self, load: &RunningLoad, mut what: impl FnMut(&mut Upgrades)) -> Upgrades {
-        let over = Arc::new(AtomicBool::new(false));
-        let (stop, json_at, ajp_at) = (over.clone(), load.json_at, load.ajp_at);
+        let is_over = Arc::new(AtomicBool::new(false));
+        let (stop, json_at, ajp_at) = (is_over.clone(), load.json_at, load.ajp_at);
         let prober = std::thread::spawn(move || probe_listeners(json_at, ajp_at, &stop));
-        let mut seen = Upgrades::default();
+        let mut result = Upgrades::default();
         while !load.is_over() {
             let next = Instant::now() + self.every;
             while Instant::now() < next && !load.is_over() {
                 std::thread::sleep(PROBE_INTERVAL);
             }
             if !load.is_over() {
-                seen.sizes.push(usage(load));
-                what(&mut seen);
+                result.sizes.push(usage(load));
+                what(&mut result);
             }
         }
-        over.store(true, Ordering::Relaxed);
-        seen.probes = prober.join().unwrap_or_default();
-        seen
+        is_over.store(true, Ordering::Relaxed);
+        result.probes = prober.join().unwrap_or_default();
+        result
     }
 }
 
--- a/crates/ochrewalk-lab/tests/capacity.rs
+++ b/crates/ochrewalk-lab/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The committed capacity page is that of the committed slopes and size; with small made-up slopes, what is over
-//! budget, extrapolated or not measured is said.
+//! Tests the capacity page: the committed page matches the committed slopes and size, and pages of small artificial
+//! slopes mark values that exceed a budget, are extrapolated or were not measured.
 
 use ochrewalk_lab::capacity::catalog::{Mechanism, ROLES};
 use ochrewalk_lab::capacity::files::page_of;
--- a/crates/ochrewalk-lab/tests/scale.rs
+++ b/crates/ochrewalk-lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run at a small size: a real publisher, real relays, real nodes under load and hollow ones. What a run
-//! comes to is judged, no time is.
+//! The scale run at a small size, with a real publisher, real relays, real nodes under load and hollow nodes. The
+//! tests check the results of each run, but no times.
 
 use ochrewalk_lab::node::program;
 use serde_json::Value;
--- a/crates/ochrewalk-load-balancer/tests/fleet.rs
+++ b/crates/ochrewalk-load-balancer/tests/fleet.rs
@@ -134,7 +134,7 @@
     for (name, change, dispersion) in cases {
         let (fleet, ours) = play_with(BalancingPolicy::LatencyAwareRoundRobin, change);
         let (_, random) = play_with(BalancingPolicy::Random, change);
-        let listed = fleet.list_updates.last().map_or(&fleet.listed, |relist| &relist.endpoints);
+        let listed = fleet.list_updates.last().map_or(&fleet.listed, |update| &update.endpoints);
         let after = ours.evenness(listed, 4);
         assert!(after.idle == 0 && after.dispersion < dispersion, "{name}: {after:?}");
         let (served, random_served) = (ours.served_between(FROM, UNTIL), random.served_between(FROM, UNTIL));
