--- a/crates/ochrewalk-lab/src/spreads.rs
+++ b/crates/ochrewalk-lab/src/balancing_trial.rs
@@ -1,6 +1,7 @@
-//! The laboratory's `spread`: how even the load is over places, by real processes or in virtual time, as tables and JSON.
+//! The lab's command `spread`: measures how evenly load is distributed over endpoints, with real processes or in
+//! virtual time, and prints tables and JSON.
 
-use crate::emulated::{self, Evenness, Seen, SECOND};
+use crate::emulated::{self, Evenness, RunResult, SECOND};
 use crate::fleet::{self, Outcome, Plan};
 use crate::plot;
 use ochrewalk_load_balancer::{BalancingConfig, BalancingPolicy, Subsetting};
@@ -8,48 +9,50 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What is asked for on the command line.
+/// The options of the command line.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Options {
     pub nodes: usize,
-    pub places: usize,
+    pub endpoints: usize,
     pub rate: f64,
     pub work_ms: u64,
     pub seconds: u64,
     pub seed: u64,
-    pub way: String,
-    pub reach: Option<usize>,
+    pub policy: String,
+    pub subset_size: Option<usize>,
     pub faults: String,
     pub log: &'static str,
     pub plot: Option<PathBuf>,
-    /// In virtual time, every so often all nodes know of all queues.
-    pub told_ms: u64,
+    /// In virtual time, the interval at which all nodes learn all queue lengths; 0 for never.
+    pub queue_broadcast_ms: u64,
 }
 
-/// So many places at least are a node's own, where the way lays them out.
-const REACH: usize = 5;
+/// The default subset size of a node, for policies with deterministic subsets.
+const SUBSET_SIZE: usize = 5;
 
-impl Asked {
-    /// Only ours is laid out by numbers; the others choose among all, as each would without it.
+impl Options {
+    /// Returns the load balancing lines of the operators' file. Only `rounds` and `shuffled` use deterministic
+    /// subsets by default; the other policies select among all endpoints.
     fn lines(&self) -> String {
-        let laid_out = self.reach.or(matches!(&*self.way, "rounds" | "shuffled").then_some(REACH));
-        let reach =
-            laid_out.map_or(String::new(), |places| format!("below reach {places}\nbelow number N OF\n"));
-        format!("below way {}\n{reach}", self.way)
+        let subset_size =
+            self.subset_size.or(matches!(&*self.policy, "rounds" | "shuffled").then_some(SUBSET_SIZE));
+        let reach = subset_size
+            .map_or(String::new(), |endpoints| format!("below reach {endpoints}\nbelow number N OF\n"));
+        format!("below way {}\n{reach}", self.policy)
     }
 
-    /// On real processes. Whether no rule broke; the last line is JSON.
+    /// Runs real processes and prints the result, whose last line is JSON. Returns whether no rule was violated.
     pub fn real(&self, program: &Path) -> Result<bool, String> {
         let plan = Plan {
             nodes: self.nodes,
-            places: self.places,
+            endpoints: self.endpoints,
             rate: self.rate,
             work_us: self.work_ms * 1_000,
             seconds: self.seconds,
             seed: self.seed,
             window: Duration::from_secs(10),
-            apart: 0,
-            spread: self.lines(),
+            instance: 0,
+            balancing: self.lines(),
             fault: self.faults.clone(),
             log: self.log,
             progress: true,
@@ -60,22 +63,37 @@
         Ok(outcome.broken.is_empty())
     }
 
-    /// In virtual time, all ways, five seeds: what each figure is at best and at worst, and a plot of two of them.
+    /// Simulates all policies with five seeds in virtual time, and prints the range of each measure. Optionally draws
+    /// a plot of three combinations of policy and subset.
     pub fn emulated(&self) -> Result<bool, String> {
-        let places: Vec<usize> = (0..self.places).collect();
+        let endpoints: Vec<usize> = (0..self.endpoints).collect();
         println!(
             "{:<10}{:<7}{:>12}{:>16}{:>16}{:>8}{:>16}{:>16}{:>18}",
-            "way", "reach", "idle", "most over mean", "dispersion", "burst", "median ms", "99% ms", "served"
+            "policy",
+            "subset",
+            "idle",
+            "max over mean",
+            "dispersion",
+            "burst",
+            "median ms",
+            "99% ms",
+            "served"
         );
         let mut plots = Vec::new();
         for kind in BalancingPolicy::ALL {
             let name = kind.name();
-            let arc = Subsetting::Deterministic { size: self.reach.unwrap_or(REACH), node: 0, node_count: 1 };
-            let drawn = Subsetting::Random { size: self.reach.unwrap_or(REACH) };
-            for (reach_name, reach) in [("all", Subsetting::All), ("arc", arc), ("drawn", drawn)] {
-                let runs: Vec<Seen> =
-                    (0..5).map(|more| self.emulate(kind, reach, self.seed + more)).collect();
-                let even: Vec<Evenness> = runs.iter().map(|seen| seen.evenness(&places, 1)).collect();
+            let deterministic = Subsetting::Deterministic {
+                size: self.subset_size.unwrap_or(SUBSET_SIZE),
+                node: 0,
+                node_count: 1,
+            };
+            let random = Subsetting::Random { size: self.subset_size.unwrap_or(SUBSET_SIZE) };
+            for (subset_name, subsetting) in
+                [("all", Subsetting::All), ("arc", deterministic), ("drawn", random)]
+            {
+                let runs: Vec<RunResult> =
+                    (0..5).map(|more| self.emulate(kind, subsetting, self.seed + more)).collect();
+                let even: Vec<Evenness> = runs.iter().map(|result| result.evenness(&endpoints, 1)).collect();
                 let figure = |of: &dyn Fn(usize) -> f64, digits: usize| {
                     let all: Vec<f64> = (0..runs.len()).map(of).collect();
                     let (least, most) =
@@ -83,40 +101,40 @@
                     format!("{least:.digits$} to {most:.digits$}")
                 };
                 println!(
-                    "{name:<10}{reach_name:<7}{:>12}{:>16}{:>16}{:>8}{:>16}{:>16}{:>18}",
+                    "{name:<10}{subset_name:<7}{:>12}{:>16}{:>16}{:>8}{:>16}{:>16}{:>18}",
                     figure(&|at| even[at].idle as f64, 0),
                     figure(&|at| even[at].max_over_mean, 2),
                     figure(&|at| even[at].dispersion, 2),
-                    runs.iter().map(|seen| seen.burst).max().unwrap_or(0),
+                    runs.iter().map(|result| result.burst).max().unwrap_or(0),
                     figure(&|at| runs[at].quantile_ms(0.5), 0),
                     figure(&|at| runs[at].quantile_ms(0.99), 0),
                     figure(&|at| runs[at].served_share(), 4),
                 );
-                if matches!((name, reach_name), ("fastest" | "random", "all") | ("rounds", "arc")) {
-                    plots.push((format!("{name}, {reach_name}"), runs.into_iter().next().expect("five")));
+                if matches!((name, subset_name), ("fastest" | "random", "all") | ("rounds", "arc")) {
+                    plots.push((format!("{name}, {subset_name}"), runs.into_iter().next().expect("five")));
                 }
             }
         }
         if let Some(file) = &self.plot {
             plots.reverse();
-            plot::by_place(file, &plots, &places)?;
+            plot::by_endpoint(file, &plots, &endpoints)?;
             println!("plot: {}", file.display());
         }
         Ok(true)
     }
 
-    fn emulate(&self, policy: BalancingPolicy, subsetting: Subsetting, seed: u64) -> Seen {
+    fn emulate(&self, policy: BalancingPolicy, subsetting: Subsetting, seed: u64) -> RunResult {
         let plan = BalancingConfig {
             policy,
             subsetting,
             uses_learned_weights: policy != BalancingPolicy::LeastLatency,
             ..BalancingConfig::default()
         };
-        let mut fleet = emulated::Fleet::plain(self.nodes, self.places, plan, seed);
+        let mut fleet = emulated::Fleet::plain(self.nodes, self.endpoints, plan, seed);
         (fleet.rate, fleet.first_rate, fleet.seconds) = (self.rate, self.rate, self.seconds);
         fleet.work_us = self.work_ms as f64 * 1_000.0;
         fleet.deadline_us = 20 * SECOND;
-        fleet.told_us = self.told_ms * 1_000;
+        fleet.queue_broadcast_us = self.queue_broadcast_ms * 1_000;
         emulated::play(&fleet)
     }
 }
--- a/crates/ochrewalk-lab/src/lib.rs
+++ b/crates/ochrewalk-lab/src/lib.rs
@@ -1,29 +1,30 @@
-//! The project's laboratory: stand-ins for a node's executor, for the ledger below it and for its callers by both
-//! protocols, and a checker of the rules. All on loopback, bounded in time, from one seed.
+//! Test lab for nodes: stand-ins for a node's executor, for its upstream dependency and for its callers over both
+//! protocols, and a checker of the rules that calls have to obey. Everything runs on loopback, takes a bounded time
+//! and derives from one seed.
 
 pub mod ajp;
-pub mod book;
+pub mod balancing_trial;
+pub mod call_log;
+pub mod canary_trial;
 pub mod capacity;
 pub mod changes;
 pub mod cold_endpoints;
+pub mod control_proxy;
+pub mod dependency;
 pub mod emulated;
 pub mod executor;
 pub mod faults;
+pub mod faulty_links;
 pub mod fleet;
 pub mod json;
-pub mod judged;
-pub mod ledger;
+pub mod limits_trial;
 pub mod load;
 pub mod node;
 pub mod plot;
-pub mod pooled;
-pub mod relays;
 pub mod rollouts;
 pub mod scale;
 pub mod slopes;
-pub mod spreads;
 pub mod upgrades;
-pub mod wires;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/ochrewalk-node/tests/ajp.rs
+++ b/crates/ochrewalk-node/tests/ajp.rs
@@ -6,7 +6,7 @@
 use helper::*;
 use ochrewalk_ajp::request::Message;
 use ochrewalk_lab::ajp::{piece, plain, Answer, Call, Peer as Ajp};
-use ochrewalk_lab::ledger::{Act, Ledger};
+use ochrewalk_lab::dependency::{CallAction, Dependency};
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpStream};
@@ -41,9 +41,9 @@
 
 /// Starts a node whose upstream is a dependency with a host name, which answers calls as the script says.
 fn start_with_shared_dependency(
-    script: impl Fn(&ochrewalk_lab::ledger::Came) -> Act + Send + Sync + 'static,
-) -> (TestNode, Peer, Ledger) {
-    let dependency = Ledger::start("127.0.0.21:0".parse().unwrap(), IDLE_TIMEOUT, script).unwrap();
+    script: impl Fn(&ochrewalk_lab::dependency::ReceivedCall) -> CallAction + Send + Sync + 'static,
+) -> (TestNode, Peer, Dependency) {
+    let dependency = Dependency::start("127.0.0.21:0".parse().unwrap(), IDLE_TIMEOUT, script).unwrap();
     let directives = format!(
         "host ledger.example.org 127.0.0.21\nbelow ajp ledger.example.org:{}\nbelow uri /ledger\nbelow secret pear\n\
          below reply 200ms\nbelow pause 50ms 100ms\nbelow leave-out 1000\n",
@@ -343,7 +343,7 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.9.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.connect(&node.ajp.parse::<SocketAddr>().unwrap().into()).unwrap();
-    let mut denied = Ajp::over(TcpStream::from(socket), READ_TIMEOUT).unwrap();
+    let mut denied = Ajp::from_stream(TcpStream::from(socket), READ_TIMEOUT).unwrap();
     let _ = denied.send(&look(7).whole());
     assert!(denied.is_ended());
     assert_serves(&node, &mut executor, 8, 2);
@@ -496,14 +496,15 @@
 #[test]
 fn each_upstream_outcome_returns_repeats_or_aborts_the_call() {
     // The dependency's next action; after that it answers successfully.
-    let next_action: Arc<Mutex<Option<Act>>> = Arc::default();
+    let next_action: Arc<Mutex<Option<CallAction>>> = Arc::default();
     let script_action = next_action.clone();
     let (node, mut executor, dependency) = start_with_shared_dependency(move |_| {
-        script_action.lock().unwrap().take().unwrap_or_else(|| Act::good(b"A\r\n\x01B"))
+        script_action.lock().unwrap().take().unwrap_or_else(|| CallAction::ok(b"A\r\n\x01B"))
     });
     let mut peer = connect(&node);
     let mut number = 0;
-    let status = |status, never_ran| Act::Answer { status, never_ran, body: vec![], after: Duration::ZERO };
+    let status =
+        |status, never_ran| CallAction::Answer { status, never_ran, body: vec![], after: Duration::ZERO };
     let returned = |number| format!(r#"{{"action":"RETURN","uid":"{}","content":"#, req(number));
     for (action, method, outcome) in [
         (None, "look", "returned"),
@@ -516,21 +517,21 @@
         (Some(status(503, false)), "sale", "aborted"),
         (Some(status(500, false)), "once", "aborted"),
         (Some(status(504, false)), "sale", "aborted"),
-        (Some(Act::Cut(0)), "look", "returned"),
-        (Some(Act::Cut(0)), "sale", "aborted"),
-        (Some(Act::Cut(7)), "look", "returned"),
-        (Some(Act::Cut(7)), "once", "aborted"),
-        (Some(Act::Half), "look", "returned"),
-        (Some(Act::Half), "sale", "aborted"),
-        (Some(Act::Short), "look", "returned"),
-        (Some(Act::Short), "once", "aborted"),
+        (Some(CallAction::Truncate(0)), "look", "returned"),
+        (Some(CallAction::Truncate(0)), "sale", "aborted"),
+        (Some(CallAction::Truncate(7)), "look", "returned"),
+        (Some(CallAction::Truncate(7)), "once", "aborted"),
+        (Some(CallAction::HalfAnswer), "look", "returned"),
+        (Some(CallAction::HalfAnswer), "sale", "aborted"),
+        (Some(CallAction::ShortBody), "look", "returned"),
+        (Some(CallAction::ShortBody), "once", "aborted"),
         // The first of two replies is accepted; the second belongs to no call and closes its connection.
-        (Some(Act::Twice), "sale", "returned"),
+        (Some(CallAction::AnswerTwice), "sale", "returned"),
         (None, "once", "returned"),
-        (Some(Act::Last), "look", "returned"),
+        (Some(CallAction::AnswerAndClose), "look", "returned"),
         // The call is read and dropped before it runs, which the node cannot distinguish from a lost reply.
-        (Some(Act::Drop), "look", "returned"),
-        (Some(Act::Drop), "once", "aborted"),
+        (Some(CallAction::Drop), "look", "returned"),
+        (Some(CallAction::Drop), "once", "aborted"),
     ] {
         number += 1;
         let case = format!("{number}: {action:?} {method}");
@@ -557,7 +558,7 @@
         let number = u64::from_str_radix(&call.id, 16).unwrap();
         let is_repeatable = [1, 3, 5, 9, 11, 13, 15, 19, 20].contains(&number);
         assert!(is_repeatable || runs == 1, "{number} ran {runs} times");
-        assert!(is_repeatable || call.proven || call.before == 0, "{call:?}");
+        assert!(is_repeatable || call.was_pinged || call.before == 0, "{call:?}");
         assert_eq!((call.body.as_slice(), call.secret.as_deref()), (&b"\x00\x01\x02"[..], Some("pear")));
     }
     assert!(dependency.pings() > 0 && dependency.connections() > 5);
@@ -566,9 +567,10 @@
 #[test]
 fn a_call_on_an_upstream_connection_that_was_closed_is_made_once() {
     // The dependency closes idle connections after 40 ms, just as the next call is about to be written.
-    let dependency =
-        Ledger::start("127.0.0.21:0".parse().unwrap(), Duration::from_millis(40), |_| Act::good(b"A"))
-            .unwrap();
+    let dependency = Dependency::start("127.0.0.21:0".parse().unwrap(), Duration::from_millis(40), |_| {
+        CallAction::ok(b"A")
+    })
+    .unwrap();
     let directives = format!("below ajp 127.0.0.21:{}\nbelow trust 1s\n", dependency.at.port());
     let (node, mut executor) = start(|_| (), &directives);
     let mut peer = connect(&node);
@@ -586,7 +588,7 @@
 #[test]
 fn with_one_endpoint_unreachable_the_other_gets_all_calls() {
     let reachable =
-        Ledger::start("127.0.0.22:0".parse().unwrap(), IDLE_TIMEOUT, |_| Act::good(b"A")).unwrap();
+        Dependency::start("127.0.0.22:0".parse().unwrap(), IDLE_TIMEOUT, |_| CallAction::ok(b"A")).unwrap();
     let unreachable = ochrewalk_lab::node::unused_address().unwrap();
     let directives = format!("below ajp {unreachable}\nbelow ajp {}\nbelow leave-out 2\n", reachable.at);
     let (node, mut executor) = start(|_| (), &directives);
