--- a/crates/ochrewalk-operator-config/src/diagnostic.rs
+++ b/crates/ochrewalk-operator-config/src/diagnostic.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a file, and what would be right.
+//! Errors in a file, each with the problem and a suggestion.
 
-/// One fault in a file, as `file:line: problem; suggestion`.
+/// An error in a file, displayed as `file:line: problem; suggestion`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 #[error("{file}{}: {problem}; {suggestion}", line_suffix(*.line))]
 pub struct Diagnostic {
-    /// The file, as its reader named it.
+    /// The file's name, as the caller gave it.
     pub file: String,
-    /// From 1 on; 0 where the fault is of the file as a whole.
+    /// The line, counted from 1; 0 if the error concerns the complete file.
     pub line: usize,
-    /// What is wrong.
+    /// The problem found.
     pub problem: String,
-    /// What would be right.
+    /// The correction to make.
     pub suggestion: String,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// What is wrong with one line, before it is known which file and line that is.
+/// An error in one line, before the file and the line number are known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LineError {
     pub problem: String,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Short for an error in place of any value.
+/// Returns a [`LineError`] as the error of any result.
 pub(crate) fn line_error<T>(
     problem: impl Into<String>,
     suggestion: impl Into<String>,
@@ -46,7 +46,7 @@
     Err(LineError::new(problem, suggestion))
 }
 
-/// What is wrong between several lines, with the line to name; 0 for the file as a whole.
+/// An error that concerns several lines, with the line to report; 0 for the complete file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FileError {
     pub line: usize,
--- a/crates/ochrewalk-operator-config/src/lib.rs
+++ b/crates/ochrewalk-operator-config/src/lib.rs
@@ -1,29 +1,32 @@
-//! The operators' own file, for what the platform's file does not know: one directive a line, in the manner of classic
-//! daemons. It is read and checked here and nowhere else. The same lexical rules serve the plan of a rollout and files of
-//! changes to distributed resources.
+//! Parses and checks the operators' configuration file, which holds the settings that the platform's file does not have:
+//! one directive per line, as in the configuration of classic daemons. No other crate parses this file. Rollout plans and
+//! files of changes to distributed resources follow the same lexical rules.
 //!
-//! # What is guaranteed
+//! # Guarantees
 //!
-//! * Every fault is reported as `file:line: problem; suggestion`, all faults of single lines at once. What is wrong
-//!   between directives is reported once no line is wrong by itself.
-//! * What the file does not name is off, or has the default that [`settings`] documents.
-//! * A file that is accepted stays accepted: directives are only added, and no directive changes its meaning.
+//! * Every error is reported as `file:line: problem; suggestion`, and the errors of all single lines are reported together.
+//!   Errors between directives are reported only if every line is valid by itself.
+//! * A feature that the file does not name is off, and a setting that it does not name has the default that [`settings`]
+//!   documents.
+//! * A file that is accepted stays accepted by later versions: directives are only added, and no directive changes its
+//!   meaning.
 //!
 //! # From text to settings
 //!
 //! | step | module | result |
 //! | --- | --- | --- |
 //! | a line is split into words | `lexer` | words, or an unclosed quotation mark |
-//! | its first words name a directive | `directive` | one row of the table of all directives |
-//! | its arguments are read, with their units | `values`, `units` | single values |
-//! | a group of directives takes them | `parser` | settings of one subject |
-//! | all groups are checked together | `parser` | [`OperatorConfig`] |
+//! | the first words are looked up as a directive | `directive` | one row of the table of all directives |
+//! | the arguments are parsed, with their units | `values`, `units` | single values |
+//! | the parser of the directive's section stores them | `parser` | settings of one section |
+//! | all sections are checked together | `parser` | [`OperatorConfig`] |
 //!
-//! [`changes()`] compares two files and says for each changed directive what brings it into force ([`ChangeClass`]).
+//! [`changes()`] compares two files and returns for each changed directive the action that puts it into force
+//! ([`ChangeClass`]).
 //!
-//! # What is left to the caller
+//! # Responsibilities of the caller
 //!
-//! Files are opened by the caller, secret files included: this crate does no I/O.
+//! The caller opens all files, secret files included: this crate does no I/O.
 //!
 //! ```
 //! use ochrewalk_operator_config::{parse, MethodContext, NodeContext};
--- a/crates/ochrewalk-operator-config/src/resources/change_file.rs
+++ b/crates/ochrewalk-operator-config/src/resources/change_file.rs
@@ -1,4 +1,4 @@
-//! Files of changes to distributed resources: one change a line, by the lexical rules of the operators' file.
+//! Parses files of changes to distributed resources: one change per line, with the lexical rules of the operators' file.
 
 use super::{check, endpoint_name, limit_name, quota_name, route_name};
 use crate::diagnostic::{line_error, Diagnostic, LineError};
@@ -7,7 +7,7 @@
 use ochrewalk_distribution::messages::{Endpoint, Limit, Quota, Resource, Route, Value};
 use std::net::SocketAddr;
 
-/// How each change is written.
+/// The syntax of each change.
 const USAGES: [&str; 8] = [
     "route SCOPE HTTP-METHOD PATH METHOD",
     "quota TENANT PER-SECOND",
@@ -21,10 +21,10 @@
 
 const DELETE: &str = "delete";
 
-/// Reads a file of changes. `file` names it in diagnostics.
+/// Parses a file of changes. `file` is its name in diagnostics.
 ///
 /// # Errors
-/// All lines that are wrong, in their order.
+/// Returns the errors of all invalid lines, in the order of the lines.
 ///
 /// ```
 /// use ochrewalk_operator_config::resources::read_changes;
@@ -65,16 +65,16 @@
         ["quota", tenant, rate] => {
             (quota_name(tenant), Some(Value::Quota(Quota { per_second: number(rate)? })))
         }
-        ["endpoint", scope, at, capacity, zone] => {
+        ["endpoint", scope, word, capacity, zone] => {
             let endpoint = Endpoint { weight: weight(capacity)?, zone: (*zone).into() };
-            (endpoint_name(scope, address(at)?), Some(Value::Endpoint(endpoint)))
+            (endpoint_name(scope, address(word)?), Some(Value::Endpoint(endpoint)))
         }
         ["limit", scope, limit, amount] => {
             (limit_name(scope, limit), Some(Value::Limit(Limit { amount: number(amount)? })))
         }
         [DELETE, "route", scope, http_method, path] => (route_name(scope, http_method, path), None),
         [DELETE, "quota", tenant] => (quota_name(tenant), None),
-        [DELETE, "endpoint", scope, at] => (endpoint_name(scope, address(at)?), None),
+        [DELETE, "endpoint", scope, word] => (endpoint_name(scope, address(word)?), None),
         [DELETE, "limit", scope, limit] => (limit_name(scope, limit), None),
         _ => return Err(unknown(&words)),
     };
@@ -92,7 +92,7 @@
     address.or_else(|_| line_error(format!("{word} is no address"), "write ADDRESS:PORT, with an IP address"))
 }
 
-/// The error for a line that is no change, with its usage where its first words are known.
+/// Returns the error for a line that is not a change, with the syntax if its first words are known.
 fn unknown(words: &[&str]) -> LineError {
     let name_words = if words[0] == DELETE { 2 } else { 1 };
     let name = words.iter().take(name_words).copied().collect::<Vec<_>>().join(" ");
--- a/crates/ochrewalk-operator-config/src/resources/mod.rs
+++ b/crates/ochrewalk-operator-config/src/resources/mod.rs
@@ -1,5 +1,5 @@
-//! Distributed resources: their names, the checks of the operators' file applied to single resources by whoever publishes
-//! them and again by each node that takes them, and files of changes.
+//! Names and validation of distributed resources, and files of changes to them. The publisher validates each resource, and
+//! each node that receives it validates it again, with the checks of the operators' file.
 
 mod change_file;
 mod validation;
@@ -10,25 +10,25 @@
 use ochrewalk_distribution::messages::{ResourceKind, ResourceName};
 use std::net::SocketAddr;
 
-/// The scope of all quotas: nodes fetch them one by one, not by scope.
+/// The scope of all quotas, which nodes fetch one by one and not by scope.
 pub const QUOTA_SCOPE: &str = "tenants";
 
-/// The name of a route.
+/// Returns the name of a route.
 pub fn route_name(scope: &str, http_method: &str, path: &str) -> ResourceName {
     name(ResourceKind::Route, scope, &format!("{http_method} {path}"))
 }
 
-/// The name of a tenant's quota.
+/// Returns the name of a tenant's quota.
 pub fn quota_name(tenant: &str) -> ResourceName {
     name(ResourceKind::Quota, QUOTA_SCOPE, tenant)
 }
 
-/// The name of an endpoint.
+/// Returns the name of an endpoint.
 pub fn endpoint_name(scope: &str, address: SocketAddr) -> ResourceName {
     name(ResourceKind::Endpoint, scope, &address.to_string())
 }
 
-/// The name of a limit.
+/// Returns the name of a limit.
 pub fn limit_name(scope: &str, limit: &str) -> ResourceName {
     name(ResourceKind::Limit, scope, limit)
 }
@@ -37,12 +37,12 @@
     ResourceName { kind: kind as i32, scope: scope.into(), name: name.into() }
 }
 
-/// The address of an endpoint, from its name; none where that is no address.
+/// Returns the address of an endpoint, parsed from its name; `None` if the name is not an address.
 pub fn endpoint_address(name: &ResourceName) -> Option<SocketAddr> {
     name.name.parse().ok()
 }
 
-/// A resource's name as operators know it.
+/// Returns a resource's name in the form that operators read.
 pub fn describe(name: &ResourceName) -> String {
     match name.kind() {
         ResourceKind::Route => format!("route {} {}", name.scope, name.name),
--- a/crates/ochrewalk-operator-config/src/resources/validation.rs
+++ b/crates/ochrewalk-operator-config/src/resources/validation.rs
@@ -7,36 +7,36 @@
 use ochrewalk_ingress::judge::MOST_TENANT;
 use ochrewalk_ingress::routes::Routes;
 
-/// The limit that gives the memory of requests that state none, in KB.
+/// The name of the limit that sets the memory of requests that state none, in KB.
 pub const LIMIT_USUAL_MEMORY: &str = "usual-memory-kb";
-/// Limits that a running node takes over, and the bound that each stays under.
+/// The limits that a running node applies, each with its exclusive upper bound.
 const LIMITS: [(&str, f64); 1] = [(LIMIT_USUAL_MEMORY, 2_000.0)];
 
-/// Why a resource is rejected, as `resource: problem; suggestion`.
+/// The reason for which a resource is rejected, displayed as `resource: problem; suggestion`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{name}: {problem}; {suggestion}")]
 pub struct InvalidResource {
-    /// The resource, as [`describe`] writes it.
+    /// The resource's name, as [`describe`] returns it.
     pub name: String,
-    /// What is wrong.
+    /// The problem found.
     pub problem: String,
-    /// What would be right.
+    /// The correction to make.
     pub suggestion: String,
 }
 
-/// The method of a node that a route leads to.
+/// The node's method to which a route maps requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// Its position in the node's list of methods.
+    /// The method's position in the node's list of methods.
     pub position: usize,
-    /// It may run twice without harm.
+    /// Whether the method may run twice without harm.
     pub is_idempotent: bool,
 }
 
-/// Checks what can be checked without a node: what no node could take is rejected before it is published.
+/// Validates a resource without knowledge of a node, so that a resource that every node would reject is not published.
 ///
 /// # Errors
-/// The first thing that is wrong with the resource.
+/// Returns the first problem of the resource.
 pub fn check(resource: &Resource) -> Result<(), InvalidResource> {
     let checked = match &resource.value {
         None => Ok(()),
@@ -48,11 +48,11 @@
     checked.map_err(|error| invalid(&resource.name, error))
 }
 
-/// Checks a route against the method that it leads to, none where the node has no such method, and gives the method's
-/// position.
+/// Checks a route against its method and returns the method's position. `target` is `None` if the node has no such method.
 ///
 /// # Errors
-/// The node has no such method, or the method must not run twice and the HTTP method may be repeated by intermediaries.
+/// Returns an error if the node has no such method, or if the method must not run twice and intermediaries may retry the
+/// HTTP method.
 pub fn check_route_target(
     name: &ResourceName,
     route: &Route,
--- a/crates/ochrewalk-operator-config/src/settings.rs
+++ b/crates/ochrewalk-operator-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operators' file sets, with the defaults of what it does not name.
+//! The settings of the operators' file, with the defaults of those that the file does not name.
 
 use ochrewalk_ajp::packet::USUAL_PACKET;
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
@@ -7,47 +7,48 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Of a node's descriptors, one in so many may be an AJP connection unless the file says otherwise.
+/// The default limit on AJP connections is the node's number of descriptors divided by this.
 const DESCRIPTORS_PER_CONNECTION: usize = 8;
-/// A request may not ask for more memory than this, in KB.
+/// The bound on the memory that a request may state, in KB.
 const MAX_REQUEST_MEMORY_KB: f64 = 2_000.0;
 
-/// All that the file sets. What it does not name is off.
+/// All settings of the operators' file. A feature that the file does not name is off.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    /// The listener for AJP, if one is configured.
+    /// The AJP listener, if one is configured.
     pub ajp_listener: Option<AjpListener>,
-    /// The AJP servers that upstream calls go to, if calls go by AJP.
+    /// The AJP servers that receive upstream calls; `None` if upstream calls use another protocol.
     pub ajp_upstream: Option<AjpUpstream>,
-    /// The supervisor's control socket, by which an upgrade is requested; none where upgrades are off.
+    /// The supervisor's control socket, which accepts requests for an upgrade; `None` if upgrades are off.
     pub upgrade_control: Option<PathBuf>,
-    /// The control plane that the node subscribes to.
+    /// The subscription to the control plane, if one is configured.
     pub config_agent: Option<ConfigAgent>,
 }
 
 impl OperatorConfig {
-    /// What cannot change while the node runs, as text: a program may hand over only to one for which it is the same. The
-    /// text is hashed and compared between versions of the program, so it never changes its form.
+    /// Returns the settings that cannot change while the node runs, as text: a process may hand over only to a successor for
+    /// which this text is the same. The text is hashed and compared between versions of the program, so its format must not
+    /// change.
     pub fn restart_only_settings(&self) -> String {
         let listen = self.ajp_listener.as_ref().map(|listener| listener.listen);
         format!("{listen:?} {:?} {}", self.upgrade_control, self.ajp_upstream.is_some())
     }
 }
 
-/// How the node subscribes to the control plane.
+/// The node's subscription to the control plane.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigAgent {
-    /// Relays, two or more, of which the node chooses one at a time.
+    /// The relays, two or more, of which the node uses one at a time.
     pub relays: Vec<SocketAddr>,
-    /// The region that the node names when it subscribes.
+    /// The region that the node sends when it subscribes.
     pub region: String,
-    /// Scopes whose resources the node subscribes to as a whole.
+    /// The scopes of which the node subscribes to all resources.
     pub scopes: Vec<String>,
-    /// Where the configuration in force is stored for the next start.
+    /// The path at which the configuration in force is stored for the next start.
     pub snapshot: Option<PathBuf>,
-    /// The most bytes a second that the subscription may use.
+    /// The maximum bandwidth of the subscription, in bytes per second.
     pub bytes_per_second: u64,
-    /// Quotas that are cached at a time; those used least recently are fetched again when they are needed.
+    /// The maximum number of cached quotas; the least recently used ones are evicted and fetched again on demand.
     pub max_tenants: usize,
 }
 
@@ -64,27 +65,27 @@
     }
 }
 
-/// The listener that accepts AJP connections.
+/// The settings of the listener that accepts AJP connections.
 #[derive(Clone, Debug)]
 pub struct AjpListener {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Networks that may connect.
+    /// The networks whose peers may connect.
     pub allowed_peers: AllowedPeers,
-    /// What requests stand for.
+    /// The rules by which requests are mapped to methods.
     pub rules: Rules,
-    /// The file with the secret, if it is in a file of its own; read when the node starts.
+    /// The file with the secret, if the secret is in a separate file; the file is read when the node starts.
     pub secret_file: Option<PathBuf>,
-    /// The longest packet with its header, in bytes.
+    /// The maximum size of a packet with its header, in bytes.
     pub max_packet_bytes: usize,
-    /// The most connections at a time, each with a descriptor of its own.
+    /// The maximum number of concurrent connections; each takes one descriptor.
     pub max_connections: usize,
-    /// An idle connection is closed after this time, in microseconds.
+    /// The time after which an idle connection is closed, in microseconds.
     pub idle_timeout_us: u64,
 }
 
 impl AjpListener {
-    /// The defaults of a listener at `listen`, for a node with so many descriptors.
+    /// Returns the defaults of a listener at `listen`, for a node with this number of descriptors.
     pub(crate) fn with_defaults(listen: SocketAddr, descriptors: usize) -> AjpListener {
         let rules = Rules { most_kb: MAX_REQUEST_MEMORY_KB, headers: Headers::default(), ..Rules::default() };
         AjpListener {
@@ -99,56 +100,56 @@
     }
 }
 
-/// A server that upstream calls go to.
+/// A server that receives upstream calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamEndpoint {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its capacity in relation to the others'.
+    /// The capacity of the server in relation to the other servers.
     pub weight: f64,
-    /// It is in the zone of this node, or zones are not configured.
+    /// Whether the server is in the zone of this node; true if zones are not configured.
     pub is_in_local_zone: bool,
 }
 
-/// Upstream calls by AJP.
+/// The settings of upstream calls over AJP.
 #[derive(Clone, Debug)]
 pub struct AjpUpstream {
     /// The servers, in the order of their lines.
     pub endpoints: Vec<UpstreamEndpoint>,
     /// The zone of this node, if zones are configured.
     pub zone: Option<String>,
-    /// How calls are balanced over the endpoints, and when one is ejected.
+    /// The load balancing policy and the rules of outlier ejection.
     pub balancing: BalancingConfig,
     /// The socket that reports the state of each endpoint.
     pub status_socket: Option<PathBuf>,
-    /// The server name that calls carry, for servers with several names.
+    /// The server name sent with calls, for servers with several names.
     pub server_name: String,
     /// The path that calls are sent to.
     pub uri: String,
-    /// The secret that calls carry.
+    /// The secret sent with calls.
     pub secret: Option<Vec<u8>>,
-    /// The file with the secret, if it is in a file of its own; read when the node starts.
+    /// The file with the secret, if the secret is in a separate file; the file is read when the node starts.
     pub secret_file: Option<PathBuf>,
-    /// The longest packet with its header, in bytes.
+    /// The maximum size of a packet with its header, in bytes.
     pub max_packet_bytes: usize,
-    /// The most connections at a time, over all endpoints.
+    /// The maximum number of concurrent connections, over all endpoints.
     pub max_connections: usize,
-    /// How long connecting may take, in microseconds.
+    /// The timeout for connecting, in microseconds.
     pub connect_timeout_us: u64,
-    /// How long a reply to a ping may take, in microseconds.
+    /// The timeout for the CPong reply to a CPing, in microseconds.
     pub ping_timeout_us: u64,
-    /// How long the rest of a reply may take once it has begun, in microseconds.
+    /// The timeout for the rest of a reply, from its first byte, in microseconds.
     pub reply_timeout_us: u64,
-    /// A connection that was idle for longer is pinged before it carries a call, in microseconds.
+    /// The idle time after which a connection is checked by a CPing before it is used for a call, in microseconds.
     pub ping_after_idle_us: u64,
-    /// An idle connection is closed after this time, in microseconds.
+    /// The time after which an idle connection is closed, in microseconds.
     pub max_idle_us: u64,
-    /// Retries of upstream calls as a share of first attempts.
+    /// The maximum number of retries of upstream calls, as a share of first attempts.
     pub retry_budget: f64,
 }
 
 impl AjpUpstream {
-    /// The defaults, for a node with so many descriptors.
+    /// Returns the defaults for a node with this number of descriptors.
     pub(crate) fn with_defaults(descriptors: usize) -> AjpUpstream {
         AjpUpstream {
             endpoints: Vec::new(),
