--- a/crates/ochrewalk-operator-config/src/changes.rs
+++ b/crates/ochrewalk-operator-config/src/changes.rs
@@ -1,27 +1,28 @@
-//! Decides what it takes to bring a changed operators' file into force: which directives differ in meaning, and for each
-//! whether the running program takes it over by itself, whether a successor has to take over with the new file, or whether
-//! the node has to be started again.
+//! Decides which action puts a changed operators' file into force: finds the directives that differ in meaning, and for each
+//! whether the running process can reload it, whether a successor process has to take over with the new file, or whether the
+//! node has to be restarted.
 
 use crate::directive::{self, ChangeClass, Section};
 use crate::lexer::split_words;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Whether there is this directive decides by which protocol upstream calls go.
+/// The directive whose presence selects AJP as the protocol of upstream calls.
 const UPSTREAM_ENDPOINT: &str = "below ajp";
-/// The only directive whose lines have an order: the first route that fits counts.
+/// The only directive for which the order of lines is significant: the first route that matches applies.
 const ROUTE: &str = "ajp route";
 
-/// A directive with another meaning in the newer file.
+/// A directive whose meaning differs between two files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// As in `ajp route`.
+    /// The name of the directive, such as `ajp route`.
     pub directive: String,
-    /// The arguments of its lines in the older file, with names of hosts as their addresses; none where it does not stand.
+    /// The arguments of its lines in the older file, with host names replaced by their addresses; empty if the directive is
+    /// absent.
     pub before: Vec<String>,
-    /// The same in the newer file.
+    /// The arguments of its lines in the newer file, in the same form.
     pub after: Vec<String>,
-    /// What brings it into force.
+    /// The action that puts the change into force.
     pub class: ChangeClass,
 }
 
@@ -34,17 +35,17 @@
                 lines.join(", ")
             }
         };
-        let by = match self.class {
+        let action = match self.class {
             ChangeClass::Reload => "by SIGHUP",
             ChangeClass::HandOver => "by a hand-over",
-            ChangeClass::Restart => "by a start only",
+            ChangeClass::Restart => "by a restart only",
         };
-        write!(f, "{}: {} becomes {} ({by})", self.directive, list(&self.before), list(&self.after))
+        write!(f, "{}: {} becomes {} ({action})", self.directive, list(&self.before), list(&self.after))
     }
 }
 
-/// What differs between two files that can be read, in the order of directives' names. Blanks, comments, the order of
-/// lines where it has no meaning, and how a host is named are no difference.
+/// Returns the differences between two valid files, sorted by the names of the directives. Differences in blanks, in
+/// comments, in the names of hosts, and in the order of lines where it is not significant, are ignored.
 ///
 /// ```
 /// use ochrewalk_operator_config::{changes, ChangeClass};
@@ -55,34 +56,34 @@
 /// assert_eq!(found[0].class, ChangeClass::HandOver);
 /// ```
 pub fn changes(before: &str, after: &str) -> Vec<Change> {
-    let (before, after) = (Meaning::of(before), Meaning::of(after));
+    let (before, after) = (NormalizedFile::parse(before), NormalizedFile::parse(after));
     let names: BTreeSet<&String> = before.0.keys().chain(after.0.keys()).collect();
     names.into_iter().filter_map(|name| change(name, &before, &after)).collect()
 }
 
-fn change(name: &str, before: &Meaning, after: &Meaning) -> Option<Change> {
+fn change(name: &str, before: &NormalizedFile, after: &NormalizedFile) -> Option<Change> {
     let (old, new) = (before.arguments(name), after.arguments(name));
     if old == new {
         return None;
     }
     let DirectiveLines { class, .. } = after.0.get(name).or_else(|| before.0.get(name))?;
-    // Upstream calls by another protocol than before make another node.
+    // The protocol of upstream calls cannot change while the node runs.
     let changes_protocol = name == UPSTREAM_ENDPOINT && before.has_ajp_upstream() != after.has_ajp_upstream();
     let class = if changes_protocol { ChangeClass::Restart } else { *class };
     Some(Change { directive: name.to_string(), before: old, after: new, class })
 }
 
-/// All lines of one directive.
+/// The lines of one directive.
 struct DirectiveLines {
     arguments: Vec<String>,
     class: ChangeClass,
 }
 
-/// What a file says, by directive, without what makes no difference.
-struct Meaning(BTreeMap<String, DirectiveLines>);
+/// The directives of a file by name, normalized so that equal meanings compare equal.
+struct NormalizedFile(BTreeMap<String, DirectiveLines>);
 
-impl Meaning {
-    fn of(text: &str) -> Meaning {
+impl NormalizedFile {
+    fn parse(text: &str) -> NormalizedFile {
         let lines: Vec<Vec<String>> = text.lines().filter_map(|line| split_words(line).ok()).collect();
         let hosts = hosts(&lines);
         let mut all = BTreeMap::new();
@@ -96,7 +97,7 @@
         for (_, lines) in all.iter_mut().filter(|(name, _)| *name != ROUTE) {
             lines.arguments.sort();
         }
-        Meaning(all)
+        NormalizedFile(all)
     }
 
     fn arguments(&self, directive: &str) -> Vec<String> {
@@ -108,13 +109,13 @@
     }
 }
 
-/// Addresses by name, of all `host` lines.
+/// Returns the addresses of all `host` lines by name.
 fn hosts(lines: &[Vec<String>]) -> BTreeMap<&str, &str> {
-    let host = |words: &'_ Vec<String>| words.len() == 3 && words[0] == Section::Host.name();
-    lines.iter().filter(|words| host(words)).map(|words| (&*words[1], &*words[2])).collect()
+    let is_host = |words: &'_ Vec<String>| words.len() == 3 && words[0] == Section::Host.name();
+    lines.iter().filter(|words| is_host(words)).map(|words| (&*words[1], &*words[2])).collect()
 }
 
-/// A word with a host's name as its address, quoted where it needs to be.
+/// Returns a word with the host name replaced by its address, quoted if necessary.
 fn normalized(word: &str, hosts: &BTreeMap<&str, &str>) -> String {
     if let Some((name, port)) = word.rsplit_once(':') {
         if let Some(address) = hosts.get(name) {
--- a/crates/ochrewalk-operator-config/src/directive.rs
+++ b/crates/ochrewalk-operator-config/src/directive.rs
@@ -1,50 +1,50 @@
-//! The table of all directives of the operators' file: how each is written, whether it may stand more than once, and what
-//! brings a changed one into force.
+//! The table of all directives of the operators' file: the syntax of each, whether it is repeatable, and the action that puts
+//! a changed one into force.
 
 use crate::diagnostic::LineError;
 
-/// What brings a changed directive into force, the least first.
+/// The action that puts a changed directive into force, in the order of increasing disruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeClass {
     /// SIGHUP: the running program reads the file again.
     Reload,
-    /// A successor takes over with the new file; requests and connections stay.
+    /// A successor process takes over with the new file; requests and connections stay.
     HandOver,
-    /// The node has to be started again: listeners, and the protocol of upstream calls, cannot change while it runs.
+    /// The node is restarted: listeners, and the protocol of upstream calls, cannot change while the node runs.
     Restart,
 }
 
-/// The first word of a directive: the group that it belongs to.
+/// The section of a directive, named by the first word of its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Section {
-    /// Names for addresses.
+    /// Host names for IP addresses.
     Host,
     /// The AJP listener.
     Ajp,
-    /// Upstream calls by AJP.
-    Below,
+    /// Upstream calls over AJP.
+    Upstream,
     /// Upgrades.
     Upgrade,
-    /// The control plane's agent.
+    /// The agent that subscribes to the control plane.
     Config,
 }
 
 const SECTIONS: [Section; 5] =
-    [Section::Host, Section::Ajp, Section::Below, Section::Upgrade, Section::Config];
+    [Section::Host, Section::Ajp, Section::Upstream, Section::Upgrade, Section::Config];
 
 impl Section {
-    /// As it is written in the file.
+    /// Returns the section's name in the file.
     pub fn name(self) -> &'static str {
         match self {
             Section::Host => "host",
             Section::Ajp => "ajp",
-            Section::Below => "below",
+            Section::Upstream => "below",
             Section::Upgrade => "upgrade",
             Section::Config => "config",
         }
     }
 
-    /// How many words name a directive of this section; the others are its arguments.
+    /// Returns the number of words that name a directive of this section; the remaining words are its arguments.
     pub fn name_words(self) -> usize {
         if self == Section::Host {
             1
@@ -54,86 +54,87 @@
     }
 }
 
-/// A row of the table.
+/// A row of the table of directives.
 pub(crate) struct Directive {
     pub section: Section,
-    /// The second word; empty where the section has one directive alone.
+    /// The second word of the line; empty if the section has only one directive.
     pub name: &'static str,
-    /// How it is written, with a word for each argument.
+    /// The syntax, with one word for each argument.
     pub usage: &'static str,
-    /// It may stand more than once.
+    /// Whether the directive may occur more than once.
     pub is_repeatable: bool,
     pub change_class: ChangeClass,
 }
 
 impl Directive {
-    const fn by(self, change_class: ChangeClass) -> Directive {
+    const fn with_change_class(self, change_class: ChangeClass) -> Directive {
         Directive { change_class, ..self }
     }
 
-    /// How many arguments it takes.
+    /// Returns the number of arguments that the directive takes.
     pub fn argument_count(&self) -> usize {
         self.usage.split(' ').count() - self.section.name_words()
     }
 }
 
-/// A directive that stands once; a changed one needs a hand-over unless the row says otherwise.
-const fn once(section: Section, name: &'static str, usage: &'static str) -> Directive {
+/// Returns a directive that may occur once; a change needs a hand-over unless the row states another class.
+const fn single(section: Section, name: &'static str, usage: &'static str) -> Directive {
     Directive { section, name, usage, is_repeatable: false, change_class: ChangeClass::HandOver }
 }
 
-/// A directive that makes a list; a changed one needs a reload unless the row says otherwise.
-const fn many(section: Section, name: &'static str, usage: &'static str) -> Directive {
+/// Returns a directive that may occur repeatedly; a change needs a reload unless the row states another class.
+const fn repeatable(section: Section, name: &'static str, usage: &'static str) -> Directive {
     Directive { section, name, usage, is_repeatable: true, change_class: ChangeClass::Reload }
 }
 
 const DIRECTIVES: [Directive; 43] = [
-    many(Section::Host, "", "host NAME ADDRESS"),
-    once(Section::Ajp, "listen", "ajp listen ADDRESS:PORT").by(ChangeClass::Restart),
-    many(Section::Ajp, "allow", "ajp allow NETWORK"),
-    many(Section::Ajp, "deny", "ajp deny NETWORK"),
-    once(Section::Ajp, "secret", "ajp secret WORD").by(ChangeClass::Reload),
-    once(Section::Ajp, "secret-file", "ajp secret-file PATH").by(ChangeClass::Reload),
-    once(Section::Ajp, "packet", "ajp packet SIZE"),
-    once(Section::Ajp, "connections", "ajp connections NUMBER"),
-    once(Section::Ajp, "idle", "ajp idle TIME"),
-    once(Section::Ajp, "memory", "ajp memory KB").by(ChangeClass::Reload),
-    once(Section::Ajp, "health", "ajp health PATH").by(ChangeClass::Reload),
-    many(Section::Ajp, "header", "ajp header id|token|left|memory|tenant NAME"),
-    many(Section::Ajp, "route", "ajp route HTTP-METHOD PATH METHOD"),
-    many(Section::Below, "ajp", "below ajp ADDRESS:PORT"),
-    once(Section::Below, "name", "below name SERVER-NAME"),
-    once(Section::Below, "uri", "below uri PATH"),
-    once(Section::Below, "secret", "below secret WORD"),
-    once(Section::Below, "secret-file", "below secret-file PATH"),
-    once(Section::Below, "packet", "below packet SIZE"),
-    once(Section::Below, "connections", "below connections NUMBER"),
-    once(Section::Below, "connect", "below connect TIME"),
-    once(Section::Below, "pong", "below pong TIME"),
-    once(Section::Below, "reply", "below reply TIME"),
-    once(Section::Below, "trust", "below trust TIME"),
-    once(Section::Below, "keep", "below keep TIME"),
-    once(Section::Below, "leave-out", "below leave-out FAILURES"),
-    once(Section::Below, "pause", "below pause TIME TIME"),
-    once(Section::Below, "repeats", "below repeats SHARE"),
-    many(Section::Below, "weight", "below weight ADDRESS:PORT NUMBER"),
-    many(Section::Below, "zone", "below zone ADDRESS:PORT ZONE"),
-    once(Section::Below, "here", "below here ZONE").by(ChangeClass::Reload),
-    once(Section::Below, "way", "below way WAY"),
-    once(Section::Below, "reach", "below reach PLACES"),
-    once(Section::Below, "number", "below number NUMBER COUNT"),
-    once(Section::Below, "warm", "below warm TIME"),
-    once(Section::Below, "status", "below status PATH"),
-    once(Section::Upgrade, "control", "upgrade control PATH").by(ChangeClass::Restart),
-    many(Section::Config, "relay", "config relay ADDRESS:PORT").by(ChangeClass::HandOver),
-    once(Section::Config, "region", "config region NAME"),
-    many(Section::Config, "scope", "config scope SCOPE").by(ChangeClass::HandOver),
-    once(Section::Config, "snapshot", "config snapshot PATH"),
-    once(Section::Config, "budget", "config budget BYTES"),
-    once(Section::Config, "tenants", "config tenants NUMBER"),
+    repeatable(Section::Host, "", "host NAME ADDRESS"),
+    single(Section::Ajp, "listen", "ajp listen ADDRESS:PORT").with_change_class(ChangeClass::Restart),
+    repeatable(Section::Ajp, "allow", "ajp allow NETWORK"),
+    repeatable(Section::Ajp, "deny", "ajp deny NETWORK"),
+    single(Section::Ajp, "secret", "ajp secret WORD").with_change_class(ChangeClass::Reload),
+    single(Section::Ajp, "secret-file", "ajp secret-file PATH").with_change_class(ChangeClass::Reload),
+    single(Section::Ajp, "packet", "ajp packet SIZE"),
+    single(Section::Ajp, "connections", "ajp connections NUMBER"),
+    single(Section::Ajp, "idle", "ajp idle TIME"),
+    single(Section::Ajp, "memory", "ajp memory KB").with_change_class(ChangeClass::Reload),
+    single(Section::Ajp, "health", "ajp health PATH").with_change_class(ChangeClass::Reload),
+    repeatable(Section::Ajp, "header", "ajp header id|token|left|memory|tenant NAME"),
+    repeatable(Section::Ajp, "route", "ajp route HTTP-METHOD PATH METHOD"),
+    repeatable(Section::Upstream, "ajp", "below ajp ADDRESS:PORT"),
+    single(Section::Upstream, "name", "below name SERVER-NAME"),
+    single(Section::Upstream, "uri", "below uri PATH"),
+    single(Section::Upstream, "secret", "below secret WORD"),
+    single(Section::Upstream, "secret-file", "below secret-file PATH"),
+    single(Section::Upstream, "packet", "below packet SIZE"),
+    single(Section::Upstream, "connections", "below connections NUMBER"),
+    single(Section::Upstream, "connect", "below connect TIME"),
+    single(Section::Upstream, "pong", "below pong TIME"),
+    single(Section::Upstream, "reply", "below reply TIME"),
+    single(Section::Upstream, "trust", "below trust TIME"),
+    single(Section::Upstream, "keep", "below keep TIME"),
+    single(Section::Upstream, "leave-out", "below leave-out FAILURES"),
+    single(Section::Upstream, "pause", "below pause TIME TIME"),
+    single(Section::Upstream, "repeats", "below repeats SHARE"),
+    repeatable(Section::Upstream, "weight", "below weight ADDRESS:PORT NUMBER"),
+    repeatable(Section::Upstream, "zone", "below zone ADDRESS:PORT ZONE"),
+    single(Section::Upstream, "here", "below here ZONE").with_change_class(ChangeClass::Reload),
+    single(Section::Upstream, "way", "below way POLICY"),
+    single(Section::Upstream, "reach", "below reach ENDPOINTS"),
+    single(Section::Upstream, "number", "below number NUMBER COUNT"),
+    single(Section::Upstream, "warm", "below warm TIME"),
+    single(Section::Upstream, "status", "below status PATH"),
+    single(Section::Upgrade, "control", "upgrade control PATH").with_change_class(ChangeClass::Restart),
+    repeatable(Section::Config, "relay", "config relay ADDRESS:PORT")
+        .with_change_class(ChangeClass::HandOver),
+    single(Section::Config, "region", "config region NAME"),
+    repeatable(Section::Config, "scope", "config scope SCOPE").with_change_class(ChangeClass::HandOver),
+    single(Section::Config, "snapshot", "config snapshot PATH"),
+    single(Section::Config, "budget", "config budget BYTES"),
+    single(Section::Config, "tenants", "config tenants NUMBER"),
 ];
 
-/// The directive that a line's words begin with.
+/// Returns the directive that the words of a line begin with.
 pub(crate) fn find(words: &[String]) -> Option<&'static Directive> {
     let first = words.first()?;
     let second = words.get(1).map_or("", String::as_str);
@@ -142,11 +143,11 @@
     })
 }
 
-/// The error for words that begin no directive, with the nearest one as a suggestion.
+/// Returns the error for words that begin no directive, with the most similar directive as a suggestion.
 pub(crate) fn unknown(section: &str, name: &str) -> LineError {
-    let of_section =
+    let is_in_section =
         |directive: &&Directive| directive.section.name() == section && !directive.name.is_empty();
-    let known: Vec<&str> = DIRECTIVES.iter().filter(of_section).map(|directive| directive.name).collect();
+    let known: Vec<&str> = DIRECTIVES.iter().filter(is_in_section).map(|directive| directive.name).collect();
     if known.is_empty() {
         return unknown_section(section);
     }
@@ -155,7 +156,7 @@
         None => format!("after {section} comes one of {}", known.join(", ")),
     };
     let written = format!("{section} {name}");
-    LineError::new(format!("{} is no directive", written.trim_end()), suggestion)
+    LineError::new(format!("{} is not a directive", written.trim_end()), suggestion)
 }
 
 fn unknown_section(section: &str) -> LineError {
@@ -163,14 +164,14 @@
         Some(near) => format!("did you mean {near}?"),
         None => "a line begins with host, ajp, below, upgrade or config".to_string(),
     };
-    LineError::new(format!("{section} is no directive"), suggestion)
+    LineError::new(format!("{section} is not a directive"), suggestion)
 }
 
-/// Two edits or fewer make a typing error likely.
-const MAX_TYPING_ERRORS: usize = 2;
+/// The largest edit distance at which a word counts as a misspelling of a known one.
+const MAX_EDIT_DISTANCE: usize = 2;
 
-/// The known word that `word` is likely a misspelling of.
+/// Returns the known word that `word` is probably a misspelling of.
 pub(crate) fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let (distance, nearest) = known.map(|known| (strsim::damerau_levenshtein(word, known), known)).min()?;
-    (distance <= MAX_TYPING_ERRORS && distance < nearest.len()).then_some(nearest)
+    (distance <= MAX_EDIT_DISTANCE && distance < nearest.len()).then_some(nearest)
 }
--- a/crates/ochrewalk-operator-config/src/lexer.rs
+++ b/crates/ochrewalk-operator-config/src/lexer.rs
@@ -1,13 +1,14 @@
-//! Lines as words: blanks part them, `"` keeps blanks together, `#` begins a comment where a word would begin.
+//! Splits lines into words: blanks separate words, `"` quotes a word with blanks, and `#` at the start of a word begins a
+//! comment.
 
 use crate::diagnostic::LineError;
 use std::iter::Peekable;
 use std::str::Chars;
 
-/// What is right where a line cannot be split into words.
+/// The suggestion for a line that cannot be split into words.
 const QUOTING_SUGGESTION: &str = "write \"a b\" for a word with a blank";
 
-/// The words of a line; none for a blank line or a comment.
+/// Returns the words of a line; an empty list for a blank line or a comment.
 pub(crate) fn split_words(line: &str) -> Result<Vec<String>, LineError> {
     let mut words = Vec::new();
     let mut chars = line.chars().peekable();
@@ -47,7 +48,7 @@
     let mut word = String::from(first);
     while let Some(c) = chars.next_if(|c| !c.is_whitespace()) {
         if c == '"' {
-            return Err("a quotation mark stands inside a word");
+            return Err("a quotation mark is inside a word");
         }
         word.push(c);
     }
--- a/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
@@ -1,4 +1,4 @@
-//! `ajp`: the listener for AJP, who may connect to it, and what requests stand for.
+//! Parses `ajp` directives, which set the AJP listener, the peers that may connect, and the mapping of requests to methods.
 
 use super::hosts::Hosts;
 use super::{FirstLines, NodeContext};
@@ -16,16 +16,16 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Where a listener stands that is not configured; it is never opened.
+/// The placeholder address of a listener that is not configured; it is never opened.
 const UNCONFIGURED: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// Fewer connections than these do not serve a load balancer.
+/// The minimum number of connections: fewer connections are not enough for a load balancer in front of the node.
 const MIN_CONNECTIONS: usize = 4;
-/// The listener gets one in so many of the node's descriptors at most.
-const MAX_DESCRIPTOR_PART: usize = 4;
+/// The upper bound on the listener's connections is the node's number of descriptors divided by this.
+const MIN_DESCRIPTORS_PER_CONNECTION: usize = 4;
 const MIN_IDLE_US: u64 = 100_000;
 const MAX_IDLE_US: u64 = 3_600_000_000;
 
-/// Whether peers of a network may connect.
+/// A rule for the peers of a network.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PeerRule {
     Allow,
@@ -36,7 +36,7 @@
     node: &'a NodeContext<'a>,
     listen: Option<SocketAddr>,
     listener: AjpListener,
-    /// Positions of the node's methods by name, filled once a route asks for one.
+    /// Positions of the node's methods by name, filled when the first route is parsed.
     method_positions: HashMap<&'a str, usize>,
 }
 
@@ -50,11 +50,11 @@
         }
     }
 
-    /// `ajp NAME ARGUMENTS`.
+    /// Applies `ajp NAME ARGUMENTS`.
     pub fn directive(&mut self, name: &str, arguments: &[String], hosts: &Hosts) -> Result<(), LineError> {
         let word = &arguments[0];
         let listener = &mut self.listener;
-        let max_connections = self.node.descriptors / MAX_DESCRIPTOR_PART;
+        let max_connections = self.node.descriptors / MIN_DESCRIPTORS_PER_CONNECTION;
         match name {
             "listen" => self.listen = Some(hosts.socket_address(word)?),
             "allow" => add_peers(&mut listener.allowed_peers, word, PeerRule::Allow)?,
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// `ajp route HTTP-METHOD PATH METHOD`.
+    /// Applies `ajp route HTTP-METHOD PATH METHOD`.
     fn add_route(&mut self, http_method: &str, path: &str, method: &str) -> Result<(), LineError> {
         check_http_method(http_method)?;
         let position = self.method_position(method)?;
@@ -100,26 +100,27 @@
         line_error(format!("{method} is no method here"), suggestion)
     }
 
-    /// Checks these directives together. Routes may also come from the control plane.
+    /// Checks the directives of this section together. A file without routes is valid if it names relays, as the control
+    /// plane may supply the routes.
     pub fn check(&self, lines: &FirstLines, has_relays: bool) -> Result<(), FileError> {
         if let (Some(line), None) = (lines.of_section(Section::Ajp), self.listen) {
             let suggestion = "add a line such as: ajp listen 127.0.0.1:8009";
-            return Err(FileError::new(line, "nothing listens for AJP", suggestion));
+            return Err(FileError::new(line, "no AJP listener is configured", suggestion));
         }
         if let Some(line) = lines.of("ajp listen") {
             if self.listener.rules.routes.is_empty() && !has_relays {
                 let suggestion = "add a line such as: ajp route POST /sales METHOD";
-                return Err(FileError::new(line, "no request can come in without a route", suggestion));
+                return Err(FileError::new(line, "no request can be accepted without a route", suggestion));
             }
             if self.listener.allowed_peers.is_empty() {
                 let suggestion = "add a line such as: ajp allow 127.0.0.0/8";
-                return Err(FileError::new(line, "nobody may connect", suggestion));
+                return Err(FileError::new(line, "no peer may connect", suggestion));
             }
         }
         lines.check_one_secret(Section::Ajp)
     }
 
-    /// The listener, if one is configured.
+    /// Returns the listener if one is configured.
     pub fn finish(self) -> Option<AjpListener> {
         self.listen.map(|listen| AjpListener { listen, ..self.listener })
     }
@@ -129,19 +130,19 @@
     let kb = word.parse::<f64>().ok().filter(|kb| *kb > 0.0 && *kb < max_kb);
     kb.ok_or_else(|| {
         let suggestion = format!("write a number above 0 and under {max_kb} without a unit");
-        LineError::new(format!("{word} is no size in KB"), suggestion)
+        LineError::new(format!("{word} is not a size in KB"), suggestion)
     })
 }
 
 fn add_peers(allowed_peers: &mut AllowedPeers, text: &str, rule: PeerRule) -> Result<(), LineError> {
     let network = text.parse::<IpNet>().or_else(|_| text.parse::<IpAddr>().map(IpNet::from));
     let Ok(network) = network else {
-        return line_error(format!("{text} is no network"), "write one such as 10.1.0.0/16 or fd00::/8");
+        return line_error(format!("{text} is not a network"), "write one such as 10.1.0.0/16 or fd00::/8");
     };
     let is_allowed = rule == PeerRule::Allow;
     match allowed_peers.state(network, is_allowed) {
         Some(before) if before != is_allowed => {
-            line_error(format!("{text} is both let in and kept out"), "keep one of the two")
+            line_error(format!("{text} is both allowed and denied"), "keep one of the two")
         }
         _ => Ok(()),
     }
@@ -149,7 +150,7 @@
 
 fn set_header(headers: &mut Headers, which: &str, name: &str) -> Result<(), LineError> {
     if !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') || name.is_empty() {
-        return line_error(format!("{name} is no name of a header"), "write letters, digits and '-'");
+        return line_error(format!("{name} is not a header name"), "write letters, digits and '-'");
     }
     let header = match which {
         "id" => &mut headers.id,
--- a/crates/ochrewalk-operator-config/src/parser/ajp_upstream.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_upstream.rs
@@ -1,4 +1,4 @@
-//! `below`: upstream calls by AJP: the endpoints, the connections to them, and how calls are balanced.
+//! Parses `below` directives, which set upstream calls over AJP: the endpoints, the connections to them, and load balancing.
 
 use super::hosts::Hosts;
 use super::FirstLines;
@@ -11,18 +11,18 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// So many endpoints at least does a numbered node call: losing half of them leaves some, and each is heard of every few
-/// seconds at a call or two a second.
+/// The default number of endpoints that a numbered node calls. With five, some remain after the loss of half of them, and at
+/// one or two calls per second each endpoint replies every few seconds, so that its state stays current.
 const DEFAULT_SUBSET_SIZE: usize = 5;
-/// Connections get one in so many of the node's descriptors at most.
-const MAX_DESCRIPTOR_PART: usize = 4;
+/// The upper bound on upstream connections is the node's number of descriptors divided by this.
+const MIN_DESCRIPTORS_PER_CONNECTION: usize = 4;
 
 const MILLISECOND_US: u64 = 1_000;
 const SECOND_US: u64 = 1_000_000;
 const HOUR_US: u64 = 3_600 * SECOND_US;
 
-/// What a directive said of one endpoint.
-struct AtLine<T> {
+/// The value that a directive set for one endpoint, with the line of the directive.
+struct WithLine<T> {
     line: usize,
     value: T,
 }
@@ -37,8 +37,8 @@
 pub(super) struct AjpUpstreamParser {
     upstream: AjpUpstream,
     max_connections: usize,
-    weights: BTreeMap<SocketAddr, AtLine<f64>>,
-    zones: BTreeMap<SocketAddr, AtLine<String>>,
+    weights: BTreeMap<SocketAddr, WithLine<f64>>,
+    zones: BTreeMap<SocketAddr, WithLine<String>>,
     local_zone: Option<String>,
     subset_size: Option<usize>,
     node_number: Option<NodeNumber>,
@@ -48,7 +48,7 @@
     pub fn new(descriptors: usize) -> AjpUpstreamParser {
         AjpUpstreamParser {
             upstream: AjpUpstream::with_defaults(descriptors),
-            max_connections: descriptors / MAX_DESCRIPTOR_PART,
+            max_connections: descriptors / MIN_DESCRIPTORS_PER_CONNECTION,
             weights: BTreeMap::new(),
             zones: BTreeMap::new(),
             local_zone: None,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// `below NAME ARGUMENTS`.
+    /// Applies `below NAME ARGUMENTS`.
     pub fn directive(
         &mut self,
         line: usize,
@@ -87,7 +87,7 @@
             "ajp" => {
                 let address = hosts.socket_address(word)?;
                 if self.has_endpoint(address) {
-                    return line_error(format!("{address} stands here already"), "name each place once");
+                    return line_error(format!("{address} is already named"), "name each endpoint once");
                 }
                 let endpoint = UpstreamEndpoint { address, weight: 1.0, is_in_local_zone: true };
                 self.upstream.endpoints.push(endpoint);
@@ -95,12 +95,12 @@
             "weight" => {
                 let value = weight(&arguments[1])?;
                 let address = hosts.socket_address(word)?;
-                let before = self.weights.insert(address, AtLine { line, value });
+                let before = self.weights.insert(address, WithLine { line, value });
                 check_first(address, "weight", before.as_ref())?;
             }
             _ => {
                 let address = hosts.socket_address(word)?;
-                let before = self.zones.insert(address, AtLine { line, value: arguments[1].clone() });
+                let before = self.zones.insert(address, WithLine { line, value: arguments[1].clone() });
                 check_first(address, "zone", before.as_ref())?;
             }
         }
@@ -159,7 +159,7 @@
             "reply" => upstream.reply_timeout_us = time_us(word, MILLISECOND_US, 60 * SECOND_US)?,
             "trust" => upstream.ping_after_idle_us = time_us(word, 0, 60 * SECOND_US)?,
             "keep" => upstream.max_idle_us = time_us(word, MILLISECOND_US, HOUR_US)?,
-            _ => return Err(directive::unknown(Section::Below.name(), name)),
+            _ => return Err(directive::unknown(Section::Upstream.name(), name)),
         }
         Ok(())
     }
@@ -168,28 +168,29 @@
         self.upstream.endpoints.iter().any(|endpoint| endpoint.address == address)
     }
 
-    /// Checks these directives together, and against the node's file.
+    /// Checks the directives of this section together, and against the node's file.
     pub fn check(&self, lines: &FirstLines, has_upstream: bool) -> Result<(), FileError> {
-        lines.check_one_secret(Section::Below)?;
-        if let (Some(line), true) = (lines.of_section(Section::Below), self.upstream.endpoints.is_empty()) {
+        lines.check_one_secret(Section::Upstream)?;
+        if let (Some(line), true) = (lines.of_section(Section::Upstream), self.upstream.endpoints.is_empty())
+        {
             let suggestion = "add a line such as: below ajp ledger.example.org:8009";
-            return Err(FileError::new(line, "no place below is named", suggestion));
+            return Err(FileError::new(line, "no upstream endpoint is named", suggestion));
         }
         if let (Some(line), false) = (lines.of("below ajp"), has_upstream) {
             let suggestion = "set \"below\" there or remove this line";
-            return Err(FileError::new(line, "the node's file says that nothing is called", suggestion));
+            return Err(FileError::new(line, "the node's file enables no upstream calls", suggestion));
         }
         Ok(())
     }
 
-    /// The settings, if an endpoint is named, with weights, zones and subset brought to the endpoints.
+    /// Returns the settings if an endpoint is named, with the weights and zones of the endpoints and the subset applied.
     pub fn finish(mut self) -> Result<Option<AjpUpstream>, FileError> {
         self.check_endpoints_named()?;
         self.check_local_zone()?;
         for endpoint in &mut self.upstream.endpoints {
             let zone = self.zones.get(&endpoint.address).map(|zone| &zone.value);
             endpoint.weight = self.weights.get(&endpoint.address).map_or(1.0, |weight| weight.value);
-            // An endpoint without a zone counts as near: nothing says that it is far.
+            // An endpoint without a zone counts as local, as nothing shows that it is in another zone.
             endpoint.is_in_local_zone = match (&self.local_zone, zone) {
                 (Some(local), Some(zone)) => local == zone,
                 _ => true,
@@ -200,7 +201,7 @@
         Ok((!self.upstream.endpoints.is_empty()).then_some(self.upstream))
     }
 
-    /// Weights and zones are of endpoints that the file names.
+    /// Checks that weights and zones are set only for endpoints that the file names.
     fn check_endpoints_named(&self) -> Result<(), FileError> {
         let weights = self.weights.iter().map(|(address, weight)| (address, weight.line));
         let zones = self.zones.iter().map(|(address, zone)| (address, zone.line));
@@ -208,13 +209,13 @@
             None => Ok(()),
             Some((address, line)) => Err(FileError::new(
                 line,
-                format!("no place below is at {address}"),
+                format!("no upstream endpoint has the address {address}"),
                 format!("add a line: below ajp {address}"),
             )),
         }
     }
 
-    /// Zones of endpoints say something only beside the zone of this node.
+    /// Checks that the zone of this node is set if zones of endpoints are, as they are only compared with it.
     fn check_local_zone(&self) -> Result<(), FileError> {
         let first_zone = self.zones.values().map(|zone| zone.line).min();
         match (&self.local_zone, first_zone) {
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Which of the endpoints this node calls.
+    /// Returns the rule that selects the endpoints that this node calls.
     fn subset(&self) -> Subsetting {
         match (self.node_number, self.subset_size) {
             (Some(NodeNumber { number, count }), size) => Subsetting::Deterministic {
@@ -241,10 +242,10 @@
     }
 }
 
-fn check_first<T>(address: SocketAddr, what: &str, before: Option<&AtLine<T>>) -> Result<(), LineError> {
+fn check_first<T>(address: SocketAddr, what: &str, before: Option<&WithLine<T>>) -> Result<(), LineError> {
     match before {
         None => Ok(()),
-        Some(AtLine { line, .. }) => {
+        Some(WithLine { line, .. }) => {
             line_error(format!("{address} has a {what} on line {line}"), "keep one of the two")
         }
     }
@@ -253,6 +254,9 @@
 fn balancing_policy(word: &str) -> Result<BalancingPolicy, LineError> {
     BalancingPolicy::from_name(word).ok_or_else(|| {
         let known: Vec<&str> = BalancingPolicy::ALL.into_iter().map(BalancingPolicy::name).collect();
-        LineError::new(format!("{word} is no way"), format!("write one of {}", known.join(", ")))
+        LineError::new(
+            format!("{word} is not a balancing policy"),
+            format!("write one of {}", known.join(", ")),
+        )
     })
 }
--- a/crates/ochrewalk-operator-config/src/parser/config_agent.rs
+++ b/crates/ochrewalk-operator-config/src/parser/config_agent.rs
@@ -1,4 +1,4 @@
-//! `config`: the control plane that the node subscribes to.
+//! Parses `config` directives, which set the node's subscription to the control plane.
 
 use super::hosts::Hosts;
 use super::FirstLines;
@@ -8,11 +8,11 @@
 use crate::units;
 use crate::values::{absolute_path, whole_number};
 
-/// A node that knows fewer relays is without any as soon as one fails.
+/// The minimum number of relays: a node with a single relay would have no relay left after one failure.
 const MIN_RELAYS: usize = 2;
-/// Fewer bytes a second would not carry heartbeats and changes.
+/// The minimum bandwidth: fewer bytes per second could not carry heartbeats and changes.
 const MIN_BYTES_PER_SECOND: u64 = 1024;
-/// The most quotas that a node may cache at a time.
+/// The upper bound on the number of quotas that a node caches.
 const MAX_TENANTS: usize = 1_000_000;
 
 #[derive(Default)]
@@ -21,20 +21,20 @@
 }
 
 impl ConfigAgentParser {
-    /// `config NAME WORD`.
+    /// Applies `config NAME WORD`.
     pub fn directive(&mut self, name: &str, word: &str, hosts: &Hosts) -> Result<(), LineError> {
         let agent = &mut self.agent;
         match name {
             "relay" => {
                 let address = hosts.socket_address(word)?;
                 if agent.relays.contains(&address) {
-                    return line_error(format!("{address} stands here already"), "name each relay once");
+                    return line_error(format!("{address} is already named"), "name each relay once");
                 }
                 agent.relays.push(address);
             }
             "scope" => {
                 if agent.scopes.iter().any(|scope| scope == word) {
-                    return line_error(format!("scope {word} stands here already"), "name each scope once");
+                    return line_error(format!("scope {word} is already named"), "name each scope once");
                 }
                 agent.scopes.push(word.into());
             }
@@ -52,7 +52,7 @@
         !self.agent.relays.is_empty()
     }
 
-    /// Checks these directives together.
+    /// Checks the directives of this section together.
     pub fn check(&self, lines: &FirstLines) -> Result<(), FileError> {
         let Some(line) = lines.of_section(Section::Config) else { return Ok(()) };
         if self.agent.relays.len() < MIN_RELAYS {
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// The settings, if a relay is named.
+    /// Returns the settings if a relay is named.
     pub fn finish(self) -> Option<ConfigAgent> {
         self.has_relays().then_some(self.agent)
     }
@@ -75,6 +75,6 @@
 fn bytes_per_second(word: &str) -> Result<u64, LineError> {
     let bytes = units::bytes(word).filter(|bytes| MIN_BYTES_PER_SECOND <= *bytes);
     bytes.ok_or_else(|| {
-        LineError::new(format!("{word} is no budget"), "write bytes a second from 1k on, such as 26k")
+        LineError::new(format!("{word} is not a budget"), "write bytes a second from 1k on, such as 26k")
     })
 }
--- a/crates/ochrewalk-operator-config/src/parser/mod.rs
+++ b/crates/ochrewalk-operator-config/src/parser/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' file, from text to settings: each line goes to its group of directives, then all are checked together.
+//! Parses the operators' file into settings: the parser of each section handles its directives, then all sections are checked
+//! together.
 
 mod ajp_listener;
 mod ajp_upstream;
@@ -20,26 +21,26 @@
 /// A method of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MethodContext {
-    /// The name that routes call it by.
+    /// The name by which routes refer to the method.
     pub name: String,
-    /// It may run twice without harm.
+    /// Whether the method may run twice without harm.
     pub is_idempotent: bool,
 }
 
-/// What the node's own file says that the operators' file has to fit.
+/// The settings of the node's file against which the operators' file is checked.
 pub struct NodeContext<'a> {
-    /// The node's methods; a route refers to one by its position here.
+    /// The node's methods; routes refer to a method by its position in this list.
     pub methods: &'a [MethodContext],
-    /// File descriptors that the node may have.
+    /// The number of file descriptors that the node may open.
     pub descriptors: usize,
-    /// The node's methods make upstream calls.
+    /// Whether the node's methods make upstream calls.
     pub has_upstream: bool,
 }
 
-/// Reads the file's text. `file` names it in diagnostics.
+/// Parses the text of the operators' file. `file` is its name in diagnostics.
 ///
 /// # Errors
-/// All lines that are wrong by themselves, in their order; where there are none, what is first wrong between lines.
+/// Returns the errors of all invalid lines, in the order of the lines; if every line is valid, the first error between lines.
 pub fn parse(text: &str, file: &str, node: &NodeContext) -> Result<OperatorConfig, Vec<Diagnostic>> {
     let mut parser = Parser::new(node);
     let mut diagnostics = Vec::new();
@@ -51,7 +52,7 @@
             Err(error) => diagnostics.push(error.at(file, number)),
         }
     }
-    // Names first: a host may be named on a later line than its use.
+    // Host lines are parsed first, as a host may be used on an earlier line than the one that names it.
     lines.sort_by_key(|(number, words)| (words[0] != Section::Host.name(), *number));
     for (number, words) in &lines {
         if let Err(error) = parser.line(*number, words) {
@@ -61,30 +62,30 @@
     diagnostics.sort();
     match parser.finish() {
         Ok(config) if diagnostics.is_empty() => Ok(config),
-        // A directive that is missing may only be missing because its line is wrong.
+        // A directive may be missing only because its line is invalid, so errors between lines are not reported here.
         Err(error) if diagnostics.is_empty() => Err(vec![error.at(file)]),
         _ => Err(diagnostics),
     }
 }
 
-/// The line on which each directive stood first.
+/// The first line of each directive.
 #[derive(Default)]
 struct FirstLines(BTreeMap<String, usize>);
 
 impl FirstLines {
-    /// Of one directive, as in `ajp listen`.
+    /// Returns the first line of one directive, such as `ajp listen`.
     fn of(&self, directive: &str) -> Option<usize> {
         self.0.get(directive).copied()
     }
 
-    /// Of any directive of a section.
+    /// Returns the first line of any directive of a section.
     fn of_section(&self, section: Section) -> Option<usize> {
         let prefix = format!("{} ", section.name());
         let lines = self.0.iter().filter(|(directive, _)| directive.starts_with(&prefix));
         lines.map(|(_, line)| *line).min()
     }
 
-    /// A secret is given as a word or as a file, not as both.
+    /// Checks that the secret is not set both as a word and as a file.
     fn check_one_secret(&self, section: Section) -> Result<(), FileError> {
         let word = self.of(&format!("{} secret", section.name()));
         let file = self.of(&format!("{} secret-file", section.name()));
@@ -145,7 +146,7 @@
         self.directive(line, directive.section, name, arguments)
     }
 
-    /// Hands the arguments, whose number is right, to the directive's group.
+    /// Passes the arguments, whose number is already checked, to the parser of the directive's section.
     fn directive(
         &mut self,
         line: usize,
@@ -156,7 +157,7 @@
         match section {
             Section::Host => self.hosts.add(&arguments[0], &arguments[1]),
             Section::Ajp => self.ajp_listener.directive(name, arguments, &self.hosts),
-            Section::Below => self.ajp_upstream.directive(line, name, arguments, &self.hosts),
+            Section::Upstream => self.ajp_upstream.directive(line, name, arguments, &self.hosts),
             Section::Config => self.config_agent.directive(name, &arguments[0], &self.hosts),
             Section::Upgrade => {
                 self.upgrade_control = Some(socket_path(&arguments[0])?);
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Checks all groups together and gives the settings.
+    /// Checks all sections together and returns the settings.
     fn finish(self) -> Result<OperatorConfig, FileError> {
         self.ajp_listener.check(&self.first_lines, self.config_agent.has_relays())?;
         self.ajp_upstream.check(&self.first_lines, self.has_upstream)?;
--- a/crates/ochrewalk-operator-config/src/rollout_plan/mod.rs
+++ b/crates/ochrewalk-operator-config/src/rollout_plan/mod.rs
@@ -1,4 +1,4 @@
-//! The plan of a rollout: the same lines and units as the operators' file, each fault named by its line.
+//! Parses the plan of a rollout, which has the line format and the units of the operators' file; each error names its line.
 
 mod parser;
 mod stages;
@@ -9,80 +9,81 @@
 /// A node of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedNode {
-    /// The name that operators know it by.
+    /// The node's name for operators.
     pub name: String,
-    /// Its supervisor's control socket.
+    /// The control socket of the node's supervisor.
     pub control: PathBuf,
-    /// Nodes are compared within their zone.
+    /// The node's zone; nodes are compared within their zone.
     pub zone: String,
 }
 
-/// What a rollout changes.
+/// The subject that a rollout changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// The program that nodes run.
     Program,
-    /// The operators' file that nodes go by.
+    /// The operators' file that nodes use.
     Settings,
 }
 
-/// Which of the two files of a plan.
+/// One of the two files of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
-    /// The one that nodes have before the rollout.
+    /// The file that nodes use before the rollout.
     Old,
-    /// The one that they are to have after it.
+    /// The file that nodes use after the rollout.
     New,
 }
 
-/// A rollout of a program or of settings, never of both. Times are in microseconds.
+/// The plan of a rollout of a program or of settings, never of both. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutPlan {
-    /// What it changes.
+    /// The subject of the change.
     pub subject: Subject,
-    /// The file before; `{node}` in it stands for a node's name.
+    /// The file before the rollout; `{node}` in the path is replaced by a node's name.
     pub old: PathBuf,
-    /// The file after; `{node}` in it stands for a node's name.
+    /// The file after the rollout; `{node}` in the path is replaced by a node's name.
     pub new: PathBuf,
-    /// A changed node reverts after this time without a word of its controller, until the rollout is confirmed; 0 where
-    /// changes need no confirmation.
+    /// The time without a request from the controller after which a changed node reverts, as long as the rollout is not
+    /// confirmed; 0 if changes need no confirmation.
     pub confirm_timeout_us: u64,
-    /// A node that cannot hand back what it runs is restarted.
+    /// Whether a node that cannot hand back its requests is restarted.
     pub restarts_stuck_nodes: bool,
     /// All nodes of the fleet.
     pub nodes: Vec<PlannedNode>,
-    /// How many nodes are changed at the end of each stage; the last one has all.
+    /// The number of changed nodes at the end of each stage; the last stage has all nodes.
     pub stages: Vec<usize>,
-    /// So many nodes may be out of service at once.
+    /// The maximum number of nodes that may be out of service at once.
     pub max_unavailable: usize,
-    /// Where the progress is persisted; the operator's control socket stands beside it.
+    /// The path at which the progress is persisted; the operator's control socket is in the same directory.
     pub record: PathBuf,
-    /// How often nodes are polled.
+    /// The interval at which nodes are polled.
     pub sample_interval_us: u64,
-    /// Harm that has to be found, as a share of a method's calls.
+    /// The size of the harm that the canary analysis has to detect, as a share of a method's calls.
     pub harm: f64,
-    /// How long a stage lasts at least.
+    /// The minimum duration of a stage.
     pub min_stage_us: u64,
-    /// After this time in a stage without a verdict the operator is asked.
+    /// The time in a stage without a verdict after which the operator has to decide.
     pub max_stage_us: u64,
-    /// A changed node that does not report for this long counts as harmed.
+    /// The time without a report after which a changed node counts as harmed.
     pub max_silence_us: u64,
-    /// How long a changed node is warming up.
+    /// The time for which a changed node is warming up.
     pub warm_up_us: u64,
-    /// How long a fleet that is too unhealthy for the next step is waited for.
+    /// The time to wait for the recovery of a fleet that is too unhealthy for the next step.
     pub recovery_timeout_us: u64,
 }
 
 impl RolloutPlan {
-    /// Reads a plan's text. `file` names it in diagnostics.
+    /// Parses the text of a plan. `file` is its name in diagnostics.
     ///
     /// # Errors
-    /// All lines that are wrong by themselves, in their order; where there are none, what is first wrong between lines.
+    /// Returns the errors of all invalid lines, in the order of the lines; if every line is valid, the first error between
+    /// lines.
     pub fn parse(text: &str, file: &str) -> Result<RolloutPlan, Vec<Diagnostic>> {
         parser::parse(text, file)
     }
 
-    /// The path of a version on a node.
+    /// Returns the path of a version on a node.
     pub fn file(&self, node: &PlannedNode, version: Version) -> PathBuf {
         let path = match version {
             Version::Old => &self.old,
--- a/crates/ochrewalk-operator-config/src/rollout_plan/parser.rs
+++ b/crates/ochrewalk-operator-config/src/rollout_plan/parser.rs
@@ -1,4 +1,4 @@
-//! The text of a plan: lines into values, then all of them together.
+//! Parses the text of a plan: converts each line to values, then checks all values together.
 
 use super::stages::{stage_sizes, StageLine, StageSize};
 use super::{PlannedNode, RolloutPlan, Subject};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Directives, and how each is written.
+/// The directives, each with its syntax.
 const DIRECTIVES: [(&str, &str); 17] = [
     ("old", "old PROGRAM"),
     ("new", "new PROGRAM"),
@@ -29,18 +29,20 @@
     ("patience", "patience TIME"),
 ];
 
-/// Directives that may stand more than once.
+/// The directives that may occur more than once.
 const REPEATABLE: [&str; 2] = ["node", "stage"];
 
 const SECOND_US: u64 = 1_000_000;
-/// Nodes report their counters ten times a second; a sample of fewer than two reports is uneven.
+/// The minimum interval: nodes report their counters ten times per second, and the number of events in samples of fewer than
+/// two reports is uneven.
 const MIN_SAMPLE_INTERVAL_US: u64 = 200_000;
 const MAX_SAMPLE_INTERVAL_US: u64 = 60 * SECOND_US;
 const MIN_TIME_US: u64 = 50_000;
 const MAX_TIME_US: u64 = 86_400 * SECOND_US;
-/// A change of settings always needs a confirmation: a node cut off by them could not be commanded to revert.
+/// The default confirmation timeout for settings, which always need a confirmation: a node that the new settings cut off from
+/// the controller could not be commanded to revert.
 const DEFAULT_SETTINGS_CONFIRM_US: u64 = 30 * SECOND_US;
-/// A confirmation window of fewer samples would end with a few lost polls.
+/// The minimum confirmation timeout in samples: a shorter one would expire after a few lost polls.
 const MIN_CONFIRM_SAMPLES: u64 = 4;
 const DEFAULT_HARM: f64 = 0.05;
 const DEFAULT_MAX_UNAVAILABLE: usize = 1;
@@ -59,7 +61,7 @@
     }
     match parser.finish() {
         Ok(plan) if diagnostics.is_empty() => Ok(plan),
-        // A directive that is missing may only be missing because its line is wrong.
+        // A directive may be missing only because its line is invalid, so errors between lines are not reported here.
         Err(error) if diagnostics.is_empty() => Err(vec![error.at(file)]),
         _ => Err(diagnostics),
     }
@@ -74,7 +76,7 @@
 
 #[derive(Default)]
 struct Parser {
-    /// The line on which each directive stood first.
+    /// The first line of each directive.
     first_lines: BTreeMap<String, usize>,
     paths: BTreeMap<String, PathBuf>,
     times_us: BTreeMap<String, u64>,
@@ -90,7 +92,7 @@
         let Some((_, usage)) = DIRECTIVES.iter().find(|(known, _)| *known == name) else {
             let known: Vec<&str> = DIRECTIVES.iter().map(|(known, _)| *known).collect();
             return line_error(
-                format!("{name} is no directive of a plan"),
+                format!("{name} is not a directive of a plan"),
                 format!("write one of {}", known.join(", ")),
             );
         };
@@ -104,7 +106,7 @@
         self.directive(line, name, arguments)
     }
 
-    /// Takes the arguments of a known directive, whose number is right.
+    /// Applies the arguments of a known directive, whose number is already checked.
     fn directive(&mut self, line: usize, name: &str, arguments: &[String]) -> Result<(), LineError> {
         let word = &arguments[0];
         match name {
@@ -130,13 +132,13 @@
     fn add_node(&mut self, name: &str, control: &str, zone: &str) -> Result<(), LineError> {
         let node = PlannedNode { name: name.into(), control: socket_path(control)?, zone: zone.into() };
         if self.nodes.iter().any(|known| known.name == node.name || known.control == node.control) {
-            return line_error(format!("{name} or its socket stands here already"), "name each node once");
+            return line_error(format!("{name} or its socket is already named"), "name each node once");
         }
         self.nodes.push(node);
         Ok(())
     }
 
-    /// Checks all directives together and gives the plan.
+    /// Checks all directives together and returns the plan.
     fn finish(self) -> Result<RolloutPlan, FileError> {
         let Files { subject, old, new } = self.files()?;
         let Some(record) = self.paths.get("record").cloned() else {
@@ -170,7 +172,7 @@
         })
     }
 
-    /// Programs or settings, not both.
+    /// Returns the two files, either programs or settings; an error if the plan names both.
     fn files(&self) -> Result<Files, FileError> {
         let has_program = self.first_line(["old", "new"]).is_some();
         let settings_line = self.first_line(["old-settings", "new-settings"]);
@@ -194,17 +196,17 @@
     }
 
     fn max_unavailable(&self) -> Result<usize, FileError> {
-        let all = self.nodes.len();
+        let node_count = self.nodes.len();
         let max_unavailable = self.max_unavailable.unwrap_or(DEFAULT_MAX_UNAVAILABLE);
-        if max_unavailable < all.max(2) {
+        if max_unavailable < node_count.max(2) {
             return Ok(max_unavailable);
         }
         let line = self.first_line(["most-out"]).unwrap_or(0);
-        let problem = format!("{max_unavailable} of {all} nodes may be out at once");
-        Err(FileError::new(line, problem, format!("write one under {all}, so that some serve")))
+        let problem = format!("{max_unavailable} of {node_count} nodes may be unavailable at once");
+        Err(FileError::new(line, problem, format!("write one under {node_count}, so that some serve")))
     }
 
-    /// The shortest and the longest time of a stage.
+    /// Returns the minimum and the maximum duration of a stage.
     fn stage_times(&self) -> Result<(u64, u64), FileError> {
         let min_us = self.time_us("least", 30 * SECOND_US);
         let max_us = self.time_us("most", 900 * SECOND_US);
@@ -212,7 +214,7 @@
             return Ok((min_us, max_us));
         }
         let line = self.first_line(["most", "least"]).unwrap_or(0);
-        let problem = "a stage's longest time is shorter than its least";
+        let problem = "a stage's maximum time is shorter than its minimum";
         Err(FileError::new(line, problem, "write most over least"))
     }
 
@@ -226,15 +228,15 @@
             return Ok(timeout_us);
         }
         let line = self.first_line(["trial", "moment"]).unwrap_or(0);
-        let problem = "a trial of less than four moments ends with a few lost words";
-        Err(FileError::new(line, problem, "write a longer trial, or shorter moments"))
+        let problem = "a trial time of less than four moment times expires after a few lost replies";
+        Err(FileError::new(line, problem, "write a longer trial time, or a shorter moment time"))
     }
 
     fn time_us(&self, directive: &str, default_us: u64) -> u64 {
         self.times_us.get(directive).copied().unwrap_or(default_us)
     }
 
-    /// The line of the first of these directives that the plan has.
+    /// Returns the line of the first of these directives that the plan contains.
     fn first_line<const N: usize>(&self, directives: [&str; N]) -> Option<usize> {
         directives.iter().find_map(|directive| self.first_lines.get(*directive).copied())
     }
@@ -248,13 +250,19 @@
     match word {
         "restart" => Ok(false),
         "wait" => Ok(true),
-        _ => line_error(format!("stuck {word}"), "write stuck restart or stuck wait"),
+        _ => line_error(
+            format!("{word} is not an action for stuck nodes"),
+            "write stuck restart or stuck wait",
+        ),
     }
 }
 
 fn harm(word: &str) -> Result<f64, LineError> {
     let harm = word.parse::<f64>().ok().filter(|harm| (0.001..=0.5).contains(harm));
     harm.ok_or_else(|| {
-        LineError::new(format!("{word} is no harm"), "write a share from 0.001 to 0.5, such as 0.05")
+        LineError::new(
+            format!("{word} is not a harm threshold"),
+            "write a share from 0.001 to 0.5, such as 0.05",
+        )
     })
 }
--- a/crates/ochrewalk-operator-config/src/rollout_plan/stages.rs
+++ b/crates/ochrewalk-operator-config/src/rollout_plan/stages.rs
@@ -1,11 +1,12 @@
-//! The stages of a plan: `stage NUMBER` or `stage SHARE%` as numbers of nodes that grow to the whole fleet.
+//! Converts the stages of a plan, `stage NUMBER` or `stage SHARE%`, to increasing numbers of nodes that end with the complete
+//! fleet.
 
 use crate::diagnostic::{line_error, FileError, LineError};
 
-/// How many nodes are changed at the end of a stage.
+/// The number of changed nodes at the end of a stage, as the plan states it.
 pub(super) enum StageSize {
     Nodes(usize),
-    /// From above 0 to 100.
+    /// A percentage above 0, up to 100.
     Percent(f64),
 }
 
@@ -16,15 +17,22 @@
             None => word.parse().ok().filter(|nodes| *nodes > 0).map(StageSize::Nodes),
         };
         size.map_or_else(
-            || line_error(format!("{word} is no stage"), "write a number of nodes, or a share such as 10%"),
+            || {
+                line_error(
+                    format!("{word} is not a stage"),
+                    "write a number of nodes, or a share such as 10%",
+                )
+            },
             Ok,
         )
     }
 
-    fn nodes(&self, all: usize) -> usize {
+    fn nodes(&self, node_count: usize) -> usize {
         match self {
             StageSize::Nodes(nodes) => *nodes,
-            StageSize::Percent(share) => ((share / 100.0 * all as f64).round() as usize).clamp(1, all),
+            StageSize::Percent(share) => {
+                ((share / 100.0 * node_count as f64).round() as usize).clamp(1, node_count)
+            }
         }
     }
 }
@@ -33,25 +41,25 @@
     word.parse().ok().filter(|share| *share > 0.0 && *share <= 100.0)
 }
 
-/// A `stage` line.
+/// A `stage` directive with its line.
 pub(super) struct StageLine {
     pub line: usize,
     pub size: StageSize,
 }
 
-/// Numbers of changed nodes at the end of each stage, of which the last is all.
-pub(super) fn stage_sizes(lines: &[StageLine], all: usize) -> Result<Vec<usize>, FileError> {
+/// Returns the number of changed nodes at the end of each stage; the last stage has all nodes.
+pub(super) fn stage_sizes(lines: &[StageLine], node_count: usize) -> Result<Vec<usize>, FileError> {
     let mut stages: Vec<usize> = Vec::new();
     for StageLine { line, size } in lines {
-        let nodes = size.nodes(all);
+        let nodes = size.nodes(node_count);
         let before = stages.last().copied().unwrap_or(0);
-        if nodes > all {
-            let problem = format!("{nodes} nodes in a stage, and {all} in all");
+        if nodes > node_count {
+            let problem = format!("a stage of {nodes} nodes in a fleet of {node_count}");
             return Err(FileError::new(*line, problem, "write fewer"));
         }
         match size {
             _ if nodes > before => stages.push(nodes),
-            // Shares of a small fleet may come to the same number: one stage of it is enough.
+            // Two shares of a small fleet may round to the same number of nodes; they form one stage.
             StageSize::Percent(_) => {}
             StageSize::Nodes(_) => {
                 let problem = format!("a stage of {nodes} after one of {before}");
@@ -59,8 +67,8 @@
             }
         }
     }
-    if stages.last() != Some(&all) {
-        stages.push(all);
+    if stages.last() != Some(&node_count) {
+        stages.push(node_count);
     }
     Ok(stages)
 }
--- a/crates/ochrewalk-operator-config/src/units.rs
+++ b/crates/ochrewalk-operator-config/src/units.rs
@@ -1,25 +1,26 @@
-//! Figures with their units. A figure without one is a fault: guards against seconds where milliseconds were meant.
+//! Parses quantities with their units. A quantity without a unit is an error, so that a time in milliseconds is never read
+//! as seconds.
 
-/// Times in microseconds: `500ms`, `2s`, `1.5s`, `3m`, `1h`.
+/// Parses a time and returns it in microseconds: `500ms`, `2s`, `1.5s`, `3m`, `1h`.
 pub fn time_us(text: &str) -> Option<u64> {
-    figure(text, &[("us", 1.0), ("ms", 1e3), ("s", 1e6), ("m", 60e6), ("h", 3_600e6)])
+    quantity(text, &[("us", 1.0), ("ms", 1e3), ("s", 1e6), ("m", 60e6), ("h", 3_600e6)])
 }
 
-/// Sizes in bytes: `512b`, `8k`, `1m`.
+/// Parses a size and returns it in bytes: `512b`, `8k`, `1m`.
 pub fn bytes(text: &str) -> Option<u64> {
-    figure(text, &[("b", 1.0), ("k", 1_024.0), ("m", 1_048_576.0)])
+    quantity(text, &[("b", 1.0), ("k", 1_024.0), ("m", 1_048_576.0)])
 }
 
-fn figure(text: &str, units: &[(&str, f64)]) -> Option<u64> {
-    let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
-    let (number, unit) = text.split_at(digits);
-    let (_, times) = units.iter().find(|(name, _)| *name == unit)?;
-    let value = number.parse::<f64>().ok()? * times;
+fn quantity(text: &str, units: &[(&str, f64)]) -> Option<u64> {
+    let unit_start = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
+    let (number, unit) = text.split_at(unit_start);
+    let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
+    let value = number.parse::<f64>().ok()? * factor;
     (value <= 1e15).then_some(value.round() as u64)
 }
 
-/// A time in the largest unit that it is a whole number of.
-pub fn show_time(us: u64) -> String {
+/// Formats a time in the largest unit of which it is a whole number.
+pub fn format_time(us: u64) -> String {
     match us {
         _ if us >= 60_000_000 && us.is_multiple_of(60_000_000) => format!("{}m", us / 60_000_000),
         _ if us >= 1_000_000 && us.is_multiple_of(1_000_000) => format!("{}s", us / 1_000_000),
