--- a/crates/ochrewalk-ingress/src/allowed_peers.rs
+++ b/crates/ochrewalk-ingress/src/allowed_peers.rs
@@ -1,28 +1,28 @@
-//! Decides who may connect, by the address that a connection comes from: the narrowest network that holds it has the
-//! say, whatever order the networks were named in.
+//! Decides whether a peer may connect, by its IP address: the rule of the most specific network that contains the address
+//! applies, regardless of the order in which the rules were added.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 use std::net::IpAddr;
 
-/// Networks that are let in and networks that are kept out.
+/// Allowed and denied networks.
 #[derive(Clone, Debug, Default)]
 pub struct AllowedPeers {
-    four: PrefixMap<Ipv4Net, bool>,
-    six: PrefixMap<Ipv6Net, bool>,
+    ipv4: PrefixMap<Ipv4Net, bool>,
+    ipv6: PrefixMap<Ipv6Net, bool>,
 }
 
 impl AllowedPeers {
-    /// States whether a network is let in. What was stated of the very same network before is given back, as two
-    /// statements on one network are a mistake where they differ.
-    pub fn state(&mut self, network: IpNet, let_in: bool) -> Option<bool> {
+    /// Adds a rule that allows or denies a network. Returns the previous rule for the same network, so that the caller can
+    /// reject contradictory rules.
+    pub fn state(&mut self, network: IpNet, is_allowed: bool) -> Option<bool> {
         match network {
-            IpNet::V4(net) => self.four.insert(net.trunc(), let_in),
-            IpNet::V6(net) => self.six.insert(net.trunc(), let_in),
+            IpNet::V4(net) => self.ipv4.insert(net.trunc(), is_allowed),
+            IpNet::V6(net) => self.ipv6.insert(net.trunc(), is_allowed),
         }
     }
 
-    /// Whether an address may connect; one that no network holds may not.
+    /// Whether a peer with this address may connect. An address that no network contains is denied.
     ///
     /// ```
     /// use ochrewalk_ingress::allowed_peers::AllowedPeers;
@@ -33,16 +33,20 @@
     /// assert_eq!([may("10.1.2.3"), may("10.9.2.3"), may("11.0.0.1")], [true, false, false]);
     /// ```
     pub fn may_connect(&self, address: IpAddr) -> bool {
-        // Guards against an address of one kind in the clothes of the other, which no network would hold.
-        let held = match address.to_canonical() {
-            IpAddr::V4(at) => self.four.get_lpm(&Ipv4Net::from(at)).map(|(_, let_in)| *let_in),
-            IpAddr::V6(at) => self.six.get_lpm(&Ipv6Net::from(at)).map(|(_, let_in)| *let_in),
+        // An IPv4 address that is mapped to IPv6 would match no IPv4 network, so it is converted first.
+        let is_allowed = match address.to_canonical() {
+            IpAddr::V4(address) => {
+                self.ipv4.get_lpm(&Ipv4Net::from(address)).map(|(_, is_allowed)| *is_allowed)
+            }
+            IpAddr::V6(address) => {
+                self.ipv6.get_lpm(&Ipv6Net::from(address)).map(|(_, is_allowed)| *is_allowed)
+            }
         };
-        held.unwrap_or(false)
+        is_allowed.unwrap_or(false)
     }
 
-    /// Whether nobody at all may connect.
+    /// Whether no peer may connect.
     pub fn is_empty(&self) -> bool {
-        !self.four.values().chain(self.six.values()).any(|let_in| *let_in)
+        !self.ipv4.values().chain(self.ipv6.values()).any(|is_allowed| *is_allowed)
     }
 }
--- a/crates/ochrewalk-ingress/src/connection_budget.rs
+++ b/crates/ochrewalk-ingress/src/connection_budget.rs
@@ -1,18 +1,19 @@
-//! Decides whose connection makes room for another, where a table of connections is full. Each front has a table of
-//! its own, so that none can take the room of the others.
+//! Decides which connection is closed for a new one when the limit on connections is reached. Each listener has a separate
+//! limit, so that one listener cannot take the capacity of another.
 
-/// How a connection stands when room is looked for.
+/// The state of a connection that matters for the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standing {
     pub number: u64,
-    /// It was asked to go, and has not gone yet.
+    /// Whether the connection has been asked to close and is still open.
     pub going: bool,
-    /// Less goes first; `None` where an answer is owed on it.
+    /// The connection with the lowest priority is closed first; `None` if a response is due on the connection, which is
+    /// never closed for another.
     pub worth: Option<Worth>,
 }
 
-/// What a connection that is owed nothing is worth: one that has said something useful more than any that has not,
-/// and then the one used last.
+/// The priority of a connection without a due response. A connection that has sent a valid message has a higher priority than
+/// any that has not; among equals, the one used last has the higher priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Worth {
     pub good: bool,
@@ -21,31 +22,32 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// One more may come in.
+    /// The new connection is accepted.
     Room,
-    /// One more may come in, and this one is asked to go.
+    /// The new connection is accepted, and this one is asked to close.
     RoomFor(u64),
-    /// Not yet: this one is asked to go first.
+    /// The new connection is not accepted yet; this one is asked to close first.
     Ask(u64),
-    /// Nobody can go, or enough are going already.
+    /// The new connection is not accepted: no connection may be closed, or the maximum number is closing already.
     Full,
 }
 
-/// Looks for room for one more, `most` at a time and up to `ending` beyond that which are about to go. One that is
-/// asked to go may turn out to have whole requests unread, and stay.
-pub fn look(most: usize, ending: usize, all: &[Standing]) -> Verdict {
-    let going = all.iter().filter(|s| s.going).count();
-    let staying = all.len() - going;
-    if staying < most && all.len() < most + ending {
+/// Decides on one new connection. Up to `max_connections` may be open, and up to `max_closing` more that have been asked to
+/// close. A connection that is asked to close stays open if it turns out to have complete requests unread.
+pub fn look(max_connections: usize, max_closing: usize, connections: &[Standing]) -> Verdict {
+    let closing = connections.iter().filter(|connection| connection.going).count();
+    let staying = connections.len() - closing;
+    if staying < max_connections && connections.len() < max_connections + max_closing {
         return Verdict::Room;
     }
-    if going >= ending {
+    if closing >= max_closing {
         return Verdict::Full;
     }
-    let may_go = all.iter().filter(|s| !s.going).filter_map(|s| Some((s.worth?, s.number)));
-    match may_go.min() {
+    let evictable =
+        connections.iter().filter(|open| !open.going).filter_map(|open| Some((open.worth?, open.number)));
+    match evictable.min() {
         None => Verdict::Full,
-        Some((_, number)) if staying > most => Verdict::Ask(number),
+        Some((_, number)) if staying > max_connections => Verdict::Ask(number),
         Some((_, number)) => Verdict::RoomFor(number),
     }
 }
--- a/crates/ochrewalk-ingress/src/routes.rs
+++ b/crates/ochrewalk-ingress/src/routes.rs
@@ -1,16 +1,16 @@
-//! Decides which method of the deployment a request stands for, by its HTTP method and path. A literal segment wins
-//! over `{}`, which is any one segment, and that over a trailing `*`, which is any number of them; so the outcome does
-//! not hang on the order in which routes were named.
+//! Decides which method of the deployment a request is mapped to, by its HTTP method and path. A literal segment takes
+//! precedence over `{}`, which matches any one segment, and `{}` over a trailing `*`, which matches any number of segments; the
+//! result does not depend on the order in which routes were added.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Segments of a path: guards against a path that costs more to look at than its request.
-const MOST_SEGMENTS: usize = 32;
+/// The maximum number of segments of a path, so that matching a path never costs more than handling its request.
+const MAX_SEGMENTS: usize = 32;
 
-/// Routes as a tree of segments. A clone shares all nodes with its original; a change copies those on its path alone, so
-/// that a table of many routes is replaced at the cost of what differs.
+/// Routes as a tree of segments. A clone shares all nodes with its original, and a change copies only the nodes on its path,
+/// so that the cost of replacing a large table depends only on the number of changed routes.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     root: Node,
@@ -19,42 +19,45 @@
 #[derive(Clone, Debug, Default)]
 struct Node {
     literal: BTreeMap<Arc<[u8]>, Arc<Node>>,
-    any: Option<Arc<Node>>,
-    /// What ends here, and what goes on here with anything.
-    here: MethodsByHttp,
-    rest: MethodsByHttp,
+    /// The child that matches any one segment, `{}`.
+    any_segment: Option<Arc<Node>>,
+    /// The methods of patterns that end at this node.
+    exact: MethodsByHttpMethod,
+    /// The methods of patterns that continue with `*` at this node.
+    wildcard: MethodsByHttpMethod,
 }
 
-/// Positions of methods by HTTP method, in the order of its name. Nearly all patterns have one or two: a list of just that
-/// length takes a tenth of a map's memory, of which a node with tens of thousands of routes would hold as many.
+/// Positions of methods by HTTP method, sorted by its name. Nearly all patterns have one or two HTTP methods, so a list of
+/// exact capacity takes a tenth of the memory of a map. A node with tens of thousands of routes holds as many of these lists.
 #[derive(Clone, Debug, Default)]
-struct MethodsByHttp(Vec<(Cow<'static, str>, usize)>);
+struct MethodsByHttpMethod(Vec<(Cow<'static, str>, usize)>);
 
-/// HTTP methods whose names are not stored with each route.
-const USUAL_HTTP: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
+/// HTTP methods whose names are not allocated for each route.
+const COMMON_HTTP_METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 
-impl MethodsByHttp {
-    fn position(&self, http: &str) -> Result<usize, usize> {
-        self.0.binary_search_by(|(name, _)| (**name).cmp(http))
+impl MethodsByHttpMethod {
+    fn position(&self, http_method: &str) -> Result<usize, usize> {
+        self.0.binary_search_by(|(name, _)| (**name).cmp(http_method))
     }
 
-    /// False where there is one already.
-    fn insert(&mut self, http: &str, method: usize) -> bool {
-        let Err(position) = self.position(http) else { return false };
-        let usual = USUAL_HTTP.iter().find(|usual| **usual == http);
-        let name = usual.map_or_else(|| Cow::Owned(http.to_string()), |usual| Cow::Borrowed(*usual));
+    /// Adds a method. Returns false if the HTTP method already has one.
+    fn insert(&mut self, http_method: &str, method: usize) -> bool {
+        let Err(position) = self.position(http_method) else { return false };
+        let common = COMMON_HTTP_METHODS.iter().find(|common| **common == http_method);
+        let name =
+            common.map_or_else(|| Cow::Owned(http_method.to_string()), |common| Cow::Borrowed(*common));
         self.0.reserve_exact(1);
         self.0.insert(position, (name, method));
         true
     }
 
-    fn remove(&mut self, http: &str) -> Option<usize> {
-        let position = self.position(http).ok()?;
+    fn remove(&mut self, http_method: &str) -> Option<usize> {
+        let position = self.position(http_method).ok()?;
         Some(self.0.remove(position).1)
     }
 
-    fn get(&self, http: &[u8]) -> Option<usize> {
-        self.0.iter().find(|(name, _)| name.as_bytes() == http).map(|(_, method)| *method)
+    fn get(&self, http_method: &[u8]) -> Option<usize> {
+        self.0.iter().find(|(name, _)| name.as_bytes() == http_method).map(|(_, method)| *method)
     }
 
     fn is_empty(&self) -> bool {
@@ -62,47 +65,50 @@
     }
 }
 
-/// Why a path is none.
+/// The reason for which a path is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoPath {
     NotAbsolute,
-    /// `.` or `..`, which others might resolve before or after us.
+    /// A `.` or `..` segment, which other programs might resolve before or after this one.
     Dots,
-    /// A percent sign with no two hex digits, or one that hides a slash or a zero.
+    /// A percent sign that is not followed by two hex digits, or that encodes a slash, a backslash or a zero byte.
     Escape,
     TooLong,
 }
 
-/// What a request stands for.
+/// The result of looking up a request's route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Position in the deployment's list of methods.
+    /// The position of the method in the deployment's list of methods.
     Method(usize),
-    /// The path is known, but for these HTTP methods only.
+    /// The path has routes, but only for these HTTP methods.
     OtherMethods(Vec<String>),
     NoRoute,
 }
 
 impl Routes {
-    /// Names a route. An error says what is wrong with the pattern, or that it stands already.
-    pub fn add(&mut self, http: &str, pattern: &str, method: usize) -> Result<(), String> {
+    /// Adds a route.
+    ///
+    /// # Errors
+    /// Returns the reason if the pattern is invalid or already has a route for the HTTP method.
+    pub fn add(&mut self, http_method: &str, pattern: &str, method: usize) -> Result<(), String> {
         let parsed = Pattern::parse(pattern)?;
         let mut node = &mut self.root;
         for segment in &parsed.segments {
             node = match &**segment {
-                b"{}" => Arc::make_mut(node.any.get_or_insert_default()),
+                b"{}" => Arc::make_mut(node.any_segment.get_or_insert_default()),
                 literal => Arc::make_mut(node.literal.entry(literal.into()).or_default()),
             };
         }
-        let methods = if parsed.is_open { &mut node.rest } else { &mut node.here };
-        if methods.insert(http, method) {
+        let methods = if parsed.has_wildcard { &mut node.wildcard } else { &mut node.exact };
+        if methods.insert(http_method, method) {
             Ok(())
         } else {
-            Err(format!("{http} {pattern} is routed already"))
+            Err(format!("{http_method} {pattern} is routed already"))
         }
     }
 
-    /// Takes a route out and gives the method that it stood for; none where there was no such route.
+    /// Removes a route and returns its method; `None` if the route does not exist.
     ///
     /// ```
     /// use ochrewalk_ingress::routes::Routes;
@@ -112,12 +118,15 @@
     /// assert_eq!(routes.remove("GET", "/items/{}"), Some(7));
     /// assert!(routes.is_empty());
     /// ```
-    pub fn remove(&mut self, http: &str, pattern: &str) -> Option<usize> {
+    pub fn remove(&mut self, http_method: &str, pattern: &str) -> Option<usize> {
         let parsed = Pattern::parse(pattern).ok()?;
-        self.root.remove(http, &parsed.segments, parsed.is_open)
+        self.root.remove(http_method, &parsed.segments, parsed.has_wildcard)
     }
 
-    /// Whether a pattern can be routed; an error says what is wrong with it.
+    /// Checks a pattern.
+    ///
+    /// # Errors
+    /// Returns the reason if the pattern is invalid.
     pub fn check_pattern(pattern: &str) -> Result<(), String> {
         Pattern::parse(pattern).map(|_| ())
     }
@@ -126,8 +135,11 @@
         self.root.is_empty()
     }
 
-    /// Finds what a request stands for. What follows `?` in a path is not part of it, nor what follows `;` in a
-    /// segment.
+    /// Returns the method to which a request is mapped. The query of the path after `?` is ignored, and so are the parameters of
+    /// a segment after `;`.
+    ///
+    /// # Errors
+    /// Returns an error if the path is invalid.
     ///
     /// ```
     /// use ochrewalk_ingress::routes::{Found, Routes};
@@ -138,61 +150,65 @@
     /// assert_eq!(routes.find(b"GET", b"/items/all"), Ok(Found::Method(1)));
     /// assert_eq!(routes.find(b"PUT", b"/items/all"), Ok(Found::OtherMethods(vec!["GET".into()])));
     /// ```
-    pub fn find(&self, http: &[u8], path: &[u8]) -> Result<Found, NoPath> {
+    pub fn find(&self, http_method: &[u8], path: &[u8]) -> Result<Found, NoPath> {
         let path = path.split(|b| *b == b'?').next().unwrap_or_default();
         let segments = segments(path)?;
-        let mut others = Vec::new();
-        let found = self.root.find(http, &segments, &mut others);
-        others.sort_unstable();
-        others.dedup();
+        let mut other_methods = Vec::new();
+        let found = self.root.find(http_method, &segments, &mut other_methods);
+        other_methods.sort_unstable();
+        other_methods.dedup();
         Ok(match found {
             Some(method) => Found::Method(method),
-            None if others.is_empty() => Found::NoRoute,
-            None => Found::OtherMethods(others),
+            None if other_methods.is_empty() => Found::NoRoute,
+            None => Found::OtherMethods(other_methods),
         })
     }
 }
 
-/// A pattern of paths, in segments.
+/// A pattern of paths, split into segments.
 struct Pattern {
     segments: Vec<Vec<u8>>,
-    /// It ended in `*`: any number of further segments may follow.
-    is_open: bool,
+    /// Whether the pattern ends in `*` and matches any number of further segments.
+    has_wildcard: bool,
 }
 
 impl Pattern {
     fn parse(pattern: &str) -> Result<Pattern, String> {
         let mut segments = segments(pattern.as_bytes()).map_err(|why| why.in_words().to_string())?;
-        let is_open = segments.last().is_some_and(|last| last == b"*");
-        if is_open {
+        let has_wildcard = segments.last().is_some_and(|last| last == b"*");
+        if has_wildcard {
             segments.pop();
         }
-        if segments.iter().any(|s| s.contains(&b'*')) {
+        if segments.iter().any(|segment| segment.contains(&b'*')) {
             return Err("'*' may only be the last segment by itself".into());
         }
-        let has_braces = |s: &Vec<u8>| s.contains(&b'{') || s.contains(&b'}');
-        if segments.iter().any(|s| s != b"{}" && has_braces(s)) {
+        let has_braces = |segment: &Vec<u8>| segment.contains(&b'{') || segment.contains(&b'}');
+        if segments.iter().any(|segment| segment != b"{}" && has_braces(segment)) {
             return Err("a segment is '{}' as a whole or holds no braces".into());
         }
-        Ok(Pattern { segments, is_open })
+        Ok(Pattern { segments, has_wildcard })
     }
 }
 
 impl Node {
-    /// Takes out what ends `segments` below here, and nodes that are left empty by it.
-    fn remove(&mut self, http: &str, segments: &[Vec<u8>], is_open: bool) -> Option<usize> {
+    /// Removes the method of the pattern `segments`, relative to this node, and the nodes that become empty.
+    fn remove(&mut self, http_method: &str, segments: &[Vec<u8>], has_wildcard: bool) -> Option<usize> {
         let Some((first, rest)) = segments.split_first() else {
-            return if is_open { self.rest.remove(http) } else { self.here.remove(http) };
+            return if has_wildcard {
+                self.wildcard.remove(http_method)
+            } else {
+                self.exact.remove(http_method)
+            };
         };
         let child = match &**first {
-            b"{}" => self.any.as_mut(),
+            b"{}" => self.any_segment.as_mut(),
             literal => self.literal.get_mut(literal),
         };
         let child = Arc::make_mut(child?);
-        let removed = child.remove(http, rest, is_open);
+        let removed = child.remove(http_method, rest, has_wildcard);
         if child.is_empty() {
             match &**first {
-                b"{}" => self.any = None,
+                b"{}" => self.any_segment = None,
                 literal => drop(self.literal.remove(literal)),
             }
         }
@@ -200,27 +216,38 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.literal.is_empty() && self.any.is_none() && self.here.is_empty() && self.rest.is_empty()
+        self.literal.is_empty()
+            && self.any_segment.is_none()
+            && self.exact.is_empty()
+            && self.wildcard.is_empty()
     }
 
-    fn find(&self, http: &[u8], segments: &[Vec<u8>], others: &mut Vec<String>) -> Option<usize> {
-        let of = |methods: &MethodsByHttp, others: &mut Vec<String>| {
-            let found = methods.get(http);
+    fn find(
+        &self,
+        http_method: &[u8],
+        segments: &[Vec<u8>],
+        other_methods: &mut Vec<String>,
+    ) -> Option<usize> {
+        let method_of = |methods: &MethodsByHttpMethod, other_methods: &mut Vec<String>| {
+            let found = methods.get(http_method);
             if found.is_none() {
-                others.extend(methods.0.iter().map(|(name, _)| name.to_string()));
+                other_methods.extend(methods.0.iter().map(|(name, _)| name.to_string()));
             }
             found
         };
         let found = match segments.split_first() {
-            None => of(&self.here, others),
+            None => method_of(&self.exact, other_methods),
             Some((first, rest)) => {
-                let literal =
-                    self.literal.get(first.as_slice()).and_then(|node| node.find(http, rest, others));
-                let any = || self.any.as_ref().and_then(|node| node.find(http, rest, others));
-                literal.or_else(any)
+                let literal = self
+                    .literal
+                    .get(first.as_slice())
+                    .and_then(|node| node.find(http_method, rest, other_methods));
+                let any_segment =
+                    || self.any_segment.as_ref().and_then(|node| node.find(http_method, rest, other_methods));
+                literal.or_else(any_segment)
             }
         };
-        found.or_else(|| of(&self.rest, others))
+        found.or_else(|| method_of(&self.wildcard, other_methods))
     }
 }
 
@@ -238,15 +265,15 @@
 fn segments(path: &[u8]) -> Result<Vec<Vec<u8>>, NoPath> {
     let rest = path.strip_prefix(b"/").ok_or(NoPath::NotAbsolute)?;
     let mut segments = Vec::new();
-    // A trailing slash and doubled ones are passed over.
+    // A trailing slash and repeated slashes are ignored.
     for raw in rest.split(|b| *b == b'/').filter(|s| !s.is_empty()) {
         let segment = unescaped(raw.split(|b| *b == b';').next().unwrap_or_default())?;
-        // Guards against a path that others resolve to another one.
+        // Other programs might resolve such a path to another one.
         if segment == b"." || segment == b".." {
             return Err(NoPath::Dots);
         }
         segments.push(segment);
-        if segments.len() > MOST_SEGMENTS {
+        if segments.len() > MAX_SEGMENTS {
             return Err(NoPath::TooLong);
         }
     }
--- a/crates/ochrewalk-ingress/tests/ingress.rs
+++ b/crates/ochrewalk-ingress/tests/ingress.rs
@@ -1,4 +1,4 @@
-//! Who may connect, what requests stand for, and who makes room, as tables.
+//! Checks allowed peers, the mapping of requests to methods, and the limit on connections with tables of cases.
 
 use ochrewalk_ajp::request::{Attribute, BodyLength, Request, Which};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
@@ -7,17 +7,17 @@
 use ochrewalk_ingress::routes::{Found, NoPath, Routes};
 
 #[test]
-fn the_narrowest_network_has_the_say() {
+fn the_rule_of_the_most_specific_network_applies() {
     let networks = [("10.0.0.0/8", true), ("10.9.0.0/16", false), ("10.9.9.9/32", true), ("fd00::/8", true)];
-    // In any order.
-    for turn in 0..networks.len() {
+    // The order of the rules has no effect.
+    for first in 0..networks.len() {
         let mut allowed_peers = AllowedPeers::default();
         assert!(allowed_peers.is_empty());
-        for (network, let_in) in networks.iter().cycle().skip(turn).take(networks.len()) {
-            assert_eq!(allowed_peers.state(network.parse().unwrap(), *let_in), None);
+        for (network, is_allowed) in networks.iter().cycle().skip(first).take(networks.len()) {
+            assert_eq!(allowed_peers.state(network.parse().unwrap(), *is_allowed), None);
         }
         assert!(!allowed_peers.is_empty());
-        for (address, may) in [
+        for (address, may_connect) in [
             ("10.1.1.1", true),
             ("10.9.1.1", false),
             ("10.9.9.9", true),
@@ -27,19 +27,19 @@
             ("::ffff:10.1.1.1", true),
             ("::ffff:9.1.1.1", false),
         ] {
-            assert_eq!(allowed_peers.may_connect(address.parse().unwrap()), may, "{address}");
+            assert_eq!(allowed_peers.may_connect(address.parse().unwrap()), may_connect, "{address}");
         }
         assert_eq!(
             allowed_peers.state("10.1.2.3/8".parse().unwrap(), false),
             Some(true),
-            "the same network again"
+            "the same network has a rule"
         );
     }
 }
 
 fn routes() -> Routes {
     let mut routes = Routes::default();
-    for (at, (http, pattern)) in [
+    for (position, (http_method, pattern)) in [
         ("GET", "/items/{}"),
         ("GET", "/items/all"),
         ("GET", "/items/{}/price"),
@@ -51,15 +51,15 @@
     .into_iter()
     .enumerate()
     {
-        routes.add(http, pattern, at).unwrap();
+        routes.add(http_method, pattern, position).unwrap();
     }
     routes
 }
 
 #[test]
-fn routes_are_found_whatever_their_order_and_disguise() {
+fn routes_match_normalized_paths_regardless_of_their_order() {
     let only = |names: &[&str]| Ok(Found::OtherMethods(names.iter().map(|n| n.to_string()).collect()));
-    for (http, path, found) in [
+    for (http_method, path, expected) in [
         ("GET", "/items/7", Ok(Found::Method(0))),
         ("GET", "/items/all", Ok(Found::Method(1))),
         ("GET", "/items/all/price", Ok(Found::Method(2))),
@@ -86,21 +86,21 @@
         ("GET", "/a%zz", Err(NoPath::Escape)),
         ("GET", &"/a".repeat(33), Err(NoPath::TooLong)),
     ] {
-        assert_eq!(routes().find(http.as_bytes(), path.as_bytes()), found, "{http} {path}");
+        assert_eq!(routes().find(http_method.as_bytes(), path.as_bytes()), expected, "{http_method} {path}");
     }
-    let mut none = Routes::default();
-    assert!(none.is_empty());
-    none.add("GET", "/a", 0).unwrap();
-    assert_eq!(none.find(b"GET", b"/b"), Ok(Found::NoRoute));
-    assert!(!none.is_empty());
-    for (pattern, why) in [
+    let mut table = Routes::default();
+    assert!(table.is_empty());
+    table.add("GET", "/a", 0).unwrap();
+    assert_eq!(table.find(b"GET", b"/b"), Ok(Found::NoRoute));
+    assert!(!table.is_empty());
+    for (pattern, error) in [
         ("a", "begins with '/'"),
         ("/a/*/b", "may only be the last"),
         ("/a*", "may only be the last"),
         ("/a/{x}", "as a whole"),
         ("/a", "routed already"),
     ] {
-        assert!(none.add("GET", pattern, 1).unwrap_err().contains(why), "{pattern}");
+        assert!(table.add("GET", pattern, 1).unwrap_err().contains(error), "{pattern}");
     }
 }
 
@@ -115,18 +115,23 @@
     }
 }
 
-fn asked<'a>(http: &'a str, uri: &'a str, headers: &[(&'a str, &'a str)], secret: &'a str) -> Request<'a> {
+fn request<'a>(
+    http_method: &'a str,
+    uri: &'a str,
+    headers: &[(&'a str, &'a str)],
+    secret: &'a str,
+) -> Request<'a> {
     Request {
-        method: http.as_bytes(),
+        method: http_method.as_bytes(),
         uri: uri.as_bytes(),
-        headers: headers.iter().map(|(n, v)| (n.as_bytes(), v.as_bytes())).collect(),
+        headers: headers.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect(),
         attributes: vec![Attribute::Text(Which::Secret, secret.as_bytes())],
         ..Request::default()
     }
 }
 
 #[test]
-fn requests_are_judged_by_their_heads() {
+fn requests_are_evaluated_by_their_heads() {
     let all = [
         ("X-Request-Id", "0123456789abcdef"),
         ("X-Token", "aa7"),
@@ -134,7 +139,7 @@
         ("X-Memory-Kb", "3.5"),
         ("Content-Length", "9"),
     ];
-    let Ok((Asks::Method(method), body)) = rules().judge(&asked("POST", "/sales", &all, "peach")) else {
+    let Ok((Asks::Method(method), body)) = rules().judge(&request("POST", "/sales", &all, "peach")) else {
         panic!()
     };
     assert_eq!(
@@ -142,15 +147,15 @@
         (3, 3.5, Some(250_000), BodyLength::Stated(9))
     );
     assert_eq!((method.id.as_deref(), method.token.as_deref()), (Some("0123456789abcdef"), Some("aa7")));
-    let Ok((Asks::Method(method), _)) = rules().judge(&asked("GET", "/items/1", &[], "peach")) else {
+    let Ok((Asks::Method(method), _)) = rules().judge(&request("GET", "/items/1", &[], "peach")) else {
         panic!()
     };
     assert_eq!((method.id, method.token, method.left_us, method.kb), (None, None, None, 20.5));
     assert_eq!(
-        rules().judge(&asked("HEAD", "/health?x", &[], "peach")),
+        rules().judge(&request("HEAD", "/health?x", &[], "peach")),
         Ok((Asks::Health, BodyLength::None))
     );
-    for (http, uri, headers, secret, status, allow, last) in [
+    for (http_method, uri, headers, secret, status, allowed_methods, closes_connection) in [
         ("GET", "/items/1", &[][..], "pears", 403, &[][..], true),
         ("GET", "/items/1", &[], "peac", 403, &[], true),
         ("GET", "/items/1", &[], "", 403, &[], true),
@@ -168,35 +173,53 @@
         ("POST", "/sales", &[("x-memory-kb", "NaN")], "peach", 400, &[], false),
         ("POST", "/sales", &[("x-memory-kb", "2000")], "peach", 400, &[], false),
     ] {
-        let no = rules().judge(&asked(http, uri, headers, secret)).unwrap_err();
-        let allow: Vec<String> = allow.iter().map(|a| a.to_string()).collect();
-        assert_eq!((no.refusal.status, no.allow, no.last), (status, allow, last), "{http} {uri} {headers:?}");
+        let rejection = rules().judge(&request(http_method, uri, headers, secret)).unwrap_err();
+        let allowed_methods: Vec<String> = allowed_methods.iter().map(|method| method.to_string()).collect();
+        assert_eq!(
+            (rejection.refusal.status, rejection.allow, rejection.last),
+            (status, allowed_methods, closes_connection),
+            "{http_method} {uri} {headers:?}"
+        );
     }
     let mut strict = rules();
     (strict.secret, strict.usual_kb) = (None, None);
-    assert_eq!(strict.judge(&asked("GET", "/items/1", &[], "")).unwrap_err().refusal.status, 400);
+    assert_eq!(strict.judge(&request("GET", "/items/1", &[], "")).unwrap_err().refusal.status, 400);
 }
 
 #[test]
-fn the_least_worthy_makes_room_and_the_owed_never() {
-    let at = |number, going, worth: Option<(bool, u64)>| {
+fn the_connection_of_lowest_priority_is_closed_and_none_with_a_due_response() {
+    let connection = |number, going, worth: Option<(bool, u64)>| {
         let worth = worth.map(|(good, used_us)| Worth { good, used_us });
         Standing { number, going, worth }
     };
-    let owed = |number| at(number, false, None);
-    for (all, verdict) in [
-        (vec![owed(1)], Verdict::Room),
-        (vec![owed(1), owed(2)], Verdict::Full),
-        (vec![owed(1), at(2, false, Some((true, 5)))], Verdict::RoomFor(2)),
-        // What never said anything useful goes first, then what was not used for longest.
-        (vec![at(1, false, Some((true, 1))), at(2, false, Some((false, 9)))], Verdict::RoomFor(2)),
-        (vec![at(1, false, Some((true, 7))), at(2, false, Some((true, 6)))], Verdict::RoomFor(2)),
-        (vec![owed(1), at(2, true, Some((true, 5)))], Verdict::Room),
-        (vec![owed(1), owed(2), at(3, true, Some((true, 5)))], Verdict::Full),
-        // One that was asked to go has stayed: another goes before any comes in.
-        (vec![owed(1), owed(2), at(3, false, Some((true, 5)))], Verdict::Ask(3)),
-        (vec![owed(1), at(2, true, None), at(3, true, None), at(4, false, Some((true, 1)))], Verdict::Full),
+    let busy = |number| connection(number, false, None);
+    for (connections, expected) in [
+        (vec![busy(1)], Verdict::Room),
+        (vec![busy(1), busy(2)], Verdict::Full),
+        (vec![busy(1), connection(2, false, Some((true, 5)))], Verdict::RoomFor(2)),
+        // A connection that never sent a valid message is closed first, then the least recently used one.
+        (
+            vec![connection(1, false, Some((true, 1))), connection(2, false, Some((false, 9)))],
+            Verdict::RoomFor(2),
+        ),
+        (
+            vec![connection(1, false, Some((true, 7))), connection(2, false, Some((true, 6)))],
+            Verdict::RoomFor(2),
+        ),
+        (vec![busy(1), connection(2, true, Some((true, 5)))], Verdict::Room),
+        (vec![busy(1), busy(2), connection(3, true, Some((true, 5)))], Verdict::Full),
+        // A connection that was asked to close has stayed open, so one has to close before another is accepted.
+        (vec![busy(1), busy(2), connection(3, false, Some((true, 5)))], Verdict::Ask(3)),
+        (
+            vec![
+                busy(1),
+                connection(2, true, None),
+                connection(3, true, None),
+                connection(4, false, Some((true, 1))),
+            ],
+            Verdict::Full,
+        ),
     ] {
-        assert_eq!(look(2, 2, &all), verdict, "{all:?}");
+        assert_eq!(look(2, 2, &connections), expected, "{connections:?}");
     }
 }
--- a/crates/ochrewalk-ingress/tests/memory.rs
+++ b/crates/ochrewalk-ingress/tests/memory.rs
@@ -1,4 +1,5 @@
-//! Memory that routes hold, counted by the allocator. One test only: the count is of the whole process.
+//! Measures the memory of a large table of routes with an instrumented allocator. This file has a single test, as the allocator
+//! counts the complete process.
 
 use ochrewalk_ingress::routes::{Found, Routes};
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -8,8 +9,9 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const ROUTES: usize = 49_000;
-/// A node may hold two tables of that size while its files are read again, beside all else within 128 MB.
-const MOST_BYTES_PER_ROUTE: usize = 256;
+/// The bound on the memory per route: a node holds two tables of that size while it reloads its files, and its complete memory
+/// has to stay within 128 MB.
+const MAX_BYTES_PER_ROUTE: usize = 256;
 
 #[test]
 fn tens_of_thousands_of_routes_take_few_bytes_each() {
@@ -20,7 +22,7 @@
         routes.add("GET", &pattern, number).unwrap();
     }
     let change = region.change();
-    let held = change.bytes_allocated - change.bytes_deallocated;
-    assert!(held / ROUTES <= MOST_BYTES_PER_ROUTE, "{held} bytes for {ROUTES} routes");
+    let allocated = change.bytes_allocated - change.bytes_deallocated;
+    assert!(allocated / ROUTES <= MAX_BYTES_PER_ROUTE, "{allocated} bytes for {ROUTES} routes");
     assert_eq!(routes.find(b"GET", b"/service-199/item-048999"), Ok(Found::Method(48_999)));
 }
