--- a/crates/ochrewalk-ajp/src/codes.rs
+++ b/crates/ochrewalk-ajp/src/codes.rs
@@ -1,6 +1,6 @@
-//! The protocol's tables of coded methods, headers and attributes.
+//! Tables of the methods and headers that the protocol encodes by number.
 
-/// Methods by their code, from 1 on.
+/// Methods in the order of their codes, which begin at 1.
 const METHODS: [&str; 27] = [
     "OPTIONS",
     "GET",
@@ -31,10 +31,10 @@
     "MKACTIVITY",
 ];
 
-/// The method stands in an attribute.
+/// The code of a method that has no code of its own and is sent in the attribute `stored_method`.
 pub const STORED_METHOD: u8 = 0xFF;
 
-/// Headers by their code, from 0xA001 on.
+/// Request headers in the order of their codes, which begin at 0xA001.
 const REQUEST_HEADERS: [&str; 14] = [
     "accept",
     "accept-charset",
@@ -52,7 +52,8 @@
     "user-agent",
 ];
 
-const REPLY_HEADERS: [&str; 11] = [
+/// Response headers in the order of their codes, which begin at 0xA001.
+const RESPONSE_HEADERS: [&str; 11] = [
     "content-type",
     "content-language",
     "content-length",
@@ -66,32 +67,33 @@
     "www-authenticate",
 ];
 
-const FIRST_HEADER: u16 = 0xA001;
-/// A string's length can't be in this range, as codes stand there.
-pub const CODED: std::ops::RangeInclusive<u16> = 0xA000..=0xA0FF;
+const FIRST_HEADER_CODE: u16 = 0xA001;
+/// The range of header codes. Where a code may occur, a string whose length is in this range could not be told apart from a
+/// code, so no string has such a length.
+pub const HEADER_CODES: std::ops::RangeInclusive<u16> = 0xA000..=0xA0FF;
 
-/// Which table a packet's headers are coded by.
+/// The table by which the headers of a packet are encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Headers {
+pub enum HeaderTable {
     Request,
-    Reply,
+    Response,
 }
 
-impl Headers {
+impl HeaderTable {
     fn names(self) -> &'static [&'static str] {
         match self {
-            Headers::Request => &REQUEST_HEADERS,
-            Headers::Reply => &REPLY_HEADERS,
+            HeaderTable::Request => &REQUEST_HEADERS,
+            HeaderTable::Response => &RESPONSE_HEADERS,
         }
     }
 
     pub fn name(self, code: u16) -> Option<&'static str> {
-        self.names().get(usize::from(code.checked_sub(FIRST_HEADER)?)).copied()
+        self.names().get(usize::from(code.checked_sub(FIRST_HEADER_CODE)?)).copied()
     }
 
     pub fn code(self, name: &[u8]) -> Option<u16> {
-        let at = self.names().iter().position(|n| n.as_bytes().eq_ignore_ascii_case(name))?;
-        Some(FIRST_HEADER + at as u16)
+        let index = self.names().iter().position(|known| known.as_bytes().eq_ignore_ascii_case(name))?;
+        Some(FIRST_HEADER_CODE + index as u16)
     }
 }
 
@@ -100,5 +102,5 @@
 }
 
 pub fn method_code(name: &[u8]) -> Option<u8> {
-    METHODS.iter().position(|m| m.as_bytes() == name).map(|at| at as u8 + 1)
+    METHODS.iter().position(|method| method.as_bytes() == name).map(|index| index as u8 + 1)
 }
--- a/crates/ochrewalk-ajp/src/lib.rs
+++ b/crates/ochrewalk-ajp/src/lib.rs
@@ -1,13 +1,13 @@
-//! AJP/1.3 without sockets and clocks. The names follow the public description of the protocol only where its
-//! fields are read and written; everywhere else the one that sends requests is the asker, and the other side the
-//! answerer.
+//! Implements AJP/1.3 without sockets and clocks. As in the description of the protocol, the web server sends requests and the
+//! servlet container responds to them.
 //!
-//! * [`packet`] cuts the stream into packets and reads and writes their primitives.
-//! * [`request`] holds what the asker sends, [`reply`] what the answerer sends.
-//! * [`answerer`] decides the life of a connection on which we are asked, [`asker`] of one on which we ask.
+//! * [`packet`] splits the stream into packets, and reads and writes their primitives.
+//! * [`request`] has the messages of the web server, [`reply`] those of the servlet container.
+//! * [`answerer`] is the state machine of a connection on the servlet container's side, [`asker`] of one on the web server's
+//!   side.
 //!
-//! Every bound is on bytes that have come, never on a length that is only stated, so that nothing is allocated for
-//! what a stranger merely promises.
+//! Every bound applies to bytes that have been received, never to a length that is only stated, so that an untrusted peer cannot
+//! cause allocations by a stated length.
 
 pub mod answerer;
 pub mod asker;
--- a/crates/ochrewalk-ajp/src/packet.rs
+++ b/crates/ochrewalk-ajp/src/packet.rs
@@ -1,14 +1,17 @@
-//! Packets: two bytes that name the sender's side, two of length, the payload. And the primitives inside.
+//! Reads and writes packets and the primitives of their payloads. A packet consists of two magic bytes that identify the
+//! sender's side, two bytes of length, and the payload.
 
-use crate::codes::{Headers, CODED};
+use crate::codes::{HeaderTable, HEADER_CODES};
 use std::fmt;
 
-/// The protocol's packet size, header included; both sides may agree on more.
+/// The default size of a packet with its header, in bytes; both sides may be configured for larger packets.
 pub const USUAL_PACKET: usize = 8 * 1024;
+/// The largest size of a packet with its header, in bytes.
 pub const LARGEST_PACKET: usize = 64 * 1024;
-pub const HEADER: usize = 4;
+/// The size of a packet's header, in bytes.
+pub const HEADER_BYTES: usize = 4;
 
-/// Who sent a packet.
+/// The side that sent a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
     Asker,
@@ -24,43 +27,47 @@
     }
 }
 
-/// Why bytes are no AJP. Each ends the connection: where the next packet begins is not known any more.
+/// The reason for which input is not valid AJP. Each closes the connection, as the start of the next packet is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
+    /// The packet does not begin with the magic bytes of the sender's side.
     Magic,
-    /// A packet longer than both sides agreed on.
+    /// The packet is longer than the configured size.
     TooLong,
-    /// A packet ends before what it should hold.
+    /// The packet ends before the end of its message.
     Short,
-    /// A packet goes on after what it should hold.
+    /// The packet has bytes after its message.
     Trailing,
-    /// A string without its end mark, or a length that no string has.
+    /// A string has no terminating zero byte, or has a length that is not valid.
     Text,
-    /// A message, method, header or attribute that is not known.
+    /// The code of a message, method, header or attribute is unknown.
     Code,
-    /// Too many headers or attributes.
+    /// The message has too many headers or attributes.
     TooMany,
-    /// A message that may not come in this state.
+    /// The message is not valid in the state of the connection.
     OutOfTurn,
 }
 
 impl fmt::Display for Broken {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Broken::Magic => "a packet that begins with no known mark",
-            Broken::TooLong => "a packet longer than agreed on",
-            Broken::Short => "a packet that ends too early",
-            Broken::Trailing => "a packet with more than its message",
-            Broken::Text => "a string without its end",
-            Broken::Code => "a code that is not known",
+            Broken::Magic => "a packet without the magic bytes of its sender",
+            Broken::TooLong => "a packet longer than the configured size",
+            Broken::Short => "a packet that ends within its message",
+            Broken::Trailing => "a packet with bytes after its message",
+            Broken::Text => "a string of invalid length or without its terminating zero",
+            Broken::Code => "an unknown code",
             Broken::TooMany => "too many headers or attributes",
-            Broken::OutOfTurn => "a message out of turn",
+            Broken::OutOfTurn => "a message that is not valid in this state",
         })
     }
 }
 
-/// The payload of the first whole packet and how many bytes it takes. `most` bounds a packet with its header. What
-/// is wrong shows with the first byte that is wrong.
+/// Returns the payload of the first complete packet and the size of that packet; `None` if the packet is incomplete.
+/// `max_packet_bytes` bounds a packet with its header.
+///
+/// # Errors
+/// Returns an error as soon as the first invalid byte is present, even if the packet is incomplete.
 ///
 /// ```
 /// use ochrewalk_ajp::packet::{split, Broken, Sender, USUAL_PACKET};
@@ -70,35 +77,38 @@
 /// assert_eq!(split(b"GET", Sender::Asker, USUAL_PACKET), Err(Broken::Magic));
 /// assert_eq!(split(&[0x12, 0x34, 0x20, 0], Sender::Asker, USUAL_PACKET), Err(Broken::TooLong));
 /// ```
-pub fn split(input: &[u8], from: Sender, most: usize) -> Result<Option<(&[u8], usize)>, Broken> {
-    let seen = input.len().min(2);
-    if input[..seen] != from.magic()[..seen] {
+pub fn split(input: &[u8], from: Sender, max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, Broken> {
+    let magic_length = input.len().min(2);
+    if input[..magic_length] != from.magic()[..magic_length] {
         return Err(Broken::Magic);
     }
-    let Some(length) = input.get(2..HEADER) else { return Ok(None) };
-    let whole = HEADER + usize::from(u16::from_be_bytes([length[0], length[1]]));
-    if whole > most {
+    let Some(length) = input.get(2..HEADER_BYTES) else { return Ok(None) };
+    let packet_bytes = HEADER_BYTES + usize::from(u16::from_be_bytes([length[0], length[1]]));
+    if packet_bytes > max_packet_bytes {
         return Err(Broken::TooLong);
     }
-    Ok(input.get(HEADER..whole).map(|payload| (payload, whole)))
+    Ok(input.get(HEADER_BYTES..packet_bytes).map(|payload| (payload, packet_bytes)))
 }
 
-/// Writes one packet at the end of `out`; nothing of it stays there where it would be longer than `most`.
+/// Appends one packet to `out`.
+///
+/// # Errors
+/// Returns an error and leaves `out` unchanged if the payload is invalid or the packet is longer than `max_packet_bytes`.
 pub fn write(
     out: &mut Vec<u8>,
     from: Sender,
-    most: usize,
-    payload: impl FnOnce(&mut Payload) -> Result<(), Broken>,
+    max_packet_bytes: usize,
+    payload: impl FnOnce(&mut PayloadWriter) -> Result<(), Broken>,
 ) -> Result<(), Broken> {
     let start = out.len();
     out.extend_from_slice(&from.magic());
     out.extend_from_slice(&[0, 0]);
-    let written = payload(&mut Payload(out));
-    let whole = out.len() - start;
-    let length = u16::try_from(whole - HEADER).ok().filter(|_| whole <= most);
+    let written = payload(&mut PayloadWriter(out));
+    let packet_bytes = out.len() - start;
+    let length = u16::try_from(packet_bytes - HEADER_BYTES).ok().filter(|_| packet_bytes <= max_packet_bytes);
     match (written, length) {
         (Ok(()), Some(length)) => {
-            out[start + 2..start + HEADER].copy_from_slice(&length.to_be_bytes());
+            out[start + 2..start + HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
             Ok(())
         }
         (written, _) => {
@@ -108,65 +118,71 @@
     }
 }
 
-/// A payload being written.
-pub struct Payload<'a>(&'a mut Vec<u8>);
+/// Writes the primitives of a payload.
+pub struct PayloadWriter<'a>(&'a mut Vec<u8>);
 
-impl Payload<'_> {
+impl PayloadWriter<'_> {
     pub fn byte(&mut self, byte: u8) {
         self.0.push(byte);
     }
 
-    pub fn number(&mut self, number: u16) {
-        self.0.extend_from_slice(&number.to_be_bytes());
+    pub fn integer(&mut self, integer: u16) {
+        self.0.extend_from_slice(&integer.to_be_bytes());
     }
 
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.0.extend_from_slice(bytes);
     }
 
-    /// A count or length that has to fit two bytes.
+    /// Writes a count or length.
+    ///
+    /// # Errors
+    /// Returns an error if the value does not fit two bytes.
     pub fn count(&mut self, count: usize) -> Result<(), Broken> {
-        self.number(u16::try_from(count).map_err(|_| Broken::TooMany)?);
+        self.integer(u16::try_from(count).map_err(|_| Broken::TooMany)?);
         Ok(())
     }
 
-    pub fn text(&mut self, text: Option<&[u8]>) -> Result<(), Broken> {
-        let Some(text) = text else {
-            self.number(NO_TEXT);
+    /// Writes a string; `None` is the protocol's null string.
+    pub fn string(&mut self, string: Option<&[u8]>) -> Result<(), Broken> {
+        let Some(string) = string else {
+            self.integer(NULL_STRING);
             return Ok(());
         };
-        let length = u16::try_from(text.len()).ok().filter(|l| *l != NO_TEXT && !CODED.contains(l));
-        self.number(length.ok_or(Broken::Text)?);
-        self.bytes(text);
+        let length = u16::try_from(string.len())
+            .ok()
+            .filter(|length| *length != NULL_STRING && !HEADER_CODES.contains(length));
+        self.integer(length.ok_or(Broken::Text)?);
+        self.bytes(string);
         self.byte(0);
         Ok(())
     }
 
-    pub fn headers(&mut self, of: Headers, headers: &[(&[u8], &[u8])]) -> Result<(), Broken> {
+    pub fn headers(&mut self, table: HeaderTable, headers: &[(&[u8], &[u8])]) -> Result<(), Broken> {
         self.count(headers.len())?;
         for (name, value) in headers {
-            match of.code(name) {
-                Some(code) => self.number(code),
-                None => self.text(Some(name))?,
+            match table.code(name) {
+                Some(code) => self.integer(code),
+                None => self.string(Some(name))?,
             }
-            self.text(Some(value))?;
+            self.string(Some(value))?;
         }
         Ok(())
     }
 }
 
-/// Headers: names and values as they came.
-pub type Pairs<'a> = Vec<(&'a [u8], &'a [u8])>;
+/// Headers as pairs of name and value, in the order of the message.
+pub type HeaderList<'a> = Vec<(&'a [u8], &'a [u8])>;
 
-/// The length that stands for no string at all.
-const NO_TEXT: u16 = 0xFFFF;
-/// Headers and attributes of one message.
-pub const MOST_HEADERS: usize = 100;
+/// The length that marks a null string.
+const NULL_STRING: u16 = 0xFFFF;
+/// The maximum number of headers, and of attributes, of one message.
+pub const MAX_HEADERS: usize = 100;
 
-/// A payload being read.
-pub struct Rest<'a>(pub &'a [u8]);
+/// Reads the primitives of a payload; the field is the part that is still unread.
+pub struct PayloadReader<'a>(pub &'a [u8]);
 
-impl<'a> Rest<'a> {
+impl<'a> PayloadReader<'a> {
     pub fn bytes(&mut self, length: usize) -> Result<&'a [u8], Broken> {
         let (first, rest) = self.0.split_at_checked(length).ok_or(Broken::Short)?;
         self.0 = rest;
@@ -177,55 +193,57 @@
         Ok(self.bytes(1)?[0])
     }
 
-    pub fn number(&mut self) -> Result<u16, Broken> {
+    pub fn integer(&mut self) -> Result<u16, Broken> {
         let bytes = self.bytes(2)?;
         Ok(u16::from_be_bytes([bytes[0], bytes[1]]))
     }
 
-    pub fn flag(&mut self) -> Result<bool, Broken> {
+    pub fn boolean(&mut self) -> Result<bool, Broken> {
         Ok(self.byte()? != 0)
     }
 
-    pub fn maybe_text(&mut self) -> Result<Option<&'a [u8]>, Broken> {
-        let length = self.number()?;
-        if length == NO_TEXT {
+    /// Reads a string; `None` is the protocol's null string.
+    pub fn optional_string(&mut self) -> Result<Option<&'a [u8]>, Broken> {
+        let length = self.integer()?;
+        if length == NULL_STRING {
             return Ok(None);
         }
-        if CODED.contains(&length) {
+        if HEADER_CODES.contains(&length) {
             return Err(Broken::Text);
         }
-        let text = self.bytes(usize::from(length))?;
+        let string = self.bytes(usize::from(length))?;
         if self.byte()? != 0 {
             return Err(Broken::Text);
         }
-        Ok(Some(text))
+        Ok(Some(string))
     }
 
-    /// A string; none at all counts as an empty one.
-    pub fn text(&mut self) -> Result<&'a [u8], Broken> {
-        Ok(self.maybe_text()?.unwrap_or_default())
+    /// Reads a string; a null string counts as an empty one.
+    pub fn string(&mut self) -> Result<&'a [u8], Broken> {
+        Ok(self.optional_string()?.unwrap_or_default())
     }
 
-    pub fn headers(&mut self, of: Headers) -> Result<Pairs<'a>, Broken> {
-        let count = usize::from(self.number()?);
-        if count > MOST_HEADERS {
+    pub fn headers(&mut self, table: HeaderTable) -> Result<HeaderList<'a>, Broken> {
+        let count = usize::from(self.integer()?);
+        if count > MAX_HEADERS {
             return Err(Broken::TooMany);
         }
         let mut headers = Vec::with_capacity(count);
         for _ in 0..count {
-            let mut ahead = Rest(self.0);
-            let code = ahead.number()?;
-            let name = if CODED.contains(&code) {
-                *self = ahead;
-                of.name(code).ok_or(Broken::Code)?.as_bytes()
+            let mut lookahead = PayloadReader(self.0);
+            let code = lookahead.integer()?;
+            let name = if HEADER_CODES.contains(&code) {
+                *self = lookahead;
+                table.name(code).ok_or(Broken::Code)?.as_bytes()
             } else {
-                self.text()?
+                self.string()?
             };
-            headers.push((name, self.text()?));
+            headers.push((name, self.string()?));
         }
         Ok(headers)
     }
 
+    /// Checks that the payload is read completely.
     pub fn end(&self) -> Result<(), Broken> {
         if self.0.is_empty() {
             Ok(())
@@ -235,8 +253,8 @@
     }
 }
 
-/// The value of a header, by its name in any case.
+/// Returns the value of the first header with this name, which is compared without regard to case.
 pub fn header<'a>(headers: &[(&[u8], &'a [u8])], name: &str) -> Option<&'a [u8]> {
-    let found = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes()));
+    let found = headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()));
     found.map(|(_, value)| *value)
 }
--- a/crates/ochrewalk-ajp/src/reply.rs
+++ b/crates/ochrewalk-ajp/src/reply.rs
@@ -1,8 +1,8 @@
-//! What the answerer sends: the head of an answer, its body in pieces, its end, and questions for more of a
+//! Messages of the servlet container: the head of a response, the chunks of its body, its end, and requests for more of a
 //! request's body.
 
-use crate::codes::Headers;
-use crate::packet::{header, split, write, Broken, Pairs, Rest, Sender};
+use crate::codes::HeaderTable;
+use crate::packet::{header, split, write, Broken, HeaderList, PayloadReader, Sender};
 
 const SEND_BODY_CHUNK: u8 = 3;
 const SEND_HEADERS: u8 = 4;
@@ -12,14 +12,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message<'a> {
+    /// Send Headers: the head of a response.
     Head(Head<'a>),
+    /// Send Body Chunk: a part of the response's body.
     Piece(&'a [u8]),
-    /// The answer is whole; `reuse` says whether the connection may carry another request.
-    End {
-        reuse: bool,
-    },
-    /// Asks for so many bytes of the request's body at most.
+    /// End Response: the response is complete. `reuse` is whether the connection may carry another request.
+    End { reuse: bool },
+    /// Get Body Chunk: requests more of the request's body, up to this number of bytes.
     GetBody(u16),
+    /// CPong Reply: the reply to a CPing.
     CPong,
 }
 
@@ -27,7 +28,7 @@
 pub struct Head<'a> {
     pub status: u16,
     pub words: &'a [u8],
-    pub headers: Pairs<'a>,
+    pub headers: HeaderList<'a>,
 }
 
 impl<'a> Head<'a> {
@@ -37,80 +38,82 @@
 }
 
 impl Message<'_> {
-    pub fn write(&self, out: &mut Vec<u8>, most: usize) -> Result<(), Broken> {
-        write(out, Sender::Answerer, most, |to| {
+    pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), Broken> {
+        write(out, Sender::Answerer, max_packet_bytes, |payload| {
             match self {
                 Message::Head(head) => {
-                    to.byte(SEND_HEADERS);
-                    to.number(head.status);
-                    to.text(Some(head.words))?;
-                    to.headers(Headers::Reply, &head.headers)?;
+                    payload.byte(SEND_HEADERS);
+                    payload.integer(head.status);
+                    payload.string(Some(head.words))?;
+                    payload.headers(HeaderTable::Response, &head.headers)?;
                 }
-                Message::Piece(piece) => {
-                    to.byte(SEND_BODY_CHUNK);
-                    to.count(piece.len())?;
-                    to.bytes(piece);
-                    to.byte(0);
+                Message::Piece(chunk) => {
+                    payload.byte(SEND_BODY_CHUNK);
+                    payload.count(chunk.len())?;
+                    payload.bytes(chunk);
+                    payload.byte(0);
                 }
                 Message::End { reuse } => {
-                    to.byte(END_RESPONSE);
-                    to.byte(u8::from(*reuse));
+                    payload.byte(END_RESPONSE);
+                    payload.byte(u8::from(*reuse));
                 }
-                Message::GetBody(most) => {
-                    to.byte(GET_BODY_CHUNK);
-                    to.number(*most);
+                Message::GetBody(max_chunk_bytes) => {
+                    payload.byte(GET_BODY_CHUNK);
+                    payload.integer(*max_chunk_bytes);
                 }
-                Message::CPong => to.byte(CPONG_REPLY),
+                Message::CPong => payload.byte(CPONG_REPLY),
             }
             Ok(())
         })
     }
 }
 
-/// The longest piece of an answer's body that fits a packet.
-pub fn longest_piece(most: usize) -> usize {
-    most - crate::packet::HEADER - 4
+/// Returns the maximum size of a body chunk that fits a packet of this size, in bytes.
+pub fn longest_piece(max_packet_bytes: usize) -> usize {
+    max_packet_bytes - crate::packet::HEADER_BYTES - 4
 }
 
-/// A whole answer: its head, its body in as many pieces as it takes, its end.
+/// Writes a complete response: its head, its body in as many chunks as necessary, and its end.
 pub fn write_answer(
     out: &mut Vec<u8>,
-    most: usize,
+    max_packet_bytes: usize,
     head: Head,
     body: &[u8],
     reuse: bool,
 ) -> Result<(), Broken> {
-    Message::Head(head).write(out, most)?;
-    for piece in body.chunks(longest_piece(most)) {
-        Message::Piece(piece).write(out, most)?;
+    Message::Head(head).write(out, max_packet_bytes)?;
+    for chunk in body.chunks(longest_piece(max_packet_bytes)) {
+        Message::Piece(chunk).write(out, max_packet_bytes)?;
     }
-    Message::End { reuse }.write(out, most)
+    Message::End { reuse }.write(out, max_packet_bytes)
 }
 
-/// The first whole message and how many bytes it takes.
-pub fn read(input: &[u8], most: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
-    let Some((payload, taken)) = split(input, Sender::Answerer, most)? else { return Ok(None) };
-    let mut rest = Rest(payload);
-    let message = match rest.byte()? {
+/// Returns the first complete message and the size of its packet; `None` if the packet is incomplete.
+pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
+    let Some((payload, packet_bytes)) = split(input, Sender::Answerer, max_packet_bytes)? else {
+        return Ok(None);
+    };
+    let mut reader = PayloadReader(payload);
+    let message = match reader.byte()? {
         SEND_HEADERS => Message::Head(Head {
-            status: rest.number()?,
-            words: rest.text()?,
-            headers: rest.headers(Headers::Reply)?,
+            status: reader.integer()?,
+            words: reader.string()?,
+            headers: reader.headers(HeaderTable::Response)?,
         }),
         SEND_BODY_CHUNK => {
-            let length = usize::from(rest.number()?);
-            let piece = rest.bytes(length)?;
-            // Some end a piece with a zero, some do not.
-            if rest.0 == [0] {
-                rest.0 = &[];
+            let length = usize::from(reader.integer()?);
+            let chunk = reader.bytes(length)?;
+            // Some servlet containers append a zero byte to a chunk, others do not.
+            if reader.0 == [0] {
+                reader.0 = &[];
             }
-            Message::Piece(piece)
+            Message::Piece(chunk)
         }
-        END_RESPONSE => Message::End { reuse: rest.flag()? },
-        GET_BODY_CHUNK => Message::GetBody(rest.number()?),
+        END_RESPONSE => Message::End { reuse: reader.boolean()? },
+        GET_BODY_CHUNK => Message::GetBody(reader.integer()?),
         CPONG_REPLY => Message::CPong,
         _ => return Err(Broken::Code),
     };
-    rest.end()?;
-    Ok(Some((message, taken)))
+    reader.end()?;
+    Ok(Some((message, packet_bytes)))
 }
--- a/crates/ochrewalk-ajp/src/request.rs
+++ b/crates/ochrewalk-ajp/src/request.rs
@@ -1,7 +1,7 @@
-//! What the asker sends: requests, their bodies in pieces, and questions whether the other side is there.
+//! Messages of the web server: requests, the chunks of their bodies, and CPing.
 
-use crate::codes::{method, method_code, Headers, STORED_METHOD};
-use crate::packet::{header, split, write, Broken, Pairs, Rest, Sender, MOST_HEADERS};
+use crate::codes::{method, method_code, HeaderTable, STORED_METHOD};
+use crate::packet::{header, split, write, Broken, HeaderList, PayloadReader, Sender, MAX_HEADERS};
 
 const FORWARD_REQUEST: u8 = 2;
 const SHUTDOWN: u8 = 7;
@@ -12,19 +12,20 @@
 const SSL_KEY_SIZE: u8 = 0x0B;
 const ARE_DONE: u8 = 0xFF;
 
-/// A message of the asker's other than a piece of a body.
+/// A message of the web server other than a body chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message<'a> {
+    /// Forward Request: the head of a request.
     Request(Request<'a>),
-    /// It asks to be answered at once.
+    /// CPing: requests a CPong at once, as proof that the connection works.
     CPing,
-    /// It asks to log on, the protocol's older ping.
+    /// A login, which an older version of the protocol used as its ping.
     Login,
-    /// It asks this server to end, which it never does.
+    /// Shutdown: asks the servlet container to exit, which this implementation always refuses.
     Shutdown,
 }
 
-/// Strings are the bytes that came; `None` where the protocol's null stood.
+/// The head of a request. Strings are the bytes received; `None` is the protocol's null string.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request<'a> {
     pub method: &'a [u8],
@@ -35,7 +36,7 @@
     pub server_name: Option<&'a [u8]>,
     pub server_port: u16,
     pub ssl: bool,
-    pub headers: Pairs<'a>,
+    pub headers: HeaderList<'a>,
     pub attributes: Vec<Attribute<'a>>,
 }
 
@@ -46,7 +47,7 @@
     SslKeySize(u16),
 }
 
-/// Attributes that are one string, by their codes.
+/// The attributes whose value is one string, with their codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Which {
@@ -79,13 +80,13 @@
     ];
 }
 
-/// How a request's body comes.
+/// The length of a request's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
     None,
-    /// The first piece follows the request unasked.
+    /// The length in bytes. The first chunk follows the request without a Get Body Chunk.
     Stated(u64),
-    /// Each piece has to be asked for; an empty one is the end.
+    /// The length is not stated. Each chunk is sent on a Get Body Chunk, and an empty one ends the body.
     Unstated,
 }
 
@@ -95,23 +96,25 @@
     }
 
     pub fn attribute(&self, which: Which) -> Option<&'a [u8]> {
-        self.attributes.iter().find_map(|a| match a {
-            Attribute::Text(w, text) if *w == which => Some(*text),
+        self.attributes.iter().find_map(|attribute| match attribute {
+            Attribute::Text(known, text) if *known == which => Some(*text),
             _ => None,
         })
     }
 
-    /// What the headers say of the body; `None` where they can't be right: guards against two lengths, by which
-    /// two readers would part the stream differently.
+    /// Returns the length of the body that the headers state; `None` if they are invalid. Headers with two different lengths
+    /// are invalid, as two programs could split the stream at different positions.
     pub fn body_length(&self) -> Option<BodyLength> {
-        let mut lengths = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(b"content-length"));
+        let mut lengths =
+            self.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case(b"content-length"));
         let stated = lengths.next().map(|(_, value)| *value);
         if lengths.any(|(_, other)| Some(*other) != stated) {
             return None;
         }
         let Some(stated) = stated else {
-            let pieces = self.header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case(b"chunked"));
-            return Some(if pieces { BodyLength::Unstated } else { BodyLength::None });
+            let is_chunked =
+                self.header("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case(b"chunked"));
+            return Some(if is_chunked { BodyLength::Unstated } else { BodyLength::None });
         };
         if stated.is_empty() || !stated.iter().all(u8::is_ascii_digit) {
             return None;
@@ -120,143 +123,157 @@
         Some(if length == 0 { BodyLength::None } else { BodyLength::Stated(length) })
     }
 
-    /// Writes it as one packet of `most` bytes at most.
-    pub fn write(&self, out: &mut Vec<u8>, most: usize) -> Result<(), Broken> {
-        write(out, Sender::Asker, most, |to| {
-            to.byte(FORWARD_REQUEST);
+    /// Appends the request to `out` as one packet.
+    ///
+    /// # Errors
+    /// Returns an error if the packet is longer than `max_packet_bytes` or a string cannot be encoded.
+    pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), Broken> {
+        write(out, Sender::Asker, max_packet_bytes, |payload| {
+            payload.byte(FORWARD_REQUEST);
             let code = method_code(self.method);
-            to.byte(code.unwrap_or(STORED_METHOD));
-            to.text(Some(self.protocol))?;
-            to.text(Some(self.uri))?;
-            to.text(self.remote_addr)?;
-            to.text(self.remote_host)?;
-            to.text(self.server_name)?;
-            to.number(self.server_port);
-            to.byte(u8::from(self.ssl));
-            to.headers(Headers::Request, &self.headers)?;
+            payload.byte(code.unwrap_or(STORED_METHOD));
+            payload.string(Some(self.protocol))?;
+            payload.string(Some(self.uri))?;
+            payload.string(self.remote_addr)?;
+            payload.string(self.remote_host)?;
+            payload.string(self.server_name)?;
+            payload.integer(self.server_port);
+            payload.byte(u8::from(self.ssl));
+            payload.headers(HeaderTable::Request, &self.headers)?;
             if code.is_none() {
-                to.byte(Which::StoredMethod as u8);
-                to.text(Some(self.method))?;
+                payload.byte(Which::StoredMethod as u8);
+                payload.string(Some(self.method))?;
             }
             for attribute in &self.attributes {
                 match attribute {
                     Attribute::Text(Which::StoredMethod, _) => {}
                     Attribute::Text(which, text) => {
-                        to.byte(*which as u8);
-                        to.text(Some(text))?;
+                        payload.byte(*which as u8);
+                        payload.string(Some(text))?;
                     }
                     Attribute::Named(name, value) => {
-                        to.byte(REQ_ATTRIBUTE);
-                        to.text(Some(name))?;
-                        to.text(Some(value))?;
+                        payload.byte(REQ_ATTRIBUTE);
+                        payload.string(Some(name))?;
+                        payload.string(Some(value))?;
                     }
                     Attribute::SslKeySize(size) => {
-                        to.byte(SSL_KEY_SIZE);
-                        to.number(*size);
+                        payload.byte(SSL_KEY_SIZE);
+                        payload.integer(*size);
                     }
                 }
             }
-            to.byte(ARE_DONE);
+            payload.byte(ARE_DONE);
             Ok(())
         })
     }
 
-    fn read(mut rest: Rest<'a>) -> Result<Request<'a>, Broken> {
-        let code = rest.byte()?;
+    fn read(mut reader: PayloadReader<'a>) -> Result<Request<'a>, Broken> {
+        let code = reader.byte()?;
         let mut request = Request {
             method: if code == STORED_METHOD { b"" } else { method(code).ok_or(Broken::Code)?.as_bytes() },
-            protocol: rest.text()?,
-            uri: rest.text()?,
-            remote_addr: rest.maybe_text()?,
-            remote_host: rest.maybe_text()?,
-            server_name: rest.maybe_text()?,
-            server_port: rest.number()?,
-            ssl: rest.flag()?,
-            headers: rest.headers(Headers::Request)?,
+            protocol: reader.string()?,
+            uri: reader.string()?,
+            remote_addr: reader.optional_string()?,
+            remote_host: reader.optional_string()?,
+            server_name: reader.optional_string()?,
+            server_port: reader.integer()?,
+            ssl: reader.boolean()?,
+            headers: reader.headers(HeaderTable::Request)?,
             attributes: Vec::new(),
         };
-        let stored = code == STORED_METHOD;
+        let is_stored = code == STORED_METHOD;
         loop {
-            let attribute = match rest.byte()? {
+            let attribute = match reader.byte()? {
                 ARE_DONE => break,
-                REQ_ATTRIBUTE => Attribute::Named(rest.text()?, rest.text()?),
-                SSL_KEY_SIZE => Attribute::SslKeySize(rest.number()?),
+                REQ_ATTRIBUTE => Attribute::Named(reader.string()?, reader.string()?),
+                SSL_KEY_SIZE => Attribute::SslKeySize(reader.integer()?),
                 code => {
-                    let which = Which::ALL.into_iter().find(|w| *w as u8 == code).ok_or(Broken::Code)?;
-                    Attribute::Text(which, rest.text()?)
+                    let which =
+                        Which::ALL.into_iter().find(|known| *known as u8 == code).ok_or(Broken::Code)?;
+                    Attribute::Text(which, reader.string()?)
                 }
             };
             match attribute {
-                // Guards against a method that says one thing by its code and another beside it.
-                Attribute::Text(Which::StoredMethod, name) if stored => request.method = name,
+                // A stored method beside a method with a code is rejected, as the two could differ.
+                Attribute::Text(Which::StoredMethod, name) if is_stored => request.method = name,
                 Attribute::Text(Which::StoredMethod, _) => return Err(Broken::Code),
                 other => request.attributes.push(other),
             }
-            if request.attributes.len() > MOST_HEADERS {
+            if request.attributes.len() > MAX_HEADERS {
                 return Err(Broken::TooMany);
             }
         }
         if request.method.is_empty() {
             return Err(Broken::Code);
         }
-        rest.end()?;
+        reader.end()?;
         Ok(request)
     }
 }
 
-/// The first whole message, where no piece of a body is due, and how many bytes it takes.
-pub fn read(input: &[u8], most: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
-    let Some((payload, taken)) = split(input, Sender::Asker, most)? else { return Ok(None) };
-    let mut rest = Rest(payload);
-    let message = match rest.byte()? {
-        FORWARD_REQUEST => return Ok(Some((Message::Request(Request::read(rest)?), taken))),
+/// Returns the first complete message and the size of its packet; `None` if the packet is incomplete. To be called where no body
+/// chunk is due.
+pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
+    let Some((payload, packet_bytes)) = split(input, Sender::Asker, max_packet_bytes)? else {
+        return Ok(None);
+    };
+    let mut reader = PayloadReader(payload);
+    let message = match reader.byte()? {
+        FORWARD_REQUEST => return Ok(Some((Message::Request(Request::read(reader)?), packet_bytes))),
         SHUTDOWN => Message::Shutdown,
         LOGIN => Message::Login,
         CPING => Message::CPing,
         _ => return Err(Broken::Code),
     };
-    rest.end()?;
-    Ok(Some((message, taken)))
+    reader.end()?;
+    Ok(Some((message, packet_bytes)))
 }
 
-/// The first whole piece of a body, where one is due; an empty one is the end.
-pub fn read_piece(input: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, Broken> {
-    let Some((payload, taken)) = split(input, Sender::Asker, most)? else { return Ok(None) };
+/// Returns the first complete body chunk and the size of its packet; `None` if the packet is incomplete. An empty chunk ends the
+/// body. To be called where a body chunk is due.
+pub fn read_piece(input: &[u8], max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, Broken> {
+    let Some((payload, packet_bytes)) = split(input, Sender::Asker, max_packet_bytes)? else {
+        return Ok(None);
+    };
     if payload.is_empty() {
-        return Ok(Some((payload, taken)));
+        return Ok(Some((payload, packet_bytes)));
     }
-    let mut rest = Rest(payload);
-    let length = usize::from(rest.number()?);
-    let piece = rest.bytes(length)?;
-    rest.end()?;
-    Ok(Some((piece, taken)))
+    let mut reader = PayloadReader(payload);
+    let length = usize::from(reader.integer()?);
+    let chunk = reader.bytes(length)?;
+    reader.end()?;
+    Ok(Some((chunk, packet_bytes)))
 }
 
-/// The longest piece of a body that fits a packet.
-pub fn longest_piece(most: usize) -> usize {
-    most - crate::packet::HEADER - 2
+/// Returns the maximum size of a body chunk that fits a packet of this size, in bytes.
+pub fn longest_piece(max_packet_bytes: usize) -> usize {
+    max_packet_bytes - crate::packet::HEADER_BYTES - 2
 }
 
-pub fn write_piece(out: &mut Vec<u8>, most: usize, piece: &[u8]) -> Result<(), Broken> {
-    write(out, Sender::Asker, most, |to| {
-        if !piece.is_empty() {
-            to.count(piece.len())?;
-            to.bytes(piece);
+/// Appends a body chunk to `out` as one packet; an empty chunk ends the body.
+///
+/// # Errors
+/// Returns an error if the packet is longer than `max_packet_bytes`.
+pub fn write_piece(out: &mut Vec<u8>, max_packet_bytes: usize, chunk: &[u8]) -> Result<(), Broken> {
+    write(out, Sender::Asker, max_packet_bytes, |payload| {
+        if !chunk.is_empty() {
+            payload.count(chunk.len())?;
+            payload.bytes(chunk);
         }
         Ok(())
     })
 }
 
-/// One of the messages without fields.
-pub fn write_plain(out: &mut Vec<u8>, message: &Message, most: usize) -> Result<(), Broken> {
+/// Appends any message of the web server to `out`.
+pub fn write_plain(out: &mut Vec<u8>, message: &Message, max_packet_bytes: usize) -> Result<(), Broken> {
     let code = match message {
-        Message::Request(request) => return request.write(out, most),
+        Message::Request(request) => return request.write(out, max_packet_bytes),
         Message::CPing => CPING,
         Message::Login => LOGIN,
         Message::Shutdown => SHUTDOWN,
     };
-    write(out, Sender::Asker, most, |to| {
-        to.byte(code);
+    write(out, Sender::Asker, max_packet_bytes, |payload| {
+        payload.byte(code);
         Ok(())
     })
 }
--- a/crates/ochrewalk-ajp/tests/codec.rs
+++ b/crates/ochrewalk-ajp/tests/codec.rs
@@ -1,5 +1,5 @@
-//! The codec by properties: what is written is read back the same over any split of the bytes, and no bytes make it
-//! panic or go on past its bound.
+//! Property tests of the codec: a written message is read back unchanged for any split of the bytes, and no input causes a panic
+//! or a read past the end of a packet.
 
 use ochrewalk_ajp::packet::{split, Broken, Sender, LARGEST_PACKET, USUAL_PACKET};
 use ochrewalk_ajp::request::{self, Attribute, BodyLength, Request, Which};
@@ -8,51 +8,51 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn text() -> impl Strategy<Value = Vec<u8>> {
+fn string() -> impl Strategy<Value = Vec<u8>> {
     vec(any::<u8>(), 0..40)
 }
 
-/// Some of the coded names, and any others.
-fn name(coded: &'static [&'static str]) -> impl Strategy<Value = Vec<u8>> {
+/// Names that have a code, and any other names.
+fn header_name(coded: &'static [&'static str]) -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
-        proptest::sample::select(coded).prop_map(|n| n.as_bytes().to_vec()),
+        proptest::sample::select(coded).prop_map(|name| name.as_bytes().to_vec()),
         "[a-z][a-z0-9-]{0,20}".prop_map(String::into_bytes),
     ]
 }
 
 fn attribute() -> impl Strategy<Value = (u8, Vec<u8>, Vec<u8>, u16)> {
-    (0u8..12, text(), text(), any::<u16>())
+    (0u8..12, string(), string(), any::<u16>())
 }
 
 #[derive(Clone, Debug)]
-struct Parts {
+struct OwnedRequest {
     method: Vec<u8>,
-    texts: [Option<Vec<u8>>; 5],
+    strings: [Option<Vec<u8>>; 5],
     port: u16,
     ssl: bool,
     headers: Vec<(Vec<u8>, Vec<u8>)>,
     attributes: Vec<(u8, Vec<u8>, Vec<u8>, u16)>,
 }
 
-fn parts() -> impl Strategy<Value = Parts> {
+fn owned_request() -> impl Strategy<Value = OwnedRequest> {
     let method = prop_oneof![
         proptest::sample::select(vec!["GET", "POST", "MKACTIVITY", "BREW"])
-            .prop_map(|m| m.as_bytes().to_vec()),
+            .prop_map(|method| method.as_bytes().to_vec()),
         "[A-Z]{1,12}".prop_map(String::into_bytes),
     ];
-    let maybe = || proptest::option::of(text());
-    let headers = vec((name(&["accept", "content-length", "user-agent", "cookie2"]), text()), 0..12);
+    let optional_string = || proptest::option::of(string());
+    let headers = vec((header_name(&["accept", "content-length", "user-agent", "cookie2"]), string()), 0..12);
     (
         method,
-        [maybe(), maybe(), maybe(), maybe(), maybe()],
+        [optional_string(), optional_string(), optional_string(), optional_string(), optional_string()],
         any::<u16>(),
         any::<bool>(),
         headers,
         vec(attribute(), 0..8),
     )
-        .prop_map(|(method, texts, port, ssl, headers, attributes)| Parts {
+        .prop_map(|(method, strings, port, ssl, headers, attributes)| OwnedRequest {
             method,
-            texts,
+            strings,
             port,
             ssl,
             headers,
@@ -60,33 +60,33 @@
         })
 }
 
-impl Parts {
+impl OwnedRequest {
     fn request(&self) -> Request<'_> {
-        fn attribute((which, one, two, size): &(u8, Vec<u8>, Vec<u8>, u16)) -> Attribute<'_> {
-            match Which::ALL.get(usize::from(*which)) {
+        fn attribute((index, first, second, size): &(u8, Vec<u8>, Vec<u8>, u16)) -> Attribute<'_> {
+            match Which::ALL.get(usize::from(*index)) {
                 Some(Which::StoredMethod) | None if *size % 2 == 0 => Attribute::SslKeySize(*size),
-                Some(Which::StoredMethod) | None => Attribute::Named(one, two),
-                Some(which) => Attribute::Text(*which, one),
+                Some(Which::StoredMethod) | None => Attribute::Named(first, second),
+                Some(which) => Attribute::Text(*which, first),
             }
         }
-        let text = |at: usize| self.texts[at].as_deref();
+        let string = |index: usize| self.strings[index].as_deref();
         Request {
             method: &self.method,
-            protocol: text(0).unwrap_or_default(),
-            uri: text(1).unwrap_or_default(),
-            remote_addr: text(2),
-            remote_host: text(3),
-            server_name: text(4),
+            protocol: string(0).unwrap_or_default(),
+            uri: string(1).unwrap_or_default(),
+            remote_addr: string(2),
+            remote_host: string(3),
+            server_name: string(4),
             server_port: self.port,
             ssl: self.ssl,
-            headers: self.headers.iter().map(|(n, v)| (&**n, &**v)).collect(),
+            headers: self.headers.iter().map(|(name, value)| (&**name, &**value)).collect(),
             attributes: self.attributes.iter().map(attribute).collect(),
         }
     }
 }
 
-/// The same cases every time.
-fn fixed() -> ProptestConfig {
+/// A configuration with a fixed seed, so that every run has the same cases.
+fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(0x0c4e),
         failure_persistence: None,
@@ -95,62 +95,62 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed())]
 
     #[test]
-    fn a_request_is_read_back_as_it_was_written_over_any_split(parts in parts(), cut in any::<prop::sample::Index>()) {
-        let request = parts.request();
+    fn a_request_is_read_back_unchanged_for_any_split(owned in owned_request(), split_index in any::<prop::sample::Index>()) {
+        let request = owned.request();
         let mut bytes = Vec::new();
         request.write(&mut bytes, LARGEST_PACKET).unwrap();
-        let at = cut.index(bytes.len());
-        prop_assert_eq!(request::read(&bytes[..at], LARGEST_PACKET), Ok(None));
-        let taken = bytes.len();
+        let split_position = split_index.index(bytes.len());
+        prop_assert_eq!(request::read(&bytes[..split_position], LARGEST_PACKET), Ok(None));
+        let packet_bytes = bytes.len();
         bytes.extend_from_slice(&[0x12, 0x34, 9]);
         let read = request::read(&bytes, LARGEST_PACKET);
-        prop_assert_eq!(read, Ok(Some((request::Message::Request(request), taken))));
+        prop_assert_eq!(read, Ok(Some((request::Message::Request(request), packet_bytes))));
     }
 
     #[test]
-    fn an_answer_is_read_back_whole_whatever_the_packet_size(
-        status in 100u16..600, words in text(), body in vec(any::<u8>(), 0..20_000), reuse in any::<bool>(),
-        headers in vec((name(&["content-type", "status", "servlet-engine"]), text()), 0..6),
-        most in 512usize..LARGEST_PACKET,
+    fn a_response_is_read_back_completely_for_any_packet_size(
+        status in 100u16..600, reason in string(), body in vec(any::<u8>(), 0..20_000), reuse in any::<bool>(),
+        headers in vec((header_name(&["content-type", "status", "servlet-engine"]), string()), 0..6),
+        max_packet_bytes in 512usize..LARGEST_PACKET,
     ) {
-        let head = reply::Head { status, words: &words, headers: headers.iter().map(|(n, v)| (&**n, &**v)).collect() };
+        let head = reply::Head { status, words: &reason, headers: headers.iter().map(|(name, value)| (&**name, &**value)).collect() };
         let mut bytes = Vec::new();
-        reply::write_answer(&mut bytes, most, head.clone(), &body, reuse).unwrap();
-        let (mut at, mut heads, mut got, mut end) = (0, Vec::new(), Vec::new(), None);
-        while let Some((message, taken)) = reply::read(&bytes[at..], most).unwrap() {
-            prop_assert!(end.is_none() && taken <= most);
+        reply::write_answer(&mut bytes, max_packet_bytes, head.clone(), &body, reuse).unwrap();
+        let (mut position, mut heads, mut received, mut end) = (0, Vec::new(), Vec::new(), None);
+        while let Some((message, packet_bytes)) = reply::read(&bytes[position..], max_packet_bytes).unwrap() {
+            prop_assert!(end.is_none() && packet_bytes <= max_packet_bytes);
             match message {
                 reply::Message::Head(head) => heads.push(head),
-                reply::Message::Piece(piece) => got.extend_from_slice(piece),
+                reply::Message::Piece(chunk) => received.extend_from_slice(chunk),
                 reply::Message::End { reuse } => end = Some(reuse),
                 other => prop_assert!(false, "{:?}", other),
             }
-            at += taken;
+            position += packet_bytes;
         }
-        prop_assert_eq!((at, heads, got, end), (bytes.len(), vec![head], body, Some(reuse)));
+        prop_assert_eq!((position, heads, received, end), (bytes.len(), vec![head], body, Some(reuse)));
     }
 
     #[test]
-    fn pieces_of_a_body_are_read_back(piece in vec(any::<u8>(), 0..9_000), cut in any::<prop::sample::Index>()) {
+    fn body_chunks_are_read_back(chunk in vec(any::<u8>(), 0..9_000), split_index in any::<prop::sample::Index>()) {
         let mut bytes = Vec::new();
-        let written = request::write_piece(&mut bytes, USUAL_PACKET, &piece);
-        if piece.len() > request::longest_piece(USUAL_PACKET) {
+        let written = request::write_piece(&mut bytes, USUAL_PACKET, &chunk);
+        if chunk.len() > request::longest_piece(USUAL_PACKET) {
             prop_assert_eq!((written, bytes), (Err(Broken::TooLong), vec![]));
         } else {
-            let at = cut.index(bytes.len());
-            prop_assert_eq!(request::read_piece(&bytes[..at], USUAL_PACKET), Ok(None));
-            prop_assert_eq!(request::read_piece(&bytes, USUAL_PACKET), Ok(Some((&piece[..], bytes.len()))));
+            let split_position = split_index.index(bytes.len());
+            prop_assert_eq!(request::read_piece(&bytes[..split_position], USUAL_PACKET), Ok(None));
+            prop_assert_eq!(request::read_piece(&bytes, USUAL_PACKET), Ok(Some((&chunk[..], bytes.len()))));
         }
     }
 
     #[test]
-    fn no_bytes_do_harm(mut bytes in vec(any::<u8>(), 0..400), kind in any::<u8>(), asker in any::<bool>()) {
-        let from = if asker { Sender::Asker } else { Sender::Answerer };
+    fn no_input_causes_a_panic(mut bytes in vec(any::<u8>(), 0..400), kind in any::<u8>(), is_web_server in any::<bool>()) {
+        let from = if is_web_server { Sender::Asker } else { Sender::Answerer };
         if bytes.len() >= 5 && kind % 4 > 0 {
-            // Most of them look like a packet, so that what is inside is looked at.
+            // Most inputs have a valid packet header, so that the payload is parsed too.
             let length = (bytes.len() - 4) as u16;
             bytes[..2].copy_from_slice(&from.magic());
             bytes[2..4].copy_from_slice(&length.to_be_bytes());
@@ -159,14 +159,14 @@
         let _ = request::read(&bytes, USUAL_PACKET);
         let _ = request::read_piece(&bytes, USUAL_PACKET);
         let _ = reply::read(&bytes, USUAL_PACKET);
-        if let Ok(Some((payload, taken))) = split(&bytes, from, USUAL_PACKET) {
-            prop_assert!(taken <= bytes.len() && payload.len() + 4 == taken);
+        if let Ok(Some((payload, packet_bytes))) = split(&bytes, from, USUAL_PACKET) {
+            prop_assert!(packet_bytes <= bytes.len() && payload.len() + 4 == packet_bytes);
         }
     }
 }
 
 #[test]
-fn bytes_are_as_the_published_description_has_them() {
+fn the_encoding_matches_the_published_description() {
     let request = Request {
         method: b"GET",
         protocol: b"HTTP/1.1",
@@ -179,26 +179,26 @@
     };
     let mut bytes = Vec::new();
     request.write(&mut bytes, USUAL_PACKET).unwrap();
-    let mut wanted = vec![0x12, 0x34, 0, 58, 2, 2, 0, 8];
-    wanted.extend(
+    let mut expected = vec![0x12, 0x34, 0, 58, 2, 2, 0, 8];
+    expected.extend(
         b"HTTP/1.1\0\0\x02/a\0\xff\xff\xff\xff\0\x01h\0\0\x50\0\0\x02\xa0\x0b\0\x01h\0\0\x01x\0\0\0\0",
     );
-    wanted.extend(b"\x0c\0\x01s\0\x0a\0\x01k\0\0\x01v\0\xff");
-    wanted[3] = (wanted.len() - 4) as u8;
-    assert_eq!(bytes, wanted);
+    expected.extend(b"\x0c\0\x01s\0\x0a\0\x01k\0\0\x01v\0\xff");
+    expected[3] = (expected.len() - 4) as u8;
+    assert_eq!(bytes, expected);
     let mut bytes = Vec::new();
     let head = reply::Head { status: 200, words: b"OK", headers: vec![(b"Content-Type", b"t")] };
     reply::write_answer(&mut bytes, USUAL_PACKET, head, b"hi", true).unwrap();
     reply::Message::GetBody(7).write(&mut bytes, USUAL_PACKET).unwrap();
     reply::Message::CPong.write(&mut bytes, USUAL_PACKET).unwrap();
-    let wanted = b"AB\0\x10\x04\0\xc8\0\x02OK\0\0\x01\xa0\x01\0\x01t\0AB\0\x06\x03\0\x02hi\0AB\0\x02\x05\x01AB\0\x03\x06\0\x07AB\0\x01\x09";
-    assert_eq!(bytes, wanted);
+    let expected = b"AB\0\x10\x04\0\xc8\0\x02OK\0\0\x01\xa0\x01\0\x01t\0AB\0\x06\x03\0\x02hi\0AB\0\x02\x05\x01AB\0\x03\x06\0\x07AB\0\x01\x09";
+    assert_eq!(bytes, expected);
 }
 
 #[test]
-fn what_is_wrong_is_told_apart() {
+fn each_error_is_distinguished() {
     let packet = |payload: &[u8]| [&[0x12, 0x34, 0, payload.len() as u8][..], payload].concat();
-    for (payload, why) in [
+    for (payload, error) in [
         (&b""[..], Broken::Short),
         (&b"\x0a\x01"[..], Broken::Trailing),
         (&b"\x63"[..], Broken::Code),
@@ -211,11 +211,11 @@
             &b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\x01\xa0\x0f\xff\xff\xff"[..],
             Broken::Code,
         ),
-        // A stored method beside a coded one, and none where one is due.
+        // A stored method beside a method with a code, and no stored method where one is required.
         (&b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\x0d\0\x01X\0\xff"[..], Broken::Code),
         (&b"\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\xff"[..], Broken::Code),
     ] {
-        assert_eq!(request::read(&packet(payload), USUAL_PACKET), Err(why), "{payload:x?}");
+        assert_eq!(request::read(&packet(payload), USUAL_PACKET), Err(error), "{payload:x?}");
     }
     for (message, code) in
         [(request::Message::CPing, 10), (request::Message::Login, 8), (request::Message::Shutdown, 7)]
@@ -226,7 +226,7 @@
         assert_eq!(request::read(&bytes, USUAL_PACKET), Ok(Some((message, 5))));
     }
     let headers = |list: &[(&'static str, &'static str)]| Request {
-        headers: list.iter().map(|(n, v)| (n.as_bytes(), v.as_bytes())).collect(),
+        headers: list.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect(),
         ..Request::default()
     };
     for (list, length) in [
