--- a/crates/ochrewalk-ajp/src/answerer.rs
+++ b/crates/ochrewalk-ajp/src/answerer.rs
@@ -1,32 +1,34 @@
-//! Decides the life of an AJP connection on which we are asked: what may come when, when a request is whole, who is
-//! still owed an answer, whether the connection may carry another request, and when it ends. No sockets, no clock:
-//! whoever carries the connection tells it what came and when, in microseconds.
+//! Decides the state of an AJP connection on the servlet container's side: which messages are valid in each state, when a
+//! request is complete, whether a response is due, whether the connection may carry another request, and when the connection
+//! is closed. The state machine uses no sockets and no clock: the caller passes each event, with its time in microseconds.
 //!
-//! A request counts as here once its last byte was read; up to then nothing has run and none is owed an answer, though
-//! one is given where the asker still listens. From then on exactly one answer is given, unless the asker is gone.
+//! A request starts when its last byte has been read. Until then nothing has run and no response is due, although a refusal is
+//! sent if the web server still reads. From then on exactly one response is sent, unless the web server has closed the
+//! connection.
 
 use crate::packet::Broken;
 use crate::request::BodyLength;
 
-/// What the one connection is allowed; all times in microseconds.
+/// The limits of one connection; all times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// From the connection's start to its first whole packet.
+    /// The maximum time from the start of the connection to its first complete packet.
     pub first_us: u64,
-    /// From a packet's first byte to its last.
+    /// The maximum time from a packet's first byte to its last.
     pub packet_us: u64,
-    /// From a request's head to the end of its body.
+    /// The maximum time from a request's head to the end of its body.
     pub body_us: u64,
-    /// Without a request, from the last answer on.
+    /// The maximum time without a request after the last response.
     pub idle_us: u64,
-    /// For the asker to close after the last answer.
+    /// The maximum time for the web server to close the connection after the last response.
     pub close_us: u64,
+    /// The maximum size of a request's body, in bytes.
     pub most_body: u64,
-    /// Requests in a row that are turned down for what is wrong with them.
+    /// The number of consecutive faulty requests after which the connection carries no further request.
     pub most_faults: u32,
 }
 
-/// What is said to a request that is turned down before anybody hears of it.
+/// The response to a request that is refused before it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     pub status: u16,
@@ -40,50 +42,53 @@
 pub const NO_LOGIN: Refusal = Refusal { status: 403, why: "nobody logs on here" };
 pub const NO_SHUTDOWN: Refusal = Refusal { status: 403, why: "nobody ends this server by a message" };
 
-/// What a life asks of whoever carries it.
+/// The actions that the state machine requests from its caller.
 pub trait Acts {
-    /// The request and its body are whole: it goes on to be decided on.
+    /// Passes the request on to admission, as the request and its body are complete.
     fn start(&mut self);
-    /// Asks for the next piece of the body, so long at most.
+    /// Requests the next chunk of the body, of this size at most.
     fn ask_body(&mut self, most: u64);
-    /// Answers a ping.
+    /// Sends a CPong.
     fn pong(&mut self);
-    /// Answers a request that nobody else has heard of, or tells what was wrong before the end.
+    /// Sends a refusal, either for a request that has not started or before the connection is closed.
     fn refuse(&mut self, refusal: Refusal, reuse: bool);
-    /// Whoever waits for the answer has gone: none is owed.
+    /// Reports that the web server has closed the connection, so that no response is due.
     fn gone(&mut self);
-    /// Ends the connection for this reason once all is written.
+    /// Closes the connection for this reason after all pending output is written.
     fn end(&mut self, why: End);
 }
 
-/// Why a connection ends.
+/// The reason for which a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// The input is not valid AJP.
     Broken(Broken),
-    /// Nothing came in time.
+    /// No input arrived within the time allowed.
     Silent,
-    /// It carried nothing for long.
+    /// The connection was idle for too long, or was evicted while idle.
     Idle,
-    /// The asker does not close it, though it was told that no more is answered.
+    /// The web server did not close the connection after the response that was marked as the last.
     Unclosed,
+    /// The servlet container is draining.
     Leaving,
 }
 
+/// The state of a connection; `since_us` is the time at which the state began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Carries nothing since then.
+    /// The connection carries no request.
     Idle { since_us: u64 },
-    /// A packet's first bytes are here since then.
+    /// The first bytes of a packet have been received.
     Head { since_us: u64 },
-    /// A request's head is here since then, and so much of its body.
+    /// A request's head has been received, and `got` bytes of its body.
     Body { since_us: u64, got: u64, of: BodyLength },
-    /// The request is decided on and run. `spoilt` where more came than belongs to it.
+    /// The request is with admission or runs. `spoilt` if the web server has sent anything that is not valid before the response.
     InHand { spoilt: bool },
-    /// The answer is on its way.
+    /// The response is being written.
     Answering { reuse: bool },
-    /// The last answer is out; the asker is to close. What still comes is dropped.
+    /// The last response is written and the web server has to close the connection. Further input is discarded.
     Closing { since_us: u64 },
-    /// Nothing more comes or goes.
+    /// The connection is closed.
     Over,
 }
 
@@ -99,52 +104,59 @@
 pub struct Life {
     state: State,
     bounds: Bounds,
-    /// A whole packet has come.
-    spoke: bool,
-    faults: u32,
-    leaving: bool,
+    /// Whether a complete packet has been received.
+    has_received_packet: bool,
+    consecutive_faults: u32,
+    is_draining: bool,
 }
 
 impl Life {
     pub fn new(now_us: u64, bounds: Bounds) -> Life {
-        Life { state: State::Idle { since_us: now_us }, bounds, spoke: false, faults: 0, leaving: false }
+        Life {
+            state: State::Idle { since_us: now_us },
+            bounds,
+            has_received_packet: false,
+            consecutive_faults: 0,
+            is_draining: false,
+        }
     }
 
-    /// Its state, whether it spoke, and its faults, for whoever goes on with it in another process.
+    /// Returns the state, whether a packet was received, and the number of consecutive faults, for a hand-over to another
+    /// process.
     pub fn keep(&self) -> (State, bool, u32) {
-        (self.state, self.spoke, self.faults)
+        (self.state, self.has_received_packet, self.consecutive_faults)
     }
 
-    /// Goes on with a life that was kept; it does not leave.
-    pub fn resume(bounds: Bounds, state: State, spoke: bool, faults: u32) -> Life {
-        Life { state, bounds, spoke, faults, leaving: false }
+    /// Restores a state machine from the values that were handed over. A restored connection is not draining.
+    pub fn resume(bounds: Bounds, state: State, has_received_packet: bool, consecutive_faults: u32) -> Life {
+        Life { state, bounds, has_received_packet, consecutive_faults, is_draining: false }
     }
 
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether the next packet has to be a piece of a body.
+    /// Whether the next packet has to be a body chunk.
     pub fn awaits_piece(&self) -> bool {
         matches!(self.state, State::Body { .. })
     }
 
-    /// Whether what comes is to be dropped unread.
+    /// Whether input is discarded without being parsed.
     pub fn drops(&self) -> bool {
         matches!(self.state, State::Answering { reuse: false } | State::Closing { .. } | State::Over)
     }
 
-    /// Whether more is to be read at all: nothing more from one that speaks out of turn, until it has its answer.
+    /// Whether input is read at all. After invalid input, no more is read until the response to the current request is sent.
     pub fn reads(&self) -> bool {
         !matches!(self.state, State::InHand { spoilt: true } | State::Over)
     }
 
-    /// Whether a request is in hand whose answer is owed.
+    /// Whether a request is in flight whose response is due.
     pub fn owes(&self) -> bool {
         matches!(self.state, State::InHand { .. })
     }
 
-    /// Since when it carries nothing, for whoever needs room for another.
+    /// Returns the time since which the connection carries no request, for the eviction of idle connections.
     pub fn idle_since_us(&self) -> Option<u64> {
         match self.state {
             State::Idle { since_us } | State::Head { since_us } | State::Closing { since_us } => {
@@ -154,28 +166,28 @@
         }
     }
 
-    /// Bytes came that are no whole packet yet.
+    /// Handles input that is not a complete packet yet.
     pub fn partial(&mut self, now_us: u64) {
         if let State::Idle { .. } = self.state {
             self.state = State::Head { since_us: now_us };
         }
     }
 
-    /// A request's head came, with what was made of it: how its body comes, or why it is turned down.
-    pub fn request(&mut self, now_us: u64, judged: Result<BodyLength, Refusal>, acts: &mut impl Acts) {
-        self.spoke = true;
+    /// Handles a request's head, with the result of its evaluation: the length of its body, or the refusal.
+    pub fn request(&mut self, now_us: u64, evaluated: Result<BodyLength, Refusal>, acts: &mut impl Acts) {
+        self.has_received_packet = true;
         match self.state {
             State::Idle { .. } | State::Head { .. } | State::Answering { reuse: true } => {}
             State::InHand { .. } => return self.state = State::InHand { spoilt: true },
             State::Answering { reuse: false } | State::Closing { .. } | State::Over => return,
             State::Body { .. } => return self.broken(Broken::OutOfTurn, acts),
         }
-        match judged {
+        match evaluated {
             Err(refusal) => self.refuse(now_us, refusal, true, acts),
             Ok(BodyLength::Stated(length)) if length > self.bounds.most_body => {
                 self.refuse(now_us, BODY_TOO_LARGE, false, acts);
             }
-            Ok(BodyLength::None) => self.begin(acts),
+            Ok(BodyLength::None) => self.start(acts),
             Ok(of) => {
                 self.state = State::Body { since_us: now_us, got: 0, of };
                 if of == BodyLength::Unstated {
@@ -185,18 +197,19 @@
         }
     }
 
-    /// A request was turned down whose body is on its way unasked: where the next request begins is not known.
+    /// Handles a refused request whose body is sent without a Get Body Chunk. The position of the next request is unknown, so
+    /// the connection carries no further request.
     pub fn request_with_body(&mut self, now_us: u64, refusal: Refusal, acts: &mut impl Acts) {
         match self.state {
             State::Idle { .. } | State::Head { .. } | State::Answering { reuse: true } => {
-                self.spoke = true;
+                self.has_received_packet = true;
                 self.refuse(now_us, refusal, false, acts);
             }
             _ => self.request(now_us, Err(refusal), acts),
         }
     }
 
-    /// A piece of a body came, so long; 0 is the end of the body.
+    /// Handles a body chunk of this length; 0 ends the body.
     pub fn piece(&mut self, now_us: u64, length: u64, acts: &mut impl Acts) {
         let State::Body { since_us, got, of } = self.state else {
             return match self.state {
@@ -206,7 +219,7 @@
             };
         };
         let got = got + length;
-        let whole = match of {
+        let is_complete = match of {
             BodyLength::Stated(stated) if got > stated => {
                 return self.refuse(now_us, BODY_LONG, false, acts);
             }
@@ -219,20 +232,20 @@
         if got > self.bounds.most_body {
             return self.refuse(now_us, BODY_TOO_LARGE, false, acts);
         }
-        if whole {
-            return self.begin(acts);
+        if is_complete {
+            return self.start(acts);
         }
         self.state = State::Body { since_us, got, of };
-        let left = match of {
+        let remaining = match of {
             BodyLength::Stated(stated) => stated - got,
             _ => self.bounds.most_body + 1 - got,
         };
-        acts.ask_body(left);
+        acts.ask_body(remaining);
     }
 
-    /// A message without fields came.
+    /// Handles a message without fields.
     pub fn plain(&mut self, now_us: u64, message: Plain, acts: &mut impl Acts) {
-        self.spoke = true;
+        self.has_received_packet = true;
         match (self.state, message) {
             (State::Idle { .. } | State::Head { .. }, Plain::CPing) => {
                 acts.pong();
@@ -247,30 +260,31 @@
         }
     }
 
-    /// What came is no AJP. An answer that is owed is still given.
+    /// Handles invalid input. A response that is due is still sent.
     pub fn broken(&mut self, why: Broken, acts: &mut impl Acts) {
         match self.state {
             State::InHand { .. } => self.state = State::InHand { spoilt: true },
             State::Answering { reuse: false } | State::Closing { .. } | State::Over => {}
-            _ => self.over(End::Broken(why), acts),
+            _ => self.close(End::Broken(why), acts),
         }
     }
 
-    /// The answer is there: whether it is owed, and then whether the connection may carry another request.
+    /// Handles the response of the request in flight. Returns whether the connection may carry another request after it; `None`
+    /// if no response is due. `fault` counts the request as faulty.
     pub fn answered(&mut self, fault: bool) -> Option<bool> {
         let State::InHand { spoilt } = self.state else { return None };
-        self.faults = if fault { self.faults + 1 } else { self.faults };
-        let reuse = !spoilt && !self.leaving && self.faults < self.bounds.most_faults;
+        self.consecutive_faults = if fault { self.consecutive_faults + 1 } else { self.consecutive_faults };
+        let reuse = !spoilt && !self.is_draining && self.consecutive_faults < self.bounds.most_faults;
         self.state = State::Answering { reuse };
         Some(reuse)
     }
 
-    /// A run came of a request here: its sender is no stranger.
+    /// Resets the number of consecutive faults, as a request of this web server has started a run.
     pub fn proven(&mut self) {
-        self.faults = 0;
+        self.consecutive_faults = 0;
     }
 
-    /// All that was to be written is written.
+    /// Handles the completion of all pending output.
     pub fn written(&mut self, now_us: u64) {
         self.state = match self.state {
             State::Answering { reuse: true } => State::Idle { since_us: now_us },
@@ -279,7 +293,8 @@
         }
     }
 
-    /// The asker has closed, or the connection broke. A body that is not whole goes with it; nobody heard of it.
+    /// Handles the loss of the connection, closed by the web server or failed. A request with an incomplete body is discarded, as
+    /// it has not started.
     pub fn closed(&mut self, acts: &mut impl Acts) {
         if self.owes() {
             acts.gone();
@@ -287,59 +302,59 @@
         self.state = State::Over;
     }
 
-    /// This server leaves: what comes from here on is answered, and each answer is the connection's last.
+    /// Starts draining: requests are still answered, and each response is the last one of the connection.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_draining = true;
     }
 
-    /// The connection was found empty at that time, all that had come being read. Only this tells silence: a server
-    /// that is slow to read does not take its own slowness for its peer's.
+    /// Checks the timeouts when the connection has no more input at this time. Timeouts are checked only here, so that a server
+    /// that is slow to read does not time out a peer whose input is waiting.
     pub fn empty(&mut self, now_us: u64, acts: &mut impl Acts) {
         if self.due_us().is_none_or(|due_us| now_us < due_us) {
             return;
         }
         match self.state {
-            State::Idle { .. } if self.spoke => self.over(End::Idle, acts),
+            State::Idle { .. } if self.has_received_packet => self.close(End::Idle, acts),
             State::Body { .. } => self.refuse(now_us, BODY_LATE, false, acts),
-            State::Closing { .. } => self.over(End::Unclosed, acts),
-            _ => self.over(End::Silent, acts),
+            State::Closing { .. } => self.close(End::Unclosed, acts),
+            _ => self.close(End::Silent, acts),
         }
     }
 
-    /// From when on silence would mean something; only [`Life::empty`] says what.
+    /// Returns the time at which the current state times out; [`Life::empty`] applies the timeout.
     pub fn due_us(&self) -> Option<u64> {
-        let b = self.bounds;
+        let bounds = self.bounds;
         match self.state {
-            State::Idle { since_us } if !self.spoke => Some(since_us + b.first_us),
-            State::Idle { since_us } => Some(since_us + b.idle_us),
-            State::Head { since_us } => Some(since_us + b.packet_us),
-            State::Body { since_us, .. } => Some(since_us + b.body_us),
-            State::Closing { since_us } => Some(since_us + b.close_us),
+            State::Idle { since_us } if !self.has_received_packet => Some(since_us + bounds.first_us),
+            State::Idle { since_us } => Some(since_us + bounds.idle_us),
+            State::Head { since_us } => Some(since_us + bounds.packet_us),
+            State::Body { since_us, .. } => Some(since_us + bounds.body_us),
+            State::Closing { since_us } => Some(since_us + bounds.close_us),
             State::InHand { .. } | State::Answering { .. } | State::Over => None,
         }
     }
 
-    /// Another connection needs the room of this one, which was found empty.
+    /// Closes the connection if it is idle and has no unread input, as another connection needs its capacity.
     pub fn make_room(&mut self, acts: &mut impl Acts) {
         if self.idle_since_us().is_some() {
-            self.over(End::Idle, acts);
+            self.close(End::Idle, acts);
         }
     }
 
-    fn begin(&mut self, acts: &mut impl Acts) {
+    fn start(&mut self, acts: &mut impl Acts) {
         self.state = State::InHand { spoilt: false };
         acts.start();
     }
 
-    /// `in_step`: where the next request begins is known.
-    fn refuse(&mut self, now_us: u64, refusal: Refusal, in_step: bool, acts: &mut impl Acts) {
-        self.faults += 1;
-        let reuse = in_step && !self.leaving && self.faults < self.bounds.most_faults;
+    /// Refuses a request. `is_in_sync` is whether the position of the next request in the input is known.
+    fn refuse(&mut self, now_us: u64, refusal: Refusal, is_in_sync: bool, acts: &mut impl Acts) {
+        self.consecutive_faults += 1;
+        let reuse = is_in_sync && !self.is_draining && self.consecutive_faults < self.bounds.most_faults;
         self.state = if reuse { State::Answering { reuse } } else { State::Closing { since_us: now_us } };
         acts.refuse(refusal, reuse);
     }
 
-    fn over(&mut self, why: End, acts: &mut impl Acts) {
+    fn close(&mut self, why: End, acts: &mut impl Acts) {
         self.state = State::Over;
         acts.end(why);
     }
--- a/crates/ochrewalk-ajp/src/asker.rs
+++ b/crates/ochrewalk-ajp/src/asker.rs
@@ -1,86 +1,84 @@
-//! Decides the life of an AJP connection on which we ask: when a call may be written, what each message of the other
-//! side means for it, and when the connection is of no further use. No sockets, no clock.
+//! Decides the state of an AJP connection on the web server's side: when a call may be written, the effect of each message of
+//! the servlet container, and when the connection cannot carry another call. The state machine uses no sockets and no clock.
 //!
-//! What ends badly is told apart by how far the call had got: a call of which no byte was written has not run; one
-//! that was written may have, unless a whole answer says otherwise.
+//! A failed call is classified by its progress: a call of which no byte was written has not run; a call that was written may
+//! have run, unless a complete response states otherwise.
 
 use crate::packet::Broken;
 use crate::reply::{Head, Message};
 
-/// What a link asks of whoever carries it.
+/// The actions that the state machine requests from its caller.
 pub trait Acts {
-    /// Writes a ping.
+    /// Sends a CPing.
     fn ping(&mut self);
-    /// Writes the call and the first piece of its body.
+    /// Sends the call and the first chunk of its body.
     fn write_call(&mut self);
-    /// Writes the next piece of its body, so long at most; an empty one where nothing is left.
+    /// Sends the next chunk of the body, of this size at most; an empty chunk if the body is complete.
     fn write_piece(&mut self, most: u16);
-    /// The link is up and proven by a pong, or just made.
+    /// Reports that a CPong has proved the connection to work and that it can carry a call.
     fn ready(&mut self);
-    /// The call has its whole answer.
+    /// Passes on the complete response to the call.
     fn replied(&mut self, reply: Reply);
-    /// The link ends; what that means for the call on it, if there is one, follows from `wrote`.
+    /// Closes the connection. `wrote` is whether a byte of an unanswered call may have been written, in which case the call may
+    /// have run.
     fn end(&mut self, why: End, wrote: bool);
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     pub status: u16,
-    /// A header said that the call never ran.
+    /// Whether a header states that the call never ran.
     pub never_ran: bool,
     pub body: Vec<u8>,
 }
 
-/// Why a link ends.
+/// The reason for which a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The other side closed it.
+    /// The servlet container closed the connection.
     Closed,
-    /// The carrier's own word, as for a reset.
+    /// The connection failed, such as by a reset.
     Failed,
-    /// Something came that may not come now, or is no AJP.
+    /// The input is not valid AJP, or not valid in the state of the connection.
     Broken(Broken),
-    /// An answer longer than any may be, or than it said.
+    /// The response is longer than allowed, or than its stated length.
     TooLong,
-    /// An answer shorter than it said.
+    /// The response is shorter than its stated length.
     TooShort,
-    /// No pong, or an answer begun and not ended in its time.
+    /// A CPong, or the rest of a response, did not arrive within the time allowed.
     Silent,
-    /// The other side takes no more on it.
+    /// The servlet container accepts no further request on the connection.
     Spent,
-    /// We let it go.
+    /// The connection is closed because it is not needed.
     Idle,
-    /// We gave the call up: what is still to come would be taken for another's answer.
+    /// The call was abandoned, so that its response could be taken for the response to the next call.
     GivenUp,
 }
 
+/// The state of a connection; `since_us` is the time at which the state began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Nothing is on it since then.
-    Idle {
-        since_us: u64,
-    },
-    /// A ping was written then; `call` waits for the pong.
-    Proving {
-        since_us: u64,
-        call: bool,
-    },
-    /// The call is written, no byte of the answer is here.
+    /// The connection carries no call.
+    Idle { since_us: u64 },
+    /// A CPing was written; `call` is whether a call waits for the CPong.
+    Proving { since_us: u64, call: bool },
+    /// The call is written and no byte of the response has been received.
     Waiting,
-    /// The answer began then.
-    Reading {
-        since_us: u64,
-    },
+    /// A part of the response has been received.
+    Reading { since_us: u64 },
+    /// The connection is closed.
     Over,
 }
 
-/// How long things may take, in microseconds, and how large they may get.
+/// The timeouts, in microseconds, and the limit on the size of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
+    /// The maximum time from a CPing to its CPong.
     pub pong_us: u64,
-    /// From an answer's first byte to its last.
+    /// The maximum time from a response's first byte to its last.
     pub reply_us: u64,
+    /// The maximum size of a response's body, in bytes.
     pub most_reply: usize,
 }
 
@@ -88,24 +86,24 @@
 pub struct Life {
     state: State,
     bounds: Bounds,
-    /// The name of the header by which the other side says that a call never ran.
+    /// The name of the header by which the servlet container states that a call never ran.
     never_ran_header: &'static str,
     reply: Reply,
-    stated: Option<usize>,
+    stated_length: Option<usize>,
 }
 
 impl Life {
-    /// A link that was just made.
+    /// Returns the state machine of a connection that was just established.
     pub fn new(now_us: u64, bounds: Bounds, never_ran_header: &'static str) -> Life {
         let reply = Reply { status: 0, never_ran: false, body: Vec::new() };
-        Life { state: State::Idle { since_us: now_us }, bounds, never_ran_header, reply, stated: None }
+        Life { state: State::Idle { since_us: now_us }, bounds, never_ran_header, reply, stated_length: None }
     }
 
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Puts a call on the link, after a pong where it is to be proven.
+    /// Starts a call, after a CPong if `prove` requires a check of the connection.
     pub fn call(&mut self, now_us: u64, prove: bool, acts: &mut impl Acts) {
         debug_assert!(matches!(self.state, State::Idle { .. }), "one call at a time");
         if prove {
@@ -117,13 +115,13 @@
         }
     }
 
-    /// Asks whether the other side is there, with no call to come.
+    /// Sends a CPing to check the connection, without a call.
     pub fn probe(&mut self, now_us: u64, acts: &mut impl Acts) {
         self.state = State::Proving { since_us: now_us, call: false };
         acts.ping();
     }
 
-    /// The first bytes of a message came.
+    /// Handles input that is not a complete message yet.
     pub fn partial(&mut self, now_us: u64) {
         if self.state == State::Waiting {
             self.state = State::Reading { since_us: now_us };
@@ -142,82 +140,83 @@
                     acts.ready();
                 }
             }
-            // The whole body went with the call, or the next piece of it goes now.
-            (State::Waiting, Message::GetBody(most)) => acts.write_piece(*most),
-            (State::Reading { .. }, Message::GetBody(most)) if self.reply.status == 0 => {
-                acts.write_piece(*most)
+            // The caller sends the next chunk of the body, or an empty one if the complete body was sent with the call.
+            (State::Waiting, Message::GetBody(max_bytes)) => acts.write_piece(*max_bytes),
+            (State::Reading { .. }, Message::GetBody(max_bytes)) if self.reply.status == 0 => {
+                acts.write_piece(*max_bytes)
             }
             (State::Waiting | State::Reading { .. }, Message::Head(head)) if self.reply.status == 0 => {
                 self.partial(now_us);
                 self.head(head, acts);
             }
-            (State::Reading { .. }, Message::Piece(piece)) if self.reply.status != 0 => {
-                let most = self.stated.unwrap_or(self.bounds.most_reply);
-                if self.reply.body.len() + piece.len() > most {
-                    return self.over(End::TooLong, acts);
+            (State::Reading { .. }, Message::Piece(chunk)) if self.reply.status != 0 => {
+                let max_bytes = self.stated_length.unwrap_or(self.bounds.most_reply);
+                if self.reply.body.len() + chunk.len() > max_bytes {
+                    return self.close(End::TooLong, acts);
                 }
-                self.reply.body.extend_from_slice(piece);
+                self.reply.body.extend_from_slice(chunk);
             }
             (State::Reading { .. }, Message::End { reuse }) if self.reply.status != 0 => {
-                if self.stated.is_some_and(|stated| stated != self.reply.body.len()) {
-                    return self.over(End::TooShort, acts);
+                if self.stated_length.is_some_and(|stated| stated != self.reply.body.len()) {
+                    return self.close(End::TooShort, acts);
                 }
                 let empty = Reply { status: 0, never_ran: false, body: Vec::new() };
                 let reply = std::mem::replace(&mut self.reply, empty);
-                self.stated = None;
+                self.stated_length = None;
                 self.state = State::Idle { since_us: now_us };
                 acts.replied(reply);
                 if !reuse {
-                    self.over(End::Spent, acts);
+                    self.close(End::Spent, acts);
                 }
             }
-            // Also an answer that nobody asked for: whose the next one is would not be known.
-            _ => self.over(End::Broken(Broken::OutOfTurn), acts),
+            // This includes a response without a call: the call of the next response would be unknown.
+            _ => self.close(End::Broken(Broken::OutOfTurn), acts),
         }
     }
 
     fn head(&mut self, head: &Head, acts: &mut impl Acts) {
         if !(100..600).contains(&head.status) {
-            return self.over(End::Broken(Broken::Code), acts);
+            return self.close(End::Broken(Broken::Code), acts);
         }
         self.reply.status = head.status;
-        self.reply.never_ran = head.header(self.never_ran_header).is_some_and(|v| v == b"1");
-        if let Some(stated) = head.header("content-length") {
-            let length = std::str::from_utf8(stated).ok().and_then(|text| text.parse::<usize>().ok());
+        self.reply.never_ran = head.header(self.never_ran_header).is_some_and(|value| value == b"1");
+        if let Some(value) = head.header("content-length") {
+            let length = std::str::from_utf8(value).ok().and_then(|text| text.parse::<usize>().ok());
             match length.filter(|length| *length <= self.bounds.most_reply) {
-                Some(length) => self.stated = Some(length),
-                None => self.over(End::TooLong, acts),
+                Some(length) => self.stated_length = Some(length),
+                None => self.close(End::TooLong, acts),
             }
         }
     }
 
-    /// What came is no AJP.
+    /// Handles invalid input.
     pub fn broken(&mut self, why: Broken, acts: &mut impl Acts) {
-        self.over(End::Broken(why), acts);
+        self.close(End::Broken(why), acts);
     }
 
-    /// The other side closed it, or it broke, or it could not be written.
+    /// Handles the end of the connection: the servlet container closed it, it failed, or it could not be written.
     pub fn closed(&mut self, why: End, acts: &mut impl Acts) {
-        self.over(why, acts);
+        self.close(why, acts);
     }
 
-    /// The call on it is given up. An answer that is still to come would be taken for another's.
+    /// Abandons the call. The connection is closed if the call was written, as its response could be taken for the response to
+    /// the next call.
     pub fn give_up(&mut self, acts: &mut impl Acts) {
         match self.state {
             State::Proving { since_us, .. } => self.state = State::Proving { since_us, call: false },
-            State::Waiting | State::Reading { .. } => self.over(End::GivenUp, acts),
+            State::Waiting | State::Reading { .. } => self.close(End::GivenUp, acts),
             State::Idle { .. } | State::Over => {}
         }
     }
 
-    /// It was found empty at that time, all that had come being read.
+    /// Checks the timeouts when the connection has no more input at this time.
     pub fn empty(&mut self, now_us: u64, acts: &mut impl Acts) {
         if self.due_us().is_some_and(|due_us| now_us >= due_us) {
-            self.over(End::Silent, acts);
+            self.close(End::Silent, acts);
         }
     }
 
-    /// From when on silence would mean something; only [`Life::empty`] says what.
+    /// Returns the time at which the current state times out; [`Life::empty`] applies the timeout.
     pub fn due_us(&self) -> Option<u64> {
         match self.state {
             State::Proving { since_us, .. } => Some(since_us + self.bounds.pong_us),
@@ -226,12 +225,12 @@
         }
     }
 
-    /// Whether a byte of a call may have been written whose answer is not whole.
+    /// Whether a byte of a call may have been written whose response is not complete.
     pub fn wrote(&self) -> bool {
         matches!(self.state, State::Waiting | State::Reading { .. })
     }
 
-    fn over(&mut self, why: End, acts: &mut impl Acts) {
+    fn close(&mut self, why: End, acts: &mut impl Acts) {
         if self.state != State::Over {
             let wrote = self.wrote();
             self.state = State::Over;
--- a/crates/ochrewalk-ajp/tests/lives.rs
+++ b/crates/ochrewalk-ajp/tests/connection_states.rs
@@ -1,4 +1,4 @@
-//! The lives of connections on either side, as tables of every state against every event.
+//! Checks the connection state machines of both sides with tables of every state and every event.
 
 use ochrewalk_ajp::answerer::{self, Bounds, End, Life, Plain, Refusal, State};
 use ochrewalk_ajp::asker;
@@ -6,11 +6,11 @@
 use ochrewalk_ajp::request::BodyLength;
 use ochrewalk_ajp::Broken;
 
-/// What was asked for, in words.
+/// Records the requested actions as text.
 #[derive(Default)]
-struct Asked(Vec<String>);
+struct RecordedActions(Vec<String>);
 
-impl answerer::Acts for Asked {
+impl answerer::Acts for RecordedActions {
     fn start(&mut self) {
         self.0.push("start".into());
     }
@@ -42,9 +42,9 @@
 };
 const WRONG: Refusal = Refusal { status: 404, why: "no such route" };
 
-/// A life in each state, all having spoken but the first, at time 0.
+/// A state machine in each state at time 0; all but the first have received a complete packet.
 fn states() -> Vec<(&'static str, Life)> {
-    let mut acts = Asked::default();
+    let mut acts = RecordedActions::default();
     let fresh = Life::new(0, BOUNDS);
     let mut idle = fresh;
     idle.plain(0, Plain::CPing, &mut acts);
@@ -53,9 +53,9 @@
     let mut body = idle;
     body.request(0, Ok(BodyLength::Stated(8)), &mut acts);
     body.piece(0, 3, &mut acts);
-    let mut pieces = idle;
-    pieces.request(0, Ok(BodyLength::Unstated), &mut acts);
-    pieces.piece(0, 3, &mut acts);
+    let mut chunks = idle;
+    chunks.request(0, Ok(BodyLength::Unstated), &mut acts);
+    chunks.piece(0, 3, &mut acts);
     let mut in_hand = idle;
     in_hand.request(0, Ok(BodyLength::None), &mut acts);
     let mut spoilt = in_hand;
@@ -73,7 +73,7 @@
         ("idle", idle),
         ("head", head),
         ("body", body),
-        ("pieces", pieces),
+        ("chunks", chunks),
         ("in hand", in_hand),
         ("spoilt", spoilt),
         ("answering", answering),
@@ -83,7 +83,7 @@
     ]
 }
 
-fn named(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Idle { .. } => "idle",
         State::Head { .. } => "head",
@@ -97,7 +97,7 @@
     }
 }
 
-type Event = (&'static str, fn(&mut Life, &mut Asked));
+type Event = (&'static str, fn(&mut Life, &mut RecordedActions));
 
 const EVENTS: [Event; 16] = [
     ("partial", |l, _| l.partial(5)),
@@ -118,43 +118,43 @@
     ("room", |l, a| l.make_room(a)),
 ];
 
-/// One row a state, one cell an event: what is asked for, then the state after it.
-const TABLE: &str = include_str!("lives.table");
+/// The expected result of each event in each state: the state, the event, the requested actions, and the state after the event.
+const TABLE: &str = include_str!("connection_states.table");
 
 #[test]
-fn every_state_meets_every_event() {
+fn every_event_in_every_state_has_the_expected_result() {
     let mut table = String::new();
     for (name, life) in states() {
-        for (event, happens) in EVENTS {
-            let (mut life, mut acts) = (life, Asked::default());
-            happens(&mut life, &mut acts);
-            let asked = if acts.0.is_empty() { "-".to_string() } else { acts.0.join(", ") };
-            table += &format!("{name:<12} | {event:<16} | {asked:<22} | {}\n", named(life.state()));
+        for (event, apply) in EVENTS {
+            let (mut life, mut acts) = (life, RecordedActions::default());
+            apply(&mut life, &mut acts);
+            let actions = if acts.0.is_empty() { "-".to_string() } else { acts.0.join(", ") };
+            table += &format!("{name:<12} | {event:<16} | {actions:<22} | {}\n", state_name(life.state()));
         }
     }
-    for (got, wanted) in table.lines().zip(TABLE.lines()) {
-        assert_eq!(got.trim_end(), wanted.trim_end());
+    for (actual, expected) in table.lines().zip(TABLE.lines()) {
+        assert_eq!(actual.trim_end(), expected.trim_end());
     }
     assert_eq!(table.lines().count(), TABLE.lines().count(), "{table}");
 }
 
 #[test]
-fn one_answer_is_due_for_a_whole_request_and_none_for_any_other() {
+fn one_response_is_due_for_a_complete_request_and_none_for_any_other() {
     for (name, life) in states() {
         let mut life = life;
-        let due = matches!(name, "in hand" | "spoilt");
-        assert_eq!((life.owes(), life.answered(false).is_some()), (due, due), "{name}");
+        let is_due = matches!(name, "in hand" | "spoilt");
+        assert_eq!((life.owes(), life.answered(false).is_some()), (is_due, is_due), "{name}");
         assert_eq!(life.answered(false), None, "{name}: twice");
-        // Who leaves still answers, and says that it is the last.
+        // A draining servlet container still responds, and marks the response as the last one.
         let mut life = states().into_iter().find(|(n, _)| *n == name).unwrap().1;
         life.leave();
-        assert_eq!(life.answered(false), due.then_some(false), "{name}");
+        assert_eq!(life.answered(false), is_due.then_some(false), "{name}");
     }
 }
 
 #[test]
-fn faults_in_a_row_end_a_connection_and_a_run_forgives_them() {
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), Asked::default());
+fn consecutive_faults_close_a_connection_and_a_run_resets_them() {
+    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
     for _ in 0..2 {
         life.request(0, Err(WRONG), &mut acts);
         life.written(0);
@@ -169,7 +169,7 @@
     }
     assert_eq!(acts.0.join(", "), "404, 404, start, 404, 404, 404 last");
     assert!(life.drops() && life.reads());
-    // A fault that only the decisions found counts as well.
+    // A fault that is found only after the request has started counts too.
     let mut life = Life::new(0, BOUNDS);
     for reuse in [true, true, false] {
         life.request(0, Ok(BodyLength::None), &mut acts);
@@ -179,20 +179,20 @@
 }
 
 #[test]
-fn a_body_without_a_length_is_asked_for_piece_by_piece() {
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), Asked::default());
+fn a_body_without_a_length_is_requested_chunk_by_chunk() {
+    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
     life.request(0, Ok(BodyLength::Unstated), &mut acts);
     life.piece(1, 4, &mut acts);
     life.piece(2, 6, &mut acts);
     assert!(life.awaits_piece());
     life.piece(3, 0, &mut acts);
     assert_eq!(acts.0.join(", "), "ask 11, ask 7, ask 1, start");
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), Asked::default());
+    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
     life.request(0, Ok(BodyLength::Unstated), &mut acts);
     life.piece(1, 11, &mut acts);
     assert_eq!(acts.0.join(", "), "ask 11, 413 last");
-    // Its time counts from the head, however often a piece comes.
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), Asked::default());
+    // The timeout of the body counts from the head, regardless of the chunks received.
+    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
     life.request(0, Ok(BodyLength::Stated(9)), &mut acts);
     life.piece(49, 1, &mut acts);
     life.empty(49, &mut acts);
@@ -200,7 +200,7 @@
     assert_eq!(acts.0.join(", "), "ask 8, 408 last");
 }
 
-impl asker::Acts for Asked {
+impl asker::Acts for RecordedActions {
     fn ping(&mut self) {
         self.0.push("ping".into());
     }
@@ -214,15 +214,15 @@
         self.0.push("ready".into());
     }
     fn replied(&mut self, reply: asker::Reply) {
-        let seen = if reply.never_ran { "never ran" } else { "" };
-        self.0.push(format!("{} {seen}[{}]", reply.status, String::from_utf8(reply.body).unwrap()));
+        let suffix = if reply.never_ran { "never ran" } else { "" };
+        self.0.push(format!("{} {suffix}[{}]", reply.status, String::from_utf8(reply.body).unwrap()));
     }
     fn end(&mut self, why: asker::End, wrote: bool) {
         self.0.push(format!("{why:?}{}", if wrote { " wrote" } else { "" }));
     }
 }
 
-fn link() -> asker::Life {
+fn new_connection() -> asker::Life {
     asker::Life::new(0, asker::Bounds { pong_us: 10, reply_us: 20, most_reply: 6 }, "x-never-ran")
 }
 
@@ -231,10 +231,10 @@
 }
 
 #[test]
-fn replies_have_their_meaning_and_what_is_out_of_turn_ends_the_link() {
+fn responses_are_classified_and_an_unexpected_message_closes_the_connection() {
     const LENGTH: &[u8] = b"content-length";
     let end = |reuse| Message::End { reuse };
-    for (prove, messages, said) in [
+    for (checks_connection, messages, expected) in [
         (
             false,
             vec![head(200, &[]), Message::Piece(b"ab"), Message::Piece(b"c"), end(true)],
@@ -252,13 +252,13 @@
             "call, piece 9, 503 never ran[]",
         ),
         (false, vec![head(503, &[(b"X-Never-Ran", b"0")]), end(true)], "call, 503 []"),
-        // Shorter and longer than said, or than any may be.
+        // Responses shorter and longer than stated, or longer than allowed.
         (false, vec![head(200, &[(LENGTH, b"3")]), Message::Piece(b"ab"), end(true)], "call, TooShort wrote"),
         (false, vec![head(200, &[(LENGTH, b"1")]), Message::Piece(b"ab"), end(true)], "call, TooLong wrote"),
         (false, vec![head(200, &[(LENGTH, b"7")])], "call, TooLong wrote"),
         (false, vec![head(200, &[(LENGTH, b"-1")])], "call, TooLong wrote"),
         (false, vec![head(200, &[]), Message::Piece(b"abcdefg")], "call, TooLong wrote"),
-        // Twice, out of turn, unasked.
+        // Repeated and unexpected messages, and responses without a call.
         (false, vec![head(200, &[]), end(true), head(200, &[])], "call, 200 [], Broken(OutOfTurn)"),
         (false, vec![head(200, &[]), head(200, &[])], "call, Broken(OutOfTurn) wrote"),
         (false, vec![head(20, &[])], "call, Broken(Code) wrote"),
@@ -268,16 +268,16 @@
         (false, vec![Message::CPong], "call, Broken(OutOfTurn) wrote"),
         (true, vec![head(200, &[])], "ping, Broken(OutOfTurn)"),
     ] {
-        let (mut life, mut acts) = (link(), Asked::default());
-        life.call(0, prove, &mut acts);
+        let (mut life, mut acts) = (new_connection(), RecordedActions::default());
+        life.call(0, checks_connection, &mut acts);
         messages.iter().for_each(|message| life.message(1, message, &mut acts));
-        assert_eq!(acts.0.join(", "), said, "{messages:?}");
+        assert_eq!(acts.0.join(", "), expected, "{messages:?}");
     }
 }
 
 #[test]
-fn silence_closing_and_giving_up_tell_whether_a_call_was_written() {
-    type Step = fn(&mut asker::Life, &mut Asked);
+fn timeouts_closing_and_abandoning_report_whether_a_call_was_written() {
+    type Step = fn(&mut asker::Life, &mut RecordedActions);
     let cases: [(&str, Step, [&str; 4]); 5] = [
         ("idle", |_, _| (), ["Closed", "", "", "idle"]),
         ("proving", |l, a| l.call(0, true, a), ["Closed", "Silent", "", "proving"]),
@@ -292,27 +292,27 @@
         ),
         ("over", |l, a| l.closed(asker::End::Idle, a), ["", "", "", "over"]),
     ];
-    for (name, step, [closed, silent, given_up, after]) in cases {
-        let begun = || {
-            let (mut life, mut acts) = (link(), Asked::default());
+    for (name, step, [closed, timed_out, abandoned, state_after]) in cases {
+        let begin = || {
+            let (mut life, mut acts) = (new_connection(), RecordedActions::default());
             step(&mut life, &mut acts);
-            (life, Asked::default())
+            (life, RecordedActions::default())
         };
-        let (mut life, mut acts) = begun();
+        let (mut life, mut acts) = begin();
         life.closed(asker::End::Closed, &mut acts);
         assert_eq!(acts.0.join(", "), closed, "{name} closed");
-        let (mut life, mut acts) = begun();
+        let (mut life, mut acts) = begin();
         life.empty(9, &mut acts);
         assert!(acts.0.is_empty(), "{name} too soon");
         life.empty(25, &mut acts);
-        assert_eq!(acts.0.join(", "), silent, "{name} silent");
-        let (mut life, mut acts) = begun();
+        assert_eq!(acts.0.join(", "), timed_out, "{name} timed out");
+        let (mut life, mut acts) = begin();
         life.give_up(&mut acts);
-        assert_eq!(acts.0.join(", "), given_up, "{name} given up");
+        assert_eq!(acts.0.join(", "), abandoned, "{name} abandoned");
         let state = match life.state() {
             asker::State::Idle { .. } => "idle",
             asker::State::Proving { call, .. } => {
-                assert!(!call, "the call is forgotten");
+                assert!(!call, "the call is abandoned");
                 life.message(3, &Message::CPong, &mut acts);
                 assert_eq!(acts.0.join(", "), "ready");
                 "proving"
@@ -320,9 +320,9 @@
             asker::State::Over => "over",
             _ => "other",
         };
-        assert_eq!(state, after, "{name}");
+        assert_eq!(state, state_after, "{name}");
     }
-    let (mut life, mut acts) = (link(), Asked::default());
+    let (mut life, mut acts) = (new_connection(), RecordedActions::default());
     life.probe(0, &mut acts);
     life.message(1, &Message::CPong, &mut acts);
     assert_eq!(acts.0.join(", "), "ping, ready");
