--- a/crates/ochrewalk-ingress/src/allowed_peers.rs
+++ b/crates/ochrewalk-ingress/src/allowed_peers.rs
@@ -15,7 +15,7 @@
 impl AllowedPeers {
     /// Adds a rule that allows or denies a network. Returns the previous rule for the same network, so that the caller can
     /// reject contradictory rules.
-    pub fn state(&mut self, network: IpNet, is_allowed: bool) -> Option<bool> {
+    pub fn insert(&mut self, network: IpNet, is_allowed: bool) -> Option<bool> {
         match network {
             IpNet::V4(net) => self.ipv4.insert(net.trunc(), is_allowed),
             IpNet::V6(net) => self.ipv6.insert(net.trunc(), is_allowed),
@@ -27,8 +27,8 @@
     /// ```
     /// use ochrewalk_ingress::allowed_peers::AllowedPeers;
     /// let mut allowed_peers = AllowedPeers::default();
-    /// allowed_peers.state("10.0.0.0/8".parse().unwrap(), true);
-    /// allowed_peers.state("10.9.0.0/16".parse().unwrap(), false);
+    /// allowed_peers.insert("10.0.0.0/8".parse().unwrap(), true);
+    /// allowed_peers.insert("10.9.0.0/16".parse().unwrap(), false);
     /// let may = |text: &str| allowed_peers.may_connect(text.parse().unwrap());
     /// assert_eq!([may("10.1.2.3"), may("10.9.2.3"), may("11.0.0.1")], [true, false, false]);
     /// ```
--- a/crates/ochrewalk-ingress/src/judge.rs
+++ b/crates/ochrewalk-ingress/src/judge.rs
@@ -1,7 +1,7 @@
 //! Decides the target of an AJP request from its head alone: a method of the deployment with its parameters, the health check,
 //! or a refusal with a reason. Evaluation neither blocks nor starts the method.
 
-use crate::routes::{Found, Routes};
+use crate::routes::{RouteMatch, Routes};
 use ochrewalk_ajp::answerer::Refusal;
 use ochrewalk_ajp::request::{BodyLength, Request, Which};
 use subtle::ConstantTimeEq;
@@ -112,10 +112,10 @@
             };
         }
         let method = match self.routes.find(request.method, path) {
-            Ok(Found::Method(method)) => method,
-            Ok(Found::OtherMethods(allow)) => return Err(method_not_allowed(allow)),
-            Ok(Found::NoRoute) => return reject(404, "no such route"),
-            Err(why) => return reject(400, why.in_words()),
+            Ok(RouteMatch::Method(method)) => method,
+            Ok(RouteMatch::OtherMethods(allow)) => return Err(method_not_allowed(allow)),
+            Ok(RouteMatch::NoRoute) => return reject(404, "no such route"),
+            Err(why) => return reject(400, why.message()),
         };
         let method_request = Method {
             method,
--- a/crates/ochrewalk-ingress/src/routes.rs
+++ b/crates/ochrewalk-ingress/src/routes.rs
@@ -67,18 +67,18 @@
 
 /// The reason for which a path is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoPath {
+pub enum PathError {
     NotAbsolute,
     /// A `.` or `..` segment, which other programs might resolve before or after this one.
-    Dots,
+    DotSegment,
     /// A percent sign that is not followed by two hex digits, or that encodes a slash, a backslash or a zero byte.
-    Escape,
-    TooLong,
+    InvalidEscape,
+    TooManySegments,
 }
 
 /// The result of looking up a request's route.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum RouteMatch {
     /// The position of the method in the deployment's list of methods.
     Method(usize),
     /// The path has routes, but only for these HTTP methods.
@@ -142,15 +142,15 @@
     /// Returns an error if the path is invalid.
     ///
     /// ```
-    /// use ochrewalk_ingress::routes::{Found, Routes};
+    /// use ochrewalk_ingress::routes::{RouteMatch, Routes};
     /// let mut routes = Routes::default();
     /// routes.add("GET", "/items/{}", 0).unwrap();
     /// routes.add("GET", "/items/all", 1).unwrap();
-    /// assert_eq!(routes.find(b"GET", b"/items/7;s=1?x"), Ok(Found::Method(0)));
-    /// assert_eq!(routes.find(b"GET", b"/items/all"), Ok(Found::Method(1)));
-    /// assert_eq!(routes.find(b"PUT", b"/items/all"), Ok(Found::OtherMethods(vec!["GET".into()])));
+    /// assert_eq!(routes.find(b"GET", b"/items/7;s=1?x"), Ok(RouteMatch::Method(0)));
+    /// assert_eq!(routes.find(b"GET", b"/items/all"), Ok(RouteMatch::Method(1)));
+    /// assert_eq!(routes.find(b"PUT", b"/items/all"), Ok(RouteMatch::OtherMethods(vec!["GET".into()])));
     /// ```
-    pub fn find(&self, http_method: &[u8], path: &[u8]) -> Result<Found, NoPath> {
+    pub fn find(&self, http_method: &[u8], path: &[u8]) -> Result<RouteMatch, PathError> {
         let path = path.split(|b| *b == b'?').next().unwrap_or_default();
         let segments = segments(path)?;
         let mut other_methods = Vec::new();
@@ -158,9 +158,9 @@
         other_methods.sort_unstable();
         other_methods.dedup();
         Ok(match found {
-            Some(method) => Found::Method(method),
-            None if other_methods.is_empty() => Found::NoRoute,
-            None => Found::OtherMethods(other_methods),
+            Some(method) => RouteMatch::Method(method),
+            None if other_methods.is_empty() => RouteMatch::NoRoute,
+            None => RouteMatch::OtherMethods(other_methods),
         })
     }
 }
@@ -174,7 +174,7 @@
 
 impl Pattern {
     fn parse(pattern: &str) -> Result<Pattern, String> {
-        let mut segments = segments(pattern.as_bytes()).map_err(|why| why.in_words().to_string())?;
+        let mut segments = segments(pattern.as_bytes()).map_err(|why| why.message().to_string())?;
         let has_wildcard = segments.last().is_some_and(|last| last == b"*");
         if has_wildcard {
             segments.pop();
@@ -251,36 +251,36 @@
     }
 }
 
-impl NoPath {
-    pub fn in_words(self) -> &'static str {
+impl PathError {
+    pub fn message(self) -> &'static str {
         match self {
-            NoPath::NotAbsolute => "a path begins with '/'",
-            NoPath::Dots => "a path has no '.' or '..' segments",
-            NoPath::Escape => "a path's '%' is followed by two hex digits that hide no slash",
-            NoPath::TooLong => "a path has too many segments",
+            PathError::NotAbsolute => "a path begins with '/'",
+            PathError::DotSegment => "a path has no '.' or '..' segments",
+            PathError::InvalidEscape => "a path's '%' is followed by two hex digits that hide no slash",
+            PathError::TooManySegments => "a path has too many segments",
         }
     }
 }
 
-fn segments(path: &[u8]) -> Result<Vec<Vec<u8>>, NoPath> {
-    let rest = path.strip_prefix(b"/").ok_or(NoPath::NotAbsolute)?;
+fn segments(path: &[u8]) -> Result<Vec<Vec<u8>>, PathError> {
+    let rest = path.strip_prefix(b"/").ok_or(PathError::NotAbsolute)?;
     let mut segments = Vec::new();
     // A trailing slash and repeated slashes are ignored.
     for raw in rest.split(|b| *b == b'/').filter(|s| !s.is_empty()) {
         let segment = unescaped(raw.split(|b| *b == b';').next().unwrap_or_default())?;
         // Other programs might resolve such a path to another one.
         if segment == b"." || segment == b".." {
-            return Err(NoPath::Dots);
+            return Err(PathError::DotSegment);
         }
         segments.push(segment);
         if segments.len() > MAX_SEGMENTS {
-            return Err(NoPath::TooLong);
+            return Err(PathError::TooManySegments);
         }
     }
     Ok(segments)
 }
 
-fn unescaped(raw: &[u8]) -> Result<Vec<u8>, NoPath> {
+fn unescaped(raw: &[u8]) -> Result<Vec<u8>, PathError> {
     let mut segment = Vec::with_capacity(raw.len());
     let mut bytes = raw.iter();
     while let Some(byte) = bytes.next() {
@@ -288,10 +288,11 @@
             segment.push(*byte);
             continue;
         }
-        let digit = |b: Option<&u8>| b.and_then(|b| char::from(*b).to_digit(16)).ok_or(NoPath::Escape);
+        let digit =
+            |b: Option<&u8>| b.and_then(|b| char::from(*b).to_digit(16)).ok_or(PathError::InvalidEscape);
         let byte = (digit(bytes.next())? * 16 + digit(bytes.next())?) as u8;
         if matches!(byte, b'/' | b'\\' | 0) {
-            return Err(NoPath::Escape);
+            return Err(PathError::InvalidEscape);
         }
         segment.push(byte);
     }
--- a/crates/ochrewalk-ingress/tests/ingress.rs
+++ b/crates/ochrewalk-ingress/tests/ingress.rs
@@ -4,7 +4,7 @@
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::connection_budget::{look, Standing, Verdict, Worth};
 use ochrewalk_ingress::judge::{Asks, Rules};
-use ochrewalk_ingress::routes::{Found, NoPath, Routes};
+use ochrewalk_ingress::routes::{PathError, RouteMatch, Routes};
 
 #[test]
 fn the_rule_of_the_most_specific_network_applies() {
@@ -14,7 +14,7 @@
         let mut allowed_peers = AllowedPeers::default();
         assert!(allowed_peers.is_empty());
         for (network, is_allowed) in networks.iter().cycle().skip(first).take(networks.len()) {
-            assert_eq!(allowed_peers.state(network.parse().unwrap(), *is_allowed), None);
+            assert_eq!(allowed_peers.insert(network.parse().unwrap(), *is_allowed), None);
         }
         assert!(!allowed_peers.is_empty());
         for (address, may_connect) in [
@@ -30,7 +30,7 @@
             assert_eq!(allowed_peers.may_connect(address.parse().unwrap()), may_connect, "{address}");
         }
         assert_eq!(
-            allowed_peers.state("10.1.2.3/8".parse().unwrap(), false),
+            allowed_peers.insert("10.1.2.3/8".parse().unwrap(), false),
             Some(true),
             "the same network has a rule"
         );
@@ -58,40 +58,40 @@
 
 #[test]
 fn routes_match_normalized_paths_regardless_of_their_order() {
-    let only = |names: &[&str]| Ok(Found::OtherMethods(names.iter().map(|n| n.to_string()).collect()));
+    let only = |names: &[&str]| Ok(RouteMatch::OtherMethods(names.iter().map(|n| n.to_string()).collect()));
     for (http_method, path, expected) in [
-        ("GET", "/items/7", Ok(Found::Method(0))),
-        ("GET", "/items/all", Ok(Found::Method(1))),
-        ("GET", "/items/all/price", Ok(Found::Method(2))),
-        ("GET", "/items/7/price?of=today", Ok(Found::Method(2))),
-        ("GET", "//items//7/", Ok(Found::Method(0))),
-        ("GET", "/items;v=1/7;w", Ok(Found::Method(0))),
-        ("GET", "/it%65ms/7", Ok(Found::Method(0))),
-        ("POST", "/sales", Ok(Found::Method(3))),
-        ("PUT", "/stock", Ok(Found::Method(4))),
-        ("PUT", "/stock/a/b/c", Ok(Found::Method(4))),
-        ("GET", "/stock/a/count", Ok(Found::Method(5))),
-        ("GET", "/elsewhere/a", Ok(Found::Method(6))),
-        ("GET", "/", Ok(Found::Method(6))),
+        ("GET", "/items/7", Ok(RouteMatch::Method(0))),
+        ("GET", "/items/all", Ok(RouteMatch::Method(1))),
+        ("GET", "/items/all/price", Ok(RouteMatch::Method(2))),
+        ("GET", "/items/7/price?of=today", Ok(RouteMatch::Method(2))),
+        ("GET", "//items//7/", Ok(RouteMatch::Method(0))),
+        ("GET", "/items;v=1/7;w", Ok(RouteMatch::Method(0))),
+        ("GET", "/it%65ms/7", Ok(RouteMatch::Method(0))),
+        ("POST", "/sales", Ok(RouteMatch::Method(3))),
+        ("PUT", "/stock", Ok(RouteMatch::Method(4))),
+        ("PUT", "/stock/a/b/c", Ok(RouteMatch::Method(4))),
+        ("GET", "/stock/a/count", Ok(RouteMatch::Method(5))),
+        ("GET", "/elsewhere/a", Ok(RouteMatch::Method(6))),
+        ("GET", "/", Ok(RouteMatch::Method(6))),
         ("POST", "/items/7", only(&["GET"])),
         ("DELETE", "/stock/a/count", only(&["GET", "PUT"])),
-        ("GET", "items", Err(NoPath::NotAbsolute)),
-        ("GET", "", Err(NoPath::NotAbsolute)),
-        ("GET", "/a/../sales", Err(NoPath::Dots)),
-        ("GET", "/a/%2e%2E/sales", Err(NoPath::Dots)),
-        ("GET", "/a%2Fb", Err(NoPath::Escape)),
-        ("GET", "/a%5cb", Err(NoPath::Escape)),
-        ("GET", "/a%00", Err(NoPath::Escape)),
-        ("GET", "/a%4", Err(NoPath::Escape)),
-        ("GET", "/a%zz", Err(NoPath::Escape)),
-        ("GET", &"/a".repeat(33), Err(NoPath::TooLong)),
+        ("GET", "items", Err(PathError::NotAbsolute)),
+        ("GET", "", Err(PathError::NotAbsolute)),
+        ("GET", "/a/../sales", Err(PathError::DotSegment)),
+        ("GET", "/a/%2e%2E/sales", Err(PathError::DotSegment)),
+        ("GET", "/a%2Fb", Err(PathError::InvalidEscape)),
+        ("GET", "/a%5cb", Err(PathError::InvalidEscape)),
+        ("GET", "/a%00", Err(PathError::InvalidEscape)),
+        ("GET", "/a%4", Err(PathError::InvalidEscape)),
+        ("GET", "/a%zz", Err(PathError::InvalidEscape)),
+        ("GET", &"/a".repeat(33), Err(PathError::TooManySegments)),
     ] {
         assert_eq!(routes().find(http_method.as_bytes(), path.as_bytes()), expected, "{http_method} {path}");
     }
     let mut table = Routes::default();
     assert!(table.is_empty());
     table.add("GET", "/a", 0).unwrap();
-    assert_eq!(table.find(b"GET", b"/b"), Ok(Found::NoRoute));
+    assert_eq!(table.find(b"GET", b"/b"), Ok(RouteMatch::NoRoute));
     assert!(!table.is_empty());
     for (pattern, error) in [
         ("a", "begins with '/'"),
--- a/crates/ochrewalk-ingress/tests/memory.rs
+++ b/crates/ochrewalk-ingress/tests/memory.rs
@@ -1,7 +1,7 @@
 //! Measures the memory of a large table of routes with an instrumented allocator. This file has a single test, as the allocator
 //! counts the complete process.
 
-use ochrewalk_ingress::routes::{Found, Routes};
+use ochrewalk_ingress::routes::{RouteMatch, Routes};
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 
@@ -24,5 +24,5 @@
     let change = region.change();
     let allocated = change.bytes_allocated - change.bytes_deallocated;
     assert!(allocated / ROUTES <= MAX_BYTES_PER_ROUTE, "{allocated} bytes for {ROUTES} routes");
-    assert_eq!(routes.find(b"GET", b"/service-199/item-048999"), Ok(Found::Method(48_999)));
+    assert_eq!(routes.find(b"GET", b"/service-199/item-048999"), Ok(RouteMatch::Method(48_999)));
 }
--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -8,7 +8,7 @@
 use ochrewalk_distribution::messages::{Body, Position, Resource, Update};
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
-use ochrewalk_ingress::routes::{Found, Routes};
+use ochrewalk_ingress::routes::{RouteMatch, Routes};
 use ochrewalk_node::configuration::agent::PreparedAgent;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
 use ochrewalk_node::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
@@ -123,7 +123,7 @@
 }
 
 fn is_routed(in_force: &ConfigurationInForce, path: &str) -> bool {
-    matches!(in_force.rules.routes.find(b"GET", path.as_bytes()).unwrap(), Found::Method(_))
+    matches!(in_force.rules.routes.find(b"GET", path.as_bytes()).unwrap(), RouteMatch::Method(_))
 }
 
 /// What is logged by this thread while `run` runs.
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -3,7 +3,7 @@
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
 use ochrewalk_distribution::CompleteUpdate;
 use ochrewalk_ingress::judge::Rules;
-use ochrewalk_ingress::routes::{Found, Routes};
+use ochrewalk_ingress::routes::{RouteMatch, Routes};
 use ochrewalk_node::configuration::cached_quotas::CachedQuotaName;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
 use ochrewalk_node::configuration::node_configuration::{
@@ -54,7 +54,7 @@
     CompleteUpdate { is_snapshot: true, ..update(revision, changes) }
 }
 
-fn finds(in_force: &ConfigurationInForce, http: &str, path: &str) -> Found {
+fn finds(in_force: &ConfigurationInForce, http: &str, path: &str) -> RouteMatch {
     in_force.rules.routes.find(http.as_bytes(), path.as_bytes()).unwrap()
 }
 
@@ -62,19 +62,19 @@
 fn distributed_routes_are_added_replaced_and_deleted_beside_those_of_the_file() {
     let mut node = node();
     let in_force = node.apply(&snapshot(1, "route shop GET /a look\nroute shop POST /b sale")).unwrap();
-    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
-    assert_eq!(finds(&in_force, "POST", "/b"), Found::Method(1));
-    assert_eq!(finds(&in_force, "GET", "/file"), Found::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::Method(0));
+    assert_eq!(finds(&in_force, "POST", "/b"), RouteMatch::Method(1));
+    assert_eq!(finds(&in_force, "GET", "/file"), RouteMatch::Method(0));
     // One goes, and another takes its path in the same update.
     let in_force = node.apply(&update(2, "delete route shop GET /a\nroute till GET /a/ look")).unwrap();
-    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::Method(0));
     let in_force = node.apply(&update(3, "delete route till GET /a/\nroute shop POST /b look")).unwrap();
-    assert_eq!(finds(&in_force, "GET", "/a"), Found::NoRoute);
-    assert_eq!(finds(&in_force, "POST", "/b"), Found::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::NoRoute);
+    assert_eq!(finds(&in_force, "POST", "/b"), RouteMatch::Method(0));
     // A snapshot replaces all that was distributed, and nothing of the file.
     let in_force = node.apply(&snapshot(4, "route shop GET /c look")).unwrap();
-    assert_eq!(finds(&in_force, "POST", "/b"), Found::NoRoute);
-    assert_eq!(finds(&in_force, "GET", "/file"), Found::Method(0));
+    assert_eq!(finds(&in_force, "POST", "/b"), RouteMatch::NoRoute);
+    assert_eq!(finds(&in_force, "GET", "/file"), RouteMatch::Method(0));
     assert_eq!(node.position(), Position { epoch: 1, revision: 4 });
 }
 
@@ -101,7 +101,7 @@
         assert_eq!(fault.to_string(), text);
         assert_eq!(node.position(), Position { epoch: 1, revision: 1 });
         let in_force = node.in_force();
-        assert_eq!(finds(&in_force, "GET", "/x"), Found::NoRoute, "{wrong}");
+        assert_eq!(finds(&in_force, "GET", "/x"), RouteMatch::NoRoute, "{wrong}");
         assert!(in_force.quotas.contains_key("acme") && !in_force.quotas.contains_key("other"), "{wrong}");
         assert_eq!(node.resources().count(), 2, "{wrong}");
     }
@@ -187,13 +187,13 @@
     let texts: Vec<String> = overridden.iter().map(|fault| fault.to_string()).collect();
     assert_eq!(texts, ["route shop GET /a: GET /a is routed already"]);
     for path in ["/a", "/b", "/new"] {
-        assert_eq!(finds(&in_force, "GET", path), Found::Method(0), "{path}");
+        assert_eq!(finds(&in_force, "GET", path), RouteMatch::Method(0), "{path}");
     }
-    assert_eq!(finds(&in_force, "GET", "/file"), Found::NoRoute);
+    assert_eq!(finds(&in_force, "GET", "/file"), RouteMatch::NoRoute);
     // What is left out does not take the file's route with it when it goes.
     let in_force = node.apply(&update(2, "delete route shop GET /a\ndelete route shop GET /b")).unwrap();
-    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
-    assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
+    assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/b"), RouteMatch::NoRoute);
 }
 
 #[test]
@@ -246,9 +246,9 @@
     assert_eq!(overridden.len(), 1);
     node.replace_file(file(&[]));
     let in_force = node.apply(&snapshot(2, "route shop GET /a look")).unwrap();
-    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::Method(0));
     let in_force = node.apply(&update(3, "delete route shop GET /a")).unwrap();
-    assert_eq!(finds(&in_force, "GET", "/a"), Found::NoRoute);
+    assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::NoRoute);
 }
 
 #[test]
@@ -260,8 +260,8 @@
     let route = route_name("shop", "GET", "/file");
     assert_eq!(fault, UpdateError::RouteConflict { route, reason: "GET /file is routed already".into() });
     let in_force = node.in_force();
-    assert_eq!(finds(&in_force, "GET", "/a"), Found::Method(0));
-    assert_eq!(finds(&in_force, "GET", "/b"), Found::NoRoute);
+    assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::Method(0));
+    assert_eq!(finds(&in_force, "GET", "/b"), RouteMatch::NoRoute);
     assert_eq!(in_force.quotas["acme"].quota().unwrap().per_second, 5.0);
     assert_eq!(in_force.rules.usual_kb, Some(20.0));
     assert_eq!(node.position(), Position { epoch: 1, revision: 1 });
--- a/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
@@ -140,7 +140,7 @@
         return line_error(format!("{text} is not a network"), "write one such as 10.1.0.0/16 or fd00::/8");
     };
     let is_allowed = rule == PeerRule::Allow;
-    match allowed_peers.state(network, is_allowed) {
+    match allowed_peers.insert(network, is_allowed) {
         Some(before) if before != is_allowed => {
             line_error(format!("{text} is both allowed and denied"), "keep one of the two")
         }
--- a/crates/ochrewalk-operator-config/tests/operator_config.rs
+++ b/crates/ochrewalk-operator-config/tests/operator_config.rs
@@ -1,7 +1,7 @@
 //! Checks the settings of a complete operators' file, and the message with a suggestion for each error.
 
 use ochrewalk_ingress::judge::{Asks, Headers};
-use ochrewalk_ingress::routes::Found;
+use ochrewalk_ingress::routes::RouteMatch;
 use ochrewalk_load_balancer::{BalancingPolicy, OutlierEjection, Subsetting};
 use ochrewalk_operator_config::{parse, MethodContext, NodeContext, OperatorConfig, UpstreamEndpoint};
 
@@ -77,7 +77,7 @@
         (Some(b"two words".to_vec()), Some(20.5), Some("/health".into()))
     );
     assert_eq!(rules.headers, Headers { token: "x-sale".into(), ..Headers::default() });
-    assert_eq!(rules.routes.find(b"POST", b"/sale"), Ok(Found::Method(2)));
+    assert_eq!(rules.routes.find(b"POST", b"/sale"), Ok(RouteMatch::Method(2)));
     let endpoint = |address: &str, weight, is_in_local_zone| UpstreamEndpoint {
         address: address.parse().unwrap(),
         weight,
