--- a/crates/ochrewalk-ingress/src/judge.rs
+++ b/crates/ochrewalk-ingress/src/judge.rs
@@ -16,9 +16,9 @@
     pub secret: Option<Vec<u8>>,
     pub headers: Headers,
     /// The memory of a request that states none, in KB; if it is `None`, each request has to state its memory.
-    pub usual_kb: Option<f64>,
+    pub default_memory_kb: Option<f64>,
     /// The exclusive upper bound on the memory that a request may state, in KB.
-    pub most_kb: f64,
+    pub memory_limit_kb: f64,
 }
 
 /// The names of the headers that carry the parameters of requests.
@@ -84,7 +84,7 @@
 /// The maximum time that a request may state for its caller's wait, in milliseconds.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
 /// The maximum length of a tenant's name, in bytes.
-pub const MOST_TENANT: usize = 128;
+pub const MAX_TENANT_LENGTH: usize = 128;
 
 impl Rules {
     /// Returns the target of the request and the length of its body.
@@ -156,7 +156,7 @@
         let Some(name) = self.headers.tenant.as_ref().and_then(|name| request.header(name)) else {
             return Ok(None);
         };
-        if !(1..=MOST_TENANT).contains(&name.len()) || !name.iter().all(u8::is_ascii_graphic) {
+        if !(1..=MAX_TENANT_LENGTH).contains(&name.len()) || !name.iter().all(u8::is_ascii_graphic) {
             return reject(400, "the tenant is no word of printable letters");
         }
         Ok(Some(String::from_utf8_lossy(name).into_owned()))
@@ -173,9 +173,9 @@
     fn memory_kb(&self, request: &Request) -> Result<f64, No> {
         let kb = match request.header(&self.headers.memory) {
             Some(stated) => parse_number::<f64>(stated),
-            None => self.usual_kb,
+            None => self.default_memory_kb,
         };
-        match kb.filter(|kb| *kb > 0.0 && *kb < self.most_kb) {
+        match kb.filter(|kb| *kb > 0.0 && *kb < self.memory_limit_kb) {
             Some(kb) => Ok(kb),
             None => reject(400, "the memory is missing or out of range"),
         }
--- a/crates/ochrewalk-ingress/tests/ingress.rs
+++ b/crates/ochrewalk-ingress/tests/ingress.rs
@@ -109,8 +109,8 @@
         routes: routes(),
         health: Some("/health".into()),
         secret: Some(b"peach".to_vec()),
-        usual_kb: Some(20.5),
-        most_kb: 2_000.0,
+        default_memory_kb: Some(20.5),
+        memory_limit_kb: 2_000.0,
         ..Rules::default()
     }
 }
@@ -182,7 +182,7 @@
         );
     }
     let mut strict = rules();
-    (strict.secret, strict.usual_kb) = (None, None);
+    (strict.secret, strict.default_memory_kb) = (None, None);
     assert_eq!(strict.judge(&request("GET", "/items/1", &[], "")).unwrap_err().refusal.status, 400);
 }
 
--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -126,7 +126,7 @@
     pub fn in_force(&self) -> ConfigurationInForce {
         let mut rules = Rules { routes: self.routes.clone(), ..self.file.rules.clone() };
         if let Some(amount) = self.limit(LIMIT_USUAL_MEMORY) {
-            rules.usual_kb = Some(amount);
+            rules.default_memory_kb = Some(amount);
         }
         ConfigurationInForce {
             allowed_peers: self.file.allowed_peers.clone(),
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -161,7 +161,7 @@
     let of_file = UpstreamEndpoint { address: at("10.0.0.1:80"), weight: 1.0, is_in_local_zone: true };
     let ReplacedFile { overridden, .. } = node.replace_file(FileConfiguration {
         endpoints: Some(vec![of_file]),
-        rules: Rules { usual_kb: Some(9.0), ..Rules::default() },
+        rules: Rules { default_memory_kb: Some(9.0), ..Rules::default() },
         ..file(&[])
     });
     assert_eq!(overridden, []);
@@ -173,9 +173,9 @@
         UpstreamEndpoint { address: at("10.0.0.2:80"), weight: 1.0, is_in_local_zone: true },
     ];
     assert_eq!(in_force.endpoints.as_deref(), Some(&wanted[..]));
-    assert_eq!(in_force.rules.usual_kb, Some(12.0));
+    assert_eq!(in_force.rules.default_memory_kb, Some(12.0));
     let in_force = node.apply(&snapshot(2, "quota acme 1")).unwrap();
-    assert_eq!((in_force.endpoints, in_force.rules.usual_kb), (Some(vec![of_file]), Some(9.0)));
+    assert_eq!((in_force.endpoints, in_force.rules.default_memory_kb), (Some(vec![of_file]), Some(9.0)));
 }
 
 #[test]
@@ -263,6 +263,6 @@
     assert_eq!(finds(&in_force, "GET", "/a"), RouteMatch::Method(0));
     assert_eq!(finds(&in_force, "GET", "/b"), RouteMatch::NoRoute);
     assert_eq!(in_force.quotas["acme"].quota().unwrap().per_second, 5.0);
-    assert_eq!(in_force.rules.usual_kb, Some(20.0));
+    assert_eq!(in_force.rules.default_memory_kb, Some(20.0));
     assert_eq!(node.position(), Position { epoch: 1, revision: 1 });
 }
--- a/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
@@ -66,7 +66,9 @@
                 listener.max_connections = whole_number(word, MIN_CONNECTIONS, max_connections)?;
             }
             "idle" => listener.idle_timeout_us = time_us(word, MIN_IDLE_US, MAX_IDLE_US)?,
-            "memory" => listener.rules.usual_kb = Some(memory_kb(word, listener.rules.most_kb)?),
+            "memory" => {
+                listener.rules.default_memory_kb = Some(memory_kb(word, listener.rules.memory_limit_kb)?)
+            }
             "health" => listener.rules.health = Some(uri_path(word)?),
             "header" => set_header(&mut listener.rules.headers, word, &arguments[1])?,
             "route" => self.add_route(word, &arguments[1], &arguments[2])?,
--- a/crates/ochrewalk-operator-config/src/resources/validation.rs
+++ b/crates/ochrewalk-operator-config/src/resources/validation.rs
@@ -4,7 +4,7 @@
 use crate::diagnostic::{line_error, LineError};
 use crate::values::{check_http_method, check_route_repeatable, weight, PATTERN_SUGGESTION};
 use ochrewalk_distribution::messages::{Endpoint, Limit, Quota, Resource, ResourceName, Route, Value};
-use ochrewalk_ingress::judge::MOST_TENANT;
+use ochrewalk_ingress::judge::MAX_TENANT_LENGTH;
 use ochrewalk_ingress::routes::Routes;
 
 /// The name of the limit that sets the memory of requests that state none, in KB.
@@ -92,10 +92,10 @@
         return line_error(format!("a quota in scope {}", name.scope), format!("write scope {QUOTA_SCOPE}"));
     }
     let is_printable = !name.name.is_empty() && name.name.bytes().all(|b| b.is_ascii_graphic());
-    if !is_printable || name.name.len() > MOST_TENANT {
+    if !is_printable || name.name.len() > MAX_TENANT_LENGTH {
         return line_error(
             "the tenant is no word of printable letters",
-            format!("write {MOST_TENANT} at most"),
+            format!("write {MAX_TENANT_LENGTH} at most"),
         );
     }
     if !quota.per_second.is_finite() || quota.per_second < 0.0 {
--- a/crates/ochrewalk-operator-config/src/settings.rs
+++ b/crates/ochrewalk-operator-config/src/settings.rs
@@ -87,7 +87,8 @@
 impl AjpListener {
     /// Returns the defaults of a listener at `listen`, for a node with this number of descriptors.
     pub(crate) fn with_defaults(listen: SocketAddr, descriptors: usize) -> AjpListener {
-        let rules = Rules { most_kb: MAX_REQUEST_MEMORY_KB, headers: Headers::default(), ..Rules::default() };
+        let rules =
+            Rules { memory_limit_kb: MAX_REQUEST_MEMORY_KB, headers: Headers::default(), ..Rules::default() };
         AjpListener {
             listen,
             allowed_peers: AllowedPeers::default(),
--- a/crates/ochrewalk-operator-config/tests/operator_config.rs
+++ b/crates/ochrewalk-operator-config/tests/operator_config.rs
@@ -73,7 +73,7 @@
     );
     let rules = listener.rules;
     assert_eq!(
-        (rules.secret, rules.usual_kb, rules.health),
+        (rules.secret, rules.default_memory_kb, rules.health),
         (Some(b"two words".to_vec()), Some(20.5), Some("/health".into()))
     );
     assert_eq!(rules.headers, Headers { token: "x-sale".into(), ..Headers::default() });
@@ -136,7 +136,7 @@
     let request = ochrewalk_ajp::request::Request { method: b"POST", uri: b"/a", ..Default::default() };
     assert!(listener.rules.judge(&request).is_err(), "the request states no memory and there is no default");
     let mut rules = listener.rules;
-    rules.usual_kb = Some(1.0);
+    rules.default_memory_kb = Some(1.0);
     assert!(matches!(rules.judge(&request), Ok((Asks::Method(_), _))));
 }
 
