--- a/crates/ochrewalk-ajp/src/packet.rs
+++ b/crates/ochrewalk-ajp/src/packet.rs
@@ -5,9 +5,9 @@
 use std::fmt;
 
 /// The default size of a packet with its header, in bytes; both sides may be configured for larger packets.
-pub const USUAL_PACKET: usize = 8 * 1024;
+pub const DEFAULT_PACKET_BYTES: usize = 8 * 1024;
 /// The largest size of a packet with its header, in bytes.
-pub const LARGEST_PACKET: usize = 64 * 1024;
+pub const MAX_PACKET_BYTES: usize = 64 * 1024;
 /// The size of a packet's header, in bytes.
 pub const HEADER_BYTES: usize = 4;
 
@@ -70,12 +70,12 @@
 /// Returns an error as soon as the first invalid byte is present, even if the packet is incomplete.
 ///
 /// ```
-/// use ochrewalk_ajp::packet::{split, Broken, Sender, USUAL_PACKET};
+/// use ochrewalk_ajp::packet::{split, Broken, Sender, DEFAULT_PACKET_BYTES};
 /// let packet = [0x12, 0x34, 0, 1, 10, 99];
-/// assert_eq!(split(&packet, Sender::Asker, USUAL_PACKET), Ok(Some((&[10][..], 5))));
-/// assert_eq!(split(&packet[..4], Sender::Asker, USUAL_PACKET), Ok(None));
-/// assert_eq!(split(b"GET", Sender::Asker, USUAL_PACKET), Err(Broken::Magic));
-/// assert_eq!(split(&[0x12, 0x34, 0x20, 0], Sender::Asker, USUAL_PACKET), Err(Broken::TooLong));
+/// assert_eq!(split(&packet, Sender::Asker, DEFAULT_PACKET_BYTES), Ok(Some((&[10][..], 5))));
+/// assert_eq!(split(&packet[..4], Sender::Asker, DEFAULT_PACKET_BYTES), Ok(None));
+/// assert_eq!(split(b"GET", Sender::Asker, DEFAULT_PACKET_BYTES), Err(Broken::Magic));
+/// assert_eq!(split(&[0x12, 0x34, 0x20, 0], Sender::Asker, DEFAULT_PACKET_BYTES), Err(Broken::TooLong));
 /// ```
 pub fn split(input: &[u8], from: Sender, max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, Broken> {
     let magic_length = input.len().min(2);
--- a/crates/ochrewalk-ajp/tests/codec.rs
+++ b/crates/ochrewalk-ajp/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Property tests of the codec: a written message is read back unchanged for any split of the bytes, and no input causes a panic
 //! or a read past the end of a packet.
 
-use ochrewalk_ajp::packet::{split, Broken, Sender, LARGEST_PACKET, USUAL_PACKET};
+use ochrewalk_ajp::packet::{split, Broken, Sender, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES};
 use ochrewalk_ajp::request::{self, Attribute, BodyLength, Request, Which};
 use ochrewalk_ajp::{packet, reply};
 use proptest::collection::vec;
@@ -101,12 +101,12 @@
     fn a_request_is_read_back_unchanged_for_any_split(owned in owned_request(), split_index in any::<prop::sample::Index>()) {
         let request = owned.request();
         let mut bytes = Vec::new();
-        request.write(&mut bytes, LARGEST_PACKET).unwrap();
+        request.write(&mut bytes, MAX_PACKET_BYTES).unwrap();
         let split_position = split_index.index(bytes.len());
-        prop_assert_eq!(request::read(&bytes[..split_position], LARGEST_PACKET), Ok(None));
+        prop_assert_eq!(request::read(&bytes[..split_position], MAX_PACKET_BYTES), Ok(None));
         let packet_bytes = bytes.len();
         bytes.extend_from_slice(&[0x12, 0x34, 9]);
-        let read = request::read(&bytes, LARGEST_PACKET);
+        let read = request::read(&bytes, MAX_PACKET_BYTES);
         prop_assert_eq!(read, Ok(Some((request::Message::Request(request), packet_bytes))));
     }
 
@@ -114,7 +114,7 @@
     fn a_response_is_read_back_completely_for_any_packet_size(
         status in 100u16..600, reason in string(), body in vec(any::<u8>(), 0..20_000), reuse in any::<bool>(),
         headers in vec((header_name(&["content-type", "status", "servlet-engine"]), string()), 0..6),
-        max_packet_bytes in 512usize..LARGEST_PACKET,
+        max_packet_bytes in 512usize..MAX_PACKET_BYTES,
     ) {
         let head = reply::Head { status, words: &reason, headers: headers.iter().map(|(name, value)| (&**name, &**value)).collect() };
         let mut bytes = Vec::new();
@@ -136,13 +136,13 @@
     #[test]
     fn body_chunks_are_read_back(chunk in vec(any::<u8>(), 0..9_000), split_index in any::<prop::sample::Index>()) {
         let mut bytes = Vec::new();
-        let written = request::write_piece(&mut bytes, USUAL_PACKET, &chunk);
-        if chunk.len() > request::longest_piece(USUAL_PACKET) {
+        let written = request::write_piece(&mut bytes, DEFAULT_PACKET_BYTES, &chunk);
+        if chunk.len() > request::longest_piece(DEFAULT_PACKET_BYTES) {
             prop_assert_eq!((written, bytes), (Err(Broken::TooLong), vec![]));
         } else {
             let split_position = split_index.index(bytes.len());
-            prop_assert_eq!(request::read_piece(&bytes[..split_position], USUAL_PACKET), Ok(None));
-            prop_assert_eq!(request::read_piece(&bytes, USUAL_PACKET), Ok(Some((&chunk[..], bytes.len()))));
+            prop_assert_eq!(request::read_piece(&bytes[..split_position], DEFAULT_PACKET_BYTES), Ok(None));
+            prop_assert_eq!(request::read_piece(&bytes, DEFAULT_PACKET_BYTES), Ok(Some((&chunk[..], bytes.len()))));
         }
     }
 
@@ -156,10 +156,10 @@
             bytes[2..4].copy_from_slice(&length.to_be_bytes());
             bytes[4] = kind % 12;
         }
-        let _ = request::read(&bytes, USUAL_PACKET);
-        let _ = request::read_piece(&bytes, USUAL_PACKET);
-        let _ = reply::read(&bytes, USUAL_PACKET);
-        if let Ok(Some((payload, packet_bytes))) = split(&bytes, from, USUAL_PACKET) {
+        let _ = request::read(&bytes, DEFAULT_PACKET_BYTES);
+        let _ = request::read_piece(&bytes, DEFAULT_PACKET_BYTES);
+        let _ = reply::read(&bytes, DEFAULT_PACKET_BYTES);
+        if let Ok(Some((payload, packet_bytes))) = split(&bytes, from, DEFAULT_PACKET_BYTES) {
             prop_assert!(packet_bytes <= bytes.len() && payload.len() + 4 == packet_bytes);
         }
     }
@@ -178,7 +178,7 @@
         ..Request::default()
     };
     let mut bytes = Vec::new();
-    request.write(&mut bytes, USUAL_PACKET).unwrap();
+    request.write(&mut bytes, DEFAULT_PACKET_BYTES).unwrap();
     let mut expected = vec![0x12, 0x34, 0, 58, 2, 2, 0, 8];
     expected.extend(
         b"HTTP/1.1\0\0\x02/a\0\xff\xff\xff\xff\0\x01h\0\0\x50\0\0\x02\xa0\x0b\0\x01h\0\0\x01x\0\0\0\0",
@@ -188,9 +188,9 @@
     assert_eq!(bytes, expected);
     let mut bytes = Vec::new();
     let head = reply::Head { status: 200, words: b"OK", headers: vec![(b"Content-Type", b"t")] };
-    reply::write_answer(&mut bytes, USUAL_PACKET, head, b"hi", true).unwrap();
-    reply::Message::GetBody(7).write(&mut bytes, USUAL_PACKET).unwrap();
-    reply::Message::CPong.write(&mut bytes, USUAL_PACKET).unwrap();
+    reply::write_answer(&mut bytes, DEFAULT_PACKET_BYTES, head, b"hi", true).unwrap();
+    reply::Message::GetBody(7).write(&mut bytes, DEFAULT_PACKET_BYTES).unwrap();
+    reply::Message::CPong.write(&mut bytes, DEFAULT_PACKET_BYTES).unwrap();
     let expected = b"AB\0\x10\x04\0\xc8\0\x02OK\0\0\x01\xa0\x01\0\x01t\0AB\0\x06\x03\0\x02hi\0AB\0\x02\x05\x01AB\0\x03\x06\0\x07AB\0\x01\x09";
     assert_eq!(bytes, expected);
 }
@@ -215,15 +215,15 @@
         (&b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\x0d\0\x01X\0\xff"[..], Broken::Code),
         (&b"\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\xff"[..], Broken::Code),
     ] {
-        assert_eq!(request::read(&packet(payload), USUAL_PACKET), Err(error), "{payload:x?}");
+        assert_eq!(request::read(&packet(payload), DEFAULT_PACKET_BYTES), Err(error), "{payload:x?}");
     }
     for (message, code) in
         [(request::Message::CPing, 10), (request::Message::Login, 8), (request::Message::Shutdown, 7)]
     {
         let mut bytes = Vec::new();
-        request::write_plain(&mut bytes, &message, USUAL_PACKET).unwrap();
+        request::write_plain(&mut bytes, &message, DEFAULT_PACKET_BYTES).unwrap();
         assert_eq!(bytes, packet(&[code]));
-        assert_eq!(request::read(&bytes, USUAL_PACKET), Ok(Some((message, 5))));
+        assert_eq!(request::read(&bytes, DEFAULT_PACKET_BYTES), Ok(Some((message, 5))));
     }
     let headers = |list: &[(&'static str, &'static str)]| Request {
         headers: list.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect(),
--- a/crates/ochrewalk-lab/src/ajp.rs
+++ b/crates/ochrewalk-lab/src/ajp.rs
@@ -1,6 +1,6 @@
 //! A caller by AJP: one connection, one call at a time, blocking.
 
-use ochrewalk_ajp::packet::USUAL_PACKET;
+use ochrewalk_ajp::packet::DEFAULT_PACKET_BYTES;
 use ochrewalk_ajp::reply::{self, Message};
 use ochrewalk_ajp::request::{self, Attribute, Request, Which};
 use std::io::{Error, ErrorKind, Read, Write};
@@ -68,7 +68,7 @@
                 .collect(),
         };
         let mut out = Vec::new();
-        request.write(&mut out, USUAL_PACKET).expect("a head that fits");
+        request.write(&mut out, DEFAULT_PACKET_BYTES).expect("a head that fits");
         out
     }
 
@@ -84,13 +84,13 @@
 
 pub fn piece(bytes: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    request::write_piece(&mut out, USUAL_PACKET, bytes).expect("a piece that fits");
+    request::write_piece(&mut out, DEFAULT_PACKET_BYTES, bytes).expect("a piece that fits");
     out
 }
 
 pub fn plain(message: &request::Message) -> Vec<u8> {
     let mut out = Vec::new();
-    request::write_plain(&mut out, message, USUAL_PACKET).expect("fits");
+    request::write_plain(&mut out, message, DEFAULT_PACKET_BYTES).expect("fits");
     out
 }
 
@@ -146,7 +146,7 @@
     /// Waits for the next message.
     pub fn message<T>(&mut self, read: impl FnOnce(&Message) -> T) -> std::io::Result<T> {
         loop {
-            let whole = reply::read(&self.input, USUAL_PACKET);
+            let whole = reply::read(&self.input, DEFAULT_PACKET_BYTES);
             match whole.map_err(|why| Error::new(ErrorKind::InvalidData, why.to_string()))? {
                 Some((message, taken)) => {
                     let got = read(&message);
--- a/crates/ochrewalk-lab/src/ledger.rs
+++ b/crates/ochrewalk-lab/src/ledger.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the ledger below: an AJP server that answers, slows, fails and closes as it is told, call by call.
 
-use ochrewalk_ajp::packet::USUAL_PACKET;
+use ochrewalk_ajp::packet::DEFAULT_PACKET_BYTES;
 use ochrewalk_ajp::reply::{self, Head, Message};
 use ochrewalk_ajp::request::{self, BodyLength};
 use std::io::{Read, Write};
@@ -130,7 +130,7 @@
         let _ = stream.set_read_timeout(Some(self.idle));
         let (mut input, mut before, mut proven) = (Vec::new(), 0, false);
         loop {
-            match request::read(&input, USUAL_PACKET) {
+            match request::read(&input, DEFAULT_PACKET_BYTES) {
                 Err(_) => return,
                 Ok(None) => {
                     if !more(&mut stream, &mut input) {
@@ -187,7 +187,7 @@
                 return false;
             }
             let whole = loop {
-                match request::read_piece(input, USUAL_PACKET) {
+                match request::read_piece(input, DEFAULT_PACKET_BYTES) {
                     Ok(Some((piece, taken))) => {
                         came.body.extend_from_slice(piece);
                         break Some(taken);
@@ -260,7 +260,7 @@
 
 fn message(message: &Message) -> Vec<u8> {
     let mut out = Vec::new();
-    message.write(&mut out, USUAL_PACKET).expect("fits");
+    message.write(&mut out, DEFAULT_PACKET_BYTES).expect("fits");
     out
 }
 
@@ -272,6 +272,6 @@
     }
     let mut out = Vec::new();
     let head = Head { status, words: b"-", headers };
-    reply::write_answer(&mut out, USUAL_PACKET, head, body, reuse).expect("fits");
+    reply::write_answer(&mut out, DEFAULT_PACKET_BYTES, head, body, reuse).expect("fits");
     out
 }
--- a/crates/ochrewalk-operator-config/src/settings.rs
+++ b/crates/ochrewalk-operator-config/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of the operators' file, with the defaults of those that the file does not name.
 
-use ochrewalk_ajp::packet::USUAL_PACKET;
+use ochrewalk_ajp::packet::DEFAULT_PACKET_BYTES;
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::judge::{Headers, Rules};
 use ochrewalk_load_balancer::BalancingConfig;
@@ -94,7 +94,7 @@
             allowed_peers: AllowedPeers::default(),
             rules,
             secret_file: None,
-            max_packet_bytes: USUAL_PACKET,
+            max_packet_bytes: DEFAULT_PACKET_BYTES,
             max_connections: descriptors / DESCRIPTORS_PER_CONNECTION,
             idle_timeout_us: 60_000_000,
         }
@@ -161,7 +161,7 @@
             uri: "/".into(),
             secret: None,
             secret_file: None,
-            max_packet_bytes: USUAL_PACKET,
+            max_packet_bytes: DEFAULT_PACKET_BYTES,
             max_connections: descriptors / DESCRIPTORS_PER_CONNECTION,
             connect_timeout_us: 500_000,
             ping_timeout_us: 250_000,
--- a/crates/ochrewalk-operator-config/src/values.rs
+++ b/crates/ochrewalk-operator-config/src/values.rs
@@ -2,7 +2,7 @@
 
 use crate::diagnostic::{line_error, LineError};
 use crate::units;
-use ochrewalk_ajp::packet::{LARGEST_PACKET, USUAL_PACKET};
+use ochrewalk_ajp::packet::{DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES};
 use std::path::PathBuf;
 
 /// The longest path of a socket, in bytes. The operating system allows 107 bytes; the rest is reserved for the longer name
@@ -81,7 +81,7 @@
 
 /// Parses the size of an AJP packet with its header, in bytes.
 pub(crate) fn packet_bytes(word: &str) -> Result<usize, LineError> {
-    let sizes = USUAL_PACKET as u64..=LARGEST_PACKET as u64;
+    let sizes = DEFAULT_PACKET_BYTES as u64..=MAX_PACKET_BYTES as u64;
     match units::bytes(word).filter(|bytes| sizes.contains(bytes)) {
         Some(bytes) => Ok(bytes as usize),
         None => line_error(format!("{word} is not a packet size"), "write one from 8k to 64k"),
