--- a/crates/ochrewalk-ajp/src/packet.rs
+++ b/crates/ochrewalk-ajp/src/packet.rs
@@ -14,15 +14,15 @@
 /// The side that sent a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    Asker,
-    Answerer,
+    WebServer,
+    ServletContainer,
 }
 
 impl Sender {
     pub fn magic(self) -> [u8; 2] {
         match self {
-            Sender::Asker => [0x12, 0x34],
-            Sender::Answerer => *b"AB",
+            Sender::WebServer => [0x12, 0x34],
+            Sender::ServletContainer => *b"AB",
         }
     }
 }
@@ -72,10 +72,10 @@
 /// ```
 /// use ochrewalk_ajp::packet::{split, Broken, Sender, DEFAULT_PACKET_BYTES};
 /// let packet = [0x12, 0x34, 0, 1, 10, 99];
-/// assert_eq!(split(&packet, Sender::Asker, DEFAULT_PACKET_BYTES), Ok(Some((&[10][..], 5))));
-/// assert_eq!(split(&packet[..4], Sender::Asker, DEFAULT_PACKET_BYTES), Ok(None));
-/// assert_eq!(split(b"GET", Sender::Asker, DEFAULT_PACKET_BYTES), Err(Broken::Magic));
-/// assert_eq!(split(&[0x12, 0x34, 0x20, 0], Sender::Asker, DEFAULT_PACKET_BYTES), Err(Broken::TooLong));
+/// assert_eq!(split(&packet, Sender::WebServer, DEFAULT_PACKET_BYTES), Ok(Some((&[10][..], 5))));
+/// assert_eq!(split(&packet[..4], Sender::WebServer, DEFAULT_PACKET_BYTES), Ok(None));
+/// assert_eq!(split(b"GET", Sender::WebServer, DEFAULT_PACKET_BYTES), Err(Broken::Magic));
+/// assert_eq!(split(&[0x12, 0x34, 0x20, 0], Sender::WebServer, DEFAULT_PACKET_BYTES), Err(Broken::TooLong));
 /// ```
 pub fn split(input: &[u8], from: Sender, max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, Broken> {
     let magic_length = input.len().min(2);
--- a/crates/ochrewalk-ajp/src/reply.rs
+++ b/crates/ochrewalk-ajp/src/reply.rs
@@ -39,7 +39,7 @@
 
 impl Message<'_> {
     pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), Broken> {
-        write(out, Sender::Answerer, max_packet_bytes, |payload| {
+        write(out, Sender::ServletContainer, max_packet_bytes, |payload| {
             match self {
                 Message::Head(head) => {
                     payload.byte(SEND_HEADERS);
@@ -90,7 +90,7 @@
 
 /// Returns the first complete message and the size of its packet; `None` if the packet is incomplete.
 pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
-    let Some((payload, packet_bytes)) = split(input, Sender::Answerer, max_packet_bytes)? else {
+    let Some((payload, packet_bytes)) = split(input, Sender::ServletContainer, max_packet_bytes)? else {
         return Ok(None);
     };
     let mut reader = PayloadReader(payload);
--- a/crates/ochrewalk-ajp/src/request.rs
+++ b/crates/ochrewalk-ajp/src/request.rs
@@ -128,7 +128,7 @@
     /// # Errors
     /// Returns an error if the packet is longer than `max_packet_bytes` or a string cannot be encoded.
     pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), Broken> {
-        write(out, Sender::Asker, max_packet_bytes, |payload| {
+        write(out, Sender::WebServer, max_packet_bytes, |payload| {
             payload.byte(FORWARD_REQUEST);
             let code = method_code(self.method);
             payload.byte(code.unwrap_or(STORED_METHOD));
@@ -214,7 +214,7 @@
 /// Returns the first complete message and the size of its packet; `None` if the packet is incomplete. To be called where no body
 /// chunk is due.
 pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
-    let Some((payload, packet_bytes)) = split(input, Sender::Asker, max_packet_bytes)? else {
+    let Some((payload, packet_bytes)) = split(input, Sender::WebServer, max_packet_bytes)? else {
         return Ok(None);
     };
     let mut reader = PayloadReader(payload);
@@ -232,7 +232,7 @@
 /// Returns the first complete body chunk and the size of its packet; `None` if the packet is incomplete. An empty chunk ends the
 /// body. To be called where a body chunk is due.
 pub fn read_piece(input: &[u8], max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, Broken> {
-    let Some((payload, packet_bytes)) = split(input, Sender::Asker, max_packet_bytes)? else {
+    let Some((payload, packet_bytes)) = split(input, Sender::WebServer, max_packet_bytes)? else {
         return Ok(None);
     };
     if payload.is_empty() {
@@ -255,7 +255,7 @@
 /// # Errors
 /// Returns an error if the packet is longer than `max_packet_bytes`.
 pub fn write_piece(out: &mut Vec<u8>, max_packet_bytes: usize, chunk: &[u8]) -> Result<(), Broken> {
-    write(out, Sender::Asker, max_packet_bytes, |payload| {
+    write(out, Sender::WebServer, max_packet_bytes, |payload| {
         if !chunk.is_empty() {
             payload.count(chunk.len())?;
             payload.bytes(chunk);
@@ -272,7 +272,7 @@
         Message::Login => LOGIN,
         Message::Shutdown => SHUTDOWN,
     };
-    write(out, Sender::Asker, max_packet_bytes, |payload| {
+    write(out, Sender::WebServer, max_packet_bytes, |payload| {
         payload.byte(code);
         Ok(())
     })
--- a/crates/ochrewalk-ajp/tests/codec.rs
+++ b/crates/ochrewalk-ajp/tests/codec.rs
@@ -148,7 +148,7 @@
 
     #[test]
     fn no_input_causes_a_panic(mut bytes in vec(any::<u8>(), 0..400), kind in any::<u8>(), is_web_server in any::<bool>()) {
-        let from = if is_web_server { Sender::Asker } else { Sender::Answerer };
+        let from = if is_web_server { Sender::WebServer } else { Sender::ServletContainer };
         if bytes.len() >= 5 && kind % 4 > 0 {
             // Most inputs have a valid packet header, so that the payload is parsed too.
             let length = (bytes.len() - 4) as u16;
