--- a/crates/ochrewalk-ajp/src/codes.rs
+++ b/crates/ochrewalk-ajp/src/codes.rs
@@ -31,7 +31,7 @@
     "MKACTIVITY",
 ];
 
-/// The code of a method that has no code of its own and is sent in the attribute `stored_method`.
+/// The code that marks a method without a code, whose name is sent in the attribute `stored_method`.
 pub const STORED_METHOD: u8 = 0xFF;
 
 /// Request headers in the order of their codes, which begin at 0xA001.
@@ -68,7 +68,7 @@
 ];
 
 const FIRST_HEADER_CODE: u16 = 0xA001;
-/// The range of header codes. Where a code may occur, a string whose length is in this range could not be told apart from a
+/// The range of header codes. Where a code may occur, a string whose length is in this range could not be distinguished from a
 /// code, so no string has such a length.
 pub const HEADER_CODES: std::ops::RangeInclusive<u16> = 0xA000..=0xA0FF;
 
--- a/crates/ochrewalk-operator-config/src/rollout_plan/mod.rs
+++ b/crates/ochrewalk-operator-config/src/rollout_plan/mod.rs
@@ -26,7 +26,7 @@
     Settings,
 }
 
-/// One of the two files of a plan.
+/// A version of a plan, with one of its two files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     /// The file that nodes use before the rollout.
