--- a/crates/ochrewalk-node/src/main.rs
+++ b/crates/ochrewalk-node/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use ochrewalk_node::handover::supervisor::request_upgrade;
 use ochrewalk_node::handover::supervisor_protocol::AttemptOutcome;
-use ochrewalk_node::logger::{Form, Logs};
+use ochrewalk_node::logger::{LogFormat, LogSettings};
 use ochrewalk_node::node::Files;
 use ochrewalk_node::rollout::operator_socket::{send_to_controller, ControllerCommand};
 use ochrewalk_node::rollout::{self, RolloutEnd, RolloutError, StartMode};
@@ -36,7 +36,7 @@
         log: LevelFilter,
         /// How lines are written
         #[arg(long, env = "OCHREWALK_LOG_FORMAT", default_value = "plain", value_enum)]
-        log_format: Form,
+        log_format: LogFormat,
     },
     /// Check a node's file and the operators' own, and say which key or line is at fault
     Check {
@@ -164,7 +164,7 @@
             Err(error) => Err(error.to_string()),
         },
         Command::Places { control } => {
-            ochrewalk_node::net::status::ask(&control).map(|table| print!("{table}"))
+            ochrewalk_node::net::status::query(&control).map(|table| print!("{table}"))
         }
         Command::Config { words } => Err(become_config(&words)),
         Command::Check { config, operators, against } => {
@@ -186,7 +186,7 @@
             })
         }
         Command::Serve { config, operators, log, log_format } => {
-            let logs = Logs { level: log, form: log_format };
+            let logs = LogSettings { level: log, format: log_format };
             ochrewalk_node::node::serve(&Files { node: config, operators }, logs)
         }
     };
--- /dev/null
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -0,0 +1,277 @@
+//! Handles input on an AJP connection: assembles packets into requests and performs the actions that the connection's state
+//! machine requests.
+
+use super::{AjpClient, AjpIngress, Connection, ConnectionState, PendingRequest};
+use crate::close_reason::CloseReason;
+use crate::net::buffered_connection::{CloseRequest, MessageHandler};
+use crate::shared_state::ParsedRequest;
+use base64::prelude::{Engine, BASE64_STANDARD};
+use ochrewalk_ajp::answerer::{Acts, End, Plain, Refusal};
+use ochrewalk_ajp::reply;
+use ochrewalk_ajp::request::{self, BodyLength, Message};
+use ochrewalk_ingress::judge::{Asks, Method, No};
+use std::sync::Arc;
+
+/// The maximum size of a request's body that the ingress protocols allow, in bytes.
+pub(super) const MAX_BODY_BYTES: u64 = 2 * 1024;
+
+/// The actions that the state machine requested while the connection's lock was held. They are performed after it is
+/// released.
+#[derive(Default)]
+pub(super) struct RequestedActions {
+    start: bool,
+    body_request: Option<u64>,
+    pong: bool,
+    refusal: Option<(Refusal, bool)>,
+    pub(super) gone: bool,
+    end: Option<End>,
+}
+
+impl Acts for RequestedActions {
+    fn start(&mut self) {
+        self.start = true;
+    }
+    fn ask_body(&mut self, most: u64) {
+        self.body_request = Some(most);
+    }
+    fn pong(&mut self) {
+        self.pong = true;
+    }
+    fn refuse(&mut self, refusal: Refusal, reuse: bool) {
+        self.refusal = Some((refusal, reuse));
+    }
+    fn gone(&mut self) {
+        self.gone = true;
+    }
+    fn end(&mut self, why: End) {
+        self.end = Some(why);
+    }
+}
+
+pub(super) struct RequestHandler<'a> {
+    pub(super) ingress: &'a Arc<AjpIngress>,
+    pub(super) connection: &'a Arc<Connection>,
+}
+
+impl MessageHandler for RequestHandler<'_> {
+    fn handle_message(&mut self, input: &[u8]) -> Result<usize, CloseReason> {
+        let (mut actions, mut allow) = (RequestedActions::default(), Vec::new());
+        let taken = {
+            let mut state = self.connection.lock();
+            if state.state_machine.drops() || !state.state_machine.reads() {
+                return Ok(input.len());
+            }
+            let now_us = self.ingress.core.clock.now_us();
+            let taken = if state.state_machine.awaits_piece() {
+                self.piece(&mut state, now_us, input, &mut actions)
+            } else {
+                self.message(&mut state, now_us, input, &mut actions, &mut allow)
+            };
+            match taken {
+                Ok(0) => {
+                    state.state_machine.partial(now_us);
+                    0
+                }
+                Ok(taken) => {
+                    state.used_us = now_us;
+                    taken
+                }
+                // The start of the next packet is unknown; a pending answer is still sent.
+                Err(error) => {
+                    state.state_machine.broken(error, &mut actions);
+                    input.len()
+                }
+            }
+        };
+        self.perform(actions, &allow);
+        Ok(taken)
+    }
+
+    fn may_read(&self) -> bool {
+        self.connection.lock().state_machine.reads()
+    }
+
+    fn may_close(&self, request: CloseRequest) -> bool {
+        request != CloseRequest::Draining || !self.connection.lock().state_machine.owes()
+    }
+
+    fn on_drained(&mut self, is_flushed: bool) {
+        let mut actions = RequestedActions::default();
+        let is_closing = {
+            let mut state = self.connection.lock();
+            let now_us = self.ingress.core.clock.now_us();
+            if is_flushed {
+                state.state_machine.written(now_us);
+            }
+            if std::mem::take(&mut state.is_evicted) {
+                state.state_machine.make_room(&mut actions);
+            }
+            state.state_machine.empty(now_us, &mut actions);
+            is_flushed && state.state_machine.drops()
+        };
+        if is_closing && actions.end.is_none() {
+            // The last answer is written. Only the write side is shut, because a full close on later input would reset
+            // the connection before the peer has received the answer.
+            self.connection.send_queue.request_close_once(CloseRequest::Draining);
+        }
+        self.perform(actions, &[]);
+    }
+}
+
+impl RequestHandler<'_> {
+    fn piece(
+        &self,
+        state: &mut ConnectionState,
+        now_us: u64,
+        input: &[u8],
+        actions: &mut RequestedActions,
+    ) -> Result<usize, ochrewalk_ajp::Broken> {
+        let Some((piece, taken)) = request::read_piece(input, self.ingress.max_packet_bytes)? else {
+            return Ok(0);
+        };
+        if state.body.len() + piece.len() <= MAX_BODY_BYTES as usize {
+            state.body.extend_from_slice(piece);
+        }
+        state.state_machine.piece(now_us, piece.len() as u64, actions);
+        Ok(taken)
+    }
+
+    fn message(
+        &self,
+        state: &mut ConnectionState,
+        now_us: u64,
+        input: &[u8],
+        actions: &mut RequestedActions,
+        allow: &mut Vec<String>,
+    ) -> Result<usize, ochrewalk_ajp::Broken> {
+        let Some((message, taken)) = request::read(input, self.ingress.max_packet_bytes)? else {
+            return Ok(0);
+        };
+        let plain = match message {
+            Message::Request(request) => {
+                // The configuration in force now applies to this request as a whole.
+                let config = self.ingress.config();
+                let judged = config.rules.judge(&request);
+                if !state.state_machine.owes() {
+                    state.body.clear();
+                    state.request = None;
+                }
+                match judged {
+                    Ok((asks, body)) if !state.state_machine.owes() => {
+                        let tenant = match &asks {
+                            Asks::Method(Method { tenant: Some(tenant), .. }) => {
+                                self.ingress.quota(&config, tenant)
+                            }
+                            _ => None,
+                        };
+                        let read_ms = self.ingress.core.clock.unix_ms();
+                        state.request = Some(PendingRequest { asks, read_ms, tenant });
+                        state.state_machine.request(now_us, Ok(body), actions);
+                    }
+                    Ok((_, body)) => state.state_machine.request(now_us, Ok(body), actions),
+                    Err(No { refusal, allow: of, last }) => {
+                        *allow = of;
+                        let has_body = request.body_length() != Some(BodyLength::None);
+                        if last || has_body {
+                            state.state_machine.request_with_body(now_us, refusal, actions);
+                        } else {
+                            state.state_machine.request(now_us, Err(refusal), actions);
+                        }
+                    }
+                }
+                return Ok(taken);
+            }
+            Message::CPing => Plain::CPing,
+            Message::Login => Plain::Login,
+            Message::Shutdown => Plain::Shutdown,
+        };
+        state.state_machine.plain(now_us, plain, actions);
+        Ok(taken)
+    }
+
+    fn perform(&self, actions: RequestedActions, allow: &[String]) {
+        let send_queue = &self.connection.send_queue;
+        let mut out = Vec::new();
+        if actions.pong {
+            reply::Message::CPong.write(&mut out, self.ingress.max_packet_bytes).expect("fits");
+        }
+        if let Some(most) = actions.body_request {
+            let most = most.min(request::longest_piece(self.ingress.max_packet_bytes) as u64) as u16;
+            reply::Message::GetBody(most).write(&mut out, self.ingress.max_packet_bytes).expect("fits");
+        }
+        if let Some((refusal, may_reuse)) = actions.refusal {
+            out.extend(self.ingress.refusal(refusal, allow, may_reuse));
+        }
+        if !out.is_empty() {
+            send_queue.push(out);
+        }
+        if actions.start {
+            self.start();
+        }
+        match actions.end {
+            None => {}
+            Some(End::Idle | End::Leaving) => send_queue.request_close(CloseRequest::Idle),
+            Some(End::Silent | End::Unclosed) => send_queue.request_close(CloseRequest::TimedOut),
+            Some(End::Broken(error)) => {
+                tracing::warn!(part = "ajp", "malformed AJP input: {error}");
+                send_queue.request_close(CloseRequest::Faulty);
+            }
+        }
+    }
+
+    /// Starts the request, which has been received completely with its body.
+    fn start(&self) {
+        let ingress = self.ingress;
+        let (pending, body, serial) = {
+            let mut state = self.connection.lock();
+            let Some(pending) = state.request.take() else { return };
+            state.serial += 1;
+            (pending, std::mem::take(&mut state.body), state.serial)
+        };
+        let method = match pending.asks {
+            Asks::Method(method) => method,
+            Asks::Health => {
+                if let Some(may_reuse) = self.answered(false) {
+                    self.connection.send_queue.push(ingress.health(may_reuse));
+                }
+                return;
+            }
+        };
+        let id = method.id.unwrap_or_else(|| {
+            let mut generator = ingress.id_generator.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            format!("{:016x}", generator.u64(..))
+        });
+        let body = format!("\"{}\"", BASE64_STANDARD.encode(&body));
+        let request = ParsedRequest {
+            id: &id,
+            method: method.method,
+            memory_kb: method.kb,
+            arrived_unix_ms: pending.read_ms,
+            time_left_us: method.left_us,
+            idempotency_key: method.token.as_deref(),
+            tenant: pending.tenant,
+            body: &body,
+        };
+        match ingress.core.validate(&request) {
+            Ok(incoming) => {
+                self.connection.lock().rpc = Some(incoming.id.clone());
+                let client =
+                    AjpClient { ingress: ingress.clone(), connection: self.connection.clone(), serial };
+                ingress.core.start_request(incoming, &body, client);
+            }
+            Err(why) => {
+                if let Some(may_reuse) = self.answered(true) {
+                    self.connection.send_queue.push(ingress.refusal(
+                        Refusal { status: 400, why },
+                        &[],
+                        may_reuse,
+                    ));
+                }
+            }
+        }
+    }
+
+    fn answered(&self, is_fault: bool) -> Option<bool> {
+        self.connection.lock().state_machine.answered(is_fault)
+    }
+}
