--- a/crates/ochrewalk-ingress/tests/ingress.rs
+++ b/crates/ochrewalk-ingress/tests/ingress.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_ajp::request::{Attribute, BodyLength, Request, Which};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
-use ochrewalk_ingress::connection_budget::{look, Standing, Verdict, Worth};
+use ochrewalk_ingress::connection_budget::{decide, BudgetDecision, ConnectionUsage, RetentionPriority};
 use ochrewalk_ingress::judge::{Asks, Rules};
 use ochrewalk_ingress::routes::{PathError, RouteMatch, Routes};
 
@@ -188,28 +188,29 @@
 
 #[test]
 fn the_connection_of_lowest_priority_is_closed_and_none_with_a_due_response() {
-    let connection = |number, going, worth: Option<(bool, u64)>| {
-        let worth = worth.map(|(good, used_us)| Worth { good, used_us });
-        Standing { number, going, worth }
+    let connection = |number, is_closing, priority: Option<(bool, u64)>| {
+        let priority =
+            priority.map(|(is_proven, last_used_us)| RetentionPriority { is_proven, last_used_us });
+        ConnectionUsage { number, is_closing, priority }
     };
     let busy = |number| connection(number, false, None);
     for (connections, expected) in [
-        (vec![busy(1)], Verdict::Room),
-        (vec![busy(1), busy(2)], Verdict::Full),
-        (vec![busy(1), connection(2, false, Some((true, 5)))], Verdict::RoomFor(2)),
-        // A connection that never sent a valid message is closed first, then the least recently used one.
+        (vec![busy(1)], BudgetDecision::Accept),
+        (vec![busy(1), busy(2)], BudgetDecision::Reject),
+        (vec![busy(1), connection(2, false, Some((true, 5)))], BudgetDecision::AcceptAndClose(2)),
+        // A connection that is not proven is closed first, then the least recently used one.
         (
             vec![connection(1, false, Some((true, 1))), connection(2, false, Some((false, 9)))],
-            Verdict::RoomFor(2),
+            BudgetDecision::AcceptAndClose(2),
         ),
         (
             vec![connection(1, false, Some((true, 7))), connection(2, false, Some((true, 6)))],
-            Verdict::RoomFor(2),
+            BudgetDecision::AcceptAndClose(2),
         ),
-        (vec![busy(1), connection(2, true, Some((true, 5)))], Verdict::Room),
-        (vec![busy(1), busy(2), connection(3, true, Some((true, 5)))], Verdict::Full),
+        (vec![busy(1), connection(2, true, Some((true, 5)))], BudgetDecision::Accept),
+        (vec![busy(1), busy(2), connection(3, true, Some((true, 5)))], BudgetDecision::Reject),
         // A connection that was asked to close has stayed open, so one has to close before another is accepted.
-        (vec![busy(1), busy(2), connection(3, false, Some((true, 5)))], Verdict::Ask(3)),
+        (vec![busy(1), busy(2), connection(3, false, Some((true, 5)))], BudgetDecision::CloseFirst(3)),
         (
             vec![
                 busy(1),
@@ -217,9 +218,9 @@
                 connection(3, true, None),
                 connection(4, false, Some((true, 1))),
             ],
-            Verdict::Full,
+            BudgetDecision::Reject,
         ),
     ] {
-        assert_eq!(look(2, 2, &connections), expected, "{connections:?}");
+        assert_eq!(decide(2, 2, &connections), expected, "{connections:?}");
     }
 }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -21,7 +21,7 @@
 use ochrewalk::host::{RpcId, Tenant};
 use ochrewalk_ajp::answerer::{Bounds, Life};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
-use ochrewalk_ingress::connection_budget::{self, Standing, Verdict, Worth};
+use ochrewalk_ingress::connection_budget::{self, BudgetDecision, ConnectionUsage, RetentionPriority};
 use ochrewalk_ingress::judge::{Asks, Rules};
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -305,18 +305,19 @@
         if table.connections.len() < self.max_connections {
             return true;
         }
-        let standing = |(number, connection): (&u64, &Arc<Connection>)| {
+        let usage = |(number, connection): (&u64, &Arc<Connection>)| {
             let state = connection.lock();
-            let worth = Worth { good: state.is_proven, used_us: state.used_us };
-            let worth = state.state_machine.idle_since_us().map(|_| worth);
-            Standing { number: *number, going: state.is_evicted || state.is_closed, worth }
+            let priority = RetentionPriority { is_proven: state.is_proven, last_used_us: state.used_us };
+            let priority = state.state_machine.idle_since_us().map(|_| priority);
+            ConnectionUsage { number: *number, is_closing: state.is_evicted || state.is_closed, priority }
         };
-        let all: Vec<Standing> = table.connections.iter().map(standing).collect();
-        let (number, has_capacity) = match connection_budget::look(self.max_connections, MAX_CLOSING, &all) {
-            Verdict::Room => return true,
-            Verdict::Full => return false,
-            Verdict::RoomFor(number) => (number, true),
-            Verdict::Ask(number) => (number, false),
+        let all: Vec<ConnectionUsage> = table.connections.iter().map(usage).collect();
+        let (number, has_capacity) = match connection_budget::decide(self.max_connections, MAX_CLOSING, &all)
+        {
+            BudgetDecision::Accept => return true,
+            BudgetDecision::Reject => return false,
+            BudgetDecision::AcceptAndClose(number) => (number, true),
+            BudgetDecision::CloseFirst(number) => (number, false),
         };
         let evicted = table.connections[&number].clone();
         drop(table);
--- a/crates/ochrewalk-node/src/net/dispatchers.rs
+++ b/crates/ochrewalk-node/src/net/dispatchers.rs
@@ -15,7 +15,7 @@
 use crate::wire::jsonrpc::{self, Message, RevokeTarget};
 use may::net::TcpStream;
 use ochrewalk::host::RpcId;
-use ochrewalk_ingress::connection_budget::{self, Standing, Verdict, Worth};
+use ochrewalk_ingress::connection_budget::{self, BudgetDecision, ConnectionUsage, RetentionPriority};
 use std::collections::{HashMap, HashSet};
 use std::os::fd::{AsRawFd, OwnedFd, RawFd};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -293,22 +293,24 @@
     /// stay open would keep other callers out.
     fn ensure_capacity(&self) -> bool {
         let table = self.lock();
-        let standing = |(number, connection): (&u64, &Arc<Connection>)| {
+        let usage = |(number, connection): (&u64, &Arc<Connection>)| {
             let state = connection.lock();
-            let worth = Worth { good: state.has_valid_message, used_us: state.used_us };
-            let worth = state.open_rpcs.is_empty().then_some(worth);
-            Standing { number: *number, going: state.is_evicted || state.is_closed, worth }
+            let priority =
+                RetentionPriority { is_proven: state.has_valid_message, last_used_us: state.used_us };
+            let priority = state.open_rpcs.is_empty().then_some(priority);
+            ConnectionUsage { number: *number, is_closing: state.is_evicted || state.is_closed, priority }
         };
         // In most cases no connection has to be examined.
         if table.connections.len() < self.max_connections {
             return true;
         }
-        let all: Vec<Standing> = table.connections.iter().map(standing).collect();
-        let (number, has_capacity) = match connection_budget::look(self.max_connections, MAX_CLOSING, &all) {
-            Verdict::Room => return true,
-            Verdict::Full => return false,
-            Verdict::RoomFor(number) => (number, true),
-            Verdict::Ask(number) => (number, false),
+        let all: Vec<ConnectionUsage> = table.connections.iter().map(usage).collect();
+        let (number, has_capacity) = match connection_budget::decide(self.max_connections, MAX_CLOSING, &all)
+        {
+            BudgetDecision::Accept => return true,
+            BudgetDecision::Reject => return false,
+            BudgetDecision::AcceptAndClose(number) => (number, true),
+            BudgetDecision::CloseFirst(number) => (number, false),
         };
         let evicted = table.connections[&number].clone();
         drop(table);
