--- a/crates/ochrewalk-ingress/src/lib.rs
+++ b/crates/ochrewalk-ingress/src/lib.rs
@@ -4,5 +4,5 @@
 
 pub mod allowed_peers;
 pub mod connection_budget;
-pub mod judge;
+pub mod request_evaluation;
 pub mod routes;
--- a/crates/ochrewalk-ingress/src/judge.rs
+++ b/crates/ochrewalk-ingress/src/request_evaluation.rs
@@ -14,7 +14,7 @@
     pub health: Option<String>,
     /// The secret that each request has to carry, if one is set.
     pub secret: Option<Vec<u8>>,
-    pub headers: Headers,
+    pub headers: HeaderNames,
     /// The memory of a request that states none, in KB; if it is `None`, each request has to state its memory.
     pub default_memory_kb: Option<f64>,
     /// The exclusive upper bound on the memory that a request may state, in KB.
@@ -23,23 +23,23 @@
 
 /// The names of the headers that carry the parameters of requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Headers {
+pub struct HeaderNames {
     pub id: String,
     pub token: String,
     /// The time for which the caller still waits, in milliseconds.
-    pub left: String,
+    pub time_left: String,
     /// The memory that the request needs, in KB.
     pub memory: String,
     /// The tenant of the request; `None` if requests are not distinguished by tenant.
     pub tenant: Option<String>,
 }
 
-impl Default for Headers {
-    fn default() -> Headers {
-        Headers {
+impl Default for HeaderNames {
+    fn default() -> HeaderNames {
+        HeaderNames {
             id: "x-request-id".into(),
             token: "x-token".into(),
-            left: "x-time-left-ms".into(),
+            time_left: "x-time-left-ms".into(),
             memory: "x-memory-kb".into(),
             tenant: None,
         }
@@ -48,35 +48,35 @@
 
 /// The target of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asks {
+pub enum RequestTarget {
     Health,
-    Method(Method),
+    Method(MethodRequest),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Method {
+pub struct MethodRequest {
     /// The method's position in the deployment's list.
     pub method: usize,
     /// The request's id, 16 hex digits, if the request has one.
     pub id: Option<String>,
     pub token: Option<String>,
-    pub left_us: Option<u64>,
-    pub kb: f64,
+    pub time_left_us: Option<u64>,
+    pub memory_kb: f64,
     pub tenant: Option<String>,
 }
 
 /// The refusal of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct No {
+pub struct Rejection {
     pub refusal: Refusal,
     /// The HTTP methods that are routed for the path, if the request's method is not.
-    pub allow: Vec<String>,
+    pub allowed_methods: Vec<String>,
     /// Whether the connection must not carry another request, as the peer or the length of the body is not trusted.
-    pub last: bool,
+    pub closes_connection: bool,
 }
 
-fn reject<T>(status: u16, why: &'static str) -> Result<T, No> {
-    Err(No { refusal: Refusal { status, why }, allow: Vec::new(), last: false })
+fn reject<T>(status: u16, why: &'static str) -> Result<T, Rejection> {
+    Err(Rejection { refusal: Refusal { status, why }, allowed_methods: Vec::new(), closes_connection: false })
 }
 
 /// The maximum length of a token, in bytes.
@@ -91,41 +91,41 @@
     ///
     /// # Errors
     /// Returns the refusal if the request is invalid or has no route.
-    pub fn judge(&self, request: &Request) -> Result<(Asks, BodyLength), No> {
+    pub fn evaluate(&self, request: &Request) -> Result<(RequestTarget, BodyLength), Rejection> {
         if !self.has_valid_secret(request.attribute(Which::Secret)) {
-            return Err(No {
-                last: true,
+            return Err(Rejection {
+                closes_connection: true,
                 ..reject::<()>(403, "the secret is missing or wrong").unwrap_err()
             });
         }
         let Some(body) = request.body_length() else {
-            return Err(No {
-                last: true,
+            return Err(Rejection {
+                closes_connection: true,
                 ..reject::<()>(400, "the body's length can't be right").unwrap_err()
             });
         };
         let path = request.uri.split(|b| *b == b'?').next().unwrap_or_default();
         if self.health.as_ref().is_some_and(|health| health.as_bytes() == path) {
             return match request.method {
-                b"GET" | b"HEAD" => Ok((Asks::Health, body)),
+                b"GET" | b"HEAD" => Ok((RequestTarget::Health, body)),
                 _ => Err(method_not_allowed(vec!["GET".into(), "HEAD".into()])),
             };
         }
         let method = match self.routes.find(request.method, path) {
             Ok(RouteMatch::Method(method)) => method,
-            Ok(RouteMatch::OtherMethods(allow)) => return Err(method_not_allowed(allow)),
+            Ok(RouteMatch::OtherMethods(allowed_methods)) => return Err(method_not_allowed(allowed_methods)),
             Ok(RouteMatch::NoRoute) => return reject(404, "no such route"),
-            Err(why) => return reject(400, why.message()),
+            Err(error) => return reject(400, error.message()),
         };
-        let method_request = Method {
+        let method_request = MethodRequest {
             method,
             id: self.id(request)?,
             token: self.token(request)?,
-            left_us: self.time_left_us(request)?,
-            kb: self.memory_kb(request)?,
+            time_left_us: self.time_left_us(request)?,
+            memory_kb: self.memory_kb(request)?,
             tenant: self.tenant(request)?,
         };
-        Ok((Asks::Method(method_request), body))
+        Ok((RequestTarget::Method(method_request), body))
     }
 
     /// Compares the secret in constant time, so that the duration does not reveal how much of it is correct.
@@ -136,7 +136,7 @@
 
     /// Returns the request's id. The id is checked, as it is passed on in other protocols whose peers close the connection on
     /// an invalid one.
-    fn id(&self, request: &Request) -> Result<Option<String>, No> {
+    fn id(&self, request: &Request) -> Result<Option<String>, Rejection> {
         let Some(id) = request.header(&self.headers.id) else { return Ok(None) };
         if id.len() != 16 || !id.iter().all(u8::is_ascii_hexdigit) {
             return reject(400, "the id is not 16 hex digits");
@@ -144,7 +144,7 @@
         Ok(Some(String::from_utf8_lossy(id).into_owned()))
     }
 
-    fn token(&self, request: &Request) -> Result<Option<String>, No> {
+    fn token(&self, request: &Request) -> Result<Option<String>, Rejection> {
         let Some(token) = request.header(&self.headers.token) else { return Ok(None) };
         if !(1..=MAX_TOKEN_LENGTH).contains(&token.len()) || !token.iter().all(u8::is_ascii_alphanumeric) {
             return reject(400, "the token is no word of letters and digits");
@@ -152,7 +152,7 @@
         Ok(Some(String::from_utf8_lossy(token).into_owned()))
     }
 
-    fn tenant(&self, request: &Request) -> Result<Option<String>, No> {
+    fn tenant(&self, request: &Request) -> Result<Option<String>, Rejection> {
         let Some(name) = self.headers.tenant.as_ref().and_then(|name| request.header(name)) else {
             return Ok(None);
         };
@@ -162,15 +162,15 @@
         Ok(Some(String::from_utf8_lossy(name).into_owned()))
     }
 
-    fn time_left_us(&self, request: &Request) -> Result<Option<u64>, No> {
-        let Some(time_left) = request.header(&self.headers.left) else { return Ok(None) };
+    fn time_left_us(&self, request: &Request) -> Result<Option<u64>, Rejection> {
+        let Some(time_left) = request.header(&self.headers.time_left) else { return Ok(None) };
         match parse_number::<u64>(time_left).filter(|ms| *ms <= MAX_TIME_LEFT_MS) {
             Some(ms) => Ok(Some(ms * 1_000)),
             None => reject(400, "the time left is out of range"),
         }
     }
 
-    fn memory_kb(&self, request: &Request) -> Result<f64, No> {
+    fn memory_kb(&self, request: &Request) -> Result<f64, Rejection> {
         let kb = match request.header(&self.headers.memory) {
             Some(stated) => parse_number::<f64>(stated),
             None => self.default_memory_kb,
@@ -186,7 +186,7 @@
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-fn method_not_allowed(allow: Vec<String>) -> No {
+fn method_not_allowed(allowed_methods: Vec<String>) -> Rejection {
     let refusal = Refusal { status: 405, why: "this path is there for other methods only" };
-    No { refusal, allow, last: false }
+    Rejection { refusal, allowed_methods, closes_connection: false }
 }
--- a/crates/ochrewalk-ingress/tests/ingress.rs
+++ b/crates/ochrewalk-ingress/tests/ingress.rs
@@ -3,7 +3,7 @@
 use ochrewalk_ajp::request::{Attribute, BodyLength, Request, Which};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::connection_budget::{decide, BudgetDecision, ConnectionUsage, RetentionPriority};
-use ochrewalk_ingress::judge::{Asks, Rules};
+use ochrewalk_ingress::request_evaluation::{RequestTarget, Rules};
 use ochrewalk_ingress::routes::{PathError, RouteMatch, Routes};
 
 #[test]
@@ -139,21 +139,24 @@
         ("X-Memory-Kb", "3.5"),
         ("Content-Length", "9"),
     ];
-    let Ok((Asks::Method(method), body)) = rules().judge(&request("POST", "/sales", &all, "peach")) else {
+    let Ok((RequestTarget::Method(method), body)) =
+        rules().evaluate(&request("POST", "/sales", &all, "peach"))
+    else {
         panic!()
     };
     assert_eq!(
-        (method.method, method.kb, method.left_us, body),
+        (method.method, method.memory_kb, method.time_left_us, body),
         (3, 3.5, Some(250_000), BodyLength::Stated(9))
     );
     assert_eq!((method.id.as_deref(), method.token.as_deref()), (Some("0123456789abcdef"), Some("aa7")));
-    let Ok((Asks::Method(method), _)) = rules().judge(&request("GET", "/items/1", &[], "peach")) else {
+    let Ok((RequestTarget::Method(method), _)) = rules().evaluate(&request("GET", "/items/1", &[], "peach"))
+    else {
         panic!()
     };
-    assert_eq!((method.id, method.token, method.left_us, method.kb), (None, None, None, 20.5));
+    assert_eq!((method.id, method.token, method.time_left_us, method.memory_kb), (None, None, None, 20.5));
     assert_eq!(
-        rules().judge(&request("HEAD", "/health?x", &[], "peach")),
-        Ok((Asks::Health, BodyLength::None))
+        rules().evaluate(&request("HEAD", "/health?x", &[], "peach")),
+        Ok((RequestTarget::Health, BodyLength::None))
     );
     for (http_method, uri, headers, secret, status, allowed_methods, closes_connection) in [
         ("GET", "/items/1", &[][..], "pears", 403, &[][..], true),
@@ -173,17 +176,17 @@
         ("POST", "/sales", &[("x-memory-kb", "NaN")], "peach", 400, &[], false),
         ("POST", "/sales", &[("x-memory-kb", "2000")], "peach", 400, &[], false),
     ] {
-        let rejection = rules().judge(&request(http_method, uri, headers, secret)).unwrap_err();
+        let rejection = rules().evaluate(&request(http_method, uri, headers, secret)).unwrap_err();
         let allowed_methods: Vec<String> = allowed_methods.iter().map(|method| method.to_string()).collect();
         assert_eq!(
-            (rejection.refusal.status, rejection.allow, rejection.last),
+            (rejection.refusal.status, rejection.allowed_methods, rejection.closes_connection),
             (status, allowed_methods, closes_connection),
             "{http_method} {uri} {headers:?}"
         );
     }
     let mut strict = rules();
     (strict.secret, strict.default_memory_kb) = (None, None);
-    assert_eq!(strict.judge(&request("GET", "/items/1", &[], "")).unwrap_err().refusal.status, 400);
+    assert_eq!(strict.evaluate(&request("GET", "/items/1", &[], "")).unwrap_err().refusal.status, 400);
 }
 
 #[test]
--- a/crates/ochrewalk-node/benches/configuration.rs
+++ b/crates/ochrewalk-node/benches/configuration.rs
@@ -3,7 +3,7 @@
 
 use ochrewalk_distribution::messages::{Position, Resource};
 use ochrewalk_distribution::CompleteUpdate;
-use ochrewalk_ingress::judge::Rules;
+use ochrewalk_ingress::request_evaluation::Rules;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
 use ochrewalk_node::configuration::node_configuration::NodeConfiguration;
 use ochrewalk_operator_config::resources::{read_changes, RouteTarget};
--- a/crates/ochrewalk-node/src/configuration/file_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/file_configuration.rs
@@ -1,7 +1,7 @@
 //! The part of the node's own files that distributed configuration adds to.
 
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
-use ochrewalk_ingress::judge::Rules;
+use ochrewalk_ingress::request_evaluation::Rules;
 use ochrewalk_operator_config::{OperatorConfig, UpstreamEndpoint};
 
 /// What the node's own files say; distributed resources are added to it.
--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -7,7 +7,7 @@
 use ochrewalk_distribution::messages::{Position, Resource, ResourceKind, ResourceName, Value};
 use ochrewalk_distribution::{CompleteUpdate, Store, StoreLimits};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
-use ochrewalk_ingress::judge::Rules;
+use ochrewalk_ingress::request_evaluation::Rules;
 use ochrewalk_ingress::routes::Routes;
 use ochrewalk_operator_config::resources::{
     check, check_route_target, endpoint_address, quota_name, RouteTarget, LIMIT_USUAL_MEMORY,
--- a/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -7,7 +7,7 @@
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::answerer::{Life, State};
 use ochrewalk_ajp::request::BodyLength;
-use ochrewalk_ingress::judge::{Asks, Method};
+use ochrewalk_ingress::request_evaluation::{MethodRequest, RequestTarget};
 use std::collections::HashSet;
 use std::os::fd::{AsRawFd, OwnedFd, RawFd};
 use std::sync::{Arc, Mutex};
@@ -129,18 +129,20 @@
 
 fn request_record(pending: &PendingRequest) -> AjpRequestRecord {
     let ts_ms = pending.read_ms;
-    match &pending.asks {
-        Asks::Health => AjpRequestRecord { health: true, ts_ms, ..AjpRequestRecord::default() },
-        Asks::Method(Method { method, id, token, left_us, kb, tenant }) => AjpRequestRecord {
-            health: false,
-            method: *method as u32,
-            id: id.clone(),
-            token: token.clone(),
-            left_us: *left_us,
-            kb: *kb,
-            ts_ms,
-            tenant: tenant.clone(),
-        },
+    match &pending.target {
+        RequestTarget::Health => AjpRequestRecord { health: true, ts_ms, ..AjpRequestRecord::default() },
+        RequestTarget::Method(MethodRequest { method, id, token, time_left_us, memory_kb, tenant }) => {
+            AjpRequestRecord {
+                health: false,
+                method: *method as u32,
+                id: id.clone(),
+                token: token.clone(),
+                left_us: *time_left_us,
+                kb: *memory_kb,
+                ts_ms,
+                tenant: tenant.clone(),
+            }
+        }
     }
 }
 
@@ -148,10 +150,17 @@
 /// counts as within its quota.
 fn pending_request(record: AjpRequestRecord) -> PendingRequest {
     let AjpRequestRecord { health, method, id, token, left_us, kb, ts_ms, tenant } = record;
-    let asks = if health {
-        Asks::Health
+    let target = if health {
+        RequestTarget::Health
     } else {
-        Asks::Method(Method { method: method as usize, id, token, left_us, kb, tenant })
+        RequestTarget::Method(MethodRequest {
+            method: method as usize,
+            id,
+            token,
+            time_left_us: left_us,
+            memory_kb: kb,
+            tenant,
+        })
     };
-    PendingRequest { asks, read_ms: ts_ms, tenant: None }
+    PendingRequest { target, read_ms: ts_ms, tenant: None }
 }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -9,7 +9,7 @@
 use ochrewalk_ajp::answerer::{Acts, End, Plain, Refusal};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, BodyLength, Message};
-use ochrewalk_ingress::judge::{Asks, Method, No};
+use ochrewalk_ingress::request_evaluation::{MethodRequest, Rejection, RequestTarget};
 use std::sync::Arc;
 
 /// The maximum size of a request's body that the ingress protocols allow, in bytes.
@@ -151,28 +151,28 @@
             Message::Request(request) => {
                 // The configuration in force now applies to this request as a whole.
                 let config = self.ingress.config();
-                let judged = config.rules.judge(&request);
+                let evaluated = config.rules.evaluate(&request);
                 if !state.state_machine.owes() {
                     state.body.clear();
                     state.request = None;
                 }
-                match judged {
-                    Ok((asks, body)) if !state.state_machine.owes() => {
-                        let tenant = match &asks {
-                            Asks::Method(Method { tenant: Some(tenant), .. }) => {
+                match evaluated {
+                    Ok((target, body)) if !state.state_machine.owes() => {
+                        let tenant = match &target {
+                            RequestTarget::Method(MethodRequest { tenant: Some(tenant), .. }) => {
                                 self.ingress.quota(&config, tenant)
                             }
                             _ => None,
                         };
                         let read_ms = self.ingress.core.clock.unix_ms();
-                        state.request = Some(PendingRequest { asks, read_ms, tenant });
+                        state.request = Some(PendingRequest { target, read_ms, tenant });
                         state.state_machine.request(now_us, Ok(body), actions);
                     }
                     Ok((_, body)) => state.state_machine.request(now_us, Ok(body), actions),
-                    Err(No { refusal, allow: of, last }) => {
-                        *allow = of;
+                    Err(Rejection { refusal, allowed_methods, closes_connection }) => {
+                        *allow = allowed_methods;
                         let has_body = request.body_length() != Some(BodyLength::None);
-                        if last || has_body {
+                        if closes_connection || has_body {
                             state.state_machine.request_with_body(now_us, refusal, actions);
                         } else {
                             state.state_machine.request(now_us, Err(refusal), actions);
@@ -228,9 +228,9 @@
             state.serial += 1;
             (pending, std::mem::take(&mut state.body), state.serial)
         };
-        let method = match pending.asks {
-            Asks::Method(method) => method,
-            Asks::Health => {
+        let method = match pending.target {
+            RequestTarget::Method(method) => method,
+            RequestTarget::Health => {
                 if let Some(may_reuse) = self.answered(false) {
                     self.connection.send_queue.push(ingress.health(may_reuse));
                 }
@@ -245,9 +245,9 @@
         let request = ParsedRequest {
             id: &id,
             method: method.method,
-            memory_kb: method.kb,
+            memory_kb: method.memory_kb,
             arrived_unix_ms: pending.read_ms,
-            time_left_us: method.left_us,
+            time_left_us: method.time_left_us,
             idempotency_key: method.token.as_deref(),
             tenant: pending.tenant,
             body: &body,
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -22,7 +22,7 @@
 use ochrewalk_ajp::answerer::{Bounds, Life};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::connection_budget::{self, BudgetDecision, ConnectionUsage, RetentionPriority};
-use ochrewalk_ingress::judge::{Asks, Rules};
+use ochrewalk_ingress::request_evaluation::{RequestTarget, Rules};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -99,7 +99,7 @@
 
 /// A request whose head has been read.
 struct PendingRequest {
-    asks: Asks,
+    target: RequestTarget,
     /// The Unix time at which the head was read.
     read_ms: u64,
     /// The quota that the request counts against, as in force at that time.
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -17,7 +17,7 @@
 use ochrewalk_connection_pool::{
     CallId, CallResult as PoolCallResult, ConnectionId, ConnectionPool, Disconnect, ReplyOutcome, Transport,
 };
-use ochrewalk_ingress::judge::Headers;
+use ochrewalk_ingress::request_evaluation::HeaderNames;
 use ochrewalk_load_balancer::{EjectionCause, Endpoint};
 use ochrewalk_operator_config::{AjpUpstream, UpstreamEndpoint};
 use siphasher::sip::SipHasher13;
@@ -42,7 +42,7 @@
 struct Inner {
     clock: Clock,
     settings: AjpUpstream,
-    headers: Headers,
+    headers: HeaderNames,
     state: Mutex<State>,
     /// The number of connections that are closed, while their peers may not have received the close yet.
     closing: AtomicUsize,
@@ -120,7 +120,7 @@
             Inner {
                 clock,
                 settings,
-                headers: Headers::default(),
+                headers: HeaderNames::default(),
                 state: Mutex::new(State { pool, transport, held_calls: None }),
                 closing: AtomicUsize::new(0),
             }
@@ -401,7 +401,7 @@
             (b"host", self.settings.server_name.as_bytes()),
         ];
         headers.push((self.headers.id.as_bytes(), call.id.as_bytes()));
-        headers.push((self.headers.left.as_bytes(), time_left.as_bytes()));
+        headers.push((self.headers.time_left.as_bytes(), time_left.as_bytes()));
         let secret = self.settings.secret.as_ref().map(|secret| Attribute::Text(Which::Secret, secret));
         let request = Request {
             method: b"POST",
--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -7,7 +7,7 @@
 use ochrewalk_control_plane::state_file::StateFile;
 use ochrewalk_distribution::messages::{Body, Position, Resource, Update};
 use ochrewalk_distribution::CompleteUpdate;
-use ochrewalk_ingress::judge::Rules;
+use ochrewalk_ingress::request_evaluation::Rules;
 use ochrewalk_ingress::routes::{RouteMatch, Routes};
 use ochrewalk_node::configuration::agent::PreparedAgent;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
--- a/crates/ochrewalk-node/tests/node_configuration.rs
+++ b/crates/ochrewalk-node/tests/node_configuration.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_distribution::messages::{Position, Resource, ResourceName};
 use ochrewalk_distribution::CompleteUpdate;
-use ochrewalk_ingress::judge::Rules;
+use ochrewalk_ingress::request_evaluation::Rules;
 use ochrewalk_ingress::routes::{RouteMatch, Routes};
 use ochrewalk_node::configuration::cached_quotas::CachedQuotaName;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
--- a/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
@@ -11,7 +11,7 @@
 };
 use ipnet::IpNet;
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
-use ochrewalk_ingress::judge::Headers;
+use ochrewalk_ingress::request_evaluation::HeaderNames;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -150,14 +150,14 @@
     }
 }
 
-fn set_header(headers: &mut Headers, which: &str, name: &str) -> Result<(), LineError> {
+fn set_header(headers: &mut HeaderNames, which: &str, name: &str) -> Result<(), LineError> {
     if !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') || name.is_empty() {
         return line_error(format!("{name} is not a header name"), "write letters, digits and '-'");
     }
     let header = match which {
         "id" => &mut headers.id,
         "token" => &mut headers.token,
-        "left" => &mut headers.left,
+        "left" => &mut headers.time_left,
         "memory" => &mut headers.memory,
         "tenant" => headers.tenant.get_or_insert_default(),
         _ => return line_error(format!("no header for {which}"), "write id, token, left, memory or tenant"),
--- a/crates/ochrewalk-operator-config/src/resources/validation.rs
+++ b/crates/ochrewalk-operator-config/src/resources/validation.rs
@@ -4,7 +4,7 @@
 use crate::diagnostic::{line_error, LineError};
 use crate::values::{check_http_method, check_route_repeatable, weight, PATTERN_SUGGESTION};
 use ochrewalk_distribution::messages::{Endpoint, Limit, Quota, Resource, ResourceName, Route, Value};
-use ochrewalk_ingress::judge::MAX_TENANT_LENGTH;
+use ochrewalk_ingress::request_evaluation::MAX_TENANT_LENGTH;
 use ochrewalk_ingress::routes::Routes;
 
 /// The name of the limit that sets the memory of requests that state none, in KB.
--- a/crates/ochrewalk-operator-config/src/settings.rs
+++ b/crates/ochrewalk-operator-config/src/settings.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_ajp::packet::DEFAULT_PACKET_BYTES;
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
-use ochrewalk_ingress::judge::{Headers, Rules};
+use ochrewalk_ingress::request_evaluation::{HeaderNames, Rules};
 use ochrewalk_load_balancer::BalancingConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -87,8 +87,11 @@
 impl AjpListener {
     /// Returns the defaults of a listener at `listen`, for a node with this number of descriptors.
     pub(crate) fn with_defaults(listen: SocketAddr, descriptors: usize) -> AjpListener {
-        let rules =
-            Rules { memory_limit_kb: MAX_REQUEST_MEMORY_KB, headers: Headers::default(), ..Rules::default() };
+        let rules = Rules {
+            memory_limit_kb: MAX_REQUEST_MEMORY_KB,
+            headers: HeaderNames::default(),
+            ..Rules::default()
+        };
         AjpListener {
             listen,
             allowed_peers: AllowedPeers::default(),
--- a/crates/ochrewalk-operator-config/tests/operator_config.rs
+++ b/crates/ochrewalk-operator-config/tests/operator_config.rs
@@ -1,6 +1,6 @@
 //! Checks the settings of a complete operators' file, and the message with a suggestion for each error.
 
-use ochrewalk_ingress::judge::{Asks, Headers};
+use ochrewalk_ingress::request_evaluation::{HeaderNames, RequestTarget};
 use ochrewalk_ingress::routes::RouteMatch;
 use ochrewalk_load_balancer::{BalancingPolicy, OutlierEjection, Subsetting};
 use ochrewalk_operator_config::{parse, MethodContext, NodeContext, OperatorConfig, UpstreamEndpoint};
@@ -76,7 +76,7 @@
         (rules.secret, rules.default_memory_kb, rules.health),
         (Some(b"two words".to_vec()), Some(20.5), Some("/health".into()))
     );
-    assert_eq!(rules.headers, Headers { token: "x-sale".into(), ..Headers::default() });
+    assert_eq!(rules.headers, HeaderNames { token: "x-sale".into(), ..HeaderNames::default() });
     assert_eq!(rules.routes.find(b"POST", b"/sale"), Ok(RouteMatch::Method(2)));
     let endpoint = |address: &str, weight, is_in_local_zone| UpstreamEndpoint {
         address: address.parse().unwrap(),
@@ -134,10 +134,13 @@
     let listener = minimal.ajp_listener.unwrap();
     assert!(minimal.ajp_upstream.is_none() && listener.allowed_peers.may_connect("::1".parse().unwrap()));
     let request = ochrewalk_ajp::request::Request { method: b"POST", uri: b"/a", ..Default::default() };
-    assert!(listener.rules.judge(&request).is_err(), "the request states no memory and there is no default");
+    assert!(
+        listener.rules.evaluate(&request).is_err(),
+        "the request states no memory and there is no default"
+    );
     let mut rules = listener.rules;
     rules.default_memory_kb = Some(1.0);
-    assert!(matches!(rules.judge(&request), Ok((Asks::Method(_), _))));
+    assert!(matches!(rules.evaluate(&request), Ok((RequestTarget::Method(_), _))));
 }
 
 #[test]
