--- a/crates/ochrewalk-ajp/src/answerer.rs
+++ b/crates/ochrewalk-ajp/src/answerer.rs
@@ -6,7 +6,7 @@
 //! sent if the web server still reads. From then on exactly one response is sent, unless the web server has closed the
 //! connection.
 
-use crate::packet::Broken;
+use crate::packet::ProtocolError;
 use crate::request::BodyLength;
 
 /// The limits of one connection; all times are in microseconds.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// The input is not valid AJP.
-    Broken(Broken),
+    Broken(ProtocolError),
     /// No input arrived within the time allowed.
     Silent,
     /// The connection was idle for too long, or was evicted while idle.
@@ -180,7 +180,7 @@
             State::Idle { .. } | State::Head { .. } | State::Answering { reuse: true } => {}
             State::InHand { .. } => return self.state = State::InHand { spoilt: true },
             State::Answering { reuse: false } | State::Closing { .. } | State::Over => return,
-            State::Body { .. } => return self.broken(Broken::OutOfTurn, acts),
+            State::Body { .. } => return self.broken(ProtocolError::UnexpectedMessage, acts),
         }
         match evaluated {
             Err(refusal) => self.refuse(now_us, refusal, true, acts),
@@ -215,7 +215,7 @@
             return match self.state {
                 State::InHand { .. } => self.state = State::InHand { spoilt: true },
                 State::Answering { reuse: false } | State::Closing { .. } | State::Over => {}
-                _ => self.broken(Broken::OutOfTurn, acts),
+                _ => self.broken(ProtocolError::UnexpectedMessage, acts),
             };
         };
         let got = got + length;
@@ -254,14 +254,14 @@
             (State::Answering { reuse: true }, Plain::CPing) => acts.pong(),
             (State::InHand { .. }, _) => self.state = State::InHand { spoilt: true },
             (State::Answering { reuse: false } | State::Closing { .. } | State::Over, _) => {}
-            (State::Body { .. }, _) => self.broken(Broken::OutOfTurn, acts),
+            (State::Body { .. }, _) => self.broken(ProtocolError::UnexpectedMessage, acts),
             (_, Plain::Login) => self.refuse(now_us, NO_LOGIN, false, acts),
             (_, Plain::Shutdown) => self.refuse(now_us, NO_SHUTDOWN, false, acts),
         }
     }
 
     /// Handles invalid input. A response that is due is still sent.
-    pub fn broken(&mut self, why: Broken, acts: &mut impl Acts) {
+    pub fn broken(&mut self, why: ProtocolError, acts: &mut impl Acts) {
         match self.state {
             State::InHand { .. } => self.state = State::InHand { spoilt: true },
             State::Answering { reuse: false } | State::Closing { .. } | State::Over => {}
--- a/crates/ochrewalk-ajp/src/asker.rs
+++ b/crates/ochrewalk-ajp/src/asker.rs
@@ -4,7 +4,7 @@
 //! A failed call is classified by its progress: a call of which no byte was written has not run; a call that was written may
 //! have run, unless a complete response states otherwise.
 
-use crate::packet::Broken;
+use crate::packet::ProtocolError;
 use crate::reply::{Head, Message};
 
 /// The actions that the state machine requests from its caller.
@@ -41,7 +41,7 @@
     /// The connection failed, such as by a reset.
     Failed,
     /// The input is not valid AJP, or not valid in the state of the connection.
-    Broken(Broken),
+    Broken(ProtocolError),
     /// The response is longer than allowed, or than its stated length.
     TooLong,
     /// The response is shorter than its stated length.
@@ -170,13 +170,13 @@
                 }
             }
             // This includes a response without a call: the call of the next response would be unknown.
-            _ => self.close(End::Broken(Broken::OutOfTurn), acts),
+            _ => self.close(End::Broken(ProtocolError::UnexpectedMessage), acts),
         }
     }
 
     fn head(&mut self, head: &Head, acts: &mut impl Acts) {
         if !(100..600).contains(&head.status) {
-            return self.close(End::Broken(Broken::Code), acts);
+            return self.close(End::Broken(ProtocolError::UnknownCode), acts);
         }
         self.reply.status = head.status;
         self.reply.never_ran = head.header(self.never_ran_header).is_some_and(|value| value == b"1");
@@ -190,7 +190,7 @@
     }
 
     /// Handles invalid input.
-    pub fn broken(&mut self, why: Broken, acts: &mut impl Acts) {
+    pub fn broken(&mut self, why: ProtocolError, acts: &mut impl Acts) {
         self.close(End::Broken(why), acts);
     }
 
--- a/crates/ochrewalk-ajp/src/lib.rs
+++ b/crates/ochrewalk-ajp/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod reply;
 pub mod request;
 
-pub use packet::Broken;
+pub use packet::ProtocolError;
--- a/crates/ochrewalk-ajp/src/packet.rs
+++ b/crates/ochrewalk-ajp/src/packet.rs
@@ -29,36 +29,36 @@
 
 /// The reason for which input is not valid AJP. Each closes the connection, as the start of the next packet is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ProtocolError {
     /// The packet does not begin with the magic bytes of the sender's side.
-    Magic,
+    InvalidMagic,
     /// The packet is longer than the configured size.
-    TooLong,
+    PacketTooLong,
     /// The packet ends before the end of its message.
-    Short,
+    Truncated,
     /// The packet has bytes after its message.
-    Trailing,
+    TrailingBytes,
     /// A string has no terminating zero byte, or has a length that is not valid.
-    Text,
+    InvalidString,
     /// The code of a message, method, header or attribute is unknown.
-    Code,
+    UnknownCode,
     /// The message has too many headers or attributes.
-    TooMany,
+    TooManyHeaders,
     /// The message is not valid in the state of the connection.
-    OutOfTurn,
+    UnexpectedMessage,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Broken::Magic => "a packet without the magic bytes of its sender",
-            Broken::TooLong => "a packet longer than the configured size",
-            Broken::Short => "a packet that ends within its message",
-            Broken::Trailing => "a packet with bytes after its message",
-            Broken::Text => "a string of invalid length or without its terminating zero",
-            Broken::Code => "an unknown code",
-            Broken::TooMany => "too many headers or attributes",
-            Broken::OutOfTurn => "a message that is not valid in this state",
+            ProtocolError::InvalidMagic => "a packet without the magic bytes of its sender",
+            ProtocolError::PacketTooLong => "a packet longer than the configured size",
+            ProtocolError::Truncated => "a packet that ends within its message",
+            ProtocolError::TrailingBytes => "a packet with bytes after its message",
+            ProtocolError::InvalidString => "a string of invalid length or without its terminating zero",
+            ProtocolError::UnknownCode => "an unknown code",
+            ProtocolError::TooManyHeaders => "too many headers or attributes",
+            ProtocolError::UnexpectedMessage => "a message that is not valid in this state",
         })
     }
 }
@@ -70,22 +70,26 @@
 /// Returns an error as soon as the first invalid byte is present, even if the packet is incomplete.
 ///
 /// ```
-/// use ochrewalk_ajp::packet::{split, Broken, Sender, DEFAULT_PACKET_BYTES};
+/// use ochrewalk_ajp::packet::{split, ProtocolError, Sender, DEFAULT_PACKET_BYTES};
 /// let packet = [0x12, 0x34, 0, 1, 10, 99];
 /// assert_eq!(split(&packet, Sender::WebServer, DEFAULT_PACKET_BYTES), Ok(Some((&[10][..], 5))));
 /// assert_eq!(split(&packet[..4], Sender::WebServer, DEFAULT_PACKET_BYTES), Ok(None));
-/// assert_eq!(split(b"GET", Sender::WebServer, DEFAULT_PACKET_BYTES), Err(Broken::Magic));
-/// assert_eq!(split(&[0x12, 0x34, 0x20, 0], Sender::WebServer, DEFAULT_PACKET_BYTES), Err(Broken::TooLong));
+/// assert_eq!(split(b"GET", Sender::WebServer, DEFAULT_PACKET_BYTES), Err(ProtocolError::InvalidMagic));
+/// assert_eq!(split(&[0x12, 0x34, 0x20, 0], Sender::WebServer, DEFAULT_PACKET_BYTES), Err(ProtocolError::PacketTooLong));
 /// ```
-pub fn split(input: &[u8], from: Sender, max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, Broken> {
+pub fn split(
+    input: &[u8],
+    from: Sender,
+    max_packet_bytes: usize,
+) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let magic_length = input.len().min(2);
     if input[..magic_length] != from.magic()[..magic_length] {
-        return Err(Broken::Magic);
+        return Err(ProtocolError::InvalidMagic);
     }
     let Some(length) = input.get(2..HEADER_BYTES) else { return Ok(None) };
     let packet_bytes = HEADER_BYTES + usize::from(u16::from_be_bytes([length[0], length[1]]));
     if packet_bytes > max_packet_bytes {
-        return Err(Broken::TooLong);
+        return Err(ProtocolError::PacketTooLong);
     }
     Ok(input.get(HEADER_BYTES..packet_bytes).map(|payload| (payload, packet_bytes)))
 }
@@ -98,8 +102,8 @@
     out: &mut Vec<u8>,
     from: Sender,
     max_packet_bytes: usize,
-    payload: impl FnOnce(&mut PayloadWriter) -> Result<(), Broken>,
-) -> Result<(), Broken> {
+    payload: impl FnOnce(&mut PayloadWriter) -> Result<(), ProtocolError>,
+) -> Result<(), ProtocolError> {
     let start = out.len();
     out.extend_from_slice(&from.magic());
     out.extend_from_slice(&[0, 0]);
@@ -113,7 +117,7 @@
         }
         (written, _) => {
             out.truncate(start);
-            written.and(Err(Broken::TooLong))
+            written.and(Err(ProtocolError::PacketTooLong))
         }
     }
 }
@@ -138,13 +142,13 @@
     ///
     /// # Errors
     /// Returns an error if the value does not fit two bytes.
-    pub fn count(&mut self, count: usize) -> Result<(), Broken> {
-        self.integer(u16::try_from(count).map_err(|_| Broken::TooMany)?);
+    pub fn count(&mut self, count: usize) -> Result<(), ProtocolError> {
+        self.integer(u16::try_from(count).map_err(|_| ProtocolError::TooManyHeaders)?);
         Ok(())
     }
 
     /// Writes a string; `None` is the protocol's null string.
-    pub fn string(&mut self, string: Option<&[u8]>) -> Result<(), Broken> {
+    pub fn string(&mut self, string: Option<&[u8]>) -> Result<(), ProtocolError> {
         let Some(string) = string else {
             self.integer(NULL_STRING);
             return Ok(());
@@ -152,13 +156,13 @@
         let length = u16::try_from(string.len())
             .ok()
             .filter(|length| *length != NULL_STRING && !HEADER_CODES.contains(length));
-        self.integer(length.ok_or(Broken::Text)?);
+        self.integer(length.ok_or(ProtocolError::InvalidString)?);
         self.bytes(string);
         self.byte(0);
         Ok(())
     }
 
-    pub fn headers(&mut self, table: HeaderTable, headers: &[(&[u8], &[u8])]) -> Result<(), Broken> {
+    pub fn headers(&mut self, table: HeaderTable, headers: &[(&[u8], &[u8])]) -> Result<(), ProtocolError> {
         self.count(headers.len())?;
         for (name, value) in headers {
             match table.code(name) {
@@ -183,50 +187,50 @@
 pub struct PayloadReader<'a>(pub &'a [u8]);
 
 impl<'a> PayloadReader<'a> {
-    pub fn bytes(&mut self, length: usize) -> Result<&'a [u8], Broken> {
-        let (first, rest) = self.0.split_at_checked(length).ok_or(Broken::Short)?;
+    pub fn bytes(&mut self, length: usize) -> Result<&'a [u8], ProtocolError> {
+        let (first, rest) = self.0.split_at_checked(length).ok_or(ProtocolError::Truncated)?;
         self.0 = rest;
         Ok(first)
     }
 
-    pub fn byte(&mut self) -> Result<u8, Broken> {
+    pub fn byte(&mut self) -> Result<u8, ProtocolError> {
         Ok(self.bytes(1)?[0])
     }
 
-    pub fn integer(&mut self) -> Result<u16, Broken> {
+    pub fn integer(&mut self) -> Result<u16, ProtocolError> {
         let bytes = self.bytes(2)?;
         Ok(u16::from_be_bytes([bytes[0], bytes[1]]))
     }
 
-    pub fn boolean(&mut self) -> Result<bool, Broken> {
+    pub fn boolean(&mut self) -> Result<bool, ProtocolError> {
         Ok(self.byte()? != 0)
     }
 
     /// Reads a string; `None` is the protocol's null string.
-    pub fn optional_string(&mut self) -> Result<Option<&'a [u8]>, Broken> {
+    pub fn optional_string(&mut self) -> Result<Option<&'a [u8]>, ProtocolError> {
         let length = self.integer()?;
         if length == NULL_STRING {
             return Ok(None);
         }
         if HEADER_CODES.contains(&length) {
-            return Err(Broken::Text);
+            return Err(ProtocolError::InvalidString);
         }
         let string = self.bytes(usize::from(length))?;
         if self.byte()? != 0 {
-            return Err(Broken::Text);
+            return Err(ProtocolError::InvalidString);
         }
         Ok(Some(string))
     }
 
     /// Reads a string; a null string counts as an empty one.
-    pub fn string(&mut self) -> Result<&'a [u8], Broken> {
+    pub fn string(&mut self) -> Result<&'a [u8], ProtocolError> {
         Ok(self.optional_string()?.unwrap_or_default())
     }
 
-    pub fn headers(&mut self, table: HeaderTable) -> Result<HeaderList<'a>, Broken> {
+    pub fn headers(&mut self, table: HeaderTable) -> Result<HeaderList<'a>, ProtocolError> {
         let count = usize::from(self.integer()?);
         if count > MAX_HEADERS {
-            return Err(Broken::TooMany);
+            return Err(ProtocolError::TooManyHeaders);
         }
         let mut headers = Vec::with_capacity(count);
         for _ in 0..count {
@@ -234,7 +238,7 @@
             let code = lookahead.integer()?;
             let name = if HEADER_CODES.contains(&code) {
                 *self = lookahead;
-                table.name(code).ok_or(Broken::Code)?.as_bytes()
+                table.name(code).ok_or(ProtocolError::UnknownCode)?.as_bytes()
             } else {
                 self.string()?
             };
@@ -244,11 +248,11 @@
     }
 
     /// Checks that the payload is read completely.
-    pub fn end(&self) -> Result<(), Broken> {
+    pub fn end(&self) -> Result<(), ProtocolError> {
         if self.0.is_empty() {
             Ok(())
         } else {
-            Err(Broken::Trailing)
+            Err(ProtocolError::TrailingBytes)
         }
     }
 }
--- a/crates/ochrewalk-ajp/src/reply.rs
+++ b/crates/ochrewalk-ajp/src/reply.rs
@@ -2,7 +2,7 @@
 //! request's body.
 
 use crate::codes::HeaderTable;
-use crate::packet::{header, split, write, Broken, HeaderList, PayloadReader, Sender};
+use crate::packet::{header, split, write, HeaderList, PayloadReader, ProtocolError, Sender};
 
 const SEND_BODY_CHUNK: u8 = 3;
 const SEND_HEADERS: u8 = 4;
@@ -38,7 +38,7 @@
 }
 
 impl Message<'_> {
-    pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), Broken> {
+    pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), ProtocolError> {
         write(out, Sender::ServletContainer, max_packet_bytes, |payload| {
             match self {
                 Message::Head(head) => {
@@ -80,7 +80,7 @@
     head: Head,
     body: &[u8],
     reuse: bool,
-) -> Result<(), Broken> {
+) -> Result<(), ProtocolError> {
     Message::Head(head).write(out, max_packet_bytes)?;
     for chunk in body.chunks(longest_piece(max_packet_bytes)) {
         Message::Piece(chunk).write(out, max_packet_bytes)?;
@@ -89,7 +89,7 @@
 }
 
 /// Returns the first complete message and the size of its packet; `None` if the packet is incomplete.
-pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
+pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, ProtocolError> {
     let Some((payload, packet_bytes)) = split(input, Sender::ServletContainer, max_packet_bytes)? else {
         return Ok(None);
     };
@@ -112,7 +112,7 @@
         END_RESPONSE => Message::End { reuse: reader.boolean()? },
         GET_BODY_CHUNK => Message::GetBody(reader.integer()?),
         CPONG_REPLY => Message::CPong,
-        _ => return Err(Broken::Code),
+        _ => return Err(ProtocolError::UnknownCode),
     };
     reader.end()?;
     Ok(Some((message, packet_bytes)))
--- a/crates/ochrewalk-ajp/src/request.rs
+++ b/crates/ochrewalk-ajp/src/request.rs
@@ -1,7 +1,7 @@
 //! Messages of the web server: requests, the chunks of their bodies, and CPing.
 
 use crate::codes::{method, method_code, HeaderTable, STORED_METHOD};
-use crate::packet::{header, split, write, Broken, HeaderList, PayloadReader, Sender, MAX_HEADERS};
+use crate::packet::{header, split, write, HeaderList, PayloadReader, ProtocolError, Sender, MAX_HEADERS};
 
 const FORWARD_REQUEST: u8 = 2;
 const SHUTDOWN: u8 = 7;
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     /// Returns an error if the packet is longer than `max_packet_bytes` or a string cannot be encoded.
-    pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), Broken> {
+    pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), ProtocolError> {
         write(out, Sender::WebServer, max_packet_bytes, |payload| {
             payload.byte(FORWARD_REQUEST);
             let code = method_code(self.method);
@@ -167,10 +167,14 @@
         })
     }
 
-    fn read(mut reader: PayloadReader<'a>) -> Result<Request<'a>, Broken> {
+    fn read(mut reader: PayloadReader<'a>) -> Result<Request<'a>, ProtocolError> {
         let code = reader.byte()?;
         let mut request = Request {
-            method: if code == STORED_METHOD { b"" } else { method(code).ok_or(Broken::Code)?.as_bytes() },
+            method: if code == STORED_METHOD {
+                b""
+            } else {
+                method(code).ok_or(ProtocolError::UnknownCode)?.as_bytes()
+            },
             protocol: reader.string()?,
             uri: reader.string()?,
             remote_addr: reader.optional_string()?,
@@ -188,23 +192,25 @@
                 REQ_ATTRIBUTE => Attribute::Named(reader.string()?, reader.string()?),
                 SSL_KEY_SIZE => Attribute::SslKeySize(reader.integer()?),
                 code => {
-                    let which =
-                        Which::ALL.into_iter().find(|known| *known as u8 == code).ok_or(Broken::Code)?;
+                    let which = Which::ALL
+                        .into_iter()
+                        .find(|known| *known as u8 == code)
+                        .ok_or(ProtocolError::UnknownCode)?;
                     Attribute::Text(which, reader.string()?)
                 }
             };
             match attribute {
                 // A stored method beside a method with a code is rejected, as the two could differ.
                 Attribute::Text(Which::StoredMethod, name) if is_stored => request.method = name,
-                Attribute::Text(Which::StoredMethod, _) => return Err(Broken::Code),
+                Attribute::Text(Which::StoredMethod, _) => return Err(ProtocolError::UnknownCode),
                 other => request.attributes.push(other),
             }
             if request.attributes.len() > MAX_HEADERS {
-                return Err(Broken::TooMany);
+                return Err(ProtocolError::TooManyHeaders);
             }
         }
         if request.method.is_empty() {
-            return Err(Broken::Code);
+            return Err(ProtocolError::UnknownCode);
         }
         reader.end()?;
         Ok(request)
@@ -213,7 +219,7 @@
 
 /// Returns the first complete message and the size of its packet; `None` if the packet is incomplete. To be called where no body
 /// chunk is due.
-pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
+pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, ProtocolError> {
     let Some((payload, packet_bytes)) = split(input, Sender::WebServer, max_packet_bytes)? else {
         return Ok(None);
     };
@@ -223,7 +229,7 @@
         SHUTDOWN => Message::Shutdown,
         LOGIN => Message::Login,
         CPING => Message::CPing,
-        _ => return Err(Broken::Code),
+        _ => return Err(ProtocolError::UnknownCode),
     };
     reader.end()?;
     Ok(Some((message, packet_bytes)))
@@ -231,7 +237,7 @@
 
 /// Returns the first complete body chunk and the size of its packet; `None` if the packet is incomplete. An empty chunk ends the
 /// body. To be called where a body chunk is due.
-pub fn read_piece(input: &[u8], max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, Broken> {
+pub fn read_piece(input: &[u8], max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let Some((payload, packet_bytes)) = split(input, Sender::WebServer, max_packet_bytes)? else {
         return Ok(None);
     };
@@ -254,7 +260,7 @@
 ///
 /// # Errors
 /// Returns an error if the packet is longer than `max_packet_bytes`.
-pub fn write_piece(out: &mut Vec<u8>, max_packet_bytes: usize, chunk: &[u8]) -> Result<(), Broken> {
+pub fn write_piece(out: &mut Vec<u8>, max_packet_bytes: usize, chunk: &[u8]) -> Result<(), ProtocolError> {
     write(out, Sender::WebServer, max_packet_bytes, |payload| {
         if !chunk.is_empty() {
             payload.count(chunk.len())?;
@@ -265,7 +271,11 @@
 }
 
 /// Appends any message of the web server to `out`.
-pub fn write_plain(out: &mut Vec<u8>, message: &Message, max_packet_bytes: usize) -> Result<(), Broken> {
+pub fn write_plain(
+    out: &mut Vec<u8>,
+    message: &Message,
+    max_packet_bytes: usize,
+) -> Result<(), ProtocolError> {
     let code = match message {
         Message::Request(request) => return request.write(out, max_packet_bytes),
         Message::CPing => CPING,
--- a/crates/ochrewalk-ajp/tests/codec.rs
+++ b/crates/ochrewalk-ajp/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Property tests of the codec: a written message is read back unchanged for any split of the bytes, and no input causes a panic
 //! or a read past the end of a packet.
 
-use ochrewalk_ajp::packet::{split, Broken, Sender, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES};
+use ochrewalk_ajp::packet::{split, ProtocolError, Sender, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES};
 use ochrewalk_ajp::request::{self, Attribute, BodyLength, Request, Which};
 use ochrewalk_ajp::{packet, reply};
 use proptest::collection::vec;
@@ -138,7 +138,7 @@
         let mut bytes = Vec::new();
         let written = request::write_piece(&mut bytes, DEFAULT_PACKET_BYTES, &chunk);
         if chunk.len() > request::longest_piece(DEFAULT_PACKET_BYTES) {
-            prop_assert_eq!((written, bytes), (Err(Broken::TooLong), vec![]));
+            prop_assert_eq!((written, bytes), (Err(ProtocolError::PacketTooLong), vec![]));
         } else {
             let split_position = split_index.index(bytes.len());
             prop_assert_eq!(request::read_piece(&bytes[..split_position], DEFAULT_PACKET_BYTES), Ok(None));
@@ -199,21 +199,24 @@
 fn each_error_is_distinguished() {
     let packet = |payload: &[u8]| [&[0x12, 0x34, 0, payload.len() as u8][..], payload].concat();
     for (payload, error) in [
-        (&b""[..], Broken::Short),
-        (&b"\x0a\x01"[..], Broken::Trailing),
-        (&b"\x63"[..], Broken::Code),
-        (&b"\x02\x00"[..], Broken::Code),
-        (&b"\x02\x02\x00\x01aX"[..], Broken::Text),
-        (&b"\x02\x02\xa0\x01"[..], Broken::Text),
-        (&b"\x02\x02\x00\x09a"[..], Broken::Short),
-        (&b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\xff"[..], Broken::TooMany),
+        (&b""[..], ProtocolError::Truncated),
+        (&b"\x0a\x01"[..], ProtocolError::TrailingBytes),
+        (&b"\x63"[..], ProtocolError::UnknownCode),
+        (&b"\x02\x00"[..], ProtocolError::UnknownCode),
+        (&b"\x02\x02\x00\x01aX"[..], ProtocolError::InvalidString),
+        (&b"\x02\x02\xa0\x01"[..], ProtocolError::InvalidString),
+        (&b"\x02\x02\x00\x09a"[..], ProtocolError::Truncated),
+        (&b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\xff"[..], ProtocolError::TooManyHeaders),
         (
             &b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\x01\xa0\x0f\xff\xff\xff"[..],
-            Broken::Code,
+            ProtocolError::UnknownCode,
         ),
         // A stored method beside a method with a code, and no stored method where one is required.
-        (&b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\x0d\0\x01X\0\xff"[..], Broken::Code),
-        (&b"\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\xff"[..], Broken::Code),
+        (
+            &b"\x02\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\x0d\0\x01X\0\xff"[..],
+            ProtocolError::UnknownCode,
+        ),
+        (&b"\x02\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\0\0\0\0\0\xff"[..], ProtocolError::UnknownCode),
     ] {
         assert_eq!(request::read(&packet(payload), DEFAULT_PACKET_BYTES), Err(error), "{payload:x?}");
     }
--- a/crates/ochrewalk-ajp/tests/connection_states.rs
+++ b/crates/ochrewalk-ajp/tests/connection_states.rs
@@ -4,7 +4,7 @@
 use ochrewalk_ajp::asker;
 use ochrewalk_ajp::reply::{Head, Message};
 use ochrewalk_ajp::request::BodyLength;
-use ochrewalk_ajp::Broken;
+use ochrewalk_ajp::ProtocolError;
 
 /// Records the requested actions as text.
 #[derive(Default)]
@@ -111,7 +111,7 @@
     ("empty piece", |l, a| l.piece(5, 0, a)),
     ("ping", |l, a| l.plain(5, Plain::CPing, a)),
     ("shutdown", |l, a| l.plain(5, Plain::Shutdown, a)),
-    ("broken", |l, a| l.broken(Broken::Magic, a)),
+    ("broken", |l, a| l.broken(ProtocolError::InvalidMagic, a)),
     ("written", |l, _| l.written(5)),
     ("closed", |l, a| l.closed(a)),
     ("silence", |l, a| l.empty(150, a)),
@@ -259,14 +259,14 @@
         (false, vec![head(200, &[(LENGTH, b"-1")])], "call, TooLong wrote"),
         (false, vec![head(200, &[]), Message::Piece(b"abcdefg")], "call, TooLong wrote"),
         // Repeated and unexpected messages, and responses without a call.
-        (false, vec![head(200, &[]), end(true), head(200, &[])], "call, 200 [], Broken(OutOfTurn)"),
-        (false, vec![head(200, &[]), head(200, &[])], "call, Broken(OutOfTurn) wrote"),
-        (false, vec![head(20, &[])], "call, Broken(Code) wrote"),
-        (false, vec![Message::Piece(b"a")], "call, Broken(OutOfTurn) wrote"),
-        (false, vec![end(true)], "call, Broken(OutOfTurn) wrote"),
-        (false, vec![head(200, &[]), Message::GetBody(1)], "call, Broken(OutOfTurn) wrote"),
-        (false, vec![Message::CPong], "call, Broken(OutOfTurn) wrote"),
-        (true, vec![head(200, &[])], "ping, Broken(OutOfTurn)"),
+        (false, vec![head(200, &[]), end(true), head(200, &[])], "call, 200 [], Broken(UnexpectedMessage)"),
+        (false, vec![head(200, &[]), head(200, &[])], "call, Broken(UnexpectedMessage) wrote"),
+        (false, vec![head(20, &[])], "call, Broken(UnknownCode) wrote"),
+        (false, vec![Message::Piece(b"a")], "call, Broken(UnexpectedMessage) wrote"),
+        (false, vec![end(true)], "call, Broken(UnexpectedMessage) wrote"),
+        (false, vec![head(200, &[]), Message::GetBody(1)], "call, Broken(UnexpectedMessage) wrote"),
+        (false, vec![Message::CPong], "call, Broken(UnexpectedMessage) wrote"),
+        (true, vec![head(200, &[])], "ping, Broken(UnexpectedMessage)"),
     ] {
         let (mut life, mut acts) = (new_connection(), RecordedActions::default());
         life.call(0, checks_connection, &mut acts);
--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -125,7 +125,7 @@
         now_us: u64,
         input: &[u8],
         actions: &mut RequestedActions,
-    ) -> Result<usize, ochrewalk_ajp::Broken> {
+    ) -> Result<usize, ochrewalk_ajp::ProtocolError> {
         let Some((piece, taken)) = request::read_piece(input, self.ingress.max_packet_bytes)? else {
             return Ok(0);
         };
@@ -143,7 +143,7 @@
         input: &[u8],
         actions: &mut RequestedActions,
         allow: &mut Vec<String>,
-    ) -> Result<usize, ochrewalk_ajp::Broken> {
+    ) -> Result<usize, ochrewalk_ajp::ProtocolError> {
         let Some((message, taken)) = request::read(input, self.ingress.max_packet_bytes)? else {
             return Ok(0);
         };
