--- a/crates/ochrewalk-ajp/src/asker.rs
+++ b/crates/ochrewalk-ajp/src/asker.rs
@@ -5,7 +5,7 @@
 //! have run, unless a complete response states otherwise.
 
 use crate::packet::ProtocolError;
-use crate::reply::{Head, Message};
+use crate::reply::{Message, ResponseHead};
 
 /// The actions that the state machine requests from its caller.
 pub trait Acts {
@@ -141,22 +141,24 @@
                 }
             }
             // The caller sends the next chunk of the body, or an empty one if the complete body was sent with the call.
-            (State::Waiting, Message::GetBody(max_bytes)) => acts.write_piece(*max_bytes),
-            (State::Reading { .. }, Message::GetBody(max_bytes)) if self.reply.status == 0 => {
+            (State::Waiting, Message::GetBodyChunk(max_bytes)) => acts.write_piece(*max_bytes),
+            (State::Reading { .. }, Message::GetBodyChunk(max_bytes)) if self.reply.status == 0 => {
                 acts.write_piece(*max_bytes)
             }
-            (State::Waiting | State::Reading { .. }, Message::Head(head)) if self.reply.status == 0 => {
+            (State::Waiting | State::Reading { .. }, Message::SendHeaders(head))
+                if self.reply.status == 0 =>
+            {
                 self.partial(now_us);
                 self.head(head, acts);
             }
-            (State::Reading { .. }, Message::Piece(chunk)) if self.reply.status != 0 => {
+            (State::Reading { .. }, Message::SendBodyChunk(chunk)) if self.reply.status != 0 => {
                 let max_bytes = self.stated_length.unwrap_or(self.bounds.most_reply);
                 if self.reply.body.len() + chunk.len() > max_bytes {
                     return self.close(End::TooLong, acts);
                 }
                 self.reply.body.extend_from_slice(chunk);
             }
-            (State::Reading { .. }, Message::End { reuse }) if self.reply.status != 0 => {
+            (State::Reading { .. }, Message::EndResponse { reuse }) if self.reply.status != 0 => {
                 if self.stated_length.is_some_and(|stated| stated != self.reply.body.len()) {
                     return self.close(End::TooShort, acts);
                 }
@@ -174,7 +176,7 @@
         }
     }
 
-    fn head(&mut self, head: &Head, acts: &mut impl Acts) {
+    fn head(&mut self, head: &ResponseHead, acts: &mut impl Acts) {
         if !(100..600).contains(&head.status) {
             return self.close(End::Broken(ProtocolError::UnknownCode), acts);
         }
--- a/crates/ochrewalk-ajp/src/reply.rs
+++ b/crates/ochrewalk-ajp/src/reply.rs
@@ -13,25 +13,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message<'a> {
     /// Send Headers: the head of a response.
-    Head(Head<'a>),
+    SendHeaders(ResponseHead<'a>),
     /// Send Body Chunk: a part of the response's body.
-    Piece(&'a [u8]),
+    SendBodyChunk(&'a [u8]),
     /// End Response: the response is complete. `reuse` is whether the connection may carry another request.
-    End { reuse: bool },
+    EndResponse { reuse: bool },
     /// Get Body Chunk: requests more of the request's body, up to this number of bytes.
-    GetBody(u16),
+    GetBodyChunk(u16),
     /// CPong Reply: the reply to a CPing.
     CPong,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Head<'a> {
+pub struct ResponseHead<'a> {
     pub status: u16,
-    pub words: &'a [u8],
+    pub reason: &'a [u8],
     pub headers: HeaderList<'a>,
 }
 
-impl<'a> Head<'a> {
+impl<'a> ResponseHead<'a> {
     pub fn header(&self, name: &str) -> Option<&'a [u8]> {
         header(&self.headers, name)
     }
@@ -41,23 +41,23 @@
     pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), ProtocolError> {
         write(out, Sender::ServletContainer, max_packet_bytes, |payload| {
             match self {
-                Message::Head(head) => {
+                Message::SendHeaders(head) => {
                     payload.byte(SEND_HEADERS);
                     payload.integer(head.status);
-                    payload.string(Some(head.words))?;
+                    payload.string(Some(head.reason))?;
                     payload.headers(HeaderTable::Response, &head.headers)?;
                 }
-                Message::Piece(chunk) => {
+                Message::SendBodyChunk(chunk) => {
                     payload.byte(SEND_BODY_CHUNK);
                     payload.count(chunk.len())?;
                     payload.bytes(chunk);
                     payload.byte(0);
                 }
-                Message::End { reuse } => {
+                Message::EndResponse { reuse } => {
                     payload.byte(END_RESPONSE);
                     payload.byte(u8::from(*reuse));
                 }
-                Message::GetBody(max_chunk_bytes) => {
+                Message::GetBodyChunk(max_chunk_bytes) => {
                     payload.byte(GET_BODY_CHUNK);
                     payload.integer(*max_chunk_bytes);
                 }
@@ -69,23 +69,23 @@
 }
 
 /// Returns the maximum size of a body chunk that fits a packet of this size, in bytes.
-pub fn longest_piece(max_packet_bytes: usize) -> usize {
+pub fn max_chunk_bytes(max_packet_bytes: usize) -> usize {
     max_packet_bytes - crate::packet::HEADER_BYTES - 4
 }
 
 /// Writes a complete response: its head, its body in as many chunks as necessary, and its end.
-pub fn write_answer(
+pub fn write_response(
     out: &mut Vec<u8>,
     max_packet_bytes: usize,
-    head: Head,
+    head: ResponseHead,
     body: &[u8],
     reuse: bool,
 ) -> Result<(), ProtocolError> {
-    Message::Head(head).write(out, max_packet_bytes)?;
-    for chunk in body.chunks(longest_piece(max_packet_bytes)) {
-        Message::Piece(chunk).write(out, max_packet_bytes)?;
+    Message::SendHeaders(head).write(out, max_packet_bytes)?;
+    for chunk in body.chunks(max_chunk_bytes(max_packet_bytes)) {
+        Message::SendBodyChunk(chunk).write(out, max_packet_bytes)?;
     }
-    Message::End { reuse }.write(out, max_packet_bytes)
+    Message::EndResponse { reuse }.write(out, max_packet_bytes)
 }
 
 /// Returns the first complete message and the size of its packet; `None` if the packet is incomplete.
@@ -95,9 +95,9 @@
     };
     let mut reader = PayloadReader(payload);
     let message = match reader.byte()? {
-        SEND_HEADERS => Message::Head(Head {
+        SEND_HEADERS => Message::SendHeaders(ResponseHead {
             status: reader.integer()?,
-            words: reader.string()?,
+            reason: reader.string()?,
             headers: reader.headers(HeaderTable::Response)?,
         }),
         SEND_BODY_CHUNK => {
@@ -107,10 +107,10 @@
             if reader.0 == [0] {
                 reader.0 = &[];
             }
-            Message::Piece(chunk)
+            Message::SendBodyChunk(chunk)
         }
-        END_RESPONSE => Message::End { reuse: reader.boolean()? },
-        GET_BODY_CHUNK => Message::GetBody(reader.integer()?),
+        END_RESPONSE => Message::EndResponse { reuse: reader.boolean()? },
+        GET_BODY_CHUNK => Message::GetBodyChunk(reader.integer()?),
         CPONG_REPLY => Message::CPong,
         _ => return Err(ProtocolError::UnknownCode),
     };
--- a/crates/ochrewalk-ajp/src/request.rs
+++ b/crates/ochrewalk-ajp/src/request.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message<'a> {
     /// Forward Request: the head of a request.
-    Request(Request<'a>),
+    ForwardRequest(Request<'a>),
     /// CPing: requests a CPong at once, as proof that the connection works.
     CPing,
     /// A login, which an older version of the protocol used as its ping.
@@ -35,14 +35,14 @@
     pub remote_host: Option<&'a [u8]>,
     pub server_name: Option<&'a [u8]>,
     pub server_port: u16,
-    pub ssl: bool,
+    pub is_ssl: bool,
     pub headers: HeaderList<'a>,
     pub attributes: Vec<Attribute<'a>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attribute<'a> {
-    Text(Which, &'a [u8]),
+    String(StringAttribute, &'a [u8]),
     Named(&'a [u8], &'a [u8]),
     SslKeySize(u16),
 }
@@ -50,7 +50,7 @@
 /// The attributes whose value is one string, with their codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Which {
+pub enum StringAttribute {
     Context = 0x01,
     ServletPath = 0x02,
     RemoteUser = 0x03,
@@ -64,19 +64,19 @@
     StoredMethod = 0x0D,
 }
 
-impl Which {
-    pub const ALL: [Which; 11] = [
-        Which::Context,
-        Which::ServletPath,
-        Which::RemoteUser,
-        Which::AuthType,
-        Which::QueryString,
-        Which::Route,
-        Which::SslCert,
-        Which::SslCipher,
-        Which::SslSession,
-        Which::Secret,
-        Which::StoredMethod,
+impl StringAttribute {
+    pub const ALL: [StringAttribute; 11] = [
+        StringAttribute::Context,
+        StringAttribute::ServletPath,
+        StringAttribute::RemoteUser,
+        StringAttribute::AuthType,
+        StringAttribute::QueryString,
+        StringAttribute::Route,
+        StringAttribute::SslCert,
+        StringAttribute::SslCipher,
+        StringAttribute::SslSession,
+        StringAttribute::Secret,
+        StringAttribute::StoredMethod,
     ];
 }
 
@@ -95,9 +95,9 @@
         header(&self.headers, name)
     }
 
-    pub fn attribute(&self, which: Which) -> Option<&'a [u8]> {
+    pub fn attribute(&self, which: StringAttribute) -> Option<&'a [u8]> {
         self.attributes.iter().find_map(|attribute| match attribute {
-            Attribute::Text(known, text) if *known == which => Some(*text),
+            Attribute::String(known, text) if *known == which => Some(*text),
             _ => None,
         })
     }
@@ -138,16 +138,16 @@
             payload.string(self.remote_host)?;
             payload.string(self.server_name)?;
             payload.integer(self.server_port);
-            payload.byte(u8::from(self.ssl));
+            payload.byte(u8::from(self.is_ssl));
             payload.headers(HeaderTable::Request, &self.headers)?;
             if code.is_none() {
-                payload.byte(Which::StoredMethod as u8);
+                payload.byte(StringAttribute::StoredMethod as u8);
                 payload.string(Some(self.method))?;
             }
             for attribute in &self.attributes {
                 match attribute {
-                    Attribute::Text(Which::StoredMethod, _) => {}
-                    Attribute::Text(which, text) => {
+                    Attribute::String(StringAttribute::StoredMethod, _) => {}
+                    Attribute::String(which, text) => {
                         payload.byte(*which as u8);
                         payload.string(Some(text))?;
                     }
@@ -181,7 +181,7 @@
             remote_host: reader.optional_string()?,
             server_name: reader.optional_string()?,
             server_port: reader.integer()?,
-            ssl: reader.boolean()?,
+            is_ssl: reader.boolean()?,
             headers: reader.headers(HeaderTable::Request)?,
             attributes: Vec::new(),
         };
@@ -192,17 +192,19 @@
                 REQ_ATTRIBUTE => Attribute::Named(reader.string()?, reader.string()?),
                 SSL_KEY_SIZE => Attribute::SslKeySize(reader.integer()?),
                 code => {
-                    let which = Which::ALL
+                    let which = StringAttribute::ALL
                         .into_iter()
                         .find(|known| *known as u8 == code)
                         .ok_or(ProtocolError::UnknownCode)?;
-                    Attribute::Text(which, reader.string()?)
+                    Attribute::String(which, reader.string()?)
                 }
             };
             match attribute {
                 // A stored method beside a method with a code is rejected, as the two could differ.
-                Attribute::Text(Which::StoredMethod, name) if is_stored => request.method = name,
-                Attribute::Text(Which::StoredMethod, _) => return Err(ProtocolError::UnknownCode),
+                Attribute::String(StringAttribute::StoredMethod, name) if is_stored => request.method = name,
+                Attribute::String(StringAttribute::StoredMethod, _) => {
+                    return Err(ProtocolError::UnknownCode)
+                }
                 other => request.attributes.push(other),
             }
             if request.attributes.len() > MAX_HEADERS {
@@ -225,7 +227,7 @@
     };
     let mut reader = PayloadReader(payload);
     let message = match reader.byte()? {
-        FORWARD_REQUEST => return Ok(Some((Message::Request(Request::read(reader)?), packet_bytes))),
+        FORWARD_REQUEST => return Ok(Some((Message::ForwardRequest(Request::read(reader)?), packet_bytes))),
         SHUTDOWN => Message::Shutdown,
         LOGIN => Message::Login,
         CPING => Message::CPing,
@@ -237,7 +239,10 @@
 
 /// Returns the first complete body chunk and the size of its packet; `None` if the packet is incomplete. An empty chunk ends the
 /// body. To be called where a body chunk is due.
-pub fn read_piece(input: &[u8], max_packet_bytes: usize) -> Result<Option<(&[u8], usize)>, ProtocolError> {
+pub fn read_body_chunk(
+    input: &[u8],
+    max_packet_bytes: usize,
+) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let Some((payload, packet_bytes)) = split(input, Sender::WebServer, max_packet_bytes)? else {
         return Ok(None);
     };
@@ -252,7 +257,7 @@
 }
 
 /// Returns the maximum size of a body chunk that fits a packet of this size, in bytes.
-pub fn longest_piece(max_packet_bytes: usize) -> usize {
+pub fn max_chunk_bytes(max_packet_bytes: usize) -> usize {
     max_packet_bytes - crate::packet::HEADER_BYTES - 2
 }
 
@@ -260,7 +265,11 @@
 ///
 /// # Errors
 /// Returns an error if the packet is longer than `max_packet_bytes`.
-pub fn write_piece(out: &mut Vec<u8>, max_packet_bytes: usize, chunk: &[u8]) -> Result<(), ProtocolError> {
+pub fn write_body_chunk(
+    out: &mut Vec<u8>,
+    max_packet_bytes: usize,
+    chunk: &[u8],
+) -> Result<(), ProtocolError> {
     write(out, Sender::WebServer, max_packet_bytes, |payload| {
         if !chunk.is_empty() {
             payload.count(chunk.len())?;
@@ -271,13 +280,13 @@
 }
 
 /// Appends any message of the web server to `out`.
-pub fn write_plain(
+pub fn write_message(
     out: &mut Vec<u8>,
     message: &Message,
     max_packet_bytes: usize,
 ) -> Result<(), ProtocolError> {
     let code = match message {
-        Message::Request(request) => return request.write(out, max_packet_bytes),
+        Message::ForwardRequest(request) => return request.write(out, max_packet_bytes),
         Message::CPing => CPING,
         Message::Login => LOGIN,
         Message::Shutdown => SHUTDOWN,
--- a/crates/ochrewalk-ajp/tests/codec.rs
+++ b/crates/ochrewalk-ajp/tests/codec.rs
@@ -2,7 +2,7 @@
 //! or a read past the end of a packet.
 
 use ochrewalk_ajp::packet::{split, ProtocolError, Sender, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES};
-use ochrewalk_ajp::request::{self, Attribute, BodyLength, Request, Which};
+use ochrewalk_ajp::request::{self, Attribute, BodyLength, Request, StringAttribute};
 use ochrewalk_ajp::{packet, reply};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
     method: Vec<u8>,
     strings: [Option<Vec<u8>>; 5],
     port: u16,
-    ssl: bool,
+    is_ssl: bool,
     headers: Vec<(Vec<u8>, Vec<u8>)>,
     attributes: Vec<(u8, Vec<u8>, Vec<u8>, u16)>,
 }
@@ -50,11 +50,11 @@
         headers,
         vec(attribute(), 0..8),
     )
-        .prop_map(|(method, strings, port, ssl, headers, attributes)| OwnedRequest {
+        .prop_map(|(method, strings, port, is_ssl, headers, attributes)| OwnedRequest {
             method,
             strings,
             port,
-            ssl,
+            is_ssl,
             headers,
             attributes,
         })
@@ -63,10 +63,10 @@
 impl OwnedRequest {
     fn request(&self) -> Request<'_> {
         fn attribute((index, first, second, size): &(u8, Vec<u8>, Vec<u8>, u16)) -> Attribute<'_> {
-            match Which::ALL.get(usize::from(*index)) {
-                Some(Which::StoredMethod) | None if *size % 2 == 0 => Attribute::SslKeySize(*size),
-                Some(Which::StoredMethod) | None => Attribute::Named(first, second),
-                Some(which) => Attribute::Text(*which, first),
+            match StringAttribute::ALL.get(usize::from(*index)) {
+                Some(StringAttribute::StoredMethod) | None if *size % 2 == 0 => Attribute::SslKeySize(*size),
+                Some(StringAttribute::StoredMethod) | None => Attribute::Named(first, second),
+                Some(which) => Attribute::String(*which, first),
             }
         }
         let string = |index: usize| self.strings[index].as_deref();
@@ -78,7 +78,7 @@
             remote_host: string(3),
             server_name: string(4),
             server_port: self.port,
-            ssl: self.ssl,
+            is_ssl: self.is_ssl,
             headers: self.headers.iter().map(|(name, value)| (&**name, &**value)).collect(),
             attributes: self.attributes.iter().map(attribute).collect(),
         }
@@ -107,7 +107,7 @@
         let packet_bytes = bytes.len();
         bytes.extend_from_slice(&[0x12, 0x34, 9]);
         let read = request::read(&bytes, MAX_PACKET_BYTES);
-        prop_assert_eq!(read, Ok(Some((request::Message::Request(request), packet_bytes))));
+        prop_assert_eq!(read, Ok(Some((request::Message::ForwardRequest(request), packet_bytes))));
     }
 
     #[test]
@@ -116,16 +116,16 @@
         headers in vec((header_name(&["content-type", "status", "servlet-engine"]), string()), 0..6),
         max_packet_bytes in 512usize..MAX_PACKET_BYTES,
     ) {
-        let head = reply::Head { status, words: &reason, headers: headers.iter().map(|(name, value)| (&**name, &**value)).collect() };
+        let head = reply::ResponseHead { status, reason: &reason, headers: headers.iter().map(|(name, value)| (&**name, &**value)).collect() };
         let mut bytes = Vec::new();
-        reply::write_answer(&mut bytes, max_packet_bytes, head.clone(), &body, reuse).unwrap();
+        reply::write_response(&mut bytes, max_packet_bytes, head.clone(), &body, reuse).unwrap();
         let (mut position, mut heads, mut received, mut end) = (0, Vec::new(), Vec::new(), None);
         while let Some((message, packet_bytes)) = reply::read(&bytes[position..], max_packet_bytes).unwrap() {
             prop_assert!(end.is_none() && packet_bytes <= max_packet_bytes);
             match message {
-                reply::Message::Head(head) => heads.push(head),
-                reply::Message::Piece(chunk) => received.extend_from_slice(chunk),
-                reply::Message::End { reuse } => end = Some(reuse),
+                reply::Message::SendHeaders(head) => heads.push(head),
+                reply::Message::SendBodyChunk(chunk) => received.extend_from_slice(chunk),
+                reply::Message::EndResponse { reuse } => end = Some(reuse),
                 other => prop_assert!(false, "{:?}", other),
             }
             position += packet_bytes;
@@ -136,13 +136,13 @@
     #[test]
     fn body_chunks_are_read_back(chunk in vec(any::<u8>(), 0..9_000), split_index in any::<prop::sample::Index>()) {
         let mut bytes = Vec::new();
-        let written = request::write_piece(&mut bytes, DEFAULT_PACKET_BYTES, &chunk);
-        if chunk.len() > request::longest_piece(DEFAULT_PACKET_BYTES) {
+        let written = request::write_body_chunk(&mut bytes, DEFAULT_PACKET_BYTES, &chunk);
+        if chunk.len() > request::max_chunk_bytes(DEFAULT_PACKET_BYTES) {
             prop_assert_eq!((written, bytes), (Err(ProtocolError::PacketTooLong), vec![]));
         } else {
             let split_position = split_index.index(bytes.len());
-            prop_assert_eq!(request::read_piece(&bytes[..split_position], DEFAULT_PACKET_BYTES), Ok(None));
-            prop_assert_eq!(request::read_piece(&bytes, DEFAULT_PACKET_BYTES), Ok(Some((&chunk[..], bytes.len()))));
+            prop_assert_eq!(request::read_body_chunk(&bytes[..split_position], DEFAULT_PACKET_BYTES), Ok(None));
+            prop_assert_eq!(request::read_body_chunk(&bytes, DEFAULT_PACKET_BYTES), Ok(Some((&chunk[..], bytes.len()))));
         }
     }
 
@@ -157,7 +157,7 @@
             bytes[4] = kind % 12;
         }
         let _ = request::read(&bytes, DEFAULT_PACKET_BYTES);
-        let _ = request::read_piece(&bytes, DEFAULT_PACKET_BYTES);
+        let _ = request::read_body_chunk(&bytes, DEFAULT_PACKET_BYTES);
         let _ = reply::read(&bytes, DEFAULT_PACKET_BYTES);
         if let Ok(Some((payload, packet_bytes))) = split(&bytes, from, DEFAULT_PACKET_BYTES) {
             prop_assert!(packet_bytes <= bytes.len() && payload.len() + 4 == packet_bytes);
@@ -174,7 +174,7 @@
         server_name: Some(b"h"),
         server_port: 80,
         headers: vec![(b"Host", b"h"), (b"x", b"")],
-        attributes: vec![Attribute::Text(Which::Secret, b"s"), Attribute::Named(b"k", b"v")],
+        attributes: vec![Attribute::String(StringAttribute::Secret, b"s"), Attribute::Named(b"k", b"v")],
         ..Request::default()
     };
     let mut bytes = Vec::new();
@@ -187,9 +187,9 @@
     expected[3] = (expected.len() - 4) as u8;
     assert_eq!(bytes, expected);
     let mut bytes = Vec::new();
-    let head = reply::Head { status: 200, words: b"OK", headers: vec![(b"Content-Type", b"t")] };
-    reply::write_answer(&mut bytes, DEFAULT_PACKET_BYTES, head, b"hi", true).unwrap();
-    reply::Message::GetBody(7).write(&mut bytes, DEFAULT_PACKET_BYTES).unwrap();
+    let head = reply::ResponseHead { status: 200, reason: b"OK", headers: vec![(b"Content-Type", b"t")] };
+    reply::write_response(&mut bytes, DEFAULT_PACKET_BYTES, head, b"hi", true).unwrap();
+    reply::Message::GetBodyChunk(7).write(&mut bytes, DEFAULT_PACKET_BYTES).unwrap();
     reply::Message::CPong.write(&mut bytes, DEFAULT_PACKET_BYTES).unwrap();
     let expected = b"AB\0\x10\x04\0\xc8\0\x02OK\0\0\x01\xa0\x01\0\x01t\0AB\0\x06\x03\0\x02hi\0AB\0\x02\x05\x01AB\0\x03\x06\0\x07AB\0\x01\x09";
     assert_eq!(bytes, expected);
@@ -224,7 +224,7 @@
         [(request::Message::CPing, 10), (request::Message::Login, 8), (request::Message::Shutdown, 7)]
     {
         let mut bytes = Vec::new();
-        request::write_plain(&mut bytes, &message, DEFAULT_PACKET_BYTES).unwrap();
+        request::write_message(&mut bytes, &message, DEFAULT_PACKET_BYTES).unwrap();
         assert_eq!(bytes, packet(&[code]));
         assert_eq!(request::read(&bytes, DEFAULT_PACKET_BYTES), Ok(Some((message, 5))));
     }
--- a/crates/ochrewalk-ajp/tests/connection_states.rs
+++ b/crates/ochrewalk-ajp/tests/connection_states.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_ajp::answerer::{self, Bounds, End, Life, Plain, Refusal, State};
 use ochrewalk_ajp::asker;
-use ochrewalk_ajp::reply::{Head, Message};
+use ochrewalk_ajp::reply::{Message, ResponseHead};
 use ochrewalk_ajp::request::BodyLength;
 use ochrewalk_ajp::ProtocolError;
 
@@ -227,44 +227,52 @@
 }
 
 fn head(status: u16, headers: &[(&'static [u8], &'static [u8])]) -> Message<'static> {
-    Message::Head(Head { status, words: b"", headers: headers.to_vec() })
+    Message::SendHeaders(ResponseHead { status, reason: b"", headers: headers.to_vec() })
 }
 
 #[test]
 fn responses_are_classified_and_an_unexpected_message_closes_the_connection() {
     const LENGTH: &[u8] = b"content-length";
-    let end = |reuse| Message::End { reuse };
+    let end = |reuse| Message::EndResponse { reuse };
     for (checks_connection, messages, expected) in [
         (
             false,
-            vec![head(200, &[]), Message::Piece(b"ab"), Message::Piece(b"c"), end(true)],
+            vec![head(200, &[]), Message::SendBodyChunk(b"ab"), Message::SendBodyChunk(b"c"), end(true)],
             "call, 200 [abc]",
         ),
         (
             false,
-            vec![head(200, &[(LENGTH, b"2")]), Message::Piece(b"ab"), end(false)],
+            vec![head(200, &[(LENGTH, b"2")]), Message::SendBodyChunk(b"ab"), end(false)],
             "call, 200 [ab], Spent",
         ),
         (true, vec![Message::CPong, head(204, &[]), end(true)], "ping, call, 204 []"),
         (
             false,
-            vec![Message::GetBody(9), head(503, &[(b"X-Never-Ran", b"1")]), end(true)],
+            vec![Message::GetBodyChunk(9), head(503, &[(b"X-Never-Ran", b"1")]), end(true)],
             "call, piece 9, 503 never ran[]",
         ),
         (false, vec![head(503, &[(b"X-Never-Ran", b"0")]), end(true)], "call, 503 []"),
         // Responses shorter and longer than stated, or longer than allowed.
-        (false, vec![head(200, &[(LENGTH, b"3")]), Message::Piece(b"ab"), end(true)], "call, TooShort wrote"),
-        (false, vec![head(200, &[(LENGTH, b"1")]), Message::Piece(b"ab"), end(true)], "call, TooLong wrote"),
+        (
+            false,
+            vec![head(200, &[(LENGTH, b"3")]), Message::SendBodyChunk(b"ab"), end(true)],
+            "call, TooShort wrote",
+        ),
+        (
+            false,
+            vec![head(200, &[(LENGTH, b"1")]), Message::SendBodyChunk(b"ab"), end(true)],
+            "call, TooLong wrote",
+        ),
         (false, vec![head(200, &[(LENGTH, b"7")])], "call, TooLong wrote"),
         (false, vec![head(200, &[(LENGTH, b"-1")])], "call, TooLong wrote"),
-        (false, vec![head(200, &[]), Message::Piece(b"abcdefg")], "call, TooLong wrote"),
+        (false, vec![head(200, &[]), Message::SendBodyChunk(b"abcdefg")], "call, TooLong wrote"),
         // Repeated and unexpected messages, and responses without a call.
         (false, vec![head(200, &[]), end(true), head(200, &[])], "call, 200 [], Broken(UnexpectedMessage)"),
         (false, vec![head(200, &[]), head(200, &[])], "call, Broken(UnexpectedMessage) wrote"),
         (false, vec![head(20, &[])], "call, Broken(UnknownCode) wrote"),
-        (false, vec![Message::Piece(b"a")], "call, Broken(UnexpectedMessage) wrote"),
+        (false, vec![Message::SendBodyChunk(b"a")], "call, Broken(UnexpectedMessage) wrote"),
         (false, vec![end(true)], "call, Broken(UnexpectedMessage) wrote"),
-        (false, vec![head(200, &[]), Message::GetBody(1)], "call, Broken(UnexpectedMessage) wrote"),
+        (false, vec![head(200, &[]), Message::GetBodyChunk(1)], "call, Broken(UnexpectedMessage) wrote"),
         (false, vec![Message::CPong], "call, Broken(UnexpectedMessage) wrote"),
         (true, vec![head(200, &[])], "ping, Broken(UnexpectedMessage)"),
     ] {
--- a/crates/ochrewalk-ingress/src/request_evaluation.rs
+++ b/crates/ochrewalk-ingress/src/request_evaluation.rs
@@ -3,7 +3,7 @@
 
 use crate::routes::{RouteMatch, Routes};
 use ochrewalk_ajp::answerer::Refusal;
-use ochrewalk_ajp::request::{BodyLength, Request, Which};
+use ochrewalk_ajp::request::{BodyLength, Request, StringAttribute};
 use subtle::ConstantTimeEq;
 
 /// The operators' rules for requests.
@@ -92,7 +92,7 @@
     /// # Errors
     /// Returns the refusal if the request is invalid or has no route.
     pub fn evaluate(&self, request: &Request) -> Result<(RequestTarget, BodyLength), Rejection> {
-        if !self.has_valid_secret(request.attribute(Which::Secret)) {
+        if !self.has_valid_secret(request.attribute(StringAttribute::Secret)) {
             return Err(Rejection {
                 closes_connection: true,
                 ..reject::<()>(403, "the secret is missing or wrong").unwrap_err()
--- a/crates/ochrewalk-ingress/tests/ingress.rs
+++ b/crates/ochrewalk-ingress/tests/ingress.rs
@@ -1,6 +1,6 @@
 //! Checks allowed peers, the mapping of requests to methods, and the limit on connections with tables of cases.
 
-use ochrewalk_ajp::request::{Attribute, BodyLength, Request, Which};
+use ochrewalk_ajp::request::{Attribute, BodyLength, Request, StringAttribute};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::connection_budget::{decide, BudgetDecision, ConnectionUsage, RetentionPriority};
 use ochrewalk_ingress::request_evaluation::{RequestTarget, Rules};
@@ -125,7 +125,7 @@
         method: http_method.as_bytes(),
         uri: uri.as_bytes(),
         headers: headers.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect(),
-        attributes: vec![Attribute::Text(Which::Secret, secret.as_bytes())],
+        attributes: vec![Attribute::String(StringAttribute::Secret, secret.as_bytes())],
         ..Request::default()
     }
 }
--- a/crates/ochrewalk-lab/src/ajp.rs
+++ b/crates/ochrewalk-lab/src/ajp.rs
@@ -2,7 +2,7 @@
 
 use ochrewalk_ajp::packet::DEFAULT_PACKET_BYTES;
 use ochrewalk_ajp::reply::{self, Message};
-use ochrewalk_ajp::request::{self, Attribute, Request, Which};
+use ochrewalk_ajp::request::{self, Attribute, Request, StringAttribute};
 use std::io::{Error, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
@@ -59,11 +59,11 @@
             remote_host: None,
             server_name: Some(b"ledger.example.org"),
             server_port: 80,
-            ssl: false,
+            is_ssl: false,
             headers,
             attributes: self
                 .secret
-                .map(|s| Attribute::Text(Which::Secret, s.as_bytes()))
+                .map(|s| Attribute::String(StringAttribute::Secret, s.as_bytes()))
                 .into_iter()
                 .collect(),
         };
@@ -84,13 +84,13 @@
 
 pub fn piece(bytes: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    request::write_piece(&mut out, DEFAULT_PACKET_BYTES, bytes).expect("a piece that fits");
+    request::write_body_chunk(&mut out, DEFAULT_PACKET_BYTES, bytes).expect("a piece that fits");
     out
 }
 
 pub fn plain(message: &request::Message) -> Vec<u8> {
     let mut out = Vec::new();
-    request::write_plain(&mut out, message, DEFAULT_PACKET_BYTES).expect("fits");
+    request::write_message(&mut out, message, DEFAULT_PACKET_BYTES).expect("fits");
     out
 }
 
@@ -121,21 +121,21 @@
         let mut answer = Answer { status: 0, headers: Vec::new(), body: Vec::new(), reuse: false };
         loop {
             let ended = self.message(|message| match message {
-                Message::Head(head) => {
+                Message::SendHeaders(head) => {
                     answer.status = head.status;
                     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
                     answer.headers = head.headers.iter().map(|(n, v)| (text(n), text(v))).collect();
                     false
                 }
-                Message::Piece(piece) => {
+                Message::SendBodyChunk(piece) => {
                     answer.body.extend_from_slice(piece);
                     false
                 }
-                Message::End { reuse } => {
+                Message::EndResponse { reuse } => {
                     answer.reuse = *reuse;
                     true
                 }
-                Message::GetBody(_) | Message::CPong => false,
+                Message::GetBodyChunk(_) | Message::CPong => false,
             })?;
             if ended {
                 return Ok(answer);
--- a/crates/ochrewalk-lab/src/ledger.rs
+++ b/crates/ochrewalk-lab/src/ledger.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the ledger below: an AJP server that answers, slows, fails and closes as it is told, call by call.
 
 use ochrewalk_ajp::packet::DEFAULT_PACKET_BYTES;
-use ochrewalk_ajp::reply::{self, Head, Message};
+use ochrewalk_ajp::reply::{self, Message, ResponseHead};
 use ochrewalk_ajp::request::{self, BodyLength};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -145,7 +145,7 @@
                         return;
                     }
                 }
-                Ok(Some((request::Message::Request(request), taken))) => {
+                Ok(Some((request::Message::ForwardRequest(request), taken))) => {
                     let text = |bytes: Option<&[u8]>| bytes.map(|b| String::from_utf8_lossy(b).into_owned());
                     let came = Came {
                         number: self.next.fetch_add(1, Ordering::Relaxed),
@@ -153,7 +153,7 @@
                         before,
                         proven,
                         id: text(request.header("x-request-id")).unwrap_or_default(),
-                        secret: text(request.attribute(request::Which::Secret)),
+                        secret: text(request.attribute(request::StringAttribute::Secret)),
                         body: Vec::new(),
                     };
                     let length = request.body_length();
@@ -183,11 +183,13 @@
         let Some(BodyLength::Stated(length)) = length else { return self.run(stream, came, act) };
         let mut first = true;
         while (came.body.len() as u64) < length {
-            if !std::mem::take(&mut first) && stream.write_all(&message(&Message::GetBody(8_000))).is_err() {
+            if !std::mem::take(&mut first)
+                && stream.write_all(&message(&Message::GetBodyChunk(8_000))).is_err()
+            {
                 return false;
             }
             let whole = loop {
-                match request::read_piece(input, DEFAULT_PACKET_BYTES) {
+                match request::read_body_chunk(input, DEFAULT_PACKET_BYTES) {
                     Ok(Some((piece, taken))) => {
                         came.body.extend_from_slice(piece);
                         break Some(taken);
@@ -271,7 +273,7 @@
         headers.push((b"x-ochrewalk-never-ran", b"1"));
     }
     let mut out = Vec::new();
-    let head = Head { status, words: b"-", headers };
-    reply::write_answer(&mut out, DEFAULT_PACKET_BYTES, head, body, reuse).expect("fits");
+    let head = ResponseHead { status, reason: b"-", headers };
+    reply::write_response(&mut out, DEFAULT_PACKET_BYTES, head, body, reuse).expect("fits");
     out
 }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/answers.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/answers.rs
@@ -4,7 +4,7 @@
 use crate::interfaces::Answer;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use ochrewalk_ajp::answerer::Refusal;
-use ochrewalk_ajp::reply::{self, Head};
+use ochrewalk_ajp::reply::{self, ResponseHead};
 
 /// The header which states that an RPC never ran, so that even an RPC that is not idempotent may be retried elsewhere.
 pub const NEVER_RAN: &str = "x-ochrewalk-never-ran";
@@ -75,9 +75,9 @@
         let mut all: Vec<(&[u8], &[u8])> =
             vec![(b"content-type", content_type.as_bytes()), (b"content-length", length.as_bytes())];
         all.extend(headers.iter().map(|(name, value)| (*name, value.as_bytes())));
-        let head = Head { status, words: reason.as_bytes(), headers: all };
+        let head = ResponseHead { status, reason: reason.as_bytes(), headers: all };
         let mut out = Vec::with_capacity(body.len() + 256);
-        reply::write_answer(&mut out, self.max_packet_bytes, head, body, may_reuse)
+        reply::write_response(&mut out, self.max_packet_bytes, head, body, may_reuse)
             .expect("the head fits any packet");
         out
     }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -126,7 +126,7 @@
         input: &[u8],
         actions: &mut RequestedActions,
     ) -> Result<usize, ochrewalk_ajp::ProtocolError> {
-        let Some((piece, taken)) = request::read_piece(input, self.ingress.max_packet_bytes)? else {
+        let Some((piece, taken)) = request::read_body_chunk(input, self.ingress.max_packet_bytes)? else {
             return Ok(0);
         };
         if state.body.len() + piece.len() <= MAX_BODY_BYTES as usize {
@@ -148,7 +148,7 @@
             return Ok(0);
         };
         let plain = match message {
-            Message::Request(request) => {
+            Message::ForwardRequest(request) => {
                 // The configuration in force now applies to this request as a whole.
                 let config = self.ingress.config();
                 let evaluated = config.rules.evaluate(&request);
@@ -196,8 +196,8 @@
             reply::Message::CPong.write(&mut out, self.ingress.max_packet_bytes).expect("fits");
         }
         if let Some(most) = actions.body_request {
-            let most = most.min(request::longest_piece(self.ingress.max_packet_bytes) as u64) as u16;
-            reply::Message::GetBody(most).write(&mut out, self.ingress.max_packet_bytes).expect("fits");
+            let most = most.min(request::max_chunk_bytes(self.ingress.max_packet_bytes) as u64) as u16;
+            reply::Message::GetBodyChunk(most).write(&mut out, self.ingress.max_packet_bytes).expect("fits");
         }
         if let Some((refusal, may_reuse)) = actions.refusal {
             out.extend(self.ingress.refusal(refusal, allow, may_reuse));
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -13,7 +13,7 @@
 use ochrewalk::host::RpcId;
 use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
-use ochrewalk_ajp::request::{self, Attribute, Message, Request, Which};
+use ochrewalk_ajp::request::{self, Attribute, Message, Request, StringAttribute};
 use ochrewalk_connection_pool::{
     CallId, CallResult as PoolCallResult, ConnectionId, ConnectionPool, Disconnect, ReplyOutcome, Transport,
 };
@@ -402,7 +402,8 @@
         ];
         headers.push((self.headers.id.as_bytes(), call.id.as_bytes()));
         headers.push((self.headers.time_left.as_bytes(), time_left.as_bytes()));
-        let secret = self.settings.secret.as_ref().map(|secret| Attribute::Text(Which::Secret, secret));
+        let secret =
+            self.settings.secret.as_ref().map(|secret| Attribute::String(StringAttribute::Secret, secret));
         let request = Request {
             method: b"POST",
             protocol: b"HTTP/1.1",
@@ -411,15 +412,15 @@
             remote_host: None,
             server_name: Some(self.settings.server_name.as_bytes()),
             server_port: 80,
-            ssl: false,
+            is_ssl: false,
             headers,
             attributes: secret.into_iter().collect(),
         };
         let mut out = Vec::with_capacity(256 + call.body.len());
         request.write(&mut out, self.settings.max_packet_bytes).ok()?;
-        let first = call.body.len().min(request::longest_piece(self.settings.max_packet_bytes));
+        let first = call.body.len().min(request::max_chunk_bytes(self.settings.max_packet_bytes));
         if first > 0 {
-            request::write_piece(&mut out, self.settings.max_packet_bytes, &call.body[..first]).ok()?;
+            request::write_body_chunk(&mut out, self.settings.max_packet_bytes, &call.body[..first]).ok()?;
         }
         Some((out, first))
     }
@@ -476,7 +477,7 @@
         let call = connection.call.and_then(|call| self.calls.get(&call));
         let mut out = Vec::new();
         if actions.ping {
-            request::write_plain(&mut out, &Message::CPing, inner.settings.max_packet_bytes).expect("fits");
+            request::write_message(&mut out, &Message::CPing, inner.settings.max_packet_bytes).expect("fits");
         }
         if let (true, Some(call)) = (actions.call, call) {
             match inner.packets(call, self.now_us) {
@@ -489,10 +490,10 @@
             }
         }
         if let (Some(most), Some(call)) = (actions.piece, call) {
-            let most = usize::from(most).min(request::longest_piece(inner.settings.max_packet_bytes));
+            let most = usize::from(most).min(request::max_chunk_bytes(inner.settings.max_packet_bytes));
             let piece = &call.body[connection.sent..(connection.sent + most).min(call.body.len())];
             connection.sent += piece.len();
-            request::write_piece(&mut out, inner.settings.max_packet_bytes, piece).expect("fits");
+            request::write_body_chunk(&mut out, inner.settings.max_packet_bytes, piece).expect("fits");
         }
         if !out.is_empty() {
             connection.send_queue.push(out);
--- a/crates/ochrewalk-node/tests/ajp.rs
+++ b/crates/ochrewalk-node/tests/ajp.rs
@@ -112,7 +112,7 @@
     pieces.headers = vec![("transfer-encoding", "chunked".into())];
     peer.send(&pieces.head()).unwrap();
     for part in [&b"AB"[..], b"C", b""] {
-        assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBody(_))).unwrap());
+        assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBodyChunk(_))).unwrap());
         peer.send(&piece(part)).unwrap();
     }
     let line: Value = serde_json::from_str(&executor.hear_of("EXEC")).unwrap();
@@ -220,7 +220,7 @@
     let mut long = call("POST", "/once", 1, "");
     long.headers.push(("content-length", "6".into()));
     peer.send(&long.whole()).unwrap();
-    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBody(_))).unwrap());
+    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBodyChunk(_))).unwrap());
     peer.end();
     // Mid-head.
     let mut peer = ajp(&stand);
@@ -242,7 +242,7 @@
         r#"{{"action":"EXIT","pos":2,"uid":"{}","code":"complete","wall_ms":1,"content":"{result}"}}"#,
         req(4)
     ));
-    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::Head(_))).unwrap());
+    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::SendHeaders(_))).unwrap());
     drop(peer);
     serves(&stand, &mut executor, 5, 3);
     // The tokened run whose caller went goes on: its repeat gets the result.
@@ -470,11 +470,14 @@
         // Once the route is there the executor hears of it.
         let mut seen = false;
         if let Ok(status) = peer.message(|m| match m {
-            ochrewalk_ajp::reply::Message::Head(head) => head.status,
+            ochrewalk_ajp::reply::Message::SendHeaders(head) => head.status,
             _ => 0,
         }) {
             seen = status != 404;
-            while !peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::End { .. })).unwrap_or(true) {}
+            while !peer
+                .message(|m| matches!(m, ochrewalk_ajp::reply::Message::EndResponse { .. }))
+                .unwrap_or(true)
+            {}
         }
         if !seen {
             peer = ajp(&stand);
