--- a/crates/ochrewalk-ajp/tests/connection_states.rs
+++ b/crates/ochrewalk-ajp/tests/connection_states.rs
@@ -1,121 +1,123 @@
 //! Checks the connection state machines of both sides with tables of every state and every event.
 
-use ochrewalk_ajp::answerer::{self, Bounds, End, Life, Plain, Refusal, State};
 use ochrewalk_ajp::asker;
 use ochrewalk_ajp::reply::{Message, ResponseHead};
 use ochrewalk_ajp::request::BodyLength;
+use ochrewalk_ajp::servlet_container::{
+    self, CloseReason, ControlMessage, Limits, Refusal, State, StateMachine,
+};
 use ochrewalk_ajp::ProtocolError;
 
 /// Records the requested actions as text.
 #[derive(Default)]
 struct RecordedActions(Vec<String>);
 
-impl answerer::Acts for RecordedActions {
-    fn start(&mut self) {
+impl servlet_container::Actions for RecordedActions {
+    fn start_request(&mut self) {
         self.0.push("start".into());
     }
-    fn ask_body(&mut self, most: u64) {
-        self.0.push(format!("ask {most}"));
+    fn request_body_chunk(&mut self, max_bytes: u64) {
+        self.0.push(format!("get body {max_bytes}"));
     }
-    fn pong(&mut self) {
-        self.0.push("pong".into());
+    fn send_cpong(&mut self) {
+        self.0.push("cpong".into());
     }
-    fn refuse(&mut self, refusal: Refusal, reuse: bool) {
+    fn send_refusal(&mut self, refusal: Refusal, reuse: bool) {
         self.0.push(format!("{}{}", refusal.status, if reuse { "" } else { " last" }));
     }
-    fn gone(&mut self) {
-        self.0.push("gone".into());
+    fn client_disconnected(&mut self) {
+        self.0.push("disconnected".into());
     }
-    fn end(&mut self, why: End) {
-        self.0.push(format!("{why:?}"));
+    fn close(&mut self, reason: CloseReason) {
+        self.0.push(format!("{reason:?}"));
     }
 }
 
-const BOUNDS: Bounds = Bounds {
-    first_us: 100,
-    packet_us: 20,
-    body_us: 50,
-    idle_us: 1_000,
-    close_us: 30,
-    most_body: 10,
-    most_faults: 3,
+const LIMITS: Limits = Limits {
+    first_packet_timeout_us: 100,
+    packet_timeout_us: 20,
+    body_timeout_us: 50,
+    idle_timeout_us: 1_000,
+    close_timeout_us: 30,
+    max_body_bytes: 10,
+    max_consecutive_faults: 3,
 };
-const WRONG: Refusal = Refusal { status: 404, why: "no such route" };
+const NOT_FOUND: Refusal = Refusal { status: 404, reason: "no such route" };
 
 /// A state machine in each state at time 0; all but the first have received a complete packet.
-fn states() -> Vec<(&'static str, Life)> {
-    let mut acts = RecordedActions::default();
-    let fresh = Life::new(0, BOUNDS);
+fn states() -> Vec<(&'static str, StateMachine)> {
+    let mut actions = RecordedActions::default();
+    let fresh = StateMachine::new(0, LIMITS);
     let mut idle = fresh;
-    idle.plain(0, Plain::CPing, &mut acts);
-    let mut head = idle;
-    head.partial(0);
+    idle.control_message(0, ControlMessage::CPing, &mut actions);
+    let mut partial = idle;
+    partial.partial_input(0);
     let mut body = idle;
-    body.request(0, Ok(BodyLength::Stated(8)), &mut acts);
-    body.piece(0, 3, &mut acts);
+    body.request_head(0, Ok(BodyLength::Stated(8)), &mut actions);
+    body.body_chunk(0, 3, &mut actions);
     let mut chunks = idle;
-    chunks.request(0, Ok(BodyLength::Unstated), &mut acts);
-    chunks.piece(0, 3, &mut acts);
-    let mut in_hand = idle;
-    in_hand.request(0, Ok(BodyLength::None), &mut acts);
-    let mut spoilt = in_hand;
-    spoilt.request(0, Ok(BodyLength::None), &mut acts);
-    let mut answering = in_hand;
-    assert_eq!(answering.answered(false), Some(true));
-    let mut last = spoilt;
-    assert_eq!(last.answered(false), Some(false));
+    chunks.request_head(0, Ok(BodyLength::Unstated), &mut actions);
+    chunks.body_chunk(0, 3, &mut actions);
+    let mut in_flight = idle;
+    in_flight.request_head(0, Ok(BodyLength::None), &mut actions);
+    let mut corrupted = in_flight;
+    corrupted.request_head(0, Ok(BodyLength::None), &mut actions);
+    let mut responding = in_flight;
+    assert_eq!(responding.response_ready(false), Some(true));
+    let mut last = corrupted;
+    assert_eq!(last.response_ready(false), Some(false));
     let mut closing = last;
-    closing.written(0);
-    let mut over = idle;
-    over.closed(&mut acts);
+    closing.output_written(0);
+    let mut closed = idle;
+    closed.disconnected(&mut actions);
     vec![
         ("fresh", fresh),
         ("idle", idle),
-        ("head", head),
+        ("partial", partial),
         ("body", body),
         ("chunks", chunks),
-        ("in hand", in_hand),
-        ("spoilt", spoilt),
-        ("answering", answering),
-        ("last answer", last),
+        ("in flight", in_flight),
+        ("corrupted", corrupted),
+        ("responding", responding),
+        ("last reply", last),
         ("closing", closing),
-        ("over", over),
+        ("closed", closed),
     ]
 }
 
 fn state_name(state: State) -> &'static str {
     match state {
         State::Idle { .. } => "idle",
-        State::Head { .. } => "head",
+        State::PartialPacket { .. } => "partial",
         State::Body { .. } => "body",
-        State::InHand { spoilt: false } => "in hand",
-        State::InHand { spoilt: true } => "spoilt",
-        State::Answering { reuse: true } => "answering",
-        State::Answering { reuse: false } => "last answer",
+        State::InFlight { is_corrupted: false } => "in flight",
+        State::InFlight { is_corrupted: true } => "corrupted",
+        State::Responding { reuse: true } => "responding",
+        State::Responding { reuse: false } => "last reply",
         State::Closing { .. } => "closing",
-        State::Over => "over",
+        State::Closed => "closed",
     }
 }
 
-type Event = (&'static str, fn(&mut Life, &mut RecordedActions));
+type Event = (&'static str, fn(&mut StateMachine, &mut RecordedActions));
 
 const EVENTS: [Event; 16] = [
-    ("partial", |l, _| l.partial(5)),
-    ("request", |l, a| l.request(5, Ok(BodyLength::None), a)),
-    ("with body", |l, a| l.request(5, Ok(BodyLength::Stated(8)), a)),
-    ("too large", |l, a| l.request(5, Ok(BodyLength::Stated(11)), a)),
-    ("wrong", |l, a| l.request(5, Err(WRONG), a)),
-    ("wrong with body", |l, a| l.request_with_body(5, WRONG, a)),
-    ("piece", |l, a| l.piece(5, 5, a)),
-    ("long piece", |l, a| l.piece(5, 9, a)),
-    ("empty piece", |l, a| l.piece(5, 0, a)),
-    ("ping", |l, a| l.plain(5, Plain::CPing, a)),
-    ("shutdown", |l, a| l.plain(5, Plain::Shutdown, a)),
-    ("broken", |l, a| l.broken(ProtocolError::InvalidMagic, a)),
-    ("written", |l, _| l.written(5)),
-    ("closed", |l, a| l.closed(a)),
-    ("silence", |l, a| l.empty(150, a)),
-    ("room", |l, a| l.make_room(a)),
+    ("partial", |machine, _| machine.partial_input(5)),
+    ("request", |machine, actions| machine.request_head(5, Ok(BodyLength::None), actions)),
+    ("with body", |machine, actions| machine.request_head(5, Ok(BodyLength::Stated(8)), actions)),
+    ("too large", |machine, actions| machine.request_head(5, Ok(BodyLength::Stated(11)), actions)),
+    ("not found", |machine, actions| machine.request_head(5, Err(NOT_FOUND), actions)),
+    ("not found, body", |machine, actions| machine.refused_request_with_body(5, NOT_FOUND, actions)),
+    ("chunk", |machine, actions| machine.body_chunk(5, 5, actions)),
+    ("long chunk", |machine, actions| machine.body_chunk(5, 9, actions)),
+    ("empty chunk", |machine, actions| machine.body_chunk(5, 0, actions)),
+    ("cping", |machine, actions| machine.control_message(5, ControlMessage::CPing, actions)),
+    ("shutdown", |machine, actions| machine.control_message(5, ControlMessage::Shutdown, actions)),
+    ("malformed", |machine, actions| machine.malformed_input(ProtocolError::InvalidMagic, actions)),
+    ("written", |machine, _| machine.output_written(5)),
+    ("disconnected", |machine, actions| machine.disconnected(actions)),
+    ("timeout", |machine, actions| machine.check_timeouts(150, actions)),
+    ("evict", |machine, actions| machine.evict(actions)),
 ];
 
 /// The expected result of each event in each state: the state, the event, the requested actions, and the state after the event.
@@ -124,12 +126,13 @@
 #[test]
 fn every_event_in_every_state_has_the_expected_result() {
     let mut table = String::new();
-    for (name, life) in states() {
+    for (name, machine) in states() {
         for (event, apply) in EVENTS {
-            let (mut life, mut acts) = (life, RecordedActions::default());
-            apply(&mut life, &mut acts);
-            let actions = if acts.0.is_empty() { "-".to_string() } else { acts.0.join(", ") };
-            table += &format!("{name:<12} | {event:<16} | {actions:<22} | {}\n", state_name(life.state()));
+            let (mut machine, mut actions) = (machine, RecordedActions::default());
+            apply(&mut machine, &mut actions);
+            let actions_text = if actions.0.is_empty() { "-".to_string() } else { actions.0.join(", ") };
+            table +=
+                &format!("{name:<12} | {event:<16} | {actions_text:<22} | {}\n", state_name(machine.state()));
         }
     }
     for (actual, expected) in table.lines().zip(TABLE.lines()) {
@@ -140,64 +143,68 @@
 
 #[test]
 fn one_response_is_due_for_a_complete_request_and_none_for_any_other() {
-    for (name, life) in states() {
-        let mut life = life;
-        let is_due = matches!(name, "in hand" | "spoilt");
-        assert_eq!((life.owes(), life.answered(false).is_some()), (is_due, is_due), "{name}");
-        assert_eq!(life.answered(false), None, "{name}: twice");
+    for (name, machine) in states() {
+        let mut machine = machine;
+        let is_due = matches!(name, "in flight" | "corrupted");
+        assert_eq!(
+            (machine.has_request_in_flight(), machine.response_ready(false).is_some()),
+            (is_due, is_due),
+            "{name}"
+        );
+        assert_eq!(machine.response_ready(false), None, "{name}: twice");
         // A draining servlet container still responds, and marks the response as the last one.
-        let mut life = states().into_iter().find(|(n, _)| *n == name).unwrap().1;
-        life.leave();
-        assert_eq!(life.answered(false), is_due.then_some(false), "{name}");
+        let mut machine = states().into_iter().find(|(other, _)| *other == name).unwrap().1;
+        machine.drain();
+        assert_eq!(machine.response_ready(false), is_due.then_some(false), "{name}");
     }
 }
 
 #[test]
 fn consecutive_faults_close_a_connection_and_a_run_resets_them() {
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
+    let (mut machine, mut actions) = (StateMachine::new(0, LIMITS), RecordedActions::default());
     for _ in 0..2 {
-        life.request(0, Err(WRONG), &mut acts);
-        life.written(0);
+        machine.request_head(0, Err(NOT_FOUND), &mut actions);
+        machine.output_written(0);
     }
-    life.request(0, Ok(BodyLength::None), &mut acts);
-    life.proven();
-    assert_eq!(life.answered(false), Some(true));
-    life.written(0);
+    machine.request_head(0, Ok(BodyLength::None), &mut actions);
+    machine.reset_faults();
+    assert_eq!(machine.response_ready(false), Some(true));
+    machine.output_written(0);
     for _ in 0..3 {
-        life.request(0, Err(WRONG), &mut acts);
-        life.written(0);
+        machine.request_head(0, Err(NOT_FOUND), &mut actions);
+        machine.output_written(0);
     }
-    assert_eq!(acts.0.join(", "), "404, 404, start, 404, 404, 404 last");
-    assert!(life.drops() && life.reads());
+    assert_eq!(actions.0.join(", "), "404, 404, start, 404, 404, 404 last");
+    assert!(machine.discards_input() && machine.reads_input());
     // A fault that is found only after the request has started counts too.
-    let mut life = Life::new(0, BOUNDS);
+    let mut machine = StateMachine::new(0, LIMITS);
     for reuse in [true, true, false] {
-        life.request(0, Ok(BodyLength::None), &mut acts);
-        assert_eq!(life.answered(true), Some(reuse));
-        life.written(0);
+        machine.request_head(0, Ok(BodyLength::None), &mut actions);
+        assert_eq!(machine.response_ready(true), Some(reuse));
+        machine.output_written(0);
     }
 }
 
 #[test]
 fn a_body_without_a_length_is_requested_chunk_by_chunk() {
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
-    life.request(0, Ok(BodyLength::Unstated), &mut acts);
-    life.piece(1, 4, &mut acts);
-    life.piece(2, 6, &mut acts);
-    assert!(life.awaits_piece());
-    life.piece(3, 0, &mut acts);
-    assert_eq!(acts.0.join(", "), "ask 11, ask 7, ask 1, start");
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
-    life.request(0, Ok(BodyLength::Unstated), &mut acts);
-    life.piece(1, 11, &mut acts);
-    assert_eq!(acts.0.join(", "), "ask 11, 413 last");
-    // The timeout of the body counts from the head, regardless of the chunks received.
-    let (mut life, mut acts) = (Life::new(0, BOUNDS), RecordedActions::default());
-    life.request(0, Ok(BodyLength::Stated(9)), &mut acts);
-    life.piece(49, 1, &mut acts);
-    life.empty(49, &mut acts);
-    life.empty(50, &mut acts);
-    assert_eq!(acts.0.join(", "), "ask 8, 408 last");
+    let (mut machine, mut actions) = (StateMachine::new(0, LIMITS), RecordedActions::default());
+    machine.request_head(0, Ok(BodyLength::Unstated), &mut actions);
+    machine.body_chunk(1, 4, &mut actions);
+    machine.body_chunk(2, 6, &mut actions);
+    assert!(machine.awaits_body_chunk());
+    machine.body_chunk(3, 0, &mut actions);
+    assert_eq!(actions.0.join(", "), "get body 11, get body 7, get body 1, start");
+    let (mut machine, mut actions) = (StateMachine::new(0, LIMITS), RecordedActions::default());
+    machine.request_head(0, Ok(BodyLength::Unstated), &mut actions);
+    machine.body_chunk(1, 11, &mut actions);
+    assert_eq!(actions.0.join(", "), "get body 11, 413 last");
+    // The timeout of the body counts from the head of the request, regardless of the chunks received.
+    let (mut machine, mut actions) = (StateMachine::new(0, LIMITS), RecordedActions::default());
+    machine.request_head(0, Ok(BodyLength::Stated(9)), &mut actions);
+    machine.body_chunk(49, 1, &mut actions);
+    machine.check_timeouts(49, &mut actions);
+    machine.check_timeouts(50, &mut actions);
+    assert_eq!(actions.0.join(", "), "get body 8, 408 last");
 }
 
 impl asker::Acts for RecordedActions {
--- a/crates/ochrewalk-ingress/src/request_evaluation.rs
+++ b/crates/ochrewalk-ingress/src/request_evaluation.rs
@@ -2,8 +2,8 @@
 //! or a refusal with a reason. Evaluation neither blocks nor starts the method.
 
 use crate::routes::{RouteMatch, Routes};
-use ochrewalk_ajp::answerer::Refusal;
 use ochrewalk_ajp::request::{BodyLength, Request, StringAttribute};
+use ochrewalk_ajp::servlet_container::Refusal;
 use subtle::ConstantTimeEq;
 
 /// The operators' rules for requests.
@@ -75,8 +75,12 @@
     pub closes_connection: bool,
 }
 
-fn reject<T>(status: u16, why: &'static str) -> Result<T, Rejection> {
-    Err(Rejection { refusal: Refusal { status, why }, allowed_methods: Vec::new(), closes_connection: false })
+fn reject<T>(status: u16, reason: &'static str) -> Result<T, Rejection> {
+    Err(Rejection {
+        refusal: Refusal { status, reason },
+        allowed_methods: Vec::new(),
+        closes_connection: false,
+    })
 }
 
 /// The maximum length of a token, in bytes.
@@ -187,6 +191,6 @@
 }
 
 fn method_not_allowed(allowed_methods: Vec<String>) -> Rejection {
-    let refusal = Refusal { status: 405, why: "this path is there for other methods only" };
+    let refusal = Refusal { status: 405, reason: "this path is there for other methods only" };
     Rejection { refusal, allowed_methods, closes_connection: false }
 }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/answers.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/answers.rs
@@ -3,8 +3,8 @@
 use super::AjpIngress;
 use crate::interfaces::Answer;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use ochrewalk_ajp::answerer::Refusal;
 use ochrewalk_ajp::reply::{self, ResponseHead};
+use ochrewalk_ajp::servlet_container::Refusal;
 
 /// The header which states that an RPC never ran, so that even an RPC that is not idempotent may be retried elsewhere.
 pub const NEVER_RAN: &str = "x-ochrewalk-never-ran";
@@ -47,8 +47,8 @@
 
     /// Encodes the refusal of a request, and logs it. `allow` lists the methods that the path has.
     pub(super) fn refusal(&self, refusal: Refusal, allow: &[String], may_reuse: bool) -> Vec<u8> {
-        tracing::warn!(part = "ajp", "{} {}", refusal.status, refusal.why);
-        let body = format!("{}\n", refusal.why);
+        tracing::warn!(part = "ajp", "{} {}", refusal.status, refusal.reason);
+        let body = format!("{}\n", refusal.reason);
         let allow = (b"allow".as_slice(), allow.join(", "));
         let headers = if allow.1.is_empty() { vec![] } else { vec![allow] };
         self.write(refusal.status, "Refused", "text/plain", &headers, body.as_bytes(), may_reuse)
--- a/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -5,8 +5,8 @@
 use crate::interfaces::DownstreamClient;
 use crate::net::buffered_connection::{stream_from_descriptor, SendQueue};
 use ochrewalk::host::RpcId;
-use ochrewalk_ajp::answerer::{Life, State};
 use ochrewalk_ajp::request::BodyLength;
+use ochrewalk_ajp::servlet_container::{State, StateMachine};
 use ochrewalk_ingress::request_evaluation::{MethodRequest, RequestTarget};
 use std::collections::HashSet;
 use std::os::fd::{AsRawFd, OwnedFd, RawFd};
@@ -28,18 +28,18 @@
         {
             let (fd, stream) = connection.send_queue.snapshot()?;
             let state = connection.lock();
-            let (machine_state, spoke, faults) = state.state_machine.keep();
+            let (machine_state, has_received_packet, consecutive_faults) = state.state_machine.snapshot();
             let (kind, since_us, got, stated, flag) = match machine_state {
                 State::Idle { since_us } => (0, since_us, 0, None, false),
-                State::Head { since_us } => (1, since_us, 0, None, false),
-                State::Body { since_us, got, of } => {
-                    let stated = if let BodyLength::Stated(length) = of { Some(length) } else { None };
-                    (2, since_us, got, stated, false)
+                State::PartialPacket { since_us } => (1, since_us, 0, None, false),
+                State::Body { since_us, received_bytes, length } => {
+                    let stated = if let BodyLength::Stated(stated) = length { Some(stated) } else { None };
+                    (2, since_us, received_bytes, stated, false)
                 }
-                State::InHand { spoilt } => (3, 0, 0, None, spoilt),
-                State::Answering { reuse } => (4, 0, 0, None, reuse),
+                State::InFlight { is_corrupted } => (3, 0, 0, None, is_corrupted),
+                State::Responding { reuse } => (4, 0, 0, None, reuse),
                 State::Closing { since_us } => (5, since_us, 0, None, false),
-                State::Over => (6, 0, 0, None, false),
+                State::Closed => (6, 0, 0, None, false),
             };
             connections.push(AjpConnectionRecord {
                 number: *number,
@@ -49,8 +49,8 @@
                 got,
                 stated,
                 flag,
-                spoke,
-                faults,
+                spoke: has_received_packet,
+                faults: consecutive_faults,
                 request: state.request.as_ref().map(request_record),
                 body: state.body.clone(),
                 rpc: state.rpc.as_ref().map(|id| id.to_string()),
@@ -78,18 +78,23 @@
             let (since_us, flag) = (record.since_us, record.flag);
             let machine_state = match record.state {
                 0 => State::Idle { since_us },
-                1 => State::Head { since_us },
+                1 => State::PartialPacket { since_us },
                 2 => {
-                    let of = record.stated.map_or(BodyLength::Unstated, BodyLength::Stated);
-                    State::Body { since_us, got: record.got, of }
+                    let length = record.stated.map_or(BodyLength::Unstated, BodyLength::Stated);
+                    State::Body { since_us, received_bytes: record.got, length }
                 }
-                3 => State::InHand { spoilt: flag },
-                4 => State::Answering { reuse: flag },
+                3 => State::InFlight { is_corrupted: flag },
+                4 => State::Responding { reuse: flag },
                 5 => State::Closing { since_us },
-                _ => State::Over,
+                _ => State::Closed,
             };
             let state = ConnectionState {
-                state_machine: Life::resume(self.bounds(), machine_state, record.spoke, record.faults),
+                state_machine: StateMachine::restore(
+                    self.limits(),
+                    machine_state,
+                    record.spoke,
+                    record.faults,
+                ),
                 request: record.request.map(pending_request),
                 body: record.body,
                 rpc: record.rpc.map(id),
--- a/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/inbound.rs
@@ -6,9 +6,9 @@
 use crate::net::buffered_connection::{CloseRequest, MessageHandler};
 use crate::shared_state::ParsedRequest;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use ochrewalk_ajp::answerer::{Acts, End, Plain, Refusal};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, BodyLength, Message};
+use ochrewalk_ajp::servlet_container::{self, Actions, ControlMessage, Refusal};
 use ochrewalk_ingress::request_evaluation::{MethodRequest, Rejection, RequestTarget};
 use std::sync::Arc;
 
@@ -24,27 +24,27 @@
     pong: bool,
     refusal: Option<(Refusal, bool)>,
     pub(super) gone: bool,
-    end: Option<End>,
+    close_reason: Option<servlet_container::CloseReason>,
 }
 
-impl Acts for RequestedActions {
-    fn start(&mut self) {
+impl Actions for RequestedActions {
+    fn start_request(&mut self) {
         self.start = true;
     }
-    fn ask_body(&mut self, most: u64) {
-        self.body_request = Some(most);
+    fn request_body_chunk(&mut self, max_bytes: u64) {
+        self.body_request = Some(max_bytes);
     }
-    fn pong(&mut self) {
+    fn send_cpong(&mut self) {
         self.pong = true;
     }
-    fn refuse(&mut self, refusal: Refusal, reuse: bool) {
+    fn send_refusal(&mut self, refusal: Refusal, reuse: bool) {
         self.refusal = Some((refusal, reuse));
     }
-    fn gone(&mut self) {
+    fn client_disconnected(&mut self) {
         self.gone = true;
     }
-    fn end(&mut self, why: End) {
-        self.end = Some(why);
+    fn close(&mut self, reason: servlet_container::CloseReason) {
+        self.close_reason = Some(reason);
     }
 }
 
@@ -58,18 +58,18 @@
         let (mut actions, mut allow) = (RequestedActions::default(), Vec::new());
         let taken = {
             let mut state = self.connection.lock();
-            if state.state_machine.drops() || !state.state_machine.reads() {
+            if state.state_machine.discards_input() || !state.state_machine.reads_input() {
                 return Ok(input.len());
             }
             let now_us = self.ingress.core.clock.now_us();
-            let taken = if state.state_machine.awaits_piece() {
+            let taken = if state.state_machine.awaits_body_chunk() {
                 self.piece(&mut state, now_us, input, &mut actions)
             } else {
                 self.message(&mut state, now_us, input, &mut actions, &mut allow)
             };
             match taken {
                 Ok(0) => {
-                    state.state_machine.partial(now_us);
+                    state.state_machine.partial_input(now_us);
                     0
                 }
                 Ok(taken) => {
@@ -78,7 +78,7 @@
                 }
                 // The start of the next packet is unknown; a pending answer is still sent.
                 Err(error) => {
-                    state.state_machine.broken(error, &mut actions);
+                    state.state_machine.malformed_input(error, &mut actions);
                     input.len()
                 }
             }
@@ -88,11 +88,11 @@
     }
 
     fn may_read(&self) -> bool {
-        self.connection.lock().state_machine.reads()
+        self.connection.lock().state_machine.reads_input()
     }
 
     fn may_close(&self, request: CloseRequest) -> bool {
-        request != CloseRequest::Draining || !self.connection.lock().state_machine.owes()
+        request != CloseRequest::Draining || !self.connection.lock().state_machine.has_request_in_flight()
     }
 
     fn on_drained(&mut self, is_flushed: bool) {
@@ -101,15 +101,15 @@
             let mut state = self.connection.lock();
             let now_us = self.ingress.core.clock.now_us();
             if is_flushed {
-                state.state_machine.written(now_us);
+                state.state_machine.output_written(now_us);
             }
             if std::mem::take(&mut state.is_evicted) {
-                state.state_machine.make_room(&mut actions);
+                state.state_machine.evict(&mut actions);
             }
-            state.state_machine.empty(now_us, &mut actions);
-            is_flushed && state.state_machine.drops()
+            state.state_machine.check_timeouts(now_us, &mut actions);
+            is_flushed && state.state_machine.discards_input()
         };
-        if is_closing && actions.end.is_none() {
+        if is_closing && actions.close_reason.is_none() {
             // The last answer is written. Only the write side is shut, because a full close on later input would reset
             // the connection before the peer has received the answer.
             self.connection.send_queue.request_close_once(CloseRequest::Draining);
@@ -132,7 +132,7 @@
         if state.body.len() + piece.len() <= MAX_BODY_BYTES as usize {
             state.body.extend_from_slice(piece);
         }
-        state.state_machine.piece(now_us, piece.len() as u64, actions);
+        state.state_machine.body_chunk(now_us, piece.len() as u64, actions);
         Ok(taken)
     }
 
@@ -147,17 +147,17 @@
         let Some((message, taken)) = request::read(input, self.ingress.max_packet_bytes)? else {
             return Ok(0);
         };
-        let plain = match message {
+        let control_message = match message {
             Message::ForwardRequest(request) => {
                 // The configuration in force now applies to this request as a whole.
                 let config = self.ingress.config();
                 let evaluated = config.rules.evaluate(&request);
-                if !state.state_machine.owes() {
+                if !state.state_machine.has_request_in_flight() {
                     state.body.clear();
                     state.request = None;
                 }
                 match evaluated {
-                    Ok((target, body)) if !state.state_machine.owes() => {
+                    Ok((target, body)) if !state.state_machine.has_request_in_flight() => {
                         let tenant = match &target {
                             RequestTarget::Method(MethodRequest { tenant: Some(tenant), .. }) => {
                                 self.ingress.quota(&config, tenant)
@@ -166,26 +166,26 @@
                         };
                         let read_ms = self.ingress.core.clock.unix_ms();
                         state.request = Some(PendingRequest { target, read_ms, tenant });
-                        state.state_machine.request(now_us, Ok(body), actions);
+                        state.state_machine.request_head(now_us, Ok(body), actions);
                     }
-                    Ok((_, body)) => state.state_machine.request(now_us, Ok(body), actions),
+                    Ok((_, body)) => state.state_machine.request_head(now_us, Ok(body), actions),
                     Err(Rejection { refusal, allowed_methods, closes_connection }) => {
                         *allow = allowed_methods;
                         let has_body = request.body_length() != Some(BodyLength::None);
                         if closes_connection || has_body {
-                            state.state_machine.request_with_body(now_us, refusal, actions);
+                            state.state_machine.refused_request_with_body(now_us, refusal, actions);
                         } else {
-                            state.state_machine.request(now_us, Err(refusal), actions);
+                            state.state_machine.request_head(now_us, Err(refusal), actions);
                         }
                     }
                 }
                 return Ok(taken);
             }
-            Message::CPing => Plain::CPing,
-            Message::Login => Plain::Login,
-            Message::Shutdown => Plain::Shutdown,
+            Message::CPing => ControlMessage::CPing,
+            Message::Login => ControlMessage::Login,
+            Message::Shutdown => ControlMessage::Shutdown,
         };
-        state.state_machine.plain(now_us, plain, actions);
+        state.state_machine.control_message(now_us, control_message, actions);
         Ok(taken)
     }
 
@@ -208,11 +208,15 @@
         if actions.start {
             self.start();
         }
-        match actions.end {
+        match actions.close_reason {
             None => {}
-            Some(End::Idle | End::Leaving) => send_queue.request_close(CloseRequest::Idle),
-            Some(End::Silent | End::Unclosed) => send_queue.request_close(CloseRequest::TimedOut),
-            Some(End::Broken(error)) => {
+            Some(servlet_container::CloseReason::Idle | servlet_container::CloseReason::Draining) => {
+                send_queue.request_close(CloseRequest::Idle)
+            }
+            Some(
+                servlet_container::CloseReason::TimedOut | servlet_container::CloseReason::NotClosedByPeer,
+            ) => send_queue.request_close(CloseRequest::TimedOut),
+            Some(servlet_container::CloseReason::Malformed(error)) => {
                 tracing::warn!(part = "ajp", "malformed AJP input: {error}");
                 send_queue.request_close(CloseRequest::Faulty);
             }
@@ -259,10 +263,10 @@
                     AjpClient { ingress: ingress.clone(), connection: self.connection.clone(), serial };
                 ingress.core.start_request(incoming, &body, client);
             }
-            Err(why) => {
+            Err(reason) => {
                 if let Some(may_reuse) = self.answered(true) {
                     self.connection.send_queue.push(ingress.refusal(
-                        Refusal { status: 400, why },
+                        Refusal { status: 400, reason },
                         &[],
                         may_reuse,
                     ));
@@ -272,6 +276,6 @@
     }
 
     fn answered(&self, is_fault: bool) -> Option<bool> {
-        self.connection.lock().state_machine.answered(is_fault)
+        self.connection.lock().state_machine.response_ready(is_fault)
     }
 }
--- a/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/mod.rs
@@ -19,7 +19,7 @@
 use inbound::{RequestHandler, RequestedActions, MAX_BODY_BYTES};
 use may::net::TcpStream;
 use ochrewalk::host::{RpcId, Tenant};
-use ochrewalk_ajp::answerer::{Bounds, Life};
+use ochrewalk_ajp::servlet_container::{Limits, StateMachine};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
 use ochrewalk_ingress::connection_budget::{self, BudgetDecision, ConnectionUsage, RetentionPriority};
 use ochrewalk_ingress::request_evaluation::{RequestTarget, Rules};
@@ -80,7 +80,7 @@
 }
 
 struct ConnectionState {
-    state_machine: Life,
+    state_machine: StateMachine,
     /// The current request, or the one whose body is being received.
     request: Option<PendingRequest>,
     body: Vec<u8>,
@@ -163,7 +163,12 @@
             may::coroutine::sleep(CHECK_INTERVAL);
             let now_us = self.core.clock.now_us();
             for connection in self.all() {
-                if connection.lock().state_machine.due_us().is_some_and(|due_us| now_us >= due_us) {
+                if connection
+                    .lock()
+                    .state_machine
+                    .timeout_at_us()
+                    .is_some_and(|timeout_at_us| now_us >= timeout_at_us)
+                {
                     connection.send_queue.wake();
                 }
             }
@@ -173,7 +178,7 @@
     /// Starts to drain: requests are still answered, and each connection is closed after its next answer.
     pub fn drain(&self) {
         self.lock().is_draining = true;
-        self.all().iter().for_each(|connection| connection.lock().state_machine.leave());
+        self.all().iter().for_each(|connection| connection.lock().state_machine.drain());
     }
 
     /// Shuts the write side of each connection once its queue is written.
@@ -198,15 +203,15 @@
         self.table.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn bounds(&self) -> Bounds {
-        Bounds {
-            first_us: FIRST_PACKET_TIMEOUT_US,
-            packet_us: PACKET_TIMEOUT_US,
-            body_us: BODY_TIMEOUT_US,
-            idle_us: self.idle_timeout_us,
-            close_us: CLOSE_TIMEOUT_US,
-            most_body: MAX_BODY_BYTES,
-            most_faults: MAX_FAULTS,
+    fn limits(&self) -> Limits {
+        Limits {
+            first_packet_timeout_us: FIRST_PACKET_TIMEOUT_US,
+            packet_timeout_us: PACKET_TIMEOUT_US,
+            body_timeout_us: BODY_TIMEOUT_US,
+            idle_timeout_us: self.idle_timeout_us,
+            close_timeout_us: CLOSE_TIMEOUT_US,
+            max_body_bytes: MAX_BODY_BYTES,
+            max_consecutive_faults: MAX_FAULTS,
         }
     }
 
@@ -219,9 +224,9 @@
     fn register(&self) -> (u64, Arc<Connection>) {
         let now_us = self.core.clock.now_us();
         let mut table = self.lock();
-        let mut state_machine = Life::new(now_us, self.bounds());
+        let mut state_machine = StateMachine::new(now_us, self.limits());
         if table.is_draining {
-            state_machine.leave();
+            state_machine.drain();
         }
         let state = ConnectionState {
             state_machine,
@@ -254,7 +259,7 @@
         {
             let mut state = connection.lock();
             state.is_closed = true;
-            state.state_machine.closed(&mut actions);
+            state.state_machine.disconnected(&mut actions);
         }
         match &reason {
             CloseReason::Malformed(_) | CloseReason::MessageTooLong => {
@@ -350,7 +355,7 @@
 impl DownstreamClient for AjpClient {
     fn awaits_answer(&self) -> bool {
         let state = self.connection.lock();
-        state.serial == self.serial && state.state_machine.owes()
+        state.serial == self.serial && state.state_machine.has_request_in_flight()
     }
 
     fn answer(&self, answer: Answer, signal: Option<f64>) {
@@ -359,7 +364,8 @@
             if state.serial != self.serial {
                 return;
             }
-            let Some(may_reuse) = state.state_machine.answered(matches!(answer, Answer::InvalidRequest(_)))
+            let Some(may_reuse) =
+                state.state_machine.response_ready(matches!(answer, Answer::InvalidRequest(_)))
             else {
                 return;
             };
@@ -383,7 +389,7 @@
 
     fn mark_trusted(&self) {
         let mut state = self.connection.lock();
-        state.state_machine.proven();
+        state.state_machine.reset_faults();
         state.is_proven = true;
     }
 }
