--- a/crates/ochrewalk-ajp/tests/connection_states.rs
+++ b/crates/ochrewalk-ajp/tests/connection_states.rs
@@ -1,11 +1,11 @@
 //! Checks the connection state machines of both sides with tables of every state and every event.
 
-use ochrewalk_ajp::asker;
 use ochrewalk_ajp::reply::{Message, ResponseHead};
 use ochrewalk_ajp::request::BodyLength;
 use ochrewalk_ajp::servlet_container::{
     self, CloseReason, ControlMessage, Limits, Refusal, State, StateMachine,
 };
+use ochrewalk_ajp::web_server;
 use ochrewalk_ajp::ProtocolError;
 
 /// Records the requested actions as text.
@@ -207,30 +207,34 @@
     assert_eq!(actions.0.join(", "), "get body 8, 408 last");
 }
 
-impl asker::Acts for RecordedActions {
-    fn ping(&mut self) {
-        self.0.push("ping".into());
+impl web_server::Actions for RecordedActions {
+    fn send_cping(&mut self) {
+        self.0.push("cping".into());
     }
-    fn write_call(&mut self) {
+    fn send_request(&mut self) {
         self.0.push("call".into());
     }
-    fn write_piece(&mut self, most: u16) {
-        self.0.push(format!("piece {most}"));
+    fn send_body_chunk(&mut self, max_bytes: u16) {
+        self.0.push(format!("chunk {max_bytes}"));
     }
     fn ready(&mut self) {
         self.0.push("ready".into());
     }
-    fn replied(&mut self, reply: asker::Reply) {
-        let suffix = if reply.never_ran { "never ran" } else { "" };
-        self.0.push(format!("{} {suffix}[{}]", reply.status, String::from_utf8(reply.body).unwrap()));
+    fn response_received(&mut self, response: web_server::Response) {
+        let suffix = if response.never_ran { "never ran" } else { "" };
+        self.0.push(format!("{} {suffix}[{}]", response.status, String::from_utf8(response.body).unwrap()));
     }
-    fn end(&mut self, why: asker::End, wrote: bool) {
-        self.0.push(format!("{why:?}{}", if wrote { " wrote" } else { "" }));
+    fn close(&mut self, reason: web_server::CloseReason, may_have_sent_call: bool) {
+        self.0.push(format!("{reason:?}{}", if may_have_sent_call { " sent" } else { "" }));
     }
 }
 
-fn new_connection() -> asker::Life {
-    asker::Life::new(0, asker::Bounds { pong_us: 10, reply_us: 20, most_reply: 6 }, "x-never-ran")
+fn new_connection() -> web_server::StateMachine {
+    web_server::StateMachine::new(
+        0,
+        web_server::Limits { cpong_timeout_us: 10, response_timeout_us: 20, max_response_bytes: 6 },
+        "x-never-ran",
+    )
 }
 
 fn head(status: u16, headers: &[(&'static [u8], &'static [u8])]) -> Message<'static> {
@@ -250,95 +254,111 @@
         (
             false,
             vec![head(200, &[(LENGTH, b"2")]), Message::SendBodyChunk(b"ab"), end(false)],
-            "call, 200 [ab], Spent",
+            "call, 200 [ab], NotReusable",
         ),
-        (true, vec![Message::CPong, head(204, &[]), end(true)], "ping, call, 204 []"),
+        (true, vec![Message::CPong, head(204, &[]), end(true)], "cping, call, 204 []"),
         (
             false,
             vec![Message::GetBodyChunk(9), head(503, &[(b"X-Never-Ran", b"1")]), end(true)],
-            "call, piece 9, 503 never ran[]",
+            "call, chunk 9, 503 never ran[]",
         ),
         (false, vec![head(503, &[(b"X-Never-Ran", b"0")]), end(true)], "call, 503 []"),
         // Responses shorter and longer than stated, or longer than allowed.
         (
             false,
             vec![head(200, &[(LENGTH, b"3")]), Message::SendBodyChunk(b"ab"), end(true)],
-            "call, TooShort wrote",
+            "call, ResponseTooShort sent",
         ),
         (
             false,
             vec![head(200, &[(LENGTH, b"1")]), Message::SendBodyChunk(b"ab"), end(true)],
-            "call, TooLong wrote",
+            "call, ResponseTooLong sent",
         ),
-        (false, vec![head(200, &[(LENGTH, b"7")])], "call, TooLong wrote"),
-        (false, vec![head(200, &[(LENGTH, b"-1")])], "call, TooLong wrote"),
-        (false, vec![head(200, &[]), Message::SendBodyChunk(b"abcdefg")], "call, TooLong wrote"),
+        (false, vec![head(200, &[(LENGTH, b"7")])], "call, ResponseTooLong sent"),
+        (false, vec![head(200, &[(LENGTH, b"-1")])], "call, ResponseTooLong sent"),
+        (false, vec![head(200, &[]), Message::SendBodyChunk(b"abcdefg")], "call, ResponseTooLong sent"),
         // Repeated and unexpected messages, and responses without a call.
-        (false, vec![head(200, &[]), end(true), head(200, &[])], "call, 200 [], Broken(UnexpectedMessage)"),
-        (false, vec![head(200, &[]), head(200, &[])], "call, Broken(UnexpectedMessage) wrote"),
-        (false, vec![head(20, &[])], "call, Broken(UnknownCode) wrote"),
-        (false, vec![Message::SendBodyChunk(b"a")], "call, Broken(UnexpectedMessage) wrote"),
-        (false, vec![end(true)], "call, Broken(UnexpectedMessage) wrote"),
-        (false, vec![head(200, &[]), Message::GetBodyChunk(1)], "call, Broken(UnexpectedMessage) wrote"),
-        (false, vec![Message::CPong], "call, Broken(UnexpectedMessage) wrote"),
-        (true, vec![head(200, &[])], "ping, Broken(UnexpectedMessage)"),
+        (
+            false,
+            vec![head(200, &[]), end(true), head(200, &[])],
+            "call, 200 [], Malformed(UnexpectedMessage)",
+        ),
+        (false, vec![head(200, &[]), head(200, &[])], "call, Malformed(UnexpectedMessage) sent"),
+        (false, vec![head(20, &[])], "call, Malformed(UnknownCode) sent"),
+        (false, vec![Message::SendBodyChunk(b"a")], "call, Malformed(UnexpectedMessage) sent"),
+        (false, vec![end(true)], "call, Malformed(UnexpectedMessage) sent"),
+        (false, vec![head(200, &[]), Message::GetBodyChunk(1)], "call, Malformed(UnexpectedMessage) sent"),
+        (false, vec![Message::CPong], "call, Malformed(UnexpectedMessage) sent"),
+        (true, vec![head(200, &[])], "cping, Malformed(UnexpectedMessage)"),
     ] {
-        let (mut life, mut acts) = (new_connection(), RecordedActions::default());
-        life.call(0, checks_connection, &mut acts);
-        messages.iter().for_each(|message| life.message(1, message, &mut acts));
-        assert_eq!(acts.0.join(", "), expected, "{messages:?}");
+        let (mut machine, mut actions) = (new_connection(), RecordedActions::default());
+        machine.start_call(0, checks_connection, &mut actions);
+        messages.iter().for_each(|message| machine.message(1, message, &mut actions));
+        assert_eq!(actions.0.join(", "), expected, "{messages:?}");
     }
 }
 
 #[test]
 fn timeouts_closing_and_abandoning_report_whether_a_call_was_written() {
-    type Step = fn(&mut asker::Life, &mut RecordedActions);
+    type Step = fn(&mut web_server::StateMachine, &mut RecordedActions);
     let cases: [(&str, Step, [&str; 4]); 5] = [
-        ("idle", |_, _| (), ["Closed", "", "", "idle"]),
-        ("proving", |l, a| l.call(0, true, a), ["Closed", "Silent", "", "proving"]),
-        ("waiting", |l, a| l.call(0, false, a), ["Closed wrote", "", "GivenUp wrote", "over"]),
+        ("idle", |_, _| (), ["ClosedByPeer", "", "", "idle"]),
+        (
+            "awaiting cpong",
+            |machine, actions| machine.start_call(0, true, actions),
+            ["ClosedByPeer", "TimedOut", "", "awaiting cpong"],
+        ),
         (
-            "reading",
-            |l, a| {
-                l.call(0, false, a);
-                l.partial(0);
+            "awaiting response",
+            |machine, actions| machine.start_call(0, false, actions),
+            ["ClosedByPeer sent", "", "Abandoned sent", "closed"],
+        ),
+        (
+            "reading response",
+            |machine, actions| {
+                machine.start_call(0, false, actions);
+                machine.partial_input(0);
             },
-            ["Closed wrote", "Silent wrote", "GivenUp wrote", "over"],
+            ["ClosedByPeer sent", "TimedOut sent", "Abandoned sent", "closed"],
+        ),
+        (
+            "closed",
+            |machine, actions| machine.disconnected(web_server::CloseReason::Idle, actions),
+            ["", "", "", "closed"],
         ),
-        ("over", |l, a| l.closed(asker::End::Idle, a), ["", "", "", "over"]),
     ];
     for (name, step, [closed, timed_out, abandoned, state_after]) in cases {
         let begin = || {
-            let (mut life, mut acts) = (new_connection(), RecordedActions::default());
-            step(&mut life, &mut acts);
-            (life, RecordedActions::default())
+            let (mut machine, mut actions) = (new_connection(), RecordedActions::default());
+            step(&mut machine, &mut actions);
+            (machine, RecordedActions::default())
         };
-        let (mut life, mut acts) = begin();
-        life.closed(asker::End::Closed, &mut acts);
-        assert_eq!(acts.0.join(", "), closed, "{name} closed");
-        let (mut life, mut acts) = begin();
-        life.empty(9, &mut acts);
-        assert!(acts.0.is_empty(), "{name} too soon");
-        life.empty(25, &mut acts);
-        assert_eq!(acts.0.join(", "), timed_out, "{name} timed out");
-        let (mut life, mut acts) = begin();
-        life.give_up(&mut acts);
-        assert_eq!(acts.0.join(", "), abandoned, "{name} abandoned");
-        let state = match life.state() {
-            asker::State::Idle { .. } => "idle",
-            asker::State::Proving { call, .. } => {
-                assert!(!call, "the call is abandoned");
-                life.message(3, &Message::CPong, &mut acts);
-                assert_eq!(acts.0.join(", "), "ready");
-                "proving"
+        let (mut machine, mut actions) = begin();
+        machine.disconnected(web_server::CloseReason::ClosedByPeer, &mut actions);
+        assert_eq!(actions.0.join(", "), closed, "{name} closed");
+        let (mut machine, mut actions) = begin();
+        machine.check_timeouts(9, &mut actions);
+        assert!(actions.0.is_empty(), "{name} too soon");
+        machine.check_timeouts(25, &mut actions);
+        assert_eq!(actions.0.join(", "), timed_out, "{name} timed out");
+        let (mut machine, mut actions) = begin();
+        machine.abandon_call(&mut actions);
+        assert_eq!(actions.0.join(", "), abandoned, "{name} abandoned");
+        let state = match machine.state() {
+            web_server::State::Idle { .. } => "idle",
+            web_server::State::AwaitingCPong { has_call, .. } => {
+                assert!(!has_call, "the call is abandoned");
+                machine.message(3, &Message::CPong, &mut actions);
+                assert_eq!(actions.0.join(", "), "ready");
+                "awaiting cpong"
             }
-            asker::State::Over => "over",
+            web_server::State::Closed => "closed",
             _ => "other",
         };
         assert_eq!(state, state_after, "{name}");
     }
-    let (mut life, mut acts) = (new_connection(), RecordedActions::default());
-    life.probe(0, &mut acts);
-    life.message(1, &Message::CPong, &mut acts);
-    assert_eq!(acts.0.join(", "), "ping, ready");
+    let (mut machine, mut actions) = (new_connection(), RecordedActions::default());
+    machine.probe(0, &mut actions);
+    machine.message(1, &Message::CPong, &mut actions);
+    assert_eq!(actions.0.join(", "), "cping, ready");
 }
--- a/crates/ochrewalk-node/src/net/ajp_upstream.rs
+++ b/crates/ochrewalk-node/src/net/ajp_upstream.rs
@@ -11,9 +11,9 @@
 use crate::handover::records::UpstreamRecord;
 use crate::interfaces::UpstreamClient;
 use ochrewalk::host::RpcId;
-use ochrewalk_ajp::asker::{Acts, Bounds, End, Life, Reply};
 use ochrewalk_ajp::reply;
 use ochrewalk_ajp::request::{self, Attribute, Message, Request, StringAttribute};
+use ochrewalk_ajp::web_server::{self, Actions, Limits, Response, StateMachine};
 use ochrewalk_connection_pool::{
     CallId, CallResult as PoolCallResult, ConnectionId, ConnectionPool, Disconnect, ReplyOutcome, Transport,
 };
@@ -74,7 +74,7 @@
     call_ids: HashMap<RpcId, CallId>,
     last_call_id: CallId,
     /// The reply that is being reported to the pool.
-    reply: Option<Reply>,
+    reply: Option<Response>,
     /// The reason of the close that is being reported to the pool.
     close_reason: Option<CloseReason>,
     now_us: u64,
@@ -82,7 +82,7 @@
 
 struct Connection {
     send_queue: Arc<SendQueue>,
-    state_machine: Life,
+    state_machine: StateMachine,
     call: Option<CallId>,
     /// The number of bytes of the call's body that are already queued.
     sent: usize,
@@ -141,7 +141,11 @@
             self.0.with(|pool, transport| {
                 pool.tick(now_us, transport);
                 for connection in transport.connections.values() {
-                    if connection.state_machine.due_us().is_some_and(|due_us| now_us >= due_us) {
+                    if connection
+                        .state_machine
+                        .timeout_at_us()
+                        .is_some_and(|timeout_at_us| now_us >= timeout_at_us)
+                    {
                         connection.send_queue.wake();
                     }
                 }
@@ -273,8 +277,9 @@
     fn snapshot(&self) -> (UpstreamRecord, Vec<RawFd>) {
         let state = self.0.lock();
         // Calls that still wait for a connection were not written, and are started again.
-        let written_call =
-            |connection: &Connection| connection.call.filter(|_| connection.state_machine.wrote());
+        let written_call = |connection: &Connection| {
+            connection.call.filter(|_| connection.state_machine.may_have_sent_call())
+        };
         let lost = state.transport.connections.values().filter_map(written_call);
         let rpc_id = |call: CallId| state.transport.calls.get(&call).map(|call| call.id.to_string());
         (UpstreamRecord { links: Vec::new(), lost: lost.filter_map(rpc_id).collect() }, Vec::new())
@@ -370,7 +375,7 @@
     fn report_close(&self, id: ConnectionId, reason: &CloseReason) {
         self.with(|pool, transport| {
             let Some(connection) = transport.connections.remove(&id) else { return };
-            let disconnect = match (connection.state_machine.wrote(), reason) {
+            let disconnect = match (connection.state_machine.may_have_sent_call(), reason) {
                 (true, _) => Disconnect::AfterWrite,
                 (false, CloseReason::TimedOut) => Disconnect::PingTimedOut,
                 (false, _) => Disconnect::BeforeWrite,
@@ -381,13 +386,13 @@
     }
 
     /// Returns the state machine of a connection that opens now.
-    fn state_machine(&self, now_us: u64) -> Life {
-        let bounds = Bounds {
-            pong_us: self.settings.ping_timeout_us,
-            reply_us: self.settings.reply_timeout_us,
-            most_reply: MAX_REPLY_BYTES,
+    fn state_machine(&self, now_us: u64) -> StateMachine {
+        let limits = Limits {
+            cpong_timeout_us: self.settings.ping_timeout_us,
+            response_timeout_us: self.settings.reply_timeout_us,
+            max_response_bytes: MAX_REPLY_BYTES,
         };
-        Life::new(now_us, bounds, super::ajp_ingress::NEVER_RAN)
+        StateMachine::new(now_us, limits, super::ajp_ingress::NEVER_RAN)
     }
 
     /// Returns the call's first packets, which hold its head and the first piece of its body, and the size of that piece.
@@ -443,7 +448,7 @@
         };
         (connection.call, connection.sent) = (Some(call), 0);
         let mut actions = RequestedActions::default();
-        connection.state_machine.call(self.now_us, ping_first, &mut actions);
+        connection.state_machine.start_call(self.now_us, ping_first, &mut actions);
         self.queue_packets(&inner, id, &actions);
     }
 
@@ -508,39 +513,43 @@
     call: bool,
     /// The maximum size of the next piece of the body, where one is requested.
     piece: Option<u16>,
-    reply: Option<Reply>,
+    reply: Option<Response>,
     /// The reason of the close, and whether the call may have been written.
-    end: Option<(End, bool)>,
+    close_reason: Option<(web_server::CloseReason, bool)>,
 }
 
-impl Acts for RequestedActions {
-    fn ping(&mut self) {
+impl Actions for RequestedActions {
+    fn send_cping(&mut self) {
         self.ping = true;
     }
-    fn write_call(&mut self) {
+    fn send_request(&mut self) {
         self.call = true;
     }
-    fn write_piece(&mut self, most: u16) {
-        self.piece = Some(most);
+    fn send_body_chunk(&mut self, max_bytes: u16) {
+        self.piece = Some(max_bytes);
     }
     fn ready(&mut self) {}
-    fn replied(&mut self, reply: Reply) {
-        self.reply = Some(reply);
+    fn response_received(&mut self, response: Response) {
+        self.reply = Some(response);
     }
-    fn end(&mut self, why: End, wrote: bool) {
-        self.end = Some((why, wrote));
+    fn close(&mut self, reason: web_server::CloseReason, may_have_sent_call: bool) {
+        self.close_reason = Some((reason, may_have_sent_call));
     }
 }
 
-fn close_reason(end: End) -> CloseReason {
-    match end {
-        End::Closed | End::Spent => CloseReason::ClosedByPeer,
-        End::Failed => CloseReason::Broken(std::io::ErrorKind::Other),
-        End::Broken(error) => CloseReason::Malformed(error.to_string()),
-        End::TooLong => CloseReason::MessageTooLong,
-        End::TooShort => CloseReason::Malformed("a reply shorter than its stated length".into()),
-        End::Silent => CloseReason::TimedOut,
-        End::Idle | End::GivenUp => CloseReason::Idle,
+fn close_reason(reason: web_server::CloseReason) -> CloseReason {
+    match reason {
+        web_server::CloseReason::ClosedByPeer | web_server::CloseReason::NotReusable => {
+            CloseReason::ClosedByPeer
+        }
+        web_server::CloseReason::Failed => CloseReason::Broken(std::io::ErrorKind::Other),
+        web_server::CloseReason::Malformed(error) => CloseReason::Malformed(error.to_string()),
+        web_server::CloseReason::ResponseTooLong => CloseReason::MessageTooLong,
+        web_server::CloseReason::ResponseTooShort => {
+            CloseReason::Malformed("a reply shorter than its stated length".into())
+        }
+        web_server::CloseReason::TimedOut => CloseReason::TimedOut,
+        web_server::CloseReason::Idle | web_server::CloseReason::Abandoned => CloseReason::Idle,
     }
 }
 
@@ -557,7 +566,10 @@
     /// # Errors
     ///
     /// The connection is to be closed for the returned reason.
-    fn advance(&self, step: impl FnOnce(&mut Life, u64, &mut RequestedActions)) -> Result<(), CloseReason> {
+    fn advance(
+        &self,
+        step: impl FnOnce(&mut StateMachine, u64, &mut RequestedActions),
+    ) -> Result<(), CloseReason> {
         let (inner, id) = (self.inner, self.id);
         inner.with(|pool, transport| {
             let now_us = transport.now_us;
@@ -566,7 +578,7 @@
             let mut actions = RequestedActions::default();
             step(&mut connection.state_machine, now_us, &mut actions);
             transport.queue_packets(inner, id, &actions);
-            let is_spent = matches!(actions.end, Some((End::Spent, _)));
+            let is_spent = matches!(actions.close_reason, Some((web_server::CloseReason::NotReusable, _)));
             if let Some(reply) = actions.reply.take() {
                 if let Some(connection) = transport.connections.get_mut(&id) {
                     connection.call = None;
@@ -581,7 +593,7 @@
                 pool.replied(now_us, id, outcome, !is_spent, transport);
                 transport.reply = None;
             }
-            let Some((end, was_written)) = actions.end else { return Ok(()) };
+            let Some((end, was_written)) = actions.close_reason else { return Ok(()) };
             let reason = close_reason(end);
             if transport.connections.remove(&id).is_some() {
                 let disconnect = match (was_written, &reason) {
@@ -605,18 +617,18 @@
                 Ok(taken)
             }
             Ok(None) => {
-                self.advance(|machine, now_us, _| machine.partial(now_us))?;
+                self.advance(|machine, now_us, _| machine.partial_input(now_us))?;
                 Ok(0)
             }
             Err(error) => {
-                self.advance(|machine, _, actions| machine.broken(error, actions))?;
+                self.advance(|machine, _, actions| machine.malformed_input(error, actions))?;
                 Err(CloseReason::Malformed(error.to_string()))
             }
         }
     }
 
     fn on_drained(&mut self, _is_flushed: bool) {
-        if self.advance(|machine, now_us, actions| machine.empty(now_us, actions)).is_err() {
+        if self.advance(|machine, now_us, actions| machine.check_timeouts(now_us, actions)).is_err() {
             // The pool no longer uses the connection, so the stream is closed as well.
             self.send_queue.request_close_once(CloseRequest::Faulty);
         }
