--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -10,7 +10,7 @@
 use ochrewalk_ingress::request_evaluation::Rules;
 use ochrewalk_ingress::routes::Routes;
 use ochrewalk_operator_config::resources::{
-    check, check_route_target, endpoint_address, quota_name, RouteTarget, LIMIT_USUAL_MEMORY,
+    check, check_route_target, endpoint_address, quota_name, RouteTarget, LIMIT_DEFAULT_MEMORY,
 };
 use ochrewalk_operator_config::UpstreamEndpoint;
 use std::collections::{BTreeSet, HashMap};
@@ -125,7 +125,7 @@
     /// What is in force now.
     pub fn in_force(&self) -> ConfigurationInForce {
         let mut rules = Rules { routes: self.routes.clone(), ..self.file.rules.clone() };
-        if let Some(amount) = self.limit(LIMIT_USUAL_MEMORY) {
+        if let Some(amount) = self.limit(LIMIT_DEFAULT_MEMORY) {
             rules.default_memory_kb = Some(amount);
         }
         ConfigurationInForce {
--- a/crates/ochrewalk-operator-config/src/resources/mod.rs
+++ b/crates/ochrewalk-operator-config/src/resources/mod.rs
@@ -5,7 +5,7 @@
 mod validation;
 
 pub use change_file::read_changes;
-pub use validation::{check, check_route_target, InvalidResource, RouteTarget, LIMIT_USUAL_MEMORY};
+pub use validation::{check, check_route_target, InvalidResource, RouteTarget, LIMIT_DEFAULT_MEMORY};
 
 use ochrewalk_distribution::messages::{ResourceKind, ResourceName};
 use std::net::SocketAddr;
--- a/crates/ochrewalk-operator-config/src/resources/validation.rs
+++ b/crates/ochrewalk-operator-config/src/resources/validation.rs
@@ -8,9 +8,9 @@
 use ochrewalk_ingress::routes::Routes;
 
 /// The name of the limit that sets the memory of requests that state none, in KB.
-pub const LIMIT_USUAL_MEMORY: &str = "usual-memory-kb";
+pub const LIMIT_DEFAULT_MEMORY: &str = "usual-memory-kb";
 /// The limits that a running node applies, each with its exclusive upper bound.
-const LIMITS: [(&str, f64); 1] = [(LIMIT_USUAL_MEMORY, 2_000.0)];
+const LIMITS: [(&str, f64); 1] = [(LIMIT_DEFAULT_MEMORY, 2_000.0)];
 
 /// The reason for which a resource is rejected, displayed as `resource: problem; suggestion`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
