--- a/crates/ochrewalk-ajp/src/codes.rs
+++ b/crates/ochrewalk-ajp/src/codes.rs
@@ -68,8 +68,8 @@
 ];
 
 const FIRST_HEADER_CODE: u16 = 0xA001;
-/// The range of header codes. Where a code may occur, a string whose length is in this range could not be distinguished from a
-/// code, so no string has such a length.
+/// The range of header codes. Where a code may occur, a string whose length is in this range could not be distinguished
+/// from a code, so no string has such a length.
 pub const HEADER_CODES: std::ops::RangeInclusive<u16> = 0xA000..=0xA0FF;
 
 /// The table by which the headers of a packet are encoded.
--- a/crates/ochrewalk-ajp/src/request.rs
+++ b/crates/ochrewalk-ajp/src/request.rs
@@ -102,8 +102,8 @@
         })
     }
 
-    /// Returns the length of the body that the headers state; `None` if they are invalid. Headers with two different lengths
-    /// are invalid, as two programs could split the stream at different positions.
+    /// Returns the length of the body that the headers state; `None` if they are invalid. Headers with two different
+    /// lengths are invalid, as two programs could split the stream at different positions.
     pub fn body_length(&self) -> Option<BodyLength> {
         let mut lengths =
             self.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case(b"content-length"));
@@ -219,8 +219,8 @@
     }
 }
 
-/// Returns the first complete message and the size of its packet; `None` if the packet is incomplete. To be called where no body
-/// chunk is due.
+/// Returns the first complete message and the size of its packet; `None` if the packet is incomplete. To be called
+/// where no body chunk is due.
 pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, ProtocolError> {
     let Some((payload, packet_bytes)) = split(input, Sender::WebServer, max_packet_bytes)? else {
         return Ok(None);
@@ -237,8 +237,8 @@
     Ok(Some((message, packet_bytes)))
 }
 
-/// Returns the first complete body chunk and the size of its packet; `None` if the packet is incomplete. An empty chunk ends the
-/// body. To be called where a body chunk is due.
+/// Returns the first complete body chunk and the size of its packet; `None` if the packet is incomplete. An empty chunk
+/// ends the body. To be called where a body chunk is due.
 pub fn read_body_chunk(
     input: &[u8],
     max_packet_bytes: usize,
--- a/crates/ochrewalk-ajp/src/servlet_container.rs
+++ b/crates/ochrewalk-ajp/src/servlet_container.rs
@@ -1,10 +1,11 @@
-//! Decides the state of an AJP connection on the servlet container's side: which messages are valid in each state, when a
-//! request is complete, whether a response is due, whether the connection may carry another request, and when the connection
-//! is closed. The state machine uses no sockets and no clock: the caller passes each event, with its time in microseconds.
+//! Decides the state of an AJP connection on the servlet container's side: which messages are valid in each state, when
+//! a request is complete, whether a response is due, whether the connection may carry another request, and when the
+//! connection is closed. The state machine uses no sockets and no clock: the caller passes each event, with its time in
+//! microseconds.
 //!
-//! A request starts when its last byte has been read. Until then nothing has run and no response is due, although a refusal is
-//! sent if the web server still reads. From then on exactly one response is sent, unless the web server has closed the
-//! connection.
+//! A request starts when its last byte has been read. Until then nothing has run and no response is due, although a
+//! refusal is sent if the web server still reads. From then on exactly one response is sent, unless the web server has
+//! closed the connection.
 
 use crate::packet::ProtocolError;
 use crate::request::BodyLength;
@@ -50,8 +51,8 @@
     fn request_body_chunk(&mut self, max_bytes: u64);
     /// Sends a CPong.
     fn send_cpong(&mut self);
-    /// Sends a refusal, either for a request that has not started or before the connection is closed. `reuse` is whether the
-    /// connection may carry another request.
+    /// Sends a refusal, either for a request that has not started or before the connection is closed. `reuse` is
+    /// whether the connection may carry another request.
     fn send_refusal(&mut self, refusal: Refusal, reuse: bool);
     /// Reports that the web server has closed the connection, so that no response is due.
     fn client_disconnected(&mut self);
@@ -83,8 +84,8 @@
     PartialPacket { since_us: u64 },
     /// A request's head has been received, and `received_bytes` bytes of its body.
     Body { since_us: u64, received_bytes: u64, length: BodyLength },
-    /// The request is queued for admission or runs. `is_corrupted` is whether the web server has sent input that is not valid
-    /// before the response.
+    /// The request is queued for admission or runs. `is_corrupted` is whether the web server has sent input that is not
+    /// valid before the response.
     InFlight { is_corrupted: bool },
     /// The response is being written.
     Responding { reuse: bool },
@@ -153,7 +154,8 @@
         matches!(self.state, State::Responding { reuse: false } | State::Closing { .. } | State::Closed)
     }
 
-    /// Whether input is read at all. After invalid input, no more is read until the response to the current request is sent.
+    /// Whether input is read at all. After invalid input, no more is read until the response to the current request is
+    /// sent.
     pub fn reads_input(&self) -> bool {
         !matches!(self.state, State::InFlight { is_corrupted: true } | State::Closed)
     }
@@ -209,8 +211,8 @@
         }
     }
 
-    /// Handles a refused request whose body is sent without a Get Body Chunk. The position of the next request is unknown, so
-    /// the connection carries no further request.
+    /// Handles a refused request whose body is sent without a Get Body Chunk. The position of the next request is
+    /// unknown, so the connection carries no further request.
     pub fn refused_request_with_body(&mut self, now_us: u64, refusal: Refusal, actions: &mut impl Actions) {
         match self.state {
             State::Idle { .. } | State::PartialPacket { .. } | State::Responding { reuse: true } => {
@@ -281,8 +283,8 @@
         }
     }
 
-    /// Handles the response of the request in flight. Returns whether the connection may carry another request after it; `None`
-    /// if no response is due. `is_fault` counts the request as faulty.
+    /// Handles the response of the request in flight. Returns whether the connection may carry another request after
+    /// it; `None` if no response is due. `is_fault` counts the request as faulty.
     pub fn response_ready(&mut self, is_fault: bool) -> Option<bool> {
         let State::InFlight { is_corrupted } = self.state else { return None };
         self.consecutive_faults =
@@ -308,8 +310,8 @@
         }
     }
 
-    /// Handles the loss of the connection, closed by the web server or failed. A request with an incomplete body is discarded, as
-    /// it has not started.
+    /// Handles the loss of the connection, closed by the web server or failed. A request with an incomplete body is
+    /// discarded, as it has not started.
     pub fn disconnected(&mut self, actions: &mut impl Actions) {
         if self.has_request_in_flight() {
             actions.client_disconnected();
@@ -322,8 +324,8 @@
         self.is_draining = true;
     }
 
-    /// Checks the timeouts when the connection has no more input at this time. Timeouts are checked only here, so that a server
-    /// that is slow to read does not time out a peer whose input is waiting.
+    /// Checks the timeouts when the connection has no more input at this time. Timeouts are checked only here, so that
+    /// a server that is slow to read does not time out a peer whose input is waiting.
     pub fn check_timeouts(&mut self, now_us: u64, actions: &mut impl Actions) {
         if self.timeout_at_us().is_none_or(|timeout_at_us| now_us < timeout_at_us) {
             return;
--- a/crates/ochrewalk-ajp/src/web_server.rs
+++ b/crates/ochrewalk-ajp/src/web_server.rs
@@ -1,8 +1,9 @@
-//! Decides the state of an AJP connection on the web server's side: when a call may be written, the effect of each message of
-//! the servlet container, and when the connection cannot carry another call. The state machine uses no sockets and no clock.
+//! Decides the state of an AJP connection on the web server's side: when a call may be written, the effect of each
+//! message of the servlet container, and when the connection cannot carry another call. The state machine uses no
+//! sockets and no clock.
 //!
-//! A failed call is classified by its progress: a call of which no byte was written has not run; a call that was written may
-//! have run, unless a complete response states otherwise.
+//! A failed call is classified by its progress: a call of which no byte was written has not run; a call that was
+//! written may have run, unless a complete response states otherwise.
 
 use crate::packet::ProtocolError;
 use crate::reply::{Message, ResponseHead};
@@ -19,8 +20,8 @@
     fn ready(&mut self);
     /// Passes on the complete response to the call.
     fn response_received(&mut self, response: Response);
-    /// Closes the connection. `may_have_sent_call` is whether a byte of an unanswered call may have been written, in which case
-    /// the call may have run.
+    /// Closes the connection. `may_have_sent_call` is whether a byte of an unanswered call may have been written, in
+    /// which case the call may have run.
     fn close(&mut self, reason: CloseReason, may_have_sent_call: bool);
 }
 
@@ -211,8 +212,8 @@
         self.close(reason, actions);
     }
 
-    /// Abandons the call. The connection is closed if the call was written, as its response could be taken for the response to
-    /// the next call.
+    /// Abandons the call. The connection is closed if the call was written, as its response could be taken for the
+    /// response to the next call.
     pub fn abandon_call(&mut self, actions: &mut impl Actions) {
         match self.state {
             State::AwaitingCPong { since_us, .. } => {
--- a/crates/ochrewalk-ajp/tests/codec.rs
+++ b/crates/ochrewalk-ajp/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Property tests of the codec: a written message is read back unchanged for any split of the bytes, and no input causes a panic
-//! or a read past the end of a packet.
+//! Property tests of the codec: a written message is read back unchanged for any split of the bytes, and no input
+//! causes a panic or a read past the end of a packet.
 
 use ochrewalk_ajp::packet::{split, ProtocolError, Sender, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES};
 use ochrewalk_ajp::request::{self, Attribute, BodyLength, Request, StringAttribute};
--- a/crates/ochrewalk-ajp/tests/connection_states.rs
+++ b/crates/ochrewalk-ajp/tests/connection_states.rs
@@ -120,7 +120,8 @@
     ("evict", |machine, actions| machine.evict(actions)),
 ];
 
-/// The expected result of each event in each state: the state, the event, the requested actions, and the state after the event.
+/// The expected result of each event in each state: the state, the event, the requested actions, and the state after
+/// the event.
 const TABLE: &str = include_str!("connection_states.table");
 
 #[test]
--- a/crates/ochrewalk-ingress/src/allowed_peers.rs
+++ b/crates/ochrewalk-ingress/src/allowed_peers.rs
@@ -13,8 +13,8 @@
 }
 
 impl AllowedPeers {
-    /// Adds a rule that allows or denies a network. Returns the previous rule for the same network, so that the caller can
-    /// reject contradictory rules.
+    /// Adds a rule that allows or denies a network. Returns the previous rule for the same network, so that the caller
+    /// can reject contradictory rules.
     pub fn insert(&mut self, network: IpNet, is_allowed: bool) -> Option<bool> {
         match network {
             IpNet::V4(net) => self.ipv4.insert(net.trunc(), is_allowed),
--- a/crates/ochrewalk-ingress/src/connection_budget.rs
+++ b/crates/ochrewalk-ingress/src/connection_budget.rs
@@ -1,5 +1,5 @@
-//! Decides which connection is closed for a new one when the limit on connections is reached. Each listener has a separate
-//! limit, so that one listener cannot take the capacity of another.
+//! Decides which connection is closed for a new one when the limit on connections is reached. Each listener has a
+//! separate limit, so that one listener cannot take the capacity of another.
 
 /// The state of a connection that matters for the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,8 +12,8 @@
     pub priority: Option<RetentionPriority>,
 }
 
-/// The priority of a connection without a due response. A proven connection has a higher priority than any that is not; among
-/// equals, the one used last has the higher priority.
+/// The priority of a connection without a due response. A proven connection has a higher priority than any that is not;
+/// among equals, the one used last has the higher priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RetentionPriority {
     /// Whether the connection has been useful, such as by a valid message or an RPC that has run.
@@ -33,8 +33,8 @@
     Reject,
 }
 
-/// Decides on one new connection. Up to `max_connections` may be open, and up to `max_closing` more that have been asked to
-/// close. A connection that is asked to close stays open if it turns out to have complete requests unread.
+/// Decides on one new connection. Up to `max_connections` may be open, and up to `max_closing` more that have been
+/// asked to close. A connection that is asked to close stays open if it turns out to have complete requests unread.
 pub fn decide(max_connections: usize, max_closing: usize, connections: &[ConnectionUsage]) -> BudgetDecision {
     let closing = connections.iter().filter(|connection| connection.is_closing).count();
     let staying = connections.len() - closing;
--- a/crates/ochrewalk-ingress/src/request_evaluation.rs
+++ b/crates/ochrewalk-ingress/src/request_evaluation.rs
@@ -1,5 +1,5 @@
-//! Decides the target of an AJP request from its head alone: a method of the deployment with its parameters, the health check,
-//! or a refusal with a reason. Evaluation neither blocks nor starts the method.
+//! Decides the target of an AJP request from its head alone: a method of the deployment with its parameters, the health
+//! check, or a refusal with a reason. Evaluation neither blocks nor starts the method.
 
 use crate::routes::{RouteMatch, Routes};
 use ochrewalk_ajp::request::{BodyLength, Request, StringAttribute};
@@ -138,8 +138,8 @@
         given.is_some_and(|given| bool::from(secret.as_slice().ct_eq(given)))
     }
 
-    /// Returns the request's id. The id is checked, as it is passed on in other protocols whose peers close the connection on
-    /// an invalid one.
+    /// Returns the request's id. The id is checked, as it is passed on in other protocols whose peers close the
+    /// connection on an invalid one.
     fn id(&self, request: &Request) -> Result<Option<String>, Rejection> {
         let Some(id) = request.header(&self.headers.id) else { return Ok(None) };
         if id.len() != 16 || !id.iter().all(u8::is_ascii_hexdigit) {
--- a/crates/ochrewalk-ingress/src/routes.rs
+++ b/crates/ochrewalk-ingress/src/routes.rs
@@ -1,6 +1,6 @@
 //! Decides which method of the deployment a request is mapped to, by its HTTP method and path. A literal segment takes
-//! precedence over `{}`, which matches any one segment, and `{}` over a trailing `*`, which matches any number of segments; the
-//! result does not depend on the order in which routes were added.
+//! precedence over `{}`, which matches any one segment, and `{}` over a trailing `*`, which matches any number of
+//! segments; the result does not depend on the order in which routes were added.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -9,8 +9,8 @@
 /// The maximum number of segments of a path, so that matching a path never costs more than handling its request.
 const MAX_SEGMENTS: usize = 32;
 
-/// Routes as a tree of segments. A clone shares all nodes with its original, and a change copies only the nodes on its path,
-/// so that the cost of replacing a large table depends only on the number of changed routes.
+/// Routes as a tree of segments. A clone shares all nodes with its original, and a change copies only the nodes on its
+/// path, so that the cost of replacing a large table depends only on the number of changed routes.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     root: Node,
@@ -27,8 +27,9 @@
     wildcard: MethodsByHttpMethod,
 }
 
-/// Positions of methods by HTTP method, sorted by its name. Nearly all patterns have one or two HTTP methods, so a list of
-/// exact capacity takes a tenth of the memory of a map. A node with tens of thousands of routes holds as many of these lists.
+/// Positions of methods by HTTP method, sorted by its name. Nearly all patterns have one or two HTTP methods, so a list
+/// of exact capacity takes a tenth of the memory of a map. A node with tens of thousands of routes holds as many of
+/// these lists.
 #[derive(Clone, Debug, Default)]
 struct MethodsByHttpMethod(Vec<(Cow<'static, str>, usize)>);
 
@@ -135,8 +136,8 @@
         self.root.is_empty()
     }
 
-    /// Returns the method to which a request is mapped. The query of the path after `?` is ignored, and so are the parameters of
-    /// a segment after `;`.
+    /// Returns the method to which a request is mapped. The query of the path after `?` is ignored, and so are the
+    /// parameters of a segment after `;`.
     ///
     /// # Errors
     /// Returns an error if the path is invalid.
--- a/crates/ochrewalk-ingress/tests/memory.rs
+++ b/crates/ochrewalk-ingress/tests/memory.rs
@@ -1,5 +1,5 @@
-//! Measures the memory of a large table of routes with an instrumented allocator. This file has a single test, as the allocator
-//! counts the complete process.
+//! Measures the memory of a large table of routes with an instrumented allocator. This file has a single test, as the
+//! allocator counts the complete process.
 
 use ochrewalk_ingress::routes::{RouteMatch, Routes};
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -9,8 +9,8 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const ROUTES: usize = 49_000;
-/// The bound on the memory per route: a node holds two tables of that size while it reloads its files, and its complete memory
-/// has to stay within 128 MB.
+/// The bound on the memory per route: a node holds two tables of that size while it reloads its files, and its complete
+/// memory has to stay within 128 MB.
 const MAX_BYTES_PER_ROUTE: usize = 256;
 
 #[test]
--- a/crates/ochrewalk-operator-config/src/changes.rs
+++ b/crates/ochrewalk-operator-config/src/changes.rs
@@ -1,6 +1,6 @@
-//! Decides which action puts a changed operators' file into force: finds the directives that differ in meaning, and for each
-//! whether the running process can reload it, whether a successor process has to take over with the new file, or whether the
-//! node has to be restarted.
+//! Decides which action puts a changed operators' file into force: finds the directives that differ in meaning, and for
+//! each whether the running process can reload it, whether a successor process has to take over with the new file, or
+//! whether the node has to be restarted.
 
 use crate::directive::{self, ChangeClass, Section};
 use crate::lexer::split_words;
@@ -17,8 +17,8 @@
 pub struct Change {
     /// The name of the directive, such as `ajp route`.
     pub directive: String,
-    /// The arguments of its lines in the older file, with host names replaced by their addresses; empty if the directive is
-    /// absent.
+    /// The arguments of its lines in the older file, with host names replaced by their addresses; empty if the
+    /// directive is absent.
     pub before: Vec<String>,
     /// The arguments of its lines in the newer file, in the same form.
     pub after: Vec<String>,
--- a/crates/ochrewalk-operator-config/src/directive.rs
+++ b/crates/ochrewalk-operator-config/src/directive.rs
@@ -1,5 +1,5 @@
-//! The table of all directives of the operators' file: the syntax of each, whether it is repeatable, and the action that puts
-//! a changed one into force.
+//! The table of all directives of the operators' file: the syntax of each, whether it is repeatable, and the action
+//! that puts a changed one into force.
 
 use crate::diagnostic::LineError;
 
--- a/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_listener.rs
@@ -1,4 +1,5 @@
-//! Parses `ajp` directives, which set the AJP listener, the peers that may connect, and the mapping of requests to methods.
+//! Parses `ajp` directives, which set the AJP listener, the peers that may connect, and the mapping of requests to
+//! methods.
 
 use super::hosts::Hosts;
 use super::{FirstLines, NodeContext};
--- a/crates/ochrewalk-operator-config/src/parser/ajp_upstream.rs
+++ b/crates/ochrewalk-operator-config/src/parser/ajp_upstream.rs
@@ -1,4 +1,5 @@
-//! Parses `below` directives, which set upstream calls over AJP: the endpoints, the connections to them, and load balancing.
+//! Parses `below` directives, which set upstream calls over AJP: the endpoints, the connections to them, and load
+//! balancing.
 
 use super::hosts::Hosts;
 use super::FirstLines;
@@ -11,8 +12,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The default number of endpoints that a numbered node calls. With five, some remain after the loss of half of them, and at
-/// one or two calls per second each endpoint replies every few seconds, so that its state stays current.
+/// The default number of endpoints that a numbered node calls. With five, some remain after the loss of half of them,
+/// and at one or two calls per second each endpoint replies every few seconds, so that its state stays current.
 const DEFAULT_SUBSET_SIZE: usize = 5;
 /// The upper bound on upstream connections is the node's number of descriptors divided by this.
 const MIN_DESCRIPTORS_PER_CONNECTION: usize = 4;
--- a/crates/ochrewalk-operator-config/src/parser/mod.rs
+++ b/crates/ochrewalk-operator-config/src/parser/mod.rs
@@ -1,5 +1,5 @@
-//! Parses the operators' file into settings: the parser of each section handles its directives, then all sections are checked
-//! together.
+//! Parses the operators' file into settings: the parser of each section handles its directives, then all sections are
+//! checked together.
 
 mod ajp_listener;
 mod ajp_upstream;
@@ -40,7 +40,8 @@
 /// Parses the text of the operators' file. `file` is its name in diagnostics.
 ///
 /// # Errors
-/// Returns the errors of all invalid lines, in the order of the lines; if every line is valid, the first error between lines.
+/// Returns the errors of all invalid lines, in the order of the lines; if every line is valid, the first error between
+/// lines.
 pub fn parse(text: &str, file: &str, node: &NodeContext) -> Result<OperatorConfig, Vec<Diagnostic>> {
     let mut parser = Parser::new(node);
     let mut diagnostics = Vec::new();
--- a/crates/ochrewalk-operator-config/src/resources/mod.rs
+++ b/crates/ochrewalk-operator-config/src/resources/mod.rs
@@ -1,5 +1,5 @@
-//! Names and validation of distributed resources, and files of changes to them. The publisher validates each resource, and
-//! each node that receives it validates it again, with the checks of the operators' file.
+//! Names and validation of distributed resources, and files of changes to them. The publisher validates each resource,
+//! and each node that receives it validates it again, with the checks of the operators' file.
 
 mod change_file;
 mod validation;
--- a/crates/ochrewalk-operator-config/src/resources/validation.rs
+++ b/crates/ochrewalk-operator-config/src/resources/validation.rs
@@ -48,7 +48,8 @@
     checked.map_err(|error| invalid(&resource.name, error))
 }
 
-/// Checks a route against its method and returns the method's position. `target` is `None` if the node has no such method.
+/// Checks a route against its method and returns the method's position. `target` is `None` if the node has no such
+/// method.
 ///
 /// # Errors
 /// Returns an error if the node has no such method, or if the method must not run twice and intermediaries may retry the
--- a/crates/ochrewalk-operator-config/src/rollout_plan/mod.rs
+++ b/crates/ochrewalk-operator-config/src/rollout_plan/mod.rs
@@ -1,4 +1,5 @@
-//! Parses the plan of a rollout, which has the line format and the units of the operators' file; each error names its line.
+//! Parses the plan of a rollout, which has the line format and the units of the operators' file; each error names its
+//! line.
 
 mod parser;
 mod stages;
@@ -77,8 +78,8 @@
     /// Parses the text of a plan. `file` is its name in diagnostics.
     ///
     /// # Errors
-    /// Returns the errors of all invalid lines, in the order of the lines; if every line is valid, the first error between
-    /// lines.
+    /// Returns the errors of all invalid lines, in the order of the lines; if every line is valid, the first error
+    /// between lines.
     pub fn parse(text: &str, file: &str) -> Result<RolloutPlan, Vec<Diagnostic>> {
         parser::parse(text, file)
     }
--- a/crates/ochrewalk-operator-config/src/rollout_plan/parser.rs
+++ b/crates/ochrewalk-operator-config/src/rollout_plan/parser.rs
@@ -33,14 +33,14 @@
 const REPEATABLE: [&str; 2] = ["node", "stage"];
 
 const SECOND_US: u64 = 1_000_000;
-/// The minimum interval: nodes report their counters ten times per second, and the number of events in samples of fewer than
-/// two reports is uneven.
+/// The minimum interval: nodes report their counters ten times per second, and the number of events in samples of fewer
+/// than two reports is uneven.
 const MIN_SAMPLE_INTERVAL_US: u64 = 200_000;
 const MAX_SAMPLE_INTERVAL_US: u64 = 60 * SECOND_US;
 const MIN_TIME_US: u64 = 50_000;
 const MAX_TIME_US: u64 = 86_400 * SECOND_US;
-/// The default confirmation timeout for settings, which always need a confirmation: a node that the new settings cut off from
-/// the controller could not be commanded to revert.
+/// The default confirmation timeout for settings, which always need a confirmation: a node that the new settings cut
+/// off from the controller could not be commanded to revert.
 const DEFAULT_SETTINGS_CONFIRM_US: u64 = 30 * SECOND_US;
 /// The minimum confirmation timeout in samples: a shorter one would expire after a few lost polls.
 const MIN_CONFIRM_SAMPLES: u64 = 4;
--- a/crates/ochrewalk-operator-config/src/rollout_plan/stages.rs
+++ b/crates/ochrewalk-operator-config/src/rollout_plan/stages.rs
@@ -1,5 +1,5 @@
-//! Converts the stages of a plan, `stage NUMBER` or `stage SHARE%`, to increasing numbers of nodes that end with the complete
-//! fleet.
+//! Converts the stages of a plan, `stage NUMBER` or `stage SHARE%`, to increasing numbers of nodes that end with the
+//! complete fleet.
 
 use crate::diagnostic::{line_error, FileError, LineError};
 
--- a/crates/ochrewalk-operator-config/src/settings.rs
+++ b/crates/ochrewalk-operator-config/src/settings.rs
@@ -26,9 +26,9 @@
 }
 
 impl OperatorConfig {
-    /// Returns the settings that cannot change while the node runs, as text: a process may hand over only to a successor for
-    /// which this text is the same. The text is hashed and compared between versions of the program, so its format must not
-    /// change.
+    /// Returns the settings that cannot change while the node runs, as text: a process may hand over only to a
+    /// successor for which this text is the same. The text is hashed and compared between versions of the program, so
+    /// its format must not change.
     pub fn restart_only_settings(&self) -> String {
         let listen = self.ajp_listener.as_ref().map(|listener| listener.listen);
         format!("{listen:?} {:?} {}", self.upgrade_control, self.ajp_upstream.is_some())
--- a/crates/ochrewalk-operator-config/src/units.rs
+++ b/crates/ochrewalk-operator-config/src/units.rs
@@ -1,5 +1,5 @@
-//! Parses quantities with their units. A quantity without a unit is an error, so that a time in milliseconds is never read
-//! as seconds.
+//! Parses quantities with their units. A quantity without a unit is an error, so that a time in milliseconds is never
+//! read as seconds.
 
 /// Parses a time and returns it in microseconds: `500ms`, `2s`, `1.5s`, `3m`, `1h`.
 pub fn time_us(text: &str) -> Option<u64> {
--- a/crates/ochrewalk-operator-config/src/values.rs
+++ b/crates/ochrewalk-operator-config/src/values.rs
@@ -5,8 +5,8 @@
 use ochrewalk_ajp::packet::{DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES};
 use std::path::PathBuf;
 
-/// The longest path of a socket, in bytes. The operating system allows 107 bytes; the rest is reserved for the longer name
-/// of the temporary file under which the socket is created.
+/// The longest path of a socket, in bytes. The operating system allows 107 bytes; the rest is reserved for the longer
+/// name of the temporary file under which the socket is created.
 const MAX_SOCKET_PATH: usize = 90;
 
 /// HTTP methods that an intermediary may retry automatically (RFC 9110, section 9.2.2).
