--- a/crates/ochrewalk-ajp/src/reply.rs
+++ b/crates/ochrewalk-ajp/src/reply.rs
@@ -1,8 +1,8 @@
-//! What the answerer sends: the head of an answer, its body in pieces, its end, and questions for more of a
+//! Messages of the servlet container: the head of a response, the chunks of its body, its end, and requests for more of a
 //! request's body.
 
-use crate::codes::Headers;
-use crate::packet::{header, split, write, Broken, Pairs, Rest, Sender};
+use crate::codes::HeaderTable;
+use crate::packet::{header, split, write, HeaderList, PayloadReader, ProtocolError, Sender};
 
 const SEND_BODY_CHUNK: u8 = 3;
 const SEND_HEADERS: u8 = 4;
@@ -12,105 +12,108 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message<'a> {
-    Head(Head<'a>),
-    Piece(&'a [u8]),
-    /// The answer is whole; `reuse` says whether the connection may carry another request.
-    End {
-        reuse: bool,
-    },
-    /// Asks for so many bytes of the request's body at most.
-    GetBody(u16),
+    /// Send Headers: the head of a response.
+    SendHeaders(ResponseHead<'a>),
+    /// Send Body Chunk: a part of the response's body.
+    SendBodyChunk(&'a [u8]),
+    /// End Response: the response is complete. `reuse` is whether the connection may carry another request.
+    EndResponse { reuse: bool },
+    /// Get Body Chunk: requests more of the request's body, up to this number of bytes.
+    GetBodyChunk(u16),
+    /// CPong Reply: the reply to a CPing.
     CPong,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Head<'a> {
+pub struct ResponseHead<'a> {
     pub status: u16,
-    pub words: &'a [u8],
-    pub headers: Pairs<'a>,
+    pub reason: &'a [u8],
+    pub headers: HeaderList<'a>,
 }
 
-impl<'a> Head<'a> {
+impl<'a> ResponseHead<'a> {
     pub fn header(&self, name: &str) -> Option<&'a [u8]> {
         header(&self.headers, name)
     }
 }
 
 impl Message<'_> {
-    pub fn write(&self, out: &mut Vec<u8>, most: usize) -> Result<(), Broken> {
-        write(out, Sender::Answerer, most, |to| {
+    pub fn write(&self, out: &mut Vec<u8>, max_packet_bytes: usize) -> Result<(), ProtocolError> {
+        write(out, Sender::ServletContainer, max_packet_bytes, |payload| {
             match self {
-                Message::Head(head) => {
-                    to.byte(SEND_HEADERS);
-                    to.number(head.status);
-                    to.text(Some(head.words))?;
-                    to.headers(Headers::Reply, &head.headers)?;
+                Message::SendHeaders(head) => {
+                    payload.byte(SEND_HEADERS);
+                    payload.integer(head.status);
+                    payload.string(Some(head.reason))?;
+                    payload.headers(HeaderTable::Response, &head.headers)?;
                 }
-                Message::Piece(piece) => {
-                    to.byte(SEND_BODY_CHUNK);
-                    to.count(piece.len())?;
-                    to.bytes(piece);
-                    to.byte(0);
+                Message::SendBodyChunk(chunk) => {
+                    payload.byte(SEND_BODY_CHUNK);
+                    payload.count(chunk.len())?;
+                    payload.bytes(chunk);
+                    payload.byte(0);
                 }
-                Message::End { reuse } => {
-                    to.byte(END_RESPONSE);
-                    to.byte(u8::from(*reuse));
+                Message::EndResponse { reuse } => {
+                    payload.byte(END_RESPONSE);
+                    payload.byte(u8::from(*reuse));
                 }
-                Message::GetBody(most) => {
-                    to.byte(GET_BODY_CHUNK);
-                    to.number(*most);
+                Message::GetBodyChunk(max_chunk_bytes) => {
+                    payload.byte(GET_BODY_CHUNK);
+                    payload.integer(*max_chunk_bytes);
                 }
-                Message::CPong => to.byte(CPONG_REPLY),
+                Message::CPong => payload.byte(CPONG_REPLY),
             }
             Ok(())
         })
     }
 }
 
-/// The longest piece of an answer's body that fits a packet.
-pub fn longest_piece(most: usize) -> usize {
-    most - crate::packet::HEADER - 4
+/// Returns the maximum size of a body chunk that fits a packet of this size, in bytes.
+pub fn max_chunk_bytes(max_packet_bytes: usize) -> usize {
+    max_packet_bytes - crate::packet::HEADER_BYTES - 4
 }
 
-/// A whole answer: its head, its body in as many pieces as it takes, its end.
-pub fn write_answer(
+/// Writes a complete response: its head, its body in as many chunks as necessary, and its end.
+pub fn write_response(
     out: &mut Vec<u8>,
-    most: usize,
-    head: Head,
+    max_packet_bytes: usize,
+    head: ResponseHead,
     body: &[u8],
     reuse: bool,
-) -> Result<(), Broken> {
-    Message::Head(head).write(out, most)?;
-    for piece in body.chunks(longest_piece(most)) {
-        Message::Piece(piece).write(out, most)?;
+) -> Result<(), ProtocolError> {
+    Message::SendHeaders(head).write(out, max_packet_bytes)?;
+    for chunk in body.chunks(max_chunk_bytes(max_packet_bytes)) {
+        Message::SendBodyChunk(chunk).write(out, max_packet_bytes)?;
     }
-    Message::End { reuse }.write(out, most)
+    Message::EndResponse { reuse }.write(out, max_packet_bytes)
 }
 
-/// The first whole message and how many bytes it takes.
-pub fn read(input: &[u8], most: usize) -> Result<Option<(Message<'_>, usize)>, Broken> {
-    let Some((payload, taken)) = split(input, Sender::Answerer, most)? else { return Ok(None) };
-    let mut rest = Rest(payload);
-    let message = match rest.byte()? {
-        SEND_HEADERS => Message::Head(Head {
-            status: rest.number()?,
-            words: rest.text()?,
-            headers: rest.headers(Headers::Reply)?,
+/// Returns the first complete message and the size of its packet; `None` if the packet is incomplete.
+pub fn read(input: &[u8], max_packet_bytes: usize) -> Result<Option<(Message<'_>, usize)>, ProtocolError> {
+    let Some((payload, packet_bytes)) = split(input, Sender::ServletContainer, max_packet_bytes)? else {
+        return Ok(None);
+    };
+    let mut reader = PayloadReader(payload);
+    let message = match reader.byte()? {
+        SEND_HEADERS => Message::SendHeaders(ResponseHead {
+            status: reader.integer()?,
+            reason: reader.string()?,
+            headers: reader.headers(HeaderTable::Response)?,
         }),
         SEND_BODY_CHUNK => {
-            let length = usize::from(rest.number()?);
-            let piece = rest.bytes(length)?;
-            // Some end a piece with a zero, some do not.
-            if rest.0 == [0] {
-                rest.0 = &[];
+            let length = usize::from(reader.integer()?);
+            let chunk = reader.bytes(length)?;
+            // Some servlet containers append a zero byte to a chunk, others do not.
+            if reader.0 == [0] {
+                reader.0 = &[];
             }
-            Message::Piece(piece)
+            Message::SendBodyChunk(chunk)
         }
-        END_RESPONSE => Message::End { reuse: rest.flag()? },
-        GET_BODY_CHUNK => Message::GetBody(rest.number()?),
+        END_RESPONSE => Message::EndResponse { reuse: reader.boolean()? },
+        GET_BODY_CHUNK => Message::GetBodyChunk(reader.integer()?),
         CPONG_REPLY => Message::CPong,
-        _ => return Err(Broken::Code),
+        _ => return Err(ProtocolError::UnknownCode),
     };
-    rest.end()?;
-    Ok(Some((message, taken)))
+    reader.end()?;
+    Ok(Some((message, packet_bytes)))
 }
--- a/crates/ochrewalk-lab/src/dependency.rs
+++ b/crates/ochrewalk-lab/src/dependency.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the shared upstream dependency: an AJP server that answers, delays, fails or closes the connection as
 //! a script decides for each call.
 
-use ochrewalk_ajp::packet::USUAL_PACKET;
-use ochrewalk_ajp::reply::{self, Head, Message};
+use ochrewalk_ajp::packet::DEFAULT_PACKET_BYTES;
+use ochrewalk_ajp::reply::{self, Message, ResponseHead};
 use ochrewalk_ajp::request::{self, BodyLength};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -133,7 +133,7 @@
         let _ = stream.set_read_timeout(Some(self.idle));
         let (mut input, mut before, mut was_pinged) = (Vec::new(), 0, false);
         loop {
-            match request::read(&input, USUAL_PACKET) {
+            match request::read(&input, DEFAULT_PACKET_BYTES) {
                 Err(_) => return,
                 Ok(None) => {
                     if !read_more(&mut stream, &mut input) {
@@ -148,7 +148,7 @@
                         return;
                     }
                 }
-                Ok(Some((request::Message::Request(request), taken))) => {
+                Ok(Some((request::Message::ForwardRequest(request), taken))) => {
                     let text = |bytes: Option<&[u8]>| bytes.map(|b| String::from_utf8_lossy(b).into_owned());
                     let call = ReceivedCall {
                         number: self.next.fetch_add(1, Ordering::Relaxed),
@@ -156,7 +156,7 @@
                         before,
                         was_pinged,
                         id: text(request.header("x-request-id")).unwrap_or_default(),
-                        secret: text(request.attribute(request::Which::Secret)),
+                        secret: text(request.attribute(request::StringAttribute::Secret)),
                         body: Vec::new(),
                     };
                     let length = request.body_length();
@@ -186,11 +186,13 @@
         let Some(BodyLength::Stated(length)) = length else { return self.run(stream, call, action) };
         let mut first = true;
         while (call.body.len() as u64) < length {
-            if !std::mem::take(&mut first) && stream.write_all(&message(&Message::GetBody(8_000))).is_err() {
+            if !std::mem::take(&mut first)
+                && stream.write_all(&message(&Message::GetBodyChunk(8_000))).is_err()
+            {
                 return false;
             }
             let complete = loop {
-                match request::read_piece(input, USUAL_PACKET) {
+                match request::read_body_chunk(input, DEFAULT_PACKET_BYTES) {
                     Ok(Some((piece, taken))) => {
                         call.body.extend_from_slice(piece);
                         break Some(taken);
@@ -265,7 +267,7 @@
 
 fn message(message: &Message) -> Vec<u8> {
     let mut out = Vec::new();
-    message.write(&mut out, USUAL_PACKET).expect("fits");
+    message.write(&mut out, DEFAULT_PACKET_BYTES).expect("fits");
     out
 }
 
@@ -276,7 +278,7 @@
         headers.push((b"x-ochrewalk-never-ran", b"1"));
     }
     let mut out = Vec::new();
-    let head = Head { status, words: b"-", headers };
-    reply::write_answer(&mut out, USUAL_PACKET, head, body, reuse).expect("fits");
+    let head = ResponseHead { status, reason: b"-", headers };
+    reply::write_response(&mut out, DEFAULT_PACKET_BYTES, head, body, reuse).expect("fits");
     out
 }
--- a/crates/ochrewalk-node/src/configuration/node_configuration.rs
+++ b/crates/ochrewalk-node/src/configuration/node_configuration.rs
@@ -7,10 +7,10 @@
 use ochrewalk_distribution::messages::{Position, Resource, ResourceKind, ResourceName, Value};
 use ochrewalk_distribution::{CompleteUpdate, Store, StoreLimits};
 use ochrewalk_ingress::allowed_peers::AllowedPeers;
-use ochrewalk_ingress::judge::Rules;
+use ochrewalk_ingress::request_evaluation::Rules;
 use ochrewalk_ingress::routes::Routes;
 use ochrewalk_operator_config::resources::{
-    check, check_route_target, endpoint_address, quota_name, RouteTarget, LIMIT_USUAL_MEMORY,
+    check, check_route_target, endpoint_address, quota_name, RouteTarget, LIMIT_DEFAULT_MEMORY,
 };
 use ochrewalk_operator_config::UpstreamEndpoint;
 use std::collections::{BTreeSet, HashMap};
@@ -125,8 +125,8 @@
     /// Returns the configuration in force.
     pub fn in_force(&self) -> ConfigurationInForce {
         let mut rules = Rules { routes: self.routes.clone(), ..self.file.rules.clone() };
-        if let Some(amount) = self.limit(LIMIT_USUAL_MEMORY) {
-            rules.usual_kb = Some(amount);
+        if let Some(amount) = self.limit(LIMIT_DEFAULT_MEMORY) {
+            rules.default_memory_kb = Some(amount);
         }
         ConfigurationInForce {
             allowed_peers: self.file.allowed_peers.clone(),
--- a/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
+++ b/crates/ochrewalk-node/src/net/ajp_ingress/handover.rs
@@ -5,9 +5,9 @@
 use crate::interfaces::DownstreamClient;
 use crate::net::buffered_connection::{stream_from_descriptor, SendQueue};
 use ochrewalk::host::RpcId;
-use ochrewalk_ajp::answerer::{Life, State};
 use ochrewalk_ajp::request::BodyLength;
-use ochrewalk_ingress::judge::{Asks, Method};
+use ochrewalk_ajp::servlet_container::{State, StateMachine};
+use ochrewalk_ingress::request_evaluation::{MethodRequest, RequestTarget};
 use std::collections::HashSet;
 use std::os::fd::{AsRawFd, OwnedFd, RawFd};
 use std::sync::{Arc, Mutex};
@@ -28,18 +28,18 @@
         {
             let (fd, stream) = connection.send_queue.snapshot()?;
             let state = connection.lock();
-            let (machine_state, spoke, faults) = state.state_machine.keep();
+            let (machine_state, has_received_packet, consecutive_faults) = state.state_machine.snapshot();
             let (kind, since_us, got, stated, flag) = match machine_state {
                 State::Idle { since_us } => (0, since_us, 0, None, false),
-                State::Head { since_us } => (1, since_us, 0, None, false),
-                State::Body { since_us, got, of } => {
-                    let stated = if let BodyLength::Stated(length) = of { Some(length) } else { None };
-                    (2, since_us, got, stated, false)
+                State::PartialPacket { since_us } => (1, since_us, 0, None, false),
+                State::Body { since_us, received_bytes, length } => {
+                    let stated = if let BodyLength::Stated(stated) = length { Some(stated) } else { None };
+                    (2, since_us, received_bytes, stated, false)
                 }
-                State::InHand { spoilt } => (3, 0, 0, None, spoilt),
-                State::Answering { reuse } => (4, 0, 0, None, reuse),
+                State::InFlight { is_corrupted } => (3, 0, 0, None, is_corrupted),
+                State::Responding { reuse } => (4, 0, 0, None, reuse),
                 State::Closing { since_us } => (5, since_us, 0, None, false),
-                State::Over => (6, 0, 0, None, false),
+                State::Closed => (6, 0, 0, None, false),
             };
             connections.push(AjpConnectionRecord {
                 number: *number,
@@ -49,8 +49,8 @@
                 got,
                 stated,
                 flag,
-                spoke,
-                faults,
+                spoke: has_received_packet,
+                faults: consecutive_faults,
                 request: state.request.as_ref().map(request_record),
                 body: state.body.clone(),
                 rpc: state.rpc.as_ref().map(|id| id.to_string()),
@@ -78,18 +78,23 @@
             let (since_us, flag) = (record.since_us, record.flag);
             let machine_state = match record.state {
                 0 => State::Idle { since_us },
-                1 => State::Head { since_us },
+                1 => State::PartialPacket { since_us },
                 2 => {
-                    let of = record.stated.map_or(BodyLength::Unstated, BodyLength::Stated);
-                    State::Body { since_us, got: record.got, of }
+                    let length = record.stated.map_or(BodyLength::Unstated, BodyLength::Stated);
+                    State::Body { since_us, received_bytes: record.got, length }
                 }
-                3 => State::InHand { spoilt: flag },
-                4 => State::Answering { reuse: flag },
+                3 => State::InFlight { is_corrupted: flag },
+                4 => State::Responding { reuse: flag },
                 5 => State::Closing { since_us },
-                _ => State::Over,
+                _ => State::Closed,
             };
             let state = ConnectionState {
-                state_machine: Life::resume(self.bounds(), machine_state, record.spoke, record.faults),
+                state_machine: StateMachine::restore(
+                    self.limits(),
+                    machine_state,
+                    record.spoke,
+                    record.faults,
+                ),
                 request: record.request.map(pending_request),
                 body: record.body,
                 rpc: record.rpc.map(id),
@@ -129,18 +134,20 @@
 
 fn request_record(pending: &PendingRequest) -> AjpRequestRecord {
     let ts_ms = pending.read_ms;
-    match &pending.asks {
-        Asks::Health => AjpRequestRecord { health: true, ts_ms, ..AjpRequestRecord::default() },
-        Asks::Method(Method { method, id, token, left_us, kb, tenant }) => AjpRequestRecord {
-            health: false,
-            method: *method as u32,
-            id: id.clone(),
-            token: token.clone(),
-            left_us: *left_us,
-            kb: *kb,
-            ts_ms,
-            tenant: tenant.clone(),
-        },
+    match &pending.target {
+        RequestTarget::Health => AjpRequestRecord { health: true, ts_ms, ..AjpRequestRecord::default() },
+        RequestTarget::Method(MethodRequest { method, id, token, time_left_us, memory_kb, tenant }) => {
+            AjpRequestRecord {
+                health: false,
+                method: *method as u32,
+                id: id.clone(),
+                token: token.clone(),
+                left_us: *time_left_us,
+                kb: *memory_kb,
+                ts_ms,
+                tenant: tenant.clone(),
+            }
+        }
     }
 }
 
@@ -148,10 +155,17 @@
 /// counts as within its quota.
 fn pending_request(record: AjpRequestRecord) -> PendingRequest {
     let AjpRequestRecord { health, method, id, token, left_us, kb, ts_ms, tenant } = record;
-    let asks = if health {
-        Asks::Health
+    let target = if health {
+        RequestTarget::Health
     } else {
-        Asks::Method(Method { method: method as usize, id, token, left_us, kb, tenant })
+        RequestTarget::Method(MethodRequest {
+            method: method as usize,
+            id,
+            token,
+            time_left_us: left_us,
+            memory_kb: kb,
+            tenant,
+        })
     };
-    PendingRequest { asks, read_ms: ts_ms, tenant: None }
+    PendingRequest { target, read_ms: ts_ms, tenant: None }
 }
--- a/crates/ochrewalk-node/tests/ajp.rs
+++ b/crates/ochrewalk-node/tests/ajp.rs
@@ -113,7 +113,7 @@
     chunked.headers = vec![("transfer-encoding", "chunked".into())];
     peer.send(&chunked.head()).unwrap();
     for part in [&b"AB"[..], b"C", b""] {
-        assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBody(_))).unwrap());
+        assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBodyChunk(_))).unwrap());
         peer.send(&piece(part)).unwrap();
     }
     let line: Value = serde_json::from_str(&executor.read_until("EXEC")).unwrap();
@@ -220,7 +220,7 @@
     let mut long = call("POST", "/once", 1, "");
     long.headers.push(("content-length", "6".into()));
     peer.send(&long.whole()).unwrap();
-    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBody(_))).unwrap());
+    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::GetBodyChunk(_))).unwrap());
     peer.end();
     // Within the head.
     let mut peer = connect(&node);
@@ -242,7 +242,7 @@
         r#"{{"action":"EXIT","pos":2,"uid":"{}","code":"complete","wall_ms":1,"content":"{result}"}}"#,
         req(4)
     ));
-    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::Head(_))).unwrap());
+    assert!(peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::SendHeaders(_))).unwrap());
     drop(peer);
     assert_serves(&node, &mut executor, 5, 3);
     // The run of a request with an idempotency key continues after its caller has disconnected, and its repeat gets the result.
@@ -471,11 +471,14 @@
         // With the new route in force, the executor gets the request.
         let mut is_routed = false;
         if let Ok(status) = peer.message(|m| match m {
-            ochrewalk_ajp::reply::Message::Head(head) => head.status,
+            ochrewalk_ajp::reply::Message::SendHeaders(head) => head.status,
             _ => 0,
         }) {
             is_routed = status != 404;
-            while !peer.message(|m| matches!(m, ochrewalk_ajp::reply::Message::End { .. })).unwrap_or(true) {}
+            while !peer
+                .message(|m| matches!(m, ochrewalk_ajp::reply::Message::EndResponse { .. }))
+                .unwrap_or(true)
+            {}
         }
         if !is_routed {
             peer = connect(&node);
--- a/crates/ochrewalk-node/tests/configuration/agent.rs
+++ b/crates/ochrewalk-node/tests/configuration/agent.rs
@@ -7,8 +7,8 @@
 use ochrewalk_control_plane::state_file::StateFile;
 use ochrewalk_distribution::messages::{Body, Position, Resource, Update};
 use ochrewalk_distribution::CompleteUpdate;
-use ochrewalk_ingress::judge::Rules;
-use ochrewalk_ingress::routes::{Found, Routes};
+use ochrewalk_ingress::request_evaluation::Rules;
+use ochrewalk_ingress::routes::{RouteMatch, Routes};
 use ochrewalk_node::configuration::agent::PreparedAgent;
 use ochrewalk_node::configuration::file_configuration::FileConfiguration;
 use ochrewalk_node::configuration::node_configuration::{ConfigurationInForce, NodeConfiguration};
@@ -125,7 +125,7 @@
 }
 
 fn is_routed(in_force: &ConfigurationInForce, path: &str) -> bool {
-    matches!(in_force.rules.routes.find(b"GET", path.as_bytes()).unwrap(), Found::Method(_))
+    matches!(in_force.rules.routes.find(b"GET", path.as_bytes()).unwrap(), RouteMatch::Method(_))
 }
 
 /// Returns the lines that this thread logs while `run` runs.
--- a/crates/ochrewalk-operator-config/src/resources/validation.rs
+++ b/crates/ochrewalk-operator-config/src/resources/validation.rs
@@ -4,39 +4,39 @@
 use crate::diagnostic::{line_error, LineError};
 use crate::values::{check_http_method, check_route_repeatable, weight, PATTERN_SUGGESTION};
 use ochrewalk_distribution::messages::{Endpoint, Limit, Quota, Resource, ResourceName, Route, Value};
-use ochrewalk_ingress::judge::MOST_TENANT;
+use ochrewalk_ingress::request_evaluation::MAX_TENANT_LENGTH;
 use ochrewalk_ingress::routes::Routes;
 
-/// The limit that gives the memory of requests that state none, in KB.
-pub const LIMIT_USUAL_MEMORY: &str = "usual-memory-kb";
-/// Limits that a running node takes over, and the bound that each stays under.
-const LIMITS: [(&str, f64); 1] = [(LIMIT_USUAL_MEMORY, 2_000.0)];
+/// The name of the limit that sets the memory of requests that state none, in KB.
+pub const LIMIT_DEFAULT_MEMORY: &str = "usual-memory-kb";
+/// The limits that a running node applies, each with its exclusive upper bound.
+const LIMITS: [(&str, f64); 1] = [(LIMIT_DEFAULT_MEMORY, 2_000.0)];
 
-/// Why a resource is rejected, as `resource: problem; suggestion`.
+/// The reason for which a resource is rejected, displayed as `resource: problem; suggestion`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{name}: {problem}; {suggestion}")]
 pub struct InvalidResource {
-    /// The resource, as [`describe`] writes it.
+    /// The resource's name, as [`describe`] returns it.
     pub name: String,
-    /// What is wrong.
+    /// The problem found.
     pub problem: String,
-    /// What would be right.
+    /// The correction to make.
     pub suggestion: String,
 }
 
-/// The method of a node that a route leads to.
+/// The node's method to which a route maps requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// Its position in the node's list of methods.
+    /// The method's position in the node's list of methods.
     pub position: usize,
-    /// It may run twice without harm.
+    /// Whether the method may run twice without harm.
     pub is_idempotent: bool,
 }
 
-/// Checks what can be checked without a node: what no node could take is rejected before it is published.
+/// Validates a resource without knowledge of a node, so that a resource that every node would reject is not published.
 ///
 /// # Errors
-/// The first thing that is wrong with the resource.
+/// Returns the first problem of the resource.
 pub fn check(resource: &Resource) -> Result<(), InvalidResource> {
     let checked = match &resource.value {
         None => Ok(()),
@@ -48,11 +48,12 @@
     checked.map_err(|error| invalid(&resource.name, error))
 }
 
-/// Checks a route against the method that it leads to, none where the node has no such method, and gives the method's
-/// position.
+/// Checks a route against its method and returns the method's position. `target` is `None` if the node has no such
+/// method.
 ///
 /// # Errors
-/// The node has no such method, or the method must not run twice and the HTTP method may be repeated by intermediaries.
+/// Returns an error if the node has no such method, or if the method must not run twice and intermediaries may retry the
+/// HTTP method.
 pub fn check_route_target(
     name: &ResourceName,
     route: &Route,
@@ -92,10 +93,10 @@
         return line_error(format!("a quota in scope {}", name.scope), format!("write scope {QUOTA_SCOPE}"));
     }
     let is_printable = !name.name.is_empty() && name.name.bytes().all(|b| b.is_ascii_graphic());
-    if !is_printable || name.name.len() > MOST_TENANT {
+    if !is_printable || name.name.len() > MAX_TENANT_LENGTH {
         return line_error(
             "the tenant is no word of printable letters",
-            format!("write {MOST_TENANT} at most"),
+            format!("write {MAX_TENANT_LENGTH} at most"),
         );
     }
     if !quota.per_second.is_finite() || quota.per_second < 0.0 {
