--- a/crates/ochrewalk-load-balancer/tests/fleet.rs
+++ b/crates/ochrewalk-load-balancer/tests/fleet.rs
@@ -132,19 +132,15 @@
         ),
     ];
     for (name, change, dispersion) in cases {
-        let (fleet, latency_aware) = play_with(BalancingPolicy::LatencyAwareRoundRobin, change);
+        let (fleet, measured) = play_with(BalancingPolicy::LatencyAwareRoundRobin, change);
         let (_, random) = play_with(BalancingPolicy::Random, change);
         let listed = fleet.list_updates.last().map_or(&fleet.listed, |update| &update.endpoints);
-        let after = latency_aware.evenness(listed, 4);
+        let after = measured.evenness(listed, 4);
         assert!(after.idle == 0 && after.dispersion < dispersion, "{name}: {after:?}");
         let (served, random_served) =
-            (latency_aware.served_between(FROM, UNTIL), random.served_between(FROM, UNTIL));
+            (measured.served_between(FROM, UNTIL), random.served_between(FROM, UNTIL));
         assert!(served > random_served - 0.003, "{name}: {served} against {random_served}");
-        assert_eq!(
-            latency_aware.served + latency_aware.failed.len(),
-            latency_aware.calls,
-            "{name}: each call ends once"
-        );
+        assert_eq!(measured.served + measured.failed.len(), measured.calls, "{name}: each call ends once");
     }
 }
 
