--- a/crates/ochrewalk-control-plane/tests/state_file.rs
+++ b/crates/ochrewalk-control-plane/tests/state_file.rs
@@ -61,7 +61,7 @@
 }
 
 /// Truncates the file at each byte, and flips one bit in each byte: the steps that are read are always a prefix of those
-/// that were write_steps, or none.
+/// that were written, or none.
 #[test]
 fn damage_at_any_byte_leaves_an_older_state_or_none() {
     let folder = tempfile::tempdir().unwrap();
